--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
@@ -9,7 +9,7 @@
 import io.marigoldsail.daemon.workflow.PlacementAdviser.AdviceResult;
 import io.marigoldsail.daemon.workflow.PlacementAdviser.Advised;
 import io.marigoldsail.daemon.workflow.PlacementAdviser.NotAdvised;
-import io.marigoldsail.workflow.AdviceTerms;
+import io.marigoldsail.workflow.AdviserTiming;
 import io.marigoldsail.workflow.StepAdvice;
 import io.marigoldsail.workflow.TaskKey;
 import io.marigoldsail.workflow.VmOffer;
@@ -63,7 +63,7 @@
 
   /** Returns the offers that tasks of the step may be placed on now. */
   ImmutableList<VmOffer> allowed(WorkflowTask task, Collection<VmOffer> offers) {
-    return of(task).allowed(offers, loop.now());
+    return of(task).allowedOffers(offers, loop.now());
   }
 
   /** Returns the ticket by which a worker takes the task; empty if there is none. */
@@ -87,12 +87,13 @@
     if (asking || loop.now() < notBefore) {
       return;
     }
-    ImmutableList<String> named = of(task).toName(candidates, StepAdvice.MOST_NAMED, loop.now());
+    ImmutableList<String> named =
+        of(task).workersToQuery(candidates, StepAdvice.MAX_VMS_PER_CALL, loop.now());
     if (named.isEmpty()) {
       return;
     }
     asking = true;
-    AdviceTerms terms = task.workflow().spec().terms().advice().orElseThrow();
+    AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
     long sentAt = loop.now();
     TaskKey key = task.key();
     adviser
@@ -114,10 +115,10 @@
             .with("named", named.size())
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - sentAt));
     if (result instanceof Advised told) {
-      AdviceTerms terms = task.workflow().spec().terms().advice().orElseThrow();
+      AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
       // Counted from the asking: the adviser's clock for the ticket began after that.
       long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(terms.validMillis());
-      of(task).answered(named, told.tickets(), validUntil);
+      of(task).recordAnswer(named, told.tickets(), validUntil);
       LOG.info(line.with("allowed", told.tickets().size()));
     } else {
       notBefore = loop.now() + RETRY_NANOS;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -102,18 +102,18 @@
   /**
    * Asks the owner of the partition about a workflow.
    *
-   * @param told runs on the loop; {@link QueryResult#CANNOT_TELL} if the owner is not reached
+   * @param told runs on the loop; {@link QueryResult#UNAVAILABLE} if the owner is not reached
    */
   void ask(int partition, WorkflowQuery question, Consumer<QueryResult> told) {
     LinkConnection connection = owner(partition).flatMap(links::to).orElse(null);
     if (connection == null) {
-      told.accept(QueryResult.CANNOT_TELL);
+      told.accept(QueryResult.UNAVAILABLE);
       return;
     }
     long id = ++lastQuestion;
     asked.put(id, new Asked(connection, told));
     connection.send(Frame.newBuilder().setWorkflowQuery(question.toBuilder().setId(id)).build());
-    loop.schedule(() -> answered(id, QueryResult.CANNOT_TELL), QUESTION_NANOS);
+    loop.schedule(() -> answered(id, QueryResult.UNAVAILABLE), QUESTION_NANOS);
   }
 
   private void answered(long id, QueryResult result) {
@@ -174,7 +174,7 @@
     public void closed(String member, LinkConnection link) {
       for (Map.Entry<Long, Asked> each : Map.copyOf(asked).entrySet()) {
         if (each.getValue().connection() == link) {
-          answered(each.getKey(), QueryResult.CANNOT_TELL);
+          answered(each.getKey(), QueryResult.UNAVAILABLE);
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -10,10 +10,10 @@
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.workflow.GangChooser;
 import io.marigoldsail.workflow.Place;
-import io.marigoldsail.workflow.PlacementWish;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.StepSpec;
+import io.marigoldsail.workflow.TaskPlacementRequest;
 import io.marigoldsail.workflow.Urgency;
 import io.marigoldsail.workflow.VmChooser;
 import io.marigoldsail.workflow.VmOffer;
@@ -132,11 +132,11 @@
   void ended(WorkflowTask task, RunOutcome outcome) {
     if (outcome == RunOutcome.REFUSED) {
       int factor = Math.min(task.refusals(), MAX_WAIT_FACTOR);
-      boolean gang = task.step().nature().gang();
+      boolean gang = task.step().traits().gang();
       long once = gang ? GANG_REFUSED_WAIT_NANOS : REFUSED_WAIT_NANOS;
-      task.waitUntil(loop.now() + Math.min(factor * once, MAX_REFUSED_WAIT_NANOS));
-    } else if (outcome == RunOutcome.FAILED && task.step().nature().lasting()) {
-      task.waitUntil(loop.now() + FAILED_WAIT_NANOS);
+      task.deferUntil(loop.now() + Math.min(factor * once, MAX_REFUSED_WAIT_NANOS));
+    } else if (outcome == RunOutcome.FAILED && task.step().traits().longRunning()) {
+      task.deferUntil(loop.now() + FAILED_WAIT_NANOS);
     }
     soon();
   }
@@ -144,7 +144,7 @@
   /** A task, or a gang by its first member. */
   private record Waiting(OwnedPartition partition, WorkflowTask task, Urgency urgency) {
     List<WorkflowTask> members() {
-      return task.step().nature().gang() ? task.workflow().gangOf(task) : List.of(task);
+      return task.step().traits().gang() ? task.workflow().gangMembers(task) : List.of(task);
     }
 
     Waiting calmed() {
@@ -166,7 +166,7 @@
       WorkflowTask task = waiting.task();
       boolean counts = task.step().placement().maxPerVm() > 0;
       return new Need(
-          task.workflow().spec().terms().service(),
+          task.workflow().spec().policy().service(),
           task.step(),
           waiting.urgency(),
           counts ? Optional.of(StepKey.of(task.key())) : Optional.empty());
@@ -187,7 +187,7 @@
     // Rooms only fill up in one pass.
     Set<Need> full = new HashSet<>();
     Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.isRoomy(offers.values());
+    boolean roomy = VmOffer.hasSpareCapacity(offers.values());
     for (Waiting candidate : waiting) {
       WorkflowTask task = candidate.task();
       // One task at work is enough for a workflow not to starve.
@@ -212,11 +212,11 @@
   }
 
   private VmOffer after(VmOffer offer, WorkflowTask task) {
-    return offer.after(task.step(), vms.harmOf(task.step().nature().image()));
+    return offer.afterPlacing(task.step(), vms.harmOf(task.step().traits().image()));
   }
 
   private static boolean isAdvised(WorkflowTask task) {
-    return task.workflow().spec().terms().advice().isPresent();
+    return task.workflow().spec().policy().advice().isPresent();
   }
 
   /**
@@ -229,7 +229,8 @@
     }
     List<VmOffer> chosen = choose(waiting, advice.allowed(task, offers));
     if (chosen.isEmpty()) {
-      advice.ask(task, chooser.best(wish(task, waiting.urgency(), ""), offers, offers.size()));
+      advice.ask(
+          task, chooser.rankedOffers(wish(task, waiting.urgency(), ""), offers, offers.size()));
     }
     return chosen;
   }
@@ -254,7 +255,7 @@
     }
     StepSpec step = waiting.task().step();
     boolean leave =
-        VmChooser.isWorthLeaving(
+        VmChooser.prefersOtherVm(
             step, elsewhere.stream().findFirst(), anywhere.stream().findFirst());
     return leave ? elsewhere : anywhere;
   }
@@ -265,8 +266,8 @@
 
   private List<VmOffer> chooseAmong(Waiting waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
-    if (task.step().nature().gang()) {
-      PlacementWish wish = wish(task, waiting.urgency(), "");
+    if (task.step().traits().gang()) {
+      TaskPlacementRequest wish = wish(task, waiting.urgency(), "");
       Optional<ImmutableList<VmOffer>> all = gangs.choose(wish, waiting.members().size(), offers);
       return all.orElse(ImmutableList.of());
     }
@@ -280,19 +281,21 @@
         wish(task, urgency, rack), offers, offer -> vms.ofStepOn(offer.place().vm(), task));
   }
 
-  private PlacementWish wish(WorkflowTask task, Urgency urgency, String siblingRack) {
-    double harm = vms.harmOf(task.step().nature().image());
-    return new PlacementWish(task.workflow().spec(), task.step(), harm, urgency, siblingRack);
+  private TaskPlacementRequest wish(WorkflowTask task, Urgency urgency, String siblingRack) {
+    double harm = vms.harmOf(task.step().traits().image());
+    return new TaskPlacementRequest(
+        task.workflow().spec(), task.step(), harm, urgency, siblingRack);
   }
 
   private List<Waiting> waiting(QueueTable queues) {
     long now = loop.now();
     long wall = wallMillis.getAsLong();
-    record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Ranked rank) {}
+    record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Rank rank) {}
     List<Candidate> candidates = new ArrayList<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.status().isTerminal() && queues.uses(workflow.spec().terms().service())) {
+        if (!workflow.status().isTerminal()
+            && queues.usesService(workflow.spec().policy().service())) {
           candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wall)));
         }
       }
@@ -324,12 +327,12 @@
     if (queues.isEmpty()) {
       return WaitCause.NO_CONFIGURATION;
     }
-    if (!queues.get().uses(task.workflow().spec().terms().service())) {
+    if (!queues.get().usesService(task.workflow().spec().policy().service())) {
       return WaitCause.SERVICE_UNUSED;
     }
     Urgency urgency = WaitingOrder.rank(task.workflow(), wallMillis.getAsLong()).urgency();
     Waiting ranked = new Waiting(partition, task, urgency);
-    Waiting waiting = VmOffer.isRoomy(offers) ? ranked : ranked.calmed();
+    Waiting waiting = VmOffer.hasSpareCapacity(offers) ? ranked : ranked.calmed();
     if (!isDue(waiting, loop.now())) {
       return WaitCause.WAITS;
     }
@@ -356,7 +359,7 @@
   }
 
   private static boolean isFirstOfGang(WorkflowTask task) {
-    return !task.step().nature().gang() || task.key().index() == 0;
+    return !task.step().traits().gang() || task.key().index() == 0;
   }
 
   private static boolean isDue(Waiting waiting, long now) {
@@ -366,10 +369,10 @@
   private void order(Waiting waiting, List<Place> places) {
     WorkflowTask first = waiting.task();
     Workflow workflow = first.workflow();
-    if (first.step().nature().gang()) {
-      workflow.orderGang(first, places);
+    if (first.step().traits().gang()) {
+      workflow.startGangAttempt(first, places);
     } else {
-      workflow.order(first, places.get(0));
+      workflow.startAttempt(first, places.get(0));
     }
     waiting.members().forEach(task -> tellOrdered(waiting, task));
     vms.ordered(
@@ -402,7 +405,7 @@
   void evacuate() {
     for (OpenRun run : vms.onDrainingVms()) {
       boolean movable =
-          run.task().step().nature().lasting() || run.task().step().nature().checkpointable();
+          run.task().step().traits().longRunning() || run.task().step().traits().checkpointable();
       if (movable) {
         move(run, "its worker leaves");
       }
@@ -420,7 +423,7 @@
       return;
     }
     List<VmOffer> free = new ArrayList<>();
-    vms.offers().stream().filter(offer -> offer.serving() == 0).forEach(free::add);
+    vms.offers().stream().filter(offer -> offer.serviceTasks() == 0).forEach(free::add);
     for (OpenRun run : slowed) {
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
@@ -438,7 +441,7 @@
   }
 
   private static boolean isCheaplyStopped(WorkflowTask task) {
-    return task.step().nature().checkpointable() || task.percent() <= CHEAP_PERCENT;
+    return task.step().traits().checkpointable() || task.percent() <= CHEAP_PERCENT;
   }
 
   private boolean move(OpenRun run, String reason) {
@@ -446,7 +449,7 @@
     if (!run.isDurable() || !task.isStarted() || run.isUnwanted()) {
       return false;
     }
-    task.wantStop();
+    task.requestStop();
     LOG.info(LogLine.of("run-moved").with("run", task.openRun()).with("reason", reason));
     vms.stopUnwanted(task.workflow());
     return true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryTerms.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 
 /**
  * What an entry needs to know of the deployment.
@@ -13,7 +13,7 @@
  * @param keepEndedMillis how long the status of a workflow is told after its end, in milliseconds
  * @param farRackFactor how many times as long a task takes on another rack than its data
  */
-public record EntryTerms(LeaseTermsOfWorker lease, long keepEndedMillis, double farRackFactor) {
+public record EntryTerms(WorkerLeaseTerms lease, long keepEndedMillis, double farRackFactor) {
   /** Checks the components. */
   public EntryTerms {
     requireNonNull(lease, "lease");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
@@ -12,11 +12,11 @@
 import io.marigoldsail.protocol.PartitionEvidence;
 import io.marigoldsail.protocol.RunReport;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.VmOffer;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowTask;
 import java.util.ArrayList;
@@ -59,7 +59,7 @@
 
   private final LinkLoop loop;
   private final Ownership ownership;
-  private final LeaseTermsOfWorker terms;
+  private final WorkerLeaseTerms terms;
   private final Listener listener;
   private final LongSupplier wallMillis;
   private final Map<LinkConnection, VmSession> sessions = new HashMap<>();
@@ -74,7 +74,7 @@
   EntryVms(
       LinkLoop loop,
       Ownership ownership,
-      LeaseTermsOfWorker terms,
+      WorkerLeaseTerms terms,
       LongSupplier wallMillis,
       Listener listener) {
     this.loop = requireNonNull(loop, "loop");
@@ -225,8 +225,8 @@
     }
     OpenRun open = found.get();
     if (run.getStarted()) {
-      boolean first = !open.task().workflow().hasBegun();
-      open.task().observe(run.getCheckpoint(), run.getPercent());
+      boolean first = !open.task().workflow().hasStarted();
+      open.task().recordProgress(run.getCheckpoint(), run.getPercent());
       knowledge.progressed(open, report.getVm(), run.getPercent(), loop.now());
       if (first) {
         open.partition().changed(open.task().workflow());
@@ -264,7 +264,7 @@
     return partition
         .workflow(key.task().workflow())
         .flatMap(workflow -> workflow.task(key.task()))
-        .filter(task -> task.step().nature().gang() && task.isDone())
+        .filter(task -> task.step().traits().gang() && task.isDone())
         .filter(task -> task.lastAttempt() == key.attempt())
         .isPresent();
   }
@@ -306,7 +306,7 @@
     Place place = task.place().orElseThrow();
     Workflow workflow = task.workflow();
     // First of all: a run that stays open in its workflow would never be ordered or noted again.
-    boolean ended = workflow.ended(key, outcome, checkpoint, wallMillis.getAsLong());
+    boolean ended = workflow.recordEnd(key, outcome, checkpoint, wallMillis.getAsLong());
     openRuns.remove(place.vm(), key);
     knowledge.ended(run, place.vm(), outcome, loop.now());
     if (!ended) {
@@ -321,7 +321,7 @@
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - run.orderedAt()))
             .with("status", workflow.status()));
     run.partition().changed(workflow);
-    if (task.step().nature().gang()) {
+    if (task.step().traits().gang()) {
       followGang(task);
     }
     listener.ended(run.partition(), task, outcome);
@@ -472,7 +472,7 @@
   /** Returns all open runs that fill on VMs where such tasks may work at the share at most. */
   ImmutableList<OpenRun> slowedDownTo(int percent) {
     return runsOn(report -> report.getServing() > 0 && report.getFillPercent() <= percent).stream()
-        .filter(run -> run.task().step().nature().fills())
+        .filter(run -> run.task().step().traits().bestEffort())
         .filter(run -> knowledge.isSuspect(run.task()))
         .collect(ImmutableList.toImmutableList());
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
@@ -2,12 +2,12 @@
 
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
-import io.marigoldsail.workflow.ImageHarm;
-import io.marigoldsail.workflow.ImageSums;
+import io.marigoldsail.workflow.ImageEvidenceAggregator;
+import io.marigoldsail.workflow.ImageInterference;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.StepSpec;
-import io.marigoldsail.workflow.VmSpeed;
-import io.marigoldsail.workflow.VmTrust;
+import io.marigoldsail.workflow.VmQuarantine;
+import io.marigoldsail.workflow.VmSlowdownEstimator;
 import io.marigoldsail.workflow.WorkflowTask;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -24,18 +24,18 @@
   /** Between two looks at the pace of a run, in nanoseconds: reports come about as often. */
   private static final long PACE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  private final VmTrust trust = new VmTrust();
-  private final VmSpeed speed = new VmSpeed();
-  private final ImageHarm harm = new ImageHarm();
-  private final ImageSums images = new ImageSums();
+  private final VmQuarantine trust = new VmQuarantine();
+  private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
+  private final ImageInterference harm = new ImageInterference();
+  private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
 
   /** Takes how far a run is; what fills or lasts tells nothing of its VM's pace. */
   void progressed(OpenRun run, String vm, int percent, long now) {
     StepSpec step = run.task().step();
     boolean due = run.started(now, PACE_NANOS);
-    if (due && !step.nature().fills() && !step.nature().lasting()) {
+    if (due && !step.traits().bestEffort() && !step.traits().longRunning()) {
       double worked = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      speed.sample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.ranNanos(now)), now);
+      speed.addSample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.ranNanos(now)), now);
     }
   }
 
@@ -44,33 +44,33 @@
     if (!outcome.completes() && !outcome.countsAsFailure()) {
       return;
     }
-    boolean restedBefore = trust.rests(vm, now);
-    trust.ended(vm, outcome.countsAsFailure(), now);
-    if (!restedBefore && trust.rests(vm, now)) {
+    boolean restedBefore = trust.isQuarantined(vm, now);
+    trust.recordEnd(vm, outcome.countsAsFailure(), now);
+    if (!restedBefore && trust.isQuarantined(vm, now)) {
       LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "what it starts fails"));
     }
     StepSpec step = run.task().step();
-    if (outcome.completes() && !step.nature().fills()) {
+    if (outcome.completes() && !step.traits().bestEffort()) {
       double took = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
-      speed.sample(vm, step.estimateMillis(), took, now);
+      speed.addSample(vm, step.estimateMillis(), took, now);
     }
   }
 
   /** Forgets what was learned of a VM whose worker is another one. */
   void renewed(String vm) {
-    trust.renewed(vm);
-    speed.renewed(vm);
+    trust.reset(vm);
+    speed.reset(vm);
   }
 
   /** Takes what a VM saw of images. */
-  void imagesSeen(String vm, Map<String, ImageHarm.Seen> seen) {
-    images.saw(vm, seen);
-    harm.others(images.all());
+  void imagesSeen(String vm, Map<String, ImageInterference.Evidence> seen) {
+    images.update(vm, seen);
+    harm.setRemoteEvidence(images.total());
   }
 
   /** Returns what all VMs but one saw of images. */
-  Map<String, ImageHarm.Seen> imagesSeenElsewhere(String vm) {
-    return images.elsewhere(vm);
+  Map<String, ImageInterference.Evidence> imagesSeenElsewhere(String vm) {
+    return images.totalExcluding(vm);
   }
 
   double harmOf(String image) {
@@ -79,14 +79,14 @@
 
   /** Returns whether the task's image may disturb tasks that serve. */
   boolean isSuspect(WorkflowTask task) {
-    return ImageHarm.isSuspect(harmOf(task.step().nature().image()));
+    return ImageInterference.isInterfering(harmOf(task.step().traits().image()));
   }
 
   boolean rests(String vm, long now) {
-    return trust.rests(vm, now);
+    return trust.isQuarantined(vm, now);
   }
 
   double slowness(String vm, long now) {
-    return speed.slowness(vm, now);
+    return speed.slowdown(vm, now);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -119,6 +119,6 @@
 
   /** Returns whether the run should end although it is the task's open attempt. */
   boolean isUnwanted() {
-    return task.isStopWanted() || task.workflow().status().isTerminal();
+    return task.isStopRequested() || task.workflow().status().isTerminal();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
@@ -147,7 +147,7 @@
           written[0] = workflow.status();
           return WorkflowRecords.encode(workflow.record());
         },
-        () -> workflow.show(written[0]));
+        () -> workflow.setDurableStatus(written[0]));
   }
 
   /** Drops a workflow that ended long ago from memory and store. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunOverLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunOverLog.java
@@ -39,7 +39,7 @@
             .with("outcome", outcome)
             .with("reason", reason)
             .with("worker", worker);
-    if (outcome.ran()) {
+    if (outcome.mayHaveRun()) {
       LOG.info(line);
     } else {
       refusals.tell("refused: " + reason, line);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunPacing.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunPacing.java
@@ -7,10 +7,10 @@
 import io.marigoldsail.daemon.observe.FoldedLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Accepted;
-import io.marigoldsail.workflow.FillPacer;
-import io.marigoldsail.workflow.ImageHarm;
+import io.marigoldsail.workflow.BestEffortThrottler;
+import io.marigoldsail.workflow.ImageInterference;
+import io.marigoldsail.workflow.InterferenceBudget;
 import io.marigoldsail.workflow.Overcommit;
-import io.marigoldsail.workflow.SuspectRoom;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -18,7 +18,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Carries out what {@link FillPacer} decides for one worker. Confined to the loop's thread. */
+/**
+ * Carries out what {@link BestEffortThrottler} decides for one worker. Confined to the loop's
+ * thread.
+ */
 final class RunPacing {
   private static final EventLog LOG = EventLog.of(RunPacing.class);
 
@@ -32,8 +35,8 @@
   private final WorkerGateway gateway;
   private final String worker;
   private final Overcommit overcommit;
-  private final FillPacer pacer = new FillPacer();
-  private final ImageHarm harm = new ImageHarm();
+  private final BestEffortThrottler pacer = new BestEffortThrottler();
+  private final ImageInterference harm = new ImageInterference();
   private final Map<String, Boolean> suspected = new HashMap<>();
   private final FoldedLog paces;
   private long toldAt = Long.MIN_VALUE;
@@ -47,12 +50,12 @@
   }
 
   int percent() {
-    return pacer.percent();
+    return pacer.interferingPercent();
   }
 
   /** Returns whether tasks of the image may disturb tasks that serve. */
   boolean isSuspect(String image) {
-    return ImageHarm.isSuspect(harm.belief(image));
+    return ImageInterference.isInterfering(harm.belief(image));
   }
 
   /** Returns what the suspects among the runs declare, in thousandths of a processor. */
@@ -76,7 +79,7 @@
     }
     List<SideRun> suspects = suspects(runs);
     List<Long> declared = suspects.stream().map(SideRun::milliProcessors).toList();
-    SuspectRoom.excess(capacityMilli, declared)
+    InterferenceBudget.excess(capacityMilli, declared)
         .forEach(position -> suspects.get(position).crowded(true));
   }
 
@@ -86,19 +89,19 @@
    * @param capacityMilli the processors of the VM, in thousandths
    */
   boolean observe(Collection<SideRun> runs, long capacityMilli) {
-    List<FillPacer.Reading> readings = new ArrayList<>();
+    List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (SideRun run : runs) {
       if (run.latencyTargetMillis() > 0 && run.isListed()) {
-        readings.add(new FillPacer.Reading(run.gauge(), run.latencyTargetMillis()));
+        readings.add(new BestEffortThrottler.TailReading(run.gauge(), run.latencyTargetMillis()));
       }
     }
-    List<ImageHarm.Filling> fillings = fillings(runs);
+    List<ImageInterference.ImageLoad> fillings = fillings(runs);
     if (!readings.isEmpty()) {
-      harm.observe(fillings, FillPacer.worstPercent(readings));
+      harm.observe(fillings, BestEffortThrottler.worstPercent(readings));
     }
-    observeAttained(runs, FillPacer.worstPercent(readings));
+    observeAttained(runs, BestEffortThrottler.worstPercent(readings));
     tellOfSuspects(fillings);
-    int before = pacer.percent();
+    int before = pacer.interferingPercent();
     int after = pacer.observe(readings, filling(runs, capacityMilli), loop.now());
     if (before != after) {
       paces.tell(
@@ -129,8 +132,8 @@
   }
 
   /** Logs what images that are here have come to be believed to disturb, or not to. */
-  private void tellOfSuspects(List<ImageHarm.Filling> fillings) {
-    for (ImageHarm.Filling each : fillings) {
+  private void tellOfSuspects(List<ImageInterference.ImageLoad> fillings) {
+    for (ImageInterference.ImageLoad each : fillings) {
       boolean suspect = isSuspect(each.image());
       Boolean before = suspected.put(each.image(), suspect);
       if (before != null && before != suspect) {
@@ -144,7 +147,7 @@
     }
   }
 
-  private FillPacer.Filling filling(Collection<SideRun> runs, long capacityMilli) {
+  private BestEffortThrottler.BestEffortLoad filling(Collection<SideRun> runs, long capacityMilli) {
     long suspect = 0;
     long harmless = 0;
     for (SideRun run : runs) {
@@ -154,32 +157,32 @@
         harmless += suspected ? 0 : run.milliProcessors();
       }
     }
-    return new FillPacer.Filling(suspect, harmless, capacityMilli);
+    return new BestEffortThrottler.BestEffortLoad(suspect, harmless, capacityMilli);
   }
 
-  private static List<ImageHarm.Filling> fillings(Collection<SideRun> runs) {
+  private static List<ImageInterference.ImageLoad> fillings(Collection<SideRun> runs) {
     Map<String, Double> worked = new HashMap<>();
     for (SideRun run : runs) {
       if (run.fills() && run.isListed()) {
         worked.merge(run.image(), (double) run.gauge(), Double::sum);
       }
     }
-    List<ImageHarm.Filling> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageHarm.Filling(image, milli)));
+    List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
+    worked.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
     return fillings;
   }
 
   /** Returns what was seen here of the harm that images do. */
-  Map<String, ImageHarm.Seen> seen() {
-    return harm.own();
+  Map<String, ImageInterference.Evidence> seen() {
+    return harm.localEvidence();
   }
 
   /** Takes what other VMs saw. */
-  void seenElsewhere(Map<String, ImageHarm.Seen> seen) {
-    harm.others(seen);
+  void seenElsewhere(Map<String, ImageInterference.Evidence> seen) {
+    harm.setRemoteEvidence(seen);
   }
 
-  private void tell(Collection<SideRun> runs, List<FillPacer.Reading> readings) {
+  private void tell(Collection<SideRun> runs, List<BestEffortThrottler.TailReading> readings) {
     if (runs.isEmpty() || (toldAt != Long.MIN_VALUE && loop.now() - toldAt < TELL_NANOS)) {
       return;
     }
@@ -201,15 +204,17 @@
             .with("filling", fills)
             .with("fill_declared_milli", declared)
             .with("fill_used_milli", used)
-            .with("fill_percent", pacer.percent())
-            .with("harmless_percent", pacer.harmlessPercent())
+            .with("fill_percent", pacer.interferingPercent())
+            .with("harmless_percent", pacer.benignPercent())
             .with("serving", readings.size())
-            .with("tails_ms", readings.stream().map(FillPacer.Reading::tailMillis).toList()));
+            .with(
+                "tails_ms",
+                readings.stream().map(BestEffortThrottler.TailReading::tailMillis).toList()));
   }
 
   /** Sets the speed of a run, if it fills and has another one. */
   void pace(SideRun run) {
-    int percent = isSuspect(run.image()) ? pacer.percent() : pacer.harmlessPercent();
+    int percent = isSuspect(run.image()) ? pacer.interferingPercent() : pacer.benignPercent();
     if (!run.fills() || run.isPacedTo(percent) || run.isStopping() || !run.isConfirmed()) {
       return;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -3,9 +3,9 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.InterferenceBudget;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
-import io.marigoldsail.workflow.SuspectRoom;
 import io.marigoldsail.workflow.Urgency;
 import java.util.Collection;
 import java.util.Optional;
@@ -16,18 +16,18 @@
  */
 final class StartAdmission {
   private final WorkerTime time;
-  private final RoomLedger room;
+  private final ResourceLedger room;
   private final RunPacing pacing;
 
-  StartAdmission(WorkerTime time, RoomLedger room, RunPacing pacing) {
+  StartAdmission(WorkerTime time, ResourceLedger room, RunPacing pacing) {
     this.time = requireNonNull(time, "time");
     this.room = requireNonNull(room, "room");
     this.pacing = requireNonNull(pacing, "pacing");
   }
 
   /** Returns what the ordered run takes. */
-  static RoomLedger.Claim claim(StartRun order) {
-    return new RoomLedger.Claim(
+  static ResourceLedger.Claim claim(StartRun order) {
+    return new ResourceLedger.Claim(
         WorkflowRecords.sizes(
             order.getMilliProcessors(), order.getMemoryMebibytes(), order.getAccelerators()),
         order.getFills(),
@@ -70,7 +70,7 @@
 
   private boolean isTooMuchBeside(StartRun order, Collection<SideRun> runs) {
     return pacing.isSuspect(order.getImage())
-        && !SuspectRoom.admits(
+        && !InterferenceBudget.admits(
             room.capacity().milliProcessors(),
             pacing.suspectMilliProcessors(runs),
             order.getMilliProcessors());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
@@ -9,11 +9,11 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.protocol.RunReport;
-import io.marigoldsail.workflow.AbsenceWatch;
-import io.marigoldsail.workflow.AbsenceWatch.Absence;
-import io.marigoldsail.workflow.AbsenceWatch.Look;
-import io.marigoldsail.workflow.AbsenceWatch.Return;
-import io.marigoldsail.workflow.AbsenceWatch.Sight;
+import io.marigoldsail.workflow.AbsenceDetector;
+import io.marigoldsail.workflow.AbsenceDetector.Absence;
+import io.marigoldsail.workflow.AbsenceDetector.CheckResult;
+import io.marigoldsail.workflow.AbsenceDetector.Observation;
+import io.marigoldsail.workflow.AbsenceDetector.Recovery;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.VmOffer;
 import io.marigoldsail.workflow.Workflow;
@@ -41,8 +41,8 @@
   private static final EventLog LOG = EventLog.of(TaskWatch.class);
 
   /**
-   * Between two lines on what is watched, in nanoseconds; {@link AbsenceWatch#REPEAT_NANOS} while
-   * more is away than is told.
+   * Between two lines on what is watched, in nanoseconds; {@link AbsenceDetector#REPEAT_NANOS}
+   * while more is away than is told.
    */
   static final long SUMMARY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -51,7 +51,7 @@
   private final Ownership ownership;
   private final EntryVms vms;
   private final EntryScheduler scheduler;
-  private final AbsenceWatch watch = new AbsenceWatch();
+  private final AbsenceDetector watch = new AbsenceDetector();
   private long summaryAt = Long.MIN_VALUE;
   private long returnsLeftOut;
 
@@ -70,19 +70,19 @@
 
   /** Looks once; to be called about each second. */
   void look() {
-    Look look = watch.look(sights(), loop.now());
-    look.returns().forEach(this::tellBack);
+    CheckResult look = watch.check(sights(), loop.now());
+    look.recoveries().forEach(this::tellBack);
     if (!look.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
       String standings = standings();
       look.absences().forEach(absence -> tellAbsent(absence, offers, standings));
     }
-    returnsLeftOut += look.returnsLeftOut();
+    returnsLeftOut += look.omittedRecoveries();
     summarize(look);
   }
 
-  private ImmutableList<Sight> sights() {
-    ImmutableList.Builder<Sight> sights = ImmutableList.builder();
+  private ImmutableList<Observation> sights() {
+    ImmutableList.Builder<Observation> sights = ImmutableList.builder();
     long wall = wallMillis.getAsLong();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
@@ -94,7 +94,7 @@
               wall,
               task -> {
                 if (lasts(task)) {
-                  sights.add(new Sight(task, OptionalLong.empty(), OptionalLong.empty()));
+                  sights.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
@@ -104,26 +104,26 @@
   }
 
   private static boolean lasts(Workflow workflow) {
-    return workflow.spec().steps().stream().anyMatch(step -> step.nature().lasting());
+    return workflow.spec().steps().stream().anyMatch(step -> step.traits().longRunning());
   }
 
   private static boolean lasts(WorkflowTask task) {
-    return task.step().nature().lasting();
+    return task.step().traits().longRunning();
   }
 
-  private Sight sight(WorkflowTask task) {
+  private Observation sight(WorkflowTask task) {
     Place place = task.place().orElseThrow();
     Optional<VmSession> session = vms.view().session(place.vm());
     Optional<RunReport> named = session.flatMap(each -> each.run(task.openRun()));
     if (named.isEmpty()) {
-      return new Sight(task, OptionalLong.empty(), OptionalLong.empty());
+      return new Observation(task, OptionalLong.empty(), OptionalLong.empty());
     }
     OptionalLong namedAt = OptionalLong.of(session.get().reportedAt());
     // Runs of unknown size make a VM unhealthy to others; its worker listed them all the same.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
     boolean answers = listed && session.get().report().getWorker().equals(place.worker());
     boolean seen = answers && named.get().getStarted() && !named.get().getStopping();
-    return new Sight(task, seen ? namedAt : OptionalLong.empty(), namedAt);
+    return new Observation(task, seen ? namedAt : OptionalLong.empty(), namedAt);
   }
 
   private void tellAbsent(Absence absence, List<VmOffer> offers, String standings) {
@@ -152,7 +152,7 @@
         .with("worker", place.worker())
         .with("durable", durable)
         .with("reported", reported(session.flatMap(each -> each.run(task.openRun()))))
-        .with("stop_wanted", task.isStopWanted())
+        .with("stop_wanted", task.isStopRequested())
         .with("vm_worker", session.map(each -> each.report().getWorker()).orElse(""))
         .with(
             "vm_is",
@@ -204,18 +204,18 @@
     return Tallies.text(standings);
   }
 
-  private void tellBack(Return back) {
+  private void tellBack(Recovery back) {
     WorkflowTask task = back.task();
     LOG.info(
         LogLine.of("task-back")
             .with("task", task.key())
-            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.awayNanos()))
+            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.absentNanos()))
             .with("run", task.openRun())
             .with("vm", task.place().orElseThrow().vm()));
   }
 
-  private void summarize(Look look) {
-    long spacing = look.absencesLeftOut() > 0 ? AbsenceWatch.REPEAT_NANOS : SUMMARY_NANOS;
+  private void summarize(CheckResult look) {
+    long spacing = look.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_NANOS;
     if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < spacing) {
       return;
     }
@@ -223,9 +223,9 @@
     List<Integer> partitions = ownership.active().stream().map(OwnedPartition::number).toList();
     LOG.info(
         LogLine.of("tasks-watched")
-            .with("lasting", look.lasting())
-            .with("absent", look.away())
-            .with("untold", look.absencesLeftOut())
+            .with("lasting", look.longRunning())
+            .with("absent", look.absent())
+            .with("untold", look.omittedAbsences())
             .with("back_untold", returnsLeftOut)
             .with("partitions", partitions));
     returnsLeftOut = 0;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -135,10 +135,10 @@
       WorkflowTask task = run.task();
       if (!runs.containsKey(task.openRun())) {
         free = free.minus(task.step().booked());
-        long fills = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
+        long fills = task.step().traits().bestEffort() ? task.step().sizes().milliProcessors() : 0;
         fill += fills;
         suspect += knowledge.isSuspect(task) ? fills : 0;
-        serving += task.step().nature().serves() ? 1 : 0;
+        serving += task.step().traits().isService() ? 1 : 0;
       }
     }
     return new VmOffer(
@@ -166,9 +166,9 @@
             .setMemoryMebibytes(WorkflowRecords.mebibytes(task.step().sizes()))
             .setAccelerators((int) task.step().sizes().accelerators())
             .setCheckpoint(task.checkpoint())
-            .setImage(task.step().nature().image())
-            .setLatencyTargetMillis((int) task.step().nature().latencyTargetMillis())
-            .setFills(task.step().nature().fills())
+            .setImage(task.step().traits().image())
+            .setLatencyTargetMillis((int) task.step().traits().latencyTargetMillis())
+            .setFills(task.step().traits().bestEffort())
             .setStarved(run.isStarved())
             .setTicket(run.ticket());
     if (programsInFrame.add(spec.id())) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -17,11 +17,11 @@
 import io.marigoldsail.daemon.workflow.WorkerGateway.Running;
 import io.marigoldsail.protocol.EndReport;
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Overcommit;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -63,7 +63,7 @@
   private final int partitions;
   private final WorkerListener listener;
   private final Overcommit overcommit = new Overcommit();
-  private final RoomLedger room = new RoomLedger(overcommit);
+  private final ResourceLedger room = new ResourceLedger(overcommit);
   private final WorkerTime time;
   private final RunPacing pacing;
   private final StartAdmission admission;
@@ -82,7 +82,7 @@
       WorkerHeartbeat heartbeat,
       Listing first,
       int partitions,
-      LeaseTermsOfWorker terms,
+      WorkerLeaseTerms terms,
       WorkerListener listener) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
@@ -140,7 +140,7 @@
     return health.isBad(loop.now()) || StartAdmission.isAnyUnknown(runs.values());
   }
 
-  RoomLedger room() {
+  ResourceLedger room() {
     return room;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerTime.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerTime.java
@@ -4,7 +4,7 @@
 
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.workflow.LeaseLedger;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
@@ -30,7 +30,7 @@
   private long readAt;
   private long deadline;
 
-  WorkerTime(LinkLoop loop, LeaseTermsOfWorker terms, long firstReading) {
+  WorkerTime(LinkLoop loop, WorkerLeaseTerms terms, long firstReading) {
     this.loop = requireNonNull(loop, "loop");
     this.lease = new LeaseLedger(terms);
     this.first = firstReading;
@@ -85,7 +85,7 @@
     long now = reached();
     Set<Integer> overdue = new HashSet<>(lease.overdue(partitions, now));
     if (now > first + ADOPTED_MILLIS) {
-      List<Integer> unheard = partitions.stream().filter(lease::isUnknown).toList();
+      List<Integer> unheard = partitions.stream().filter(lease::hasNoEvidence).toList();
       overdue.addAll(unheard);
     }
     return overdue;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -213,19 +213,19 @@
               .build();
       peers.ask(partition, question, told);
     } else {
-      told.accept(QueryResult.CANNOT_TELL);
+      told.accept(QueryResult.UNAVAILABLE);
     }
   }
 
   private void answerOwn(OwnedPartition own, long id, boolean cancel, Consumer<QueryResult> told) {
     Optional<Workflow> found = own.workflow(id);
     if (found.isEmpty()) {
-      told.accept(own.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.CANNOT_TELL);
+      told.accept(own.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.UNAVAILABLE);
       return;
     }
     Workflow workflow = found.get();
     if (!cancel) {
-      told.accept(QueryResult.of(workflow.shownStatus()));
+      told.accept(QueryResult.of(workflow.durableStatus()));
       return;
     }
     cancelOwn(own, workflow).thenAccept(told);
@@ -244,10 +244,10 @@
         .afterDurable(
             () -> {
               vms.stopUnwanted(workflow);
-              told.complete(QueryResult.of(workflow.shownStatus()));
+              told.complete(QueryResult.of(workflow.durableStatus()));
             });
     // The partition may have another owner, or the store may be out of reach.
-    loop.schedule(() -> told.complete(QueryResult.CANNOT_TELL), CANCEL_NANOS);
+    loop.schedule(() -> told.complete(QueryResult.UNAVAILABLE), CANCEL_NANOS);
     return told;
   }
 
@@ -263,7 +263,7 @@
     Map<String, Integer> waiting = new HashMap<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.hasBegun() && !workflow.status().isTerminal()) {
+        if (!workflow.hasStarted() && !workflow.status().isTerminal()) {
           waiting.merge(workflow.spec().queue(), 1, Integer::sum);
         }
       }
@@ -290,7 +290,7 @@
     long before = wallMillis.getAsLong() - terms.keepEndedMillis();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : ImmutableList.copyOf(partition.workflows())) {
-        boolean over = workflow.shownStatus().isTerminal() && workflow.endedMillis() < before;
+        boolean over = workflow.durableStatus().isTerminal() && workflow.endedMillis() < before;
         if (over && !workflow.hasOpenTasks()) {
           partition.forget(workflow);
         }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
@@ -17,8 +17,8 @@
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
 import io.marigoldsail.protocol.WorkflowTaskId;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -46,7 +46,7 @@
   private final WorkerGateway gateway;
   private final String vm;
   private final int partitions;
-  private final LeaseTermsOfWorker terms;
+  private final WorkerLeaseTerms terms;
   private final SideEntries entries;
   private WorkerSession session;
   private String goneWorker = "";
@@ -77,7 +77,7 @@
       WorkflowStore store,
       WorkerGateway gateway,
       String vm,
-      LeaseTermsOfWorker terms) {
+      WorkerLeaseTerms terms) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
     this.vm = requireNonNull(vm, "vm");
@@ -331,7 +331,7 @@
         .setFreeMilliProcessors((int) free.milliProcessors())
         .setFreeMemoryMebibytes(WorkflowRecords.mebibytes(free))
         .setFreeAccelerators((int) free.accelerators())
-        .setFillMilliProcessors((int) session.room().fillMilliProcessors())
+        .setFillMilliProcessors((int) session.room().bestEffortMilliProcessors())
         .setSuspectMilliProcessors((int) session.pacing().suspectMilliProcessors(session.runs()))
         .setOvercommitMilliProcessors((int) session.room().overcommitMilliProcessors())
         .setFillPercent(session.pacing().percent())
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
@@ -66,7 +66,7 @@
   }
 
   private static RunKey order(Workflow workflow) {
-    return workflow.order(workflow.tasks().get(0), new Place("vm-0", "life-1"));
+    return workflow.startAttempt(workflow.tasks().get(0), new Place("vm-0", "life-1"));
   }
 
   /** Guards against a task that runs again: its workflow has not taken the end that is noted. */
@@ -83,7 +83,7 @@
   void theEndOfAnEarlierAttemptIsNoted() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     order(workflow);
     hearOfEnd(first);
     time.advance(100);
@@ -95,7 +95,7 @@
   void aFormerOwnerDoesNotNoteTheEndOfALaterAttempt() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
     hearOfEnd(new RunKey(first.task(), first.attempt() + 1));
     time.advance(100);
@@ -107,7 +107,7 @@
   void aReleasedPartitionNotesNothing() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
     RunKey run = order(ownWorkflow());
-    partition.workflow(run.task().workflow()).orElseThrow().ended(run, RunOutcome.DONE, "", 0);
+    partition.workflow(run.task().workflow()).orElseThrow().recordEnd(run, RunOutcome.DONE, "", 0);
     partition.close();
     notes.take(partition, run, "vm-0", () -> noted.add(run));
     time.advance(100);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -7,7 +7,6 @@
 import com.google.common.collect.ImmutableList;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.job.Sizes;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.QueueTable;
@@ -15,6 +14,7 @@
 import io.marigoldsail.workflow.StepSpec;
 import io.marigoldsail.workflow.TaskKey;
 import io.marigoldsail.workflow.VmChooser;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowSpec;
 import io.marigoldsail.workflow.WorkflowTask;
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.Test;
 
 class EntrySchedulerTest {
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "", 0, 0);
+  private static final StepSpec.TaskTraits LASTING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "", 0, 0);
 
   private final WorkflowWorld world = new WorkflowWorld();
 
@@ -42,7 +42,7 @@
     world.awaitReady();
   }
 
-  private static StepSpec step(int tasks, int maxPerVm, StepSpec.Nature nature) {
+  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits nature) {
     return new StepSpec(
         tasks,
         new Sizes(500, 1 << 20, 0),
@@ -57,10 +57,10 @@
         new WorkflowSpec(
             id,
             "queue",
-            new WorkflowSpec.Terms(service, priority, 3, Optional.empty(), 2, 100),
+            new WorkflowSpec.QueuePolicy(service, priority, 3, Optional.empty(), 2, 100),
             "program",
             ImmutableList.copyOf(steps),
-            WorkflowSpec.Schedule.AT_ONCE,
+            WorkflowSpec.Schedule.IMMEDIATE,
             System.currentTimeMillis());
     assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(spec).join());
   }
@@ -75,7 +75,7 @@
     EntryMember self = new EntryMember("127.0.0.1", 1, 1);
     Ownership ownership =
         new Ownership(new ScriptedOwnersStore(1), loop, self, new IgnoringOwnership());
-    LeaseTermsOfWorker terms = LeaseTermsOfWorker.forLongestLease(10_000);
+    WorkerLeaseTerms terms = WorkerLeaseTerms.forMaxLease(10_000);
     EntryVms vms = new EntryVms(loop, ownership, terms, () -> 0, new IgnoringVms());
     EntryScheduler scheduler =
         new EntryScheduler(
@@ -86,16 +86,16 @@
             VmChooser.of(1.5),
             new FakeAdviser(),
             Optional::<QueueTable>empty);
-    StepSpec.Nature gang = new StepSpec.Nature(true, false, false, false, false, "", 0, 0);
+    StepSpec.TaskTraits gang = new StepSpec.TaskTraits(true, false, false, false, false, "", 0, 0);
     Workflow workflow = Workflow.of(WorkflowWorld.workflow(94, gang, 2));
     WorkflowTask member = workflow.tasks().get(0);
     for (int i = 0; i < 30; i++) {
-      workflow.orderGang(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
+      workflow.startGangAttempt(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
       workflow
           .openTasks()
           .forEach(
               task -> {
-                workflow.ended(task.openRun(), RunOutcome.REFUSED, "", 0);
+                workflow.recordEnd(task.openRun(), RunOutcome.REFUSED, "", 0);
                 scheduler.ended(task, RunOutcome.REFUSED);
               });
       long waits = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
@@ -118,8 +118,8 @@
   @Test
   void aWorkflowWithoutRoomHoldsUpNoEqualOneOfAnotherService() throws IOException {
     start(40);
-    submit(91, WorkflowWorld.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.Nature.PLAIN));
-    submit(92, "service", 1, step(2, 0, StepSpec.Nature.PLAIN));
+    submit(91, WorkflowWorld.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.TaskTraits.PLAIN));
+    submit(92, "service", 1, step(2, 0, StepSpec.TaskTraits.PLAIN));
     world.await("the other is done", () -> world.status(0, 92) == QueryResult.DONE);
     assertEquals(0, world.history().starts(new TaskKey(91, 0, 0, 0)));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
@@ -107,7 +107,7 @@
         new WorkflowSpec(
             id,
             "queue",
-            new WorkflowSpec.Terms("service", 0, 3, Optional.empty(), 2, 100),
+            new WorkflowSpec.QueuePolicy("service", 0, 3, Optional.empty(), 2, 100),
             "program",
             ImmutableList.of(
                 new StepSpec(
@@ -116,8 +116,8 @@
                     100,
                     ImmutableList.of(),
                     StepSpec.Placement.ANYWHERE,
-                    StepSpec.Nature.PLAIN)),
-            WorkflowSpec.Schedule.AT_ONCE,
+                    StepSpec.TaskTraits.PLAIN)),
+            WorkflowSpec.Schedule.IMMEDIATE,
             1);
     return new KeyedRecord(WorkflowIds.format(id), WorkflowRecords.encode(spec));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
@@ -8,10 +8,10 @@
 import io.marigoldsail.daemon.workflow.WorkflowStore.KeyedRecord;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Topic;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.VmChooser;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import io.marigoldsail.workflow.WorkflowTask;
@@ -32,11 +32,7 @@
           store, time.loop(), new EntryMember("127.0.0.1", 1, 1), new IgnoringOwnership());
   private final EntryVms vms =
       new EntryVms(
-          time.loop(),
-          ownership,
-          LeaseTermsOfWorker.forLongestLease(10_000),
-          () -> 0,
-          new LooksAtRoom());
+          time.loop(), ownership, WorkerLeaseTerms.forMaxLease(10_000), () -> 0, new LooksAtRoom());
   private final EntryScheduler scheduler =
       new EntryScheduler(
           time.loop(),
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
@@ -6,11 +6,11 @@
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Overcommit;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Executors;
@@ -24,14 +24,14 @@
   private static final int PARTITION = 3;
   private static final RunKey FIRST = new RunKey(new TaskKey(1, 0, 0, 0), 1);
   private static final RunKey SECOND = new RunKey(new TaskKey(1, 0, 0, 1), 1);
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final long WORKER_CLOCK = 100_000;
 
   private final LinkLoop loop = new LinkLoop("side", MonotonicClock.system());
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
   private final WorkerTime time = new WorkerTime(loop, TERMS, WORKER_CLOCK);
   private final Overcommit overcommit = new Overcommit();
-  private final RoomLedger room = new RoomLedger(overcommit);
+  private final ResourceLedger room = new ResourceLedger(overcommit);
   private final StartAdmission admission =
       new StartAdmission(
           time,
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
@@ -19,8 +19,8 @@
 
 /** What an engineer finds in an owner's log about a lasting task that runs nowhere. */
 class TaskWatchTest {
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "svc", 25, 1);
+  private static final StepSpec.TaskTraits LASTING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "svc", 25, 1);
 
   /** Long enough that an open attempt outlasts its worker's silence by far. */
   private static final long LONGEST_LEASE_MILLIS = 60_000;
@@ -58,7 +58,7 @@
     world.close();
   }
 
-  private void submit(long id, StepSpec.Nature nature) {
+  private void submit(long id, StepSpec.TaskTraits nature) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(id, nature, 1)).join());
@@ -117,7 +117,7 @@
     world.addEntry();
     world.awaitReady();
     submit(73, LASTING);
-    submit(74, StepSpec.Nature.PLAIN);
+    submit(74, StepSpec.TaskTraits.PLAIN);
     awaitLine(
         "task-absent",
         73,
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -14,7 +14,7 @@
 
 /** A worker that runs tasks of two owners, on virtual time. */
 class WorkerSessionOwnersTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final int PARTITIONS = 2;
   private static final long STEP_MILLIS = 100;
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -6,17 +6,17 @@
 
 import io.marigoldsail.protocol.EndReport;
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class WorkerSessionTest {
   private static final String WORKER = "life-1";
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
 
   private final VirtualLoop time = new VirtualLoop();
   private final ScriptedWorker worker = new ScriptedWorker(time);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -197,7 +197,8 @@
   @Test
   void whatAKilledSideProcessSlowedDownGoesOn() throws IOException {
     world.start(1, 1, 600);
-    StepSpec.Nature fills = new StepSpec.Nature(false, false, false, false, true, "image", 0, 0);
+    StepSpec.TaskTraits fills =
+        new StepSpec.TaskTraits(false, false, false, false, true, "image", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(65, fills, 1)).join());
@@ -218,7 +219,7 @@
     world.start(1, 2, 1_500);
     // Too many for one VM, so that both have some.
     int members = 10;
-    StepSpec.Nature gang = new StepSpec.Nature(true, false, false, false, false, "", 0, 0);
+    StepSpec.TaskTraits gang = new StepSpec.TaskTraits(true, false, false, false, false, "", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(66, gang, members)).join());
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -24,10 +24,10 @@
 /** What callers and workers may rely on, each under the trouble that would break it. */
 class WorkflowRulesTest {
   private static final long FOR_GOOD_MILLIS = 60_000;
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "service", 100, 1);
-  private static final StepSpec.Nature FILLS =
-      new StepSpec.Nature(false, true, false, false, true, "batch", 0, 0);
+  private static final StepSpec.TaskTraits LASTING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "service", 100, 1);
+  private static final StepSpec.TaskTraits FILLS =
+      new StepSpec.TaskTraits(false, true, false, false, true, "batch", 0, 0);
 
   private final WorkflowWorld world = new WorkflowWorld();
 
@@ -302,7 +302,7 @@
     world.start(1, 0, 0);
     assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 221));
     world.entry(0).store().refuse(true);
-    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.CANNOT_TELL);
+    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.UNAVAILABLE);
   }
 
   /**
@@ -383,7 +383,7 @@
     world.entry(0).store().refuse(true);
     CompletableFuture<QueryResult> told = world.entry(0).entry().query(243, "queue", true);
     world.await("it is answered", told::isDone);
-    assertEquals(QueryResult.CANNOT_TELL, told.join());
+    assertEquals(QueryResult.UNAVAILABLE, told.join());
     world.entry(0).store().refuse(false);
     world.await("it is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
@@ -12,9 +12,9 @@
 import io.marigoldsail.protocol.RunOrders;
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.io.IOException;
 import java.util.Map;
@@ -42,7 +42,7 @@
   /** After which an entry that owns nothing on the VM must hear of a change, in nanoseconds. */
   private static final long TURN_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
 
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final String WORKER = "life-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final int OWNED = WorkflowIds.partition(RUN.task().workflow(), PARTITIONS);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
@@ -17,9 +17,9 @@
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.Executors;
@@ -31,7 +31,7 @@
 /** Waits for reports; where one never comes, the limit ends the test. */
 @Timeout(40)
 class WorkflowSideTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final String WORKER = "life-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
@@ -6,12 +6,12 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.AdviceTerms;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.AdviserTiming;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.Queue;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.StepSpec;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowSpec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -52,7 +52,7 @@
   private final FakeAdviser adviser = new FakeAdviser();
   private final List<RunningEntry> entries = new ArrayList<>();
   private final Map<String, RunningSide> sides = new HashMap<>();
-  private final LeaseTermsOfWorker lease;
+  private final WorkerLeaseTerms lease;
   private long beats;
 
   WorkflowWorld() {
@@ -61,7 +61,7 @@
 
   /** Creates a world whose workers grant leases of this length at most. */
   WorkflowWorld(long longestLeaseMillis) {
-    this.lease = LeaseTermsOfWorker.forLongestLease(longestLeaseMillis);
+    this.lease = WorkerLeaseTerms.forMaxLease(longestLeaseMillis);
   }
 
   FakeAdviser adviser() {
@@ -123,8 +123,8 @@
             new Queue("idle", "", "/idle/", terms(SERVICE_WITHOUT_VMS), 1_000)));
   }
 
-  private static WorkflowSpec.Terms terms(String service) {
-    return new WorkflowSpec.Terms(service, 0, 3, Optional.empty(), 2, 100);
+  private static WorkflowSpec.QueuePolicy terms(String service) {
+    return new WorkflowSpec.QueuePolicy(service, 0, 3, Optional.empty(), 2, 100);
   }
 
   /**
@@ -193,21 +193,21 @@
   }
 
   static WorkflowSpec workflow(long id, int... widths) {
-    return workflow(id, StepSpec.Nature.PLAIN, widths);
+    return workflow(id, StepSpec.TaskTraits.PLAIN, widths);
   }
 
-  static WorkflowSpec workflow(long id, StepSpec.Nature nature, int... widths) {
+  static WorkflowSpec workflow(long id, StepSpec.TaskTraits nature, int... widths) {
     return workflow(id, Optional.empty(), nature, widths);
   }
 
   /** Returns a workflow of a queue that wants placement advice. */
   static WorkflowSpec advised(long id, int... widths) {
-    AdviceTerms advice = new AdviceTerms(1, 1, 60_000);
-    return workflow(id, Optional.of(advice), StepSpec.Nature.PLAIN, widths);
+    AdviserTiming advice = new AdviserTiming(1, 1, 60_000);
+    return workflow(id, Optional.of(advice), StepSpec.TaskTraits.PLAIN, widths);
   }
 
   private static WorkflowSpec workflow(
-      long id, Optional<AdviceTerms> advice, StepSpec.Nature nature, int... widths) {
+      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits nature, int... widths) {
     ImmutableList.Builder<StepSpec> steps = ImmutableList.builder();
     for (int i = 0; i < widths.length; i++) {
       steps.add(
@@ -222,10 +222,10 @@
     return new WorkflowSpec(
         id,
         "queue",
-        new WorkflowSpec.Terms("service", 0, 3, advice, 2, 100),
+        new WorkflowSpec.QueuePolicy("service", 0, 3, advice, 2, 100),
         "program",
         steps.build(),
-        WorkflowSpec.Schedule.AT_ONCE,
+        WorkflowSpec.Schedule.IMMEDIATE,
         System.currentTimeMillis());
   }
 
