--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** One VM inside a {@link Fleet}: its state in the log, and what is about to be claimed on it. */
+/**
+ * One VM inside a {@link FleetMedians}: its state in the log, and what is about to be claimed on
+ * it.
+ */
 public final class CandidateVm {
   private final VmState state;
   private final Function<Long, Map<String, Integer>> programsOn;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -13,9 +13,9 @@
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
 import io.marigoldsail.idempotency.KeyShards;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.membership.EntryIdentity;
 import io.marigoldsail.membership.MemberTable;
@@ -187,7 +187,7 @@
             request.idempotent(),
             request.arrivedAt(),
             Math.max(request.arrivedAt(), request.deadline()));
-    carryOut(policy.arrived(arrival, now));
+    carryOut(policy.requestArrived(arrival, now));
     PendingRequest waits = pending.get(number);
     if (waits != null && waits.attempt() == null) {
       events.record(Event.of(EventKind.REQUEST_QUEUED).withRequest(arrived.label()));
@@ -206,7 +206,7 @@
     String service = request.request().service();
     boolean detects = detectsRepeats.test(service);
     int shard = KeyShards.of(request.request().idempotencyKey());
-    KeyHome home = table.home(service, shard).orElse(null);
+    ShardOwner home = table.owner(service, shard).orElse(null);
     // A home that leaves refuses all; what is sent to it as it exits would be of unknown outcome.
     if (home == null || !attempts.pools().takesNew(home.vm(), home.incarnation())) {
       if (detects) {
@@ -383,7 +383,7 @@
         targetsChanged();
       }
       if (attempts.pools().isUsable(announcement.vm())) {
-        carryOut(policy.reported(announcement.vm(), announcement.load(), loop.now()));
+        carryOut(policy.loadReported(announcement.vm(), announcement.load(), loop.now()));
       }
     }
 
@@ -405,7 +405,7 @@
 
     @Override
     public void reported(String vm, TargetLoad load) {
-      carryOut(policy.reported(vm, load, loop.now()));
+      carryOut(policy.loadReported(vm, load, loop.now()));
     }
 
     @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
@@ -4,8 +4,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.FrameStream;
-import io.marigoldsail.idempotency.KeyStore.Ended;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.CompletedKey;
+import io.marigoldsail.idempotency.KeyTimeouts;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.HandedKey;
 import io.marigoldsail.protocol.HandedShard;
@@ -21,11 +21,11 @@
 /** Shards of keys as frames, a chunk of a shard in each; a shard without keys is one frame, too. */
 final class HandoverFrames implements FrameStream {
   /** A shard with its keys, which change no more. */
-  record Shard(HandedShard handed, List<Ended<TargetOutcome>> keys) {}
+  record Shard(HandedShard handed, List<CompletedKey<TargetOutcome>> keys) {}
 
   private final ArrayDeque<Shard> rest;
   private final long now;
-  private Iterator<Ended<TargetOutcome>> keys;
+  private Iterator<CompletedKey<TargetOutcome>> keys;
 
   /**
    * Creates the frames.
@@ -71,13 +71,13 @@
     rest.clear();
   }
 
-  private static HandedKey write(Ended<TargetOutcome> ended, long now) {
+  private static HandedKey write(CompletedKey<TargetOutcome> ended, long now) {
     HandedKey.Builder key =
         HandedKey.newBuilder()
             .setKey(ended.key())
             .setFingerprint(ended.fingerprint())
             .setRemainingMillis(
-                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.forgetAt() - now)) + 1);
+                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.expiresAt() - now)) + 1);
     TargetOutcome outcome = ended.outcome().orElse(null);
     if (outcome instanceof TargetOutcome.Lost lost) {
       key.setLost(lost.detail());
@@ -100,9 +100,9 @@
   }
 
   /** Returns a key as it was handed over; the time that it was on its way lengthens its memory. */
-  static Ended<TargetOutcome> read(HandedKey key, long now) {
+  static CompletedKey<TargetOutcome> read(HandedKey key, long now) {
     long remaining = TimeUnit.MILLISECONDS.toNanos(key.getRemainingMillis());
-    long forgetAt = now + Math.min(remaining, KeyTerms.WINDOW_NANOS);
+    long forgetAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
     Optional<TargetOutcome> outcome =
         switch (key.getOutcomeCase()) {
           case ANSWERED -> Optional.of(answer(key.getAnswered()));
@@ -111,7 +111,7 @@
           case OUTCOME_NOT_SET -> Optional.empty();
         };
     ByteString body = key.getAnswered().getBody();
-    return new Ended<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
+    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
   }
 
   private static TargetOutcome answer(KeptAnswer kept) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
@@ -5,9 +5,9 @@
 import io.marigoldsail.daemon.link.EntryLinks;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.dispatch.TargetState;
-import io.marigoldsail.idempotency.HomePlan;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
+import io.marigoldsail.idempotency.ShardAssignment;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.Frame;
@@ -66,7 +66,7 @@
       return;
     }
     Optional<TargetState> successor =
-        HomePlan.successor(
+        ShardAssignment.successor(
             shard.getService(), shard.getClaim().getShard(), vm, links.members().targets());
     if (successor.isEmpty()) {
       answer(shard, false);
@@ -86,8 +86,8 @@
       answer(shard, false);
       return;
     }
-    KeyHome from =
-        new KeyHome(
+    ShardOwner from =
+        new ShardOwner(
             shard.getVm(), shard.getProcessIncarnation(), SideKeys.position(shard.getClaim()), 0);
     log.append(
             KeyShardTable.HANDOVER,
@@ -109,7 +109,7 @@
 
   private boolean isHome(HandedShard shard) {
     return table
-        .home(shard.getService(), shard.getClaim().getShard())
+        .owner(shard.getService(), shard.getClaim().getShard())
         .filter(home -> home.vm().equals(shard.getVm()))
         .filter(home -> home.incarnation() == shard.getProcessIncarnation())
         .filter(home -> home.claim().equals(SideKeys.position(shard.getClaim())))
@@ -119,7 +119,7 @@
   private boolean hasMoved(HandedShard shard) {
     Position given = SideKeys.position(shard.getClaim());
     return table
-        .home(shard.getService(), shard.getClaim().getShard())
+        .owner(shard.getService(), shard.getClaim().getShard())
         .filter(home -> home.claim().compareTo(given) > 0)
         .isPresent();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
@@ -7,10 +7,10 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.dispatch.TargetState;
 import io.marigoldsail.error.Result;
-import io.marigoldsail.idempotency.HomePlan;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
+import io.marigoldsail.idempotency.ShardAssignment;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.Frame;
@@ -61,7 +61,7 @@
   private final EntryLinks links;
   private final Map<Member, Long> missingSince = new HashMap<>();
   private final AtomicInteger appends = new AtomicInteger();
-  private Map<String, Map<Integer, KeyHome>> vouchedFor = Map.of();
+  private Map<String, Map<Integer, ShardOwner>> vouchedFor = Map.of();
   private long vouchAt;
   private boolean tendingSoon;
   private Future<?> tick;
@@ -114,9 +114,9 @@
     Set<String> services = new HashSet<>(table.services());
     targets.forEach(target -> services.add(target.service()));
     Set<Member> homes = new HashSet<>();
-    Map<String, Map<Integer, KeyHome>> all = new HashMap<>();
+    Map<String, Map<Integer, ShardOwner>> all = new HashMap<>();
     for (String service : services) {
-      Map<Integer, KeyHome> held = table.homes(service);
+      Map<Integer, ShardOwner> held = table.owners(service);
       all.put(service, held);
       held.values().forEach(home -> homes.add(new Member(home.vm(), home.incarnation())));
       claim(service, held.keySet(), targets);
@@ -131,7 +131,7 @@
   }
 
   private void claim(String service, Set<Integer> held, List<TargetState> targets) {
-    Map<String, List<Integer>> claims = HomePlan.claims(service, held, targets);
+    Map<String, List<Integer>> claims = ShardAssignment.proposeClaims(service, held, targets);
     for (TargetState target : targets) {
       List<Integer> shards = claims.get(target.vm());
       if (shards != null) {
@@ -146,7 +146,7 @@
     long now = loop.now();
     missingSince.keySet().retainAll(homes);
     int missing = (int) homes.stream().filter(home -> !isHeard(home)).count();
-    boolean trusted = HomePlan.mayRevoke(missing, links.members().members().size());
+    boolean trusted = ShardAssignment.mayRevoke(missing, links.members().members().size());
     for (Member home : homes) {
       Optional<Announcement> heard = links.members().member(home.vm());
       if (isHeard(home)) {
@@ -155,7 +155,7 @@
       }
       long since = missingSince.computeIfAbsent(home, silent -> now);
       boolean replaced = heard.isPresent() && heard.get().processIncarnation() > home.incarnation();
-      if (replaced || (trusted && now - since > KeyTerms.REVOKE_AFTER_NANOS)) {
+      if (replaced || (trusted && now - since > KeyTimeouts.REVOKE_AFTER_NANOS)) {
         append(KeyShardTable.REVOKE, KeyShardTable.revocation(home.vm(), home.incarnation()));
       }
     }
@@ -186,7 +186,7 @@
     Map<Member, KeyLeases.Builder> leases = new HashMap<>();
     for (String service : table.services()) {
       table
-          .homes(service)
+          .owners(service)
           .forEach(
               (shard, home) ->
                   leases
@@ -206,15 +206,15 @@
                     .build()));
   }
 
-  private static KeyLease lease(int shard, KeyHome home, long now) {
-    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.quietUntil() - now));
+  private static KeyLease lease(int shard, ShardOwner home, long now) {
+    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.servesFrom() - now));
     return KeyLease.newBuilder()
         .setClaim(claim(shard, home))
         .setQuietMillis(quietMillis == 0 ? 0 : quietMillis + 1)
         .build();
   }
 
-  static KeyClaim claim(int shard, KeyHome home) {
+  static KeyClaim claim(int shard, ShardOwner home) {
     return KeyClaim.newBuilder()
         .setShard(shard)
         .setOffset(home.claim().offset())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyTaker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyTaker.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.daemon.dispatch;
 
-import io.marigoldsail.idempotency.KeyStore.Ended;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.CompletedKey;
 import io.marigoldsail.protocol.HandedKey;
 import io.marigoldsail.protocol.HandedShard;
 import io.marigoldsail.protocol.KeyHandover;
@@ -28,7 +28,7 @@
 
   private static final class Part {
     private final long dropAt;
-    private final Map<String, Ended<TargetOutcome>> keys = new HashMap<>();
+    private final Map<String, CompletedKey<TargetOutcome>> keys = new HashMap<>();
     private long bytes;
 
     Part(long dropAt) {
@@ -41,7 +41,7 @@
   KeyTaker() {}
 
   /** Returns all keys of the frame's shard if it is whole now, or empty while some are missing. */
-  Optional<List<Ended<TargetOutcome>>> add(KeyHandover frame, long now) {
+  Optional<List<CompletedKey<TargetOutcome>>> add(KeyHandover frame, long now) {
     Part part = parts.computeIfAbsent(frame.getShard(), shard -> new Part(now + KEEP_NANOS));
     for (HandedKey key : frame.getKeysList()) {
       if (part.keys.put(key.getKey(), HandoverFrames.read(key, now)) == null) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideAnswers.java
@@ -3,8 +3,8 @@
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkLoop;
-import io.marigoldsail.dispatch.RequestLedger;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
+import io.marigoldsail.dispatch.AttemptTable;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.AnswerStart;
 import io.marigoldsail.protocol.Frame;
@@ -32,14 +32,14 @@
   private static final long UNREACHABLE_MILLIS = 1_000;
 
   private final LinkLoop loop;
-  private final RequestLedger<Frame> ledger;
+  private final AttemptTable<Frame> ledger;
   private final Supplier<TargetReport> report;
   private final EventRecorder events;
   private final Map<LinkConnection, UnreadAnswers> unread = new HashMap<>();
 
   SideAnswers(
       LinkLoop loop,
-      RequestLedger<Frame> ledger,
+      AttemptTable<Frame> ledger,
       Supplier<TargetReport> report,
       EventRecorder events) {
     this.loop = loop;
@@ -52,8 +52,8 @@
   record Refusal(ErrorKind kind, String detail, long retryAfterMillis) {}
 
   /** Refuses a request that has not started, with a tombstone on its id. */
-  void refuse(LinkConnection connection, WireId id, String label, Refusal refusal) {
-    if (!ledger.bury(id, loop.now())) {
+  void refuse(LinkConnection connection, AttemptId id, String label, Refusal refusal) {
+    if (!ledger.markNotRun(id, loop.now())) {
       sayForgotten(connection, id);
       return;
     }
@@ -62,23 +62,23 @@
 
   /** Refuses a request that was started, on proof that its target saw no byte of it. */
   void neverReached(SideRequest request, Refusal refusal) {
-    ledger.neverReached(request.id(), loop.now());
+    ledger.markUndelivered(request.id(), loop.now());
     sayNotRun(request.answerTo(), request.id(), request.start().getLabel(), refusal);
   }
 
   /** Answers a copy of a request that was refused before. */
-  void repeatRefusal(LinkConnection connection, WireId id) {
+  void repeatRefusal(LinkConnection connection, AttemptId id) {
     connection.send(
         SideFrames.notRun(id, ErrorKind.OVERLOADED, "given up before", 0, report.get()));
   }
 
   /** Answers a copy of a request that may have run. */
-  void sayForgotten(LinkConnection connection, WireId id) {
+  void sayForgotten(LinkConnection connection, AttemptId id) {
     connection.send(SideFrames.failed(id, ErrorKind.OUTCOME_UNKNOWN, "seen before", report.get()));
   }
 
   /** Sends a kept answer anew, to the connection on which it was asked for. */
-  void repeat(LinkConnection connection, WireId id, Frame answer) {
+  void repeat(LinkConnection connection, AttemptId id, Frame answer) {
     send(connection, id, answer);
   }
 
@@ -117,7 +117,7 @@
     }
   }
 
-  private void sayNotRun(LinkConnection connection, WireId id, String label, Refusal refusal) {
+  private void sayNotRun(LinkConnection connection, AttemptId id, String label, Refusal refusal) {
     events.record(
         Event.of(EventKind.REQUEST_REFUSED)
             .withRequest(label)
@@ -144,7 +144,7 @@
             .withDetail("status " + answered.status()));
     AnswerStart start = SideFrames.answerStart(request.id(), answered, report.get());
     if (answered.body().size() > Bodies.CHUNK_BYTES) {
-      ledger.doneUnkept(request.id(), loop.now());
+      ledger.doneWithoutResponse(request.id(), loop.now());
       request.answerTo().sendAll(new AnswerFrames(start, answered.body(), answered.release()));
       return;
     }
@@ -156,7 +156,7 @@
     send(request.answerTo(), request.id(), frame);
   }
 
-  private void send(LinkConnection connection, WireId id, Frame frame) {
+  private void send(LinkConnection connection, AttemptId id, Frame frame) {
     connection.send(frame);
     if (frame.hasAnswerStart() && connection.isOpen()) {
       unread.computeIfAbsent(connection, opened -> new UnreadAnswers()).sent(id);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -11,11 +11,11 @@
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.LinkServer;
+import io.marigoldsail.dispatch.AttemptId;
+import io.marigoldsail.dispatch.AttemptTable;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.RequestLedger;
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.dispatch.TransitDelay;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.RequestBody;
@@ -41,7 +41,7 @@
  * Runs the requests of all entries on the target beside it, each at most once.
  *
  * <p>All state is confined to the loop's thread; the public methods may be called from any thread.
- * Every refusal first puts a tombstone on the request's id in the {@link RequestLedger}.
+ * Every refusal first puts a tombstone on the request's id in the {@link AttemptTable}.
  */
 public final class SideDispatcher implements AutoCloseable {
   /** Ended ids kept: the load of several seconds of a fast target, in a few megabytes. */
@@ -69,11 +69,11 @@
   private final EventRecorder events;
   private final LinkServer server;
   private final TargetWatch watch;
-  private final RequestLedger<Frame> ledger;
+  private final AttemptTable<Frame> ledger;
   private final SideAnswers answers;
   private final SideKeys keys;
   private final KeyExchange exchange;
-  private final Map<WireId, SideRequest> requests = new HashMap<>();
+  private final Map<AttemptId, SideRequest> requests = new HashMap<>();
   private final ArrayDeque<SideRequest> waiting = new ArrayDeque<>();
   private final Map<LinkConnection, TransitDelay> delays = new HashMap<>();
   private final GoAwayFence fence;
@@ -115,7 +115,7 @@
     this.watch = new TargetWatch(loop, target, () -> leavingListener.run());
     this.server = new LinkServer(loop, address, limits.maxConnections(), new Incoming());
     this.fence = new GoAwayFence(loop, server::isFlushed);
-    this.ledger = new RequestLedger<>(MAX_ENDED, limits.keptAnswerBytes(), LEDGER_WINDOW_NANOS);
+    this.ledger = new AttemptTable<>(MAX_ENDED, limits.keptAnswerBytes(), LEDGER_WINDOW_NANOS);
     this.answers = new SideAnswers(loop, ledger, this::report, events);
     this.keys = new SideKeys(loop, processIncarnation, answers);
     this.exchange = new KeyExchange(loop, processIncarnation, entries, keys, this::isLeaving);
@@ -203,7 +203,7 @@
 
   private void start(LinkConnection connection, RequestStart start) throws BrokenFrameException {
     fence.crossed();
-    WireId id = SideFrames.id(start.getId());
+    AttemptId id = SideFrames.id(start.getId());
     switch (ledger.state(id)) {
       case UNSEEN -> admit(connection, id, start, loop.now());
       case TOMBSTONE -> answers.repeatRefusal(connection, id);
@@ -213,11 +213,11 @@
     }
   }
 
-  private void admit(LinkConnection connection, WireId id, RequestStart start, long now)
+  private void admit(LinkConnection connection, AttemptId id, RequestStart start, long now)
       throws BrokenFrameException {
     // Time that the frame spent in buffers while this process was frozen counts, too: without it a
     // woken process would start requests whose callers were answered long ago.
-    long delay = delays.get(connection).excess(start.getSentAt(), now);
+    long delay = delays.get(connection).excessNanos(start.getSentAt(), now);
     long deadline = now + TimeUnit.MILLISECONDS.toNanos(start.getRemainingMillis()) - delay;
     Refusal refusal = refusal(start, deadline, now);
     if (refusal != null) {
@@ -375,15 +375,15 @@
     }
   }
 
-  private void cancel(WireId id) {
+  private void cancel(AttemptId id) {
     SideRequest request = requests.get(id);
     if (request == null) {
-      ledger.bury(id, loop.now());
+      ledger.markNotRun(id, loop.now());
       return;
     }
     // A running request goes on: its target cannot be made to undo it, and a slot counted as free
     // while the target still works in it would overload the target.
-    if (ledger.bury(id, loop.now())) {
+    if (ledger.markNotRun(id, loop.now())) {
       discard(request);
       checkDrained();
     }
@@ -391,7 +391,7 @@
 
   private void resolve(LinkConnection connection, Resolve resolve) {
     fence.crossed();
-    WireId id = SideFrames.id(resolve.getId());
+    AttemptId id = SideFrames.id(resolve.getId());
     Resolution.State state = Resolution.State.FORGOTTEN;
     // A process started anew on this address has seen none of its predecessor's requests; for it
     // "never seen" proves nothing.
@@ -400,7 +400,7 @@
       if (request != null && !request.isWhole()) {
         // The rest of the body was lost with its connection.
         discard(request);
-        ledger.bury(id, loop.now());
+        ledger.markNotRun(id, loop.now());
       }
       if (ledger.answer(id).isPresent()) {
         answers.repeat(connection, id, ledger.answer(id).get());
@@ -413,10 +413,10 @@
     connection.send(SideFrames.resolution(id, state));
   }
 
-  private Resolution.State resolution(LinkConnection connection, WireId id) {
+  private Resolution.State resolution(LinkConnection connection, AttemptId id) {
     return switch (ledger.state(id)) {
       case UNSEEN, TOMBSTONE -> {
-        ledger.bury(id, loop.now());
+        ledger.markNotRun(id, loop.now());
         yield Resolution.State.NOT_RUN;
       }
       case WAITING, RUNNING -> {
@@ -427,7 +427,7 @@
     };
   }
 
-  private void recordResolved(WireId id, String state) {
+  private void recordResolved(AttemptId id, String state) {
     events.record(Event.of(EventKind.REQUEST_RESOLVED).withDetail("attempt " + id + ": " + state));
   }
 
@@ -458,7 +458,7 @@
         case CANCEL -> cancel(SideFrames.id(frame.getCancel().getId()));
         case PING -> {
           long sentAt = frame.getPing().getNonce();
-          delays.get(connection).excess(sentAt, loop.now());
+          delays.get(connection).excessNanos(sentAt, loop.now());
           connection.send(SideFrames.pong(sentAt));
         }
         default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
@@ -478,7 +478,7 @@
       }
       for (SideRequest request : cutShort) {
         discard(request);
-        ledger.bury(request.id(), loop.now());
+        ledger.markNotRun(request.id(), loop.now());
       }
       checkDrained();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import com.google.protobuf.ByteString;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.AnswerStart;
 import io.marigoldsail.protocol.Failed;
@@ -21,19 +21,19 @@
 final class SideFrames {
   private SideFrames() {}
 
-  static RequestId message(WireId id) {
+  static RequestId message(AttemptId id) {
     return RequestId.newBuilder()
         .setEntryIncarnation(id.entryIncarnation())
         .setSequence(id.sequence())
         .build();
   }
 
-  static WireId id(RequestId message) {
-    return new WireId(message.getEntryIncarnation(), message.getSequence());
+  static AttemptId id(RequestId message) {
+    return new AttemptId(message.getEntryIncarnation(), message.getSequence());
   }
 
   static Frame notRun(
-      WireId id, ErrorKind kind, String detail, long retryAfterMillis, TargetReport report) {
+      AttemptId id, ErrorKind kind, String detail, long retryAfterMillis, TargetReport report) {
     NotRun.Builder notRun =
         NotRun.newBuilder()
             .setId(message(id))
@@ -44,7 +44,7 @@
     return Frame.newBuilder().setNotRun(notRun).build();
   }
 
-  static Frame failed(WireId id, ErrorKind kind, String detail, TargetReport report) {
+  static Frame failed(AttemptId id, ErrorKind kind, String detail, TargetReport report) {
     Failed.Builder failed =
         Failed.newBuilder()
             .setId(message(id))
@@ -54,7 +54,8 @@
     return Frame.newBuilder().setFailed(failed).build();
   }
 
-  static AnswerStart answerStart(WireId id, TargetOutcome.Answered answered, TargetReport report) {
+  static AnswerStart answerStart(
+      AttemptId id, TargetOutcome.Answered answered, TargetReport report) {
     return AnswerStart.newBuilder()
         .setId(message(id))
         .setStatus(answered.status())
@@ -64,7 +65,7 @@
         .build();
   }
 
-  static Frame resolution(WireId id, Resolution.State state) {
+  static Frame resolution(AttemptId id, Resolution.State state) {
     return Frame.newBuilder()
         .setResolution(Resolution.newBuilder().setId(message(id)).setState(state))
         .build();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
@@ -5,8 +5,8 @@
 import io.marigoldsail.daemon.dispatch.SideAnswers.Refusal;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.error.ErrorKind;
-import io.marigoldsail.idempotency.KeyStore;
-import io.marigoldsail.idempotency.KeyStore.Admission;
+import io.marigoldsail.idempotency.IdempotencyKeyStore;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.Admission;
 import io.marigoldsail.idempotency.ShardLeases;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.protocol.HandedShard;
@@ -48,8 +48,8 @@
   private final SideAnswers answers;
   private final ShardLeases leases = new ShardLeases();
   private final KeyTaker taker = new KeyTaker();
-  private final KeyStore<SideRequest, TargetOutcome> store =
-      new KeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
+  private final IdempotencyKeyStore<SideRequest, TargetOutcome> store =
+      new IdempotencyKeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
 
   SideKeys(LinkLoop loop, long processIncarnation, SideAnswers answers) {
     this.loop = loop;
@@ -70,7 +70,7 @@
     long vouchedAt = now - TimeUnit.MILLISECONDS.toNanos(evidence.getAgeMillis());
     for (KeyLease lease : evidence.getLeasesList()) {
       long quietUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
-      leases.vouched(
+      leases.confirmed(
           lease.getClaim().getShard(), position(lease.getClaim()), vouchedAt, quietUntil);
     }
   }
@@ -92,7 +92,7 @@
       joining.run();
       return Turn.JOINED;
     }
-    if (admission instanceof Admission.Ran<TargetOutcome> ran) {
+    if (admission instanceof Admission.Completed<TargetOutcome> ran) {
       joining.run();
       answers.give(
           request,
@@ -121,7 +121,7 @@
     }
     KeyClaim claim = request.start().getKeyClaim();
     long now = loop.now();
-    OptionalLong runsFrom = leases.runsFrom(claim.getShard(), position(claim), now);
+    OptionalLong runsFrom = leases.servesFrom(claim.getShard(), position(claim), now);
     if (runsFrom.isEmpty()) {
       String detail = "this attempt was not run; the home of its Idempotency-Key is being changed";
       return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, SOON_MILLIS);
@@ -139,14 +139,14 @@
   List<SideRequest> ran(SideRequest request, TargetOutcome outcome) {
     String key = request.start().getIdempotencyKey();
     if (outcome instanceof TargetOutcome.NeverSent) {
-      return store.notRun(key);
+      return store.abort(key);
     }
-    return store.ran(key, kept(outcome), bytes(outcome), loop.now());
+    return store.complete(key, kept(outcome), bytes(outcome), loop.now());
   }
 
   /** Notes that a request that was to run did not; returns those who waited for it. */
   List<SideRequest> notRun(SideRequest request) {
-    return store.notRun(request.start().getIdempotencyKey());
+    return store.abort(request.start().getIdempotencyKey());
   }
 
   /**
@@ -171,7 +171,7 @@
                               .setOffset(claim.offset())
                               .setIndex(claim.index()))
                       .build();
-              shards.add(new HandoverFrames.Shard(handed, store.endedOf(shard, now)));
+              shards.add(new HandoverFrames.Shard(handed, store.completedKeys(shard, now)));
             });
     return shards;
   }
@@ -187,12 +187,12 @@
     HandedShard shard = frame.getShard();
     // A frame so late that this process has got the shard meanwhile tells of older runs than it
     // knows itself.
-    boolean late = leases.heldAfter(shard.getClaim().getShard(), position(shard.getClaim()));
+    boolean late = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
     if (leaving || late || taker.isFull()) {
       taker.drop(shard);
       return Optional.of(false);
     }
-    return taker.add(frame, loop.now()).map(keys -> store.takeOver(keys, loop.now()));
+    return taker.add(frame, loop.now()).map(keys -> store.importKeys(keys, loop.now()));
   }
 
   /** Drops parts of shards whose rest never came. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
@@ -2,7 +2,7 @@
 
 import static com.google.common.base.Preconditions.checkArgument;
 
-import io.marigoldsail.dispatch.WaitingRoom;
+import io.marigoldsail.dispatch.TargetQueueLimit;
 
 /**
  * Bounds of a side process.
@@ -33,7 +33,7 @@
   public static SideLimits ofSlots(int slots) {
     return new SideLimits(
         slots,
-        WaitingRoom.placesFor(slots),
+        TargetQueueLimit.forSlots(slots),
         DEFAULT_MAX_CONNECTIONS,
         DEFAULT_BODY_BYTES,
         DEFAULT_KEPT_ANSWER_BYTES);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
@@ -3,19 +3,19 @@
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.LinkConnection;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.protocol.RequestStart;
 
 /** One request in a side process, until it has ended. Confined to the loop's thread. */
 final class SideRequest {
-  private final WireId id;
+  private final AttemptId id;
   private final RequestStart start;
   private final long deadline;
   private ByteString body;
   private boolean whole;
   private LinkConnection answerTo;
 
-  SideRequest(WireId id, RequestStart start, long deadline, LinkConnection answerTo)
+  SideRequest(AttemptId id, RequestStart start, long deadline, LinkConnection answerTo)
       throws BrokenFrameException {
     this.id = id;
     this.start = start;
@@ -25,7 +25,7 @@
     add(start.getData(), start.getLast());
   }
 
-  WireId id() {
+  AttemptId id() {
     return id;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -96,7 +96,7 @@
    */
   TargetState targetState() {
     TargetState announced = announcement.targetState();
-    return goingAway ? announced.asLeaving() : announced;
+    return goingAway ? announced.asDraining() : announced;
   }
 
   /** Takes the side process's word that it takes nothing new; returns whether that is news. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
@@ -49,7 +49,7 @@
     return pool != null
         && pool.isUsable()
         && pool.incarnation() == incarnation
-        && !pool.targetState().leaving();
+        && !pool.targetState().draining();
   }
 
   /** Takes an announcement; returns whether the list of targets changed by it. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import io.marigoldsail.daemon.link.BrokenFrameException;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
@@ -14,11 +14,11 @@
   /** Beyond it the oldest are not waited for: an entry of an older version never tells. */
   private static final int MAX_UNREAD = 4_096;
 
-  private final ArrayDeque<WireId> ids = new ArrayDeque<>();
+  private final ArrayDeque<AttemptId> ids = new ArrayDeque<>();
   private long passed;
 
   /** Notes an answer that was sent. */
-  void sent(WireId id) {
+  void sent(AttemptId id) {
     ids.add(id);
     if (ids.size() > MAX_UNREAD) {
       ids.remove();
@@ -32,7 +32,7 @@
    * @param count how many were read on the connection so far
    * @throws BrokenFrameException if that is more than were sent
    */
-  void read(long count, Consumer<WireId> has) throws BrokenFrameException {
+  void read(long count, Consumer<AttemptId> has) throws BrokenFrameException {
     if (count > passed + ids.size()) {
       throw new BrokenFrameException(count + " answers read, fewer sent");
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
@@ -5,8 +5,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.protocol.Announce;
 import io.marigoldsail.protocol.AnswerBody;
 import io.marigoldsail.protocol.Frame;
@@ -123,7 +123,7 @@
 
   @Property(tries = 1)
   void framesOfTheWrongKindEndTheirConnection() throws Exception {
-    WireId id = new WireId(1, 1);
+    AttemptId id = new AttemptId(1, 1);
     List<Frame> toSide =
         List.of(
             Frame.getDefaultInstance(),
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.marigoldsail.daemon.link.LinkConnection;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.Resolution;
@@ -73,7 +73,7 @@
   void requestOnASilentConnectionIsResolvedOverANewOne() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
+    AttemptId id = FakeSide.idOf(request.frame());
 
     FakeSide.Heard resolve = silenceAndAwaitResolve(request);
     assertEquals(id, SideFrames.id(resolve.frame().getResolve().getId()));
@@ -132,7 +132,7 @@
   void chargeProvenNotRunIsTriedAgainUnderANewId() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
+    AttemptId id = FakeSide.idOf(request.frame());
     FakeSide.Heard resolve = silenceAndAwaitResolve(request);
     side.send(resolve.connection(), FakeSide.resolution(id, Resolution.State.NOT_RUN));
 
@@ -198,7 +198,7 @@
   void answerShorterThanItsLengthIsNeverHandedOn() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
+    AttemptId id = FakeSide.idOf(request.frame());
     side.send(request.connection(), FakeSide.answer(id, 200, "half", 8));
 
     FakeSide.Heard resolve = side.next();
@@ -212,8 +212,8 @@
   void doubledAndForeignAnswersAreDropped() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> first = lookup();
     FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
-    side.send(request.connection(), FakeSide.answer(new WireId(1, 999), 200, "foreign"));
+    AttemptId id = FakeSide.idOf(request.frame());
+    side.send(request.connection(), FakeSide.answer(new AttemptId(1, 999), 200, "foreign"));
     side.send(request.connection(), FakeSide.answer(id, 200, "mine"));
     side.send(request.connection(), FakeSide.answer(id, 200, "mine again"));
     assertEquals("mine", text(first.join()));
@@ -250,7 +250,7 @@
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     while (!charge.isDone()) {
       FakeSide.Heard request = side.next();
-      WireId id = FakeSide.idOf(request.frame());
+      AttemptId id = FakeSide.idOf(request.frame());
       side.send(request.connection(), FakeSide.notRun(id, ErrorKind.OVERLOADED));
       Await.until("tried again or answered", () -> charge.isDone() || side.unread() > 0);
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -7,8 +7,8 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.LinkServer;
 import io.marigoldsail.daemon.link.SideLinks;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.TargetLoad;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.AnswerStart;
@@ -102,15 +102,15 @@
     loop.run(() -> connection.close("test"));
   }
 
-  static WireId idOf(Frame request) {
+  static AttemptId idOf(Frame request) {
     return SideFrames.id(request.getRequestStart().getId());
   }
 
-  static Frame answer(WireId id, int status, String body) {
+  static Frame answer(AttemptId id, int status, String body) {
     return answer(id, status, body, body.length());
   }
 
-  static Frame answer(WireId id, int status, String body, int length) {
+  static Frame answer(AttemptId id, int status, String body, int length) {
     AnswerStart.Builder answer =
         AnswerStart.newBuilder()
             .setId(SideFrames.message(id))
@@ -122,11 +122,11 @@
     return Frame.newBuilder().setAnswerStart(answer).build();
   }
 
-  static Frame notRun(WireId id, ErrorKind kind) {
+  static Frame notRun(AttemptId id, ErrorKind kind) {
     return SideFrames.notRun(id, kind, "test", 5, TargetReport.newBuilder().setEntries(1).build());
   }
 
-  static Frame resolution(WireId id, Resolution.State state) {
+  static Frame resolution(AttemptId id, Resolution.State state) {
     return SideFrames.resolution(id, state);
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
@@ -117,8 +117,8 @@
     Await.until(
         "both know all homes",
         () ->
-            first.table.homes("parking").size() == KeyShards.COUNT
-                && second.table.homes("parking").size() == KeyShards.COUNT);
+            first.table.owners("parking").size() == KeyShards.COUNT
+                && second.table.owners("parking").size() == KeyShards.COUNT);
     first.awaitServed("warm-1-");
     second.awaitServed("warm-2-");
   }
@@ -211,8 +211,8 @@
     Await.until(
         "another home claimed",
         () ->
-            second.table.home("parking", shard).isPresent()
-                && second.table.home("parking", shard).orElseThrow().quietUntil()
+            second.table.owner("parking", shard).isPresent()
+                && second.table.owner("parking", shard).orElseThrow().servesFrom()
                     > System.nanoTime());
 
     for (KeyedEntry entry : List.of(first, second)) {
@@ -353,7 +353,7 @@
   }
 
   private int homeOf(String key) {
-    String vm = first.table.home("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
+    String vm = first.table.owner("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
     return Integer.parseInt(vm.substring("vm-".length()));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -6,8 +6,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.protocol.Cancel;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.Ping;
@@ -60,7 +60,7 @@
 
   private RequestStart.Builder request(long sequence) {
     return RequestStart.newBuilder()
-        .setId(SideFrames.message(new WireId(1, sequence)))
+        .setId(SideFrames.message(new AttemptId(1, sequence)))
         .setMethod("POST")
         .setPath("/parking/book")
         .setLabel("1-" + sequence)
@@ -76,13 +76,14 @@
   private static Frame resolve(long sequence, long incarnation) {
     Resolve.Builder resolve =
         Resolve.newBuilder()
-            .setId(SideFrames.message(new WireId(1, sequence)))
+            .setId(SideFrames.message(new AttemptId(1, sequence)))
             .setProcessIncarnation(incarnation);
     return Frame.newBuilder().setResolve(resolve).build();
   }
 
   private static Frame cancel(long sequence) {
-    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, sequence)));
+    Cancel.Builder cancel =
+        Cancel.newBuilder().setId(SideFrames.message(new AttemptId(1, sequence)));
     return Frame.newBuilder().setCancel(cancel).build();
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
@@ -6,10 +6,10 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.idempotency.KeyShards;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
 import io.marigoldsail.protocol.Cancel;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.HandedKey;
@@ -72,7 +72,7 @@
   private Frame charge(long incarnation, long sequence, String key, String body) {
     RequestStart.Builder start =
         RequestStart.newBuilder()
-            .setId(SideFrames.message(new WireId(incarnation, sequence)))
+            .setId(SideFrames.message(new AttemptId(incarnation, sequence)))
             .setMethod("POST")
             .setPath("/parking/charge")
             .setRemainingMillis(60_000)
@@ -140,7 +140,7 @@
   @Test
   void lapsedLeaseRunsNothing() throws Exception {
     vouch(INCARNATION, 0);
-    ahead.set(KeyTerms.LEASE_NANOS);
+    ahead.set(KeyTimeouts.LEASE_NANOS);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
@@ -158,7 +158,7 @@
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
-    ahead.set(KeyTerms.LEASE_NANOS);
+    ahead.set(KeyTimeouts.LEASE_NANOS);
     runs.get(0).answer("receipt");
 
     assertTrue(entry.next().hasAnswerStart());
@@ -197,7 +197,7 @@
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
-    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, 9)));
+    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new AttemptId(1, 9)));
     Frame cancelFrame = Frame.newBuilder().setCancel(cancel).build();
     otherEntry.send(charge(2, 2, "key-1", "6 dollars"));
     assertEquals("conflict", otherEntry.next().getNotRun().getErrorKind());
