--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
@@ -34,7 +34,7 @@
     ends.put(
         run,
         EndReport.newBuilder()
-            .setTask(WorkflowRecords.encode(run))
+            .setTask(WorkflowCodec.encode(run))
             .setOutcome(outcome.number())
             .setCheckpoint(checkpoint)
             .setSequence(sequence)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
@@ -18,35 +18,35 @@
  *
  * <p>All of it is soft: a new owner learns it anew. Confined to the loop's thread.
  */
-final class FleetKnowledge {
-  private static final EventLog LOG = EventLog.of(FleetKnowledge.class);
+final class FleetStatistics {
+  private static final EventLog LOG = EventLog.of(FleetStatistics.class);
 
   /** Between two looks at the pace of a run, in nanoseconds: reports come about as often. */
-  private static final long PACE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long SPEED_SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  private final VmQuarantine trust = new VmQuarantine();
+  private final VmQuarantine quarantine = new VmQuarantine();
   private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
-  private final ImageInterference harm = new ImageInterference();
+  private final ImageInterference interference = new ImageInterference();
   private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
 
   /** Takes how far a run is; what fills or lasts tells nothing of its VM's pace. */
-  void progressed(OpenRun run, String vm, int percent, long now) {
+  void recordProgress(OpenRun run, String vm, int percent, long now) {
     StepSpec step = run.task().step();
-    boolean due = run.started(now, PACE_NANOS);
+    boolean due = run.recordRunning(now, SPEED_SAMPLE_NANOS);
     if (due && !step.traits().bestEffort() && !step.traits().longRunning()) {
       double worked = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      speed.addSample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.ranNanos(now)), now);
+      speed.addSample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
     }
   }
 
   /** Takes the end of a run. */
-  void ended(OpenRun run, String vm, RunOutcome outcome, long now) {
+  void recordEnd(OpenRun run, String vm, RunOutcome outcome, long now) {
     if (!outcome.completes() && !outcome.countsAsFailure()) {
       return;
     }
-    boolean restedBefore = trust.isQuarantined(vm, now);
-    trust.recordEnd(vm, outcome.countsAsFailure(), now);
-    if (!restedBefore && trust.isQuarantined(vm, now)) {
+    boolean restedBefore = quarantine.isQuarantined(vm, now);
+    quarantine.recordEnd(vm, outcome.countsAsFailure(), now);
+    if (!restedBefore && quarantine.isQuarantined(vm, now)) {
       LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "what it starts fails"));
     }
     StepSpec step = run.task().step();
@@ -57,33 +57,33 @@
   }
 
   /** Forgets what was learned of a VM whose worker is another one. */
-  void renewed(String vm) {
-    trust.reset(vm);
+  void reset(String vm) {
+    quarantine.reset(vm);
     speed.reset(vm);
   }
 
   /** Takes what a VM saw of images. */
-  void imagesSeen(String vm, Map<String, ImageInterference.Evidence> seen) {
+  void recordImages(String vm, Map<String, ImageInterference.Evidence> seen) {
     images.update(vm, seen);
-    harm.setRemoteEvidence(images.total());
+    interference.setRemoteEvidence(images.total());
   }
 
   /** Returns what all VMs but one saw of images. */
-  Map<String, ImageInterference.Evidence> imagesSeenElsewhere(String vm) {
+  Map<String, ImageInterference.Evidence> imagesOfOtherVms(String vm) {
     return images.totalExcluding(vm);
   }
 
-  double harmOf(String image) {
-    return harm.belief(image);
+  double interferenceOf(String image) {
+    return interference.belief(image);
   }
 
   /** Returns whether the task's image may disturb tasks that serve. */
-  boolean isSuspect(WorkflowTask task) {
-    return ImageInterference.isInterfering(harmOf(task.step().traits().image()));
+  boolean isInterfering(WorkflowTask task) {
+    return ImageInterference.isInterfering(interferenceOf(task.step().traits().image()));
   }
 
-  boolean rests(String vm, long now) {
-    return trust.isQuarantined(vm, now);
+  boolean isQuarantined(String vm, long now) {
+    return quarantine.isQuarantined(vm, now);
   }
 
   double slowness(String vm, long now) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideEntries.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideEntries.java
@@ -117,7 +117,7 @@
     long now = loop.now();
     links.closeSilent();
     Set<String> members = new HashSet<>(owners.values());
-    links.keep(members);
+    links.setMembers(members);
     boolean alone = links.size() == 0 || links.size() < members.size();
     if (alone && (askedAt == Long.MIN_VALUE || now - askedAt > ASK_NANOS)) {
       askedAt = now;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -171,7 +171,7 @@
 
   RunReport report() {
     return RunReport.newBuilder()
-        .setTask(WorkflowRecords.encode(key))
+        .setTask(WorkflowCodec.encode(key))
         .setStarted(listed)
         .setCheckpoint(checkpoint)
         .setPercent(percent)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -28,7 +28,7 @@
   /** Returns what the ordered run takes. */
   static ResourceLedger.Claim claim(StartRun order) {
     return new ResourceLedger.Claim(
-        WorkflowRecords.sizes(
+        WorkflowCodec.sizes(
             order.getMilliProcessors(), order.getMemoryMebibytes(), order.getAccelerators()),
         order.getFills(),
         order.getStarved() ? Urgency.STARVED : Urgency.ORDINARY);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowRecords.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowCodec.java
@@ -25,14 +25,14 @@
 import java.util.Optional;
 
 /** Turns workflows into their durable records and frames, and back. Stateless. */
-final class WorkflowRecords {
+final class WorkflowCodec {
 
   /** Phases of a task in records; numbers never change. */
   private static final int PHASE_WAITING = 0;
 
   private static final int PHASE_DONE = 1;
 
-  private WorkflowRecords() {}
+  private WorkflowCodec() {}
 
   static ByteString encode(WorkflowSpec spec) {
     WorkflowSubmission.Builder builder =
@@ -121,7 +121,7 @@
               submission.getIntervalMillis());
       ImmutableList<StepSpec> steps =
           submission.getStepsList().stream()
-              .map(WorkflowRecords::decode)
+              .map(WorkflowCodec::decode)
               .collect(ImmutableList.toImmutableList());
       return Optional.of(
           new WorkflowSpec(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
@@ -252,7 +252,7 @@
   }
 
   private int partitionOf(EndReport end) {
-    return session.partitionOf(WorkflowRecords.decode(end.getTask()));
+    return session.partitionOf(WorkflowCodec.decode(end.getTask()));
   }
 
   private void report(boolean wantsLease) {
@@ -283,7 +283,7 @@
     if (session != null) {
       report.setWorkerClock(session.workerClock());
       if (wantsLease) {
-        report.addAllImages(ImageRecords.encode(session.pacing().seen()));
+        report.addAllImages(ImageObservationCodec.encode(session.pacing().seen()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -326,10 +326,10 @@
         .setDraining(heartbeat.draining())
         .setUnhealthy(session.isUnhealthy())
         .setMilliProcessors((int) capacity.milliProcessors())
-        .setMemoryMebibytes(WorkflowRecords.mebibytes(capacity))
+        .setMemoryMebibytes(WorkflowCodec.mebibytes(capacity))
         .setAccelerators((int) capacity.accelerators())
         .setFreeMilliProcessors((int) free.milliProcessors())
-        .setFreeMemoryMebibytes(WorkflowRecords.mebibytes(free))
+        .setFreeMemoryMebibytes(WorkflowCodec.mebibytes(free))
         .setFreeAccelerators((int) free.accelerators())
         .setFillMilliProcessors((int) session.room().bestEffortMilliProcessors())
         .setSuspectMilliProcessors((int) session.pacing().suspectMilliProcessors(session.runs()))
@@ -362,11 +362,13 @@
     }
     Map<Integer, Boolean> current = observe(orders.getLease());
     if (orders.getLease().getImagesCount() > 0) {
-      session.pacing().seenElsewhere(ImageRecords.decode(orders.getLease().getImagesList()));
+      session
+          .pacing()
+          .seenElsewhere(ImageObservationCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
-      RunKey key = WorkflowRecords.decode(start.getTask());
+      RunKey key = WorkflowCodec.decode(start.getTask());
       if (!start.getSameProgram()) {
         programs.put(key.task().workflow(), start.getProgram());
       }
@@ -375,13 +377,13 @@
       }
     }
     for (WorkflowTaskId stop : orders.getStopsList()) {
-      RunKey key = WorkflowRecords.decode(stop);
+      RunKey key = WorkflowCodec.decode(stop);
       if (isCurrent(current, key)) {
         session.stop(key);
       }
     }
     for (WorkflowTaskId noted : orders.getNotedEndsList()) {
-      RunKey key = WorkflowRecords.decode(noted);
+      RunKey key = WorkflowCodec.decode(noted);
       if (isCurrent(current, key)) {
         session.noted(key);
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -76,7 +76,7 @@
     assertEquals(20, owner);
     assertEquals(10, other);
     long between = ReportPacer.QUIET_TURNS * WorkflowSide.REPORT_NANOS;
-    assertTrue(between < VmStanding.SILENT_NANOS * 2 / 3, between + " ns");
+    assertTrue(between < VmAvailability.SILENT_NANOS * 2 / 3, between + " ns");
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -33,7 +33,7 @@
   /** Reports that a side process sends of its own accord, whatever changes, in nanoseconds. */
   private static final long REGULAR_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("bystander", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
   private final AtomicInteger repeated = new AtomicInteger();
@@ -50,7 +50,8 @@
     bystander = new EntryMember("127.0.0.1", server.port(), 1).toString();
     world.store().join(bystander, Long.MAX_VALUE);
     world.await(
-        "the bystander owns a part", () -> ownedByBystander() == WorkflowWorld.PARTITIONS / 2);
+        "the bystander owns a part",
+        () -> ownedByBystander() == WorkflowTestCluster.PARTITIONS / 2);
     world.await("the side process reaches it", () -> reports.get() > 0);
   }
 
@@ -64,7 +65,7 @@
   }
 
   private long ownedByBystander() {
-    return LongStream.range(0, WorkflowWorld.PARTITIONS)
+    return LongStream.range(0, WorkflowTestCluster.PARTITIONS)
         .filter(partition -> bystander.equals(owner((int) partition)))
         .count();
   }
@@ -77,7 +78,9 @@
 
   private long idOfTheOther(long from) {
     return LongStream.iterate(from, id -> id + 1)
-        .filter(id -> !bystander.equals(owner(WorkflowIds.partition(id, WorkflowWorld.PARTITIONS))))
+        .filter(
+            id ->
+                !bystander.equals(owner(WorkflowIds.partition(id, WorkflowTestCluster.PARTITIONS))))
         .findFirst()
         .orElseThrow();
   }
@@ -95,7 +98,7 @@
     long began = System.nanoTime();
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
     world.await("all are done", () -> world.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
     int heard = reports.get() - before;
@@ -117,7 +120,7 @@
       long submitted = id;
       assertInstanceOf(
           WorkflowStore.Appended.class,
-          world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+          world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
       world.await("all are done", () -> world.status(0, submitted) == QueryResult.DONE);
     }
     assertEquals(0, repeated.get(), "reports of changes that told none");
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
@@ -51,7 +51,7 @@
   private static void start(WorkerSession session, RunKey run) {
     session.start(
         run,
-        StartRun.newBuilder().setTask(WorkflowRecords.encode(run)).setMilliProcessors(1).build(),
+        StartRun.newBuilder().setTask(WorkflowCodec.encode(run)).setMilliProcessors(1).build(),
         "program");
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -49,7 +49,7 @@
     session.start(
         key,
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(key))
+            .setTask(WorkflowCodec.encode(key))
             .setMilliProcessors(milliProcessors)
             .build(),
         "program");
@@ -69,7 +69,7 @@
 
   private void noteAllEnds() {
     for (EndReport end : List.copyOf(session.ends())) {
-      session.noted(WorkflowRecords.decode(end.getTask()));
+      session.noted(WorkflowCodec.decode(end.getTask()));
       time.advance(20);
     }
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
@@ -71,7 +71,7 @@
   private void start() throws InterruptedException {
     side.start();
     store
-        .asked()
+        .nextRequest()
         .complete(
             ScriptedOwnersStore.owners(
                 Map.of(OWNED, owner.member(), 1 - OWNED, bystander.member())));
@@ -183,7 +183,7 @@
             .build();
     StartRun start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(RUN))
+            .setTask(WorkflowCodec.encode(RUN))
             .setProgram("program")
             .setMilliProcessors(500)
             .build();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
@@ -92,7 +92,7 @@
   void aLeaseForAnotherLifeOfTheWorkerCountsForNothing() throws Exception {
     side.start();
     store
-        .asked()
+        .nextRequest()
         .complete(ScriptedOwnersStore.owners(Map.of(0, entry.member(), 1, entry.member())));
     LinkConnection connection = entry.connection();
     beat();
@@ -106,7 +106,7 @@
             .build());
     StartRun start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(RUN))
+            .setTask(WorkflowCodec.encode(RUN))
             .setProgram("program")
             .setMilliProcessors(500)
             .build();
@@ -146,12 +146,12 @@
     final Map<Integer, String> before = Map.of(0, entry.member(), 1, died.member());
     final Map<Integer, String> after = Map.of(0, entry.member(), 1, entry.member());
     side.start();
-    store.asked().complete(ScriptedOwnersStore.owners(before));
+    store.nextRequest().complete(ScriptedOwnersStore.owners(before));
     LinkConnection connection = entry.connection();
     died.connection();
     died.close();
     // Asked since the dead entry is not reached; the answer is on its way for long.
-    var late = store.asked();
+    var late = store.nextRequest();
     entry.send(connection, map(5, after));
     while (entry.report().getOwnersDigest() != after.hashCode()) {
       // The next one tells.
@@ -176,7 +176,7 @@
     final Map<Integer, String> before = Map.of(0, entry.member(), 1, former.member());
     final Map<Integer, String> after = Map.of(0, entry.member(), 1, entry.member());
     side.start();
-    store.asked().complete(ScriptedOwnersStore.owners(before));
+    store.nextRequest().complete(ScriptedOwnersStore.owners(before));
     LinkConnection connection = entry.connection();
     former.connection();
     entry.send(connection, map(6, after));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -29,15 +29,15 @@
 import java.util.function.BooleanSupplier;
 
 /** Entries and side processes over real links, with a store and workers in memory. */
-final class WorkflowWorld implements AutoCloseable {
+final class WorkflowTestCluster implements AutoCloseable {
   static final int PARTITIONS = 6;
 
   /** A service that a queue sends tasks to and that no VM runs. */
   static final String SERVICE_WITHOUT_VMS = "service-without-vms";
 
   private static final long LONGEST_LEASE_MILLIS = 4_000;
-  private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(40);
-  private static final long BEAT_MILLIS = 150;
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
 
   /** An entry with what the test needs to take it down. */
   record RunningEntry(
@@ -53,14 +53,14 @@
   private final List<RunningEntry> entries = new ArrayList<>();
   private final Map<String, RunningSide> sides = new HashMap<>();
   private final WorkerLeaseTerms lease;
-  private long beats;
+  private long lastHeartbeat;
 
-  WorkflowWorld() {
+  WorkflowTestCluster() {
     this(LONGEST_LEASE_MILLIS);
   }
 
   /** Creates a world whose workers grant leases of this length at most. */
-  WorkflowWorld(long longestLeaseMillis) {
+  WorkflowTestCluster(long longestLeaseMillis) {
     this.lease = WorkerLeaseTerms.forMaxLease(longestLeaseMillis);
   }
 
@@ -101,7 +101,7 @@
     LinkLoop loop = new LinkLoop("entry-" + port, MonotonicClock.system());
     InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
     RefusingStore reached = new RefusingStore(store);
-    EntryTerms terms = new EntryTerms(lease, keepEndedMillis, 1.5);
+    EntryParameters terms = new EntryParameters(lease, keepEndedMillis, 1.5);
     WorkflowEntry entry =
         new WorkflowEntry(loop, reached, address, System::currentTimeMillis, adviser, terms);
     entry.start();
@@ -157,7 +157,8 @@
     WorkflowSide side = new WorkflowSide(loop, store, worker, vm, lease);
     side.start();
     sides.put(vm, new RunningSide(vm, side, loop, worker));
-    timer.scheduleAtFixedRate(() -> beat(vm), 1, BEAT_MILLIS, TimeUnit.MILLISECONDS);
+    timer.scheduleAtFixedRate(
+        () -> sendHeartbeat(vm), 1, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Ends a side process as a kill does and starts another one beside the same worker. */
@@ -168,16 +169,16 @@
   }
 
   /** Has the VM's worker say what it is doing, and waits until its side process has heard it. */
-  void heartbeat(String vm) {
-    assertTrue(beat(vm).join(), "the heartbeat was not taken");
+  void heartbeatAndWait(String vm) {
+    assertTrue(sendHeartbeat(vm).join(), "the heartbeat was not taken");
   }
 
-  private synchronized CompletableFuture<Boolean> beat(String vm) {
+  private synchronized CompletableFuture<Boolean> sendHeartbeat(String vm) {
     RunningSide running = sides.get(vm);
     if (running.worker().isSilent()) {
       return CompletableFuture.completedFuture(false);
     }
-    beats++;
+    lastHeartbeat++;
     return running
         .side()
         .heartbeat(
@@ -189,7 +190,7 @@
                 "rack",
                 new Sizes(4_000, 1L << 33, 0),
                 running.worker().isLeaving(),
-                beats));
+                lastHeartbeat));
   }
 
   static WorkflowSpec workflow(long id, int... widths) {
@@ -201,7 +202,7 @@
   }
 
   /** Returns a workflow of a queue that wants placement advice. */
-  static WorkflowSpec advised(long id, int... widths) {
+  static WorkflowSpec workflowWithAdvice(long id, int... widths) {
     AdviserTiming advice = new AdviserTiming(1, 1, 60_000);
     return workflow(id, Optional.of(advice), StepSpec.TaskTraits.PLAIN, widths);
   }
@@ -235,7 +236,7 @@
 
   /** Waits for the condition; fails after far longer than it can take. */
   void await(String what, BooleanSupplier condition) {
-    long until = System.nanoTime() + PATIENCE_NANOS;
+    long until = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < until, "not seen: " + what);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
