--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunPacing.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -22,49 +22,49 @@
  * Carries out what {@link BestEffortThrottler} decides for one worker. Confined to the loop's
  * thread.
  */
-final class RunPacing {
-  private static final EventLog LOG = EventLog.of(RunPacing.class);
+final class RunThrottler {
+  private static final EventLog LOG = EventLog.of(RunThrottler.class);
 
   /** Between two lines about the load of a worker, in nanoseconds. */
-  private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long LOAD_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** How long changes of the share are gathered before the last is told, in nanoseconds. */
-  private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
   private final WorkerGateway gateway;
   private final String worker;
   private final Overcommit overcommit;
   private final BestEffortThrottler pacer = new BestEffortThrottler();
-  private final ImageInterference harm = new ImageInterference();
-  private final Map<String, Boolean> suspected = new HashMap<>();
-  private final FoldedLog paces;
-  private long toldAt = Long.MIN_VALUE;
+  private final ImageInterference interference = new ImageInterference();
+  private final Map<String, Boolean> loggedAsInterfering = new HashMap<>();
+  private final FoldedLog throttleLog;
+  private long loggedAt = Long.MIN_VALUE;
 
-  RunPacing(LinkLoop loop, WorkerGateway gateway, String worker, Overcommit overcommit) {
+  RunThrottler(LinkLoop loop, WorkerGateway gateway, String worker, Overcommit overcommit) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
     this.worker = requireNonNull(worker, "worker");
     this.overcommit = requireNonNull(overcommit, "overcommit");
-    this.paces = new FoldedLog(LOG::info, loop::schedule, FOLD_NANOS);
+    this.throttleLog = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
-  int percent() {
+  int interferingPercent() {
     return pacer.interferingPercent();
   }
 
   /** Returns whether tasks of the image may disturb tasks that serve. */
-  boolean isSuspect(String image) {
-    return ImageInterference.isInterfering(harm.belief(image));
+  boolean isInterfering(String image) {
+    return ImageInterference.isInterfering(interference.belief(image));
   }
 
   /** Returns what the suspects among the runs declare, in thousandths of a processor. */
-  long suspectMilliProcessors(Collection<SideRun> runs) {
-    return suspects(runs).stream().mapToLong(SideRun::milliProcessors).sum();
+  long interferingMilliProcessors(Collection<SideRun> runs) {
+    return interferingRuns(runs).stream().mapToLong(SideRun::milliProcessors).sum();
   }
 
-  private List<SideRun> suspects(Collection<SideRun> runs) {
-    return runs.stream().filter(run -> run.fills() && isSuspect(run.image())).toList();
+  private List<SideRun> interferingRuns(Collection<SideRun> runs) {
+    return runs.stream().filter(run -> run.isBestEffort() && isInterfering(run.image())).toList();
   }
 
   /**
@@ -72,15 +72,15 @@
    *
    * @param capacityMilli the processors of the VM, in thousandths
    */
-  private void markCrowded(Collection<SideRun> runs, long capacityMilli, boolean serving) {
-    runs.forEach(run -> run.crowded(false));
+  private void markExcessRuns(Collection<SideRun> runs, long capacityMilli, boolean serving) {
+    runs.forEach(run -> run.excess(false));
     if (!serving) {
       return;
     }
-    List<SideRun> suspects = suspects(runs);
+    List<SideRun> suspects = interferingRuns(runs);
     List<Long> declared = suspects.stream().map(SideRun::milliProcessors).toList();
     InterferenceBudget.excess(capacityMilli, declared)
-        .forEach(position -> suspects.get(position).crowded(true));
+        .forEach(position -> suspects.get(position).excess(true));
   }
 
   /**
@@ -92,19 +92,20 @@
     List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (SideRun run : runs) {
       if (run.latencyTargetMillis() > 0 && run.isListed()) {
-        readings.add(new BestEffortThrottler.TailReading(run.gauge(), run.latencyTargetMillis()));
+        readings.add(
+            new BestEffortThrottler.TailReading(run.measurement(), run.latencyTargetMillis()));
       }
     }
-    List<ImageInterference.ImageLoad> fillings = fillings(runs);
+    List<ImageInterference.ImageLoad> fillings = bestEffortUse(runs);
     if (!readings.isEmpty()) {
-      harm.observe(fillings, BestEffortThrottler.worstPercent(readings));
+      interference.observe(fillings, BestEffortThrottler.worstPercent(readings));
     }
-    observeAttained(runs, BestEffortThrottler.worstPercent(readings));
-    tellOfSuspects(fillings);
+    observeCpuUse(runs, BestEffortThrottler.worstPercent(readings));
+    logClassificationChanges(fillings);
     int before = pacer.interferingPercent();
-    int after = pacer.observe(readings, filling(runs, capacityMilli), loop.now());
+    int after = pacer.observe(readings, bestEffortRequests(runs, capacityMilli), loop.now());
     if (before != after) {
-      paces.tell(
+      throttleLog.tell(
           "fill-paced",
           LogLine.of("fill-paced")
               .with("worker", worker)
@@ -112,47 +113,51 @@
               .with("before", before)
               .with("readings", readings));
     }
-    runs.forEach(this::pace);
-    markCrowded(runs, capacityMilli, !readings.isEmpty());
-    tell(runs, readings);
+    runs.forEach(this::throttle);
+    markExcessRuns(runs, capacityMilli, !readings.isEmpty());
+    logLoad(runs, readings);
     return before != after;
   }
 
   /** Compares what tasks that fill work on with what they would, given the processors for it. */
-  private void observeAttained(Collection<SideRun> runs, double worstPercent) {
+  private void observeCpuUse(Collection<SideRun> runs, double worstPercent) {
     double asked = 0;
     double used = 0;
     for (SideRun run : runs) {
-      if (run.fills() && run.isListed() && run.gauge() > 0 && run.pacedTo() > 0) {
-        asked += run.milliProcessors() * run.pacedTo() / 100.0;
-        used += run.gauge();
+      if (run.isBestEffort()
+          && run.isListed()
+          && run.measurement() > 0
+          && run.throttlePercent() > 0) {
+        asked += run.milliProcessors() * run.throttlePercent() / 100.0;
+        used += run.measurement();
       }
     }
     overcommit.observe(asked, used, worstPercent);
   }
 
   /** Logs what images that are here have come to be believed to disturb, or not to. */
-  private void tellOfSuspects(List<ImageInterference.ImageLoad> fillings) {
+  private void logClassificationChanges(List<ImageInterference.ImageLoad> fillings) {
     for (ImageInterference.ImageLoad each : fillings) {
-      boolean suspect = isSuspect(each.image());
-      Boolean before = suspected.put(each.image(), suspect);
+      boolean suspect = isInterfering(each.image());
+      Boolean before = loggedAsInterfering.put(each.image(), suspect);
       if (before != null && before != suspect) {
         LOG.info(
             LogLine.of(suspect ? "image-suspected" : "image-cleared")
                 .with("worker", worker)
                 .with("image", each.image())
-                .with("harm", harm.belief(each.image()))
+                .with("harm", interference.belief(each.image()))
                 .with("used_milli", Math.round(each.milliProcessors())));
       }
     }
   }
 
-  private BestEffortThrottler.BestEffortLoad filling(Collection<SideRun> runs, long capacityMilli) {
+  private BestEffortThrottler.BestEffortLoad bestEffortRequests(
+      Collection<SideRun> runs, long capacityMilli) {
     long suspect = 0;
     long harmless = 0;
     for (SideRun run : runs) {
-      if (run.fills() && run.isListed()) {
-        boolean suspected = isSuspect(run.image());
+      if (run.isBestEffort() && run.isListed()) {
+        boolean suspected = isInterfering(run.image());
         suspect += suspected ? run.milliProcessors() : 0;
         harmless += suspected ? 0 : run.milliProcessors();
       }
@@ -160,11 +165,11 @@
     return new BestEffortThrottler.BestEffortLoad(suspect, harmless, capacityMilli);
   }
 
-  private static List<ImageInterference.ImageLoad> fillings(Collection<SideRun> runs) {
+  private static List<ImageInterference.ImageLoad> bestEffortUse(Collection<SideRun> runs) {
     Map<String, Double> worked = new HashMap<>();
     for (SideRun run : runs) {
-      if (run.fills() && run.isListed()) {
-        worked.merge(run.image(), (double) run.gauge(), Double::sum);
+      if (run.isBestEffort() && run.isListed()) {
+        worked.merge(run.image(), (double) run.measurement(), Double::sum);
       }
     }
     List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
@@ -173,28 +178,29 @@
   }
 
   /** Returns what was seen here of the harm that images do. */
-  Map<String, ImageInterference.Evidence> seen() {
-    return harm.localEvidence();
+  Map<String, ImageInterference.Evidence> localObservations() {
+    return interference.localEvidence();
   }
 
   /** Takes what other VMs saw. */
-  void seenElsewhere(Map<String, ImageInterference.Evidence> seen) {
-    harm.setRemoteEvidence(seen);
+  void remoteObservations(Map<String, ImageInterference.Evidence> seen) {
+    interference.setRemoteEvidence(seen);
   }
 
-  private void tell(Collection<SideRun> runs, List<BestEffortThrottler.TailReading> readings) {
-    if (runs.isEmpty() || (toldAt != Long.MIN_VALUE && loop.now() - toldAt < TELL_NANOS)) {
+  private void logLoad(Collection<SideRun> runs, List<BestEffortThrottler.TailReading> readings) {
+    if (runs.isEmpty()
+        || (loggedAt != Long.MIN_VALUE && loop.now() - loggedAt < LOAD_LOG_INTERVAL_NANOS)) {
       return;
     }
-    toldAt = loop.now();
+    loggedAt = loop.now();
     long fills = 0;
     long declared = 0;
     long used = 0;
     for (SideRun run : runs) {
-      if (run.fills() && run.isListed()) {
+      if (run.isBestEffort() && run.isListed()) {
         fills++;
         declared += run.milliProcessors();
-        used += run.gauge();
+        used += run.measurement();
       }
     }
     LOG.info(
@@ -213,21 +219,24 @@
   }
 
   /** Sets the speed of a run, if it fills and has another one. */
-  void pace(SideRun run) {
-    int percent = isSuspect(run.image()) ? pacer.interferingPercent() : pacer.benignPercent();
-    if (!run.fills() || run.isPacedTo(percent) || run.isStopping() || !run.isConfirmed()) {
+  void throttle(SideRun run) {
+    int percent = isInterfering(run.image()) ? pacer.interferingPercent() : pacer.benignPercent();
+    if (!run.isBestEffort()
+        || run.isThrottledTo(percent)
+        || run.isStopping()
+        || !run.isConfirmed()) {
       return;
     }
-    run.pacedTo(percent);
+    run.throttlePercent(percent);
     gateway
-        .pace(worker, run.key(), percent)
+        .throttle(worker, run.key(), percent)
         .thenAccept(
             result ->
                 loop.run(
                     () -> {
                       if (!(result instanceof Accepted)) {
                         // Tried again with the next listing.
-                        run.speedBecameUnknown();
+                        run.markThrottleUnknown();
                       }
                     }));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
@@ -85,7 +85,7 @@
     submit(71, LONG_RUNNING);
     // Said by a report: before, the owner knows no more than that it ordered it.
     world.await("it is at work", () -> world.status(0, 71) == QueryResult.RUNNING);
-    world.side("vm-0").worker().fallSilent();
+    world.side("vm-0").worker().becomeUnresponsive();
     awaitLine(
         "task-absent",
         71,
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
@@ -44,8 +44,8 @@
     return new RunKey(new TaskKey(workflow, 0, 0, 0), 1);
   }
 
-  private static void hear(WorkerSession session, int partition) {
-    session.evidence(partition, 1, session.workerClock());
+  private static void recordEvidence(WorkerSession session, int partition) {
+    session.recordEvidence(partition, 1, session.workerClockLowerBound());
   }
 
   private static void start(WorkerSession session, RunKey run) {
@@ -59,46 +59,48 @@
   @Test
   void anEndIsNotNotedOnceItsOwnerMayHaveOrderedAnotherAttempt() {
     WorkerSession session = session();
-    hear(session, 0);
-    hear(session, 1);
+    recordEvidence(session, 0);
+    recordEvidence(session, 1);
     start(session, runOf(0));
     start(session, runOf(1));
     time.advance(500);
-    hear(session, 0);
-    worker.end(runOf(0));
+    recordEvidence(session, 0);
+    worker.endRun(runOf(0));
     for (long silent = 0; silent < TERMS.takeoverMillis() + 1_000; silent += STEP_MILLIS) {
-      hear(session, 1);
+      recordEvidence(session, 1);
       time.advance(STEP_MILLIS);
     }
-    hear(session, 0);
-    session.noted(runOf(0));
+    recordEvidence(session, 0);
+    session.acknowledgeEnd(runOf(0));
     time.advance(1_000);
-    assertTrue(worker.isLapsed() || worker.noted() == 0, "noted " + worker.noted());
+    assertTrue(
+        worker.isExtendedAfterExpiry() || worker.acknowledgedUpTo() == 0,
+        "noted " + worker.acknowledgedUpTo());
   }
 
   /** Guards against a task in two places: an order of the life before is carried out late. */
   @Test
   void aRunThatIsRefusedAfterARestartIsForbiddenToTheWorker() {
-    worker.run(runOf(1));
+    worker.addActiveRun(runOf(1));
     WorkerSession session = session();
-    hear(session, 0);
+    recordEvidence(session, 0);
     start(session, runOf(0));
     time.advance(300);
     assertEquals(List.of(runOf(0)), worker.stopped());
   }
 
   /** What changes does not matter here. */
-  private static final class IgnoringListener implements WorkerListener {
+  private static final class IgnoringListener implements WorkerSessionListener {
     @Override
-    public void standingChanged() {}
+    public void availabilityChanged() {}
 
     @Override
-    public void roomChanged() {}
+    public void capacityChanged() {}
 
     @Override
     public void runChanged(int partition) {}
 
     @Override
-    public void gone(WorkerSession session) {}
+    public void sessionEnded(WorkerSession session) {}
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -45,7 +45,7 @@
   }
 
   private void assertNoConcurrentRuns() {
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   @Test
@@ -134,8 +134,8 @@
   @Test
   void delayedStartNeverCausesTwoConcurrentRuns() throws IOException {
     world.start(1, 2, 700);
-    world.side("vm-0").worker().answerLate(20, 600);
-    world.side("vm-1").worker().answerLate(3, 2_000);
+    world.side("vm-0").worker().delayStarts(20, 600);
+    world.side("vm-1").worker().delayStarts(3, 2_000);
     submit(0, 51, 6);
     awaitDone(51);
     assertNoConcurrentRuns();
@@ -157,7 +157,7 @@
     // Too many for one VM, so that both have some.
     submit(0, id, 10);
     world.await("all are at work", () -> world.history().totalStarts() == 10);
-    world.side("vm-0").worker().fallSilent();
+    world.side("vm-0").worker().becomeUnresponsive();
   }
 
   private void assertAllReassigned(long id) {
@@ -204,7 +204,7 @@
         world.entry(0).entry().submit(WorkflowTestCluster.workflow(65, fills, 1)).join());
     world.await("it is at work", () -> world.history().totalStarts() == 1);
     FakeWorkerGateway worker = world.side("vm-0").worker();
-    worker.pace(worker.life(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
+    worker.throttle(worker.incarnation(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
     world.restartSide("vm-0");
     awaitDone(65);
     assertEachRanOnce(65, 1);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -63,7 +63,7 @@
   void failureLimitHoldsAcrossATakeover() throws IOException {
     world.start(2, 3, 300);
     for (int vm = 0; vm < 3; vm++) {
-      worker("vm-" + vm).endAllAs(RunOutcome.FAILED);
+      worker("vm-" + vm).outcomeOfRuns(RunOutcome.FAILED);
     }
     long[] ids = LongStream.rangeClosed(101, 106).toArray();
     for (long id : ids) {
@@ -98,7 +98,7 @@
       }
       assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 2, 0)));
     }
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -112,14 +112,15 @@
     world.await("both are at work", () -> world.history().totalStarts() == 2);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     FakeWorkerGateway worker = worker("vm-0");
-    world.await("both have ended", () -> worker.atWork().isEmpty() && worker.endsNotNoted() == 2);
+    world.await(
+        "both have ended", () -> worker.activeRuns().isEmpty() && worker.unacknowledgedEnds() == 2);
     world.await(
         "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
     assertNotEquals(QueryResult.DONE, world.status(0, 121));
-    assertEquals(2, worker.endsNotNoted(), "an end was noted that is not durable");
+    assertEquals(2, worker.unacknowledgedEnds(), "an end was noted that is not durable");
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
     world.await("it is done", () -> world.status(0, 121) == QueryResult.DONE);
-    world.await("all ends are noted", () -> worker.endsNotNoted() == 0);
+    world.await("all ends are noted", () -> worker.unacknowledgedEnds() == 0);
   }
 
   /**
@@ -133,7 +134,7 @@
     submit(WorkflowTestCluster.workflow(125, 2));
     world.await(
         "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
-    assertEquals(List.of(), worker("vm-0").askedToStart());
+    assertEquals(List.of(), worker("vm-0").startRequests());
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
     world.await("it is done", () -> world.status(0, 125) == QueryResult.DONE);
   }
@@ -170,11 +171,11 @@
   void delayedStartAfterCancelRunsNothing() throws IOException {
     world.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
-    worker.answerLate(Integer.MAX_VALUE, 1_500);
+    worker.delayStarts(Integer.MAX_VALUE, 1_500);
     submit(WorkflowTestCluster.workflow(151, 2));
-    world.await("both were asked for", () -> worker.askedToStart().size() >= 2);
+    world.await("both were asked for", () -> worker.startRequests().size() >= 2);
     assertEquals(QueryResult.CANCELLED, world.entry(0).entry().query(151, "queue", true).join());
-    world.await("all late orders were carried out", () -> worker.isNothingLate());
+    world.await("all late orders were carried out", () -> worker.hasExecutedDelayedStarts());
     assertEquals(0, world.history().totalStarts());
   }
 
@@ -187,16 +188,16 @@
     world.start(2, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(161, LONG_RUNNING, 3));
     FakeWorkerGateway leaving = worker("vm-0");
-    world.await("all are at work", () -> leaving.atWork().size() == 3);
-    leaving.leave();
+    world.await("all are at work", () -> leaving.activeRuns().size() == 3);
+    leaving.drain();
     world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await("all are at work elsewhere", () -> worker("vm-1").atWork().size() == 3);
-    assertEquals(List.of(), leaving.atWork());
+    world.await("all are at work elsewhere", () -> worker("vm-1").activeRuns().size() == 3);
+    assertEquals(List.of(), leaving.activeRuns());
     // As many as the other VM has no room for.
     submit(WorkflowTestCluster.workflow(162, 8));
-    world.await("it is full", () -> worker("vm-1").atWork().size() == 8);
-    assertEquals(3, leaving.askedToStart().size());
-    assertEquals(List.of(), world.history().broken());
+    world.await("it is full", () -> worker("vm-1").activeRuns().size() == 8);
+    assertEquals(3, leaving.startRequests().size());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -209,13 +210,13 @@
     FakeWorkerGateway leaving = worker("vm-0");
     leaving.dropStarts(Integer.MAX_VALUE);
     submit(WorkflowTestCluster.workflow(171, 1));
-    world.await("it was asked for", () -> !leaving.askedToStart().isEmpty());
-    leaving.leave();
+    world.await("it was asked for", () -> !leaving.startRequests().isEmpty());
+    leaving.drain();
     world.heartbeatAndWait("vm-0");
-    List<RunKey> asked = leaving.askedToStart();
+    List<RunKey> asked = leaving.startRequests();
     world.addSide("vm-1", 200);
     world.await("it is done", () -> world.status(0, 171) == QueryResult.DONE);
-    assertEquals(asked, leaving.askedToStart());
+    assertEquals(asked, leaving.startRequests());
   }
 
   /**
@@ -228,15 +229,15 @@
     world.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(181, LONG_RUNNING, 3));
     FakeWorkerGateway crowded = worker("vm-0");
-    world.await("the service is at work", () -> crowded.atWork().size() == 3);
+    world.await("the service is at work", () -> crowded.activeRuns().size() == 3);
     submit(WorkflowTestCluster.workflow(182, BEST_EFFORT, 1));
-    world.await("a heavy task is beside it", () -> crowded.atWork().size() == 4);
-    crowded.measure(400);
+    world.await("a heavy task is beside it", () -> crowded.activeRuns().size() == 4);
+    crowded.measurement(400);
     world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await("the heavy task has moved", () -> worker("vm-1").atWork().size() == 1);
-    assertEquals(182, worker("vm-1").atWork().get(0).task().workflow());
+    world.await("the heavy task has moved", () -> worker("vm-1").activeRuns().size() == 1);
+    assertEquals(182, worker("vm-1").activeRuns().get(0).task().workflow());
     assertEquals(Collections.nCopies(3, 1), startsOf(181, 3));
-    assertEquals(3, crowded.atWork().size());
+    assertEquals(3, crowded.activeRuns().size());
   }
 
   private List<Integer> startsOf(long id, int tasks) {
@@ -254,15 +255,15 @@
     FakeWorkerGateway worker = worker("vm-0");
     WorkflowEntry entry = world.entry(0).entry();
     submit(WorkflowTestCluster.workflow(211, 1));
-    world.await("it is at work", () -> worker.atWork().size() == 1);
+    world.await("it is at work", () -> worker.activeRuns().size() == 1);
     entry.configure(WorkflowTestCluster.configuration(3, "another"));
     entry.configure(WorkflowTestCluster.configuration(2, "service"));
     submit(WorkflowTestCluster.workflow(212, 1));
     int before = worker.listings();
     world.await("the worker was looked at again", () -> worker.listings() >= before + 3);
-    assertEquals(1, worker.askedToStart().size());
+    assertEquals(1, worker.startRequests().size());
     entry.configure(WorkflowTestCluster.configuration(4, "service"));
-    world.await("both are at work", () -> worker.atWork().size() == 2);
+    world.await("both are at work", () -> worker.activeRuns().size() == 2);
   }
 
   /**
@@ -289,7 +290,7 @@
       world.await("workflow " + id + " is done", () -> world.status(0, id) == QueryResult.DONE);
     }
     assertTrue(world.history().totalStarts() >= ids.length * 3);
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -335,18 +336,18 @@
   void formerOwnerCannotStopRunsOfItsSuccessor() throws IOException {
     world.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(241, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
       world.await("the side process knows it", () -> former.report().isPresent());
-      RunKey run = worker("vm-0").atWork().get(0);
+      RunKey run = worker("vm-0").activeRuns().get(0);
       former.stop(
           run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
       world.await(
           "the side process has read the order",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
-      assertEquals(List.of(run), worker("vm-0").atWork());
+      assertEquals(List.of(run), worker("vm-0").activeRuns());
     }
   }
 
@@ -355,10 +356,10 @@
   void formerOwnerCannotAcknowledgeEndForItsSuccessor() throws IOException {
     world.start(1, 1, 1_000);
     submit(WorkflowTestCluster.workflow(242, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
-    RunKey run = worker("vm-0").atWork().get(0);
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
+    RunKey run = worker("vm-0").activeRuns().get(0);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    world.await("it has ended", () -> worker("vm-0").endsNotNoted() == 1);
+    world.await("it has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
@@ -373,7 +374,7 @@
     replaceOnlyEntry();
     world.await("the next one tells", () -> world.status(0, 242) == QueryResult.DONE);
     assertEquals(1, world.history().totalStarts());
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /** Guards against a cancel without an answer, since its owner cannot make it durable. */
@@ -381,7 +382,7 @@
   void cancelThatIsNotDurableIsAnsweredCannotTell() throws IOException {
     world.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(243, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
     world.entry(0).store().setRefusing(true);
     CompletableFuture<QueryResult> told = world.entry(0).entry().query(243, "queue", true);
     world.await("it is answered", told::isDone);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -44,7 +44,8 @@
       WorkflowEntry entry, LinkLoop loop, String memberPrefix, RefusingStore store) {}
 
   /** A side process with its worker. */
-  record RunningSide(String vm, WorkflowSide side, LinkLoop loop, FakeWorkerGateway worker) {}
+  record RunningSide(
+      String vm, WorkflowSideProcess side, LinkLoop loop, FakeWorkerGateway worker) {}
 
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
   private final FakeWorkflowStore store = new FakeWorkflowStore(PARTITIONS, timer);
@@ -154,7 +155,7 @@
 
   private void startSide(String vm, FakeWorkerGateway worker) {
     LinkLoop loop = new LinkLoop("side-" + vm, MonotonicClock.system());
-    WorkflowSide side = new WorkflowSide(loop, store, worker, vm, lease);
+    WorkflowSideProcess side = new WorkflowSideProcess(loop, store, worker, vm, lease);
     side.start();
     sides.put(vm, new RunningSide(vm, side, loop, worker));
     timer.scheduleAtFixedRate(
@@ -175,7 +176,7 @@
 
   private synchronized CompletableFuture<Boolean> sendHeartbeat(String vm) {
     RunningSide running = sides.get(vm);
-    if (running.worker().isSilent()) {
+    if (running.worker().isUnresponsive()) {
       return CompletableFuture.completedFuture(false);
     }
     lastHeartbeat++;
@@ -183,13 +184,13 @@
         .side()
         .heartbeat(
             new WorkerHeartbeat(
-                running.worker().life(),
+                running.worker().incarnation(),
                 "service",
                 "zone",
                 ImmutableList.of("a", "rack"),
                 "rack",
                 new Sizes(4_000, 1L << 33, 0),
-                running.worker().isLeaving(),
+                running.worker().isDraining(),
                 lastHeartbeat));
   }
 
