--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
@@ -21,14 +21,14 @@
 final class SideFrames {
   private SideFrames() {}
 
-  static RequestId message(AttemptId id) {
+  static RequestId toMessage(AttemptId id) {
     return RequestId.newBuilder()
         .setEntryIncarnation(id.entryIncarnation())
         .setSequence(id.sequence())
         .build();
   }
 
-  static AttemptId id(RequestId message) {
+  static AttemptId fromMessage(RequestId message) {
     return new AttemptId(message.getEntryIncarnation(), message.getSequence());
   }
 
@@ -36,7 +36,7 @@
       AttemptId id, ErrorKind kind, String detail, long retryAfterMillis, TargetReport report) {
     NotRun.Builder notRun =
         NotRun.newBuilder()
-            .setId(message(id))
+            .setId(toMessage(id))
             .setErrorKind(kind.code())
             .setDetail(detail)
             .setRetryAfterMillis(retryAfterMillis)
@@ -47,7 +47,7 @@
   static Frame failed(AttemptId id, ErrorKind kind, String detail, TargetReport report) {
     Failed.Builder failed =
         Failed.newBuilder()
-            .setId(message(id))
+            .setId(toMessage(id))
             .setErrorKind(kind.code())
             .setDetail(detail)
             .setReport(report);
@@ -55,9 +55,9 @@
   }
 
   static AnswerStart answerStart(
-      AttemptId id, TargetOutcome.Answered answered, TargetReport report) {
+      AttemptId id, TargetOutcome.Responded answered, TargetReport report) {
     return AnswerStart.newBuilder()
-        .setId(message(id))
+        .setId(toMessage(id))
         .setStatus(answered.status())
         .addAllHeaders(answered.headers())
         .setBodyLength(answered.body().size())
@@ -67,7 +67,7 @@
 
   static Frame resolution(AttemptId id, Resolution.State state) {
     return Frame.newBuilder()
-        .setResolution(Resolution.newBuilder().setId(message(id)).setState(state))
+        .setResolution(Resolution.newBuilder().setId(toMessage(id)).setState(state))
         .build();
   }
 
@@ -80,7 +80,7 @@
   }
 
   /** Returns the request as its target gets it, with the id by which the time line knows it. */
-  static TargetRequest toTarget(RequestStart start, ByteString body, long giveUpAt) {
+  static TargetRequest targetRequest(RequestStart start, ByteString body, long giveUpAt) {
     Header id =
         Header.newBuilder().setName(CallerHeaders.REQUEST_ID).setValue(start.getLabel()).build();
     List<Header> headers = new ArrayList<>(start.getHeadersList());
