--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
@@ -20,27 +20,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks the placement adviser for the steps that wait, one call at a time.
+ * Requests placement advice for waiting steps, one call at a time, and caches it.
  *
- * <p>The adviser serves the calls of one process in turn anyway; asked one at a time, the step that
- * is next is the one that is first in the waiting order when the adviser is free, not the one that
- * came first. Confined to the loop's thread.
+ * <p>The adviser serves the calls of one process sequentially. With one call in flight, the next
+ * call is for the step that is first in the waiting order when the adviser is free, not for the
+ * step that was requested first. Confined to the loop's thread.
  */
 final class AdviceDesk {
   private static final EventLog LOG = EventLog.of(AdviceDesk.class);
 
-  /** How many times as long as it should take an answer may take: the adviser has other callers. */
+  /** Call timeout as a multiple of the expected duration: the adviser also has other callers. */
   private static final int PATIENCE = 4;
 
-  /** Added to that for the way there and back, in milliseconds. */
+  /** Network round trip that is added to the call timeout, in milliseconds. */
   private static final long WAY_MILLIS = 1_000;
 
-  /** After a call that failed, in nanoseconds: the adviser may be overloaded. */
+  /** Delay after a failed call, in nanoseconds; the adviser may be overloaded. */
   private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /**
-   * Steps beyond which all that was advised is forgotten, and asked for anew where it is wanted.
-   */
+  /** Number of cached steps above which the cache is cleared; advice is then requested again. */
   private static final int MOST_STEPS = 4_000;
 
   private final LinkLoop loop;
@@ -51,9 +49,9 @@
   private long notBefore = Long.MIN_VALUE;
 
   /**
-   * Creates a desk.
+   * Creates a client without advice.
    *
-   * @param answered run when waiting tasks should be looked at again
+   * @param answered runs on the loop after each call; waiting tasks may be placeable then
    */
   AdviceDesk(LinkLoop loop, PlacementAdviser adviser, Runnable answered) {
     this.loop = requireNonNull(loop, "loop");
@@ -61,12 +59,15 @@
     this.answered = requireNonNull(answered, "answered");
   }
 
-  /** Returns the offers that tasks of the step may be placed on now. */
+  /** Returns the offers on which the task's step may be placed now according to cached advice. */
   ImmutableList<VmOffer> allowed(WorkflowTask task, Collection<VmOffer> offers) {
     return of(task).allowed(offers, loop.now());
   }
 
-  /** Returns the ticket by which a worker takes the task; empty if there is none. */
+  /**
+   * Returns the ticket that the worker requires to accept the task, or an empty string if there is
+   * no valid one.
+   */
   String ticket(WorkflowTask task, String worker) {
     return of(task).ticket(worker, loop.now()).orElse("");
   }
@@ -79,16 +80,17 @@
   }
 
   /**
-   * Asks about the best candidates that were not asked about yet, unless a call is on its way.
+   * Requests advice on the best candidates without a cached answer; does nothing while a call is in
+   * flight or for a short time after a failed call.
    *
-   * @param candidates VMs with room for the task, the best first
+   * @param candidates VMs that admit the task, best first
    */
   void ask(WorkflowTask task, Collection<VmOffer> candidates) {
     if (asking || loop.now() < notBefore) {
       return;
     }
-    ImmutableList<String> named = of(task).toName(candidates, StepAdvice.MOST_NAMED, loop.now());
-    if (named.isEmpty()) {
+    ImmutableList<String> workers = of(task).toName(candidates, StepAdvice.MOST_NAMED, loop.now());
+    if (workers.isEmpty()) {
       return;
     }
     asking = true;
@@ -100,25 +102,25 @@
             key.workflow(),
             key.occurrence(),
             key.step(),
-            named,
-            PATIENCE * terms.callMillis(named.size()) + WAY_MILLIS)
-        .thenAccept(result -> loop.run(() -> took(task, named, sentAt, result)));
+            workers,
+            PATIENCE * terms.callMillis(workers.size()) + WAY_MILLIS)
+        .thenAccept(result -> loop.run(() -> took(task, workers, sentAt, result)));
   }
 
   private void took(
-      WorkflowTask task, ImmutableList<String> named, long sentAt, AdviceResult result) {
+      WorkflowTask task, ImmutableList<String> workers, long sentAt, AdviceResult result) {
     asking = false;
     LogLine line =
         LogLine.of("placement-advised")
             .with("task", task.key())
-            .with("named", named.size())
+            .with("named", workers.size())
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - sentAt));
-    if (result instanceof Advised told) {
+    if (result instanceof Advised advised) {
       AdviceTerms terms = task.workflow().spec().terms().advice().orElseThrow();
-      // Counted from the asking: the adviser's clock for the ticket began after that.
+      // Counted from the request, which precedes the start of the validity at the adviser.
       long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(terms.validMillis());
-      of(task).answered(named, told.tickets(), validUntil);
-      LOG.info(line.with("allowed", told.tickets().size()));
+      of(task).answered(workers, advised.tickets(), validUntil);
+      LOG.info(line.with("allowed", advised.tickets().size()));
     } else {
       notBefore = loop.now() + RETRY_NANOS;
       LOG.warning(line.with("reason", ((NotAdvised) result).reason()));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when the VM of an ended run is told that its owner has noted the end.
+ * Decides when the end of a run may be acknowledged to the VM that reports it.
  *
  * <p>Confined to the loop's thread.
  */
 final class EndNotes {
   private static final EventLog LOG = EventLog.of(EndNotes.class);
 
-  /** How long ends that are unknown in the same partition are gathered, in nanoseconds. */
+  /** Time over which log lines on unknown ends in one partition are aggregated, in nanoseconds. */
   private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
@@ -31,27 +31,27 @@
   }
 
   /**
-   * Runs the note once it may be told.
+   * Runs the acknowledgement once the end is durable; never runs it for a run that is still open.
    *
-   * <p>Takes also an end that was told before: what it changed may not be durable yet. A run of
-   * which the partition's records say nothing may be one that a later owner has ordered, so it is
-   * noted only after an append has shown that there is none. The end of a run that still counts as
-   * open is not noted.
+   * <p>May be called again for the same end, whose state change may not be durable yet. A run
+   * without a record in the partition may have been ordered by a later owner, so its end is
+   * acknowledged only after an append has proven that there is no later owner.
    *
-   * @param partition the run's partition, which this process takes for its own
+   * @param partition the run's partition, which this process believes to own
    * @param vm the VM that reports the end
+   * @param acknowledgement sends the acknowledgement; runs on the loop
    */
-  void take(OwnedPartition partition, RunKey run, String vm, Runnable note) {
+  void take(OwnedPartition partition, RunKey run, String vm, Runnable acknowledgement) {
     Optional<WorkflowTask> task =
         partition
             .workflow(run.task().workflow())
             .flatMap(workflow -> workflow.task(run.task()))
-            .filter(known -> known.lastAttempt() >= run.attempt());
+            .filter(found -> found.lastAttempt() >= run.attempt());
     if (task.isEmpty()) {
       tellUnknown(partition, run, vm);
-      partition.writer().afterRenewal(note);
+      partition.writer().afterRenewal(acknowledgement);
     } else if (task.get().hasEnded(run.attempt())) {
-      partition.writer().afterDurable(note);
+      partition.writer().afterDurable(acknowledgement);
     } else {
       LOG.error(
           LogLine.of("end-not-taken")
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryMember.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryMember.java
@@ -6,14 +6,14 @@
 import java.util.Optional;
 
 /**
- * One life of an entry, as it is named in the store.
+ * An incarnation of an entry, as identified by its member name in the store.
  *
- * <p>Immutable. The name holds the address at which other processes of the system reach it, which
- * is how they find it.
+ * <p>Immutable. The name contains the address at which other processes reach the entry; they
+ * discover entries by it.
  *
- * @param host address of its links
- * @param port port of its links
- * @param life tells apart the lives of processes at one address
+ * @param host host of the link server
+ * @param port port of the link server
+ * @param life distinguishes the incarnations of processes at one address
  */
 record EntryMember(String host, int port, long life) {
   EntryMember {
@@ -21,7 +21,7 @@
     checkArgument(port > 0, "port is not positive: %s", port);
   }
 
-  /** Returns the member of a name, or empty if it is not one of ours. */
+  /** Returns the member that the name identifies, or empty if it is not a member name. */
   static Optional<EntryMember> parse(String name) {
     int colon = name.indexOf(':');
     int slash = name.indexOf('/');
@@ -35,7 +35,7 @@
               Integer.parseInt(name.substring(colon + 1, slash)),
               Long.parseLong(name.substring(slash + 1))));
     } catch (IllegalArgumentException e) {
-      // A name that another program chose; callers pass it over.
+      // A name that another program chose; callers ignore it.
       return Optional.empty();
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -22,16 +22,17 @@
 import java.util.function.Consumer;
 
 /**
- * The other entries: who owns what, questions to them, and how much waits with them.
+ * Tracks the other entries: the owners of partitions, queries to them, and their numbers of waiting
+ * workflows.
  *
- * <p>Each entry dials all others and asks on the connections that it dialled. Confined to the
- * loop's thread.
+ * <p>Each entry dials all owners and sends its queries on the connections that it dialled. Confined
+ * to the loop's thread.
  */
 final class EntryPeers {
-  /** How long an owner may take to answer a question, in nanoseconds. */
+  /** Timeout of a query, in nanoseconds. */
   private static final long QUESTION_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
-  /** Counts older than this are of a process that is gone, in nanoseconds. */
+  /** Age at which counts are dropped, in nanoseconds; their process is gone. */
   private static final long COUNTS_NANOS = TimeUnit.SECONDS.toNanos(8);
 
   private record Asked(LinkConnection connection, Consumer<QueryResult> told) {}
@@ -43,7 +44,7 @@
   private final MemberLinks links;
   private final Map<Long, Asked> asked = new HashMap<>();
   private final Map<String, Counts> counts = new HashMap<>();
-  private final Map<Integer, String> owners = new HashMap<>();
+  private final Map<Integer, String> ownersByPartition = new HashMap<>();
   private OwnerMap map = OwnerMap.getDefaultInstance();
   private long lastQuestion;
 
@@ -54,24 +55,24 @@
   }
 
   /**
-   * Takes who owns what; returns whether side processes have to be told. An answer of the store
-   * that was asked for before the one in use, and came later, is passed over.
+   * Replaces the owner map and returns whether it has to be sent to side processes.
    *
-   * <p>A higher generation is told though the owners are the same: side processes that have it pass
-   * over the older map of an entry that does not reach the store.
+   * <p>Owners of a lower generation than the current map are ignored: the answer is stale. A higher
+   * generation has to be sent even if the owners are the same: side processes that know it ignore
+   * the older map of an entry that cannot reach the store.
    */
   boolean owners(long generation, Owners newOwners) {
     if (generation < map.getGeneration()) {
       return false;
     }
     Map<Integer, String> newMap = newOwners.byPartition();
-    if (newMap.equals(owners)) {
-      boolean rose = generation > map.getGeneration();
+    if (newMap.equals(ownersByPartition)) {
+      boolean isHigher = generation > map.getGeneration();
       map = map.toBuilder().setGeneration(generation).build();
-      return rose;
+      return isHigher;
     }
-    owners.clear();
-    owners.putAll(newMap);
+    ownersByPartition.clear();
+    ownersByPartition.putAll(newMap);
     OwnerMap.Builder builder =
         OwnerMap.newBuilder().setGeneration(generation).setDigest(newMap.hashCode());
     newMap.forEach(
@@ -83,53 +84,59 @@
     return true;
   }
 
-  /** Returns who owns what, to be sent to side processes. */
+  /** Returns the owner map to be sent to side processes. */
   OwnerMap map() {
     return map;
   }
 
-  /** Returns the member that owns the partition, or empty if nobody is known to. */
+  /** Returns the member that owns the partition, or empty if no owner is known. */
   Optional<String> owner(int partition) {
-    return Optional.ofNullable(owners.get(partition));
+    return Optional.ofNullable(ownersByPartition.get(partition));
   }
 
   private void dialAll() {
-    Set<String> members = new HashSet<>(owners.values());
+    Set<String> members = new HashSet<>(ownersByPartition.values());
     members.remove(self.toString());
     links.keep(members);
   }
 
   /**
-   * Asks the owner of the partition about a workflow.
+   * Sends a query on a workflow to the owner of the partition.
    *
-   * @param told runs on the loop; {@link QueryResult#CANNOT_TELL} if the owner is not reached
+   * @param onResult runs on the loop, once; {@link QueryResult#CANNOT_TELL} if the owner is unknown,
+   *     unreachable or does not answer in time
    */
-  void ask(int partition, WorkflowQuery question, Consumer<QueryResult> told) {
+  void ask(int partition, WorkflowQuery workflowQuery, Consumer<QueryResult> onResult) {
     LinkConnection connection = owner(partition).flatMap(links::to).orElse(null);
     if (connection == null) {
-      told.accept(QueryResult.CANNOT_TELL);
+      onResult.accept(QueryResult.CANNOT_TELL);
       return;
     }
     long id = ++lastQuestion;
-    asked.put(id, new Asked(connection, told));
-    connection.send(Frame.newBuilder().setWorkflowQuery(question.toBuilder().setId(id)).build());
+    asked.put(id, new Asked(connection, onResult));
+    connection.send(Frame.newBuilder().setWorkflowQuery(workflowQuery.toBuilder().setId(id)).build());
     loop.schedule(() -> answered(id, QueryResult.CANNOT_TELL), QUESTION_NANOS);
   }
 
   private void answered(long id, QueryResult result) {
-    Asked question = asked.remove(id);
-    if (question != null) {
-      question.told().accept(result);
+    Asked pending = asked.remove(id);
+    if (pending != null) {
+      pending.told().accept(result);
     }
   }
 
-  /** Tells the others how much waits here, and closes connections that went silent. */
-  void tick(Map<String, Integer> waitingHere) {
-    WaitingCounts.Builder told = WaitingCounts.newBuilder().setMember(self.toString());
-    waitingHere.forEach(
-        (queue, waiting) ->
-            told.addQueues(QueueCount.newBuilder().setQueue(queue).setWaiting(waiting)));
-    Frame frame = Frame.newBuilder().setWaitingCounts(told).build();
+  /**
+   * Sends the local counts and a ping to all peers, closes silent connections, drops old counts and
+   * dials owners that are not connected; to be called periodically.
+   *
+   * @param waiting number of waiting workflows by queue
+   */
+  void tick(Map<String, Integer> waiting) {
+    WaitingCounts.Builder localCounts = WaitingCounts.newBuilder().setMember(self.toString());
+    waiting.forEach(
+        (queue, count) ->
+            localCounts.addQueues(QueueCount.newBuilder().setQueue(queue).setWaiting(count)));
+    Frame frame = Frame.newBuilder().setWaitingCounts(localCounts).build();
     Frame ping = Frame.newBuilder().setPing(Ping.getDefaultInstance()).build();
     long now = loop.now();
     for (LinkConnection connection : links.closeSilent()) {
@@ -140,14 +147,14 @@
     dialAll();
   }
 
-  /** Takes what another entry told of itself. */
-  void counted(WaitingCounts told) {
+  /** Replaces the counts of another entry. */
+  void counted(WaitingCounts received) {
     Map<String, Integer> waiting = new HashMap<>();
-    told.getQueuesList().forEach(queue -> waiting.put(queue.getQueue(), queue.getWaiting()));
-    counts.put(told.getMember(), new Counts(waiting, loop.now()));
+    received.getQueuesList().forEach(queue -> waiting.put(queue.getQueue(), queue.getWaiting()));
+    counts.put(received.getMember(), new Counts(waiting, loop.now()));
   }
 
-  /** Returns how many workflows of the queue wait with the other entries. */
+  /** Returns the number of workflows of the queue that wait at the other entries. */
   int waitingElsewhere(String queue) {
     int sum = 0;
     for (Counts count : counts.values()) {
@@ -156,7 +163,7 @@
     return sum;
   }
 
-  /** What the other entries send. */
+  /** Handles frames and ends of the links to other entries. */
   private final class FromLinks implements MemberLinks.Listener {
     @Override
     public void opened(String member, LinkConnection link) {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -34,44 +34,45 @@
 import java.util.function.Supplier;
 
 /**
- * Offers room to waiting tasks of the partitions that this entry owns, in {@link WaitingOrder},
- * where {@link VmChooser} says.
+ * Places the waiting tasks of the partitions that this entry owns.
  *
- * <p>Confined to the loop's thread.
+ * <p>{@link WaitingOrder} decides which task is next, {@link VmChooser} and {@link GangChooser}
+ * decide where it runs. Confined to the loop's thread.
  */
 final class EntryScheduler {
   private static final EventLog LOG = EventLog.of(EntryScheduler.class);
 
-  /** What a refused task waits before its next attempt, times the refusals in a row. */
+  /** Backoff of a refused task, multiplied by its consecutive refusals. */
   private static final long REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /**
-   * The same for a gang: each refusal costs all other members a start and a stop, and the report
-   * that tells how much room there really is comes within this time.
+   * Backoff of a refused gang, multiplied by its consecutive refusals. Longer than that of a single
+   * task because each refusal costs all other members a start and a stop. A report with the VM's
+   * actual capacity arrives within this time.
    */
   private static final long GANG_REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** What a lasting task that failed waits, times its failures in a row. */
+  /** Backoff of a failed long-running task. */
   private static final long FAILED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
-   * Between a report and the look at waiting tasks that its room is worth, in nanoseconds: reports
-   * of many VMs come close together, and one look serves all of them.
+   * Delay between a report of capacity and the scheduling pass that it causes, in nanoseconds.
+   * Reports of many VMs arrive together, and one pass serves all of them.
    */
   private static final long ROOM_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private static final int MAX_WAIT_FACTOR = 20;
 
   /**
-   * The longest that a refused task or gang waits. Guards against one that stands still for seconds
-   * after room has come: nobody looks at it before, whatever reports tell.
+   * Longest backoff of a refused task or gang, in nanoseconds. Reports of free capacity do not end a
+   * backoff early, so a longer one would leave the task idle for seconds beside free capacity.
    */
   private static final long MAX_REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-  /** Where tasks that fill may work at this share of their speed at most, they are moved away. */
+  /** Best-effort runs throttled to this share of their speed or less are moved, in percent. */
   private static final int SLOWED_PERCENT = 25;
 
-  /** Work that is not saved may be given up while it is at most this far, in percent. */
+  /** A run without checkpoints may be restarted up to this progress, in percent. */
   private static final int CHEAP_PERCENT = 25;
 
   private final LinkLoop loop;
@@ -103,7 +104,7 @@
     this.configuration = requireNonNull(configuration, "configuration");
   }
 
-  /** Has waiting tasks looked at after what runs now. */
+  /** Schedules a scheduling pass to run after the current task of the loop. */
   void soon() {
     if (!scheduled) {
       scheduled = true;
@@ -115,7 +116,7 @@
     }
   }
 
-  /** Has waiting tasks looked at, since a VM may have other room. */
+  /** Schedules a delayed scheduling pass because the capacity of a VM may have changed. */
   void roomChanged() {
     if (!roomScheduled && !scheduled) {
       roomScheduled = true;
@@ -128,20 +129,20 @@
     }
   }
 
-  /** Sets how long the task of an ended run waits. */
+  /** Sets the backoff of the task of an ended run and schedules a pass. */
   void ended(WorkflowTask task, RunOutcome outcome) {
     if (outcome == RunOutcome.REFUSED) {
       int factor = Math.min(task.refusals(), MAX_WAIT_FACTOR);
       boolean gang = task.step().nature().gang();
-      long once = gang ? GANG_REFUSED_WAIT_NANOS : REFUSED_WAIT_NANOS;
-      task.waitUntil(loop.now() + Math.min(factor * once, MAX_REFUSED_WAIT_NANOS));
+      long base = gang ? GANG_REFUSED_WAIT_NANOS : REFUSED_WAIT_NANOS;
+      task.waitUntil(loop.now() + Math.min(factor * base, MAX_REFUSED_WAIT_NANOS));
     } else if (outcome == RunOutcome.FAILED && task.step().nature().lasting()) {
       task.waitUntil(loop.now() + FAILED_WAIT_NANOS);
     }
     soon();
   }
 
-  /** A task, or a gang by its first member. */
+  /** A waiting task, or a waiting gang represented by its first member. */
   private record Waiting(OwnedPartition partition, WorkflowTask task, Urgency urgency) {
     List<WorkflowTask> members() {
       return task.step().nature().gang() ? task.workflow().gangOf(task) : List.of(task);
@@ -154,12 +155,13 @@
   }
 
   /**
-   * All that decides whether a task finds room: where equal needs found none, this finds none.
+   * Everything that decides whether a task can be placed: after one task could not be placed, tasks
+   * with equal requirements are skipped in the same pass.
    *
-   * <p>Guards against tasks that are never ordered though there is room: equal steps are found in
-   * workflows of several services, and one whose service is full would speak for them all.
+   * <p>Includes the service because workflows of several services may have equal steps: without it,
+   * a full service would keep tasks of the others from being placed although there is capacity.
    *
-   * @param counted the step, where VMs take so many tasks of each only
+   * @param counted the step, present only if the number of its tasks per VM is limited
    */
   private record Need(String service, StepSpec step, Urgency urgency, Optional<StepKey> counted) {
     static Need of(Waiting waiting) {
@@ -182,32 +184,32 @@
     if (waiting.isEmpty()) {
       return;
     }
-    Map<String, VmOffer> offers = new HashMap<>();
-    vms.offers().forEach(offer -> offers.put(offer.place().vm(), offer));
-    // Rooms only fill up in one pass.
-    Set<Need> full = new HashSet<>();
-    Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.isRoomy(offers.values());
+    Map<String, VmOffer> offersByVm = new HashMap<>();
+    vms.offers().forEach(offer -> offersByVm.put(offer.place().vm(), offer));
+    // Free capacity only shrinks during a pass, so a failed placement fails for its whole rest.
+    Set<Need> unplaceable = new HashSet<>();
+    Set<Workflow> served = new HashSet<>();
+    boolean hasSpareCapacity = VmOffer.isRoomy(offersByVm.values());
     for (Waiting candidate : waiting) {
       WorkflowTask task = candidate.task();
-      // One task at work is enough for a workflow not to starve.
-      boolean mayStarve = roomy && !fed.contains(task.workflow());
+      // A workflow with one running task no longer starves.
+      boolean mayStarve = hasSpareCapacity && !served.contains(task.workflow());
       Waiting each = mayStarve ? candidate : candidate.calmed();
       Need need = Need.of(each);
-      if (full.contains(need)) {
+      if (unplaceable.contains(need)) {
         continue;
       }
-      List<VmOffer> chosen = chooseAdvised(each, offers.values());
+      List<VmOffer> chosen = chooseAdvised(each, offersByVm.values());
       if (chosen.isEmpty()) {
         if (!isAdvised(task)) {
-          full.add(need);
+          unplaceable.add(need);
         }
         continue;
       }
       chosen.forEach(
-          offer -> offers.computeIfPresent(offer.place().vm(), (vm, now) -> after(now, task)));
+          offer -> offersByVm.computeIfPresent(offer.place().vm(), (vm, left) -> after(left, task)));
       order(each, chosen.stream().map(VmOffer::place).toList());
-      fed.add(task.workflow());
+      served.add(task.workflow());
     }
   }
 
@@ -220,7 +222,8 @@
   }
 
   /**
-   * Asks the adviser where a queue's policy wants that, about more VMs when the allowed are full.
+   * Returns a VM for each member, or none. If the queue requires placement advice, only VMs that
+   * the adviser allowed are used, and further VMs are requested when these have no capacity left.
    */
   private List<VmOffer> chooseAdvised(Waiting waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
@@ -235,17 +238,17 @@
   }
 
   /**
-   * Returns a VM for each member, or none. A task that failed on a VM goes elsewhere as long as it
-   * can: the VM may be what fails.
+   * Returns a VM for each member, or none. VMs on which a member has failed are avoided where
+   * possible, since the VM may be the cause of the failure; see {@link VmChooser#isWorthLeaving}.
    */
   private List<VmOffer> choose(Waiting waiting, Collection<VmOffer> offers) {
     List<WorkflowTask> members = waiting.members();
-    List<VmOffer> others =
+    List<VmOffer> withoutFailure =
         offers.stream()
             .filter(offer -> members.stream().noneMatch(each -> hasFailedOn(each, offer)))
             .toList();
-    List<VmOffer> elsewhere = chooseAmong(waiting, others);
-    if (others.size() == offers.size()) {
+    List<VmOffer> elsewhere = chooseAmong(waiting, withoutFailure);
+    if (withoutFailure.size() == offers.size()) {
       return elsewhere;
     }
     List<VmOffer> anywhere = chooseAmong(waiting, offers);
@@ -253,10 +256,10 @@
       return elsewhere.isEmpty() ? anywhere : elsewhere;
     }
     StepSpec step = waiting.task().step();
-    boolean leave =
+    boolean avoid =
         VmChooser.isWorthLeaving(
             step, elsewhere.stream().findFirst(), anywhere.stream().findFirst());
-    return leave ? elsewhere : anywhere;
+    return avoid ? elsewhere : anywhere;
   }
 
   private static boolean hasFailedOn(WorkflowTask task, VmOffer offer) {
@@ -281,19 +284,19 @@
   }
 
   private PlacementWish wish(WorkflowTask task, Urgency urgency, String siblingRack) {
-    double harm = vms.harmOf(task.step().nature().image());
-    return new PlacementWish(task.workflow().spec(), task.step(), harm, urgency, siblingRack);
+    double interference = vms.harmOf(task.step().nature().image());
+    return new PlacementWish(task.workflow().spec(), task.step(), interference, urgency, siblingRack);
   }
 
   private List<Waiting> waiting(QueueTable queues) {
     long now = loop.now();
-    long wall = wallMillis.getAsLong();
+    long wallNow = wallMillis.getAsLong();
     record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Ranked rank) {}
     List<Candidate> candidates = new ArrayList<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
         if (!workflow.status().isTerminal() && queues.uses(workflow.spec().terms().service())) {
-          candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wall)));
+          candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wallNow)));
         }
       }
     }
@@ -303,7 +306,7 @@
       candidate
           .workflow()
           .forEachReady(
-              wall,
+              wallNow,
               task -> {
                 Waiting each = new Waiting(candidate.partition(), task, candidate.rank().urgency());
                 if (isFirstOfGang(task) && isDue(each, now)) {
@@ -315,7 +318,7 @@
   }
 
   /**
-   * Returns why a ready task has no order out, as if nothing else waited.
+   * Returns why a ready task has not been ordered, as if no other task waited.
    *
    * @param offers the VMs that may be given work now
    */
@@ -343,7 +346,7 @@
     return unadvised ? WaitCause.UNADVISED : WaitCause.ADMITTED;
   }
 
-  /** Returns what the VMs offered say to a ready task, such as {@code 6 without room}. */
+  /** Returns how many of the offers give which verdict on a ready task, as a text for logs. */
   String verdictsOn(WorkflowTask task, Collection<VmOffer> offers) {
     Urgency urgency = WaitingOrder.rank(task.workflow(), wallMillis.getAsLong()).urgency();
     Multiset<VmChooser.Verdict> verdicts = EnumMultiset.create(VmChooser.Verdict.class);
@@ -398,18 +401,21 @@
             .with("waited_ms", wallMillis.getAsLong() - workflow.spec().acceptedMillis()));
   }
 
-  /** Moves what can be moved off VMs whose workers leave, or where it is slowed down. */
+  /**
+   * Moves runs off VMs whose workers drain, that have too many interfering runs beside services, or
+   * on which the runs are throttled; runs whose restart would lose too much work stay.
+   */
   void evacuate() {
     for (OpenRun run : vms.onDrainingVms()) {
       boolean movable =
           run.task().step().nature().lasting() || run.task().step().nature().checkpointable();
       if (movable) {
-        move(run, "its worker leaves");
+        move(run, "worker is draining");
       }
     }
     for (OpenRun run : vms.crowded()) {
       if (isCheaplyMoved(run.task())) {
-        move(run, "too many that may disturb stand beside services");
+        move(run, "too many interfering runs beside latency-sensitive tasks");
       }
     }
     moveSlowed(vms.slowedDownTo(SLOWED_PERCENT));
@@ -419,20 +425,20 @@
     if (slowed.isEmpty()) {
       return;
     }
-    List<VmOffer> free = new ArrayList<>();
-    vms.offers().stream().filter(offer -> offer.serving() == 0).forEach(free::add);
+    List<VmOffer> withoutServices = new ArrayList<>();
+    vms.offers().stream().filter(offer -> offer.serving() == 0).forEach(withoutServices::add);
     for (OpenRun run : slowed) {
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
-          isCheaplyStopped(task) ? chooseAmong(task, Urgency.ORDINARY, free) : Optional.empty();
-      if (better.isPresent() && move(run, "it is slowed down beside tasks that serve")) {
-        free.remove(better.get());
-        free.add(after(better.get(), task));
+          isCheaplyStopped(task) ? chooseAmong(task, Urgency.ORDINARY, withoutServices) : Optional.empty();
+      if (better.isPresent() && move(run, "throttled beside latency-sensitive tasks")) {
+        withoutServices.remove(better.get());
+        withoutServices.add(after(better.get(), task));
       }
     }
   }
 
-  /** The last run of a workflow stays, or nothing of it would be at work. */
+  /** Returns false also for the only run of a workflow, which would make no progress without it. */
   private static boolean isCheaplyMoved(WorkflowTask task) {
     return task.workflow().openTasks().size() > 1 && isCheaplyStopped(task);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryTerms.java
@@ -5,13 +5,13 @@
 import io.marigoldsail.workflow.LeaseTermsOfWorker;
 
 /**
- * What an entry needs to know of the deployment.
+ * Parameters of the deployment that an entry uses.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param lease the lengths of leases
- * @param keepEndedMillis how long the status of a workflow is told after its end, in milliseconds
- * @param farRackFactor how many times as long a task takes on another rack than its data
+ * @param lease durations of worker leases
+ * @param keepEndedMillis how long the status of an ended workflow is retained, in milliseconds
+ * @param farRackFactor slowdown factor of a task that runs on another rack than its data
  */
 public record EntryTerms(LeaseTermsOfWorker lease, long keepEndedMillis, double farRackFactor) {
   /** Checks the components. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
@@ -33,27 +33,27 @@
 import java.util.function.Predicate;
 
 /**
- * The VMs as an entry knows them, and the runs that it owns on them.
+ * Tracks the VMs that report to this entry and reconciles the runs that it owns with the reports.
  *
- * <p>Reports tell the whole state of a VM as far as this entry owns it, so that a lost connection,
- * a restart or a new owner needs no protocol of its own: what an owner expects and a report lacks
- * is ordered again, and what a report has and no owner expects is stopped. Orders name the attempt,
- * and a worker carries out each at most once.
+ * <p>Each report contains the whole state of a VM as far as this entry owns it, so a lost
+ * connection, a restart and a new owner need no protocol of their own: a run that the owner expects
+ * and a report lacks is ordered again, and a run that a report contains and no owner expects is
+ * stopped. Orders name the attempt, and a worker executes each attempt at most once.
  *
  * <p>Confined to the loop's thread.
  */
 final class EntryVms {
   private static final EventLog LOG = EventLog.of(EntryVms.class);
 
-  /** Between two orders to stop the same run, in nanoseconds. */
+  /** Minimum interval between two orders to stop the same run, in nanoseconds. */
   private static final long STOP_REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** Told what reports change; runs on the loop. */
+  /** Notified of changes that reports cause; runs on the loop. */
   interface Listener {
-    /** A run ended and its task may wait again. */
+    /** Called when a run has ended; its task may be waiting again. */
     void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome);
 
-    /** A VM has more or other room. */
+    /** Called when the free capacity of a VM may have changed. */
     void roomChanged();
   }
 
@@ -86,7 +86,7 @@
     this.endNotes = new EndNotes(loop);
   }
 
-  /** Follows the runs that former owners of the partition ordered. */
+  /** Starts to track the runs that former owners of the partition ordered. */
   void activated(OwnedPartition partition) {
     for (Workflow workflow : partition.workflows()) {
       workflow
@@ -95,12 +95,12 @@
     }
   }
 
-  /** Forgets the runs of a partition that another process decides for. */
+  /** Stops tracking the runs of a partition that another process owns. */
   void lost(OwnedPartition partition) {
     openRuns.removeAll(partition);
   }
 
-  /** Follows runs of a workflow that were just decided on, and orders them once that is durable. */
+  /** Tracks new runs of one workflow, at least one; orders them once the decision is durable. */
   void ordered(OwnedPartition partition, List<OpenRun> decided) {
     Map<RunKey, OpenRun> runs = new LinkedHashMap<>();
     for (OpenRun run : decided) {
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Stops the open runs of the workflow that are not wanted any more. */
+  /** Sends stops for the durable open runs of the workflow that should not run any more. */
   void stopUnwanted(Workflow workflow) {
     for (WorkflowTask task : workflow.openTasks()) {
       Place place = task.place().orElseThrow();
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Takes a report from a side process. */
+  /** Handles a report from a side process. */
   void reported(LinkConnection connection, VmReport report) {
     if (report.getVm().isEmpty()) {
       LOG.warning(LogLine.of("report-without-vm").with("peer", connection));
@@ -173,7 +173,7 @@
       }
       session.take(report, loop.now());
     }
-    // Its only connection, if the newest of the VM was one from before that was read late.
+    // An older connection may have been read last and have ended since: this is the only one left.
     newest.putIfAbsent(report.getVm(), session);
     if (newest.get(report.getVm()) != session) {
       return;
@@ -203,7 +203,7 @@
       }
       Place place = run.task().place().orElseThrow();
       if (isGone(place, report)) {
-        close(run, RunOutcome.LOST, "", "its worker is gone");
+        close(run, RunOutcome.LOST, "", "worker is gone");
       } else if (place.worker().equals(report.getWorker())
           && run.isDurable()
           && run.isUnansweredBy(session, report.getOrdersSeen())) {
@@ -218,26 +218,26 @@
   }
 
   private void takeRun(
-      VmSession session, VmReport report, Optional<OpenRun> found, RunKey key, RunReport run) {
+      VmSession session, VmReport report, Optional<OpenRun> found, RunKey key, RunReport reported) {
     if (found.isEmpty() || !isOn(found.get(), report.getWorker())) {
-      stopUnknown(session, key, run.getStopping());
+      stopUnknown(session, key, reported.getStopping());
       return;
     }
     OpenRun open = found.get();
-    if (run.getStarted()) {
+    if (reported.getStarted()) {
       boolean first = !open.task().workflow().hasBegun();
-      open.task().observe(run.getCheckpoint(), run.getPercent());
-      knowledge.progressed(open, report.getVm(), run.getPercent(), loop.now());
+      open.task().observe(reported.getCheckpoint(), reported.getPercent());
+      knowledge.progressed(open, report.getVm(), reported.getPercent(), loop.now());
       if (first) {
         open.partition().changed(open.task().workflow());
       }
     }
     if (open.isUnwanted()) {
       tellStop(session, open);
-    } else if (run.getSizeUnknown()
+    } else if (reported.getSizeUnknown()
         && open.isDurable()
         && open.isUnansweredBy(session, report.getOrdersSeen())) {
-      // A restarted side process finds the run on its worker and cannot know what to book for it.
+      // A restarted side process finds the run on its worker without its resource requests.
       tell(open, open.task().place().orElseThrow());
     }
   }
@@ -259,7 +259,7 @@
     flushSoon();
   }
 
-  /** One member's end was told first; the others' ends are on their way, and need no stop. */
+  /** Returns whether the run's gang has completed: its other members need no stop to end. */
   private static boolean hasEndedWithItsGang(OwnedPartition partition, RunKey key) {
     return partition
         .workflow(key.task().workflow())
@@ -305,7 +305,7 @@
     RunKey key = task.openRun();
     Place place = task.place().orElseThrow();
     Workflow workflow = task.workflow();
-    // First of all: a run that stays open in its workflow would never be ordered or noted again.
+    // Comes first: a run that stays open in its workflow is never ordered or acknowledged again.
     boolean ended = workflow.ended(key, outcome, checkpoint, wallMillis.getAsLong());
     openRuns.remove(place.vm(), key);
     knowledge.ended(run, place.vm(), outcome, loop.now());
@@ -327,14 +327,14 @@
     listener.ended(run.partition(), task, outcome);
   }
 
-  /** One member's end is the end of the others too, or makes their attempt worth nothing. */
+  /** Ends the attempt for all members: it has completed, or is useless without the ended one. */
   private void followGang(WorkflowTask ended) {
     Workflow workflow = ended.workflow();
     openRuns.removeEnded(workflow);
     stopUnwanted(workflow);
   }
 
-  /** Answers a report that asks for a lease, with the orders that wait. */
+  /** Answers a report that requests a lease, together with the pending orders. */
   private void grant(VmSession session) {
     session.flush(
         lease(session).toBuilder()
@@ -377,7 +377,7 @@
     }
   }
 
-  /** Forgets a connection. */
+  /** Removes a connection that has ended. */
   void disconnected(LinkConnection connection, String reason) {
     VmSession session = sessions.remove(connection);
     if (session == null) {
@@ -388,28 +388,28 @@
   }
 
   /**
-   * Counts runs as over on VMs that are out of reach or know no worker, once every lease that they
-   * can have is.
+   * Closes the runs on VMs that are unreachable or report no worker, once every lease that they may
+   * hold has expired.
    *
-   * <p>Guards against a task in two places: a VM that is cut off goes on with what it runs until
-   * its worker's deadline, which rests on what this entry last sent it, or a former owner before
-   * this one shut it out. A side process that was restarted beside a dead worker hears of none, and
-   * extends no lease.
+   * <p>Closing them earlier could run a task twice at once: a disconnected VM continues its runs
+   * until its worker's deadline, which depends on the last grant of this entry, or of a former owner
+   * until this entry fenced it. A side process that was restarted beside a dead worker reports no
+   * worker and extends no lease.
    */
   void sweep() {
     long now = loop.now();
     for (String vm : openRuns.vms()) {
       VmSession session = newest.get(vm);
-      boolean tellsOfWorker = session != null && session.place().isPresent();
-      if (tellsOfWorker && now - session.reportedAt() < VmStanding.SILENT_NANOS) {
+      boolean reportsWorker = session != null && session.place().isPresent();
+      if (reportsWorker && now - session.reportedAt() < VmStanding.SILENT_NANOS) {
         continue;
       }
       long granted = lastGrant.getOrDefault(vm, Long.MIN_VALUE);
       for (OpenRun run : openRuns.on(vm)) {
         long since = Math.max(granted, run.partition().writer().openedAt());
-        long over = since + TimeUnit.MILLISECONDS.toNanos(terms.takeoverMillis());
-        if (run.task().isOpen() && now > Math.max(over, run.orderedAt())) {
-          close(run, RunOutcome.LOST, "", "its VM is out of reach and its lease over");
+        long expiresAt = since + TimeUnit.MILLISECONDS.toNanos(terms.takeoverMillis());
+        if (run.task().isOpen() && now > Math.max(expiresAt, run.orderedAt())) {
+          close(run, RunOutcome.LOST, "", "VM is unreachable and its lease has expired");
         }
       }
     }
@@ -430,17 +430,17 @@
     return offers;
   }
 
-  /** Returns how harmful the image is believed to be to tasks that serve, from 0 to 1. */
+  /** Returns the estimated interference of the image with services, from 0 to 1. */
   double harmOf(String image) {
     return knowledge.harmOf(image);
   }
 
-  /** Returns how many open runs of the step and occurrence are on the VM. */
+  /** Returns the number of open runs of the task's step and occurrence on the VM. */
   int ofStepOn(String vm, WorkflowTask task) {
     return openRuns.ofStepOn(vm, task);
   }
 
-  /** Returns a rack where tasks of the step and occurrence are at work, or empty. */
+  /** Returns a rack on which tasks of the step and occurrence run, or an empty string. */
   String rackOfStep(WorkflowTask task) {
     return task.workflow().tasksOf(task.key().occurrence(), task.key().step()).stream()
         .flatMap(sibling -> sibling.place().stream())
@@ -451,12 +451,12 @@
         .orElse("");
   }
 
-  /** Returns all open runs on VMs whose workers leave. */
+  /** Returns all open runs on VMs whose workers are draining. */
   ImmutableList<OpenRun> onDrainingVms() {
     return runsOn(VmReport::getDraining);
   }
 
-  /** Returns the open runs that are too many beside the services of their VMs. */
+  /** Returns the open runs that exceed their VM's capacity for interfering runs. */
   ImmutableList<OpenRun> crowded() {
     ImmutableList.Builder<OpenRun> crowded = ImmutableList.builder();
     for (VmSession session : newest.values()) {
@@ -469,7 +469,7 @@
     return crowded.build();
   }
 
-  /** Returns all open runs that fill on VMs where such tasks may work at the share at most. */
+  /** Returns the open interfering runs on VMs that throttle such runs to the share or less. */
   ImmutableList<OpenRun> slowedDownTo(int percent) {
     return runsOn(report -> report.getServing() > 0 && report.getFillPercent() <= percent).stream()
         .filter(run -> run.task().step().nature().fills())
@@ -477,10 +477,10 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private ImmutableList<OpenRun> runsOn(Predicate<VmReport> vms) {
+  private ImmutableList<OpenRun> runsOn(Predicate<VmReport> predicate) {
     ImmutableList.Builder<OpenRun> runs = ImmutableList.builder();
     for (VmSession session : newest.values()) {
-      if (vms.test(session.report())) {
+      if (predicate.test(session.report())) {
         runs.addAll(openRuns.on(session.vm()));
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
@@ -13,15 +13,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What an entry learns of the fleet from reports: which VMs fail what they start, which are slow,
- * and which images disturb services.
+ * Statistics of the fleet, learned from reports: VMs on which runs fail, slow VMs, and the
+ * interference of images with latency-sensitive tasks.
  *
- * <p>All of it is soft: a new owner learns it anew. Confined to the loop's thread.
+ * <p>Not durable: a new owner learns it again. Confined to the loop's thread.
  */
 final class FleetKnowledge {
   private static final EventLog LOG = EventLog.of(FleetKnowledge.class);
 
-  /** Between two looks at the pace of a run, in nanoseconds: reports come about as often. */
+  /** Interval of speed samples of a run, in nanoseconds; about that of reports. */
   private static final long PACE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final VmTrust trust = new VmTrust();
@@ -29,46 +29,52 @@
   private final ImageHarm harm = new ImageHarm();
   private final ImageSums images = new ImageSums();
 
-  /** Takes how far a run is; what fills or lasts tells nothing of its VM's pace. */
+  /**
+   * Records the progress of a run. Best-effort and long-running runs are ignored: their progress
+   * says nothing about the speed of the VM.
+   *
+   * @param percent progress of the run
+   * @param now the loop's nanoseconds
+   */
   void progressed(OpenRun run, String vm, int percent, long now) {
     StepSpec step = run.task().step();
     boolean due = run.started(now, PACE_NANOS);
     if (due && !step.nature().fills() && !step.nature().lasting()) {
-      double worked = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      speed.sample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.ranNanos(now)), now);
+      double workedMillis = step.estimateMillis() * Math.max(percent, 1) / 100.0;
+      speed.sample(vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.ranNanos(now)), now);
     }
   }
 
-  /** Takes the end of a run. */
+  /** Records the end of a run; ignores outcomes that neither complete it nor count as a failure. */
   void ended(OpenRun run, String vm, RunOutcome outcome, long now) {
     if (!outcome.completes() && !outcome.countsAsFailure()) {
       return;
     }
-    boolean restedBefore = trust.rests(vm, now);
+    boolean wasQuarantined = trust.rests(vm, now);
     trust.ended(vm, outcome.countsAsFailure(), now);
-    if (!restedBefore && trust.rests(vm, now)) {
-      LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "what it starts fails"));
+    if (!wasQuarantined && trust.rests(vm, now)) {
+      LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "runs on the VM keep failing"));
     }
     StepSpec step = run.task().step();
     if (outcome.completes() && !step.nature().fills()) {
-      double took = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
-      speed.sample(vm, step.estimateMillis(), took, now);
+      double tookMillis = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
+      speed.sample(vm, step.estimateMillis(), tookMillis, now);
     }
   }
 
-  /** Forgets what was learned of a VM whose worker is another one. */
+  /** Drops the statistics of a VM that has a new worker. */
   void renewed(String vm) {
     trust.renewed(vm);
     speed.renewed(vm);
   }
 
-  /** Takes what a VM saw of images. */
+  /** Replaces the image observations of a VM. */
   void imagesSeen(String vm, Map<String, ImageHarm.Seen> seen) {
     images.saw(vm, seen);
     harm.others(images.all());
   }
 
-  /** Returns what all VMs but one saw of images. */
+  /** Returns the image observations of all other VMs. */
   Map<String, ImageHarm.Seen> imagesSeenElsewhere(String vm) {
     return images.elsewhere(vm);
   }
@@ -77,7 +83,7 @@
     return harm.belief(image);
   }
 
-  /** Returns whether the task's image may disturb tasks that serve. */
+  /** Returns whether the task's image may interfere with latency-sensitive tasks. */
   boolean isSuspect(WorkflowTask task) {
     return ImageHarm.isSuspect(harmOf(task.step().nature().image()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageRecords.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageRecords.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns what was seen of images into frames and back. Stateless. */
+/** Converts image observations to frames and back. Stateless. */
 final class ImageRecords {
   private ImageRecords() {}
 
   static List<ImageSeen> encode(Map<String, ImageHarm.Seen> seen) {
     List<ImageSeen> encoded = new ArrayList<>();
     seen.forEach(
-        (image, what) ->
+        (image, observation) ->
             encoded.add(
                 ImageSeen.newBuilder()
                     .setImage(image)
-                    .setBlame((float) what.blame())
-                    .setWeight((float) what.weight())
+                    .setBlame((float) observation.blame())
+                    .setWeight((float) observation.weight())
                     .build()));
     return encoded;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -17,26 +17,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Connections that this process dials to entries, one to each.
+ * The connections that this process dials to entries, one to each.
  *
- * <p>A connection on which nothing comes back is closed and dialled anew, since connections go
- * silent without a reset. Confined to the loop's thread.
+ * <p>A connection without answers is closed and dialled again, since a connection may fail without
+ * a reset. Confined to the loop's thread.
  */
 final class MemberLinks {
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
 
-  /** A connection that leaves this long something unanswered is given up, in nanoseconds. */
+  /** Time without an answer after which a connection is closed, in nanoseconds. */
   private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
-  /** Told of the connections; runs on the loop. */
+  /** Notified of connections and frames; runs on the loop. */
   interface Listener {
-    /** An entry is reached. */
+    /** Called when a connection to the entry is open. */
     void opened(String member, LinkConnection link);
 
-    /** An entry sent a frame. */
+    /** Called when a frame arrived from the entry. */
     void received(String member, Frame frame);
 
-    /** A connection has ended. */
+    /** Called when the connection to the entry has closed. */
     void closed(String member, LinkConnection link);
   }
 
@@ -50,38 +50,38 @@
     this.listener = requireNonNull(listener, "listener");
   }
 
-  /** Returns the connection to the member, or empty if it is not reached. */
+  /** Returns the connection to the member, or empty if there is no open one. */
   Optional<LinkConnection> to(String member) {
     return Optional.ofNullable(links.get(member));
   }
 
-  /** Returns how many members are reached. */
+  /** Returns the number of open connections. */
   int size() {
     return links.size();
   }
 
-  /** Closes connections that went silent; returns the others. */
+  /** Closes the connections without answers and returns the others. */
   ImmutableSet<LinkConnection> closeSilent() {
     long now = loop.now();
-    ImmutableSet.Builder<LinkConnection> others = ImmutableSet.builder();
+    ImmutableSet.Builder<LinkConnection> alive = ImmutableSet.builder();
     for (LinkConnection link : Set.copyOf(links.values())) {
       if (link.unansweredNanos(now) > SILENCE_NANOS) {
         link.close("silent");
       } else {
-        others.add(link);
+        alive.add(link);
       }
     }
-    return others.build();
+    return alive.build();
   }
 
-  /** Dials the members that are not reached and closes the connections to all others. */
+  /** Dials the given members that are not connected and closes the connections to all others. */
   void keep(Set<String> members) {
     for (String member : members) {
       EntryMember.parse(member).ifPresent(parsed -> dial(member, parsed));
     }
     for (String member : Set.copyOf(links.keySet())) {
       if (!members.contains(member)) {
-        links.get(member).close("no owner any more");
+        links.get(member).close("entry owns no partition any more");
       }
     }
   }
@@ -99,7 +99,7 @@
         });
   }
 
-  /** One connection. */
+  /** The connection to one member. */
   private final class Link implements LinkListener {
     private final String member;
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -3,9 +3,9 @@
 import io.marigoldsail.workflow.WorkflowTask;
 
 /**
- * A run that may be at work, as its owner follows it; mutable, confined to the loop's thread.
+ * The owner's view of a run that may be active on a VM.
  *
- * <p>Nothing about it leaves the process before it is durable.
+ * <p>The run is not ordered before it is durable. Mutable, confined to the loop's thread.
  */
 final class OpenRun {
   private final OwnedPartition partition;
@@ -35,16 +35,16 @@
     this.ticket = ticket;
   }
 
-  /** Returns a run that a former owner ordered. */
+  /** Returns a durable run that a former owner ordered. */
   static OpenRun takenOver(OwnedPartition partition, WorkflowTask task, long now) {
     return new OpenRun(partition, task, now, true, false, "");
   }
 
   /**
-   * Returns a run that was just decided on.
+   * Returns a new run, which is not durable yet.
    *
-   * @param starved whether nothing of its workflow has been at work for some time
-   * @param ticket by which the worker takes it; empty where none is needed
+   * @param starved whether no task of its workflow has been running for some time
+   * @param ticket what the worker requires to accept the run; empty if it requires none
    */
   static OpenRun decided(
       OwnedPartition partition, WorkflowTask task, long now, boolean starved, String ticket) {
@@ -55,7 +55,7 @@
     return ticket;
   }
 
-  /** Returns whether nothing of its workflow had been at work for some time when it was ordered. */
+  /** Returns whether no task of its workflow had been running for some time when it was ordered. */
   boolean isStarved() {
     return starved;
   }
@@ -80,7 +80,12 @@
     durable = true;
   }
 
-  /** Returns whether the side process must have handled the last order by now, or got none. */
+  /**
+   * Returns whether the side process has handled the last order of this run on the session, or no
+   * order was sent on the session.
+   *
+   * @param ordersSeen the number of the last frame of orders that the side process has handled
+   */
   boolean isUnansweredBy(VmSession session, long ordersSeen) {
     return toldSession != session || toldNumber <= ordersSeen;
   }
@@ -90,6 +95,11 @@
     toldNumber = number;
   }
 
+  /**
+   * Returns whether a stop may be sent now, and if so records that it is.
+   *
+   * @param repeatNanos minimum interval between two stops
+   */
   boolean mayTellStop(long now, long repeatNanos) {
     if (stopToldAt != Long.MIN_VALUE && now - stopToldAt < repeatNanos) {
       return false;
@@ -98,7 +108,11 @@
     return true;
   }
 
-  /** Notes that a worker says that it runs; returns whether its pace is to be looked at again. */
+  /**
+   * Records that a report shows the run as started; returns whether its speed is to be sampled.
+   *
+   * @param spacingNanos minimum interval between two samples
+   */
   boolean started(long now, long spacingNanos) {
     if (startedAt == Long.MIN_VALUE) {
       startedAt = now;
@@ -112,12 +126,12 @@
     return true;
   }
 
-  /** Returns for how long it has run, in nanoseconds; 0 while no worker says so. */
+  /** Returns the time since a report first showed the run as started, in nanoseconds; 0 before. */
   long ranNanos(long now) {
     return startedAt == Long.MIN_VALUE ? 0 : now - startedAt;
   }
 
-  /** Returns whether the run should end although it is the task's open attempt. */
+  /** Returns whether the run should be stopped although it is the task's open attempt. */
   boolean isUnwanted() {
     return task.isStopWanted() || task.workflow().status().isTerminal();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
@@ -13,25 +13,23 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The runs that this entry owns and that may be at work, by VM. Confined to the loop's thread. */
+/** The open runs that this entry owns, indexed by VM. Confined to the loop's thread. */
 final class OpenRuns {
   private final Map<String, Map<RunKey, OpenRun>> byVm = new HashMap<>();
 
-  /** Adds a run where its task's place is. */
+  /** Adds a run under the VM that its task is assigned to. */
   void add(OpenRun run) {
     String vm = run.task().place().orElseThrow().vm();
     byVm.computeIfAbsent(vm, unused -> new LinkedHashMap<>())
         .put(run.task().openRun(), requireNonNull(run, "run"));
   }
 
-  /** Returns the VMs that may have runs. */
+  /** Returns all VMs that had an open run at some time; some may have none now. */
   ImmutableSet<String> vms() {
     return ImmutableSet.copyOf(byVm.keySet());
   }
 
-  /**
-   * Returns the runs on a VM, in the order in which they were ordered; may be changed meanwhile.
-   */
+  /** Returns a snapshot of the runs on a VM, in the order in which they were added. */
   List<OpenRun> on(String vm) {
     return List.copyOf(byVm.getOrDefault(vm, Map.of()).values());
   }
@@ -44,12 +42,12 @@
     byVm.getOrDefault(vm, new HashMap<>()).remove(key);
   }
 
-  /** Removes the runs of a partition that another process decides for. */
+  /** Removes the runs of a partition that another process owns. */
   void removeAll(OwnedPartition partition) {
     all().forEach(runs -> runs.values().removeIf(run -> run.partition() == partition));
   }
 
-  /** Removes the runs of the workflow whose tasks are open no more. */
+  /** Removes the runs of the workflow whose tasks are no longer open. */
   void removeEnded(Workflow workflow) {
     all()
         .forEach(
@@ -62,7 +60,7 @@
     return byVm.values();
   }
 
-  /** Returns how many runs of the task's step and occurrence are on the VM. */
+  /** Returns the number of runs of the task's step and occurrence on the VM. */
   int ofStepOn(String vm, WorkflowTask task) {
     int count = 0;
     for (RunKey key : byVm.getOrDefault(vm, Map.of()).keySet()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
@@ -33,35 +33,35 @@
 import java.util.function.Consumer;
 
 /**
- * One partition while this process owns it: shut out former owners, read what lasts, then follow
- * what callers hand in.
+ * A partition that this process owns: fences former owners, loads the durable state, then tails the
+ * submissions of callers.
  *
- * <p>Nothing is decided before {@link #isActive}: the epoch is set first, so what is read
- * afterwards is the last word of every former owner. Records of another writer that cannot be read
- * are passed over with a log line. Confined to the loop's thread.
+ * <p>Nothing is decided before {@link #isActive}. The epoch is set before anything is read, so no
+ * former owner can write after the read. Records that cannot be decoded are skipped and logged.
+ * Confined to the loop's thread.
  */
 final class OwnedPartition {
   private static final EventLog LOG = EventLog.of(OwnedPartition.class);
   private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** How long a reading waits for a record, in milliseconds. */
+  /** How long a read of submissions waits for a record, in milliseconds. */
   private static final long TAIL_WAIT_MILLIS = 1_500;
 
   /**
-   * How old the last answer to a reading may be, in nanoseconds, for this process to say that a
-   * workflow does not exist; a little longer than a reading waits.
+   * Maximum age of the last successful read, in nanoseconds, at which this process may report that a
+   * workflow does not exist; slightly longer than a read waits.
    */
   private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(TAIL_WAIT_MILLIS + 700);
 
-  /** Told what happens to the partition; runs on the loop. */
+  /** Notified of changes of the partition; runs on the loop. */
   interface Listener {
-    /** Everything that lasts has been read. */
+    /** Called when the durable state has been loaded. */
     void activated(OwnedPartition partition);
 
-    /** A caller has handed a workflow in. */
+    /** Called when a workflow was submitted to the active partition. */
     void submitted(OwnedPartition partition, Workflow workflow);
 
-    /** Another process owns the partition. */
+    /** Called when another process owns the partition. */
     void lost(OwnedPartition partition);
   }
 
@@ -74,8 +74,9 @@
   private final Map<Long, WorkflowRecordState> progress = new HashMap<>();
 
   /**
-   * Workflows that could not be made out of their records. Read again they would begin anew, since
-   * their progress is gone from memory, under attempts that were ordered before.
+   * Workflows that could not be restored from their records. They are not restored when read again:
+   * their progress is no longer in memory, so they would start over and reuse attempt numbers that
+   * were already ordered.
    */
   private final Set<Long> untaken = new HashSet<>();
 
@@ -92,12 +93,12 @@
     this.writer = new PartitionWriter(store, loop, number, epoch, this::lost);
   }
 
-  /** Begins; the listener is told when the partition is active. */
+  /** Starts loading; the listener is notified once the partition is active. */
   void open() {
     writer.open(() -> readProgress(Optional.empty()));
   }
 
-  /** Ends the ownership: nothing more is decided or written. */
+  /** Ends the ownership: nothing is decided or written any more. */
   void close() {
     closed = true;
     active = false;
@@ -133,12 +134,12 @@
     return Optional.ofNullable(workflows.get(id));
   }
 
-  /** Returns whether everything that was accepted some time ago is surely known here. */
+  /** Returns whether all submissions accepted more than {@link #FRESH_NANOS} ago are known. */
   boolean isFresh() {
     return active && loop.now() - tailFreshAt < FRESH_NANOS;
   }
 
-  /** Writes the workflow's state; callers are told its status once it is durable. */
+  /** Writes the workflow's state; callers see the new status once it is durable. */
   void changed(Workflow workflow) {
     WorkflowStatus[] written = new WorkflowStatus[1];
     writer.write(
@@ -150,11 +151,11 @@
         () -> workflow.show(written[0]));
   }
 
-  /** Drops a workflow that ended long ago from memory and store. */
+  /** Removes an ended workflow from memory and from the store. */
   void forget(Workflow workflow) {
     String key = WorkflowIds.format(workflow.spec().id());
     KeyedRecord drop = new KeyedRecord(key, ByteString.EMPTY);
-    // The submission first: without the progress it would look like a new workflow and run again.
+    // The submission is dropped first: a submission without progress would run again as a new one.
     store
         .append(Topic.SUBMISSIONS, number, List.of(drop), Optional.empty())
         .thenAccept(
@@ -185,41 +186,41 @@
         });
   }
 
-  /** Takes all submissions, then runs the task. */
-  private void readSubmissions(Optional<String> after, Runnable taken) {
+  /** Reads and adds all submissions, then runs the callback. */
+  private void readSubmissions(Optional<String> after, Runnable onComplete) {
     readNewest(
         Topic.SUBMISSIONS,
         after,
         page -> {
           if (after.isEmpty()) {
-            // Pages are no snapshot: what is written while they are read comes again from here.
+            // Pages are no snapshot: records written while the pages are read are tailed from here.
             tailFrom = page.end();
           }
           page.records().forEach(this::takeOrPassOver);
           if (page.more().isPresent()) {
-            readSubmissions(page.more(), taken);
+            readSubmissions(page.more(), onComplete);
           } else {
-            taken.run();
+            onComplete.run();
           }
         });
   }
 
-  private void readNewest(Topic topic, Optional<String> after, Consumer<NewestPage> taken) {
+  private void readNewest(Topic topic, Optional<String> after, Consumer<NewestPage> onPage) {
     if (closed) {
       return;
     }
     store
         .newest(topic, number, after)
-        .thenAccept(result -> loop.run(() -> newestAnswered(topic, after, taken, result)));
+        .thenAccept(result -> loop.run(() -> newestAnswered(topic, after, onPage, result)));
   }
 
   private void newestAnswered(
-      Topic topic, Optional<String> after, Consumer<NewestPage> taken, NewestResult result) {
+      Topic topic, Optional<String> after, Consumer<NewestPage> onPage, NewestResult result) {
     if (closed) {
       return;
     }
     if (result instanceof NewestPage page) {
-      taken.accept(page);
+      onPage.accept(page);
       return;
     }
     LOG.warning(
@@ -227,7 +228,7 @@
             .with("partition", number)
             .with("topic", topic)
             .with("reason", ((NoPage) result).reason()));
-    loop.schedule(() -> readNewest(topic, after, taken), RETRY_NANOS);
+    loop.schedule(() -> readNewest(topic, after, onPage), RETRY_NANOS);
   }
 
   private void takeProgress(KeyedRecord keyed) {
@@ -241,10 +242,10 @@
   }
 
   /**
-   * Takes one submission, and goes on also if that throws.
+   * Adds one submission; logs an exception and continues.
    *
-   * <p>Guards against one record that ends the reading: nothing handed in afterwards would ever be
-   * ordered, or the partition would never become active, for it and for each owner after it.
+   * <p>An exception that propagated would end the reading: no later submission would ever be
+   * ordered, or the partition would never become active, under this owner and all later ones.
    */
   private void takeOrPassOver(KeyedRecord keyed) {
     LinkLoop.runGuarded(
@@ -275,10 +276,10 @@
             .with("partition", number)
             .with("topic", topic)
             .with("key", key)
-            .with("reason", "not a record of this program"));
+            .with("reason", "record cannot be decoded or its key does not match its id"));
   }
 
-  /** Takes a workflow that was accepted durably; handed in again it stays the first one. */
+  /** Adds a workflow whose submission is durable; does nothing if it was added before. */
   void add(WorkflowSpec spec) {
     if (closed || workflows.containsKey(spec.id()) || !untaken.add(spec.id())) {
       return;
@@ -302,8 +303,8 @@
             .with("epoch", epoch())
             .with("workflows", workflows.size())
             .with("submissions_end", tailFrom));
-    // Guarded, since the partition counts as active already: without the reading nothing that is
-    // handed in from now on would ever be ordered.
+    // An exception must not prevent tailing: the partition is already active, and without tailing
+    // no later submission would ever be ordered.
     LinkLoop.runGuarded(
         () -> listener.activated(this),
         e ->
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapTurns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapTurns.java
@@ -7,24 +7,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides whether a side process that goes by another map of owners is told this entry's again.
+ * Limits the rate at which this entry resends its owner map to a side process that uses another.
  *
- * <p>Guards against maps that chase each other: while partitions move, two entries may hold
- * different maps of one generation. A side process told by both in turn reports its whole state to
- * all entries each time, and is told again, as fast as links carry it. An entry reads the owners
- * anew about as often as this, so that telling more often tells nothing new.
+ * <p>While partitions move, two entries may hold different owner maps of one generation. A side
+ * process reports its whole state to all entries on each change of its map; without a limit, both
+ * entries would answer each report with their own map, as fast as the links allow. An entry reads
+ * the owners about as often as the limit, so a higher rate would not bring newer maps.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  *
- * @param <C> a connection to a side process
+ * @param <C> the type of a connection to a side process
  */
 final class OwnerMapTurns<C> {
-  /** Between two tellings of one side process that goes by another map, in nanoseconds. */
+  /** Minimum interval between two sends to one side process, in nanoseconds. */
   static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private final Map<C, Long> toldAt = new HashMap<>();
 
-  /** Notes that the map was sent on the connection. */
+  /** Records that the map was sent on the connection. */
   void told(C connection, long now) {
     toldAt.put(requireNonNull(connection, "connection"), now);
   }
@@ -35,7 +35,7 @@
     return last == null || now - last >= SPACING_NANOS;
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has ended. */
   void forget(C connection) {
     toldAt.remove(connection);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Ownership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Ownership.java
@@ -24,39 +24,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps this entry a member of the owners, takes partitions up and gives them back.
+ * Keeps this entry a member of the group of owners; acquires and releases partitions.
  *
- * <p>The store's word on who owns a partition may be late, and at times it deals all partitions
- * anew without a reason. Nothing rests on it but who tries: the epoch of a partition's writer, made
- * of the store's generation, decides. Confined to the loop's thread.
+ * <p>The assignment that the store reports may be stale, and the store may reassign all partitions
+ * without a reason. It only determines which entry tries to own a partition; the epoch of the
+ * partition's writer, derived from the store's generation, determines the owner. Confined to the
+ * loop's thread.
  */
 final class Ownership {
   private static final EventLog LOG = EventLog.of(Ownership.class);
 
   /**
-   * Between two joins, in nanoseconds: three go out in the time after which a member is dropped.
+   * Interval of joins, in nanoseconds; three joins fit into the time after which the store drops a
+   * member.
    */
   private static final long JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
   /**
-   * The same while members come and go, in nanoseconds. A partition waits for the next join of its
-   * former owner: after all entries had started anew, one that was dealt all partitions first gave
-   * them back 0.9 s later, in which runs on the workers came near the end of their leases.
+   * Interval of joins while the membership changes, in nanoseconds. A partition is not reassigned
+   * before the next join of its former owner: after a restart of all entries, the first one was
+   * assigned all partitions and released them 0.9 s later, when the leases of running tasks had
+   * almost expired.
    */
   private static final long UNSETTLED_JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** For how long after a change of members there may be another one, in nanoseconds. */
+  /** Time after a membership change in which another one is likely, in nanoseconds. */
   private static final long UNSETTLED_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** Between two readings of the owners, in nanoseconds. */
+  /** Interval of reads of the owners, in nanoseconds. */
   private static final long OWNERS_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
-  /** Epochs of one generation: a partition taken up again under it needs a higher one. */
+  /**
+   * Epochs per generation: a partition that is acquired again under the same generation needs a
+   * higher epoch.
+   */
   private static final long EPOCHS_PER_GENERATION = 1_000;
 
-  /** Told of changes; runs on the loop. */
+  /** Notified of changes; runs on the loop. */
   interface Listener extends OwnedPartition.Listener {
-    /** The store told who owns what, at the generation or later. */
+    /** Called with the owners of the partitions as of the generation or a later one. */
     void ownersKnown(long asOfGeneration, Owners owners);
   }
 
@@ -82,7 +88,7 @@
     this.listener = requireNonNull(listener, "listener");
   }
 
-  /** Begins to join and to read the owners. */
+  /** Starts to join and to read the owners periodically. */
   void start() {
     store.owners().thenAccept(result -> loop.run(() -> takeFirstOwners(result)));
     changedAt = loop.now();
@@ -91,21 +97,21 @@
   }
 
   /**
-   * Gives back what an earlier life of this process held.
+   * Removes the members of earlier incarnations of this process, then joins.
    *
-   * <p>Guards against the seconds in which nobody decides for its workflows, since the store drops
-   * a member only after a while. It is gone for sure: this process has its address.
+   * <p>The store drops a dead member only after some seconds, in which no entry would decide for its
+   * workflows. An earlier incarnation is certainly dead because this process uses its address.
    */
   private void takeFirstOwners(WorkflowStore.OwnersResult result) {
     if (result instanceof Owners owners) {
-      Set<String> former = new HashSet<>();
+      Set<String> earlier = new HashSet<>();
       for (Owner owner : owners.owners()) {
         Optional<EntryMember> member = EntryMember.parse(owner.member());
         if (member.isPresent() && member.get().isEarlierLifeOf(self)) {
-          former.add(owner.member());
+          earlier.add(owner.member());
         }
       }
-      for (String member : former) {
+      for (String member : earlier) {
         LOG.info(LogLine.of("former-life-removed").with("member", member));
         store.leave(member);
       }
@@ -115,8 +121,8 @@
   }
 
   private void joinIfDue() {
-    boolean unsettled = loop.now() - changedAt < UNSETTLED_NANOS;
-    if (unsettled || loop.now() - joinedAt >= JOIN_NANOS) {
+    boolean rebalancing = loop.now() - changedAt < UNSETTLED_NANOS;
+    if (rebalancing || loop.now() - joinedAt >= JOIN_NANOS) {
       join();
     }
   }
@@ -169,7 +175,7 @@
           LogLine.of("membership-changed")
               .with("generation", generation)
               .with("partitions", listed.size()));
-      // The store gives a partition to its new owner only once the former one has called again.
+      // The store reassigns a partition only after the next join of its former owner.
       join();
       readOwners();
     }
@@ -182,9 +188,9 @@
     long floor = generation * EPOCHS_PER_GENERATION;
     long epoch = Math.max(floor, lastEpochs.getOrDefault(partition, 0L) + 1);
     lastEpochs.put(partition, epoch);
-    OwnedPartition taken = new OwnedPartition(store, loop, partition, epoch, new Forwarding());
-    owned.put(partition, taken);
-    taken.open();
+    OwnedPartition acquired = new OwnedPartition(store, loop, partition, epoch, new Forwarding());
+    owned.put(partition, acquired);
+    acquired.open();
   }
 
   private void release(int partition) {
@@ -214,17 +220,17 @@
     listener.ownersKnown(asOf, owners);
     if (!owners.byPartition().equals(dealt)) {
       dealt = owners.byPartition();
-      // Tells the generation of the new owners, without which nobody knows which map is newer.
+      // The answer has the generation of the new owners, which orders the owner maps.
       join();
     }
   }
 
-  /** Returns the partition if this process owns it and may decide for it. */
+  /** Returns the partition if this process owns it and it is active. */
   Optional<OwnedPartition> active(int partition) {
     return Optional.ofNullable(owned.get(partition)).filter(OwnedPartition::isActive);
   }
 
-  /** Returns all partitions for which this process may decide. */
+  /** Returns all active partitions of this process. */
   ImmutableList<OwnedPartition> active() {
     return owned.values().stream()
         .filter(OwnedPartition::isActive)
@@ -241,7 +247,11 @@
     return connected;
   }
 
-  /** Gives everything back, so that others go on at once; stops deciding. */
+  /**
+   * Releases all partitions and leaves the group, so that other entries take over at once.
+   *
+   * @return completes when the store has answered
+   */
   CompletableFuture<Boolean> leave() {
     leaving = true;
     for (int partition : ImmutableSet.copyOf(owned.keySet())) {
@@ -250,7 +260,7 @@
     return store.leave(self.toString());
   }
 
-  /** Takes a partition up again after its writer was shut out while the store lists it as ours. */
+  /** Forwards events of a partition and removes it once its writer is fenced. */
   private final class Forwarding implements OwnedPartition.Listener {
     @Override
     public void activated(OwnedPartition partition) {
@@ -266,7 +276,7 @@
     public void lost(OwnedPartition partition) {
       owned.remove(partition.number(), partition);
       listener.lost(partition);
-      // The next join tells whether it is still ours; taken up again only then.
+      // The next join acquires it again if the store still assigns it to this entry.
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -24,23 +24,23 @@
 import java.util.function.Supplier;
 
 /**
- * Writes the progress of one partition under one epoch: what changes while one append is on its way
- * goes with the next.
+ * Writes the progress of one partition under one epoch, with one append in flight; changes made
+ * meanwhile are batched into the next append.
  *
- * <p>An append whose answer was lost is sent again as it was, so that the store can tell the
- * repeat; nothing else is sent before its fate is known. Effects run only after the append that
- * carries their cause. The time at which a successful append was first sent is the evidence that
- * this process owned the partition then.
+ * <p>An append whose answer was lost is resent unchanged, so that the store can detect the repeat;
+ * nothing else is sent before its result is known. Effects run only after the append that contains
+ * their cause is durable. The time at which a successful append was first sent is the evidence that
+ * this process owned the partition at that time.
  *
  * <p>Confined to the loop's thread.
  */
 final class PartitionWriter {
   private static final EventLog LOG = EventLog.of(PartitionWriter.class);
 
-  /** Between tries, in nanoseconds; a store that was asked in vain is not pressed. */
+  /** Delay before an append is retried, in nanoseconds; spares a store that fails. */
   private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
 
-  /** The most bytes of one append; well under the 2 MB that a store takes at least. */
+  /** Size at which a batch is closed, in bytes; well below 2 MB, the smallest limit of a store. */
   private static final int MAX_BATCH_BYTES = 512 * 1024;
 
   private record Change(Supplier<ByteString> value, Runnable durable) {}
@@ -71,23 +71,26 @@
     return epoch;
   }
 
-  /** Shuts out writers of lower epochs, then runs the task. */
-  void open(Runnable opened) {
+  /** Fences writers of lower epochs, then runs the callback. */
+  void open(Runnable onOpened) {
     effects.add(
         () -> {
           openedAt = loop.now();
-          opened.run();
+          onOpened.run();
         });
     renewalDue = true;
     flush();
   }
 
-  /** Returns when lower epochs were known to be shut out, in the loop's nanoseconds. */
+  /** Returns when lower epochs were known to be fenced, in the loop's nanoseconds. */
   long openedAt() {
     return openedAt;
   }
 
-  /** Returns the last time at which this writer was surely the partition's, in nanoseconds. */
+  /**
+   * Returns the last time at which this writer is known to have owned the partition, in the loop's
+   * nanoseconds; {@link Long#MIN_VALUE} if there is none.
+   */
   long evidence() {
     return evidence;
   }
@@ -99,15 +102,15 @@
   /**
    * Writes the newest value of the key with the next append.
    *
-   * @param value asked for when the append is made
-   * @param durable run once it is durable, before effects
+   * @param value called when the append is made
+   * @param onDurable runs once the value is durable, before effects
    */
-  void write(String key, Supplier<ByteString> value, Runnable durable) {
-    changed.put(key, new Change(value, durable));
+  void write(String key, Supplier<ByteString> value, Runnable onDurable) {
+    changed.put(key, new Change(value, onDurable));
     flushSoon();
   }
 
-  /** Runs the effect once everything written so far is durable; never on a closed writer. */
+  /** Runs the effect once everything written so far is durable; does nothing on a closed writer. */
   void afterDurable(Runnable effect) {
     if (closed) {
       return;
@@ -121,8 +124,8 @@
   }
 
   /**
-   * Runs the effect once an append that is sent from now on has succeeded, which shows that no
-   * other owner had shut this writer out before.
+   * Runs the effect once an append that is sent after this call has succeeded, which proves that no
+   * other owner had fenced this writer before the call.
    */
   void afterRenewal(Runnable effect) {
     renewalDue = true;
@@ -130,7 +133,7 @@
     flushSoon();
   }
 
-  /** Appends nothing, for evidence, unless an append is on its way. */
+  /** Renews the evidence by an empty append unless an append is in flight. */
   void renew() {
     if (!inFlight) {
       renewalDue = true;
@@ -138,7 +141,7 @@
     }
   }
 
-  /** Stops writing; what was not written is dropped. */
+  /** Stops writing; changes not yet sent and pending effects are dropped. */
   void close() {
     closed = true;
     changed.clear();
@@ -151,7 +154,7 @@
   }
 
   private void flushSoon() {
-    // After what runs now, so that all changes of one report travel in one append.
+    // Deferred so that all changes caused by one report are batched into one append.
     loop.runLater(this::flush);
   }
 
@@ -160,26 +163,26 @@
       return;
     }
     List<KeyedRecord> records = new ArrayList<>();
-    List<Runnable> afterwards = new ArrayList<>();
+    List<Runnable> batchEffects = new ArrayList<>();
     int bytes = 0;
     var entries = changed.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_BATCH_BYTES) {
       Map.Entry<String, Change> entry = entries.next();
       ByteString value = entry.getValue().value().get();
       records.add(new KeyedRecord(entry.getKey(), value));
-      afterwards.add(entry.getValue().durable());
+      batchEffects.add(entry.getValue().durable());
       bytes += value.size();
       entries.remove();
     }
     if (changed.isEmpty()) {
-      afterwards.addAll(effects);
+      batchEffects.addAll(effects);
       effects = new ArrayList<>();
     }
     renewalDue = false;
     inFlight = true;
-    // An append of no records sets the epoch and counts none in the sequence.
+    // An empty append sets the epoch and does not advance the sequence.
     long number = records.isEmpty() ? sequence : sequence++;
-    send(new Batch(records, new Writer(epoch, number), afterwards, loop.now()));
+    send(new Batch(records, new Writer(epoch, number), batchEffects, loop.now()));
   }
 
   private record Batch(
@@ -205,20 +208,20 @@
       flush();
     } else if (result instanceof Fenced) {
       giveUp("another owner has a higher epoch");
-    } else if (result instanceof OutOfSequence wrong) {
-      giveUp(wrong.detail());
-    } else if (result instanceof NotAppended refused) {
-      retry(batch, refused.reason());
+    } else if (result instanceof OutOfSequence outOfSequence) {
+      giveUp(outOfSequence.detail());
+    } else if (result instanceof NotAppended notAppended) {
+      retry(batch, notAppended.reason());
     } else {
       retry(batch, ((AppendUnknown) result).reason());
     }
   }
 
   /**
-   * Runs what follows from an append, whatever the effect before did.
+   * Runs one effect of an append; logs an exception and continues.
    *
-   * <p>Guards against runs that are durable and never told so: with the effects after one that
-   * threw they would be lost, never ordered and never swept, and the tasks wait for good.
+   * <p>An exception that propagated would skip the later effects of the append: their runs would be
+   * durable but never ordered and never closed, and their tasks would wait forever.
    */
   private void runEffect(Runnable effect) {
     LinkLoop.runGuarded(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
@@ -7,18 +7,18 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Knows which VMs a queue's policy lets run a step.
+ * Determines on which VMs the policy of a queue allows a step to run.
  *
  * <p>Calls never block; futures complete on any thread and never exceptionally.
  */
 public interface PlacementAdviser {
-  /** How a call ended. */
+  /** The result of a call. */
   sealed interface AdviceResult {}
 
   /**
-   * An answer.
+   * Advice was given.
    *
-   * @param tickets by the worker's life, for those that may run the step
+   * @param tickets by worker incarnation, for the workers that may run the step
    */
   record Advised(ImmutableMap<String, String> tickets) implements AdviceResult {
     /** Checks the components. */
@@ -27,15 +27,21 @@
     }
   }
 
-  /** No answer, or none that can be read; the call may be repeated. */
+  /**
+   * No answer, or one that cannot be decoded; the call may be repeated.
+   *
+   * @param reason text for logs
+   */
   record NotAdvised(String reason) implements AdviceResult {}
 
   /**
-   * Asks which of the workers may run the tasks of a step.
+   * Requests which of the workers may run the tasks of a step.
    *
    * @param workflow the workflow's id
-   * @param workers lives of workers
-   * @param timeoutMillis how long to wait for the answer
+   * @param occurrence the occurrence of the workflow, from 0
+   * @param step the position of the step, from 0
+   * @param workers worker incarnations
+   * @param timeoutMillis time to wait for the answer, in milliseconds
    */
   CompletableFuture<AdviceResult> advise(
       long workflow, int occurrence, int step, ImmutableList<String> workers, long timeoutMillis);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StepKey.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StepKey.java
@@ -3,11 +3,11 @@
 import io.marigoldsail.workflow.TaskKey;
 
 /**
- * Names a step of one occurrence of a workflow.
+ * Identifies a step of one occurrence of a workflow.
  *
  * @param workflow the workflow's id
- * @param occurrence counts from 0
- * @param step its position, from 0
+ * @param occurrence the occurrence, from 0
+ * @param step the position of the step, from 0
  */
 record StepKey(long workflow, int occurrence, int step) {
   static StepKey of(TaskKey task) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * Writes what callers hand in; what comes while an append to a partition is on its way goes with
- * the next.
+ * Writes submissions of callers, with one append per partition in flight; submissions that arrive
+ * meanwhile are batched into the next append.
  *
- * <p>Load pattern: many callers at once. Without batching each costs a call to a store that takes a
- * limited number of calls from all entries together. Confined to the loop's thread.
+ * <p>Without batching, each of many concurrent callers would cost a call to the store, which limits
+ * the calls of all entries together. Confined to the loop's thread.
  */
 final class SubmissionWriter {
-  /** Submissions of one append at most: with the longest programs well under 1 MB. */
+  /** Maximum number of submissions per append; well below 1 MB even with the longest programs. */
   private static final int MAX_BATCH = 64;
 
   private record Waiting(KeyedRecord submission, Consumer<AppendResult> told) {}
@@ -36,11 +36,15 @@
     this.loop = requireNonNull(loop, "loop");
   }
 
-  /** Writes the submission; {@code told} runs on the loop with the result. */
-  void write(int partition, KeyedRecord submission, Consumer<AppendResult> told) {
+  /**
+   * Writes the submission.
+   *
+   * @param onResult runs on the loop with the result of the append
+   */
+  void write(int partition, KeyedRecord submission, Consumer<AppendResult> onResult) {
     waiting
         .computeIfAbsent(partition, unused -> new ArrayList<>())
-        .add(new Waiting(submission, told));
+        .add(new Waiting(submission, onResult));
     flush(partition);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Tallies.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Tallies.java
@@ -3,11 +3,11 @@
 import com.google.common.collect.Multiset;
 import java.util.stream.Collectors;
 
-/** Counts by kind as a text for logs. Stateless. */
+/** Formats counts for logs. Stateless. */
 final class Tallies {
   private Tallies() {}
 
-  /** Returns the counts in the order of the set, such as {@code 3 offered, 1 rests}. */
+  /** Returns the counts in iteration order, such as {@code 3 offered, 1 rests}. */
   static String text(Multiset<?> counts) {
     return counts.entrySet().stream()
         .map(entry -> entry.getCount() + " " + entry.getElement())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
@@ -25,24 +25,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells of lasting tasks of the owned partitions that nobody sees at work, with what this owner
- * believes of each.
+ * Logs long-running tasks of the owned partitions that no report shows as running, with the state
+ * that this owner has recorded for each.
  *
- * <p>A task is seen at work by a report that shows its open attempt as started and not being
- * stopped, on the worker that it was ordered on, while that worker answers its side process: a side
- * process beside a worker that is gone goes on naming what ran there. Also tells each {@link
- * #SUMMARY_NANOS} which partitions are owned here, so that a task of which no owner says anything
- * shows too.
+ * <p>A task counts as running if a report shows its open attempt as started and not stopping, on the
+ * worker that it was ordered on, while that worker answers its side process: a side process keeps
+ * listing the runs of a worker that is gone. Every {@link #SUMMARY_NANOS} the owned partitions are
+ * logged as well, which makes a task visible that no owner logs.
  *
- * <p>Decides nothing about tasks. Confined to the loop's thread; a look takes time in the number of
- * tasks of running workflows.
+ * <p>Takes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
+ * the number of tasks of running workflows.
  */
 final class TaskWatch {
   private static final EventLog LOG = EventLog.of(TaskWatch.class);
 
   /**
-   * Between two lines on what is watched, in nanoseconds; {@link AbsenceWatch#REPEAT_NANOS} while
-   * more is away than is told.
+   * Interval of summary lines, in nanoseconds; {@link AbsenceWatch#REPEAT_NANOS} while more tasks
+   * are absent than are logged.
    */
   static final long SUMMARY_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -68,14 +67,14 @@
     this.scheduler = requireNonNull(scheduler, "scheduler");
   }
 
-  /** Looks once; to be called about each second. */
+  /** Checks all long-running tasks once; to be called about every second. */
   void look() {
     Look look = watch.look(sights(), loop.now());
     look.returns().forEach(this::tellBack);
     if (!look.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
-      String standings = standings();
-      look.absences().forEach(absence -> tellAbsent(absence, offers, standings));
+      String availability = standings();
+      look.absences().forEach(absence -> tellAbsent(absence, offers, availability));
     }
     returnsLeftOut += look.returnsLeftOut();
     summarize(look);
@@ -114,19 +113,19 @@
   private Sight sight(WorkflowTask task) {
     Place place = task.place().orElseThrow();
     Optional<VmSession> session = vms.view().session(place.vm());
-    Optional<RunReport> named = session.flatMap(each -> each.run(task.openRun()));
-    if (named.isEmpty()) {
+    Optional<RunReport> report = session.flatMap(each -> each.run(task.openRun()));
+    if (report.isEmpty()) {
       return new Sight(task, OptionalLong.empty(), OptionalLong.empty());
     }
-    OptionalLong namedAt = OptionalLong.of(session.get().reportedAt());
-    // Runs of unknown size make a VM unhealthy to others; its worker listed them all the same.
+    OptionalLong reportedAt = OptionalLong.of(session.get().reportedAt());
+    // Runs of unknown size make a VM unhealthy to other owners although its worker listed them.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
     boolean answers = listed && session.get().report().getWorker().equals(place.worker());
-    boolean seen = answers && named.get().getStarted() && !named.get().getStopping();
-    return new Sight(task, seen ? namedAt : OptionalLong.empty(), namedAt);
+    boolean running = answers && report.get().getStarted() && !report.get().getStopping();
+    return new Sight(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
   }
 
-  private void tellAbsent(Absence absence, List<VmOffer> offers, String standings) {
+  private void tellAbsent(Absence absence, List<VmOffer> offers, String availability) {
     WorkflowTask task = absence.task();
     long now = loop.now();
     LogLine line =
@@ -134,13 +133,13 @@
             .with("task", task.key())
             .with("partition", partitionOf(task).number())
             .with("absent_ms", TimeUnit.NANOSECONDS.toMillis(now - absence.since()))
-            .with("since", absence.seenBefore() ? "seen at work" : "looked for here")
+            .with("since", absence.seenBefore() ? "last seen running" : "first checked")
             .with("named_ms", age(absence.namedAt()));
     Optional<Place> place = task.place();
     LOG.info(
         place.isPresent()
             ? withOpenRun(line, task, place.get())
-            : withWait(line, task, offers, standings));
+            : withWait(line, task, offers, availability));
   }
 
   private LogLine withOpenRun(LogLine line, WorkflowTask task, Place place) {
@@ -173,11 +172,11 @@
   }
 
   private LogLine withWait(
-      LogLine line, WorkflowTask task, List<VmOffer> offers, String standings) {
+      LogLine line, WorkflowTask task, List<VmOffer> offers, String availability) {
     return line.with("belief", "ready")
         .with("reason", scheduler.causeOf(partitionOf(task), task, offers))
         .with("offers", scheduler.verdictsOn(task, offers))
-        .with("vms", standings)
+        .with("vms", availability)
         .with("attempts", task.lastAttempt())
         .with("refusals", task.refusals());
   }
@@ -197,11 +196,11 @@
         : String.valueOf(TimeUnit.NANOSECONDS.toMillis(loop.now() - at.getAsLong()));
   }
 
-  /** Returns how many of the connected VMs stand how, such as {@code 3 offered, 1 rests}. */
+  /** Returns the number of connected VMs by availability, such as {@code 3 offered, 1 rests}. */
   private String standings() {
-    Multiset<VmStanding> standings = EnumMultiset.create(VmStanding.class);
-    vms.view().sessions().forEach(each -> standings.add(vms.view().standing(each)));
-    return Tallies.text(standings);
+    Multiset<VmStanding> counts = EnumMultiset.create(VmStanding.class);
+    vms.view().sessions().forEach(each -> counts.add(vms.view().standing(each)));
+    return Tallies.text(counts);
   }
 
   private void tellBack(Return back) {
@@ -215,8 +214,8 @@
   }
 
   private void summarize(Look look) {
-    long spacing = look.absencesLeftOut() > 0 ? AbsenceWatch.REPEAT_NANOS : SUMMARY_NANOS;
-    if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < spacing) {
+    long interval = look.absencesLeftOut() > 0 ? AbsenceWatch.REPEAT_NANOS : SUMMARY_NANOS;
+    if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < interval) {
       return;
     }
     summaryAt = loop.now();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -22,10 +22,10 @@
 import java.util.Set;
 
 /**
- * One connection from a side process: its last report, and the orders that wait to be sent.
+ * A connection from a side process, with its last report and the orders pending for it.
  *
- * <p>Orders of one turn of the loop travel in one frame, numbered, so that a report tells which of
- * them it takes into account. Confined to the loop's thread.
+ * <p>All orders of one iteration of the loop are sent in one numbered frame; a report contains the
+ * number of the last frame that it takes into account. Confined to the loop's thread.
  */
 final class VmSession {
   private final LinkConnection connection;
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Takes a report.
+   * Replaces the last report; drops pending orders if the worker has a new incarnation.
    *
-   * <p>Guards against a run in two places: orders wait until the end of a turn and go out under the
-   * life that was reported last. What waits for the life before would start on the next one, after
-   * its owner has counted it as over.
+   * <p>Pending orders are sent to the incarnation that was reported last. Orders for an earlier
+   * incarnation would start runs on the new one after their owner has closed them, and the same
+   * task could run twice at the same time.
    */
   void take(VmReport newest, long now) {
     if (report != null && !report.getWorker().equals(newest.getWorker())) {
@@ -57,9 +57,9 @@
     if (report == null || !report.getLabelsList().equals(newest.getLabelsList())) {
       labels = ImmutableSet.copyOf(newest.getLabelsList());
     }
-    ImmutableMap.Builder<RunKey, RunReport> named = ImmutableMap.builder();
-    newest.getRunsList().forEach(run -> named.put(WorkflowRecords.decode(run.getTask()), run));
-    runs = named.buildKeepingLast();
+    ImmutableMap.Builder<RunKey, RunReport> reported = ImmutableMap.builder();
+    newest.getRunsList().forEach(run -> reported.put(WorkflowRecords.decode(run.getTask()), run));
+    runs = reported.buildKeepingLast();
     report = newest;
     reportedAt = now;
   }
@@ -72,7 +72,7 @@
     return report;
   }
 
-  /** Returns when the last report was read, in the loop's nanoseconds. */
+  /** Returns when the last report was received, in the loop's nanoseconds. */
   long reportedAt() {
     return reportedAt;
   }
@@ -81,16 +81,16 @@
     return report.getVm();
   }
 
-  /** Returns what the last report says of the run, or empty if it does not name it. */
+  /** Returns the run as of the last report, or empty if the report does not contain it. */
   Optional<RunReport> run(RunKey key) {
     return Optional.ofNullable(runs.get(key));
   }
 
   /**
-   * Returns whether the last report has runs of which only their owners know what they need.
+   * Returns whether the last report contains runs whose resource requests only their owners know.
    *
-   * <p>Its side process refuses all others until it is told, so they are not offered to it. Guards
-   * against orders in vain after a restart of all processes, when each VM looks empty at first.
+   * <p>Its side process refuses all other runs until it has received these resource requests. After
+   * a restart of all processes each VM seems to be idle at first, and orders to it would be refused.
    */
   boolean hasRunsOfUnknownSize() {
     return report.getRunsList().stream().anyMatch(RunReport::getSizeUnknown);
@@ -100,7 +100,7 @@
     return labels;
   }
 
-  /** Returns the VM with its worker's life, or empty while it has none. */
+  /** Returns the VM with its worker incarnation, or empty while it has no worker. */
   Optional<Place> place() {
     return report.getWorker().isEmpty()
         ? Optional.empty()
@@ -120,25 +120,25 @@
   }
 
   /**
-   * Returns what the VM offers: what it reported, less what was ordered since.
+   * Returns the capacity that the VM offers: as reported, less the orders sent since.
    *
-   * @param open the runs on the VM that this entry owns
-   * @param knowledge what the entry has learned of images and VMs
+   * @param open the open runs on the VM that this entry owns
+   * @param knowledge statistics of VMs and images
    * @param now the loop's nanoseconds
    */
   VmOffer offer(List<OpenRun> open, FleetKnowledge knowledge, long now) {
     Sizes free = free();
-    long fill = report.getFillMilliProcessors();
-    long suspect = report.getSuspectMilliProcessors();
-    int serving = report.getServing();
+    long bestEffort = report.getFillMilliProcessors();
+    long interfering = report.getSuspectMilliProcessors();
+    int latencySensitive = report.getServing();
     for (OpenRun run : open) {
       WorkflowTask task = run.task();
       if (!runs.containsKey(task.openRun())) {
         free = free.minus(task.step().booked());
-        long fills = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
-        fill += fills;
-        suspect += knowledge.isSuspect(task) ? fills : 0;
-        serving += task.step().nature().serves() ? 1 : 0;
+        long declared = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
+        bestEffort += declared;
+        interfering += knowledge.isSuspect(task) ? declared : 0;
+        latencySensitive += task.step().nature().serves() ? 1 : 0;
       }
     }
     return new VmOffer(
@@ -148,14 +148,14 @@
         report.getRack(),
         capacity(),
         free,
-        fill,
-        suspect,
+        bestEffort,
+        interfering,
         report.getOvercommitMilliProcessors(),
-        serving,
+        latencySensitive,
         knowledge.slowness(vm(), now));
   }
 
-  /** Adds a start to the next frame; returns the frame's number. */
+  /** Adds a start to the next frame and returns the number of that frame. */
   long addStart(OpenRun run) {
     WorkflowTask task = run.task();
     WorkflowSpec spec = task.workflow().spec();
@@ -196,8 +196,8 @@
   }
 
   /**
-   * Sends what waits, if anything does, with the evidence by which the worker may go on; all of it
-   * holds for the life of the worker that the last report named, and for no other.
+   * Sends a frame with the lease and the pending orders, if any; all of it applies only to the
+   * worker incarnation of the last report.
    */
   void flush(LeaseGrant lease) {
     orders.setNumber(++lastNumber).setLease(lease).setWorker(report.getWorker());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmStanding.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmStanding.java
@@ -3,24 +3,27 @@
 import io.marigoldsail.protocol.VmReport;
 import java.util.concurrent.TimeUnit;
 
-/** Whether a connected VM may be given work, or what forbids that. */
+/** Whether a connected VM may be given work, or why not. */
 enum VmStanding {
   /** It may be given work. */
   OFFERED("offered"),
-  /** Its last report is too old. */
+  /** Its last report is older than {@link #SILENT_NANOS}. */
   SILENT("silent"),
-  /** Its side process knows no worker. */
+  /** Its side process has no worker. */
   NO_WORKER("no worker"),
-  /** Its worker takes nothing new. */
+  /** Its worker is draining. */
   LEAVES("leaves"),
-  /** Its worker leaves calls unanswered or refuses them, or runs what other owners must size. */
+  /**
+   * Its worker does not answer calls or refuses them, or has runs whose resource requests only other
+   * owners know.
+   */
   UNHEALTHY("unhealthy"),
-  /** It runs what only the owners know the size of. */
+  /** It has runs whose resource requests only their owners know. */
   UNKNOWN_SIZES("runs of unknown size"),
-  /** What it starts fails. */
+  /** It is quarantined because runs on it keep failing. */
   RESTS("rests");
 
-  /** A VM that was silent for this long gets no new work, in nanoseconds: three reports missed. */
+  /** Age of the last report from which a VM gets no work, in nanoseconds: three missed reports. */
   static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   private final String text;
@@ -29,7 +32,7 @@
     this.text = text;
   }
 
-  /** Returns how the VM stands at a time in the loop's nanoseconds. */
+  /** Returns the availability of the VM at a time in the loop's nanoseconds. */
   static VmStanding of(VmSession session, FleetKnowledge knowledge, long now) {
     VmReport report = session.report();
     if (now - session.reportedAt() >= SILENT_NANOS) {
@@ -50,7 +53,7 @@
     return knowledge.rests(session.vm(), now) ? RESTS : OFFERED;
   }
 
-  /** Returns the words for logs. */
+  /** Returns the text for logs. */
   @Override
   public String toString() {
     return text;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * What {@link EntryVms} knows, to look at and not to change. Confined to the loop's thread; each
- * call shows the state at its time.
+ * A read-only view of {@link EntryVms}; each call returns the current state. Confined to the loop's
+ * thread.
  */
 final class VmView {
   private final LinkLoop loop;
@@ -20,7 +20,7 @@
   private final FleetKnowledge knowledge;
 
   /**
-   * Returns a view.
+   * Creates a view.
    *
    * @param sessions the newest connection of each VM that has one, by the VM's name
    */
@@ -32,7 +32,7 @@
     this.knowledge = requireNonNull(knowledge, "knowledge");
   }
 
-  /** Returns whether the VM may be given work now, or what forbids that. */
+  /** Returns whether the VM may be given work now, or why not. */
   VmStanding standing(VmSession session) {
     return VmStanding.of(session, knowledge, loop.now());
   }
@@ -47,7 +47,7 @@
     return Optional.ofNullable(sessions.get(vm));
   }
 
-  /** Returns the open attempt of a task as it is followed here, or empty if none is. */
+  /** Returns the tracked run of the task's open attempt, or empty if there is none. */
   Optional<OpenRun> openRun(WorkflowTask task) {
     return task.place().flatMap(place -> openRuns.find(place.vm(), task.openRun()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WaitCause.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WaitCause.java
@@ -1,20 +1,20 @@
 package io.marigoldsail.daemon.workflow;
 
-/** Why a task that is ready has no order out. */
+/** Why a task that is ready has not been ordered. */
 enum WaitCause {
-  /** Nobody has told which services there are. */
+  /** No configuration has been received. */
   NO_CONFIGURATION("no configuration is in force"),
-  /** Its queue's service is none of the configuration in force. */
+  /** The configuration in force does not contain the service of its queue. */
   SERVICE_UNUSED("the configuration does not use its service"),
-  /** Its last attempt was refused or failed a moment ago. */
-  WAITS("it waits after its last attempt"),
+  /** Its last attempt was refused or failed, and its backoff has not ended. */
+  WAITS("backing off after its last attempt"),
   /** No VM may be given work. */
   NO_VM_OFFERED("no VM is offered"),
-  /** VMs may be given work, and none of them this task. */
+  /** VMs may be given work, but none of them admits this task. */
   NONE_ADMITS("none of the VMs offered admits it"),
-  /** The adviser of its queue has not named a VM that admits it. */
-  UNADVISED("the adviser has named no VM that admits it"),
-  /** A VM admits it now: it has just become so, or its order is about to leave. */
+  /** The placement adviser has not allowed a VM that admits it. */
+  UNADVISED("the placement adviser has allowed no VM that admits it"),
+  /** A VM admits it now; the scheduling pass that orders it is due. */
   ADMITTED("a VM admits it now");
 
   private final String text;
@@ -23,7 +23,7 @@
     this.text = text;
   }
 
-  /** Returns the words for logs. */
+  /** Returns the text for logs. */
   @Override
   public String toString() {
     return text;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -37,8 +37,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * An entry's part in workflows: accepts them, answers for them, and decides for those whose
- * partitions it owns.
+ * Runs workflows in an entry: accepts submissions, answers queries, and schedules the workflows of
+ * the partitions that the entry owns.
  *
  * <p>The public methods may be called from any thread; everything else runs on the loop.
  */
@@ -51,7 +51,7 @@
   private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(5);
   private static final long WATCH_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How long a cancel may take to become durable before its caller is told to ask again. */
+  /** Time in which a cancel has to become durable before the result is unknown, in nanoseconds. */
   private static final long CANCEL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private static final int MAX_LINKS = 2_000;
@@ -72,14 +72,14 @@
   private volatile boolean leaving;
 
   /**
-   * Creates an entry that does nothing yet.
+   * Creates an entry that has not started yet.
    *
    * @param loop the process's loop
-   * @param store where workflows last
-   * @param address where side processes and other entries reach this one
-   * @param wallMillis the time of day in milliseconds
-   * @param adviser asked where a queue's policy says which VMs may run a step
-   * @param terms what the deployment allows
+   * @param store the durable store of workflows
+   * @param address address of the link server, for side processes and other entries
+   * @param wallMillis the wall clock in milliseconds
+   * @param adviser restricts the VMs of a step for queues whose policy requires placement advice
+   * @param terms parameters of the deployment
    */
   public WorkflowEntry(
       LinkLoop loop,
@@ -110,9 +110,9 @@
   }
 
   /**
-   * Begins to listen and to join the owners.
+   * Starts the link server and the ownership of partitions.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     server.start();
@@ -124,10 +124,10 @@
     loop.repeat(this::forgetEnded, FORGET_NANOS);
   }
 
-  /** Puts a configuration in force; older versions than the one in force are passed over. */
+  /** Puts a configuration in force; ignores it unless its version is higher than the current one. */
   public void configure(QueueTable queues) {
-    Optional<QueueTable> before = configuration;
-    if (before.isPresent() && before.get().version() >= queues.version()) {
+    Optional<QueueTable> current = configuration;
+    if (current.isPresent() && current.get().version() >= queues.version()) {
       return;
     }
     configuration = Optional.of(queues);
@@ -138,12 +138,12 @@
     loop.run(scheduler::soon);
   }
 
-  /** Returns the configuration in force, or empty while none is known. */
+  /** Returns the configuration in force, or empty while there is none. */
   public Optional<QueueTable> configuration() {
     return configuration;
   }
 
-  /** Returns whether this entry should be given callers. */
+  /** Returns whether this entry is ready for requests of callers. */
   public boolean isReady() {
     return !leaving && ownership.isConnected() && configuration.isPresent();
   }
@@ -151,27 +151,27 @@
   /**
    * Writes a workflow durably.
    *
-   * @return completes on the loop with how the append ended
+   * @return completes on the loop with the result of the append
    */
   public CompletableFuture<AppendResult> submit(WorkflowSpec spec) {
-    CompletableFuture<AppendResult> told = new CompletableFuture<>();
+    CompletableFuture<AppendResult> appended = new CompletableFuture<>();
     loop.run(
         () -> {
           if (!ownership.isConnected()) {
-            // Spares the caller the wait for an append that is known to fail.
-            submitted(spec, new NotAppended("the store did not answer the last call"), told);
+            // Fails fast: the caller need not wait for an append that is expected to fail.
+            submitted(spec, new NotAppended("store did not answer the last join"), appended);
             return;
           }
           int partition = ownership.partitionOf(spec.id());
           String key = WorkflowIds.format(spec.id());
           KeyedRecord submission = new KeyedRecord(key, WorkflowRecords.encode(spec));
-          submissions.write(partition, submission, result -> submitted(spec, result, told));
+          submissions.write(partition, submission, result -> submitted(spec, result, appended));
         });
-    return told;
+    return appended;
   }
 
   private void submitted(
-      WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> told) {
+      WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> appended) {
     LOG.info(
         LogLine.of("workflow-submitted")
             .with("workflow", WorkflowIds.format(spec.id()))
@@ -181,82 +181,93 @@
             .with("configuration", configuration.map(QueueTable::version).orElse(0L))
             .with("result", result.getClass().getSimpleName()));
     if (result instanceof Appended) {
-      // Spares the owner, if it is this entry, the wait for its own reading.
-      ownership.active(ownership.partitionOf(spec.id())).ifPresent(own -> own.add(spec));
+      // If this entry is the owner, it need not wait until it reads the submission from the store.
+      ownership.active(ownership.partitionOf(spec.id())).ifPresent(owned -> owned.add(spec));
     }
-    told.complete(result);
+    appended.complete(result);
   }
 
   /**
-   * Asks for the status of a workflow, or cancels it.
+   * Queries the status of a workflow, or cancels it first.
    *
-   * @return completes on the loop
+   * @return completes on the loop; {@link QueryResult#CANNOT_TELL} if the owner is not reached in
+   *     time
    */
   public CompletableFuture<QueryResult> query(long workflow, String queue, boolean cancel) {
-    CompletableFuture<QueryResult> told = new CompletableFuture<>();
-    loop.run(() -> answer(workflow, queue, cancel, true, told::complete));
-    return told;
+    CompletableFuture<QueryResult> future = new CompletableFuture<>();
+    loop.run(() -> answer(workflow, queue, cancel, true, future::complete));
+    return future;
   }
 
   private void answer(
-      long workflow, String queue, boolean cancel, boolean mayAsk, Consumer<QueryResult> told) {
+      long workflow,
+      String queue,
+      boolean cancel,
+      boolean mayForward,
+      Consumer<QueryResult> onResult) {
     int partition = ownership.partitionOf(workflow);
-    Optional<OwnedPartition> own = ownership.active(partition);
-    if (own.isPresent()) {
-      answerOwn(own.get(), workflow, cancel, told);
-    } else if (mayAsk) {
-      WorkflowQuery question =
+    Optional<OwnedPartition> owned = ownership.active(partition);
+    if (owned.isPresent()) {
+      answerOwn(owned.get(), workflow, cancel, onResult);
+    } else if (mayForward) {
+      WorkflowQuery forwarded =
           WorkflowQuery.newBuilder()
               .setWorkflow(workflow)
               .setQueue(queue)
               .setCancel(cancel)
               .build();
-      peers.ask(partition, question, told);
+      peers.ask(partition, forwarded, onResult);
     } else {
-      told.accept(QueryResult.CANNOT_TELL);
+      onResult.accept(QueryResult.CANNOT_TELL);
     }
   }
 
-  private void answerOwn(OwnedPartition own, long id, boolean cancel, Consumer<QueryResult> told) {
-    Optional<Workflow> found = own.workflow(id);
+  private void answerOwn(
+      OwnedPartition owned, long id, boolean cancel, Consumer<QueryResult> onResult) {
+    Optional<Workflow> found = owned.workflow(id);
     if (found.isEmpty()) {
-      told.accept(own.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.CANNOT_TELL);
+      onResult.accept(owned.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.CANNOT_TELL);
       return;
     }
     Workflow workflow = found.get();
     if (!cancel) {
-      told.accept(QueryResult.of(workflow.shownStatus()));
+      onResult.accept(QueryResult.of(workflow.shownStatus()));
       return;
     }
-    cancelOwn(own, workflow).thenAccept(told);
+    cancelOwn(owned, workflow).thenAccept(onResult);
   }
 
-  private CompletableFuture<QueryResult> cancelOwn(OwnedPartition own, Workflow workflow) {
+  private CompletableFuture<QueryResult> cancelOwn(OwnedPartition owned, Workflow workflow) {
     if (workflow.cancel(wallMillis.getAsLong())) {
       LOG.info(
           LogLine.of("workflow-cancelled")
               .with("workflow", WorkflowIds.format(workflow.spec().id()))
               .with("open_runs", workflow.openTasks().size()));
-      own.changed(workflow);
+      owned.changed(workflow);
     }
-    CompletableFuture<QueryResult> told = new CompletableFuture<>();
-    own.writer()
+    CompletableFuture<QueryResult> cancelled = new CompletableFuture<>();
+    owned
+        .writer()
         .afterDurable(
             () -> {
               vms.stopUnwanted(workflow);
-              told.complete(QueryResult.of(workflow.shownStatus()));
+              cancelled.complete(QueryResult.of(workflow.shownStatus()));
             });
-    // The partition may have another owner, or the store may be out of reach.
-    loop.schedule(() -> told.complete(QueryResult.CANNOT_TELL), CANCEL_NANOS);
-    return told;
+    // The cancel may never become durable: the partition may have another owner, or the store may be
+    // unreachable.
+    loop.schedule(() -> cancelled.complete(QueryResult.CANNOT_TELL), CANCEL_NANOS);
+    return cancelled;
   }
 
-  /** Returns how many accepted workflows of the queue have no task begun; completes on the loop. */
+  /**
+   * Returns the number of accepted workflows of the queue of which no task has started, at all
+   * entries; completes on the loop. The numbers of other entries may be some seconds old.
+   */
   public CompletableFuture<Integer> waiting(String queue) {
-    CompletableFuture<Integer> told = new CompletableFuture<>();
+    CompletableFuture<Integer> count = new CompletableFuture<>();
     loop.run(
-        () -> told.complete(waitingHere().getOrDefault(queue, 0) + peers.waitingElsewhere(queue)));
-    return told;
+        () -> count.complete(waitingHere().getOrDefault(queue, 0) + peers.waitingElsewhere(queue)));
+    return count;
   }
 
   private Map<String, Integer> waitingHere() {
@@ -273,8 +284,8 @@
 
   private void renew() {
     for (OwnedPartition partition : ownership.active()) {
-      boolean old = loop.now() - partition.writer().evidence() > RENEW_NANOS;
-      if (old && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
+      boolean due = loop.now() - partition.writer().evidence() > RENEW_NANOS;
+      if (due && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
         partition.writer().renew();
       }
     }
@@ -287,18 +298,23 @@
   }
 
   private void forgetEnded() {
-    long before = wallMillis.getAsLong() - terms.keepEndedMillis();
+    long endedBefore = wallMillis.getAsLong() - terms.keepEndedMillis();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : ImmutableList.copyOf(partition.workflows())) {
-        boolean over = workflow.shownStatus().isTerminal() && workflow.endedMillis() < before;
-        if (over && !workflow.hasOpenTasks()) {
+        boolean expired = workflow.shownStatus().isTerminal() && workflow.endedMillis() < endedBefore;
+        if (expired && !workflow.hasOpenTasks()) {
           partition.forget(workflow);
         }
       }
     }
   }
 
-  /** Gives all partitions back and stops deciding; callers are still answered by other owners. */
+  /**
+   * Releases all partitions and stops scheduling; queries are still answered through their new
+   * owners.
+   *
+   * @return completes on the loop when the store has answered
+   */
   public CompletableFuture<Boolean> leave() {
     leaving = true;
     CompletableFuture<Boolean> left = new CompletableFuture<>();
@@ -306,12 +322,12 @@
     return left;
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   public void close() {
     server.close();
   }
 
-  /** What changes in the partitions. */
+  /** Handles changes of the ownership of partitions. */
   private final class Changes implements Ownership.Listener {
     @Override
     public void ownersKnown(long asOfGeneration, Owners owners) {
@@ -337,7 +353,7 @@
     }
   }
 
-  /** What changes on the VMs. */
+  /** Handles changes on the VMs. */
   private final class VmChanges implements EntryVms.Listener {
     @Override
     public void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
@@ -353,7 +369,7 @@
     }
   }
 
-  /** Connections from side processes and other entries. */
+  /** Handles connections from side processes and other entries. */
   private final class Incoming implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
@@ -385,9 +401,9 @@
     }
   }
 
-  /** Guards against a side process that missed a change and goes on with a map of its own. */
-  private void tellOwners(LinkConnection connection, int digestThere) {
-    if (digestThere != peers.map().getDigest() && turns.mayTell(connection, loop.now())) {
+  /** Sends the owner map if the side process uses another one, since it may have missed a change. */
+  private void tellOwners(LinkConnection connection, int digest) {
+    if (digest != peers.map().getDigest() && turns.mayTell(connection, loop.now())) {
       tellOwners(connection);
     }
   }
@@ -397,18 +413,18 @@
     connection.send(Frame.newBuilder().setOwnerMap(peers.map()).build());
   }
 
-  private void answerPeer(LinkConnection connection, WorkflowQuery question) {
+  private void answerPeer(LinkConnection connection, WorkflowQuery query) {
     answer(
-        question.getWorkflow(),
-        question.getQueue(),
-        question.getCancel(),
+        query.getWorkflow(),
+        query.getQueue(),
+        query.getCancel(),
         false,
         result ->
             connection.send(
                 Frame.newBuilder()
                     .setWorkflowQueryAnswer(
                         WorkflowQueryAnswer.newBuilder()
-                            .setId(question.getId())
+                            .setId(query.getId())
                             .setResult(result.number()))
                     .build()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowRecords.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowRecords.java
@@ -24,10 +24,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Turns workflows into their durable records and frames, and back. Stateless. */
+/** Encodes and decodes workflows as durable records and as frames. Stateless. */
 final class WorkflowRecords {
 
-  /** Phases of a task in records; numbers never change. */
+  /** Phases of a task in durable records; the numbers must never change. */
   private static final int PHASE_WAITING = 0;
 
   private static final int PHASE_DONE = 1;
@@ -102,7 +102,7 @@
     return new Sizes(milliProcessors, memoryMebibytes * Sizes.BYTES_PER_MEBIBYTE, accelerators);
   }
 
-  /** Returns the workflow of a submission, or empty if the record is not one. */
+  /** Returns the workflow of a submission record, or empty if it cannot be decoded. */
   static Optional<WorkflowSpec> decodeSubmission(ByteString bytes) {
     try {
       WorkflowSubmission submission = WorkflowSubmission.parseFrom(bytes);
@@ -185,7 +185,7 @@
     return builder.build().toByteString();
   }
 
-  /** Returns the state of a progress record, or empty if the record is not one. */
+  /** Returns the state of a progress record, or empty if it cannot be decoded. */
   static Optional<WorkflowRecordState> decodeProgress(ByteString bytes) {
     try {
       WorkflowProgress progress = WorkflowProgress.parseFrom(bytes);
@@ -227,7 +227,7 @@
         .build();
   }
 
-  /** Returns the run; a frame that names none was not sent by one of our processes. */
+  /** Returns the run. Frames of this system always contain a valid one. */
   static RunKey decode(WorkflowTaskId id) {
     TaskKey task = new TaskKey(id.getWorkflow(), id.getOccurrence(), id.getStep(), id.getIndex());
     return new RunKey(task, id.getAttempt());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
@@ -11,25 +11,25 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The store in which workflows last, and which divides their partitions among entries.
+ * The durable store of workflows, which also assigns partitions to entries.
  *
- * <p>Keeps the newest record of each key for good. Calls never block; futures complete on any
- * thread and never exceptionally: what fails is a result.
+ * <p>Retains the newest record of each key forever. Calls never block; futures complete on any
+ * thread and never exceptionally: failures are results.
  */
 public interface WorkflowStore {
-  /** What is kept; each has the same number of partitions. */
+  /** The topics of the store; all have the same number of partitions. */
   enum Topic {
-    /** What callers handed in; any entry writes it. */
+    /** Submissions of callers; any entry writes them. */
     SUBMISSIONS,
-    /** What owners decided and learned; written under an epoch only. */
+    /** Decisions of owners and progress of runs; written under an epoch only. */
     PROGRESS
   }
 
   /**
-   * A record to write.
+   * A record with a key.
    *
-   * @param key the older records of this key go
-   * @param value empty to drop the key
+   * @param key replaces older records of the same key
+   * @param value an empty value drops the key
    */
   record KeyedRecord(String key, ByteString value) {
     /** Checks the components. */
@@ -40,82 +40,82 @@
   }
 
   /**
-   * Makes appends of one writer idempotent, and shuts out writers of lower epochs.
+   * Makes the appends of one writer idempotent and fences writers of lower epochs.
    *
-   * @param epoch a partition takes none of a lower one than it has seen
-   * @param sequence counts the appends of an epoch, from 0
+   * @param epoch a partition rejects appends of a lower epoch than its highest
+   * @param sequence the number of the append within its epoch, from 0; empty appends are not counted
    */
   record Writer(long epoch, long sequence) {}
 
-  /** How an append ended. */
+  /** The result of an append. */
   sealed interface AppendResult {}
 
-  /** It is durable. */
+  /** The records are durable. */
   record Appended() implements AppendResult {}
 
-  /** Another writer has a higher epoch; nothing was written and never will be. */
+  /** Another writer has a higher epoch; nothing was written, and retries will fail as well. */
   record Fenced() implements AppendResult {}
 
-  /** The sequence number does not follow the last one; nothing was written. */
+  /** The sequence number does not follow the previous one; nothing was written. */
   record OutOfSequence(String detail) implements AppendResult {}
 
   /** Nothing was written. */
   record NotAppended(String reason) implements AppendResult {}
 
-  /** It may have been written, or may be yet. */
+  /** The records may have been written, or may still be written. */
   record AppendUnknown(String reason) implements AppendResult {}
 
-  /** How a reading ended. */
+  /** The result of a read. */
   sealed interface ReadResult {}
 
   /**
-   * Records in their order.
+   * Records in the order of their offsets.
    *
-   * @param next the offset to read from next
+   * @param next the offset of the next read
    */
   record Records(ImmutableList<KeyedRecord> records, long next) implements ReadResult {}
 
-  /** The records asked for are gone; what is left is read by {@link #newest}. */
+  /** The requested offset has expired; the remaining records are read by {@link #newest}. */
   record Expired() implements ReadResult {}
 
   /** Nothing could be read. */
   record Unreadable(String reason) implements ReadResult {}
 
-  /** One page of the newest records. */
+  /** The result of reading a page of the newest records. */
   sealed interface NewestResult {}
 
   /**
-   * A page.
+   * A page of the newest records.
    *
-   * @param more the key to continue after, or empty at the end
-   * @param end the offset after the newest record when the page was made
+   * @param more the key to continue after, or empty if this is the last page
+   * @param end the offset after the newest record at the time of the page
    */
   record NewestPage(ImmutableList<KeyedRecord> records, Optional<String> more, long end)
       implements NewestResult {}
 
-  /** No page could be had. */
+  /** The page could not be read. */
   record NoPage(String reason) implements NewestResult {}
 
-  /** Membership as the store told it. */
+  /** The result of a join. */
   sealed interface JoinResult {}
 
   /**
    * The caller is a member.
    *
-   * @param generation rises with every change of the members or their partitions
-   * @param partitions what the caller owns now
+   * @param generation increases with every change of the members or their partitions
+   * @param partitions the partitions assigned to the caller
    */
   record Joined(long generation, ImmutableSet<Integer> partitions) implements JoinResult {}
 
-  /** The store did not answer, or refused. */
+  /** The store did not answer or refused the join. */
   record NotJoined(String reason) implements JoinResult {}
 
-  /** Who owns what. */
+  /** The result of reading the owners. */
   sealed interface OwnersResult {}
 
-  /** The partitions that have an owner. */
+  /** The owners of all partitions that have one. */
   record Owners(ImmutableList<Owner> owners) implements OwnersResult {
-    /** Returns the owner of each partition that has one, by partition. */
+    /** Returns the owning member by partition. */
     public ImmutableMap<Integer, String> byPartition() {
       ImmutableMap.Builder<Integer, String> owned = ImmutableMap.builder();
       owners.forEach(owner -> owned.put(owner.partition(), owner.member()));
@@ -134,34 +134,42 @@
     }
   }
 
-  /** Returns how many partitions each topic has. */
+  /** Returns the number of partitions of each topic. */
   int partitions();
 
   /**
-   * Appends records, all or none.
+   * Appends records atomically.
    *
-   * @param writer empty for an append of no particular writer
+   * @param writer empty for an append without an epoch
    */
   CompletableFuture<AppendResult> append(
       Topic topic, int partition, List<KeyedRecord> records, Optional<Writer> writer);
 
   /**
-   * Reads records as soon as there is one.
+   * Reads records, waiting until there is at least one.
    *
-   * @param from the first offset wanted
-   * @param waitMillis how long to wait for the first record
+   * @param from the offset of the first record to read
+   * @param waitMillis maximum time to wait for the first record, in milliseconds
    */
   CompletableFuture<ReadResult> read(Topic topic, int partition, long from, long waitMillis);
 
-  /** Reads a page of the newest record of each key, after the given key. */
+  /**
+   * Reads a page of the newest record of each key.
+   *
+   * @param after the key after which the page starts; empty for the first page
+   */
   CompletableFuture<NewestResult> newest(Topic topic, int partition, Optional<String> after);
 
-  /** Becomes or stays a member; the partitions listed are the caller's until the next call. */
+  /**
+   * Becomes or remains a member; the partitions in the result are the caller's until its next join.
+   *
+   * @param generation the generation of the last result, 0 at first
+   */
   CompletableFuture<JoinResult> join(String member, long generation);
 
-  /** Gives all partitions of the member back. */
+  /** Removes the member and releases all of its partitions. */
   CompletableFuture<Boolean> leave(String member);
 
-  /** Reads who owns what. */
+  /** Reads the owners of all partitions. */
   CompletableFuture<OwnersResult> owners();
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Runs workflows: the owner's part in entries, the VM's part in side processes.
+ * Runs workflows: entries schedule them, side processes execute their tasks on VMs.
  *
  * <p>An entry accepts workflows by writing them to the store, owns some of the store's partitions,
- * and decides for the workflows of these alone; what it decides is durable before it acts. A side
- * process carries out the owners' orders on its worker, books room and renews leases. Everything
- * runs on one loop thread for each process; the platform is reached through {@link
+ * and schedules only the workflows of these; a decision is durable before it takes effect. A side
+ * process executes the owners' orders on its worker, accounts for capacity and renews leases. All
+ * of it runs on one loop thread per process; the platform is accessed through {@link
  * io.marigoldsail.daemon.workflow.WorkflowStore} and {@link
  * io.marigoldsail.daemon.workflow.WorkerGateway}.
  */
