--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an owner notes ends of runs that it has no record of, on virtual time. */
+/** Acknowledgement of ends of runs by their owner, on virtual time. */
 class EndNotesTest {
   private static final RunKey UNKNOWN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final long SUCCESSOR_EPOCH = 1_000_000;
@@ -41,7 +41,10 @@
     notes.take(partition, run, "vm-0", () -> noted.add(run));
   }
 
-  /** Guards against a task that runs again: its owner never hears of an end that another noted. */
+  /**
+   * An end that a former owner acknowledges is never reported to the current owner, which would run
+   * the task again.
+   */
   @Test
   void aFormerOwnerDoesNotNoteTheEndOfWhatItsSuccessorOrdered() {
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
@@ -50,7 +53,7 @@
     assertEquals(List.of(), noted);
   }
 
-  /** Guards against the same while the former owner cannot reach the store. */
+  /** The same, while the former owner cannot reach the store. */
   @Test
   void anOwnerThatIsCutOffFromTheStoreNotesNoEndThatItDoesNotKnow() {
     reached.refuse(true);
@@ -69,7 +72,7 @@
     return workflow.order(workflow.tasks().get(0), new Place("vm-0", "life-1"));
   }
 
-  /** Guards against a task that runs again: its workflow has not taken the end that is noted. */
+  /** An end that is acknowledged before its workflow has recorded it makes the task run again. */
   @Test
   void theEndOfARunThatCountsAsOpenIsNotNoted() {
     RunKey open = order(ownWorkflow());
@@ -78,7 +81,7 @@
     assertEquals(List.of(), noted);
   }
 
-  /** Guards against a worker that keeps ends for good of attempts that were followed by others. */
+  /** Otherwise a worker would retain the ends of superseded attempts forever. */
   @Test
   void theEndOfAnEarlierAttemptIsNoted() {
     Workflow workflow = ownWorkflow();
@@ -90,7 +93,10 @@
     assertEquals(List.of(first), noted);
   }
 
-  /** Guards against a task that runs again: a later owner has ordered an attempt not known here. */
+  /**
+   * A later owner has ordered an attempt that is unknown here; if its end were acknowledged here, the
+   * task would run again.
+   */
   @Test
   void aFormerOwnerDoesNotNoteTheEndOfALaterAttempt() {
     Workflow workflow = ownWorkflow();
@@ -102,7 +108,7 @@
     assertEquals(List.of(), noted);
   }
 
-  /** Guards against ends that are noted though what they changed was dropped with the ownership. */
+  /** The state change of the end is dropped with the ownership, so it is not durable. */
   @Test
   void aReleasedPartitionNotesNothing() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
@@ -114,7 +120,7 @@
     assertEquals(List.of(), noted);
   }
 
-  /** Guards against a worker that keeps ends for good whose workflows are forgotten. */
+  /** Otherwise a worker would retain the ends of evicted workflows forever. */
   @Test
   void theOwnerNotesAnEndThatItDoesNotKnow() {
     hearOfEnd(UNKNOWN);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A gang was refused again and again while others raced it for room. When there was room for it
-   * at last, it was not looked at for four seconds more.
+   * A gang was refused repeatedly while other tasks competed for its capacity. With an unbounded
+   * backoff, it was not tried for four more seconds after there was capacity for it.
    */
   @Test
   void aGangThatWasOftenRefusedIsSoonLookedAtAgain() {
@@ -98,8 +98,9 @@
                 workflow.ended(task.openRun(), RunOutcome.REFUSED, "", 0);
                 scheduler.ended(task, RunOutcome.REFUSED);
               });
-      long waits = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
-      assertTrue(waits > 0 && waits <= 1_000, "waits " + waits + " ms after " + (i + 1));
+      long backoffMillis = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
+      assertTrue(backoffMillis > 0 && backoffMillis <= 1_000,
+          "backoff of " + backoffMillis + " ms after " + (i + 1) + " refusals");
     }
   }
 
@@ -112,27 +113,27 @@
   }
 
   /**
-   * A workflow waits for a service of which no VM is left. Another one with equal tasks came later,
-   * for a service with nothing to do, and did not begin before the first one did.
+   * A workflow waits for a service without VMs. A later workflow with equal tasks for an idle
+   * service did not start before the first one did.
    */
   @Test
   void aWorkflowWithoutRoomHoldsUpNoEqualOneOfAnotherService() throws IOException {
     start(40);
     submit(91, WorkflowWorld.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.Nature.PLAIN));
     submit(92, "service", 1, step(2, 0, StepSpec.Nature.PLAIN));
-    world.await("the other is done", () -> world.status(0, 92) == QueryResult.DONE);
+    world.await("the other workflow is done", () -> world.status(0, 92) == QueryResult.DONE);
     assertEquals(0, world.history().starts(new TaskKey(91, 0, 0, 0)));
   }
 
   /**
-   * Two services of one workflow are alike, and a VM takes one task of each at most. The first
-   * lacks a second VM for good, and nothing of the second was ever at work.
+   * Two steps of one workflow are equal, with at most one task of each per VM. The first step has no
+   * second VM, and no task of the second step was ever started.
    */
   @Test
   void aStepWithoutRoomHoldsUpNoEqualStepOfItsWorkflow() throws IOException {
     start(60_000);
     submit(93, "service", 0, step(2, 1, LASTING), step(2, 1, LASTING));
-    world.await("one of each is at work", () -> world.history().totalStarts() == 2);
+    world.await("one task of each step has started", () -> world.history().totalStarts() == 2);
     assertEquals(1, world.history().starts(new TaskKey(93, 0, 0, 0)));
     assertEquals(1, world.history().starts(new TaskKey(93, 0, 1, 0)));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
@@ -23,7 +23,7 @@
     world.close();
   }
 
-  /** A connection of a side process, of which a test plays the part. */
+  /** A connection of a side process that the test simulates. */
   private final class ScriptedLink implements LinkListener {
     private final CompletableFuture<LinkConnection> opened = new CompletableFuture<>();
     private final AtomicInteger leases = new AtomicInteger();
@@ -32,14 +32,14 @@
       loop.dial(entry, this, opened::completeExceptionally);
     }
 
-    /** Reports until a lease has come back that was not there before. */
+    /** Sends reports until a new lease arrives. */
     void awaitLease() {
       int before = leases.get();
       VmReport report =
           VmReport.newBuilder().setVm("vm-0").setWorker("life-1").setWantsLease(true).build();
       LinkConnection connection = opened.join();
       world.await(
-          "a lease",
+          "a lease is granted",
           () -> {
             loop.run(() -> connection.send(Frame.newBuilder().setVmReport(report).build()));
             return leases.get() > before;
@@ -48,7 +48,7 @@
 
     void close() {
       LinkConnection connection = opened.join();
-      loop.run(() -> connection.close("told to close"));
+      loop.run(() -> connection.close("closed by the test"));
     }
 
     @Override
@@ -68,9 +68,9 @@
   }
 
   /**
-   * A side process gave a slow connection up and dialled anew; what it had sent on the first was
-   * read after what it sent on the second, and then the first ended. The entry passed over all
-   * further reports of the VM, and gave its tasks no lease.
+   * A side process abandoned a slow connection and dialled again. Its report on the first connection
+   * was read after that on the second, and then the first connection ended. The entry ignored all
+   * further reports of the VM and granted no lease.
    */
   @Test
   void theConnectionThatIsLeftCountsThoughAnotherOneWasReadLater() throws IOException {
@@ -79,11 +79,11 @@
     InetSocketAddress entry =
         new InetSocketAddress(
             address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-    ScriptedLink left = new ScriptedLink(entry);
-    left.awaitLease();
+    ScriptedLink remaining = new ScriptedLink(entry);
+    remaining.awaitLease();
     ScriptedLink readLate = new ScriptedLink(entry);
     readLate.awaitLease();
     readLate.close();
-    left.awaitLease();
+    remaining.awaitLease();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
@@ -6,28 +6,28 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Allows the workers whose names end as told, and can be told to fail. Safe for any thread. */
+/** Allows workers by the suffix of their names; can fail on request. Safe for any thread. */
 final class FakeAdviser implements PlacementAdviser {
   private final List<String> calls = new ArrayList<>();
   private final List<String> answered = new ArrayList<>();
   private String allowedEnd = "";
   private int failures;
 
-  /** Allows only workers whose names end so. */
-  synchronized void allowOnly(String end) {
-    allowedEnd = end;
+  /** Allows only workers whose names have the suffix. */
+  synchronized void allowOnly(String suffix) {
+    allowedEnd = suffix;
   }
 
-  /** Leaves the next calls without an answer. */
-  synchronized void fail(int next) {
-    failures = next;
+  /** Fails the next calls. */
+  synchronized void fail(int count) {
+    failures = count;
   }
 
   synchronized List<String> calls() {
     return List.copyOf(calls);
   }
 
-  /** Returns each step and worker that it answered about, in order. */
+  /** Returns the step and worker of each answer, in order. */
   synchronized List<String> answered() {
     return List.copyOf(answered);
   }
@@ -35,13 +35,13 @@
   @Override
   public synchronized CompletableFuture<AdviceResult> advise(
       long workflow, int occurrence, int step, ImmutableList<String> workers, long timeoutMillis) {
-    String named = workflow + "." + occurrence + "." + step;
-    calls.add(named);
+    String stepName = workflow + "." + occurrence + "." + step;
+    calls.add(stepName);
     if (failures > 0) {
       failures--;
-      return CompletableFuture.completedFuture(new NotAdvised("told to fail"));
+      return CompletableFuture.completedFuture(new NotAdvised("failed by the test"));
     }
-    workers.forEach(worker -> answered.add(named + " " + worker));
+    workers.forEach(worker -> answered.add(stepName + " " + worker));
     ImmutableMap.Builder<String, String> tickets = ImmutableMap.builder();
     workers.stream()
         .filter(worker -> worker.endsWith(allowedEnd))
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkflowStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkflowStore.java
@@ -16,17 +16,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A store in memory that keeps the contract of the platform's: epochs and sequence numbers of
- * writers, the newest record of each key, a group that deals partitions and takes them back only
- * when their owner has called again or was dropped. Fails as it is told. Safe for any thread.
+ * An in-memory store with the contract of the platform's store: epochs and sequence numbers of
+ * writers, the newest record of each key, and a group that reassigns a partition only after its
+ * owner has joined again or was dropped. Fails on request. Safe for any thread.
  */
 final class FakeWorkflowStore implements WorkflowStore {
-  /** What happens to the next appends to the progress of workflows. */
+  /** The fault of the next appends to the progress of workflows. */
   enum AppendFault {
     NONE,
-    /** Written, and the answer is lost. */
+    /** Written, but the answer is lost. */
     ANSWER_LOST,
-    /** Not written, and refused. */
+    /** Refused and not written. */
     REFUSED
   }
 
@@ -61,22 +61,22 @@
     faultsLeft = times;
   }
 
-  /** Refuses from now on to drop what callers handed in. */
+  /** Refuses to drop submissions from now on. */
   synchronized void refuseDrops() {
     keepsSubmissions = true;
   }
 
-  /** Returns how often it refused to drop something. */
+  /** Returns the number of refused drops. */
   synchronized int dropsRefused() {
     return dropsRefused;
   }
 
-  /** Returns how many appends failed as told. */
+  /** Returns the number of appends that failed on request. */
   synchronized int faultsSeen() {
     return faultsSeen;
   }
 
-  /** Drops a member whose process is gone, as the store does after a while. */
+  /** Drops a member whose process is gone, as the platform's store does after a timeout. */
   synchronized void drop(String memberPrefix) {
     if (members.removeIf(member -> member.startsWith(memberPrefix))) {
       owners.values().removeIf(owner -> owner.startsWith(memberPrefix));
@@ -85,13 +85,13 @@
     }
   }
 
-  /** Deals all partitions to another member at once, without a word to the former ones. */
+  /** Reassigns all partitions at once, without waiting for a join of their owners. */
   synchronized void dealAnew() {
     List<String> all = List.copyOf(members);
     generation++;
     for (int partition = 0; partition < partitions; partition++) {
-      int now = all.indexOf(owners.getOrDefault(partition, ""));
-      owners.put(partition, all.get(Math.max(0, now + 1) % all.size()));
+      int current = all.indexOf(owners.getOrDefault(partition, ""));
+      owners.put(partition, all.get(Math.max(0, current + 1) % all.size()));
     }
   }
 
@@ -101,10 +101,10 @@
     if (all.isEmpty()) {
       return;
     }
-    int most = (partitions + all.size() - 1) / all.size();
+    int maxPerMember = (partitions + all.size() - 1) / all.size();
     for (String member : all) {
-      // Taken back now and given away once everybody has called again.
-      owned(member).stream().skip(most).forEach(owners::remove);
+      // Unassigned now, and assigned again once every member has joined again.
+      owned(member).stream().skip(maxPerMember).forEach(owners::remove);
     }
   }
 
@@ -119,11 +119,11 @@
     boolean changed = false;
     for (int partition = 0; partition < partitions; partition++) {
       if (!owners.containsKey(partition)) {
-        String least =
+        String leastLoaded =
             members.stream()
                 .min(java.util.Comparator.comparingInt(member -> owned(member).size()))
                 .orElseThrow();
-        owners.put(partition, least);
+        owners.put(partition, leastLoaded);
         changed = true;
       }
     }
@@ -150,41 +150,41 @@
       Topic topic, int partition, List<KeyedRecord> records, Optional<Writer> writer) {
     if (keepsSubmissions && topic == Topic.SUBMISSIONS && records.get(0).value().isEmpty()) {
       dropsRefused++;
-      return soon(new NotAppended("told to keep it"));
+      return soon(new NotAppended("drop refused by the test"));
     }
     boolean faulty = topic == Topic.PROGRESS && faultsLeft > 0 && !records.isEmpty();
     if (faulty) {
       faultsLeft--;
       faultsSeen++;
       if (fault == AppendFault.REFUSED) {
-        return soon(new NotAppended("told to refuse"));
+        return soon(new NotAppended("append refused by the test"));
       }
     }
     AppendResult result = write(log(topic, partition), records, writer);
-    return soon(faulty ? new AppendUnknown("told to lose the answer") : result);
+    return soon(faulty ? new AppendUnknown("answer lost by the test") : result);
   }
 
   private AppendResult write(Log log, List<KeyedRecord> records, Optional<Writer> writer) {
     if (writer.isPresent()) {
-      Writer by = writer.get();
-      if (by.epoch() < log.epoch) {
+      Writer from = writer.get();
+      if (from.epoch() < log.epoch) {
         return new Fenced();
       }
-      if (by.epoch() > log.epoch) {
-        log.epoch = by.epoch();
-        log.sequence = by.sequence();
+      if (from.epoch() > log.epoch) {
+        log.epoch = from.epoch();
+        log.sequence = from.sequence();
         log.lastBatch = -1;
       }
       if (records.isEmpty()) {
         return new Appended();
       }
-      if (by.sequence() == log.lastBatch) {
+      if (from.sequence() == log.lastBatch) {
         return new Appended();
       }
-      if (by.sequence() != log.sequence) {
+      if (from.sequence() != log.sequence) {
         return new OutOfSequence("expected " + log.sequence);
       }
-      log.lastBatch = by.sequence();
+      log.lastBatch = from.sequence();
       log.sequence++;
     }
     for (KeyedRecord keyed : records) {
@@ -202,21 +202,21 @@
   public CompletableFuture<ReadResult> read(
       Topic topic, int partition, long from, long waitMillis) {
     CompletableFuture<ReadResult> future = new CompletableFuture<>();
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-    poll(log(topic, partition), from, until, future);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
+    poll(log(topic, partition), from, deadline, future);
     return future;
   }
 
-  private void poll(Log log, long from, long until, CompletableFuture<ReadResult> future) {
+  private void poll(Log log, long from, long deadline, CompletableFuture<ReadResult> future) {
     synchronized (this) {
-      if (log.records.size() > from || System.nanoTime() - until > 0) {
-        List<KeyedRecord> late =
+      if (log.records.size() > from || System.nanoTime() - deadline > 0) {
+        List<KeyedRecord> newer =
             log.records.subList((int) Math.min(from, log.records.size()), log.records.size());
-        future.complete(new Records(ImmutableList.copyOf(late), from + late.size()));
+        future.complete(new Records(ImmutableList.copyOf(newer), from + newer.size()));
         return;
       }
     }
-    timer.schedule(() -> poll(log, from, until, future), 2, TimeUnit.MILLISECONDS);
+    timer.schedule(() -> poll(log, from, deadline, future), 2, TimeUnit.MILLISECONDS);
   }
 
   @Override
@@ -229,11 +229,11 @@
   }
 
   @Override
-  public synchronized CompletableFuture<JoinResult> join(String member, long known) {
+  public synchronized CompletableFuture<JoinResult> join(String member, long knownGeneration) {
     if (members.add(member)) {
       deal();
     }
-    acknowledged.put(member, known);
+    acknowledged.put(member, knownGeneration);
     boolean all =
         members.stream().allMatch(each -> acknowledged.getOrDefault(each, 0L) >= generation);
     if (all) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
@@ -16,8 +16,8 @@
 import java.util.Optional;
 
 /**
- * An entry that took itself for an owner before others were: side processes dial it, and it orders
- * under an epoch lower than any. Safe for any thread.
+ * A former owner of all partitions: side processes dial it, and it sends orders under an epoch lower
+ * than any other. Safe for any thread.
  */
 final class FormerOwner implements LinkListener, AutoCloseable {
   private static final long FIRST_EPOCH = 1;
@@ -33,7 +33,7 @@
     server.start();
   }
 
-  /** Returns the name by which side processes find it. */
+  /** Returns the member name by which side processes find it. */
   String member() {
     return new EntryMember("127.0.0.1", server.port(), 1).toString();
   }
@@ -42,12 +42,12 @@
     return side == null || report.getVm().isEmpty() ? Optional.empty() : Optional.of(report);
   }
 
-  /** Orders to stop the run, as the owner of its partition would. */
+  /** Sends a stop of the run, as the owner of its partition would. */
   void stop(RunKey run, int partition) {
     order(partition, RunOrders.newBuilder().addStops(WorkflowRecords.encode(run)));
   }
 
-  /** Says that the run's end is durable, as the owner of its partition would. */
+  /** Acknowledges the run's end, as the owner of its partition would. */
   void note(RunKey run, int partition) {
     order(partition, RunOrders.newBuilder().addNotedEnds(WorkflowRecords.encode(run)));
   }
@@ -61,8 +61,8 @@
             .addEvidence(evidence)
             .build();
     orders.setNumber(1).setLease(lease).setWorker(report.getWorker());
-    LinkConnection to = side;
-    loop.run(() -> to.send(Frame.newBuilder().setRunOrders(orders).build()));
+    LinkConnection connection = side;
+    loop.run(() -> connection.send(Frame.newBuilder().setRunOrders(orders).build()));
   }
 
   @Override
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/IgnoringOwnership.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/IgnoringOwnership.java
@@ -2,7 +2,7 @@
 
 import io.marigoldsail.workflow.Workflow;
 
-/** Takes what becomes of partitions and does nothing about it. */
+/** An ownership listener that does nothing. */
 class IgnoringOwnership implements Ownership.Listener {
   @Override
   public void ownersKnown(long asOfGeneration, WorkflowStore.Owners owners) {}
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapTurnsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapTurnsTest.java
@@ -10,29 +10,29 @@
   private static final long ROUND_TRIP_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   /**
-   * While partitions moved, two entries held different maps of one generation. A side process took
-   * each in turn, and told all entries its whole state each time, in every round trip. An entry
-   * that was just heard must wait before it says the same again.
+   * While partitions moved, two entries held different owner maps of one generation. A side process
+   * applied them alternately and reported its whole state to all entries in every round trip. An
+   * entry must wait before it sends the same map again.
    */
   @Test
   void twoEntriesWithDifferentMapsDoNotChaseEachOther() {
-    OwnerMapTurns<String> turns = new OwnerMapTurns<>();
-    int told = 0;
+    OwnerMapTurns<String> limiter = new OwnerMapTurns<>();
+    int sent = 0;
     for (long now = 0; now < 10 * OwnerMapTurns.SPACING_NANOS; now += ROUND_TRIP_NANOS) {
-      if (turns.mayTell("side", now)) {
-        turns.told("side", now);
-        told++;
+      if (limiter.mayTell("side", now)) {
+        limiter.told("side", now);
+        sent++;
       }
     }
-    assertEquals(10, told);
+    assertEquals(10, sent);
   }
 
   @Test
   void whoIsNewIsToldAtOnce() {
-    OwnerMapTurns<String> turns = new OwnerMapTurns<>();
-    turns.told("side", 5);
-    assertTrue(turns.mayTell("other", 6));
-    turns.forget("side");
-    assertTrue(turns.mayTell("side", 6));
+    OwnerMapTurns<String> limiter = new OwnerMapTurns<>();
+    limiter.told("side", 5);
+    assertTrue(limiter.mayTell("other", 6));
+    limiter.forget("side");
+    assertTrue(limiter.mayTell("side", 6));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnersOrderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnersOrderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** In which order maps of owners are taken, on virtual time. */
+/** The order in which owner maps apply, on virtual time. */
 class OwnersOrderTest {
   private static final EntryMember SELF = new EntryMember("127.0.0.1", 1, 1);
   private static final String OTHER = new EntryMember("127.0.0.1", 2, 1).toString();
@@ -19,7 +19,9 @@
 
   private final VirtualLoop time = new VirtualLoop();
 
-  /** Guards against side processes that go back to the map of an entry without the store. */
+  /**
+   * Otherwise side processes would return to the older map of an entry that cannot reach the store.
+   */
   @Test
   void aHigherGenerationIsToldThoughTheOwnersAreTheSame() {
     EntryPeers peers = new EntryPeers(time.loop(), SELF);
@@ -31,7 +33,7 @@
     assertFalse(peers.owners(8, owners));
   }
 
-  /** Guards against new owners that are told under the generation of the former ones for long. */
+  /** New owners must not be sent under the generation of the former owners for long. */
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1_050, 1_200, 1_500})
   void newOwnersAreSoonKnownUnderTheirOwnGeneration(int afterMillis) {
@@ -48,18 +50,18 @@
       time.advance(1);
     }
     time.advance(ROUND_TRIPS_MILLIS);
-    assertTrue(last.generation > generation, "still generation " + generation);
+    assertTrue(last.generation > generation, "owners changed, but the generation is still " + generation);
   }
 
-  /** Keeps what was told last of the owners. */
+  /** Records the last owners read. */
   private static final class LastOwners extends IgnoringOwnership {
     private long generation;
     private Owners owners = new Owners(ImmutableList.of());
 
     @Override
-    public void ownersKnown(long asOfGeneration, Owners newest) {
+    public void ownersKnown(long asOfGeneration, Owners newOwners) {
       generation = asOfGeneration;
-      owners = newest;
+      owners = newOwners;
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
@@ -16,14 +16,14 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What goes on in a partition after one step of it threw. */
+/** An exception in one step of a partition must not stop the later steps. */
 class PartitionChainsTest {
   private final VirtualLoop time = new VirtualLoop();
   private final VirtualStore store = new VirtualStore(time);
 
   /**
-   * Two tasks became durable with one append, and what followed from the first threw. The second
-   * was never told that it is durable: it was never ordered, and its room never came back.
+   * Two runs became durable with one append, and the effect of the first threw. The effect of the
+   * second never ran: the run was never ordered, and its capacity was never released.
    */
   @Test
   void anEffectThatThrowsDoesNotTakeTheLaterOnesAlong() {
@@ -34,7 +34,7 @@
         () -> ByteString.copyFromUtf8("a"),
         () -> {
           ran.add("a");
-          throw new IllegalStateException("told to throw");
+          throw new IllegalStateException("thrown by the test");
         });
     writer.write("b", () -> ByteString.copyFromUtf8("b"), () -> ran.add("b"));
     writer.afterDurable(() -> ran.add("effect"));
@@ -47,13 +47,13 @@
   }
 
   /**
-   * A workflow that a caller handed in could not be taken, by a fault of ours. The partition read
-   * nothing any more, and whatever was handed in later waited for good.
+   * An exception while a submission was added stopped the reading of the partition, and all later
+   * submissions waited forever.
    */
   @Test
   void aSubmissionThatCannotBeTakenIsNotTheLastOneRead() {
-    ThrowingOwner owner = new ThrowingOwner(2);
-    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
+    ThrowingOwner listener = new ThrowingOwner(2);
+    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
     assertTrue(partition.isActive());
@@ -63,18 +63,18 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(1L, 3L, 4L), owner.taken);
+    assertEquals(List.of(1L, 3L, 4L), listener.taken);
     assertTrue(partition.isFresh());
   }
 
   /**
-   * The store had dropped what was to be read next, so all that lasts was read anew, and one
-   * workflow of it could not be taken. The partition read nothing any more.
+   * The offset to be read next had expired in the store, so all submissions were read again, and
+   * one of them threw. The partition read nothing after that.
    */
   @Test
   void aSubmissionThatCannotBeTakenDoesNotEndAReadingAnew() {
-    ThrowingOwner owner = new ThrowingOwner(2);
-    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
+    ThrowingOwner listener = new ThrowingOwner(2);
+    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
     store.submit(submission(2));
@@ -83,23 +83,23 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(3L, 4L), owner.taken);
+    assertEquals(List.of(3L, 4L), listener.taken);
   }
 
   /**
-   * Something threw when a partition became active. It counted as active and read nothing that
-   * callers handed in from then on.
+   * An exception while a partition became active left it active but without reading submissions from
+   * then on.
    */
   @Test
   void anActivationThatThrowsDoesNotKeepThePartitionFromReading() {
-    ThrowingOwner owner = new ThrowingOwner(0);
-    owner.throwsWhenActive = true;
-    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
+    ThrowingOwner listener = new ThrowingOwner(0);
+    listener.throwsWhenActive = true;
+    OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
     store.submit(submission(1));
     time.advance(20);
-    assertEquals(List.of(1L), owner.taken);
+    assertEquals(List.of(1L), listener.taken);
   }
 
   private static KeyedRecord submission(long id) {
@@ -122,7 +122,7 @@
     return new KeyedRecord(WorkflowIds.format(id), WorkflowRecords.encode(spec));
   }
 
-  /** Takes workflows, but for one that it throws at. */
+  /** Records submitted workflows; throws for one of them. */
   private static final class ThrowingOwner implements OwnedPartition.Listener {
     private final List<Long> taken = new ArrayList<>();
     private final long throwsAt;
@@ -135,14 +135,14 @@
     @Override
     public void activated(OwnedPartition partition) {
       if (throwsWhenActive) {
-        throw new IllegalStateException("told to throw");
+        throw new IllegalStateException("thrown by the test");
       }
     }
 
     @Override
     public void submitted(OwnedPartition partition, Workflow workflow) {
       if (workflow.spec().id() == throwsAt) {
-        throw new IllegalStateException("told to throw");
+        throw new IllegalStateException("thrown by the test");
       }
       taken.add(workflow.spec().id());
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RefusingStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RefusingStore.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A store as one process reaches it: it may turn that process away and serve all others. */
+/** The store as seen by one process; may refuse all calls of this process but of no other. */
 final class RefusingStore implements WorkflowStore {
-  private static final String REASON = "told to refuse";
+  private static final String REASON = "refused by the test";
 
   private final WorkflowStore store;
   private volatile boolean refuses;
@@ -15,8 +15,8 @@
     this.store = store;
   }
 
-  void refuse(boolean all) {
-    refuses = all;
+  void refuse(boolean refuse) {
+    refuses = refuse;
   }
 
   private static <T> CompletableFuture<T> done(T result) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an entry looks at waiting tasks after reports of room, on virtual time. */
+/** Scheduling passes that reports of capacity cause, on virtual time. */
 class RoomLooksTest {
   private static final long ID = 95;
   private static final long ROOM_WAIT_MILLIS = 10;
@@ -48,7 +48,7 @@
           this::configuration);
   private int looks;
 
-  /** Each look asks for the configuration once. */
+  /** Counts the scheduling passes, each of which reads the configuration once. */
   private Optional<QueueTable> configuration() {
     looks++;
     return Optional.of(WorkflowWorld.configuration(1, "service"));
@@ -63,7 +63,7 @@
     ownership.start();
     time.advance(500);
     assertEquals(1, ownership.active().size());
-    // So no order is durable, and none is sent.
+    // Orders do not become durable, so none is sent.
     store.failAppends(AppendFault.REFUSED, Integer.MAX_VALUE);
   }
 
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Each report of a VM made its entry go through all waiting tasks and all VMs. Many VMs report
-   * together, and the entry was busy with looks that found what the one before had found.
+   * Each report caused a pass over all waiting tasks and all VMs. Many VMs report together, and the
+   * entry was busy with passes that repeated the previous one.
    */
   @Test
   void reportsThatComeTogetherCauseOneLook() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedOwnersStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedOwnersStore.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A store that is asked for the owners only; a test gives each answer, and when. */
+/** A store that only reads owners; the test determines each answer and its time. */
 final class ScriptedOwnersStore implements WorkflowStore {
   private final int partitions;
   private final BlockingQueue<CompletableFuture<OwnersResult>> asked = new LinkedBlockingQueue<>();
@@ -23,7 +23,7 @@
     return new Owners(owners.build());
   }
 
-  /** Waits for the next question for the owners; the caller answers it. */
+  /** Waits for the next request for the owners; the caller completes it. */
   CompletableFuture<OwnersResult> asked() throws InterruptedException {
     return asked.take();
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
@@ -17,12 +17,12 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What an engineer finds in an owner's log about a lasting task that runs nowhere. */
+/** The log lines of an owner on long-running tasks that run nowhere. */
 class TaskWatchTest {
   private static final StepSpec.Nature LASTING =
       new StepSpec.Nature(false, false, false, true, false, "svc", 25, 1);
 
-  /** Long enough that an open attempt outlasts its worker's silence by far. */
+  /** Long enough that the attempt stays open while its worker is silent. */
   private static final long LONGEST_LEASE_MILLIS = 60_000;
 
   private static final long RUN_MILLIS = 120_000;
@@ -65,26 +65,26 @@
   }
 
   private void awaitLine(String event, long id, String... parts) {
-    String begin = "event=" + event + " task=" + WorkflowIds.format(id) + ".0.0.0 ";
+    String prefix = "event=" + event + " task=" + WorkflowIds.format(id) + ".0.0.0 ";
     world.await(
-        event + " with " + List.of(parts),
+        event + " is logged with " + List.of(parts),
         () ->
             lines.stream()
                 .anyMatch(
                     line ->
-                        line.startsWith(begin)
+                        line.startsWith(prefix)
                             && List.of(parts).stream().allMatch(line::contains)));
   }
 
-  /** The worker is dead and its side process goes on naming the run: the owner takes it for one. */
+  /** The worker is dead, but its side process keeps listing the run, so the attempt stays open. */
   @Test
   void aRunUnderASilentWorkerIsToldWithWhatTheOwnerBelieves() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
     submit(71, LASTING);
-    // Said by a report: before, the owner knows no more than that it ordered it.
-    world.await("it is at work", () -> world.status(0, 71) == QueryResult.RUNNING);
+    // Known from a report; before that, the owner only knows that it ordered the run.
+    world.await("the task is running", () -> world.status(0, 71) == QueryResult.RUNNING);
     world.side("vm-0").worker().fallSilent();
     awaitLine(
         "task-absent",
@@ -94,14 +94,14 @@
         " vm_worker=life-1-vm-0 vm_is=unhealthy ");
   }
 
-  /** The VM itself is gone. */
+  /** The VM is gone. */
   @Test
   void aRunOnAVmOutOfReachIsToldAsSuch() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
     submit(72, LASTING);
-    world.await("it is at work", () -> world.history().totalStarts() == 1);
+    world.await("the task is running", () -> world.history().totalStarts() == 1);
     world.side("vm-0").loop().close();
     awaitLine(
         "task-absent",
@@ -111,7 +111,7 @@
         " vm_is=disconnected vm_report_ms=none");
   }
 
-  /** No VM is there; once one is, the task is back, and a task that ends by itself was not told. */
+  /** There is no VM; once there is one, the task returns. Tasks that end by themselves are not logged. */
   @Test
   void aTaskThatNoVmIsOfferedForIsToldWithTheReasonAndToldToBeBack() throws IOException {
     world.addEntry();
@@ -121,7 +121,7 @@
     awaitLine(
         "task-absent",
         73,
-        " since=\"looked for here\" named_ms=none belief=ready ",
+        " since=\"first checked\" named_ms=none belief=ready ",
         " reason=\"no VM is offered\" offers=\"\" vms=\"\" attempts=0 refusals=0");
     world.addSide("vm-0", RUN_MILLIS);
     awaitLine("task-back", 73, " vm=vm-0");
@@ -129,18 +129,18 @@
     assertTrue(lines.stream().anyMatch(line -> line.startsWith("event=tasks-watched ")));
   }
 
-  /** VMs are there, and none of them has room enough for the task. */
+  /** There is a VM, but it has too little free capacity for the task. */
   @Test
   void aTaskThatNoVmAdmitsIsToldWithTheReason() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
-    // Nine of half a processor each, for four processors.
+    // Nine tasks of half a processor each on four processors.
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(75, LASTING, 9)).join());
     world.await(
-        "one of them is told of",
+        "one of them is logged as absent",
         () ->
             lines.stream()
                 .anyMatch(
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** A loop on virtual time: what is scheduled runs only while a test advances it. One thread. */
+/** A loop on virtual time: scheduled tasks run only while a test advances it. One thread. */
 final class VirtualLoop {
   private static final long STEP_MILLIS = 1;
 
@@ -24,17 +24,17 @@
     return loop;
   }
 
-  /** Returns what runs tasks on the same time, for fakes that answer late. */
+  /** Returns an executor on the same virtual time, for fakes that answer with a delay. */
   ScheduledExecutorService timer() {
     return timer.eventLoop();
   }
 
-  /** Returns how much time has passed, in milliseconds. */
+  /** Returns the elapsed virtual time, in milliseconds. */
   long millis() {
     return TimeUnit.NANOSECONDS.toMillis(nanos);
   }
 
-  /** Runs everything that falls due within the time, in order. */
+  /** Advances the time and runs all tasks that become due, in order. */
   void advance(long millis) {
     for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
       nanos += TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS);
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Runs what was put on the loop by what ran last, while no time passes. */
+  /** Runs the tasks that are due without advancing the time. */
   void settle() {
     timer.runPendingTasks();
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualStore.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** A store of one partition on virtual time that takes every append. One thread. */
+/** A store of one partition on virtual time that accepts every append. One thread. */
 final class VirtualStore implements WorkflowStore {
   private static final long POLL_MILLIS = 1;
 
@@ -20,12 +20,12 @@
     this.time = time;
   }
 
-  /** Writes a record as a caller's entry does. */
+  /** Adds a submission, as an entry does for a caller. */
   void submit(KeyedRecord submission) {
     submissions.add(submission);
   }
 
-  /** Answers the next reading that the records from there on are gone. */
+  /** Answers the next read with {@link Expired}. */
   void expireOnce() {
     expires = true;
   }
@@ -57,8 +57,8 @@
             expires = false;
             return new Expired();
           }
-          List<KeyedRecord> late = submissions.subList((int) from, submissions.size());
-          return new Records(ImmutableList.copyOf(late), submissions.size());
+          List<KeyedRecord> newer = submissions.subList((int) from, submissions.size());
+          return new Records(ImmutableList.copyOf(newer), submissions.size());
         });
   }
 
@@ -75,7 +75,7 @@
 
   @Override
   public CompletableFuture<JoinResult> join(String member, long generation) {
-    return soon(() -> new NotJoined("not asked here"));
+    return soon(() -> new NotJoined("not supported by this store"));
   }
 
   @Override
@@ -85,6 +85,6 @@
 
   @Override
   public CompletableFuture<OwnersResult> owners() {
-    return soon(() -> new OwnersUnknown("not asked here"));
+    return soon(() -> new OwnersUnknown("not supported by this store"));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
@@ -16,8 +16,8 @@
   }
 
   /**
-   * An order waited to be sent when the report came that the worker had another life. It went out
-   * for the new one, which would start a task that its owner orders elsewhere.
+   * An order was pending when a report with a new worker incarnation arrived. It was sent to the new
+   * incarnation, which would start a task that its owner orders elsewhere.
    */
   @Test
   void whatWaitsForOneLifeOfTheWorkerIsNotSentToTheNext() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -55,14 +55,14 @@
       submit((int) id % 2, id, 3, 2);
     }
     awaitDone(LongStream.rangeClosed(1, 8).toArray());
-    world.await("the other entry says so", () -> world.status(1, 1) == QueryResult.DONE);
+    world.await("the other entry reports it as done", () -> world.status(1, 1) == QueryResult.DONE);
     assertEquals(8 * 5, world.history().totalStarts());
     assertNothingInTwoPlaces();
   }
 
   /**
-   * An entry is killed while tasks that it ordered are at work. Callers ask another entry, which
-   * has to find them, not run them again, and bring the workflows to their end.
+   * An entry is killed while its tasks are running. Another entry has to take them over without
+   * running them again, and to complete the workflows.
    */
   @Test
   void anotherEntryGoesOnWhenTheOwnerIsKilled() throws IOException {
@@ -70,7 +70,7 @@
     submit(0, 11, 2);
     submit(0, 12, 2);
     submit(0, 13, 2);
-    world.await("all are at work", () -> world.history().totalStarts() == 6);
+    world.await("all tasks have started", () -> world.history().totalStarts() == 6);
     RunningEntry killed = world.entry(1);
     world.kill(killed);
     world.store().drop(killed.memberPrefix());
@@ -82,8 +82,8 @@
   }
 
   /**
-   * The store deals all partitions anew at once and tells nobody. Both entries take themselves for
-   * the owner for a while; only the one with the higher epoch may decide.
+   * The store reassigns all partitions at once without notice. Both entries believe to be the owner
+   * for a while; only the one with the higher epoch may take decisions.
    */
   @Test
   void aFormerOwnerIsShutOutWhenPartitionsAreDealtAnew() throws IOException {
@@ -98,8 +98,8 @@
   }
 
   /**
-   * The store writes and its answers are lost. The same append goes out again, and what was decided
-   * once must be done once.
+   * The store writes, but its answers are lost. The same append is resent, and each decision must
+   * take effect only once.
    */
   @Test
   void lostAnswersOfTheStoreRepeatNothing() throws IOException {
@@ -115,12 +115,12 @@
     assertNothingInTwoPlaces();
   }
 
-  /** A worker crashes and is back as another one: what it ran runs again under higher attempts. */
+  /** A worker crashes and returns as a new incarnation: its tasks run again as new attempts. */
   @Test
   void whatACrashedWorkerRanRunsAgain() throws IOException {
     world.start(1, 1, 800);
     submit(0, 41, 2);
-    world.await("both are at work", () -> world.history().totalStarts() == 2);
+    world.await("both tasks have started", () -> world.history().totalStarts() == 2);
     world.side("vm-0").worker().crash("life-2");
     awaitDone(41);
     assertEquals(4, world.history().totalStarts());
@@ -128,8 +128,8 @@
   }
 
   /**
-   * A worker leaves an order unanswered and carries it out seconds later. The task must not be
-   * ordered elsewhere before the worker has promised not to start it any more.
+   * A worker does not answer a start and executes it seconds later. The task must not be ordered
+   * elsewhere before the worker has confirmed that it will not start it any more.
    */
   @Test
   void anOrderCarriedOutLateIsNeverInTwoPlaces() throws IOException {
@@ -142,9 +142,9 @@
   }
 
   /**
-   * A worker loses power for good and is never replaced; its side process lives on. Barriers stayed
-   * shut for the rest of the day: the side process went on to list what had run there, and moved
-   * the lease of a worker that answered nothing, so that nobody ever took its tasks for over.
+   * A worker loses power and is never replaced, but its side process survives. The side process kept
+   * listing the runs and extending the lease of the dead worker, so no owner ever closed the runs,
+   * and barriers of the workflows never opened.
    */
   @Test
   void whatASilentWorkerRanRunsElsewhereOnceItsLeaseIsOver() throws IOException {
@@ -154,9 +154,9 @@
 
   private void beAtWorkUnderASilentWorker(long id) throws IOException {
     world.start(1, 2, 1_500);
-    // Too many for one VM, so that both have some.
+    // Too many for one VM, so that both VMs have some.
     submit(0, id, 10);
-    world.await("all are at work", () -> world.history().totalStarts() == 10);
+    world.await("all tasks have started", () -> world.history().totalStarts() == 10);
     world.side("vm-0").worker().fallSilent();
   }
 
@@ -167,8 +167,8 @@
   }
 
   /**
-   * The same, and the side process is killed as well: the next one never hears of a worker, and
-   * says so in each report, which told nobody that the tasks were over.
+   * The same, and the side process is restarted as well. The new one has no worker and reports none;
+   * such reports must not keep the runs open.
    */
   @Test
   void whatASilentWorkerRanRunsElsewhereAlsoAfterItsSideProcessDied() throws IOException {
@@ -177,12 +177,12 @@
     assertAllRunsElsewhere(56);
   }
 
-  /** A side process is killed and another one finds on the worker what it does not know. */
+  /** A side process is killed, and its successor finds runs on the worker that it does not know. */
   @Test
   void aRestartedSideProcessAdoptsWhatRuns() throws IOException {
     world.start(1, 1, 1_200);
     submit(0, 61, 3);
-    world.await("all are at work", () -> world.history().totalStarts() == 3);
+    world.await("all tasks have started", () -> world.history().totalStarts() == 3);
     world.restartSide("vm-0");
     awaitDone(61);
     assertEachRanOnce(61, 3);
@@ -190,18 +190,17 @@
   }
 
   /**
-   * A side process slows down to nothing what disturbs a service, and is killed. The next one took
-   * what it found for running at full speed, so nobody ever sped it up: its callers waited for
-   * good.
+   * A side process throttles an interfering run to zero and is killed. Its successor assumed that
+   * the run had its full speed and never lifted the throttle, so the run never ended.
    */
   @Test
   void whatAKilledSideProcessSlowedDownGoesOn() throws IOException {
     world.start(1, 1, 600);
-    StepSpec.Nature fills = new StepSpec.Nature(false, false, false, false, true, "image", 0, 0);
+    StepSpec.Nature bestEffort = new StepSpec.Nature(false, false, false, false, true, "image", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(65, fills, 1)).join());
-    world.await("it is at work", () -> world.history().totalStarts() == 1);
+        world.entry(0).entry().submit(WorkflowWorld.workflow(65, bestEffort, 1)).join());
+    world.await("the task has started", () -> world.history().totalStarts() == 1);
     FakeWorkerGateway worker = world.side("vm-0").worker();
     worker.pace(worker.life(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
     world.restartSide("vm-0");
@@ -210,32 +209,31 @@
   }
 
   /**
-   * One of two workers crashes under a gang whose members stand on both. The caller's workflow must
-   * begin again with all of its members under one attempt, not with the lost ones alone.
+   * One of two workers crashes while both run members of a gang. All members must restart under one
+   * new attempt, not only the lost ones.
    */
   @Test
   void aGangBeginsAgainAsAWhole() throws IOException {
     world.start(1, 2, 1_500);
-    // Too many for one VM, so that both have some.
+    // Too many for one VM, so that both VMs have some.
     int members = 10;
     StepSpec.Nature gang = new StepSpec.Nature(true, false, false, false, false, "", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(66, gang, members)).join());
-    world.await("all are at work", () -> world.history().totalStarts() == members);
+    world.await("all tasks have started", () -> world.history().totalStarts() == members);
     world.side("vm-0").worker().crash("life-2");
     awaitDone(66);
     for (int index = 0; index < members; index++) {
       TaskKey member = new TaskKey(66, 0, 0, index);
-      assertTrue(world.history().starts(member) >= 2, member + " did not begin again");
+      assertTrue(world.history().starts(member) >= 2, member + " was not restarted");
     }
     assertNothingInTwoPlaces();
   }
 
   /**
-   * A queue's policy lets only some VMs run its steps, and the adviser that knows them fails twice.
-   * The caller's workflow waits for the answer and then runs there only, and of no step any VM is
-   * asked about twice.
+   * The policy of a queue allows only one VM, and the placement adviser fails twice. The workflow has
+   * to wait for the advice and to run only on that VM, and no VM may be named twice for a step.
    */
   @Test
   void whatNeedsAdviceRunsOnlyWhereItIsAllowed() throws IOException {
@@ -251,12 +249,12 @@
     List<String> tickets = world.side("vm-1").worker().tickets();
     assertEquals(Collections.nCopies(5, "ticket-for-life-1-vm-1"), tickets);
     assertEquals(List.of("67.0.0", "67.0.0", "67.0.0"), world.adviser().calls().subList(0, 3));
-    assertAskedAboutOnce("67.0.0 life-1-vm-1", "67.0.1 life-1-vm-1");
+    assertAdvisedOnce("67.0.0 life-1-vm-1", "67.0.1 life-1-vm-1");
   }
 
   /**
-   * The only VM that may run a step is known to the entry a moment after the step was first asked
-   * about. The adviser is asked again, about that VM alone.
+   * The only VM that is allowed to run a step connects after the first call to the adviser. The
+   * adviser must be called again, for that VM alone.
    */
   @Test
   void aVmThatComesLaterIsAskedAboutByItself() throws IOException {
@@ -265,22 +263,22 @@
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.advised(68, 3)).join());
-    world.await("the first VM was asked about", () -> world.adviser().calls().size() == 1);
+    world.await("the adviser was called for the first VM", () -> world.adviser().calls().size() == 1);
     world.addSide("vm-1", 40);
     awaitDone(68);
     assertEquals(List.of("68.0.0 life-1-vm-0", "68.0.0 life-1-vm-1"), world.adviser().answered());
   }
 
-  private void assertAskedAboutOnce(String... wanted) {
+  private void assertAdvisedOnce(String... expected) {
     List<String> answered = world.adviser().answered();
-    assertEquals(answered.size(), Set.copyOf(answered).size(), "twice in " + answered);
-    assertTrue(answered.containsAll(List.of(wanted)), answered.toString());
+    assertEquals(answered.size(), Set.copyOf(answered).size(), "answered twice in " + answered);
+    assertTrue(answered.containsAll(List.of(expected)), answered.toString());
   }
 
   /**
-   * The store turns one entry away and serves the other. Callers of the refused entry are told at
-   * once that nothing was taken, the other one goes on with what it owned without running anything
-   * twice, and once the store serves it again it takes callers as before.
+   * The store refuses one entry and serves the other. Submissions to the refused entry must fail at
+   * once, the other entry must take over its workflows without running a task twice, and the refused
+   * entry must accept submissions again once the store serves it.
    */
   @Test
   void anEntryThatTheStoreTurnsAwayHandsOverAndComesBack() throws IOException {
@@ -289,19 +287,19 @@
     for (long id : ids) {
       submit(0, id, 2);
     }
-    world.await("all are at work", () -> world.history().totalStarts() == 12);
+    world.await("all tasks have started", () -> world.history().totalStarts() == 12);
     RunningEntry refused = world.entry(1);
     refused.store().refuse(true);
-    world.await("it is not ready", () -> !refused.entry().isReady());
-    WorkflowStore.AppendResult told = refused.entry().submit(WorkflowWorld.workflow(87, 1)).join();
-    assertInstanceOf(WorkflowStore.NotAppended.class, told);
+    world.await("the refused entry is not ready", () -> !refused.entry().isReady());
+    WorkflowStore.AppendResult result = refused.entry().submit(WorkflowWorld.workflow(87, 1)).join();
+    assertInstanceOf(WorkflowStore.NotAppended.class, result);
     world.store().drop(refused.memberPrefix());
     awaitDone(ids);
     for (long id : ids) {
       assertEachRanOnce(id, 2);
     }
     refused.store().refuse(false);
-    world.await("it is ready again", () -> refused.entry().isReady());
+    world.await("the entry is ready again", () -> refused.entry().isReady());
     submit(1, 88, 1);
     awaitDone(88);
     assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 87));
@@ -309,8 +307,8 @@
   }
 
   /**
-   * An entry leaves in a planned stop while callers still ask it. Guards against one that says
-   * again that it is ready, so that the balancer goes on sending it connections until it is gone.
+   * An entry leaves in a planned stop while callers still use it. If it became ready again, the load
+   * balancer would send it connections until it has stopped.
    */
   @Test
   void anEntryThatLeavesIsNotReadyAgain() throws IOException {
@@ -322,17 +320,17 @@
     assertFalse(leaving.isReady());
   }
 
-  /** A caller cancels; the answer comes once that is durable, and nothing of it runs on. */
+  /** A cancel is answered once it is durable, and all runs of the workflow stop. */
   @Test
   void aCancelledWorkflowStops() throws IOException {
-    // Longer than the test waits: nothing ends by itself.
+    // Longer than the test waits, so that no task ends by itself.
     world.start(2, 1, 120_000);
     submit(0, 71, 2);
-    world.await("it runs", () -> world.history().totalStarts() == 2);
-    QueryResult told = world.entry(1).entry().query(71, "queue", true).join();
-    assertEquals(QueryResult.CANCELLED, told);
+    world.await("both tasks have started", () -> world.history().totalStarts() == 2);
+    QueryResult result = world.entry(1).entry().query(71, "queue", true).join();
+    assertEquals(QueryResult.CANCELLED, result);
     submit(0, 72, 8);
-    world.await("its room is free again", () -> world.history().totalStarts() == 10);
+    world.await("the capacity of the cancelled workflow is free again", () -> world.history().totalStarts() == 10);
     assertEquals(QueryResult.CANCELLED, world.status(0, 71));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
@@ -38,7 +38,7 @@
     logger.removeHandler(writer);
   }
 
-  /** Guards against a standard output that nobody reads and that stops the loop of a process. */
+  /** A standard output that nobody reads must not block the loop of a process. */
   @Test
   void aBlockedStandardOutputDelaysNoWorkflow() throws IOException {
     world.start(2, 2, 20);
@@ -46,13 +46,13 @@
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(41, 3, 2)).join());
-    world.await("it is done", () -> world.status(0, 41) == QueryResult.DONE);
+    world.await("the workflow is done", () -> world.status(0, 41) == QueryResult.DONE);
     assertEquals(5, world.history().totalStarts());
     assertEquals(List.of(), stream.lines());
     assertFalse(stream.isPatienceLost());
     stream.release();
     world.await(
-        "its lines are written",
+        "its log lines are written",
         () -> stream.lines().stream().anyMatch(line -> line.contains("event=workflow-submitted")));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers and workers may rely on, each under the trouble that would break it. */
+/** The guarantees to callers and workers, each under a fault that could break it. */
 class WorkflowRulesTest {
   private static final long FOR_GOOD_MILLIS = 60_000;
   private static final StepSpec.Nature LASTING =
@@ -55,9 +55,8 @@
   }
 
   /**
-   * A caller's task fails wherever it runs, and the entry that decides for it is killed after the
-   * first failures. The next owner has to go on counting where the first one was, and to tell the
-   * caller that it failed after three runs, not after three more.
+   * A task always fails, and its owner is killed after the first failures. The next owner must
+   * continue the count of failures: the workflow fails after three runs, not after three more.
    */
   @Test
   void aTaskThatAlwaysFailsStartsAsOftenAsAllowedThoughItsOwnerDies() throws IOException {
@@ -70,17 +69,18 @@
       submit(WorkflowWorld.workflow(id, 1));
     }
     world.await(
-        "all are at their second run", () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
+        "all tasks are in their second run", () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
     killOneOfTwo();
     for (long id : ids) {
-      world.await("it has failed", () -> world.status(0, id) == QueryResult.FAILED);
-      assertEquals(3, starts(id, 0), "runs of " + id);
+      world.await("the workflow has failed", () -> world.status(0, id) == QueryResult.FAILED);
+      assertEquals(3, starts(id, 0), "runs of workflow " + id);
     }
   }
 
   /**
-   * An entry is killed while a first step is at work. The next owner knows from the store alone
-   * what was done, and no task of a later step may begin before all of the step before are done.
+   * An entry is killed while first steps run. The next owner knows only from the store which tasks
+   * are done, and must not start a task of a later step before all tasks of the previous step are
+   * done.
    */
   @Test
   void laterStepsWaitForAllTasksBeforeThoughTheOwnerDies() throws IOException {
@@ -89,10 +89,10 @@
     for (long id : ids) {
       submit(WorkflowWorld.workflow(id, 2, 2, 1));
     }
-    world.await("half have begun", () -> world.history().totalStarts() >= 15);
+    world.await("half of the tasks have started", () -> world.history().totalStarts() >= 15);
     killOneOfTwo();
     for (long id : ids) {
-      world.await("it is done", () -> world.status(0, id) == QueryResult.DONE);
+      world.await("the workflow is done", () -> world.status(0, id) == QueryResult.DONE);
       for (int index = 0; index < 2; index++) {
         assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 1, index)));
       }
@@ -102,29 +102,29 @@
   }
 
   /**
-   * All tasks end while the store takes nothing. Whoever asks must not hear that the workflow is
-   * done: were the entry to die now, the next owner would run the last task again.
+   * All tasks end while the store refuses appends. The workflow must not be reported as done yet: if
+   * the entry died now, the next owner would run the last task again.
    */
   @Test
   void nobodyHearsOfAnEndThatTheStoreDoesNotHave() throws IOException {
     world.start(1, 1, 500);
     submit(WorkflowWorld.workflow(121, 2));
-    world.await("both are at work", () -> world.history().totalStarts() == 2);
+    world.await("both tasks are running", () -> world.history().totalStarts() == 2);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     FakeWorkerGateway worker = worker("vm-0");
-    world.await("both have ended", () -> worker.atWork().isEmpty() && worker.endsNotNoted() == 2);
+    world.await("both runs have ended", () -> worker.atWork().isEmpty() && worker.endsNotNoted() == 2);
     world.await(
-        "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
+        "the entry has retried the append several times", () -> world.store().faultsSeen() >= 5);
     assertNotEquals(QueryResult.DONE, world.status(0, 121));
-    assertEquals(2, worker.endsNotNoted(), "an end was noted that is not durable");
+    assertEquals(2, worker.endsNotNoted(), "an end was acknowledged that is not durable");
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("it is done", () -> world.status(0, 121) == QueryResult.DONE);
-    world.await("all ends are noted", () -> worker.endsNotNoted() == 0);
+    world.await("the workflow is done", () -> world.status(0, 121) == QueryResult.DONE);
+    world.await("all ends are acknowledged", () -> worker.endsNotNoted() == 0);
   }
 
   /**
-   * The store takes nothing when the owner decides where tasks go. No worker may be asked yet: were
-   * the owner to die now, the next one would know nothing of the order and run the tasks elsewhere.
+   * The store refuses appends when the owner places tasks. No start may be sent yet: if the owner
+   * died now, the next one would not know of the order and run the tasks elsewhere as well.
    */
   @Test
   void noWorkerIsAskedBeforeTheStoreHasTheAttempt() throws IOException {
@@ -132,15 +132,15 @@
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     submit(WorkflowWorld.workflow(125, 2));
     world.await(
-        "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
+        "the entry has retried the append several times", () -> world.store().faultsSeen() >= 5);
     assertEquals(List.of(), worker("vm-0").askedToStart());
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("it is done", () -> world.status(0, 125) == QueryResult.DONE);
+    world.await("the workflow is done", () -> world.status(0, 125) == QueryResult.DONE);
   }
 
   /**
-   * No worker is there yet, and callers hand in. Whichever entry the operator asks has to count all
-   * that wait, also those that another entry decides for, and none once they have begun.
+   * Workflows are submitted while there is no worker. Every entry must count all waiting workflows,
+   * including those owned by the other entry, and none once they have started.
    */
   @Test
   void everyEntryCountsAllThatWaits() throws IOException {
@@ -150,21 +150,20 @@
     }
     for (int entry = 0; entry < 2; entry++) {
       WorkflowEntry asked = world.entry(entry).entry();
-      world.await("all are counted", () -> asked.waiting("queue").join() == 12);
+      world.await("all waiting workflows are counted", () -> asked.waiting("queue").join() == 12);
       assertEquals(0, asked.waiting("another queue").join());
     }
     world.addSide("vm-0", FOR_GOOD_MILLIS);
     world.addSide("vm-1", FOR_GOOD_MILLIS);
     for (int entry = 0; entry < 2; entry++) {
       WorkflowEntry asked = world.entry(entry).entry();
-      world.await("none waits", () -> asked.waiting("queue").join() == 0);
+      world.await("no workflow waits", () -> asked.waiting("queue").join() == 0);
     }
   }
 
   /**
-   * A worker does not answer an order to start, the caller cancels, and the worker carries the
-   * order out seconds later. By then it must have been told not to: nothing of a cancelled workflow
-   * begins.
+   * A worker does not answer a start, the caller cancels, and the worker executes the start seconds
+   * later. It must have received the stop by then: no task of a cancelled workflow starts.
    */
   @Test
   void anOrderCarriedOutAfterTheCancelStartsNothing() throws IOException {
@@ -172,36 +171,36 @@
     FakeWorkerGateway worker = worker("vm-0");
     worker.answerLate(Integer.MAX_VALUE, 1_500);
     submit(WorkflowWorld.workflow(151, 2));
-    world.await("both were asked for", () -> worker.askedToStart().size() >= 2);
+    world.await("both starts were sent", () -> worker.askedToStart().size() >= 2);
     assertEquals(QueryResult.CANCELLED, world.entry(0).entry().query(151, "queue", true).join());
-    world.await("all late orders were carried out", () -> worker.isNothingLate());
+    world.await("all delayed starts were executed", () -> worker.isNothingLate());
     assertEquals(0, world.history().totalStarts());
   }
 
   /**
-   * A worker says that it leaves. What lasts has to be at work elsewhere before it has gone, and
-   * nothing more may begin on it, however much waits.
+   * A worker drains. Its long-running tasks have to run elsewhere before it stops, and no task may
+   * be started on it however many wait.
    */
   @Test
   void aWorkerThatLeavesIsGivenNothingAndItsServicesMove() throws IOException {
     world.start(2, 1, FOR_GOOD_MILLIS);
     submit(WorkflowWorld.workflow(161, LASTING, 3));
     FakeWorkerGateway leaving = worker("vm-0");
-    world.await("all are at work", () -> leaving.atWork().size() == 3);
+    world.await("all tasks are running", () -> leaving.atWork().size() == 3);
     leaving.leave();
     world.addSide("vm-1", FOR_GOOD_MILLIS);
-    world.await("all are at work elsewhere", () -> worker("vm-1").atWork().size() == 3);
+    world.await("all tasks are running on the other VM", () -> worker("vm-1").atWork().size() == 3);
     assertEquals(List.of(), leaving.atWork());
-    // As many as the other VM has no room for.
+    // More tasks than the other VM has capacity for.
     submit(WorkflowWorld.workflow(162, 8));
-    world.await("it is full", () -> worker("vm-1").atWork().size() == 8);
+    world.await("the other VM is full", () -> worker("vm-1").atWork().size() == 8);
     assertEquals(3, leaving.askedToStart().size());
     assertEquals(List.of(), world.history().broken());
   }
 
   /**
-   * A sick worker does not answer an order to start and then says that it leaves. Asked again it
-   * may well answer, and the task is on a worker that ends it a moment later; it belongs elsewhere.
+   * A faulty worker does not answer a start and then drains. The start must not be repeated: the
+   * worker might accept it and end the task shortly afterwards. The task has to run elsewhere.
    */
   @Test
   void aWorkerThatLeavesIsNotAskedAgain() throws IOException {
@@ -209,31 +208,31 @@
     FakeWorkerGateway leaving = worker("vm-0");
     leaving.dropStarts(Integer.MAX_VALUE);
     submit(WorkflowWorld.workflow(171, 1));
-    world.await("it was asked for", () -> !leaving.askedToStart().isEmpty());
+    world.await("the start was sent", () -> !leaving.askedToStart().isEmpty());
     leaving.leave();
     world.heartbeat("vm-0");
-    List<RunKey> asked = leaving.askedToStart();
+    List<RunKey> startsBefore = leaving.askedToStart();
     world.addSide("vm-1", 200);
-    world.await("it is done", () -> world.status(0, 171) == QueryResult.DONE);
-    assertEquals(asked, leaving.askedToStart());
+    world.await("the workflow is done", () -> world.status(0, 171) == QueryResult.DONE);
+    assertEquals(startsBefore, leaving.askedToStart());
   }
 
   /**
-   * Heavy tasks stand beside a service whose users they disturb, and a VM without services is free.
-   * The heavy ones are slowed down and move there; the service, of which only one task may be away,
-   * is neither stopped nor moved.
+   * A best-effort task interferes with a service on its VM, and a VM without services is free. The
+   * best-effort task is throttled and moved there; the service, of which only one task may be
+   * unavailable, is neither stopped nor moved.
    */
   @Test
   void whatDisturbsMovesAndTheServiceStays() throws IOException {
     world.start(1, 1, FOR_GOOD_MILLIS);
     submit(WorkflowWorld.workflow(181, LASTING, 3));
     FakeWorkerGateway crowded = worker("vm-0");
-    world.await("the service is at work", () -> crowded.atWork().size() == 3);
+    world.await("the service is running", () -> crowded.atWork().size() == 3);
     submit(WorkflowWorld.workflow(182, FILLS, 1));
-    world.await("a heavy task is beside it", () -> crowded.atWork().size() == 4);
+    world.await("the best-effort task runs on the same VM", () -> crowded.atWork().size() == 4);
     crowded.measure(400);
     world.addSide("vm-1", FOR_GOOD_MILLIS);
-    world.await("the heavy task has moved", () -> worker("vm-1").atWork().size() == 1);
+    world.await("the best-effort task has moved", () -> worker("vm-1").atWork().size() == 1);
     assertEquals(182, worker("vm-1").atWork().get(0).task().workflow());
     assertEquals(Collections.nCopies(3, 1), startsOf(181, 3));
     assertEquals(3, crowded.atWork().size());
@@ -244,9 +243,9 @@
   }
 
   /**
-   * The operator sends a queue to another service, and a copy of the version before arrives late.
-   * Nothing more of the queue may begin on the former service's workers; what waits goes on once a
-   * newer version sends the queue back.
+   * A configuration assigns a queue to another service, and the previous version arrives after it.
+   * No task of the queue may start on workers of the former service until a newer version assigns
+   * the queue to it again.
    */
   @Test
   void aQueueIsServedOnlyWhereTheNewestVersionSendsIt() throws IOException {
@@ -254,20 +253,20 @@
     FakeWorkerGateway worker = worker("vm-0");
     WorkflowEntry entry = world.entry(0).entry();
     submit(WorkflowWorld.workflow(211, 1));
-    world.await("it is at work", () -> worker.atWork().size() == 1);
+    world.await("the task is running", () -> worker.atWork().size() == 1);
     entry.configure(WorkflowWorld.configuration(3, "another"));
     entry.configure(WorkflowWorld.configuration(2, "service"));
     submit(WorkflowWorld.workflow(212, 1));
     int before = worker.listings();
-    world.await("the worker was looked at again", () -> worker.listings() >= before + 3);
+    world.await("the worker was listed several times", () -> worker.listings() >= before + 3);
     assertEquals(1, worker.askedToStart().size());
     entry.configure(WorkflowWorld.configuration(4, "service"));
-    world.await("both are at work", () -> worker.atWork().size() == 2);
+    world.await("both tasks are running", () -> worker.atWork().size() == 2);
   }
 
   /**
-   * All entries lose power at once, with workflows waiting and at work. New ones that know nothing
-   * but the store bring every accepted workflow to its end.
+   * All entries die at once while workflows wait and run. New entries, which know only the store,
+   * must complete every accepted workflow.
    */
   @Test
   void newEntriesGoOnWhenAllHaveDied() throws IOException {
@@ -276,8 +275,8 @@
     for (long id : ids) {
       submit(WorkflowWorld.workflow(id, 2, 1));
     }
-    // More than there is room for at once, so that some are done.
-    world.await("some are done", () -> world.history().totalStarts() >= 20);
+    // More starts than there is capacity for at once, so some tasks are done.
+    world.await("some tasks are done", () -> world.history().totalStarts() >= 20);
     for (int i = 0; i < 2; i++) {
       RunningEntry killed = world.entry(0);
       world.kill(killed);
@@ -293,22 +292,20 @@
   }
 
   /**
-   * An entry can read nothing from the store any more. A caller asks it for a workflow that another
-   * entry may have taken meanwhile; it has to say that it cannot tell, since "unknown" means that
-   * the caller's work is lost.
+   * An entry cannot read the store any more. It must answer a query on a workflow that another entry
+   * may have accepted meanwhile with "cannot tell": "unknown" means that the workflow is lost.
    */
   @Test
   void anEntryThatReadsNothingCallsNoWorkflowUnknown() throws IOException {
     world.start(1, 0, 0);
     assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 221));
     world.entry(0).store().refuse(true);
-    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.CANNOT_TELL);
+    world.await("the entry answers that it cannot tell", () -> world.status(0, 221) == QueryResult.CANNOT_TELL);
   }
 
   /**
-   * A workflow ended long ago and is to be forgotten, but the store does not drop what the caller
-   * handed in. What is known of its end has to stay as well: a new owner that finds the one without
-   * the other takes it for new and runs it again.
+   * An ended workflow is evicted, but the store does not drop its submission. Its progress must be
+   * kept as well: a new owner would take a submission without progress as new and run it again.
    */
   @Test
   void whatIsHalfForgottenDoesNotRunAgain() throws IOException {
@@ -317,75 +314,75 @@
     world.awaitReady();
     world.store().refuseDrops();
     submit(WorkflowWorld.workflow(231, 2));
-    world.await("it was to be dropped", () -> world.store().dropsRefused() >= 1);
+    world.await("the drop was refused", () -> world.store().dropsRefused() >= 1);
     RunningEntry killed = world.entry(0);
     world.kill(killed);
     world.store().drop(killed.memberPrefix());
     world.addEntry();
-    world.await("the next one tells", () -> world.status(0, 231) == QueryResult.DONE);
+    world.await("the new entry reports it as done", () -> world.status(0, 231) == QueryResult.DONE);
     assertEquals(2, world.history().totalStarts());
   }
 
   /**
-   * An entry that lost its partitions while it was suspended wakes up, finds runs that it does not
-   * know on a VM, and orders to stop them. The side process has heard from its successor under a
-   * higher epoch and must not obey.
+   * An entry that lost its partitions while it was suspended resumes, finds unknown runs on a VM and
+   * sends stops. The side process must ignore them: it has received a higher epoch from the
+   * successor.
    */
   @Test
   void aFormerOwnerCannotStopWhatItsSuccessorRuns() throws IOException {
     world.start(1, 1, FOR_GOOD_MILLIS);
     submit(WorkflowWorld.workflow(241, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+    world.await("the task is running", () -> worker("vm-0").atWork().size() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
-      world.await("the side process knows it", () -> former.report().isPresent());
+      world.await("the side process has connected to the former owner", () -> former.report().isPresent());
       RunKey run = worker("vm-0").atWork().get(0);
       former.stop(run, WorkflowIds.partition(run.task().workflow(), WorkflowWorld.PARTITIONS));
       world.await(
-          "the side process has read the order",
+          "the side process has handled the stop",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
       assertEquals(List.of(run), worker("vm-0").atWork());
     }
   }
 
-  /** Guards against a task that runs again, since a former owner noted an end for its successor. */
+  /** An end that a former owner could acknowledge for its successor would make the task run again. */
   @Test
   void aFormerOwnerCannotNoteTheEndOfWhatItsSuccessorRan() throws IOException {
     world.start(1, 1, 1_000);
     submit(WorkflowWorld.workflow(242, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+    world.await("the task is running", () -> worker("vm-0").atWork().size() == 1);
     RunKey run = worker("vm-0").atWork().get(0);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    world.await("it has ended", () -> worker("vm-0").endsNotNoted() == 1);
+    world.await("the run has ended", () -> worker("vm-0").endsNotNoted() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
-      world.await("the side process knows it", () -> former.report().isPresent());
+      world.await("the side process has connected to the former owner", () -> former.report().isPresent());
       former.note(run, WorkflowIds.partition(run.task().workflow(), WorkflowWorld.PARTITIONS));
       world.await(
-          "the side process has read the note",
+          "the side process has handled the acknowledgement",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
       world.store().drop(former.member());
     }
     replaceOnlyEntry();
-    world.await("the next one tells", () -> world.status(0, 242) == QueryResult.DONE);
+    world.await("the new entry reports it as done", () -> world.status(0, 242) == QueryResult.DONE);
     assertEquals(1, world.history().totalStarts());
     assertEquals(List.of(), world.history().broken());
   }
 
-  /** Guards against a cancel without an answer, since its owner cannot make it durable. */
+  /** A cancel that its owner cannot make durable must be answered as well. */
   @Test
   void aCancelThatCannotBecomeDurableIsAnsweredThatNobodyCanTell() throws IOException {
     world.start(1, 1, FOR_GOOD_MILLIS);
     submit(WorkflowWorld.workflow(243, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+    world.await("the task is running", () -> worker("vm-0").atWork().size() == 1);
     world.entry(0).store().refuse(true);
-    CompletableFuture<QueryResult> told = world.entry(0).entry().query(243, "queue", true);
-    world.await("it is answered", told::isDone);
-    assertEquals(QueryResult.CANNOT_TELL, told.join());
+    CompletableFuture<QueryResult> cancel = world.entry(0).entry().query(243, "queue", true);
+    world.await("the cancel is answered", cancel::isDone);
+    assertEquals(QueryResult.CANNOT_TELL, cancel.join());
     world.entry(0).store().refuse(false);
-    world.await("it is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
+    world.await("the workflow is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
   }
 
   private void replaceOnlyEntry() throws IOException {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
@@ -28,22 +28,22 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Entries and side processes over real links, with a store and workers in memory. */
+/** A cluster of entries and side processes over real links, with an in-memory store and workers. */
 final class WorkflowWorld implements AutoCloseable {
   static final int PARTITIONS = 6;
 
-  /** A service that a queue sends tasks to and that no VM runs. */
+  /** A service that a queue is assigned to and that no VM runs. */
   static final String SERVICE_WITHOUT_VMS = "service-without-vms";
 
   private static final long LONGEST_LEASE_MILLIS = 4_000;
   private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(40);
   private static final long BEAT_MILLIS = 150;
 
-  /** An entry with what the test needs to take it down. */
+  /** A running entry. */
   record RunningEntry(
       WorkflowEntry entry, LinkLoop loop, String memberPrefix, RefusingStore store) {}
 
-  /** A side process with its worker. */
+  /** A running side process with its worker. */
   record RunningSide(String vm, WorkflowSide side, LinkLoop loop, FakeWorkerGateway worker) {}
 
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
@@ -59,7 +59,7 @@
     this(LONGEST_LEASE_MILLIS);
   }
 
-  /** Creates a world whose workers grant leases of this length at most. */
+  /** Creates a cluster with the given maximum duration of leases. */
   WorkflowWorld(long longestLeaseMillis) {
     this.lease = LeaseTermsOfWorker.forLongestLease(longestLeaseMillis);
   }
@@ -91,7 +91,7 @@
   /**
    * Starts an entry.
    *
-   * @param keepEndedMillis how long it tells the status of a workflow that has ended
+   * @param keepEndedMillis how long the entry retains the status of an ended workflow
    */
   RunningEntry addEntry(long keepEndedMillis) throws IOException {
     int port;
@@ -112,8 +112,7 @@
   }
 
   /**
-   * Returns a configuration in which one queue sends its tasks to the service, and another one to a
-   * service that no VM has.
+   * Returns a configuration with one queue for the service and one for a service without VMs.
    */
   static QueueTable configuration(long version, String service) {
     return new QueueTable(
@@ -128,9 +127,9 @@
   }
 
   /**
-   * Starts entries, and VMs called {@code vm-0} and so on, and waits until partitions have owners.
+   * Starts entries and VMs, named {@code vm-0} and so on, and waits until all partitions are owned.
    *
-   * @param runMillis how long each task works
+   * @param runMillis how long each task runs
    */
   void start(int entryCount, int vms, long runMillis) throws IOException {
     for (int i = 0; i < entryCount; i++) {
@@ -142,7 +141,7 @@
     awaitReady();
   }
 
-  /** Ends an entry as a kill does: without a word to anybody. */
+  /** Stops an entry as a kill does, without a clean leave. */
   void kill(RunningEntry entry) {
     entry.loop().close();
     entries.remove(entry);
@@ -160,16 +159,16 @@
     timer.scheduleAtFixedRate(() -> beat(vm), 1, BEAT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends a side process as a kill does and starts another one beside the same worker. */
+  /** Stops a side process as a kill does and starts another one for the same worker. */
   void restartSide(String vm) {
     RunningSide old = sides.get(vm);
     old.loop().close();
     startSide(vm, old.worker());
   }
 
-  /** Has the VM's worker say what it is doing, and waits until its side process has heard it. */
+  /** Sends a heartbeat of the VM's worker and waits until its side process has received it. */
   void heartbeat(String vm) {
-    assertTrue(beat(vm).join(), "the heartbeat was not taken");
+    assertTrue(beat(vm).join(), "the heartbeat was not accepted");
   }
 
   private synchronized CompletableFuture<Boolean> beat(String vm) {
@@ -200,7 +199,7 @@
     return workflow(id, Optional.empty(), nature, widths);
   }
 
-  /** Returns a workflow of a queue that wants placement advice. */
+  /** Returns a workflow of a queue that requires placement advice. */
   static WorkflowSpec advised(long id, int... widths) {
     AdviceTerms advice = new AdviceTerms(1, 1, 60_000);
     return workflow(id, Optional.of(advice), StepSpec.Nature.PLAIN, widths);
@@ -233,18 +232,22 @@
     return entries.get(entry).entry().query(id, "queue", false).join();
   }
 
-  /** Waits for the condition; fails after far longer than it can take. */
-  void await(String what, BooleanSupplier condition) {
-    long until = System.nanoTime() + PATIENCE_NANOS;
+  /**
+   * Waits for the condition; fails after a timeout.
+   *
+   * @param description the condition, for the message of the failure
+   */
+  void await(String description, BooleanSupplier condition) {
+    long deadline = System.nanoTime() + PATIENCE_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "not seen: " + what);
+      assertTrue(System.nanoTime() < deadline, "timed out waiting until " + description);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
   void awaitReady() {
     await(
-        "all entries know their partitions",
+        "all entries are ready and all partitions are owned",
         () ->
             entries.stream().allMatch(each -> each.entry().isReady())
                 && status(0, 1) == QueryResult.UNKNOWN_WORKFLOW);
