--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -415,7 +415,7 @@
     }
     for (OpenRun run : vms.crowded()) {
       if (isCheaplyMoved(run.task())) {
-        move(run, "too many interfering runs beside latency-sensitive tasks");
+        move(run, "too many interfering runs beside service tasks");
       }
     }
     moveSlowed(vms.slowedDownTo(SLOWED_PERCENT));
@@ -431,7 +431,7 @@
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
           isCheaplyStopped(task) ? chooseAmong(task, Urgency.ORDINARY, withoutServices) : Optional.empty();
-      if (better.isPresent() && move(run, "throttled beside latency-sensitive tasks")) {
+      if (better.isPresent() && move(run, "throttled beside service tasks")) {
         withoutServices.remove(better.get());
         withoutServices.add(after(better.get(), task));
       }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
@@ -305,7 +305,8 @@
     RunKey key = task.openRun();
     Place place = task.place().orElseThrow();
     Workflow workflow = task.workflow();
-    // Comes first: a run that stays open in its workflow is never ordered or acknowledged again.
+    // Comes first, in case a later step throws: a run that stays open in its workflow would never
+    // be ordered or acknowledged again.
     boolean ended = workflow.ended(key, outcome, checkpoint, wallMillis.getAsLong());
     openRuns.remove(place.vm(), key);
     knowledge.ended(run, place.vm(), outcome, loop.now());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetKnowledge.java
@@ -14,7 +14,7 @@
 
 /**
  * Statistics of the fleet, learned from reports: VMs on which runs fail, slow VMs, and the
- * interference of images with latency-sensitive tasks.
+ * interference of images with service tasks.
  *
  * <p>Not durable: a new owner learns it again. Confined to the loop's thread.
  */
@@ -83,7 +83,7 @@
     return harm.belief(image);
   }
 
-  /** Returns whether the task's image may interfere with latency-sensitive tasks. */
+  /** Returns whether the task's image may interfere with service tasks. */
   boolean isSuspect(WorkflowTask task) {
     return ImageHarm.isSuspect(harmOf(task.step().nature().image()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -130,7 +130,7 @@
     Sizes free = free();
     long bestEffort = report.getFillMilliProcessors();
     long interfering = report.getSuspectMilliProcessors();
-    int latencySensitive = report.getServing();
+    int serviceTasks = report.getServing();
     for (OpenRun run : open) {
       WorkflowTask task = run.task();
       if (!runs.containsKey(task.openRun())) {
@@ -138,7 +138,7 @@
         long declared = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
         bestEffort += declared;
         interfering += knowledge.isSuspect(task) ? declared : 0;
-        latencySensitive += task.step().nature().serves() ? 1 : 0;
+        serviceTasks += task.step().nature().serves() ? 1 : 0;
       }
     }
     return new VmOffer(
@@ -151,7 +151,7 @@
         bestEffort,
         interfering,
         report.getOvercommitMilliProcessors(),
-        latencySensitive,
+        serviceTasks,
         knowledge.slowness(vm(), now));
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
@@ -69,7 +69,7 @@
   }
 
   private static RunKey order(Workflow workflow) {
-    return workflow.order(workflow.tasks().get(0), new Place("vm-0", "life-1"));
+    return workflow.order(workflow.tasks().get(0), new Place("vm-0", "incarnation-1"));
   }
 
   /** An end that is acknowledged before its workflow has recorded it makes the task run again. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -90,7 +90,7 @@
     Workflow workflow = Workflow.of(WorkflowWorld.workflow(94, gang, 2));
     WorkflowTask member = workflow.tasks().get(0);
     for (int i = 0; i < 30; i++) {
-      workflow.orderGang(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
+      workflow.orderGang(member, Collections.nCopies(2, new Place("vm-0", "incarnation-1")));
       workflow
           .openTasks()
           .forEach(
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
@@ -36,7 +36,7 @@
     void awaitLease() {
       int before = leases.get();
       VmReport report =
-          VmReport.newBuilder().setVm("vm-0").setWorker("life-1").setWantsLease(true).build();
+          VmReport.newBuilder().setVm("vm-0").setWorker("incarnation-1").setWantsLease(true).build();
       LinkConnection connection = opened.join();
       world.await(
           "a lease is granted",
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
@@ -72,7 +72,7 @@
         null,
         VmReport.newBuilder()
             .setVm("vm-0")
-            .setWorker("life-1")
+            .setWorker("incarnation-1")
             .setService("service")
             .setMilliProcessors(4_000)
             .setMemoryMebibytes(8_192)
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
@@ -90,8 +90,8 @@
         "task-absent",
         71,
         " belief=open ",
-        " vm=vm-0 worker=life-1-vm-0 durable=true reported=started ",
-        " vm_worker=life-1-vm-0 vm_is=unhealthy ");
+        " vm=vm-0 worker=incarnation-1-vm-0 durable=true reported=started ",
+        " vm_worker=incarnation-1-vm-0 vm_is=unhealthy ");
   }
 
   /** The VM is gone. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
@@ -21,11 +21,11 @@
    */
   @Test
   void whatWaitsForOneLifeOfTheWorkerIsNotSentToTheNext() {
-    VmSession session = new VmSession(null, report("life-1"), 0);
+    VmSession session = new VmSession(null, report("incarnation-1"), 0);
     session.addStop(RUN);
-    session.take(report("life-1"), 1);
+    session.take(report("incarnation-1"), 1);
     assertTrue(session.hasPending());
-    session.take(report("life-2"), 2);
+    session.take(report("incarnation-2"), 2);
     assertFalse(session.hasPending());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -121,7 +121,7 @@
     world.start(1, 1, 800);
     submit(0, 41, 2);
     world.await("both tasks have started", () -> world.history().totalStarts() == 2);
-    world.side("vm-0").worker().crash("life-2");
+    world.side("vm-0").worker().crash("incarnation-2");
     awaitDone(41);
     assertEquals(4, world.history().totalStarts());
     assertNothingInTwoPlaces();
@@ -222,7 +222,7 @@
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(66, gang, members)).join());
     world.await("all tasks have started", () -> world.history().totalStarts() == members);
-    world.side("vm-0").worker().crash("life-2");
+    world.side("vm-0").worker().crash("incarnation-2");
     awaitDone(66);
     for (int index = 0; index < members; index++) {
       TaskKey member = new TaskKey(66, 0, 0, index);
@@ -247,9 +247,9 @@
     assertEquals(List.of(), world.side("vm-0").worker().tickets());
     assertEquals(List.of(), world.side("vm-2").worker().tickets());
     List<String> tickets = world.side("vm-1").worker().tickets();
-    assertEquals(Collections.nCopies(5, "ticket-for-life-1-vm-1"), tickets);
+    assertEquals(Collections.nCopies(5, "ticket-for-incarnation-1-vm-1"), tickets);
     assertEquals(List.of("67.0.0", "67.0.0", "67.0.0"), world.adviser().calls().subList(0, 3));
-    assertAdvisedOnce("67.0.0 life-1-vm-1", "67.0.1 life-1-vm-1");
+    assertAdvisedOnce("67.0.0 incarnation-1-vm-1", "67.0.1 incarnation-1-vm-1");
   }
 
   /**
@@ -266,7 +266,7 @@
     world.await("the adviser was called for the first VM", () -> world.adviser().calls().size() == 1);
     world.addSide("vm-1", 40);
     awaitDone(68);
-    assertEquals(List.of("68.0.0 life-1-vm-0", "68.0.0 life-1-vm-1"), world.adviser().answered());
+    assertEquals(List.of("68.0.0 incarnation-1-vm-0", "68.0.0 incarnation-1-vm-1"), world.adviser().answered());
   }
 
   private void assertAdvisedOnce(String... expected) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
@@ -148,7 +148,7 @@
   }
 
   void addSide(String vm, long runMillis) {
-    startSide(vm, new FakeWorkerGateway("life-1-" + vm, timer, history, runMillis));
+    startSide(vm, new FakeWorkerGateway("incarnation-1-" + vm, timer, history, runMillis));
   }
 
   private void startSide(String vm, FakeWorkerGateway worker) {
