--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
@@ -49,7 +49,7 @@
   private long notBefore = Long.MIN_VALUE;
 
   /**
-   * Creates a client without advice.
+   * Creates a client with an empty cache.
    *
    * @param answered runs on the loop after each call; waiting tasks may be placeable then
    */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
@@ -37,7 +37,7 @@
    * without a record in the partition may have been ordered by a later owner, so its end is
    * acknowledged only after an append has proven that there is no later owner.
    *
-   * @param partition the run's partition, which this process believes to own
+   * @param partition the run's partition, of which this process considers itself the owner
    * @param vm the VM that reports the end
    * @param acknowledgement sends the acknowledgement; runs on the loop
    */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
@@ -16,8 +16,8 @@
 import java.util.Optional;
 
 /**
- * A former owner of all partitions: side processes dial it, and it sends orders under an epoch lower
- * than any other. Safe for any thread.
+ * Simulates an entry that is a former owner of partitions: side processes dial it, and it sends
+ * orders under an epoch lower than any other. Safe for any thread.
  */
 final class FormerOwner implements LinkListener, AutoCloseable {
   private static final long FIRST_EPOCH = 1;
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -82,8 +82,8 @@
   }
 
   /**
-   * The store reassigns all partitions at once without notice. Both entries believe to be the owner
-   * for a while; only the one with the higher epoch may take decisions.
+   * The store reassigns all partitions at once without notice. Both entries consider themselves
+   * the owner for a while; only the one with the higher epoch may take decisions.
    */
   @Test
   void aFormerOwnerIsShutOutWhenPartitionsAreDealtAnew() throws IOException {
