--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryParameters.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 
 /**
  * Parameters of the deployment that an entry uses.
@@ -10,12 +10,13 @@
  * <p>Immutable. Rejects nulls.
  *
  * @param lease durations of worker leases
- * @param keepEndedMillis how long the status of an ended workflow is retained, in milliseconds
+ * @param endedRetentionMillis how long the status of an ended workflow is retained, in milliseconds
  * @param farRackFactor slowdown factor of a task that runs on another rack than its data
  */
-public record EntryTerms(LeaseTermsOfWorker lease, long keepEndedMillis, double farRackFactor) {
+public record EntryParameters(
+    WorkerLeaseTerms lease, long endedRetentionMillis, double farRackFactor) {
   /** Checks the components. */
-  public EntryTerms {
+  public EntryParameters {
     requireNonNull(lease, "lease");
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -30,28 +30,28 @@
  */
 final class EntryPeers {
   /** Timeout of a query, in nanoseconds. */
-  private static final long QUESTION_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long QUERY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   /** Age at which counts are dropped, in nanoseconds; their process is gone. */
-  private static final long COUNTS_NANOS = TimeUnit.SECONDS.toNanos(8);
+  private static final long COUNTS_TTL_NANOS = TimeUnit.SECONDS.toNanos(8);
 
-  private record Asked(LinkConnection connection, Consumer<QueryResult> told) {}
+  private record PendingQuery(LinkConnection connection, Consumer<QueryResult> onResult) {}
 
-  private record Counts(Map<String, Integer> waiting, long at) {}
+  private record PeerCounts(Map<String, Integer> waiting, long receivedAt) {}
 
   private final LinkLoop loop;
   private final EntryMember self;
   private final MemberLinks links;
-  private final Map<Long, Asked> asked = new HashMap<>();
-  private final Map<String, Counts> counts = new HashMap<>();
+  private final Map<Long, PendingQuery> pendingQueries = new HashMap<>();
+  private final Map<String, PeerCounts> counts = new HashMap<>();
   private final Map<Integer, String> ownersByPartition = new HashMap<>();
-  private OwnerMap map = OwnerMap.getDefaultInstance();
-  private long lastQuestion;
+  private OwnerMap ownerMap = OwnerMap.getDefaultInstance();
+  private long lastQueryId;
 
   EntryPeers(LinkLoop loop, EntryMember self) {
     this.loop = requireNonNull(loop, "loop");
     this.self = requireNonNull(self, "self");
-    this.links = new MemberLinks(loop, new FromLinks());
+    this.links = new MemberLinks(loop, new PeerLinkListener());
   }
 
   /**
@@ -61,14 +61,14 @@
    * generation has to be sent even if the owners are the same: side processes that know it ignore
    * the older map of an entry that cannot reach the store.
    */
-  boolean owners(long generation, Owners newOwners) {
-    if (generation < map.getGeneration()) {
+  boolean updateOwners(long generation, Owners newOwners) {
+    if (generation < ownerMap.getGeneration()) {
       return false;
     }
     Map<Integer, String> newMap = newOwners.byPartition();
     if (newMap.equals(ownersByPartition)) {
-      boolean isHigher = generation > map.getGeneration();
-      map = map.toBuilder().setGeneration(generation).build();
+      boolean isHigher = generation > ownerMap.getGeneration();
+      ownerMap = ownerMap.toBuilder().setGeneration(generation).build();
       return isHigher;
     }
     ownersByPartition.clear();
@@ -79,49 +79,50 @@
         (partition, member) ->
             builder.addOwners(
                 PartitionOwner.newBuilder().setPartition(partition).setMember(member)));
-    map = builder.build();
-    dialAll();
+    ownerMap = builder.build();
+    dialOwners();
     return true;
   }
 
   /** Returns the owner map to be sent to side processes. */
-  OwnerMap map() {
-    return map;
+  OwnerMap ownerMap() {
+    return ownerMap;
   }
 
   /** Returns the member that owns the partition, or empty if no owner is known. */
-  Optional<String> owner(int partition) {
+  Optional<String> ownerOf(int partition) {
     return Optional.ofNullable(ownersByPartition.get(partition));
   }
 
-  private void dialAll() {
+  private void dialOwners() {
     Set<String> members = new HashSet<>(ownersByPartition.values());
     members.remove(self.toString());
-    links.keep(members);
+    links.setMembers(members);
   }
 
   /**
    * Sends a query on a workflow to the owner of the partition.
    *
-   * @param onResult runs on the loop, once; {@link QueryResult#CANNOT_TELL} if the owner is unknown,
-   *     unreachable or does not answer in time
+   * @param onResult runs on the loop, once; {@link QueryResult#UNAVAILABLE} if the owner is
+   *     unknown, unreachable or does not answer in time
    */
-  void ask(int partition, WorkflowQuery workflowQuery, Consumer<QueryResult> onResult) {
-    LinkConnection connection = owner(partition).flatMap(links::to).orElse(null);
+  void query(int partition, WorkflowQuery workflowQuery, Consumer<QueryResult> onResult) {
+    LinkConnection connection = ownerOf(partition).flatMap(links::linkTo).orElse(null);
     if (connection == null) {
-      onResult.accept(QueryResult.CANNOT_TELL);
+      onResult.accept(QueryResult.UNAVAILABLE);
       return;
     }
-    long id = ++lastQuestion;
-    asked.put(id, new Asked(connection, onResult));
-    connection.send(Frame.newBuilder().setWorkflowQuery(workflowQuery.toBuilder().setId(id)).build());
-    loop.schedule(() -> answered(id, QueryResult.CANNOT_TELL), QUESTION_NANOS);
+    long id = ++lastQueryId;
+    pendingQueries.put(id, new PendingQuery(connection, onResult));
+    connection.send(
+        Frame.newBuilder().setWorkflowQuery(workflowQuery.toBuilder().setId(id)).build());
+    loop.schedule(() -> completeQuery(id, QueryResult.UNAVAILABLE), QUERY_TIMEOUT_NANOS);
   }
 
-  private void answered(long id, QueryResult result) {
-    Asked pending = asked.remove(id);
+  private void completeQuery(long id, QueryResult result) {
+    PendingQuery pending = pendingQueries.remove(id);
     if (pending != null) {
-      pending.told().accept(result);
+      pending.onResult().accept(result);
     }
   }
 
@@ -143,35 +144,35 @@
       connection.send(frame);
       connection.send(ping);
     }
-    counts.values().removeIf(count -> now - count.at() > COUNTS_NANOS);
-    dialAll();
+    counts.values().removeIf(count -> now - count.receivedAt() > COUNTS_TTL_NANOS);
+    dialOwners();
   }
 
   /** Replaces the counts of another entry. */
-  void counted(WaitingCounts received) {
+  void updateCounts(WaitingCounts received) {
     Map<String, Integer> waiting = new HashMap<>();
     received.getQueuesList().forEach(queue -> waiting.put(queue.getQueue(), queue.getWaiting()));
-    counts.put(received.getMember(), new Counts(waiting, loop.now()));
+    counts.put(received.getMember(), new PeerCounts(waiting, loop.now()));
   }
 
   /** Returns the number of workflows of the queue that wait at the other entries. */
-  int waitingElsewhere(String queue) {
+  int waitingAtPeers(String queue) {
     int sum = 0;
-    for (Counts count : counts.values()) {
+    for (PeerCounts count : counts.values()) {
       sum += count.waiting().getOrDefault(queue, 0);
     }
     return sum;
   }
 
   /** Handles frames and ends of the links to other entries. */
-  private final class FromLinks implements MemberLinks.Listener {
+  private final class PeerLinkListener implements MemberLinks.Listener {
     @Override
     public void opened(String member, LinkConnection link) {}
 
     @Override
     public void received(String member, Frame frame) {
       if (frame.hasWorkflowQueryAnswer()) {
-        answered(
+        completeQuery(
             frame.getWorkflowQueryAnswer().getId(),
             QueryResult.forNumber(frame.getWorkflowQueryAnswer().getResult()));
       }
@@ -179,9 +180,9 @@
 
     @Override
     public void closed(String member, LinkConnection link) {
-      for (Map.Entry<Long, Asked> each : Map.copyOf(asked).entrySet()) {
+      for (Map.Entry<Long, PendingQuery> each : Map.copyOf(pendingQueries).entrySet()) {
         if (each.getValue().connection() == link) {
-          answered(each.getKey(), QueryResult.CANNOT_TELL);
+          completeQuery(each.getKey(), QueryResult.UNAVAILABLE);
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -10,10 +10,10 @@
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.workflow.GangChooser;
 import io.marigoldsail.workflow.Place;
-import io.marigoldsail.workflow.PlacementWish;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.StepSpec;
+import io.marigoldsail.workflow.TaskPlacementRequest;
 import io.marigoldsail.workflow.Urgency;
 import io.marigoldsail.workflow.VmChooser;
 import io.marigoldsail.workflow.VmOffer;
@@ -43,54 +43,54 @@
   private static final EventLog LOG = EventLog.of(EntryScheduler.class);
 
   /** Backoff of a refused task, multiplied by its consecutive refusals. */
-  private static final long REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
+  private static final long REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /**
    * Backoff of a refused gang, multiplied by its consecutive refusals. Longer than that of a single
    * task because each refusal costs all other members a start and a stop. A report with the VM's
    * actual capacity arrives within this time.
    */
-  private static final long GANG_REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long GANG_REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   /** Backoff of a failed long-running task. */
-  private static final long FAILED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long FAILED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
    * Delay between a report of capacity and the scheduling pass that it causes, in nanoseconds.
    * Reports of many VMs arrive together, and one pass serves all of them.
    */
-  private static final long ROOM_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long CAPACITY_PASS_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-  private static final int MAX_WAIT_FACTOR = 20;
+  private static final int MAX_BACKOFF_FACTOR = 20;
 
   /**
-   * Longest backoff of a refused task or gang, in nanoseconds. Reports of free capacity do not end a
-   * backoff early, so a longer one would leave the task idle for seconds beside free capacity.
+   * Longest backoff of a refused task or gang, in nanoseconds. Reports of free capacity do not end
+   * a backoff early, so a longer one would leave the task idle for seconds beside free capacity.
    */
-  private static final long MAX_REFUSED_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+  private static final long MAX_REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
   /** Best-effort runs throttled to this share of their speed or less are moved, in percent. */
-  private static final int SLOWED_PERCENT = 25;
+  private static final int THROTTLED_PERCENT = 25;
 
   /** A run without checkpoints may be restarted up to this progress, in percent. */
-  private static final int CHEAP_PERCENT = 25;
+  private static final int CHEAP_RESTART_PERCENT = 25;
 
   private final LinkLoop loop;
   private final LongSupplier wallMillis;
-  private final Ownership ownership;
-  private final EntryVms vms;
+  private final PartitionOwnership ownership;
+  private final VmTracker vms;
   private final VmChooser chooser;
-  private final GangChooser gangs;
-  private final AdviceDesk advice;
+  private final GangChooser gangChooser;
+  private final PlacementAdviceClient adviceClient;
   private final Supplier<Optional<QueueTable>> configuration;
-  private boolean scheduled;
-  private boolean roomScheduled;
+  private boolean passScheduled;
+  private boolean capacityPassScheduled;
 
   EntryScheduler(
       LinkLoop loop,
       LongSupplier wallMillis,
-      Ownership ownership,
-      EntryVms vms,
+      PartitionOwnership ownership,
+      VmTracker vms,
       VmChooser chooser,
       PlacementAdviser adviser,
       Supplier<Optional<QueueTable>> configuration) {
@@ -99,58 +99,58 @@
     this.ownership = requireNonNull(ownership, "ownership");
     this.vms = requireNonNull(vms, "vms");
     this.chooser = requireNonNull(chooser, "chooser");
-    this.gangs = GangChooser.of(chooser);
-    this.advice = new AdviceDesk(loop, adviser, this::soon);
+    this.gangChooser = GangChooser.of(chooser);
+    this.adviceClient = new PlacementAdviceClient(loop, adviser, this::schedulePass);
     this.configuration = requireNonNull(configuration, "configuration");
   }
 
   /** Schedules a scheduling pass to run after the current task of the loop. */
-  void soon() {
-    if (!scheduled) {
-      scheduled = true;
+  void schedulePass() {
+    if (!passScheduled) {
+      passScheduled = true;
       loop.runLater(
           () -> {
-            scheduled = false;
-            run();
+            passScheduled = false;
+            runPass();
           });
     }
   }
 
   /** Schedules a delayed scheduling pass because the capacity of a VM may have changed. */
-  void roomChanged() {
-    if (!roomScheduled && !scheduled) {
-      roomScheduled = true;
+  void capacityChanged() {
+    if (!capacityPassScheduled && !passScheduled) {
+      capacityPassScheduled = true;
       loop.schedule(
           () -> {
-            roomScheduled = false;
-            soon();
+            capacityPassScheduled = false;
+            schedulePass();
           },
-          ROOM_WAIT_NANOS);
+          CAPACITY_PASS_DELAY_NANOS);
     }
   }
 
   /** Sets the backoff of the task of an ended run and schedules a pass. */
-  void ended(WorkflowTask task, RunOutcome outcome) {
+  void runEnded(WorkflowTask task, RunOutcome outcome) {
     if (outcome == RunOutcome.REFUSED) {
-      int factor = Math.min(task.refusals(), MAX_WAIT_FACTOR);
-      boolean gang = task.step().nature().gang();
-      long base = gang ? GANG_REFUSED_WAIT_NANOS : REFUSED_WAIT_NANOS;
-      task.waitUntil(loop.now() + Math.min(factor * base, MAX_REFUSED_WAIT_NANOS));
-    } else if (outcome == RunOutcome.FAILED && task.step().nature().lasting()) {
-      task.waitUntil(loop.now() + FAILED_WAIT_NANOS);
+      int factor = Math.min(task.refusals(), MAX_BACKOFF_FACTOR);
+      boolean gang = task.step().traits().gang();
+      long base = gang ? GANG_REFUSED_BACKOFF_NANOS : REFUSED_BACKOFF_NANOS;
+      task.deferUntil(loop.now() + Math.min(factor * base, MAX_REFUSED_BACKOFF_NANOS));
+    } else if (outcome == RunOutcome.FAILED && task.step().traits().longRunning()) {
+      task.deferUntil(loop.now() + FAILED_BACKOFF_NANOS);
     }
-    soon();
+    schedulePass();
   }
 
   /** A waiting task, or a waiting gang represented by its first member. */
-  private record Waiting(OwnedPartition partition, WorkflowTask task, Urgency urgency) {
+  private record WaitingTask(OwnedPartition partition, WorkflowTask task, Urgency urgency) {
     List<WorkflowTask> members() {
-      return task.step().nature().gang() ? task.workflow().gangOf(task) : List.of(task);
+      return task.step().traits().gang() ? task.workflow().gangMembers(task) : List.of(task);
     }
 
-    Waiting calmed() {
+    WaitingTask withoutStarvation() {
       boolean starved = urgency == Urgency.STARVED;
-      return starved ? new Waiting(partition, task, Urgency.ORDINARY) : this;
+      return starved ? new WaitingTask(partition, task, Urgency.ORDINARY) : this;
     }
   }
 
@@ -161,87 +161,93 @@
    * <p>Includes the service because workflows of several services may have equal steps: without it,
    * a full service would keep tasks of the others from being placed although there is capacity.
    *
-   * @param counted the step, present only if the number of its tasks per VM is limited
+   * @param countedStep the step, present only if the number of its tasks per VM is limited
    */
-  private record Need(String service, StepSpec step, Urgency urgency, Optional<StepKey> counted) {
-    static Need of(Waiting waiting) {
+  private record Requirements(
+      String service, StepSpec step, Urgency urgency, Optional<StepKey> countedStep) {
+    static Requirements of(WaitingTask waiting) {
       WorkflowTask task = waiting.task();
       boolean counts = task.step().placement().maxPerVm() > 0;
-      return new Need(
-          task.workflow().spec().terms().service(),
+      return new Requirements(
+          task.workflow().spec().policy().service(),
           task.step(),
           waiting.urgency(),
           counts ? Optional.of(StepKey.of(task.key())) : Optional.empty());
     }
   }
 
-  private void run() {
+  private void runPass() {
     Optional<QueueTable> queues = configuration.get();
     if (queues.isEmpty()) {
       return;
     }
-    List<Waiting> waiting = waiting(queues.get());
+    List<WaitingTask> waiting = waitingTasks(queues.get());
     if (waiting.isEmpty()) {
       return;
     }
     Map<String, VmOffer> offersByVm = new HashMap<>();
     vms.offers().forEach(offer -> offersByVm.put(offer.place().vm(), offer));
     // Free capacity only shrinks during a pass, so a failed placement fails for its whole rest.
-    Set<Need> unplaceable = new HashSet<>();
+    Set<Requirements> unplaceable = new HashSet<>();
     Set<Workflow> served = new HashSet<>();
-    boolean hasSpareCapacity = VmOffer.isRoomy(offersByVm.values());
-    for (Waiting candidate : waiting) {
+    boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offersByVm.values());
+    for (WaitingTask candidate : waiting) {
       WorkflowTask task = candidate.task();
       // A workflow with one running task no longer starves.
       boolean mayStarve = hasSpareCapacity && !served.contains(task.workflow());
-      Waiting each = mayStarve ? candidate : candidate.calmed();
-      Need need = Need.of(each);
+      WaitingTask each = mayStarve ? candidate : candidate.withoutStarvation();
+      Requirements need = Requirements.of(each);
       if (unplaceable.contains(need)) {
         continue;
       }
-      List<VmOffer> chosen = chooseAdvised(each, offersByVm.values());
+      List<VmOffer> chosen = chooseWithAdvice(each, offersByVm.values());
       if (chosen.isEmpty()) {
-        if (!isAdvised(task)) {
+        if (!needsAdvice(task)) {
           unplaceable.add(need);
         }
         continue;
       }
       chosen.forEach(
-          offer -> offersByVm.computeIfPresent(offer.place().vm(), (vm, left) -> after(left, task)));
+          offer ->
+              offersByVm.computeIfPresent(
+                  offer.place().vm(), (vm, left) -> offerAfter(left, task)));
       order(each, chosen.stream().map(VmOffer::place).toList());
       served.add(task.workflow());
     }
   }
 
-  private VmOffer after(VmOffer offer, WorkflowTask task) {
-    return offer.after(task.step(), vms.harmOf(task.step().nature().image()));
+  private VmOffer offerAfter(VmOffer offer, WorkflowTask task) {
+    return offer.afterPlacing(task.step(), vms.interferenceOf(task.step().traits().image()));
   }
 
-  private static boolean isAdvised(WorkflowTask task) {
-    return task.workflow().spec().terms().advice().isPresent();
+  private static boolean needsAdvice(WorkflowTask task) {
+    return task.workflow().spec().policy().advice().isPresent();
   }
 
   /**
    * Returns a VM for each member, or none. If the queue requires placement advice, only VMs that
    * the adviser allowed are used, and further VMs are requested when these have no capacity left.
    */
-  private List<VmOffer> chooseAdvised(Waiting waiting, Collection<VmOffer> offers) {
+  private List<VmOffer> chooseWithAdvice(WaitingTask waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
-    if (!isAdvised(task)) {
+    if (!needsAdvice(task)) {
       return choose(waiting, offers);
     }
-    List<VmOffer> chosen = choose(waiting, advice.allowed(task, offers));
+    List<VmOffer> chosen = choose(waiting, adviceClient.allowed(task, offers));
     if (chosen.isEmpty()) {
-      advice.ask(task, chooser.best(wish(task, waiting.urgency(), ""), offers, offers.size()));
+      adviceClient.request(
+          task,
+          chooser.rankedOffers(
+              placementRequest(task, waiting.urgency(), ""), offers, offers.size()));
     }
     return chosen;
   }
 
   /**
    * Returns a VM for each member, or none. VMs on which a member has failed are avoided where
-   * possible, since the VM may be the cause of the failure; see {@link VmChooser#isWorthLeaving}.
+   * possible, since the VM may be the cause of the failure; see {@link VmChooser#prefersOtherVm}.
    */
-  private List<VmOffer> choose(Waiting waiting, Collection<VmOffer> offers) {
+  private List<VmOffer> choose(WaitingTask waiting, Collection<VmOffer> offers) {
     List<WorkflowTask> members = waiting.members();
     List<VmOffer> withoutFailure =
         offers.stream()
@@ -257,7 +263,7 @@
     }
     StepSpec step = waiting.task().step();
     boolean avoid =
-        VmChooser.isWorthLeaving(
+        VmChooser.prefersOtherVm(
             step, elsewhere.stream().findFirst(), anywhere.stream().findFirst());
     return avoid ? elsewhere : anywhere;
   }
@@ -266,11 +272,12 @@
     return task.hasFailedOn(offer.place().vm());
   }
 
-  private List<VmOffer> chooseAmong(Waiting waiting, Collection<VmOffer> offers) {
+  private List<VmOffer> chooseAmong(WaitingTask waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
-    if (task.step().nature().gang()) {
-      PlacementWish wish = wish(task, waiting.urgency(), "");
-      Optional<ImmutableList<VmOffer>> all = gangs.choose(wish, waiting.members().size(), offers);
+    if (task.step().traits().gang()) {
+      TaskPlacementRequest wish = placementRequest(task, waiting.urgency(), "");
+      Optional<ImmutableList<VmOffer>> all =
+          gangChooser.choose(wish, waiting.members().size(), offers);
       return all.orElse(ImmutableList.of());
     }
     return chooseAmong(task, waiting.urgency(), offers).stream().toList();
@@ -280,35 +287,41 @@
       WorkflowTask task, Urgency urgency, Collection<VmOffer> offers) {
     String rack = task.step().placement().sameRack() ? vms.rackOfStep(task) : "";
     return chooser.choose(
-        wish(task, urgency, rack), offers, offer -> vms.ofStepOn(offer.place().vm(), task));
+        placementRequest(task, urgency, rack),
+        offers,
+        offer -> vms.openRunsOfStep(offer.place().vm(), task));
   }
 
-  private PlacementWish wish(WorkflowTask task, Urgency urgency, String siblingRack) {
-    double interference = vms.harmOf(task.step().nature().image());
-    return new PlacementWish(task.workflow().spec(), task.step(), interference, urgency, siblingRack);
+  private TaskPlacementRequest placementRequest(
+      WorkflowTask task, Urgency urgency, String siblingRack) {
+    double interference = vms.interferenceOf(task.step().traits().image());
+    return new TaskPlacementRequest(
+        task.workflow().spec(), task.step(), interference, urgency, siblingRack);
   }
 
-  private List<Waiting> waiting(QueueTable queues) {
+  private List<WaitingTask> waitingTasks(QueueTable queues) {
     long now = loop.now();
     long wallNow = wallMillis.getAsLong();
-    record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Ranked rank) {}
+    record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Rank rank) {}
     List<Candidate> candidates = new ArrayList<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.status().isTerminal() && queues.uses(workflow.spec().terms().service())) {
+        if (!workflow.status().isTerminal()
+            && queues.usesService(workflow.spec().policy().service())) {
           candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wallNow)));
         }
       }
     }
     candidates.sort(Comparator.comparing(Candidate::rank));
-    List<Waiting> waiting = new ArrayList<>();
+    List<WaitingTask> waiting = new ArrayList<>();
     for (Candidate candidate : candidates) {
       candidate
           .workflow()
           .forEachReady(
               wallNow,
               task -> {
-                Waiting each = new Waiting(candidate.partition(), task, candidate.rank().urgency());
+                WaitingTask each =
+                    new WaitingTask(candidate.partition(), task, candidate.rank().urgency());
                 if (isFirstOfGang(task) && isDue(each, now)) {
                   waiting.add(each);
                 }
@@ -322,72 +335,75 @@
    *
    * @param offers the VMs that may be given work now
    */
-  WaitCause causeOf(OwnedPartition partition, WorkflowTask task, Collection<VmOffer> offers) {
+  WaitCause waitCause(OwnedPartition partition, WorkflowTask task, Collection<VmOffer> offers) {
     Optional<QueueTable> queues = configuration.get();
     if (queues.isEmpty()) {
       return WaitCause.NO_CONFIGURATION;
     }
-    if (!queues.get().uses(task.workflow().spec().terms().service())) {
+    if (!queues.get().usesService(task.workflow().spec().policy().service())) {
       return WaitCause.SERVICE_UNUSED;
     }
     Urgency urgency = WaitingOrder.rank(task.workflow(), wallMillis.getAsLong()).urgency();
-    Waiting ranked = new Waiting(partition, task, urgency);
-    Waiting waiting = VmOffer.isRoomy(offers) ? ranked : ranked.calmed();
+    WaitingTask ranked = new WaitingTask(partition, task, urgency);
+    WaitingTask waiting = VmOffer.hasSpareCapacity(offers) ? ranked : ranked.withoutStarvation();
     if (!isDue(waiting, loop.now())) {
-      return WaitCause.WAITS;
+      return WaitCause.BACKING_OFF;
     }
     if (offers.isEmpty()) {
       return WaitCause.NO_VM_OFFERED;
     }
     if (choose(waiting, offers).isEmpty()) {
-      return WaitCause.NONE_ADMITS;
+      return WaitCause.NO_VM_ADMITS;
     }
-    boolean unadvised = isAdvised(task) && choose(waiting, advice.allowed(task, offers)).isEmpty();
-    return unadvised ? WaitCause.UNADVISED : WaitCause.ADMITTED;
+    boolean unadvised =
+        needsAdvice(task) && choose(waiting, adviceClient.allowed(task, offers)).isEmpty();
+    return unadvised ? WaitCause.NOT_ADVISED : WaitCause.ADMITTED;
   }
 
   /** Returns how many of the offers give which verdict on a ready task, as a text for logs. */
-  String verdictsOn(WorkflowTask task, Collection<VmOffer> offers) {
+  String verdictCounts(WorkflowTask task, Collection<VmOffer> offers) {
     Urgency urgency = WaitingOrder.rank(task.workflow(), wallMillis.getAsLong()).urgency();
     Multiset<VmChooser.Verdict> verdicts = EnumMultiset.create(VmChooser.Verdict.class);
     for (VmOffer offer : offers) {
       verdicts.add(
           VmChooser.verdict(
-              wish(task, urgency, ""), offer, each -> vms.ofStepOn(each.place().vm(), task)));
+              placementRequest(task, urgency, ""),
+              offer,
+              each -> vms.openRunsOfStep(each.place().vm(), task)));
     }
-    return Tallies.text(verdicts);
+    return CountFormat.format(verdicts);
   }
 
   private static boolean isFirstOfGang(WorkflowTask task) {
-    return !task.step().nature().gang() || task.key().index() == 0;
+    return !task.step().traits().gang() || task.key().index() == 0;
   }
 
-  private static boolean isDue(Waiting waiting, long now) {
+  private static boolean isDue(WaitingTask waiting, long now) {
     return waiting.members().stream().allMatch(task -> task.notBefore() <= now);
   }
 
-  private void order(Waiting waiting, List<Place> places) {
+  private void order(WaitingTask waiting, List<Place> places) {
     WorkflowTask first = waiting.task();
     Workflow workflow = first.workflow();
-    if (first.step().nature().gang()) {
-      workflow.orderGang(first, places);
+    if (first.step().traits().gang()) {
+      workflow.startGangAttempt(first, places);
     } else {
-      workflow.order(first, places.get(0));
+      workflow.startAttempt(first, places.get(0));
     }
-    waiting.members().forEach(task -> tellOrdered(waiting, task));
-    vms.ordered(
+    waiting.members().forEach(task -> logOrdered(waiting, task));
+    vms.addOrdered(
         waiting.partition(),
-        waiting.members().stream().map(task -> decided(waiting, task)).toList());
+        waiting.members().stream().map(task -> newRun(waiting, task)).toList());
   }
 
-  private OpenRun decided(Waiting waiting, WorkflowTask task) {
+  private OpenRun newRun(WaitingTask waiting, WorkflowTask task) {
     String worker = task.place().orElseThrow().worker();
-    String ticket = isAdvised(task) ? advice.ticket(task, worker) : "";
+    String ticket = needsAdvice(task) ? adviceClient.ticket(task, worker) : "";
     boolean starved = waiting.urgency() == Urgency.STARVED;
     return OpenRun.decided(waiting.partition(), task, loop.now(), starved, ticket);
   }
 
-  private void tellOrdered(Waiting waiting, WorkflowTask task) {
+  private void logOrdered(WaitingTask waiting, WorkflowTask task) {
     Workflow workflow = task.workflow();
     Place place = task.place().orElseThrow();
     LOG.info(
@@ -405,54 +421,56 @@
    * Moves runs off VMs whose workers drain, that have too many interfering runs beside services, or
    * on which the runs are throttled; runs whose restart would lose too much work stay.
    */
-  void evacuate() {
-    for (OpenRun run : vms.onDrainingVms()) {
+  void evacuateRuns() {
+    for (OpenRun run : vms.runsOnDrainingVms()) {
       boolean movable =
-          run.task().step().nature().lasting() || run.task().step().nature().checkpointable();
+          run.task().step().traits().longRunning() || run.task().step().traits().checkpointable();
       if (movable) {
         move(run, "worker is draining");
       }
     }
-    for (OpenRun run : vms.crowded()) {
-      if (isCheaplyMoved(run.task())) {
+    for (OpenRun run : vms.excessRuns()) {
+      if (isCheapToMove(run.task())) {
         move(run, "too many interfering runs beside service tasks");
       }
     }
-    moveSlowed(vms.slowedDownTo(SLOWED_PERCENT));
+    moveThrottled(vms.runsThrottledTo(THROTTLED_PERCENT));
   }
 
-  private void moveSlowed(List<OpenRun> slowed) {
+  private void moveThrottled(List<OpenRun> slowed) {
     if (slowed.isEmpty()) {
       return;
     }
     List<VmOffer> withoutServices = new ArrayList<>();
-    vms.offers().stream().filter(offer -> offer.serving() == 0).forEach(withoutServices::add);
+    vms.offers().stream().filter(offer -> offer.serviceTasks() == 0).forEach(withoutServices::add);
     for (OpenRun run : slowed) {
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
-          isCheaplyStopped(task) ? chooseAmong(task, Urgency.ORDINARY, withoutServices) : Optional.empty();
+          isCheapToStop(task)
+              ? chooseAmong(task, Urgency.ORDINARY, withoutServices)
+              : Optional.empty();
       if (better.isPresent() && move(run, "throttled beside service tasks")) {
         withoutServices.remove(better.get());
-        withoutServices.add(after(better.get(), task));
+        withoutServices.add(offerAfter(better.get(), task));
       }
     }
   }
 
   /** Returns false also for the only run of a workflow, which would make no progress without it. */
-  private static boolean isCheaplyMoved(WorkflowTask task) {
-    return task.workflow().openTasks().size() > 1 && isCheaplyStopped(task);
+  private static boolean isCheapToMove(WorkflowTask task) {
+    return task.workflow().openTasks().size() > 1 && isCheapToStop(task);
   }
 
-  private static boolean isCheaplyStopped(WorkflowTask task) {
-    return task.step().nature().checkpointable() || task.percent() <= CHEAP_PERCENT;
+  private static boolean isCheapToStop(WorkflowTask task) {
+    return task.step().traits().checkpointable() || task.percent() <= CHEAP_RESTART_PERCENT;
   }
 
   private boolean move(OpenRun run, String reason) {
     WorkflowTask task = run.task();
-    if (!run.isDurable() || !task.isStarted() || run.isUnwanted()) {
+    if (!run.isDurable() || !task.isStarted() || run.shouldStop()) {
       return false;
     }
-    task.wantStop();
+    task.requestStop();
     LOG.info(LogLine.of("run-moved").with("run", task.openRun()).with("reason", reason));
     vms.stopUnwanted(task.workflow());
     return true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -9,11 +9,11 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.protocol.RunReport;
-import io.marigoldsail.workflow.AbsenceWatch;
-import io.marigoldsail.workflow.AbsenceWatch.Absence;
-import io.marigoldsail.workflow.AbsenceWatch.Look;
-import io.marigoldsail.workflow.AbsenceWatch.Return;
-import io.marigoldsail.workflow.AbsenceWatch.Sight;
+import io.marigoldsail.workflow.AbsenceDetector;
+import io.marigoldsail.workflow.AbsenceDetector.Absence;
+import io.marigoldsail.workflow.AbsenceDetector.CheckResult;
+import io.marigoldsail.workflow.AbsenceDetector.Observation;
+import io.marigoldsail.workflow.AbsenceDetector.Recovery;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.VmOffer;
 import io.marigoldsail.workflow.Workflow;
@@ -28,37 +28,37 @@
  * Logs long-running tasks of the owned partitions that no report shows as running, with the state
  * that this owner has recorded for each.
  *
- * <p>A task counts as running if a report shows its open attempt as started and not stopping, on the
- * worker that it was ordered on, while that worker answers its side process: a side process keeps
- * listing the runs of a worker that is gone. Every {@link #SUMMARY_NANOS} the owned partitions are
- * logged as well, which makes a task visible that no owner logs.
+ * <p>A task counts as running if a report shows its open attempt as started and not stopping, on
+ * the worker that it was ordered on, while that worker answers its side process: a side process
+ * keeps listing the runs of a worker that is gone. Every {@link #SUMMARY_INTERVAL_NANOS} the owned
+ * partitions are logged as well, which makes a task visible that no owner logs.
  *
  * <p>Takes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
  * the number of tasks of running workflows.
  */
-final class TaskWatch {
-  private static final EventLog LOG = EventLog.of(TaskWatch.class);
+final class LongRunningTaskMonitor {
+  private static final EventLog LOG = EventLog.of(LongRunningTaskMonitor.class);
 
   /**
-   * Interval of summary lines, in nanoseconds; {@link AbsenceWatch#REPEAT_NANOS} while more tasks
-   * are absent than are logged.
+   * Interval of summary lines, in nanoseconds; {@link AbsenceDetector#REPEAT_NANOS} while more
+   * tasks are absent than are logged.
    */
-  static final long SUMMARY_NANOS = TimeUnit.SECONDS.toNanos(10);
+  static final long SUMMARY_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final LinkLoop loop;
   private final LongSupplier wallMillis;
-  private final Ownership ownership;
-  private final EntryVms vms;
+  private final PartitionOwnership ownership;
+  private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final AbsenceWatch watch = new AbsenceWatch();
+  private final AbsenceDetector watch = new AbsenceDetector();
   private long summaryAt = Long.MIN_VALUE;
-  private long returnsLeftOut;
+  private long unreportedRecoveries;
 
-  TaskWatch(
+  LongRunningTaskMonitor(
       LinkLoop loop,
       LongSupplier wallMillis,
-      Ownership ownership,
-      EntryVms vms,
+      PartitionOwnership ownership,
+      VmTracker vms,
       EntryScheduler scheduler) {
     this.loop = requireNonNull(loop, "loop");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
@@ -68,32 +68,32 @@
   }
 
   /** Checks all long-running tasks once; to be called about every second. */
-  void look() {
-    Look look = watch.look(sights(), loop.now());
-    look.returns().forEach(this::tellBack);
+  void check() {
+    CheckResult look = watch.check(observations(), loop.now());
+    look.recoveries().forEach(this::logRecovery);
     if (!look.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
-      String availability = standings();
-      look.absences().forEach(absence -> tellAbsent(absence, offers, availability));
+      String availability = availabilityCounts();
+      look.absences().forEach(absence -> logAbsent(absence, offers, availability));
     }
-    returnsLeftOut += look.returnsLeftOut();
-    summarize(look);
+    unreportedRecoveries += look.omittedRecoveries();
+    logSummary(look);
   }
 
-  private ImmutableList<Sight> sights() {
-    ImmutableList.Builder<Sight> sights = ImmutableList.builder();
+  private ImmutableList<Observation> observations() {
+    ImmutableList.Builder<Observation> sights = ImmutableList.builder();
     long wall = wallMillis.getAsLong();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.status().isTerminal() && lasts(workflow)) {
+        if (!workflow.status().isTerminal() && isLongRunning(workflow)) {
           workflow.openTasks().stream()
-              .filter(TaskWatch::lasts)
-              .forEach(task -> sights.add(sight(task)));
+              .filter(LongRunningTaskMonitor::isLongRunning)
+              .forEach(task -> sights.add(observe(task)));
           workflow.forEachReady(
               wall,
               task -> {
-                if (lasts(task)) {
-                  sights.add(new Sight(task, OptionalLong.empty(), OptionalLong.empty()));
+                if (isLongRunning(task)) {
+                  sights.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
@@ -102,30 +102,30 @@
     return sights.build();
   }
 
-  private static boolean lasts(Workflow workflow) {
-    return workflow.spec().steps().stream().anyMatch(step -> step.nature().lasting());
+  private static boolean isLongRunning(Workflow workflow) {
+    return workflow.spec().steps().stream().anyMatch(step -> step.traits().longRunning());
   }
 
-  private static boolean lasts(WorkflowTask task) {
-    return task.step().nature().lasting();
+  private static boolean isLongRunning(WorkflowTask task) {
+    return task.step().traits().longRunning();
   }
 
-  private Sight sight(WorkflowTask task) {
+  private Observation observe(WorkflowTask task) {
     Place place = task.place().orElseThrow();
     Optional<VmSession> session = vms.view().session(place.vm());
     Optional<RunReport> report = session.flatMap(each -> each.run(task.openRun()));
     if (report.isEmpty()) {
-      return new Sight(task, OptionalLong.empty(), OptionalLong.empty());
+      return new Observation(task, OptionalLong.empty(), OptionalLong.empty());
     }
     OptionalLong reportedAt = OptionalLong.of(session.get().reportedAt());
     // Runs of unknown size make a VM unhealthy to other owners although its worker listed them.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
     boolean answers = listed && session.get().report().getWorker().equals(place.worker());
     boolean running = answers && report.get().getStarted() && !report.get().getStopping();
-    return new Sight(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
+    return new Observation(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
   }
 
-  private void tellAbsent(Absence absence, List<VmOffer> offers, String availability) {
+  private void logAbsent(Absence absence, List<VmOffer> offers, String availability) {
     WorkflowTask task = absence.task();
     long now = loop.now();
     LogLine line =
@@ -138,11 +138,11 @@
     Optional<Place> place = task.place();
     LOG.info(
         place.isPresent()
-            ? withOpenRun(line, task, place.get())
-            : withWait(line, task, offers, availability));
+            ? addOpenRun(line, task, place.get())
+            : addWait(line, task, offers, availability));
   }
 
-  private LogLine withOpenRun(LogLine line, WorkflowTask task, Place place) {
+  private LogLine addOpenRun(LogLine line, WorkflowTask task, Place place) {
     Optional<VmSession> session = vms.view().session(place.vm());
     boolean durable = vms.view().openRun(task).map(OpenRun::isDurable).orElse(false);
     return line.with("belief", "open")
@@ -150,18 +150,21 @@
         .with("vm", place.vm())
         .with("worker", place.worker())
         .with("durable", durable)
-        .with("reported", reported(session.flatMap(each -> each.run(task.openRun()))))
-        .with("stop_wanted", task.isStopWanted())
+        .with("reported", reportedState(session.flatMap(each -> each.run(task.openRun()))))
+        .with("stop_wanted", task.isStopRequested())
         .with("vm_worker", session.map(each -> each.report().getWorker()).orElse(""))
         .with(
             "vm_is",
-            session.map(vms.view()::standing).map(VmStanding::toString).orElse("disconnected"))
+            session
+                .map(vms.view()::availability)
+                .map(VmAvailability::toString)
+                .orElse("disconnected"))
         .with(
             "vm_report_ms",
             age(session.map(VmSession::reportedAt).map(OptionalLong::of).orElse(noTime())));
   }
 
-  private static String reported(Optional<RunReport> run) {
+  private static String reportedState(Optional<RunReport> run) {
     if (run.isEmpty()) {
       return "not";
     }
@@ -171,11 +174,11 @@
     return run.get().getStarted() ? "started" : "ordered";
   }
 
-  private LogLine withWait(
+  private LogLine addWait(
       LogLine line, WorkflowTask task, List<VmOffer> offers, String availability) {
     return line.with("belief", "ready")
-        .with("reason", scheduler.causeOf(partitionOf(task), task, offers))
-        .with("offers", scheduler.verdictsOn(task, offers))
+        .with("reason", scheduler.waitCause(partitionOf(task), task, offers))
+        .with("offers", scheduler.verdictCounts(task, offers))
         .with("vms", availability)
         .with("attempts", task.lastAttempt())
         .with("refusals", task.refusals());
@@ -197,24 +200,25 @@
   }
 
   /** Returns the number of connected VMs by availability, such as {@code 3 offered, 1 rests}. */
-  private String standings() {
-    Multiset<VmStanding> counts = EnumMultiset.create(VmStanding.class);
-    vms.view().sessions().forEach(each -> counts.add(vms.view().standing(each)));
-    return Tallies.text(counts);
+  private String availabilityCounts() {
+    Multiset<VmAvailability> counts = EnumMultiset.create(VmAvailability.class);
+    vms.view().sessions().forEach(each -> counts.add(vms.view().availability(each)));
+    return CountFormat.format(counts);
   }
 
-  private void tellBack(Return back) {
+  private void logRecovery(Recovery back) {
     WorkflowTask task = back.task();
     LOG.info(
         LogLine.of("task-back")
             .with("task", task.key())
-            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.awayNanos()))
+            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.absentNanos()))
             .with("run", task.openRun())
             .with("vm", task.place().orElseThrow().vm()));
   }
 
-  private void summarize(Look look) {
-    long interval = look.absencesLeftOut() > 0 ? AbsenceWatch.REPEAT_NANOS : SUMMARY_NANOS;
+  private void logSummary(CheckResult look) {
+    long interval =
+        look.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
     if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < interval) {
       return;
     }
@@ -222,11 +226,11 @@
     List<Integer> partitions = ownership.active().stream().map(OwnedPartition::number).toList();
     LOG.info(
         LogLine.of("tasks-watched")
-            .with("lasting", look.lasting())
-            .with("absent", look.away())
-            .with("untold", look.absencesLeftOut())
-            .with("back_untold", returnsLeftOut)
+            .with("lasting", look.longRunning())
+            .with("absent", look.absent())
+            .with("untold", look.omittedAbsences())
+            .with("back_untold", unreportedRecoveries)
             .with("partitions", partitions));
-    returnsLeftOut = 0;
+    unreportedRecoveries = 0;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -26,7 +26,7 @@
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
 
   /** Time without an answer after which a connection is closed, in nanoseconds. */
-  private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
+  private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
   /** Notified of connections and frames; runs on the loop. */
   interface Listener {
@@ -51,7 +51,7 @@
   }
 
   /** Returns the connection to the member, or empty if there is no open one. */
-  Optional<LinkConnection> to(String member) {
+  Optional<LinkConnection> linkTo(String member) {
     return Optional.ofNullable(links.get(member));
   }
 
@@ -65,7 +65,7 @@
     long now = loop.now();
     ImmutableSet.Builder<LinkConnection> alive = ImmutableSet.builder();
     for (LinkConnection link : Set.copyOf(links.values())) {
-      if (link.unansweredNanos(now) > SILENCE_NANOS) {
+      if (link.unansweredNanos(now) > SILENCE_TIMEOUT_NANOS) {
         link.close("silent");
       } else {
         alive.add(link);
@@ -75,7 +75,7 @@
   }
 
   /** Dials the given members that are not connected and closes the connections to all others. */
-  void keep(Set<String> members) {
+  void setMembers(Set<String> members) {
     for (String member : members) {
       EntryMember.parse(member).ifPresent(parsed -> dial(member, parsed));
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -14,9 +14,9 @@
   private final boolean starved;
   private final String ticket;
   private boolean durable;
-  private VmSession toldSession;
-  private long toldNumber;
-  private long stopToldAt = Long.MIN_VALUE;
+  private VmSession orderSession;
+  private long orderFrameNumber;
+  private long stopSentAt = Long.MIN_VALUE;
   private long startedAt = Long.MIN_VALUE;
   private long sampledAt = Long.MIN_VALUE;
 
@@ -76,7 +76,7 @@
     return durable;
   }
 
-  void becameDurable() {
+  void markDurable() {
     durable = true;
   }
 
@@ -86,13 +86,13 @@
    *
    * @param ordersSeen the number of the last frame of orders that the side process has handled
    */
-  boolean isUnansweredBy(VmSession session, long ordersSeen) {
-    return toldSession != session || toldNumber <= ordersSeen;
+  boolean isOrderHandled(VmSession session, long ordersSeen) {
+    return orderSession != session || orderFrameNumber <= ordersSeen;
   }
 
-  void told(VmSession session, long number) {
-    toldSession = session;
-    toldNumber = number;
+  void orderSent(VmSession session, long number) {
+    orderSession = session;
+    orderFrameNumber = number;
   }
 
   /**
@@ -100,11 +100,11 @@
    *
    * @param repeatNanos minimum interval between two stops
    */
-  boolean mayTellStop(long now, long repeatNanos) {
-    if (stopToldAt != Long.MIN_VALUE && now - stopToldAt < repeatNanos) {
+  boolean tryStartStop(long now, long repeatNanos) {
+    if (stopSentAt != Long.MIN_VALUE && now - stopSentAt < repeatNanos) {
       return false;
     }
-    stopToldAt = now;
+    stopSentAt = now;
     return true;
   }
 
@@ -113,7 +113,7 @@
    *
    * @param spacingNanos minimum interval between two samples
    */
-  boolean started(long now, long spacingNanos) {
+  boolean recordRunning(long now, long spacingNanos) {
     if (startedAt == Long.MIN_VALUE) {
       startedAt = now;
       sampledAt = now;
@@ -127,12 +127,12 @@
   }
 
   /** Returns the time since a report first showed the run as started, in nanoseconds; 0 before. */
-  long ranNanos(long now) {
+  long runningNanos(long now) {
     return startedAt == Long.MIN_VALUE ? 0 : now - startedAt;
   }
 
   /** Returns whether the run should be stopped although it is the task's open attempt. */
-  boolean isUnwanted() {
-    return task.isStopWanted() || task.workflow().status().isTerminal();
+  boolean shouldStop() {
+    return task.isStopRequested() || task.workflow().status().isTerminal();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns a snapshot of the runs on a VM, in the order in which they were added. */
-  List<OpenRun> on(String vm) {
+  List<OpenRun> onVm(String vm) {
     return List.copyOf(byVm.getOrDefault(vm, Map.of()).values());
   }
 
@@ -43,25 +43,25 @@
   }
 
   /** Removes the runs of a partition that another process owns. */
-  void removeAll(OwnedPartition partition) {
-    all().forEach(runs -> runs.values().removeIf(run -> run.partition() == partition));
+  void removePartition(OwnedPartition partition) {
+    runMaps().forEach(runs -> runs.values().removeIf(run -> run.partition() == partition));
   }
 
   /** Removes the runs of the workflow whose tasks are no longer open. */
   void removeEnded(Workflow workflow) {
-    all()
+    runMaps()
         .forEach(
             runs ->
                 runs.values()
                     .removeIf(run -> run.task().workflow() == workflow && !run.task().isOpen()));
   }
 
-  private Collection<Map<RunKey, OpenRun>> all() {
+  private Collection<Map<RunKey, OpenRun>> runMaps() {
     return byVm.values();
   }
 
   /** Returns the number of runs of the task's step and occurrence on the VM. */
-  int ofStepOn(String vm, WorkflowTask task) {
+  int countOfStep(String vm, WorkflowTask task) {
     int count = 0;
     for (RunKey key : byVm.getOrDefault(vm, Map.of()).keySet()) {
       if (key.task().workflow() == task.key().workflow()
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
@@ -10,11 +10,11 @@
 import io.marigoldsail.daemon.workflow.WorkflowStore.KeyedRecord;
 import io.marigoldsail.daemon.workflow.WorkflowStore.NewestPage;
 import io.marigoldsail.daemon.workflow.WorkflowStore.NewestResult;
-import io.marigoldsail.daemon.workflow.WorkflowStore.NoPage;
+import io.marigoldsail.daemon.workflow.WorkflowStore.NewestUnavailable;
+import io.marigoldsail.daemon.workflow.WorkflowStore.ReadFailed;
 import io.marigoldsail.daemon.workflow.WorkflowStore.ReadResult;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Records;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Topic;
-import io.marigoldsail.daemon.workflow.WorkflowStore.Unreadable;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import io.marigoldsail.workflow.WorkflowRecordState;
@@ -42,16 +42,16 @@
  */
 final class OwnedPartition {
   private static final EventLog LOG = EventLog.of(OwnedPartition.class);
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   /** How long a read of submissions waits for a record, in milliseconds. */
   private static final long TAIL_WAIT_MILLIS = 1_500;
 
   /**
-   * Maximum age of the last successful read, in nanoseconds, at which this process may report that a
-   * workflow does not exist; slightly longer than a read waits.
+   * Maximum age of the last successful read, in nanoseconds, at which this process may report that
+   * a workflow does not exist; slightly longer than a read waits.
    */
-  private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(TAIL_WAIT_MILLIS + 700);
+  private static final long CAUGHT_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(TAIL_WAIT_MILLIS + 700);
 
   /** Notified of changes of the partition; runs on the loop. */
   interface Listener {
@@ -71,26 +71,26 @@
   private final Listener listener;
   private final PartitionWriter writer;
   private final Map<Long, Workflow> workflows = new HashMap<>();
-  private final Map<Long, WorkflowRecordState> progress = new HashMap<>();
+  private final Map<Long, WorkflowRecordState> unclaimedProgress = new HashMap<>();
 
   /**
    * Workflows that could not be restored from their records. They are not restored when read again:
    * their progress is no longer in memory, so they would start over and reuse attempt numbers that
    * were already ordered.
    */
-  private final Set<Long> untaken = new HashSet<>();
+  private final Set<Long> failedRestores = new HashSet<>();
 
   private boolean active;
   private boolean closed;
-  private long tailFrom;
-  private long tailFreshAt = Long.MIN_VALUE;
+  private long tailOffset;
+  private long lastTailAt = Long.MIN_VALUE;
 
   OwnedPartition(WorkflowStore store, LinkLoop loop, int number, long epoch, Listener listener) {
     this.store = requireNonNull(store, "store");
     this.loop = requireNonNull(loop, "loop");
     this.number = number;
     this.listener = requireNonNull(listener, "listener");
-    this.writer = new PartitionWriter(store, loop, number, epoch, this::lost);
+    this.writer = new PartitionWriter(store, loop, number, epoch, this::handleLost);
   }
 
   /** Starts loading; the listener is notified once the partition is active. */
@@ -105,7 +105,7 @@
     writer.close();
   }
 
-  private void lost() {
+  private void handleLost() {
     close();
     listener.lost(this);
   }
@@ -134,25 +134,25 @@
     return Optional.ofNullable(workflows.get(id));
   }
 
-  /** Returns whether all submissions accepted more than {@link #FRESH_NANOS} ago are known. */
-  boolean isFresh() {
-    return active && loop.now() - tailFreshAt < FRESH_NANOS;
+  /** Returns whether all submissions accepted more than {@link #CAUGHT_UP_NANOS} ago are known. */
+  boolean isCaughtUp() {
+    return active && loop.now() - lastTailAt < CAUGHT_UP_NANOS;
   }
 
   /** Writes the workflow's state; callers see the new status once it is durable. */
-  void changed(Workflow workflow) {
+  void persist(Workflow workflow) {
     WorkflowStatus[] written = new WorkflowStatus[1];
     writer.write(
         WorkflowIds.format(workflow.spec().id()),
         () -> {
           written[0] = workflow.status();
-          return WorkflowRecords.encode(workflow.record());
+          return WorkflowCodec.encode(workflow.record());
         },
-        () -> workflow.show(written[0]));
+        () -> workflow.setDurableStatus(written[0]));
   }
 
   /** Removes an ended workflow from memory and from the store. */
-  void forget(Workflow workflow) {
+  void evict(Workflow workflow) {
     String key = WorkflowIds.format(workflow.spec().id());
     KeyedRecord drop = new KeyedRecord(key, ByteString.EMPTY);
     // The submission is dropped first: a submission without progress would run again as a new one.
@@ -177,9 +177,9 @@
         Topic.PROGRESS,
         after,
         page -> {
-          page.records().forEach(this::takeProgress);
-          if (page.more().isPresent()) {
-            readProgress(page.more());
+          page.records().forEach(this::loadProgress);
+          if (page.continueAfter().isPresent()) {
+            readProgress(page.continueAfter());
           } else {
             readSubmissions(Optional.empty(), this::activate);
           }
@@ -194,11 +194,11 @@
         page -> {
           if (after.isEmpty()) {
             // Pages are no snapshot: records written while the pages are read are tailed from here.
-            tailFrom = page.end();
+            tailOffset = page.endOffset();
           }
-          page.records().forEach(this::takeOrPassOver);
-          if (page.more().isPresent()) {
-            readSubmissions(page.more(), onComplete);
+          page.records().forEach(this::addOrSkip);
+          if (page.continueAfter().isPresent()) {
+            readSubmissions(page.continueAfter(), onComplete);
           } else {
             onComplete.run();
           }
@@ -210,11 +210,11 @@
       return;
     }
     store
-        .newest(topic, number, after)
-        .thenAccept(result -> loop.run(() -> newestAnswered(topic, after, onPage, result)));
+        .readNewest(topic, number, after)
+        .thenAccept(result -> loop.run(() -> handleNewest(topic, after, onPage, result)));
   }
 
-  private void newestAnswered(
+  private void handleNewest(
       Topic topic, Optional<String> after, Consumer<NewestPage> onPage, NewestResult result) {
     if (closed) {
       return;
@@ -227,18 +227,18 @@
         LogLine.of("partition-read-retried")
             .with("partition", number)
             .with("topic", topic)
-            .with("reason", ((NoPage) result).reason()));
-    loop.schedule(() -> readNewest(topic, after, onPage), RETRY_NANOS);
+            .with("reason", ((NewestUnavailable) result).reason()));
+    loop.schedule(() -> readNewest(topic, after, onPage), RETRY_DELAY_NANOS);
   }
 
-  private void takeProgress(KeyedRecord keyed) {
+  private void loadProgress(KeyedRecord keyed) {
     OptionalLong id = WorkflowIds.parse(keyed.key());
-    Optional<WorkflowRecordState> state = WorkflowRecords.decodeProgress(keyed.value());
+    Optional<WorkflowRecordState> state = WorkflowCodec.decodeProgress(keyed.value());
     if (id.isEmpty() || state.isEmpty()) {
-      unreadable(Topic.PROGRESS, keyed.key());
+      logUnreadable(Topic.PROGRESS, keyed.key());
       return;
     }
-    progress.put(id.getAsLong(), state.get());
+    unclaimedProgress.put(id.getAsLong(), state.get());
   }
 
   /**
@@ -247,9 +247,9 @@
    * <p>An exception that propagated would end the reading: no later submission would ever be
    * ordered, or the partition would never become active, under this owner and all later ones.
    */
-  private void takeOrPassOver(KeyedRecord keyed) {
+  private void addOrSkip(KeyedRecord keyed) {
     LinkLoop.runGuarded(
-        () -> takeSubmission(keyed),
+        () -> addSubmission(keyed),
         e ->
             LOG.error(
                 LogLine.of("submission-not-taken")
@@ -258,19 +258,19 @@
                     .withError(e)));
   }
 
-  private void takeSubmission(KeyedRecord keyed) {
+  private void addSubmission(KeyedRecord keyed) {
     if (keyed.value().isEmpty()) {
       return;
     }
-    Optional<WorkflowSpec> spec = WorkflowRecords.decodeSubmission(keyed.value());
+    Optional<WorkflowSpec> spec = WorkflowCodec.decodeSubmission(keyed.value());
     if (spec.isEmpty() || !WorkflowIds.format(spec.get().id()).equals(keyed.key())) {
-      unreadable(Topic.SUBMISSIONS, keyed.key());
+      logUnreadable(Topic.SUBMISSIONS, keyed.key());
       return;
     }
     add(spec.get());
   }
 
-  private void unreadable(Topic topic, String key) {
+  private void logUnreadable(Topic topic, String key) {
     LOG.warning(
         LogLine.of("record-passed-over")
             .with("partition", number)
@@ -281,28 +281,28 @@
 
   /** Adds a workflow whose submission is durable; does nothing if it was added before. */
   void add(WorkflowSpec spec) {
-    if (closed || workflows.containsKey(spec.id()) || !untaken.add(spec.id())) {
+    if (closed || workflows.containsKey(spec.id()) || !failedRestores.add(spec.id())) {
       return;
     }
-    WorkflowRecordState state = progress.remove(spec.id());
+    WorkflowRecordState state = unclaimedProgress.remove(spec.id());
     Workflow workflow = state == null ? Workflow.of(spec) : Workflow.restore(spec, state);
     workflows.put(spec.id(), workflow);
-    untaken.remove(spec.id());
+    failedRestores.remove(spec.id());
     if (active) {
       listener.submitted(this, workflow);
     }
   }
 
   private void activate() {
-    progress.clear();
+    unclaimedProgress.clear();
     active = true;
-    tailFreshAt = loop.now();
+    lastTailAt = loop.now();
     LOG.info(
         LogLine.of("partition-owned")
             .with("partition", number)
             .with("epoch", epoch())
             .with("workflows", workflows.size())
-            .with("submissions_end", tailFrom));
+            .with("submissions_end", tailOffset));
     // An exception must not prevent tailing: the partition is already active, and without tailing
     // no later submission would ever be ordered.
     LinkLoop.runGuarded(
@@ -321,28 +321,29 @@
       return;
     }
     store
-        .read(Topic.SUBMISSIONS, number, tailFrom, TAIL_WAIT_MILLIS)
-        .thenAccept(result -> loop.run(() -> tailAnswered(result)));
+        .read(Topic.SUBMISSIONS, number, tailOffset, TAIL_WAIT_MILLIS)
+        .thenAccept(result -> loop.run(() -> handleTail(result)));
   }
 
-  private void tailAnswered(ReadResult result) {
+  private void handleTail(ReadResult result) {
     if (closed) {
       return;
     }
     if (result instanceof Records records) {
-      tailFreshAt = loop.now();
-      tailFrom = records.next();
-      records.records().forEach(this::takeOrPassOver);
+      lastTailAt = loop.now();
+      tailOffset = records.nextOffset();
+      records.records().forEach(this::addOrSkip);
       tail();
     } else if (result instanceof Expired) {
-      LOG.info(LogLine.of("submissions-expired").with("partition", number).with("from", tailFrom));
+      LOG.info(
+          LogLine.of("submissions-expired").with("partition", number).with("from", tailOffset));
       readSubmissions(Optional.empty(), this::tail);
     } else {
       LOG.debug(
           LogLine.of("tail-retried")
               .with("partition", number)
-              .with("reason", ((Unreadable) result).reason()));
-      loop.schedule(this::tail, RETRY_NANOS);
+              .with("reason", ((ReadFailed) result).reason()));
+      loop.schedule(this::tail, RETRY_DELAY_NANOS);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Ownership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionOwnership.java
@@ -8,11 +8,11 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
+import io.marigoldsail.daemon.workflow.WorkflowStore.JoinFailed;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Joined;
-import io.marigoldsail.daemon.workflow.WorkflowStore.NotJoined;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Owner;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Owners;
-import io.marigoldsail.daemon.workflow.WorkflowStore.OwnersUnknown;
+import io.marigoldsail.daemon.workflow.WorkflowStore.OwnersUnavailable;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.HashMap;
@@ -31,14 +31,14 @@
  * partition's writer, derived from the store's generation, determines the owner. Confined to the
  * loop's thread.
  */
-final class Ownership {
-  private static final EventLog LOG = EventLog.of(Ownership.class);
+final class PartitionOwnership {
+  private static final EventLog LOG = EventLog.of(PartitionOwnership.class);
 
   /**
    * Interval of joins, in nanoseconds; three joins fit into the time after which the store drops a
    * member.
    */
-  private static final long JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+  private static final long JOIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
   /**
    * Interval of joins while the membership changes, in nanoseconds. A partition is not reassigned
@@ -46,13 +46,13 @@
    * assigned all partitions and released them 0.9 s later, when the leases of running tasks had
    * almost expired.
    */
-  private static final long UNSETTLED_JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long REBALANCE_JOIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   /** Time after a membership change in which another one is likely, in nanoseconds. */
-  private static final long UNSETTLED_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long REBALANCE_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** Interval of reads of the owners, in nanoseconds. */
-  private static final long OWNERS_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long OWNERS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   /**
    * Epochs per generation: a partition that is acquired again under the same generation needs a
@@ -63,7 +63,7 @@
   /** Notified of changes; runs on the loop. */
   interface Listener extends OwnedPartition.Listener {
     /** Called with the owners of the partitions as of the generation or a later one. */
-    void ownersKnown(long asOfGeneration, Owners owners);
+    void ownersRead(long asOfGeneration, Owners owners);
   }
 
   private final WorkflowStore store;
@@ -72,16 +72,16 @@
   private final Listener listener;
   private final Map<Integer, OwnedPartition> owned = new HashMap<>();
   private final Map<Integer, Long> lastEpochs = new HashMap<>();
-  private ImmutableSet<Integer> listed = ImmutableSet.of();
-  private ImmutableMap<Integer, String> dealt = ImmutableMap.of();
+  private ImmutableSet<Integer> assigned = ImmutableSet.of();
+  private ImmutableMap<Integer, String> lastOwners = ImmutableMap.of();
   private long generation;
-  private long changedAt;
+  private long generationChangedAt;
   private long joinedAt;
   private boolean leaving;
   private boolean joining;
   private volatile boolean connected;
 
-  Ownership(WorkflowStore store, LinkLoop loop, EntryMember self, Listener listener) {
+  PartitionOwnership(WorkflowStore store, LinkLoop loop, EntryMember self, Listener listener) {
     this.store = requireNonNull(store, "store");
     this.loop = requireNonNull(loop, "loop");
     this.self = requireNonNull(self, "self");
@@ -90,24 +90,24 @@
 
   /** Starts to join and to read the owners periodically. */
   void start() {
-    store.owners().thenAccept(result -> loop.run(() -> takeFirstOwners(result)));
-    changedAt = loop.now();
-    loop.repeat(this::joinIfDue, UNSETTLED_JOIN_NANOS);
-    loop.repeat(this::readOwners, OWNERS_NANOS);
+    store.owners().thenAccept(result -> loop.run(() -> removeEarlierIncarnations(result)));
+    generationChangedAt = loop.now();
+    loop.repeat(this::joinIfDue, REBALANCE_JOIN_INTERVAL_NANOS);
+    loop.repeat(this::readOwners, OWNERS_INTERVAL_NANOS);
   }
 
   /**
    * Removes the members of earlier incarnations of this process, then joins.
    *
-   * <p>The store drops a dead member only after some seconds, in which no entry would decide for its
-   * workflows. An earlier incarnation is certainly dead because this process uses its address.
+   * <p>The store drops a dead member only after some seconds, in which no entry would decide for
+   * its workflows. An earlier incarnation is certainly dead because this process uses its address.
    */
-  private void takeFirstOwners(WorkflowStore.OwnersResult result) {
+  private void removeEarlierIncarnations(WorkflowStore.OwnersResult result) {
     if (result instanceof Owners owners) {
       Set<String> earlier = new HashSet<>();
       for (Owner owner : owners.owners()) {
         Optional<EntryMember> member = EntryMember.parse(owner.member());
-        if (member.isPresent() && member.get().isEarlierLifeOf(self)) {
+        if (member.isPresent() && member.get().isEarlierIncarnationOf(self)) {
           earlier.add(owner.member());
         }
       }
@@ -115,14 +115,14 @@
         LOG.info(LogLine.of("former-life-removed").with("member", member));
         store.leave(member);
       }
-      listener.ownersKnown(0, owners);
+      listener.ownersRead(0, owners);
     }
     join();
   }
 
   private void joinIfDue() {
-    boolean rebalancing = loop.now() - changedAt < UNSETTLED_NANOS;
-    if (rebalancing || loop.now() - joinedAt >= JOIN_NANOS) {
+    boolean rebalancing = loop.now() - generationChangedAt < REBALANCE_WINDOW_NANOS;
+    if (rebalancing || loop.now() - joinedAt >= JOIN_INTERVAL_NANOS) {
       join();
     }
   }
@@ -140,15 +140,15 @@
                 loop.run(
                     () -> {
                       joining = false;
-                      joinAnswered(result);
+                      handleJoin(result);
                     }));
   }
 
-  private void joinAnswered(WorkflowStore.JoinResult result) {
+  private void handleJoin(WorkflowStore.JoinResult result) {
     if (leaving) {
       return;
     }
-    if (result instanceof NotJoined failed) {
+    if (result instanceof JoinFailed failed) {
       if (connected) {
         connected = false;
         LOG.warning(LogLine.of("store-lost").with("reason", failed.reason()));
@@ -162,33 +162,34 @@
     }
     boolean changed = joined.generation() != generation;
     generation = joined.generation();
-    changedAt = changed ? loop.now() : changedAt;
-    listed = joined.partitions();
+    generationChangedAt = changed ? loop.now() : generationChangedAt;
+    assigned = joined.partitions();
     for (int partition : ImmutableSet.copyOf(owned.keySet())) {
-      if (!listed.contains(partition)) {
+      if (!assigned.contains(partition)) {
         release(partition);
       }
     }
-    listed.forEach(this::takeUp);
+    assigned.forEach(this::acquire);
     if (changed) {
       LOG.info(
           LogLine.of("membership-changed")
               .with("generation", generation)
-              .with("partitions", listed.size()));
+              .with("partitions", assigned.size()));
       // The store reassigns a partition only after the next join of its former owner.
       join();
       readOwners();
     }
   }
 
-  private void takeUp(int partition) {
+  private void acquire(int partition) {
     if (owned.containsKey(partition)) {
       return;
     }
     long floor = generation * EPOCHS_PER_GENERATION;
     long epoch = Math.max(floor, lastEpochs.getOrDefault(partition, 0L) + 1);
     lastEpochs.put(partition, epoch);
-    OwnedPartition acquired = new OwnedPartition(store, loop, partition, epoch, new Forwarding());
+    OwnedPartition acquired =
+        new OwnedPartition(store, loop, partition, epoch, new PartitionListener());
     owned.put(partition, acquired);
     acquired.open();
   }
@@ -209,17 +210,17 @@
       return;
     }
     long asOf = generation;
-    store.owners().thenAccept(result -> loop.run(() -> ownersAnswered(asOf, result)));
+    store.owners().thenAccept(result -> loop.run(() -> handleOwners(asOf, result)));
   }
 
-  private void ownersAnswered(long asOf, WorkflowStore.OwnersResult result) {
+  private void handleOwners(long asOf, WorkflowStore.OwnersResult result) {
     if (!(result instanceof Owners owners)) {
-      LOG.debug(LogLine.of("owners-unread").with("reason", ((OwnersUnknown) result).reason()));
+      LOG.debug(LogLine.of("owners-unread").with("reason", ((OwnersUnavailable) result).reason()));
       return;
     }
-    listener.ownersKnown(asOf, owners);
-    if (!owners.byPartition().equals(dealt)) {
-      dealt = owners.byPartition();
+    listener.ownersRead(asOf, owners);
+    if (!owners.byPartition().equals(lastOwners)) {
+      lastOwners = owners.byPartition();
       // The answer has the generation of the new owners, which orders the owner maps.
       join();
     }
@@ -261,7 +262,7 @@
   }
 
   /** Forwards events of a partition and removes it once its writer is fenced. */
-  private final class Forwarding implements OwnedPartition.Listener {
+  private final class PartitionListener implements OwnedPartition.Listener {
     @Override
     public void activated(OwnedPartition partition) {
       listener.activated(partition);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -38,25 +38,25 @@
   private static final EventLog LOG = EventLog.of(PartitionWriter.class);
 
   /** Delay before an append is retried, in nanoseconds; spares a store that fails. */
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
 
   /** Size at which a batch is closed, in bytes; well below 2 MB, the smallest limit of a store. */
   private static final int MAX_BATCH_BYTES = 512 * 1024;
 
-  private record Change(Supplier<ByteString> value, Runnable durable) {}
+  private record PendingValue(Supplier<ByteString> value, Runnable onDurable) {}
 
   private final WorkflowStore store;
   private final LinkLoop loop;
   private final int partition;
   private final long epoch;
-  private final Runnable lost;
-  private final Map<String, Change> changed = new LinkedHashMap<>();
+  private final Runnable onLost;
+  private final Map<String, PendingValue> pendingValues = new LinkedHashMap<>();
   private List<Runnable> effects = new ArrayList<>();
   private long sequence;
   private boolean inFlight;
   private boolean closed;
   private boolean renewalDue;
-  private long evidence = Long.MIN_VALUE;
+  private long evidenceAt = Long.MIN_VALUE;
   private long openedAt;
 
   PartitionWriter(WorkflowStore store, LinkLoop loop, int partition, long epoch, Runnable lost) {
@@ -64,7 +64,7 @@
     this.loop = requireNonNull(loop, "loop");
     this.partition = partition;
     this.epoch = epoch;
-    this.lost = requireNonNull(lost, "lost");
+    this.onLost = requireNonNull(lost, "lost");
   }
 
   long epoch() {
@@ -91,12 +91,12 @@
    * Returns the last time at which this writer is known to have owned the partition, in the loop's
    * nanoseconds; {@link Long#MIN_VALUE} if there is none.
    */
-  long evidence() {
-    return evidence;
+  long evidenceAt() {
+    return evidenceAt;
   }
 
   boolean hasEvidence() {
-    return evidence != Long.MIN_VALUE;
+    return evidenceAt != Long.MIN_VALUE;
   }
 
   /**
@@ -106,8 +106,8 @@
    * @param onDurable runs once the value is durable, before effects
    */
   void write(String key, Supplier<ByteString> value, Runnable onDurable) {
-    changed.put(key, new Change(value, onDurable));
-    flushSoon();
+    pendingValues.put(key, new PendingValue(value, onDurable));
+    scheduleFlush();
   }
 
   /** Runs the effect once everything written so far is durable; does nothing on a closed writer. */
@@ -115,12 +115,12 @@
     if (closed) {
       return;
     }
-    if (changed.isEmpty() && !inFlight && !renewalDue) {
+    if (pendingValues.isEmpty() && !inFlight && !renewalDue) {
       effect.run();
       return;
     }
     effects.add(effect);
-    flushSoon();
+    scheduleFlush();
   }
 
   /**
@@ -130,11 +130,11 @@
   void afterRenewal(Runnable effect) {
     renewalDue = true;
     effects.add(effect);
-    flushSoon();
+    scheduleFlush();
   }
 
   /** Renews the evidence by an empty append unless an append is in flight. */
-  void renew() {
+  void renewEvidence() {
     if (!inFlight) {
       renewalDue = true;
       flush();
@@ -144,37 +144,37 @@
   /** Stops writing; changes not yet sent and pending effects are dropped. */
   void close() {
     closed = true;
-    changed.clear();
+    pendingValues.clear();
     effects.clear();
   }
 
   /** Returns whether everything written is durable. */
   boolean isIdle() {
-    return closed || (!inFlight && changed.isEmpty());
+    return closed || (!inFlight && pendingValues.isEmpty());
   }
 
-  private void flushSoon() {
+  private void scheduleFlush() {
     // Deferred so that all changes caused by one report are batched into one append.
     loop.runLater(this::flush);
   }
 
   private void flush() {
-    if (closed || inFlight || (changed.isEmpty() && !renewalDue && effects.isEmpty())) {
+    if (closed || inFlight || (pendingValues.isEmpty() && !renewalDue && effects.isEmpty())) {
       return;
     }
     List<KeyedRecord> records = new ArrayList<>();
     List<Runnable> batchEffects = new ArrayList<>();
     int bytes = 0;
-    var entries = changed.entrySet().iterator();
+    var entries = pendingValues.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_BATCH_BYTES) {
-      Map.Entry<String, Change> entry = entries.next();
+      Map.Entry<String, PendingValue> entry = entries.next();
       ByteString value = entry.getValue().value().get();
       records.add(new KeyedRecord(entry.getKey(), value));
-      batchEffects.add(entry.getValue().durable());
+      batchEffects.add(entry.getValue().onDurable());
       bytes += value.size();
       entries.remove();
     }
-    if (changed.isEmpty()) {
+    if (pendingValues.isEmpty()) {
       batchEffects.addAll(effects);
       effects = new ArrayList<>();
     }
@@ -194,22 +194,22 @@
     }
     store
         .append(Topic.PROGRESS, partition, batch.records(), Optional.of(batch.writer()))
-        .thenAccept(result -> loop.run(() -> answered(batch, result)));
+        .thenAccept(result -> loop.run(() -> handleResult(batch, result)));
   }
 
-  private void answered(Batch batch, AppendResult result) {
+  private void handleResult(Batch batch, AppendResult result) {
     if (closed) {
       return;
     }
     if (result instanceof Appended) {
       inFlight = false;
-      evidence = batch.firstSent();
+      evidenceAt = batch.firstSent();
       batch.effects().forEach(this::runEffect);
       flush();
     } else if (result instanceof Fenced) {
-      giveUp("another owner has a higher epoch");
+      relinquish("another owner has a higher epoch");
     } else if (result instanceof OutOfSequence outOfSequence) {
-      giveUp(outOfSequence.detail());
+      relinquish(outOfSequence.detail());
     } else if (result instanceof NotAppended notAppended) {
       retry(batch, notAppended.reason());
     } else {
@@ -236,16 +236,16 @@
 
   private void retry(Batch batch, String reason) {
     LOG.debug(LogLine.of("append-retried").with("partition", partition).with("reason", reason));
-    loop.schedule(() -> send(batch), RETRY_NANOS);
+    loop.schedule(() -> send(batch), RETRY_DELAY_NANOS);
   }
 
-  private void giveUp(String reason) {
+  private void relinquish(String reason) {
     LOG.info(
         LogLine.of("partition-writer-lost")
             .with("partition", partition)
             .with("epoch", epoch)
             .with("reason", reason));
     close();
-    lost.run();
+    onLost.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
@@ -32,7 +32,7 @@
    *
    * @param reason text for logs
    */
-  record NotAdvised(String reason) implements AdviceResult {}
+  record AdviceUnavailable(String reason) implements AdviceResult {}
 
   /**
    * Requests which of the workers may run the tasks of a step.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndAcknowledger.java
@@ -16,18 +16,18 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class EndNotes {
-  private static final EventLog LOG = EventLog.of(EndNotes.class);
+final class RunEndAcknowledger {
+  private static final EventLog LOG = EventLog.of(RunEndAcknowledger.class);
 
   /** Time over which log lines on unknown ends in one partition are aggregated, in nanoseconds. */
-  private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
   private final FoldedLog unknownEnds;
 
-  EndNotes(LinkLoop loop) {
+  RunEndAcknowledger(LinkLoop loop) {
     this.loop = requireNonNull(loop, "loop");
-    this.unknownEnds = new FoldedLog(LOG::info, loop::schedule, FOLD_NANOS);
+    this.unknownEnds = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
   /**
@@ -41,14 +41,15 @@
    * @param vm the VM that reports the end
    * @param acknowledgement sends the acknowledgement; runs on the loop
    */
-  void take(OwnedPartition partition, RunKey run, String vm, Runnable acknowledgement) {
+  void acknowledgeWhenSafe(
+      OwnedPartition partition, RunKey run, String vm, Runnable acknowledgement) {
     Optional<WorkflowTask> task =
         partition
             .workflow(run.task().workflow())
             .flatMap(workflow -> workflow.task(run.task()))
             .filter(found -> found.lastAttempt() >= run.attempt());
     if (task.isEmpty()) {
-      tellUnknown(partition, run, vm);
+      logUnknownEnd(partition, run, vm);
       partition.writer().afterRenewal(acknowledgement);
     } else if (task.get().hasEnded(run.attempt())) {
       partition.writer().afterDurable(acknowledgement);
@@ -62,9 +63,9 @@
     }
   }
 
-  private void tellUnknown(OwnedPartition partition, RunKey run, String vm) {
+  private void logUnknownEnd(OwnedPartition partition, RunKey run, String vm) {
     PartitionWriter writer = partition.writer();
-    long evidenceNanos = loop.now() - writer.evidence();
+    long evidenceNanos = loop.now() - writer.evidenceAt();
     unknownEnds.tell(
         "partition " + partition.number(),
         LogLine.of("end-unknown")
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
@@ -24,11 +24,11 @@
   /** Maximum number of submissions per append; well below 1 MB even with the longest programs. */
   private static final int MAX_BATCH = 64;
 
-  private record Waiting(KeyedRecord submission, Consumer<AppendResult> told) {}
+  private record PendingSubmission(KeyedRecord submission, Consumer<AppendResult> onResult) {}
 
   private final WorkflowStore store;
   private final LinkLoop loop;
-  private final Map<Integer, List<Waiting>> waiting = new HashMap<>();
+  private final Map<Integer, List<PendingSubmission>> pending = new HashMap<>();
   private final Map<Integer, Boolean> inFlight = new HashMap<>();
 
   SubmissionWriter(WorkflowStore store, LinkLoop loop) {
@@ -42,33 +42,33 @@
    * @param onResult runs on the loop with the result of the append
    */
   void write(int partition, KeyedRecord submission, Consumer<AppendResult> onResult) {
-    waiting
+    pending
         .computeIfAbsent(partition, unused -> new ArrayList<>())
-        .add(new Waiting(submission, onResult));
+        .add(new PendingSubmission(submission, onResult));
     flush(partition);
   }
 
   private void flush(int partition) {
-    List<Waiting> queue = waiting.getOrDefault(partition, List.of());
+    List<PendingSubmission> queue = pending.getOrDefault(partition, List.of());
     if (queue.isEmpty() || inFlight.getOrDefault(partition, false)) {
       return;
     }
-    List<Waiting> head = queue.subList(0, Math.min(MAX_BATCH, queue.size()));
-    List<Waiting> batch = List.copyOf(head);
+    List<PendingSubmission> head = queue.subList(0, Math.min(MAX_BATCH, queue.size()));
+    List<PendingSubmission> batch = List.copyOf(head);
     head.clear();
     inFlight.put(partition, true);
     store
         .append(
             Topic.SUBMISSIONS,
             partition,
-            batch.stream().map(Waiting::submission).toList(),
+            batch.stream().map(PendingSubmission::submission).toList(),
             Optional.empty())
         .thenAccept(
             result ->
                 loop.run(
                     () -> {
                       inFlight.put(partition, false);
-                      batch.forEach(each -> each.told().accept(result));
+                      batch.forEach(each -> each.onResult().accept(result));
                       flush(partition);
                     }));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmStanding.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Whether a connected VM may be given work, or why not. */
-enum VmStanding {
+enum VmAvailability {
   /** It may be given work. */
   OFFERED("offered"),
   /** Its last report is older than {@link #SILENT_NANOS}. */
@@ -12,28 +12,28 @@
   /** Its side process has no worker. */
   NO_WORKER("no worker"),
   /** Its worker is draining. */
-  LEAVES("leaves"),
+  DRAINING("leaves"),
   /**
-   * Its worker does not answer calls or refuses them, or has runs whose resource requests only other
-   * owners know.
+   * Its worker does not answer calls or refuses them, or has runs whose resource requests only
+   * other owners know.
    */
   UNHEALTHY("unhealthy"),
   /** It has runs whose resource requests only their owners know. */
-  UNKNOWN_SIZES("runs of unknown size"),
+  UNKNOWN_RESOURCES("runs of unknown size"),
   /** It is quarantined because runs on it keep failing. */
-  RESTS("rests");
+  QUARANTINED("rests");
 
   /** Age of the last report from which a VM gets no work, in nanoseconds: three missed reports. */
   static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   private final String text;
 
-  VmStanding(String text) {
+  VmAvailability(String text) {
     this.text = text;
   }
 
   /** Returns the availability of the VM at a time in the loop's nanoseconds. */
-  static VmStanding of(VmSession session, FleetKnowledge knowledge, long now) {
+  static VmAvailability of(VmSession session, FleetStatistics knowledge, long now) {
     VmReport report = session.report();
     if (now - session.reportedAt() >= SILENT_NANOS) {
       return SILENT;
@@ -42,15 +42,15 @@
       return NO_WORKER;
     }
     if (report.getDraining()) {
-      return LEAVES;
+      return DRAINING;
     }
     if (session.hasRunsOfUnknownSize()) {
-      return UNKNOWN_SIZES;
+      return UNKNOWN_RESOURCES;
     }
     if (report.getUnhealthy()) {
       return UNHEALTHY;
     }
-    return knowledge.rests(session.vm(), now) ? RESTS : OFFERED;
+    return knowledge.isQuarantined(session.vm(), now) ? QUARANTINED : OFFERED;
   }
 
   /** Returns the text for logs. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -34,13 +34,13 @@
   private ImmutableSet<String> labels = ImmutableSet.of();
   private ImmutableMap<RunKey, RunReport> runs = ImmutableMap.of();
   private RunOrders.Builder orders = RunOrders.newBuilder();
-  private final Set<Long> programsInFrame = new HashSet<>();
-  private long lastNumber;
-  private boolean pending;
+  private final Set<Long> workflowsInFrame = new HashSet<>();
+  private long lastFrameNumber;
+  private boolean ordersPending;
 
   VmSession(LinkConnection connection, VmReport first, long now) {
     this.connection = connection;
-    take(first, now);
+    update(first, now);
   }
 
   /**
@@ -50,7 +50,7 @@
    * incarnation would start runs on the new one after their owner has closed them, and the same
    * task could run twice at the same time.
    */
-  void take(VmReport newest, long now) {
+  void update(VmReport newest, long now) {
     if (report != null && !report.getWorker().equals(newest.getWorker())) {
       dropPending();
     }
@@ -58,7 +58,7 @@
       labels = ImmutableSet.copyOf(newest.getLabelsList());
     }
     ImmutableMap.Builder<RunKey, RunReport> reported = ImmutableMap.builder();
-    newest.getRunsList().forEach(run -> reported.put(WorkflowRecords.decode(run.getTask()), run));
+    newest.getRunsList().forEach(run -> reported.put(WorkflowCodec.decode(run.getTask()), run));
     runs = reported.buildKeepingLast();
     report = newest;
     reportedAt = now;
@@ -90,7 +90,8 @@
    * Returns whether the last report contains runs whose resource requests only their owners know.
    *
    * <p>Its side process refuses all other runs until it has received these resource requests. After
-   * a restart of all processes each VM seems to be idle at first, and orders to it would be refused.
+   * a restart of all processes each VM seems to be idle at first, and orders to it would be
+   * refused.
    */
   boolean hasRunsOfUnknownSize() {
     return report.getRunsList().stream().anyMatch(RunReport::getSizeUnknown);
@@ -108,12 +109,12 @@
   }
 
   Sizes capacity() {
-    return WorkflowRecords.sizes(
+    return WorkflowCodec.sizes(
         report.getMilliProcessors(), report.getMemoryMebibytes(), report.getAccelerators());
   }
 
   Sizes free() {
-    return WorkflowRecords.sizes(
+    return WorkflowCodec.sizes(
         report.getFreeMilliProcessors(),
         report.getFreeMemoryMebibytes(),
         report.getFreeAccelerators());
@@ -126,7 +127,7 @@
    * @param knowledge statistics of VMs and images
    * @param now the loop's nanoseconds
    */
-  VmOffer offer(List<OpenRun> open, FleetKnowledge knowledge, long now) {
+  VmOffer offer(List<OpenRun> open, FleetStatistics knowledge, long now) {
     Sizes free = free();
     long bestEffort = report.getFillMilliProcessors();
     long interfering = report.getSuspectMilliProcessors();
@@ -135,10 +136,11 @@
       WorkflowTask task = run.task();
       if (!runs.containsKey(task.openRun())) {
         free = free.minus(task.step().booked());
-        long declared = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
+        long declared =
+            task.step().traits().bestEffort() ? task.step().sizes().milliProcessors() : 0;
         bestEffort += declared;
-        interfering += knowledge.isSuspect(task) ? declared : 0;
-        serviceTasks += task.step().nature().serves() ? 1 : 0;
+        interfering += knowledge.isInterfering(task) ? declared : 0;
+        serviceTasks += task.step().traits().isService() ? 1 : 0;
       }
     }
     return new VmOffer(
@@ -161,38 +163,38 @@
     WorkflowSpec spec = task.workflow().spec();
     StartRun.Builder start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(task.openRun()))
+            .setTask(WorkflowCodec.encode(task.openRun()))
             .setMilliProcessors((int) task.step().sizes().milliProcessors())
-            .setMemoryMebibytes(WorkflowRecords.mebibytes(task.step().sizes()))
+            .setMemoryMebibytes(WorkflowCodec.mebibytes(task.step().sizes()))
             .setAccelerators((int) task.step().sizes().accelerators())
             .setCheckpoint(task.checkpoint())
-            .setImage(task.step().nature().image())
-            .setLatencyTargetMillis((int) task.step().nature().latencyTargetMillis())
-            .setFills(task.step().nature().fills())
+            .setImage(task.step().traits().image())
+            .setLatencyTargetMillis((int) task.step().traits().latencyTargetMillis())
+            .setFills(task.step().traits().bestEffort())
             .setStarved(run.isStarved())
             .setTicket(run.ticket());
-    if (programsInFrame.add(spec.id())) {
+    if (workflowsInFrame.add(spec.id())) {
       start.setProgram(spec.program());
     } else {
       start.setSameProgram(true);
     }
     orders.addStarts(start);
-    pending = true;
-    return lastNumber + 1;
+    ordersPending = true;
+    return lastFrameNumber + 1;
   }
 
   void addStop(RunKey run) {
-    orders.addStops(WorkflowRecords.encode(run));
-    pending = true;
+    orders.addStops(WorkflowCodec.encode(run));
+    ordersPending = true;
   }
 
-  void addNotedEnd(WorkflowTaskId end) {
+  void addAcknowledgedEnd(WorkflowTaskId end) {
     orders.addNotedEnds(end);
-    pending = true;
+    ordersPending = true;
   }
 
-  boolean hasPending() {
-    return pending;
+  boolean hasPendingOrders() {
+    return ordersPending;
   }
 
   /**
@@ -200,14 +202,14 @@
    * worker incarnation of the last report.
    */
   void flush(LeaseGrant lease) {
-    orders.setNumber(++lastNumber).setLease(lease).setWorker(report.getWorker());
+    orders.setNumber(++lastFrameNumber).setLease(lease).setWorker(report.getWorker());
     connection.send(Frame.newBuilder().setRunOrders(orders).build());
     dropPending();
   }
 
   private void dropPending() {
     orders = RunOrders.newBuilder();
-    programsInFrame.clear();
-    pending = false;
+    workflowsInFrame.clear();
+    ordersPending = false;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WaitCause.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WaitCause.java
@@ -7,13 +7,13 @@
   /** The configuration in force does not contain the service of its queue. */
   SERVICE_UNUSED("the configuration does not use its service"),
   /** Its last attempt was refused or failed, and its backoff has not ended. */
-  WAITS("backing off after its last attempt"),
+  BACKING_OFF("backing off after its last attempt"),
   /** No VM may be given work. */
   NO_VM_OFFERED("no VM is offered"),
   /** VMs may be given work, but none of them admits this task. */
-  NONE_ADMITS("none of the VMs offered admits it"),
+  NO_VM_ADMITS("none of the VMs offered admits it"),
   /** The placement adviser has not allowed a VM that admits it. */
-  UNADVISED("the placement adviser has allowed no VM that admits it"),
+  NOT_ADVISED("the placement adviser has allowed no VM that admits it"),
   /** A VM admits it now; the scheduling pass that orders it is due. */
   ADMITTED("a VM admits it now");
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -45,29 +45,29 @@
 public final class WorkflowEntry {
   private static final EventLog LOG = EventLog.of(WorkflowEntry.class);
 
-  private static final long RENEW_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
-  private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-  private static final long COUNTS_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-  private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(5);
-  private static final long WATCH_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long EVIDENCE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+  private static final long SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long COUNTS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long EVICTION_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long MONITOR_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** Time in which a cancel has to become durable before the result is unknown, in nanoseconds. */
-  private static final long CANCEL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long CANCEL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private static final int MAX_LINKS = 2_000;
 
   private final LinkLoop loop;
-  private final EntryTerms terms;
+  private final EntryParameters parameters;
   private final EntryMember self;
   private final LongSupplier wallMillis;
-  private final Ownership ownership;
+  private final PartitionOwnership ownership;
   private final EntryPeers peers;
-  private final EntryVms vms;
+  private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final TaskWatch watch;
+  private final LongRunningTaskMonitor taskMonitor;
   private final SubmissionWriter submissions;
   private final LinkServer server;
-  private final OwnerMapTurns<LinkConnection> turns = new OwnerMapTurns<>();
+  private final OwnerMapRateLimiter<LinkConnection> ownerMapLimiter = new OwnerMapRateLimiter<>();
   private volatile Optional<QueueTable> configuration = Optional.empty();
   private volatile boolean leaving;
 
@@ -87,14 +87,14 @@
       InetSocketAddress address,
       LongSupplier wallMillis,
       PlacementAdviser adviser,
-      EntryTerms terms) {
+      EntryParameters terms) {
     this.loop = requireNonNull(loop, "loop");
-    this.terms = requireNonNull(terms, "terms");
+    this.parameters = requireNonNull(terms, "terms");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.self = new EntryMember(address.getHostString(), address.getPort(), wallMillis.getAsLong());
-    this.ownership = new Ownership(store, loop, self, new Changes());
+    this.ownership = new PartitionOwnership(store, loop, self, new OwnershipListener());
     this.peers = new EntryPeers(loop, self);
-    this.vms = new EntryVms(loop, ownership, terms.lease(), wallMillis, new VmChanges());
+    this.vms = new VmTracker(loop, ownership, terms.lease(), wallMillis, new VmListener());
     this.scheduler =
         new EntryScheduler(
             loop,
@@ -104,9 +104,9 @@
             VmChooser.of(terms.farRackFactor()),
             adviser,
             () -> this.configuration);
-    this.watch = new TaskWatch(loop, wallMillis, ownership, vms, scheduler);
+    this.taskMonitor = new LongRunningTaskMonitor(loop, wallMillis, ownership, vms, scheduler);
     this.submissions = new SubmissionWriter(store, loop);
-    this.server = new LinkServer(loop, address, MAX_LINKS, new Incoming());
+    this.server = new LinkServer(loop, address, MAX_LINKS, new IncomingLinkListener());
   }
 
   /**
@@ -117,14 +117,16 @@
   public void start() throws IOException {
     server.start();
     loop.run(ownership::start);
-    loop.repeat(this::renew, RENEW_NANOS);
-    loop.repeat(this::sweep, SWEEP_NANOS);
-    loop.repeat(() -> peers.tick(waitingHere()), COUNTS_NANOS);
-    loop.repeat(watch::look, WATCH_NANOS);
-    loop.repeat(this::forgetEnded, FORGET_NANOS);
+    loop.repeat(this::renewEvidence, EVIDENCE_INTERVAL_NANOS);
+    loop.repeat(this::sweep, SWEEP_INTERVAL_NANOS);
+    loop.repeat(() -> peers.tick(waitingLocally()), COUNTS_INTERVAL_NANOS);
+    loop.repeat(taskMonitor::check, MONITOR_INTERVAL_NANOS);
+    loop.repeat(this::evictEnded, EVICTION_INTERVAL_NANOS);
   }
 
-  /** Puts a configuration in force; ignores it unless its version is higher than the current one. */
+  /**
+   * Puts a configuration in force; ignores it unless its version is higher than the current one.
+   */
   public void configure(QueueTable queues) {
     Optional<QueueTable> current = configuration;
     if (current.isPresent() && current.get().version() >= queues.version()) {
@@ -135,7 +137,7 @@
         LogLine.of("configuration-in-force")
             .with("version", queues.version())
             .with("queues", queues.queues().size()));
-    loop.run(scheduler::soon);
+    loop.run(scheduler::schedulePass);
   }
 
   /** Returns the configuration in force, or empty while there is none. */
@@ -159,18 +161,20 @@
         () -> {
           if (!ownership.isConnected()) {
             // Fails fast: the caller need not wait for an append that is expected to fail.
-            submitted(spec, new NotAppended("store did not answer the last join"), appended);
+            completeSubmission(
+                spec, new NotAppended("store did not answer the last join"), appended);
             return;
           }
           int partition = ownership.partitionOf(spec.id());
           String key = WorkflowIds.format(spec.id());
-          KeyedRecord submission = new KeyedRecord(key, WorkflowRecords.encode(spec));
-          submissions.write(partition, submission, result -> submitted(spec, result, appended));
+          KeyedRecord submission = new KeyedRecord(key, WorkflowCodec.encode(spec));
+          submissions.write(
+              partition, submission, result -> completeSubmission(spec, result, appended));
         });
     return appended;
   }
 
-  private void submitted(
+  private void completeSubmission(
       WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> appended) {
     LOG.info(
         LogLine.of("workflow-submitted")
@@ -190,16 +194,16 @@
   /**
    * Queries the status of a workflow, or cancels it first.
    *
-   * @return completes on the loop; {@link QueryResult#CANNOT_TELL} if the owner is not reached in
+   * @return completes on the loop; {@link QueryResult#UNAVAILABLE} if the owner is not reached in
    *     time
    */
   public CompletableFuture<QueryResult> query(long workflow, String queue, boolean cancel) {
     CompletableFuture<QueryResult> future = new CompletableFuture<>();
-    loop.run(() -> answer(workflow, queue, cancel, true, future::complete));
+    loop.run(() -> handleQuery(workflow, queue, cancel, true, future::complete));
     return future;
   }
 
-  private void answer(
+  private void handleQuery(
       long workflow,
       String queue,
       boolean cancel,
@@ -208,7 +212,7 @@
     int partition = ownership.partitionOf(workflow);
     Optional<OwnedPartition> owned = ownership.active(partition);
     if (owned.isPresent()) {
-      answerOwn(owned.get(), workflow, cancel, onResult);
+      queryOwned(owned.get(), workflow, cancel, onResult);
     } else if (mayForward) {
       WorkflowQuery forwarded =
           WorkflowQuery.newBuilder()
@@ -216,34 +220,34 @@
               .setQueue(queue)
               .setCancel(cancel)
               .build();
-      peers.ask(partition, forwarded, onResult);
+      peers.query(partition, forwarded, onResult);
     } else {
-      onResult.accept(QueryResult.CANNOT_TELL);
+      onResult.accept(QueryResult.UNAVAILABLE);
     }
   }
 
-  private void answerOwn(
+  private void queryOwned(
       OwnedPartition owned, long id, boolean cancel, Consumer<QueryResult> onResult) {
     Optional<Workflow> found = owned.workflow(id);
     if (found.isEmpty()) {
-      onResult.accept(owned.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.CANNOT_TELL);
+      onResult.accept(owned.isCaughtUp() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.UNAVAILABLE);
       return;
     }
     Workflow workflow = found.get();
     if (!cancel) {
-      onResult.accept(QueryResult.of(workflow.shownStatus()));
+      onResult.accept(QueryResult.of(workflow.durableStatus()));
       return;
     }
-    cancelOwn(owned, workflow).thenAccept(onResult);
+    cancelOwned(owned, workflow).thenAccept(onResult);
   }
 
-  private CompletableFuture<QueryResult> cancelOwn(OwnedPartition owned, Workflow workflow) {
+  private CompletableFuture<QueryResult> cancelOwned(OwnedPartition owned, Workflow workflow) {
     if (workflow.cancel(wallMillis.getAsLong())) {
       LOG.info(
           LogLine.of("workflow-cancelled")
               .with("workflow", WorkflowIds.format(workflow.spec().id()))
               .with("open_runs", workflow.openTasks().size()));
-      owned.changed(workflow);
+      owned.persist(workflow);
     }
     CompletableFuture<QueryResult> cancelled = new CompletableFuture<>();
     owned
@@ -251,11 +255,12 @@
         .afterDurable(
             () -> {
               vms.stopUnwanted(workflow);
-              cancelled.complete(QueryResult.of(workflow.shownStatus()));
+              cancelled.complete(QueryResult.of(workflow.durableStatus()));
             });
-    // The cancel may never become durable: the partition may have another owner, or the store may be
+    // The cancel may never become durable: the partition may have another owner, or the store may
+    // be
     // unreachable.
-    loop.schedule(() -> cancelled.complete(QueryResult.CANNOT_TELL), CANCEL_NANOS);
+    loop.schedule(() -> cancelled.complete(QueryResult.UNAVAILABLE), CANCEL_TIMEOUT_NANOS);
     return cancelled;
   }
 
@@ -263,18 +268,19 @@
    * Returns the number of accepted workflows of the queue of which no task has started, at all
    * entries; completes on the loop. The numbers of other entries may be some seconds old.
    */
-  public CompletableFuture<Integer> waiting(String queue) {
+  public CompletableFuture<Integer> waitingWorkflows(String queue) {
     CompletableFuture<Integer> count = new CompletableFuture<>();
     loop.run(
-        () -> count.complete(waitingHere().getOrDefault(queue, 0) + peers.waitingElsewhere(queue)));
+        () ->
+            count.complete(waitingLocally().getOrDefault(queue, 0) + peers.waitingAtPeers(queue)));
     return count;
   }
 
-  private Map<String, Integer> waitingHere() {
+  private Map<String, Integer> waitingLocally() {
     Map<String, Integer> waiting = new HashMap<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.hasBegun() && !workflow.status().isTerminal()) {
+        if (!workflow.hasStarted() && !workflow.status().isTerminal()) {
           waiting.merge(workflow.spec().queue(), 1, Integer::sum);
         }
       }
@@ -282,28 +288,29 @@
     return waiting;
   }
 
-  private void renew() {
+  private void renewEvidence() {
     for (OwnedPartition partition : ownership.active()) {
-      boolean due = loop.now() - partition.writer().evidence() > RENEW_NANOS;
+      boolean due = loop.now() - partition.writer().evidenceAt() > EVIDENCE_INTERVAL_NANOS;
       if (due && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
-        partition.writer().renew();
+        partition.writer().renewEvidence();
       }
     }
   }
 
   private void sweep() {
-    vms.sweep();
-    scheduler.evacuate();
-    scheduler.soon();
+    vms.closeExpiredRuns();
+    scheduler.evacuateRuns();
+    scheduler.schedulePass();
   }
 
-  private void forgetEnded() {
-    long endedBefore = wallMillis.getAsLong() - terms.keepEndedMillis();
+  private void evictEnded() {
+    long endedBefore = wallMillis.getAsLong() - parameters.endedRetentionMillis();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : ImmutableList.copyOf(partition.workflows())) {
-        boolean expired = workflow.shownStatus().isTerminal() && workflow.endedMillis() < endedBefore;
+        boolean expired =
+            workflow.durableStatus().isTerminal() && workflow.endedMillis() < endedBefore;
         if (expired && !workflow.hasOpenTasks()) {
-          partition.forget(workflow);
+          partition.evict(workflow);
         }
       }
     }
@@ -328,63 +335,63 @@
   }
 
   /** Handles changes of the ownership of partitions. */
-  private final class Changes implements Ownership.Listener {
+  private final class OwnershipListener implements PartitionOwnership.Listener {
     @Override
-    public void ownersKnown(long asOfGeneration, Owners owners) {
-      if (peers.owners(asOfGeneration, owners)) {
-        vms.connections().forEach(WorkflowEntry.this::tellOwners);
+    public void ownersRead(long asOfGeneration, Owners owners) {
+      if (peers.updateOwners(asOfGeneration, owners)) {
+        vms.connections().forEach(WorkflowEntry.this::sendOwnerMap);
       }
     }
 
     @Override
     public void activated(OwnedPartition partition) {
-      vms.activated(partition);
-      scheduler.soon();
+      vms.partitionActivated(partition);
+      scheduler.schedulePass();
     }
 
     @Override
     public void submitted(OwnedPartition partition, Workflow workflow) {
-      scheduler.soon();
+      scheduler.schedulePass();
     }
 
     @Override
     public void lost(OwnedPartition partition) {
-      vms.lost(partition);
+      vms.partitionLost(partition);
     }
   }
 
   /** Handles changes on the VMs. */
-  private final class VmChanges implements EntryVms.Listener {
+  private final class VmListener implements VmTracker.Listener {
     @Override
-    public void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
+    public void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
       if (task.workflow().status().isTerminal()) {
         partition.writer().afterDurable(() -> vms.stopUnwanted(task.workflow()));
       }
-      scheduler.ended(task, outcome);
+      scheduler.runEnded(task, outcome);
     }
 
     @Override
-    public void roomChanged() {
-      scheduler.roomChanged();
+    public void capacityChanged() {
+      scheduler.capacityChanged();
     }
   }
 
   /** Handles connections from side processes and other entries. */
-  private final class Incoming implements LinkListener {
+  private final class IncomingLinkListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
-      tellOwners(connection);
+      sendOwnerMap(connection);
     }
 
     @Override
     public void received(LinkConnection connection, Frame frame) {
       switch (frame.getBodyCase()) {
         case VM_REPORT -> {
-          vms.reported(connection, frame.getVmReport());
-          tellOwners(connection, frame.getVmReport().getOwnersDigest());
+          vms.handleReport(connection, frame.getVmReport());
+          sendOwnerMap(connection, frame.getVmReport().getOwnersDigest());
         }
-        case WORKFLOW_QUERY -> answerPeer(connection, frame.getWorkflowQuery());
-        case WAITING_COUNTS -> peers.counted(frame.getWaitingCounts());
+        case WORKFLOW_QUERY -> handlePeerQuery(connection, frame.getWorkflowQuery());
+        case WAITING_COUNTS -> peers.updateCounts(frame.getWaitingCounts());
         case PING -> connection.send(Frame.newBuilder().setPong(Pong.getDefaultInstance()).build());
         default ->
             LOG.warning(
@@ -396,25 +403,27 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      turns.forget(connection);
+      ownerMapLimiter.remove(connection);
       vms.disconnected(connection, reason);
     }
   }
 
-  /** Sends the owner map if the side process uses another one, since it may have missed a change. */
-  private void tellOwners(LinkConnection connection, int digest) {
-    if (digest != peers.map().getDigest() && turns.mayTell(connection, loop.now())) {
-      tellOwners(connection);
+  /**
+   * Sends the owner map if the side process uses another one, since it may have missed a change.
+   */
+  private void sendOwnerMap(LinkConnection connection, int digest) {
+    if (digest != peers.ownerMap().getDigest() && ownerMapLimiter.maySend(connection, loop.now())) {
+      sendOwnerMap(connection);
     }
   }
 
-  private void tellOwners(LinkConnection connection) {
-    turns.told(connection, loop.now());
-    connection.send(Frame.newBuilder().setOwnerMap(peers.map()).build());
+  private void sendOwnerMap(LinkConnection connection) {
+    ownerMapLimiter.recordSent(connection, loop.now());
+    connection.send(Frame.newBuilder().setOwnerMap(peers.ownerMap()).build());
   }
 
-  private void answerPeer(LinkConnection connection, WorkflowQuery query) {
-    answer(
+  private void handlePeerQuery(LinkConnection connection, WorkflowQuery query) {
+    handleQuery(
         query.getWorkflow(),
         query.getQueue(),
         query.getCancel(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
@@ -43,7 +43,8 @@
    * Makes the appends of one writer idempotent and fences writers of lower epochs.
    *
    * @param epoch a partition rejects appends of a lower epoch than its highest
-   * @param sequence the number of the append within its epoch, from 0; empty appends are not counted
+   * @param sequence the number of the append within its epoch, from 0; empty appends are not
+   *     counted
    */
   record Writer(long epoch, long sequence) {}
 
@@ -71,15 +72,15 @@
   /**
    * Records in the order of their offsets.
    *
-   * @param next the offset of the next read
+   * @param nextOffset the offset of the next read
    */
-  record Records(ImmutableList<KeyedRecord> records, long next) implements ReadResult {}
+  record Records(ImmutableList<KeyedRecord> records, long nextOffset) implements ReadResult {}
 
-  /** The requested offset has expired; the remaining records are read by {@link #newest}. */
+  /** The requested offset has expired; the remaining records are read by {@link #readNewest}. */
   record Expired() implements ReadResult {}
 
   /** Nothing could be read. */
-  record Unreadable(String reason) implements ReadResult {}
+  record ReadFailed(String reason) implements ReadResult {}
 
   /** The result of reading a page of the newest records. */
   sealed interface NewestResult {}
@@ -87,14 +88,15 @@
   /**
    * A page of the newest records.
    *
-   * @param more the key to continue after, or empty if this is the last page
-   * @param end the offset after the newest record at the time of the page
+   * @param continueAfter the key to continue after, or empty if this is the last page
+   * @param endOffset the offset after the newest record at the time of the page
    */
-  record NewestPage(ImmutableList<KeyedRecord> records, Optional<String> more, long end)
+  record NewestPage(
+      ImmutableList<KeyedRecord> records, Optional<String> continueAfter, long endOffset)
       implements NewestResult {}
 
   /** The page could not be read. */
-  record NoPage(String reason) implements NewestResult {}
+  record NewestUnavailable(String reason) implements NewestResult {}
 
   /** The result of a join. */
   sealed interface JoinResult {}
@@ -108,7 +110,7 @@
   record Joined(long generation, ImmutableSet<Integer> partitions) implements JoinResult {}
 
   /** The store did not answer or refused the join. */
-  record NotJoined(String reason) implements JoinResult {}
+  record JoinFailed(String reason) implements JoinResult {}
 
   /** The result of reading the owners. */
   sealed interface OwnersResult {}
@@ -124,7 +126,7 @@
   }
 
   /** The owners could not be read. */
-  record OwnersUnknown(String reason) implements OwnersResult {}
+  record OwnersUnavailable(String reason) implements OwnersResult {}
 
   /** The owner of a partition. */
   record Owner(int partition, String member) {
@@ -158,7 +160,7 @@
    *
    * @param after the key after which the page starts; empty for the first page
    */
-  CompletableFuture<NewestResult> newest(Topic topic, int partition, Optional<String> after);
+  CompletableFuture<NewestResult> readNewest(Topic topic, int partition, Optional<String> after);
 
   /**
    * Becomes or remains a member; the partitions in the result are the caller's until its next join.
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
@@ -10,16 +10,16 @@
 final class FakeAdviser implements PlacementAdviser {
   private final List<String> calls = new ArrayList<>();
   private final List<String> answered = new ArrayList<>();
-  private String allowedEnd = "";
+  private String allowedSuffix = "";
   private int failures;
 
   /** Allows only workers whose names have the suffix. */
-  synchronized void allowOnly(String suffix) {
-    allowedEnd = suffix;
+  synchronized void allowOnlySuffix(String suffix) {
+    allowedSuffix = suffix;
   }
 
   /** Fails the next calls. */
-  synchronized void fail(int count) {
+  synchronized void failNext(int count) {
     failures = count;
   }
 
@@ -39,12 +39,12 @@
     calls.add(stepName);
     if (failures > 0) {
       failures--;
-      return CompletableFuture.completedFuture(new NotAdvised("failed by the test"));
+      return CompletableFuture.completedFuture(new AdviceUnavailable("failed by the test"));
     }
     workers.forEach(worker -> answered.add(stepName + " " + worker));
     ImmutableMap.Builder<String, String> tickets = ImmutableMap.builder();
     workers.stream()
-        .filter(worker -> worker.endsWith(allowedEnd))
+        .filter(worker -> worker.endsWith(allowedSuffix))
         .forEach(worker -> tickets.put(worker, "ticket-for-" + worker));
     return CompletableFuture.completedFuture(new Advised(tickets.buildOrThrow()));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 
 /** The log lines of an owner on long-running tasks that run nowhere. */
-class TaskWatchTest {
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "svc", 25, 1);
+class LongRunningTaskMonitorTest {
+  private static final StepSpec.TaskTraits LONG_RUNNING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "svc", 25, 1);
 
   /** Long enough that the attempt stays open while its worker is silent. */
   private static final long LONGEST_LEASE_MILLIS = 60_000;
 
   private static final long RUN_MILLIS = 120_000;
 
-  private static final Logger LOGGER = Logger.getLogger(TaskWatch.class.getName());
+  private static final Logger LOGGER = Logger.getLogger(LongRunningTaskMonitor.class.getName());
 
-  private final WorkflowWorld world = new WorkflowWorld(LONGEST_LEASE_MILLIS);
+  private final WorkflowTestCluster world = new WorkflowTestCluster(LONGEST_LEASE_MILLIS);
   private final List<String> lines = new CopyOnWriteArrayList<>();
   private final Handler collector =
       new Handler() {
@@ -58,10 +58,10 @@
     world.close();
   }
 
-  private void submit(long id, StepSpec.Nature nature) {
+  private void submit(long id, StepSpec.TaskTraits nature) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(id, nature, 1)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, nature, 1)).join());
   }
 
   private void awaitLine(String event, long id, String... parts) {
@@ -78,14 +78,14 @@
 
   /** The worker is dead, but its side process keeps listing the run, so the attempt stays open. */
   @Test
-  void aRunUnderASilentWorkerIsToldWithWhatTheOwnerBelieves() throws IOException {
+  void logsRunOfSilentWorker() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
-    submit(71, LASTING);
+    submit(71, LONG_RUNNING);
     // Known from a report; before that, the owner only knows that it ordered the run.
     world.await("the task is running", () -> world.status(0, 71) == QueryResult.RUNNING);
-    world.side("vm-0").worker().fallSilent();
+    world.side("vm-0").worker().becomeUnresponsive();
     awaitLine(
         "task-absent",
         71,
@@ -96,11 +96,11 @@
 
   /** The VM is gone. */
   @Test
-  void aRunOnAVmOutOfReachIsToldAsSuch() throws IOException {
+  void logsRunOnDisconnectedVm() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
-    submit(72, LASTING);
+    submit(72, LONG_RUNNING);
     world.await("the task is running", () -> world.history().totalStarts() == 1);
     world.side("vm-0").loop().close();
     awaitLine(
@@ -111,13 +111,16 @@
         " vm_is=disconnected vm_report_ms=none");
   }
 
-  /** There is no VM; once there is one, the task returns. Tasks that end by themselves are not logged. */
+  /**
+   * There is no VM; once there is one, the task returns. Tasks that end by themselves are not
+   * logged.
+   */
   @Test
-  void aTaskThatNoVmIsOfferedForIsToldWithTheReasonAndToldToBeBack() throws IOException {
+  void logsTaskWithoutVmAndItsRecovery() throws IOException {
     world.addEntry();
     world.awaitReady();
-    submit(73, LASTING);
-    submit(74, StepSpec.Nature.PLAIN);
+    submit(73, LONG_RUNNING);
+    submit(74, StepSpec.TaskTraits.PLAIN);
     awaitLine(
         "task-absent",
         73,
@@ -131,14 +134,14 @@
 
   /** There is a VM, but it has too little free capacity for the task. */
   @Test
-  void aTaskThatNoVmAdmitsIsToldWithTheReason() throws IOException {
+  void logsTaskThatNoVmAdmits() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
     // Nine tasks of half a processor each on four processors.
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(75, LASTING, 9)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(75, LONG_RUNNING, 9)).join());
     world.await(
         "one of them is logged as absent",
         () ->
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/IgnoringOwnership.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/NoOpOwnershipListener.java
@@ -3,9 +3,9 @@
 import io.marigoldsail.workflow.Workflow;
 
 /** An ownership listener that does nothing. */
-class IgnoringOwnership implements Ownership.Listener {
+class NoOpOwnershipListener implements PartitionOwnership.Listener {
   @Override
-  public void ownersKnown(long asOfGeneration, WorkflowStore.Owners owners) {}
+  public void ownersRead(long asOfGeneration, WorkflowStore.Owners owners) {}
 
   @Override
   public void activated(OwnedPartition partition) {}
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapTurnsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiterTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class OwnerMapTurnsTest {
+class OwnerMapRateLimiterTest {
   private static final long ROUND_TRIP_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   /**
@@ -15,12 +15,12 @@
    * entry must wait before it sends the same map again.
    */
   @Test
-  void twoEntriesWithDifferentMapsDoNotChaseEachOther() {
-    OwnerMapTurns<String> limiter = new OwnerMapTurns<>();
+  void differingOwnerMapsAreSentAtALimitedRate() {
+    OwnerMapRateLimiter<String> limiter = new OwnerMapRateLimiter<>();
     int sent = 0;
-    for (long now = 0; now < 10 * OwnerMapTurns.SPACING_NANOS; now += ROUND_TRIP_NANOS) {
-      if (limiter.mayTell("side", now)) {
-        limiter.told("side", now);
+    for (long now = 0; now < 10 * OwnerMapRateLimiter.MIN_INTERVAL_NANOS; now += ROUND_TRIP_NANOS) {
+      if (limiter.maySend("side", now)) {
+        limiter.recordSent("side", now);
         sent++;
       }
     }
@@ -28,11 +28,11 @@
   }
 
   @Test
-  void whoIsNewIsToldAtOnce() {
-    OwnerMapTurns<String> limiter = new OwnerMapTurns<>();
-    limiter.told("side", 5);
-    assertTrue(limiter.mayTell("other", 6));
-    limiter.forget("side");
-    assertTrue(limiter.mayTell("side", 6));
+  void newConnectionIsSentTheMapAtOnce() {
+    OwnerMapRateLimiter<String> limiter = new OwnerMapRateLimiter<>();
+    limiter.recordSent("side", 5);
+    assertTrue(limiter.maySend("other", 6));
+    limiter.remove("side");
+    assertTrue(limiter.maySend("side", 6));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionExceptionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** An exception in one step of a partition must not stop the later steps. */
-class PartitionChainsTest {
+class PartitionExceptionTest {
   private final VirtualLoop time = new VirtualLoop();
   private final VirtualStore store = new VirtualStore(time);
 
@@ -26,7 +26,7 @@
    * second never ran: the run was never ordered, and its capacity was never released.
    */
   @Test
-  void anEffectThatThrowsDoesNotTakeTheLaterOnesAlong() {
+  void throwingEffectDoesNotSkipLaterEffects() {
     List<String> ran = new ArrayList<>();
     PartitionWriter writer = new PartitionWriter(store, time.loop(), 0, 1, () -> ran.add("lost"));
     writer.write(
@@ -51,8 +51,8 @@
    * submissions waited forever.
    */
   @Test
-  void aSubmissionThatCannotBeTakenIsNotTheLastOneRead() {
-    ThrowingOwner listener = new ThrowingOwner(2);
+  void throwingSubmissionDoesNotStopTailing() {
+    ThrowingListener listener = new ThrowingListener(2);
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
@@ -63,8 +63,8 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(1L, 3L, 4L), listener.taken);
-    assertTrue(partition.isFresh());
+    assertEquals(List.of(1L, 3L, 4L), listener.submittedIds);
+    assertTrue(partition.isCaughtUp());
   }
 
   /**
@@ -72,8 +72,8 @@
    * one of them threw. The partition read nothing after that.
    */
   @Test
-  void aSubmissionThatCannotBeTakenDoesNotEndAReadingAnew() {
-    ThrowingOwner listener = new ThrowingOwner(2);
+  void throwingSubmissionDoesNotStopRereading() {
+    ThrowingListener listener = new ThrowingListener(2);
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
@@ -83,23 +83,23 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(3L, 4L), listener.taken);
+    assertEquals(List.of(3L, 4L), listener.submittedIds);
   }
 
   /**
-   * An exception while a partition became active left it active but without reading submissions from
-   * then on.
+   * An exception while a partition became active left it active but without reading submissions
+   * from then on.
    */
   @Test
-  void anActivationThatThrowsDoesNotKeepThePartitionFromReading() {
-    ThrowingOwner listener = new ThrowingOwner(0);
-    listener.throwsWhenActive = true;
+  void throwingActivationDoesNotStopTailing() {
+    ThrowingListener listener = new ThrowingListener(0);
+    listener.throwsOnActivation = true;
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, listener);
     partition.open();
     time.advance(20);
     store.submit(submission(1));
     time.advance(20);
-    assertEquals(List.of(1L), listener.taken);
+    assertEquals(List.of(1L), listener.submittedIds);
   }
 
   private static KeyedRecord submission(long id) {
@@ -107,7 +107,7 @@
         new WorkflowSpec(
             id,
             "queue",
-            new WorkflowSpec.Terms("service", 0, 3, Optional.empty(), 2, 100),
+            new WorkflowSpec.QueuePolicy("service", 0, 3, Optional.empty(), 2, 100),
             "program",
             ImmutableList.of(
                 new StepSpec(
@@ -116,25 +116,25 @@
                     100,
                     ImmutableList.of(),
                     StepSpec.Placement.ANYWHERE,
-                    StepSpec.Nature.PLAIN)),
-            WorkflowSpec.Schedule.AT_ONCE,
+                    StepSpec.TaskTraits.PLAIN)),
+            WorkflowSpec.Schedule.IMMEDIATE,
             1);
-    return new KeyedRecord(WorkflowIds.format(id), WorkflowRecords.encode(spec));
+    return new KeyedRecord(WorkflowIds.format(id), WorkflowCodec.encode(spec));
   }
 
   /** Records submitted workflows; throws for one of them. */
-  private static final class ThrowingOwner implements OwnedPartition.Listener {
-    private final List<Long> taken = new ArrayList<>();
+  private static final class ThrowingListener implements OwnedPartition.Listener {
+    private final List<Long> submittedIds = new ArrayList<>();
     private final long throwsAt;
-    private boolean throwsWhenActive;
+    private boolean throwsOnActivation;
 
-    ThrowingOwner(long throwsAt) {
+    ThrowingListener(long throwsAt) {
       this.throwsAt = throwsAt;
     }
 
     @Override
     public void activated(OwnedPartition partition) {
-      if (throwsWhenActive) {
+      if (throwsOnActivation) {
         throw new IllegalStateException("thrown by the test");
       }
     }
@@ -144,7 +144,7 @@
       if (workflow.spec().id() == throwsAt) {
         throw new IllegalStateException("thrown by the test");
       }
-      taken.add(workflow.spec().id());
+      submittedIds.add(workflow.spec().id());
     }
 
     @Override
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunEndAcknowledgerTest.java
@@ -17,18 +17,21 @@
 import org.junit.jupiter.api.Test;
 
 /** Acknowledgement of ends of runs by their owner, on virtual time. */
-class EndNotesTest {
+class RunEndAcknowledgerTest {
   private static final RunKey UNKNOWN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final long SUCCESSOR_EPOCH = 1_000_000;
 
   private final VirtualLoop time = new VirtualLoop();
   private final FakeWorkflowStore store = new FakeWorkflowStore(1, time.timer());
-  private final RefusingStore reached = new RefusingStore(store);
-  private final Ownership ownership =
-      new Ownership(
-          reached, time.loop(), new EntryMember("127.0.0.1", 1, 1), new IgnoringOwnership());
-  private final EndNotes notes = new EndNotes(time.loop());
-  private final List<RunKey> noted = new ArrayList<>();
+  private final RefusingStore storeOfOwner = new RefusingStore(store);
+  private final PartitionOwnership ownership =
+      new PartitionOwnership(
+          storeOfOwner,
+          time.loop(),
+          new EntryMember("127.0.0.1", 1, 1),
+          new NoOpOwnershipListener());
+  private final RunEndAcknowledger acknowledger = new RunEndAcknowledger(time.loop());
+  private final List<RunKey> acknowledged = new ArrayList<>();
 
   @BeforeEach
   void ownPartition() {
@@ -36,9 +39,9 @@
     time.advance(500);
   }
 
-  private void hearOfEnd(RunKey run) {
+  private void reportEnd(RunKey run) {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
-    notes.take(partition, run, "vm-0", () -> noted.add(run));
+    acknowledger.acknowledgeWhenSafe(partition, run, "vm-0", () -> acknowledged.add(run));
   }
 
   /**
@@ -46,85 +49,85 @@
    * the task again.
    */
   @Test
-  void aFormerOwnerDoesNotNoteTheEndOfWhatItsSuccessorOrdered() {
+  void formerOwnerDoesNotAcknowledgeEndOfSuccessorsRun() {
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
-    hearOfEnd(UNKNOWN);
+    reportEnd(UNKNOWN);
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** The same, while the former owner cannot reach the store. */
   @Test
-  void anOwnerThatIsCutOffFromTheStoreNotesNoEndThatItDoesNotKnow() {
-    reached.refuse(true);
-    hearOfEnd(UNKNOWN);
+  void ownerWithoutStoreDoesNotAcknowledgeUnknownEnd() {
+    storeOfOwner.setRefusing(true);
+    reportEnd(UNKNOWN);
     time.advance(5_000);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   private Workflow ownWorkflow() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
-    partition.add(WorkflowWorld.workflow(UNKNOWN.task().workflow(), 1));
+    partition.add(WorkflowTestCluster.workflow(UNKNOWN.task().workflow(), 1));
     return partition.workflow(UNKNOWN.task().workflow()).orElseThrow();
   }
 
   private static RunKey order(Workflow workflow) {
-    return workflow.order(workflow.tasks().get(0), new Place("vm-0", "incarnation-1"));
+    return workflow.startAttempt(workflow.tasks().get(0), new Place("vm-0", "incarnation-1"));
   }
 
   /** An end that is acknowledged before its workflow has recorded it makes the task run again. */
   @Test
-  void theEndOfARunThatCountsAsOpenIsNotNoted() {
+  void endOfOpenRunIsNotAcknowledged() {
     RunKey open = order(ownWorkflow());
-    hearOfEnd(open);
+    reportEnd(open);
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Otherwise a worker would retain the ends of superseded attempts forever. */
   @Test
-  void theEndOfAnEarlierAttemptIsNoted() {
+  void endOfEarlierAttemptIsAcknowledged() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     order(workflow);
-    hearOfEnd(first);
+    reportEnd(first);
     time.advance(100);
-    assertEquals(List.of(first), noted);
+    assertEquals(List.of(first), acknowledged);
   }
 
   /**
-   * A later owner has ordered an attempt that is unknown here; if its end were acknowledged here, the
-   * task would run again.
+   * A later owner has ordered an attempt that is unknown here; if its end were acknowledged here,
+   * the task would run again.
    */
   @Test
-  void aFormerOwnerDoesNotNoteTheEndOfALaterAttempt() {
+  void formerOwnerDoesNotAcknowledgeEndOfLaterAttempt() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
-    hearOfEnd(new RunKey(first.task(), first.attempt() + 1));
+    reportEnd(new RunKey(first.task(), first.attempt() + 1));
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** The state change of the end is dropped with the ownership, so it is not durable. */
   @Test
-  void aReleasedPartitionNotesNothing() {
+  void releasedPartitionAcknowledgesNothing() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
     RunKey run = order(ownWorkflow());
-    partition.workflow(run.task().workflow()).orElseThrow().ended(run, RunOutcome.DONE, "", 0);
+    partition.workflow(run.task().workflow()).orElseThrow().recordEnd(run, RunOutcome.DONE, "", 0);
     partition.close();
-    notes.take(partition, run, "vm-0", () -> noted.add(run));
+    acknowledger.acknowledgeWhenSafe(partition, run, "vm-0", () -> acknowledged.add(run));
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Otherwise a worker would retain the ends of evicted workflows forever. */
   @Test
-  void theOwnerNotesAnEndThatItDoesNotKnow() {
-    hearOfEnd(UNKNOWN);
+  void ownerAcknowledgesUnknownEnd() {
+    reportEnd(UNKNOWN);
     time.advance(100);
-    assertEquals(List.of(UNKNOWN), noted);
+    assertEquals(List.of(UNKNOWN), acknowledged);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
@@ -44,7 +44,7 @@
   }
 
   /** Runs the tasks that are due without advancing the time. */
-  void settle() {
+  void runPending() {
     timer.runPendingTasks();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
@@ -16,16 +16,16 @@
   }
 
   /**
-   * An order was pending when a report with a new worker incarnation arrived. It was sent to the new
-   * incarnation, which would start a task that its owner orders elsewhere.
+   * An order was pending when a report with a new worker incarnation arrived. It was sent to the
+   * new incarnation, which would start a task that its owner orders elsewhere.
    */
   @Test
-  void whatWaitsForOneLifeOfTheWorkerIsNotSentToTheNext() {
+  void pendingOrdersAreDroppedWhenTheIncarnationChanges() {
     VmSession session = new VmSession(null, report("incarnation-1"), 0);
     session.addStop(RUN);
-    session.take(report("incarnation-1"), 1);
-    assertTrue(session.hasPending());
-    session.take(report("incarnation-2"), 2);
-    assertFalse(session.hasPending());
+    session.update(report("incarnation-1"), 1);
+    assertTrue(session.hasPendingOrders());
+    session.update(report("incarnation-2"), 2);
+    assertFalse(session.hasPendingOrders());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class EntryVmsTest {
-  private final WorkflowWorld world = new WorkflowWorld();
+class VmTrackerTest {
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("vm", MonotonicClock.system());
 
   @AfterEach
@@ -36,7 +36,11 @@
     void awaitLease() {
       int before = leases.get();
       VmReport report =
-          VmReport.newBuilder().setVm("vm-0").setWorker("incarnation-1").setWantsLease(true).build();
+          VmReport.newBuilder()
+              .setVm("vm-0")
+              .setWorker("incarnation-1")
+              .setWantsLease(true)
+              .build();
       LinkConnection connection = opened.join();
       world.await(
           "a lease is granted",
@@ -68,12 +72,12 @@
   }
 
   /**
-   * A side process abandoned a slow connection and dialled again. Its report on the first connection
-   * was read after that on the second, and then the first connection ended. The entry ignored all
-   * further reports of the VM and granted no lease.
+   * A side process abandoned a slow connection and dialled again. Its report on the first
+   * connection was read after that on the second, and then the first connection ended. The entry
+   * ignored all further reports of the VM and granted no lease.
    */
   @Test
-  void theConnectionThatIsLeftCountsThoughAnotherOneWasReadLater() throws IOException {
+  void remainingConnectionIsUsedThoughAnotherWasReadLater() throws IOException {
     String address = world.addEntry().memberPrefix();
     int colon = address.indexOf(':');
     InetSocketAddress entry =
