--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -104,7 +104,7 @@
     this.configuration = requireNonNull(configuration, "configuration");
   }
 
-  /** Schedules a scheduling pass to run after the current task of the loop. */
+  /** Schedules a pass over the waiting tasks after the current task of the loop. */
   void schedulePass() {
     if (!passScheduled) {
       passScheduled = true;
@@ -116,7 +116,7 @@
     }
   }
 
-  /** Schedules a delayed scheduling pass because the capacity of a VM may have changed. */
+  /** Schedules a delayed pass because the capacity of a VM may have changed. */
   void capacityChanged() {
     if (!capacityPassScheduled && !passScheduled) {
       capacityPassScheduled = true;
@@ -196,14 +196,14 @@
       // A workflow with one running task no longer starves.
       boolean mayStarve = hasSpareCapacity && !served.contains(task.workflow());
       WaitingTask each = mayStarve ? candidate : candidate.withoutStarvation();
-      Requirements need = Requirements.of(each);
-      if (unplaceable.contains(need)) {
+      Requirements requirements = Requirements.of(each);
+      if (unplaceable.contains(requirements)) {
         continue;
       }
       List<VmOffer> chosen = chooseWithAdvice(each, offersByVm.values());
       if (chosen.isEmpty()) {
         if (!needsAdvice(task)) {
-          unplaceable.add(need);
+          unplaceable.add(requirements);
         }
         continue;
       }
@@ -275,9 +275,9 @@
   private List<VmOffer> chooseAmong(WaitingTask waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
     if (task.step().traits().gang()) {
-      TaskPlacementRequest wish = placementRequest(task, waiting.urgency(), "");
+      TaskPlacementRequest request = placementRequest(task, waiting.urgency(), "");
       Optional<ImmutableList<VmOffer>> all =
-          gangChooser.choose(wish, waiting.members().size(), offers);
+          gangChooser.choose(request, waiting.members().size(), offers);
       return all.orElse(ImmutableList.of());
     }
     return chooseAmong(task, waiting.urgency(), offers).stream().toList();
@@ -400,7 +400,7 @@
     String worker = task.place().orElseThrow().worker();
     String ticket = needsAdvice(task) ? adviceClient.ticket(task, worker) : "";
     boolean starved = waiting.urgency() == Urgency.STARVED;
-    return OpenRun.decided(waiting.partition(), task, loop.now(), starved, ticket);
+    return OpenRun.create(waiting.partition(), task, loop.now(), starved, ticket);
   }
 
   private void logOrdered(WaitingTask waiting, WorkflowTask task) {
@@ -437,13 +437,13 @@
     moveThrottled(vms.runsThrottledTo(THROTTLED_PERCENT));
   }
 
-  private void moveThrottled(List<OpenRun> slowed) {
-    if (slowed.isEmpty()) {
+  private void moveThrottled(List<OpenRun> throttled) {
+    if (throttled.isEmpty()) {
       return;
     }
     List<VmOffer> withoutServices = new ArrayList<>();
     vms.offers().stream().filter(offer -> offer.serviceTasks() == 0).forEach(withoutServices::add);
-    for (OpenRun run : slowed) {
+    for (OpenRun run : throttled) {
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
           isCheapToStop(task)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
@@ -25,9 +25,9 @@
   private static final long SPEED_SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final VmQuarantine quarantine = new VmQuarantine();
-  private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
+  private final VmSlowdownEstimator slowdowns = new VmSlowdownEstimator();
   private final ImageInterference interference = new ImageInterference();
-  private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
+  private final ImageEvidenceAggregator imageEvidence = new ImageEvidenceAggregator();
 
   /**
    * Records the progress of a run. Best-effort and long-running runs are ignored: their progress
@@ -41,7 +41,7 @@
     boolean due = run.recordRunning(now, SPEED_SAMPLE_NANOS);
     if (due && !step.traits().bestEffort() && !step.traits().longRunning()) {
       double workedMillis = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      speed.addSample(vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
+      slowdowns.addSample(vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
     }
   }
 
@@ -58,27 +58,28 @@
     StepSpec step = run.task().step();
     if (outcome.completes() && !step.traits().bestEffort()) {
       double tookMillis = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
-      speed.addSample(vm, step.estimateMillis(), tookMillis, now);
+      slowdowns.addSample(vm, step.estimateMillis(), tookMillis, now);
     }
   }
 
   /** Drops the statistics of a VM that has a new worker. */
   void reset(String vm) {
     quarantine.reset(vm);
-    speed.reset(vm);
+    slowdowns.reset(vm);
   }
 
-  /** Replaces the image observations of a VM. */
-  void recordImages(String vm, Map<String, ImageInterference.Evidence> seen) {
-    images.update(vm, seen);
-    interference.setRemoteEvidence(images.total());
+  /** Replaces the interference evidence of images from a VM. */
+  void recordImageEvidence(String vm, Map<String, ImageInterference.Evidence> evidence) {
+    imageEvidence.update(vm, evidence);
+    interference.setRemoteEvidence(imageEvidence.total());
   }
 
-  /** Returns the image observations of all other VMs. */
-  Map<String, ImageInterference.Evidence> imagesOfOtherVms(String vm) {
-    return images.totalExcluding(vm);
+  /** Returns the interference evidence of images from all other VMs. */
+  Map<String, ImageInterference.Evidence> imageEvidenceOfOtherVms(String vm) {
+    return imageEvidence.totalExcluding(vm);
   }
 
+  /** Returns the estimated interference of the image with service tasks, from 0 to 1. */
   double interferenceOf(String image) {
     return interference.belief(image);
   }
@@ -92,7 +93,8 @@
     return quarantine.isQuarantined(vm, now);
   }
 
-  double slowness(String vm, long now) {
-    return speed.slowdown(vm, now);
+  /** Returns the slowdown factor of the VM against the others; 1 if it is not slow. */
+  double slowdown(String vm, long now) {
+    return slowdowns.slowdown(vm, now);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageObservationCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageObservationCodec.java
@@ -7,30 +7,30 @@
 import java.util.List;
 import java.util.Map;
 
-/** Converts image observations to frames and back. Stateless. */
+/** Converts the interference evidence of images (observations) to frames and back. Stateless. */
 final class ImageObservationCodec {
   private ImageObservationCodec() {}
 
-  static List<ImageSeen> encode(Map<String, ImageInterference.Evidence> seen) {
+  static List<ImageSeen> encode(Map<String, ImageInterference.Evidence> evidence) {
     List<ImageSeen> encoded = new ArrayList<>();
-    seen.forEach(
-        (image, observation) ->
+    evidence.forEach(
+        (image, imageEvidence) ->
             encoded.add(
                 ImageSeen.newBuilder()
                     .setImage(image)
-                    .setBlame((float) observation.blame())
-                    .setWeight((float) observation.weight())
+                    .setBlame((float) imageEvidence.blame())
+                    .setWeight((float) imageEvidence.weight())
                     .build()));
     return encoded;
   }
 
   static Map<String, ImageInterference.Evidence> decode(List<ImageSeen> encoded) {
-    Map<String, ImageInterference.Evidence> seen = new HashMap<>();
+    Map<String, ImageInterference.Evidence> evidence = new HashMap<>();
     for (ImageSeen each : encoded) {
       double weight = Math.max(0, each.getWeight());
       double blame = Math.min(weight, Math.max(0, each.getBlame()));
-      seen.put(each.getImage(), new ImageInterference.Evidence(blame, weight));
+      evidence.put(each.getImage(), new ImageInterference.Evidence(blame, weight));
     }
-    return seen;
+    return evidence;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -50,7 +50,7 @@
   private final PartitionOwnership ownership;
   private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final AbsenceDetector watch = new AbsenceDetector();
+  private final AbsenceDetector detector = new AbsenceDetector();
   private long summaryAt = Long.MIN_VALUE;
   private long unreportedRecoveries;
 
@@ -69,37 +69,37 @@
 
   /** Checks all long-running tasks once; to be called about every second. */
   void check() {
-    CheckResult look = watch.check(observations(), loop.now());
-    look.recoveries().forEach(this::logRecovery);
-    if (!look.absences().isEmpty()) {
+    CheckResult result = detector.check(observations(), loop.now());
+    result.recoveries().forEach(this::logRecovery);
+    if (!result.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
       String availability = availabilityCounts();
-      look.absences().forEach(absence -> logAbsent(absence, offers, availability));
+      result.absences().forEach(absence -> logAbsent(absence, offers, availability));
     }
-    unreportedRecoveries += look.omittedRecoveries();
-    logSummary(look);
+    unreportedRecoveries += result.omittedRecoveries();
+    logSummary(result);
   }
 
   private ImmutableList<Observation> observations() {
-    ImmutableList.Builder<Observation> sights = ImmutableList.builder();
-    long wall = wallMillis.getAsLong();
+    ImmutableList.Builder<Observation> observations = ImmutableList.builder();
+    long wallNow = wallMillis.getAsLong();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
         if (!workflow.status().isTerminal() && isLongRunning(workflow)) {
           workflow.openTasks().stream()
               .filter(LongRunningTaskMonitor::isLongRunning)
-              .forEach(task -> sights.add(observe(task)));
+              .forEach(task -> observations.add(observe(task)));
           workflow.forEachReady(
-              wall,
+              wallNow,
               task -> {
                 if (isLongRunning(task)) {
-                  sights.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
+                  observations.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
       }
     }
-    return sights.build();
+    return observations.build();
   }
 
   private static boolean isLongRunning(Workflow workflow) {
@@ -206,19 +206,19 @@
     return CountFormat.format(counts);
   }
 
-  private void logRecovery(Recovery back) {
-    WorkflowTask task = back.task();
+  private void logRecovery(Recovery recovery) {
+    WorkflowTask task = recovery.task();
     LOG.info(
         LogLine.of("task-back")
             .with("task", task.key())
-            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.absentNanos()))
+            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(recovery.absentNanos()))
             .with("run", task.openRun())
             .with("vm", task.place().orElseThrow().vm()));
   }
 
-  private void logSummary(CheckResult look) {
+  private void logSummary(CheckResult result) {
     long interval =
-        look.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
+        result.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
     if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < interval) {
       return;
     }
@@ -226,9 +226,9 @@
     List<Integer> partitions = ownership.active().stream().map(OwnedPartition::number).toList();
     LOG.info(
         LogLine.of("tasks-watched")
-            .with("lasting", look.longRunning())
-            .with("absent", look.absent())
-            .with("untold", look.omittedAbsences())
+            .with("lasting", result.longRunning())
+            .with("absent", result.absent())
+            .with("untold", result.omittedAbsences())
             .with("back_untold", unreportedRecoveries)
             .with("partitions", partitions));
     unreportedRecoveries = 0;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -46,7 +46,7 @@
    * @param starved whether no task of its workflow has been running for some time
    * @param ticket what the worker requires to accept the run; empty if it requires none
    */
-  static OpenRun decided(
+  static OpenRun create(
       OwnedPartition partition, WorkflowTask task, long now, boolean starved, String ticket) {
     return new OpenRun(partition, task, now, false, starved, ticket);
   }
@@ -90,18 +90,19 @@
     return orderSession != session || orderFrameNumber <= ordersSeen;
   }
 
+  /** Records that an order was added to the numbered frame of the session. */
   void orderSent(VmSession session, long number) {
     orderSession = session;
     orderFrameNumber = number;
   }
 
   /**
-   * Returns whether a stop may be sent now, and if so records that it is.
+   * Returns whether a stop may be sent now, and if so records it as sent.
    *
-   * @param repeatNanos minimum interval between two stops
+   * @param intervalNanos minimum interval between two stops
    */
-  boolean tryStartStop(long now, long repeatNanos) {
-    if (stopSentAt != Long.MIN_VALUE && now - stopSentAt < repeatNanos) {
+  boolean tryMarkStopSent(long now, long intervalNanos) {
+    if (stopSentAt != Long.MIN_VALUE && now - stopSentAt < intervalNanos) {
       return false;
     }
     stopSentAt = now;
@@ -111,15 +112,15 @@
   /**
    * Records that a report shows the run as started; returns whether its speed is to be sampled.
    *
-   * @param spacingNanos minimum interval between two samples
+   * @param intervalNanos minimum interval between two samples
    */
-  boolean recordRunning(long now, long spacingNanos) {
+  boolean recordRunning(long now, long intervalNanos) {
     if (startedAt == Long.MIN_VALUE) {
       startedAt = now;
       sampledAt = now;
       return false;
     }
-    if (now - sampledAt < spacingNanos) {
+    if (now - sampledAt < intervalNanos) {
       return false;
     }
     sampledAt = now;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -59,12 +59,12 @@
   private long evidenceAt = Long.MIN_VALUE;
   private long openedAt;
 
-  PartitionWriter(WorkflowStore store, LinkLoop loop, int partition, long epoch, Runnable lost) {
+  PartitionWriter(WorkflowStore store, LinkLoop loop, int partition, long epoch, Runnable onLost) {
     this.store = requireNonNull(store, "store");
     this.loop = requireNonNull(loop, "loop");
     this.partition = partition;
     this.epoch = epoch;
-    this.onLost = requireNonNull(lost, "lost");
+    this.onLost = requireNonNull(onLost, "onLost");
   }
 
   long epoch() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
@@ -51,12 +51,12 @@
   /**
    * Creates a client with an empty cache.
    *
-   * @param answered runs on the loop after each call; waiting tasks may be placeable then
+   * @param onResult runs on the loop after each call; waiting tasks may be placeable then
    */
-  PlacementAdviceClient(LinkLoop loop, PlacementAdviser adviser, Runnable answered) {
+  PlacementAdviceClient(LinkLoop loop, PlacementAdviser adviser, Runnable onResult) {
     this.loop = requireNonNull(loop, "loop");
     this.adviser = requireNonNull(adviser, "adviser");
-    this.onResult = requireNonNull(answered, "answered");
+    this.onResult = requireNonNull(onResult, "onResult");
   }
 
   /** Returns the offers on which the task's step may be placed now according to cached advice. */
@@ -95,7 +95,7 @@
       return;
     }
     callInFlight = true;
-    AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
+    AdviserTiming timing = task.workflow().spec().policy().advice().orElseThrow();
     long sentAt = loop.now();
     TaskKey key = task.key();
     adviser
@@ -104,7 +104,7 @@
             key.occurrence(),
             key.step(),
             workers,
-            TIMEOUT_FACTOR * terms.callMillis(workers.size()) + ROUND_TRIP_MILLIS)
+            TIMEOUT_FACTOR * timing.callMillis(workers.size()) + ROUND_TRIP_MILLIS)
         .thenAccept(result -> loop.run(() -> handleResult(task, workers, sentAt, result)));
   }
 
@@ -117,9 +117,9 @@
             .with("named", workers.size())
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - sentAt));
     if (result instanceof Advised advised) {
-      AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
+      AdviserTiming timing = task.workflow().spec().policy().advice().orElseThrow();
       // Counted from the request, which precedes the start of the validity at the adviser.
-      long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(terms.validMillis());
+      long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(timing.validMillis());
       adviceFor(task).recordAnswer(workers, advised.tickets(), validUntil);
       LOG.info(line.with("allowed", advised.tickets().size()));
     } else {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -8,7 +8,7 @@
   /** It may be given work. */
   OFFERED("offered"),
   /** Its last report is older than {@link #SILENT_NANOS}. */
-  SILENT("silent"),
+  UNRESPONSIVE("silent"),
   /** Its side process has no worker. */
   NO_WORKER("no worker"),
   /** Its worker is draining. */
@@ -33,10 +33,10 @@
   }
 
   /** Returns the availability of the VM at a time in the loop's nanoseconds. */
-  static VmAvailability of(VmSession session, FleetStatistics knowledge, long now) {
+  static VmAvailability of(VmSession session, FleetStatistics fleet, long now) {
     VmReport report = session.report();
     if (now - session.reportedAt() >= SILENT_NANOS) {
-      return SILENT;
+      return UNRESPONSIVE;
     }
     if (report.getWorker().isEmpty()) {
       return NO_WORKER;
@@ -50,7 +50,7 @@
     if (report.getUnhealthy()) {
       return UNHEALTHY;
     }
-    return knowledge.isQuarantined(session.vm(), now) ? QUARANTINED : OFFERED;
+    return fleet.isQuarantined(session.vm(), now) ? QUARANTINED : OFFERED;
   }
 
   /** Returns the text for logs. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -124,10 +124,10 @@
    * Returns the capacity that the VM offers: as reported, less the orders sent since.
    *
    * @param open the open runs on the VM that this entry owns
-   * @param knowledge statistics of VMs and images
+   * @param fleet statistics of VMs and images
    * @param now the loop's nanoseconds
    */
-  VmOffer offer(List<OpenRun> open, FleetStatistics knowledge, long now) {
+  VmOffer offer(List<OpenRun> open, FleetStatistics fleet, long now) {
     Sizes free = free();
     long bestEffort = report.getFillMilliProcessors();
     long interfering = report.getSuspectMilliProcessors();
@@ -139,7 +139,7 @@
         long declared =
             task.step().traits().bestEffort() ? task.step().sizes().milliProcessors() : 0;
         bestEffort += declared;
-        interfering += knowledge.isInterfering(task) ? declared : 0;
+        interfering += fleet.isInterfering(task) ? declared : 0;
         serviceTasks += task.step().traits().isService() ? 1 : 0;
       }
     }
@@ -154,7 +154,7 @@
         interfering,
         report.getOvercommitMilliProcessors(),
         serviceTasks,
-        knowledge.slowness(vm(), now));
+        fleet.slowdown(vm(), now));
   }
 
   /** Adds a start to the next frame and returns the number of that frame. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -59,7 +59,7 @@
 
   private final LinkLoop loop;
   private final PartitionOwnership ownership;
-  private final WorkerLeaseTerms terms;
+  private final WorkerLeaseTerms leaseTerms;
   private final Listener listener;
   private final LongSupplier wallMillis;
   private final Map<LinkConnection, VmSession> sessions = new HashMap<>();
@@ -74,12 +74,12 @@
   VmTracker(
       LinkLoop loop,
       PartitionOwnership ownership,
-      WorkerLeaseTerms terms,
+      WorkerLeaseTerms leaseTerms,
       LongSupplier wallMillis,
       Listener listener) {
     this.loop = requireNonNull(loop, "loop");
     this.ownership = requireNonNull(ownership, "ownership");
-    this.terms = requireNonNull(terms, "terms");
+    this.leaseTerms = requireNonNull(leaseTerms, "leaseTerms");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.listener = requireNonNull(listener, "listener");
     this.view = new VmView(loop, sessionsByVm, openRuns, fleet);
@@ -133,7 +133,7 @@
   }
 
   private void sendStop(VmSession session, OpenRun run) {
-    if (run.tryStartStop(loop.now(), STOP_RESEND_NANOS)) {
+    if (run.tryMarkStopSent(loop.now(), STOP_RESEND_NANOS)) {
       session.addStop(run.task().openRun());
       scheduleFlush();
     }
@@ -180,7 +180,7 @@
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      fleet.recordImages(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      fleet.recordImageEvidence(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
       grantLease(session);
     }
     listener.capacityChanged();
@@ -339,7 +339,7 @@
   private void grantLease(VmSession session) {
     session.flush(
         leaseGrant(session).toBuilder()
-            .addAllImages(ImageObservationCodec.encode(fleet.imagesOfOtherVms(session.vm())))
+            .addAllImages(ImageObservationCodec.encode(fleet.imageEvidenceOfOtherVms(session.vm())))
             .build());
   }
 
@@ -408,7 +408,7 @@
       long granted = lastLeaseGrantAt.getOrDefault(vm, Long.MIN_VALUE);
       for (OpenRun run : openRuns.onVm(vm)) {
         long since = Math.max(granted, run.partition().writer().openedAt());
-        long expiresAt = since + TimeUnit.MILLISECONDS.toNanos(terms.takeoverMillis());
+        long expiresAt = since + TimeUnit.MILLISECONDS.toNanos(leaseTerms.takeoverMillis());
         if (run.task().isOpen() && now > Math.max(expiresAt, run.orderedAt())) {
           closeRun(run, RunOutcome.LOST, "", "VM is unreachable and its lease has expired");
         }
@@ -459,14 +459,14 @@
 
   /** Returns the open runs that exceed their VM's capacity for interfering runs. */
   ImmutableList<OpenRun> excessRuns() {
-    ImmutableList.Builder<OpenRun> crowded = ImmutableList.builder();
+    ImmutableList.Builder<OpenRun> excess = ImmutableList.builder();
     for (VmSession session : sessionsByVm.values()) {
       session.report().getRunsList().stream()
           .filter(RunReport::getCrowded)
           .flatMap(run -> openRuns.find(session.vm(), WorkflowCodec.decode(run.getTask())).stream())
-          .forEach(crowded::add);
+          .forEach(excess::add);
     }
-    return crowded.build();
+    return excess.build();
   }
 
   /** Returns the open interfering runs on VMs that throttle such runs to the share or less. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
@@ -28,11 +28,11 @@
       LinkLoop loop,
       Map<String, VmSession> sessions,
       OpenRuns openRuns,
-      FleetStatistics knowledge) {
+      FleetStatistics fleet) {
     this.loop = requireNonNull(loop, "loop");
     this.sessions = Collections.unmodifiableMap(sessions);
     this.openRuns = requireNonNull(openRuns, "openRuns");
-    this.fleet = requireNonNull(knowledge, "knowledge");
+    this.fleet = requireNonNull(fleet, "fleet");
   }
 
   /** Returns whether the VM may be given work now, or why not. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -79,7 +79,7 @@
    * @param address address of the link server, for side processes and other entries
    * @param wallMillis the wall clock in milliseconds
    * @param adviser restricts the VMs of a step for queues whose policy requires placement advice
-   * @param terms parameters of the deployment
+   * @param parameters parameters of the deployment
    */
   public WorkflowEntry(
       LinkLoop loop,
@@ -87,21 +87,21 @@
       InetSocketAddress address,
       LongSupplier wallMillis,
       PlacementAdviser adviser,
-      EntryParameters terms) {
+      EntryParameters parameters) {
     this.loop = requireNonNull(loop, "loop");
-    this.parameters = requireNonNull(terms, "terms");
+    this.parameters = requireNonNull(parameters, "parameters");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.self = new EntryMember(address.getHostString(), address.getPort(), wallMillis.getAsLong());
     this.ownership = new PartitionOwnership(store, loop, self, new OwnershipListener());
     this.peers = new EntryPeers(loop, self);
-    this.vms = new VmTracker(loop, ownership, terms.lease(), wallMillis, new VmListener());
+    this.vms = new VmTracker(loop, ownership, parameters.lease(), wallMillis, new VmListener());
     this.scheduler =
         new EntryScheduler(
             loop,
             wallMillis,
             ownership,
             vms,
-            VmChooser.of(terms.farRackFactor()),
+            VmChooser.of(parameters.farRackFactor()),
             adviser,
             () -> this.configuration);
     this.taskMonitor = new LongRunningTaskMonitor(loop, wallMillis, ownership, vms, scheduler);
@@ -257,8 +257,7 @@
               vms.stopUnwanted(workflow);
               cancelled.complete(QueryResult.of(workflow.durableStatus()));
             });
-    // The cancel may never become durable: the partition may have another owner, or the store may
-    // be
+    // The cancel may never become durable if the partition has another owner or the store is
     // unreachable.
     loop.schedule(() -> cancelled.complete(QueryResult.UNAVAILABLE), CANCEL_TIMEOUT_NANOS);
     return cancelled;
@@ -388,7 +387,7 @@
       switch (frame.getBodyCase()) {
         case VM_REPORT -> {
           vms.handleReport(connection, frame.getVmReport());
-          sendOwnerMap(connection, frame.getVmReport().getOwnersDigest());
+          sendOwnerMapIfStale(connection, frame.getVmReport().getOwnersDigest());
         }
         case WORKFLOW_QUERY -> handlePeerQuery(connection, frame.getWorkflowQuery());
         case WAITING_COUNTS -> peers.updateCounts(frame.getWaitingCounts());
@@ -411,7 +410,7 @@
   /**
    * Sends the owner map if the side process uses another one, since it may have missed a change.
    */
-  private void sendOwnerMap(LinkConnection connection, int digest) {
+  private void sendOwnerMapIfStale(LinkConnection connection, int digest) {
     if (digest != peers.ownerMap().getDigest() && ownerMapLimiter.maySend(connection, loop.now())) {
       sendOwnerMap(connection);
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -29,27 +29,27 @@
   private static final StepSpec.TaskTraits LONG_RUNNING =
       new StepSpec.TaskTraits(false, false, false, true, false, "", 0, 0);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
-    world.close();
+    cluster.close();
   }
 
   private void start(long runMillis) throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", runMillis);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", runMillis);
+    cluster.awaitReady();
   }
 
-  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits nature) {
+  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits traits) {
     return new StepSpec(
         tasks,
         new Sizes(500, 1 << 20, 0),
         100,
         ImmutableList.of(),
         new StepSpec.Placement("", "", false, maxPerVm),
-        nature);
+        traits);
   }
 
   private void submit(long id, String service, int priority, StepSpec... steps) {
@@ -62,7 +62,7 @@
             ImmutableList.copyOf(steps),
             WorkflowSpec.Schedule.IMMEDIATE,
             System.currentTimeMillis());
-    assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(spec).join());
+    assertInstanceOf(WorkflowStore.Appended.class, cluster.entry(0).entry().submit(spec).join());
   }
 
   /**
@@ -122,8 +122,8 @@
     start(40);
     submit(91, WorkflowTestCluster.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.TaskTraits.PLAIN));
     submit(92, "service", 1, step(2, 0, StepSpec.TaskTraits.PLAIN));
-    world.await("the other workflow is done", () -> world.status(0, 92) == QueryResult.DONE);
-    assertEquals(0, world.history().starts(new TaskKey(91, 0, 0, 0)));
+    cluster.await("the other workflow is done", () -> cluster.status(0, 92) == QueryResult.DONE);
+    assertEquals(0, cluster.history().starts(new TaskKey(91, 0, 0, 0)));
   }
 
   /**
@@ -134,8 +134,8 @@
   void stepWithoutCapacityDoesNotBlockEqualStepOfItsWorkflow() throws IOException {
     start(60_000);
     submit(93, "service", 0, step(2, 1, LONG_RUNNING), step(2, 1, LONG_RUNNING));
-    world.await("one task of each step has started", () -> world.history().totalStarts() == 2);
-    assertEquals(1, world.history().starts(new TaskKey(93, 0, 0, 0)));
-    assertEquals(1, world.history().starts(new TaskKey(93, 0, 1, 0)));
+    cluster.await("one task of each step has started", () -> cluster.history().totalStarts() == 2);
+    assertEquals(1, cluster.history().starts(new TaskKey(93, 0, 0, 0)));
+    assertEquals(1, cluster.history().starts(new TaskKey(93, 0, 1, 0)));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
@@ -22,14 +22,14 @@
   private static final StepSpec.TaskTraits LONG_RUNNING =
       new StepSpec.TaskTraits(false, false, false, true, false, "svc", 25, 1);
 
-  /** Long enough that the attempt stays open while its worker is silent. */
-  private static final long LONGEST_LEASE_MILLIS = 60_000;
+  /** Long enough that the attempt stays open while its worker is unresponsive. */
+  private static final long MAX_LEASE_MILLIS = 60_000;
 
   private static final long RUN_MILLIS = 120_000;
 
   private static final Logger LOGGER = Logger.getLogger(LongRunningTaskMonitor.class.getName());
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster(LONGEST_LEASE_MILLIS);
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster(MAX_LEASE_MILLIS);
   private final List<String> lines = new CopyOnWriteArrayList<>();
   private final Handler collector =
       new Handler() {
@@ -55,18 +55,18 @@
   void stop() {
     LOGGER.removeHandler(collector);
     LOGGER.setLevel(null);
-    world.close();
+    cluster.close();
   }
 
-  private void submit(long id, StepSpec.TaskTraits nature) {
+  private void submit(long id, StepSpec.TaskTraits traits) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, nature, 1)).join());
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(id, traits, 1)).join());
   }
 
   private void awaitLine(String event, long id, String... parts) {
     String prefix = "event=" + event + " task=" + WorkflowIds.format(id) + ".0.0.0 ";
-    world.await(
+    cluster.await(
         event + " is logged with " + List.of(parts),
         () ->
             lines.stream()
@@ -78,14 +78,14 @@
 
   /** The worker is dead, but its side process keeps listing the run, so the attempt stays open. */
   @Test
-  void logsRunOfSilentWorker() throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", RUN_MILLIS);
-    world.awaitReady();
+  void logsRunOfUnresponsiveWorker() throws IOException {
+    cluster.addEntry();
+    cluster.addSide("vm-0", RUN_MILLIS);
+    cluster.awaitReady();
     submit(71, LONG_RUNNING);
     // Known from a report; before that, the owner only knows that it ordered the run.
-    world.await("the task is running", () -> world.status(0, 71) == QueryResult.RUNNING);
-    world.side("vm-0").worker().becomeUnresponsive();
+    cluster.await("the task is running", () -> cluster.status(0, 71) == QueryResult.RUNNING);
+    cluster.side("vm-0").worker().becomeUnresponsive();
     awaitLine(
         "task-absent",
         71,
@@ -97,12 +97,12 @@
   /** The VM is gone. */
   @Test
   void logsRunOnDisconnectedVm() throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", RUN_MILLIS);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", RUN_MILLIS);
+    cluster.awaitReady();
     submit(72, LONG_RUNNING);
-    world.await("the task is running", () -> world.history().totalStarts() == 1);
-    world.side("vm-0").loop().close();
+    cluster.await("the task is running", () -> cluster.history().totalStarts() == 1);
+    cluster.side("vm-0").loop().close();
     awaitLine(
         "task-absent",
         72,
@@ -117,8 +117,8 @@
    */
   @Test
   void logsTaskWithoutVmAndItsRecovery() throws IOException {
-    world.addEntry();
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.awaitReady();
     submit(73, LONG_RUNNING);
     submit(74, StepSpec.TaskTraits.PLAIN);
     awaitLine(
@@ -126,7 +126,7 @@
         73,
         " since=\"first checked\" named_ms=none belief=ready ",
         " reason=\"no VM is offered\" offers=\"\" vms=\"\" attempts=0 refusals=0");
-    world.addSide("vm-0", RUN_MILLIS);
+    cluster.addSide("vm-0", RUN_MILLIS);
     awaitLine("task-back", 73, " vm=vm-0");
     assertTrue(lines.stream().noneMatch(line -> line.contains(WorkflowIds.format(74))));
     assertTrue(lines.stream().anyMatch(line -> line.startsWith("event=tasks-watched ")));
@@ -135,14 +135,14 @@
   /** There is a VM, but it has too little free capacity for the task. */
   @Test
   void logsTaskThatNoVmAdmits() throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", RUN_MILLIS);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", RUN_MILLIS);
+    cluster.awaitReady();
     // Nine tasks of half a processor each on four processors.
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(75, LONG_RUNNING, 9)).join());
-    world.await(
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(75, LONG_RUNNING, 9)).join());
+    cluster.await(
         "one of them is logged as absent",
         () ->
             lines.stream()
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.api.Test;
 
 class VmTrackerTest {
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("vm", MonotonicClock.system());
 
   @AfterEach
   void stop() {
     loop.close();
-    world.close();
+    cluster.close();
   }
 
   /** A connection of a side process that the test simulates. */
@@ -42,7 +42,7 @@
               .setWantsLease(true)
               .build();
       LinkConnection connection = opened.join();
-      world.await(
+      cluster.await(
           "a lease is granted",
           () -> {
             loop.run(() -> connection.send(Frame.newBuilder().setVmReport(report).build()));
@@ -78,7 +78,7 @@
    */
   @Test
   void remainingConnectionIsUsedThoughAnotherWasReadLater() throws IOException {
-    String address = world.addEntry().memberPrefix();
+    String address = cluster.addEntry().memberPrefix();
     int colon = address.indexOf(':');
     InetSocketAddress entry =
         new InetSocketAddress(
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -19,44 +19,44 @@
 import org.junit.jupiter.api.Test;
 
 class WorkflowFaultsTest {
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
-    world.close();
+    cluster.close();
   }
 
   private void submit(int entry, long id, int... widths) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(entry).entry().submit(WorkflowTestCluster.workflow(id, widths)).join());
+        cluster.entry(entry).entry().submit(WorkflowTestCluster.workflow(id, widths)).join());
   }
 
   private void awaitDone(long... ids) {
     for (long id : ids) {
-      world.await("workflow " + id + " is done", () -> world.status(0, id) == QueryResult.DONE);
+      cluster.await("workflow " + id + " is done", () -> cluster.status(0, id) == QueryResult.DONE);
     }
   }
 
   private void assertEachRanOnce(long id, int width) {
     for (int index = 0; index < width; index++) {
-      assertEquals(1, world.history().starts(new TaskKey(id, 0, 0, index)), "task " + index);
+      assertEquals(1, cluster.history().starts(new TaskKey(id, 0, 0, index)), "task " + index);
     }
   }
 
   private void assertNoConcurrentRuns() {
-    assertEquals(List.of(), world.history().violations());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   @Test
   void stepsRunInOrderAndAnyEntryReportsTheStatus() throws IOException {
-    world.start(2, 3, 40);
+    cluster.start(2, 3, 40);
     for (long id = 1; id <= 8; id++) {
       submit((int) id % 2, id, 3, 2);
     }
     awaitDone(LongStream.rangeClosed(1, 8).toArray());
-    world.await("the other entry reports it as done", () -> world.status(1, 1) == QueryResult.DONE);
-    assertEquals(8 * 5, world.history().totalStarts());
+    cluster.await("the other entry reports it as done", () -> cluster.status(1, 1) == QueryResult.DONE);
+    assertEquals(8 * 5, cluster.history().totalStarts());
     assertNoConcurrentRuns();
   }
 
@@ -66,14 +66,14 @@
    */
   @Test
   void anotherEntryTakesOverWhenTheOwnerIsKilled() throws IOException {
-    world.start(2, 2, 1_500);
+    cluster.start(2, 2, 1_500);
     submit(0, 11, 2);
     submit(0, 12, 2);
     submit(0, 13, 2);
-    world.await("all tasks have started", () -> world.history().totalStarts() == 6);
-    RunningEntry killed = world.entry(1);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
+    cluster.await("all tasks have started", () -> cluster.history().totalStarts() == 6);
+    RunningEntry killed = cluster.entry(1);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
     awaitDone(11, 12, 13);
     assertEachRanOnce(11, 2);
     assertEachRanOnce(12, 2);
@@ -87,13 +87,13 @@
    */
   @Test
   void formerOwnerIsFencedWhenPartitionsAreReassigned() throws IOException {
-    world.start(2, 2, 300);
+    cluster.start(2, 2, 300);
     for (long id = 21; id <= 26; id++) {
       submit(0, id, 2, 2);
     }
-    world.store().reassignAll();
+    cluster.store().reassignAll();
     awaitDone(LongStream.rangeClosed(21, 26).toArray());
-    assertEquals(6 * 4, world.history().totalStarts());
+    assertEquals(6 * 4, cluster.history().totalStarts());
     assertNoConcurrentRuns();
   }
 
@@ -103,12 +103,12 @@
    */
   @Test
   void lostAppendAcknowledgementsCauseNoRepeatedRun() throws IOException {
-    world.start(1, 2, 50);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.ANSWER_LOST, 6);
+    cluster.start(1, 2, 50);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.ANSWER_LOST, 6);
     submit(0, 31, 4, 1);
     awaitDone(31);
     assertEachRanOnce(31, 4);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, 6);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, 6);
     submit(0, 32, 4);
     awaitDone(32);
     assertEachRanOnce(32, 4);
@@ -118,12 +118,12 @@
   /** A worker crashes and returns as a new incarnation: its tasks run again as new attempts. */
   @Test
   void runsOfCrashedWorkerRunAgain() throws IOException {
-    world.start(1, 1, 800);
+    cluster.start(1, 1, 800);
     submit(0, 41, 2);
-    world.await("both tasks have started", () -> world.history().totalStarts() == 2);
-    world.side("vm-0").worker().crash("incarnation-2");
+    cluster.await("both tasks have started", () -> cluster.history().totalStarts() == 2);
+    cluster.side("vm-0").worker().crash("incarnation-2");
     awaitDone(41);
-    assertEquals(4, world.history().totalStarts());
+    assertEquals(4, cluster.history().totalStarts());
     assertNoConcurrentRuns();
   }
 
@@ -133,9 +133,9 @@
    */
   @Test
   void delayedStartNeverCausesTwoConcurrentRuns() throws IOException {
-    world.start(1, 2, 700);
-    world.side("vm-0").worker().delayStarts(20, 600);
-    world.side("vm-1").worker().delayStarts(3, 2_000);
+    cluster.start(1, 2, 700);
+    cluster.side("vm-0").worker().delayStarts(20, 600);
+    cluster.side("vm-1").worker().delayStarts(3, 2_000);
     submit(0, 51, 6);
     awaitDone(51);
     assertNoConcurrentRuns();
@@ -147,22 +147,22 @@
    * runs, and barriers of the workflows never opened.
    */
   @Test
-  void runsOfSilentWorkerAreReassignedAfterItsLease() throws IOException {
-    startRunsAndSilenceOneWorker(55);
+  void runsOfUnresponsiveWorkerAreReassignedAfterItsLease() throws IOException {
+    startRunsAndFailOneWorker(55);
     assertAllReassigned(55);
   }
 
-  private void startRunsAndSilenceOneWorker(long id) throws IOException {
-    world.start(1, 2, 1_500);
+  private void startRunsAndFailOneWorker(long id) throws IOException {
+    cluster.start(1, 2, 1_500);
     // Too many for one VM, so that both VMs have some.
     submit(0, id, 10);
-    world.await("all tasks have started", () -> world.history().totalStarts() == 10);
-    world.side("vm-0").worker().becomeUnresponsive();
+    cluster.await("all tasks have started", () -> cluster.history().totalStarts() == 10);
+    cluster.side("vm-0").worker().becomeUnresponsive();
   }
 
   private void assertAllReassigned(long id) {
     awaitDone(id);
-    assertTrue(world.history().totalStarts() > 10);
+    assertTrue(cluster.history().totalStarts() > 10);
     assertNoConcurrentRuns();
   }
 
@@ -171,19 +171,19 @@
    * none; such reports must not keep the runs open.
    */
   @Test
-  void runsOfSilentWorkerAreReassignedAfterItsSideProcessDied() throws IOException {
-    startRunsAndSilenceOneWorker(56);
-    world.restartSide("vm-0");
+  void runsOfUnresponsiveWorkerAreReassignedAfterItsSideProcessDied() throws IOException {
+    startRunsAndFailOneWorker(56);
+    cluster.restartSide("vm-0");
     assertAllReassigned(56);
   }
 
   /** A side process is killed, and its successor finds runs on the worker that it does not know. */
   @Test
   void restartedSideProcessAdoptsRunningTasks() throws IOException {
-    world.start(1, 1, 1_200);
+    cluster.start(1, 1, 1_200);
     submit(0, 61, 3);
-    world.await("all tasks have started", () -> world.history().totalStarts() == 3);
-    world.restartSide("vm-0");
+    cluster.await("all tasks have started", () -> cluster.history().totalStarts() == 3);
+    cluster.restartSide("vm-0");
     awaitDone(61);
     assertEachRanOnce(61, 3);
     assertNoConcurrentRuns();
@@ -195,16 +195,16 @@
    */
   @Test
   void restartedSideProcessLiftsThrottles() throws IOException {
-    world.start(1, 1, 600);
+    cluster.start(1, 1, 600);
     StepSpec.TaskTraits bestEffort =
         new StepSpec.TaskTraits(false, false, false, false, true, "image", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(65, bestEffort, 1)).join());
-    world.await("the task has started", () -> world.history().totalStarts() == 1);
-    FakeWorkerGateway worker = world.side("vm-0").worker();
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(65, bestEffort, 1)).join());
+    cluster.await("the task has started", () -> cluster.history().totalStarts() == 1);
+    FakeWorkerGateway worker = cluster.side("vm-0").worker();
     worker.throttle(worker.incarnation(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
-    world.restartSide("vm-0");
+    cluster.restartSide("vm-0");
     awaitDone(65);
     assertEachRanOnce(65, 1);
   }
@@ -215,19 +215,19 @@
    */
   @Test
   void gangRestartsAsAWhole() throws IOException {
-    world.start(1, 2, 1_500);
+    cluster.start(1, 2, 1_500);
     // Too many for one VM, so that both VMs have some.
     int members = 10;
     StepSpec.TaskTraits gang = new StepSpec.TaskTraits(true, false, false, false, false, "", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(66, gang, members)).join());
-    world.await("all tasks have started", () -> world.history().totalStarts() == members);
-    world.side("vm-0").worker().crash("incarnation-2");
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(66, gang, members)).join());
+    cluster.await("all tasks have started", () -> cluster.history().totalStarts() == members);
+    cluster.side("vm-0").worker().crash("incarnation-2");
     awaitDone(66);
     for (int index = 0; index < members; index++) {
       TaskKey member = new TaskKey(66, 0, 0, index);
-      assertTrue(world.history().starts(member) >= 2, member + " was not restarted");
+      assertTrue(cluster.history().starts(member) >= 2, member + " was not restarted");
     }
     assertNoConcurrentRuns();
   }
@@ -238,18 +238,18 @@
    */
   @Test
   void advisedStepRunsOnlyOnAllowedVms() throws IOException {
-    world.start(1, 3, 40);
-    world.adviser().allowOnlySuffix("vm-1");
-    world.adviser().failNext(2);
+    cluster.start(1, 3, 40);
+    cluster.adviser().allowOnlySuffix("vm-1");
+    cluster.adviser().failNext(2);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(67, 3, 2)).join());
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(67, 3, 2)).join());
     awaitDone(67);
-    assertEquals(List.of(), world.side("vm-0").worker().tickets());
-    assertEquals(List.of(), world.side("vm-2").worker().tickets());
-    List<String> tickets = world.side("vm-1").worker().tickets();
+    assertEquals(List.of(), cluster.side("vm-0").worker().tickets());
+    assertEquals(List.of(), cluster.side("vm-2").worker().tickets());
+    List<String> tickets = cluster.side("vm-1").worker().tickets();
     assertEquals(Collections.nCopies(5, "ticket-for-incarnation-1-vm-1"), tickets);
-    assertEquals(List.of("67.0.0", "67.0.0", "67.0.0"), world.adviser().calls().subList(0, 3));
+    assertEquals(List.of("67.0.0", "67.0.0", "67.0.0"), cluster.adviser().calls().subList(0, 3));
     assertAdvisedOnce("67.0.0 incarnation-1-vm-1", "67.0.1 incarnation-1-vm-1");
   }
 
@@ -259,22 +259,22 @@
    */
   @Test
   void adviserIsAskedAboutALaterVmAlone() throws IOException {
-    world.start(1, 1, 40);
-    world.adviser().allowOnlySuffix("vm-1");
+    cluster.start(1, 1, 40);
+    cluster.adviser().allowOnlySuffix("vm-1");
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(68, 3)).join());
-    world.await(
-        "the adviser was called for the first VM", () -> world.adviser().calls().size() == 1);
-    world.addSide("vm-1", 40);
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(68, 3)).join());
+    cluster.await(
+        "the adviser was called for the first VM", () -> cluster.adviser().calls().size() == 1);
+    cluster.addSide("vm-1", 40);
     awaitDone(68);
     assertEquals(
         List.of("68.0.0 incarnation-1-vm-0", "68.0.0 incarnation-1-vm-1"),
-        world.adviser().answered());
+        cluster.adviser().answered());
   }
 
   private void assertAdvisedOnce(String... expected) {
-    List<String> answered = world.adviser().answered();
+    List<String> answered = cluster.adviser().answered();
     assertEquals(answered.size(), Set.copyOf(answered).size(), "answered twice in " + answered);
     assertTrue(answered.containsAll(List.of(expected)), answered.toString());
   }
@@ -286,28 +286,28 @@
    */
   @Test
   void entryRefusedByTheStoreHandsOverAndRecovers() throws IOException {
-    world.start(2, 2, 1_500);
+    cluster.start(2, 2, 1_500);
     long[] ids = LongStream.rangeClosed(81, 86).toArray();
     for (long id : ids) {
       submit(0, id, 2);
     }
-    world.await("all tasks have started", () -> world.history().totalStarts() == 12);
-    RunningEntry refused = world.entry(1);
+    cluster.await("all tasks have started", () -> cluster.history().totalStarts() == 12);
+    RunningEntry refused = cluster.entry(1);
     refused.store().setRefusing(true);
-    world.await("the refused entry is not ready", () -> !refused.entry().isReady());
+    cluster.await("the refused entry is not ready", () -> !refused.entry().isReady());
     WorkflowStore.AppendResult result =
         refused.entry().submit(WorkflowTestCluster.workflow(87, 1)).join();
     assertInstanceOf(WorkflowStore.NotAppended.class, result);
-    world.store().drop(refused.memberPrefix());
+    cluster.store().drop(refused.memberPrefix());
     awaitDone(ids);
     for (long id : ids) {
       assertEachRanOnce(id, 2);
     }
     refused.store().setRefusing(false);
-    world.await("the entry is ready again", () -> refused.entry().isReady());
+    cluster.await("the entry is ready again", () -> refused.entry().isReady());
     submit(1, 88, 1);
     awaitDone(88);
-    assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 87));
+    assertEquals(QueryResult.UNKNOWN_WORKFLOW, cluster.status(0, 87));
     assertNoConcurrentRuns();
   }
 
@@ -317,8 +317,8 @@
    */
   @Test
   void drainingEntryDoesNotBecomeReadyAgain() throws IOException {
-    world.start(2, 1, 1_500);
-    WorkflowEntry leaving = world.entry(1).entry();
+    cluster.start(2, 1, 1_500);
+    WorkflowEntry leaving = cluster.entry(1).entry();
     leaving.leave().join();
     submit(0, 89, 1);
     awaitDone(89);
@@ -329,15 +329,15 @@
   @Test
   void cancelledWorkflowStops() throws IOException {
     // Longer than the test waits, so that no task ends by itself.
-    world.start(2, 1, 120_000);
+    cluster.start(2, 1, 120_000);
     submit(0, 71, 2);
-    world.await("both tasks have started", () -> world.history().totalStarts() == 2);
-    QueryResult result = world.entry(1).entry().query(71, "queue", true).join();
+    cluster.await("both tasks have started", () -> cluster.history().totalStarts() == 2);
+    QueryResult result = cluster.entry(1).entry().query(71, "queue", true).join();
     assertEquals(QueryResult.CANCELLED, result);
     submit(0, 72, 8);
-    world.await(
+    cluster.await(
         "the capacity of the cancelled workflow is free again",
-        () -> world.history().totalStarts() == 10);
-    assertEquals(QueryResult.CANCELLED, world.status(0, 71));
+        () -> cluster.history().totalStarts() == 10);
+    assertEquals(QueryResult.CANCELLED, cluster.status(0, 71));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class WorkflowLoggingTest {
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
   private final BlockedStream stream = new BlockedStream();
   private final LogWriter writer = LogWriter.start("all", stream.printed());
   private final Logger logger = Logger.getLogger("io.marigoldsail");
@@ -32,7 +32,7 @@
   @AfterEach
   void stop() {
     stream.release();
-    world.close();
+    cluster.close();
     logger.setLevel(null);
     logger.setUseParentHandlers(true);
     logger.removeHandler(writer);
@@ -41,17 +41,17 @@
   /** A standard output that nobody reads must not block the loop of a process. */
   @Test
   void aBlockedStandardOutputDelaysNoWorkflow() throws IOException {
-    world.start(2, 2, 20);
+    cluster.start(2, 2, 20);
     assertTrue(stream.awaitReached());
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(41, 3, 2)).join());
-    world.await("the workflow is done", () -> world.status(0, 41) == QueryResult.DONE);
-    assertEquals(5, world.history().totalStarts());
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(41, 3, 2)).join());
+    cluster.await("the workflow is done", () -> cluster.status(0, 41) == QueryResult.DONE);
+    assertEquals(5, cluster.history().totalStarts());
     assertEquals(List.of(), stream.lines());
     assertFalse(stream.isPatienceLost());
     stream.release();
-    world.await(
+    cluster.await(
         "its log lines are written",
         () -> stream.lines().stream().anyMatch(line -> line.contains("event=workflow-submitted")));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -29,29 +29,29 @@
   private static final StepSpec.TaskTraits BEST_EFFORT =
       new StepSpec.TaskTraits(false, true, false, false, true, "batch", 0, 0);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
-    world.close();
+    cluster.close();
   }
 
   private void submit(WorkflowSpec workflow) {
-    assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(workflow).join());
+    assertInstanceOf(WorkflowStore.Appended.class, cluster.entry(0).entry().submit(workflow).join());
   }
 
   private void killSecondEntry() {
-    RunningEntry killed = world.entry(1);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
+    RunningEntry killed = cluster.entry(1);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
   }
 
   private FakeWorkerGateway worker(String vm) {
-    return world.side(vm).worker();
+    return cluster.side(vm).worker();
   }
 
   private int starts(long id, int index) {
-    return world.history().starts(new TaskKey(id, 0, 0, index));
+    return cluster.history().starts(new TaskKey(id, 0, 0, index));
   }
 
   /**
@@ -60,7 +60,7 @@
    */
   @Test
   void failureLimitHoldsAcrossATakeover() throws IOException {
-    world.start(2, 3, 300);
+    cluster.start(2, 3, 300);
     for (int vm = 0; vm < 3; vm++) {
       worker("vm-" + vm).outcomeOfRuns(RunOutcome.FAILED);
     }
@@ -68,12 +68,12 @@
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 1));
     }
-    world.await(
+    cluster.await(
         "all tasks are in their second run",
         () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
     killSecondEntry();
     for (long id : ids) {
-      world.await("the workflow has failed", () -> world.status(0, id) == QueryResult.FAILED);
+      cluster.await("the workflow has failed", () -> cluster.status(0, id) == QueryResult.FAILED);
       assertEquals(3, starts(id, 0), "runs of workflow " + id);
     }
   }
@@ -85,21 +85,21 @@
    */
   @Test
   void stepDependenciesHoldAcrossATakeover() throws IOException {
-    world.start(2, 2, 400);
+    cluster.start(2, 2, 400);
     long[] ids = LongStream.rangeClosed(111, 116).toArray();
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 2, 2, 1));
     }
-    world.await("half of the tasks have started", () -> world.history().totalStarts() >= 15);
+    cluster.await("half of the tasks have started", () -> cluster.history().totalStarts() >= 15);
     killSecondEntry();
     for (long id : ids) {
-      world.await("the workflow is done", () -> world.status(0, id) == QueryResult.DONE);
+      cluster.await("the workflow is done", () -> cluster.status(0, id) == QueryResult.DONE);
       for (int index = 0; index < 2; index++) {
-        assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 1, index)));
+        assertEquals(2, cluster.history().doneBefore(new TaskKey(id, 0, 1, index)));
       }
-      assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 2, 0)));
+      assertEquals(2, cluster.history().doneBefore(new TaskKey(id, 0, 2, 0)));
     }
-    assertEquals(List.of(), world.history().violations());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
@@ -108,21 +108,21 @@
    */
   @Test
   void endIsNotReportedBeforeItIsDurable() throws IOException {
-    world.start(1, 1, 500);
+    cluster.start(1, 1, 500);
     submit(WorkflowTestCluster.workflow(121, 2));
-    world.await("both tasks are running", () -> world.history().totalStarts() == 2);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.await("both tasks are running", () -> cluster.history().totalStarts() == 2);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     FakeWorkerGateway worker = worker("vm-0");
-    world.await(
+    cluster.await(
         "both runs have ended",
         () -> worker.activeRuns().isEmpty() && worker.unacknowledgedEnds() == 2);
-    world.await(
-        "the entry has retried the append several times", () -> world.store().faultsSeen() >= 5);
-    assertNotEquals(QueryResult.DONE, world.status(0, 121));
+    cluster.await(
+        "the entry has retried the append several times", () -> cluster.store().faultsSeen() >= 5);
+    assertNotEquals(QueryResult.DONE, cluster.status(0, 121));
     assertEquals(2, worker.unacknowledgedEnds(), "an end was acknowledged that is not durable");
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("the workflow is done", () -> world.status(0, 121) == QueryResult.DONE);
-    world.await("all ends are acknowledged", () -> worker.unacknowledgedEnds() == 0);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.await("the workflow is done", () -> cluster.status(0, 121) == QueryResult.DONE);
+    cluster.await("all ends are acknowledged", () -> worker.unacknowledgedEnds() == 0);
   }
 
   /**
@@ -131,14 +131,14 @@
    */
   @Test
   void noStartIsSentBeforeTheAttemptIsDurable() throws IOException {
-    world.start(1, 1, 100);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.start(1, 1, 100);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     submit(WorkflowTestCluster.workflow(125, 2));
-    world.await(
-        "the entry has retried the append several times", () -> world.store().faultsSeen() >= 5);
+    cluster.await(
+        "the entry has retried the append several times", () -> cluster.store().faultsSeen() >= 5);
     assertEquals(List.of(), worker("vm-0").startRequests());
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("the workflow is done", () -> world.status(0, 125) == QueryResult.DONE);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.await("the workflow is done", () -> cluster.status(0, 125) == QueryResult.DONE);
   }
 
   /**
@@ -147,21 +147,21 @@
    */
   @Test
   void everyEntryCountsAllWaitingWorkflows() throws IOException {
-    world.start(2, 0, 0);
+    cluster.start(2, 0, 0);
     for (long id = 131; id <= 142; id++) {
       submit(WorkflowTestCluster.workflow(id, 1));
     }
     for (int entry = 0; entry < 2; entry++) {
-      WorkflowEntry asked = world.entry(entry).entry();
-      world.await(
-          "all waiting workflows are counted", () -> asked.waitingWorkflows("queue").join() == 12);
-      assertEquals(0, asked.waitingWorkflows("another queue").join());
+      WorkflowEntry queried = cluster.entry(entry).entry();
+      cluster.await(
+          "all waiting workflows are counted", () -> queried.waitingWorkflows("queue").join() == 12);
+      assertEquals(0, queried.waitingWorkflows("another queue").join());
     }
-    world.addSide("vm-0", NEVER_ENDS_MILLIS);
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.addSide("vm-0", NEVER_ENDS_MILLIS);
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
     for (int entry = 0; entry < 2; entry++) {
-      WorkflowEntry asked = world.entry(entry).entry();
-      world.await("no workflow waits", () -> asked.waitingWorkflows("queue").join() == 0);
+      WorkflowEntry queried = cluster.entry(entry).entry();
+      cluster.await("no workflow waits", () -> queried.waitingWorkflows("queue").join() == 0);
     }
   }
 
@@ -171,14 +171,14 @@
    */
   @Test
   void delayedStartAfterCancelRunsNothing() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
     worker.delayStarts(Integer.MAX_VALUE, 1_500);
     submit(WorkflowTestCluster.workflow(151, 2));
-    world.await("both starts were sent", () -> worker.startRequests().size() >= 2);
-    assertEquals(QueryResult.CANCELLED, world.entry(0).entry().query(151, "queue", true).join());
-    world.await("all delayed starts were executed", () -> worker.hasExecutedDelayedStarts());
-    assertEquals(0, world.history().totalStarts());
+    cluster.await("both starts were sent", () -> worker.startRequests().size() >= 2);
+    assertEquals(QueryResult.CANCELLED, cluster.entry(0).entry().query(151, "queue", true).join());
+    cluster.await("all delayed starts were executed", () -> worker.hasExecutedDelayedStarts());
+    assertEquals(0, cluster.history().totalStarts());
   }
 
   /**
@@ -187,20 +187,20 @@
    */
   @Test
   void drainingWorkerGetsNoRunsAndItsServicesMove() throws IOException {
-    world.start(2, 1, NEVER_ENDS_MILLIS);
+    cluster.start(2, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(161, LONG_RUNNING, 3));
-    FakeWorkerGateway leaving = worker("vm-0");
-    world.await("all tasks are running", () -> leaving.activeRuns().size() == 3);
-    leaving.drain();
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await(
+    FakeWorkerGateway draining = worker("vm-0");
+    cluster.await("all tasks are running", () -> draining.activeRuns().size() == 3);
+    draining.drain();
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.await(
         "all tasks are running on the other VM", () -> worker("vm-1").activeRuns().size() == 3);
-    assertEquals(List.of(), leaving.activeRuns());
+    assertEquals(List.of(), draining.activeRuns());
     // More tasks than the other VM has capacity for.
     submit(WorkflowTestCluster.workflow(162, 8));
-    world.await("the other VM is full", () -> worker("vm-1").activeRuns().size() == 8);
-    assertEquals(3, leaving.startRequests().size());
-    assertEquals(List.of(), world.history().violations());
+    cluster.await("the other VM is full", () -> worker("vm-1").activeRuns().size() == 8);
+    assertEquals(3, draining.startRequests().size());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
@@ -209,17 +209,17 @@
    */
   @Test
   void drainingWorkerGetsNoRepeatedStart() throws IOException {
-    world.start(1, 1, 200);
-    FakeWorkerGateway leaving = worker("vm-0");
-    leaving.dropStarts(Integer.MAX_VALUE);
+    cluster.start(1, 1, 200);
+    FakeWorkerGateway draining = worker("vm-0");
+    draining.dropStarts(Integer.MAX_VALUE);
     submit(WorkflowTestCluster.workflow(171, 1));
-    world.await("the start was sent", () -> !leaving.startRequests().isEmpty());
-    leaving.drain();
-    world.heartbeatAndWait("vm-0");
-    List<RunKey> startsBefore = leaving.startRequests();
-    world.addSide("vm-1", 200);
-    world.await("the workflow is done", () -> world.status(0, 171) == QueryResult.DONE);
-    assertEquals(startsBefore, leaving.startRequests());
+    cluster.await("the start was sent", () -> !draining.startRequests().isEmpty());
+    draining.drain();
+    cluster.heartbeatAndWait("vm-0");
+    List<RunKey> startsBefore = draining.startRequests();
+    cluster.addSide("vm-1", 200);
+    cluster.await("the workflow is done", () -> cluster.status(0, 171) == QueryResult.DONE);
+    assertEquals(startsBefore, draining.startRequests());
   }
 
   /**
@@ -229,18 +229,18 @@
    */
   @Test
   void interferingTaskMovesAndTheServiceStays() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(181, LONG_RUNNING, 3));
-    FakeWorkerGateway crowded = worker("vm-0");
-    world.await("the service is running", () -> crowded.activeRuns().size() == 3);
+    FakeWorkerGateway shared = worker("vm-0");
+    cluster.await("the service is running", () -> shared.activeRuns().size() == 3);
     submit(WorkflowTestCluster.workflow(182, BEST_EFFORT, 1));
-    world.await("the best-effort task runs on the same VM", () -> crowded.activeRuns().size() == 4);
-    crowded.measurement(400);
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await("the best-effort task has moved", () -> worker("vm-1").activeRuns().size() == 1);
+    cluster.await("the best-effort task runs on the same VM", () -> shared.activeRuns().size() == 4);
+    shared.measurement(400);
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.await("the best-effort task has moved", () -> worker("vm-1").activeRuns().size() == 1);
     assertEquals(182, worker("vm-1").activeRuns().get(0).task().workflow());
     assertEquals(Collections.nCopies(3, 1), startsOf(181, 3));
-    assertEquals(3, crowded.activeRuns().size());
+    assertEquals(3, shared.activeRuns().size());
   }
 
   private List<Integer> startsOf(long id, int tasks) {
@@ -254,19 +254,19 @@
    */
   @Test
   void queueIsServedByTheServiceOfTheNewestVersionOnly() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
-    WorkflowEntry entry = world.entry(0).entry();
+    WorkflowEntry entry = cluster.entry(0).entry();
     submit(WorkflowTestCluster.workflow(211, 1));
-    world.await("the task is running", () -> worker.activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker.activeRuns().size() == 1);
     entry.configure(WorkflowTestCluster.configuration(3, "another"));
     entry.configure(WorkflowTestCluster.configuration(2, "service"));
     submit(WorkflowTestCluster.workflow(212, 1));
     int before = worker.listings();
-    world.await("the worker was listed several times", () -> worker.listings() >= before + 3);
+    cluster.await("the worker was listed several times", () -> worker.listings() >= before + 3);
     assertEquals(1, worker.startRequests().size());
     entry.configure(WorkflowTestCluster.configuration(4, "service"));
-    world.await("both tasks are running", () -> worker.activeRuns().size() == 2);
+    cluster.await("both tasks are running", () -> worker.activeRuns().size() == 2);
   }
 
   /**
@@ -275,40 +275,40 @@
    */
   @Test
   void newEntriesTakeOverWhenAllHaveDied() throws IOException {
-    world.start(2, 2, 700);
+    cluster.start(2, 2, 700);
     long[] ids = LongStream.rangeClosed(191, 202).toArray();
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 2, 1));
     }
     // More starts than there is capacity for at once, so some tasks are done.
-    world.await("some tasks are done", () -> world.history().totalStarts() >= 20);
+    cluster.await("some tasks are done", () -> cluster.history().totalStarts() >= 20);
     for (int i = 0; i < 2; i++) {
-      RunningEntry killed = world.entry(0);
-      world.kill(killed);
-      world.store().drop(killed.memberPrefix());
+      RunningEntry killed = cluster.entry(0);
+      cluster.kill(killed);
+      cluster.store().drop(killed.memberPrefix());
     }
-    world.addEntry();
-    world.addEntry();
+    cluster.addEntry();
+    cluster.addEntry();
     for (long id : ids) {
-      world.await("workflow " + id + " is done", () -> world.status(0, id) == QueryResult.DONE);
+      cluster.await("workflow " + id + " is done", () -> cluster.status(0, id) == QueryResult.DONE);
     }
-    assertTrue(world.history().totalStarts() >= ids.length * 3);
-    assertEquals(List.of(), world.history().violations());
+    assertTrue(cluster.history().totalStarts() >= ids.length * 3);
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
    * An entry cannot read the store any more. It must answer a query on a workflow that another
-   * entry may have accepted meanwhile with "cannot tell": "unknown" means that the workflow is
+   * entry may have accepted meanwhile with UNAVAILABLE: "unknown" means that the workflow is
    * lost.
    */
   @Test
   void entryWithoutStoreDoesNotReportUnknownWorkflow() throws IOException {
-    world.start(1, 0, 0);
-    assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 221));
-    world.entry(0).store().setRefusing(true);
-    world.await(
-        "the entry answers that it cannot tell",
-        () -> world.status(0, 221) == QueryResult.UNAVAILABLE);
+    cluster.start(1, 0, 0);
+    assertEquals(QueryResult.UNKNOWN_WORKFLOW, cluster.status(0, 221));
+    cluster.entry(0).store().setRefusing(true);
+    cluster.await(
+        "the entry answers that the status is unavailable",
+        () -> cluster.status(0, 221) == QueryResult.UNAVAILABLE);
   }
 
   /**
@@ -317,18 +317,18 @@
    */
   @Test
   void partlyEvictedWorkflowDoesNotRunAgain() throws IOException {
-    world.addEntry(0);
-    world.addSide("vm-0", 50);
-    world.awaitReady();
-    world.store().refuseDrops();
+    cluster.addEntry(0);
+    cluster.addSide("vm-0", 50);
+    cluster.awaitReady();
+    cluster.store().refuseDrops();
     submit(WorkflowTestCluster.workflow(231, 2));
-    world.await("the drop was refused", () -> world.store().dropsRefused() >= 1);
-    RunningEntry killed = world.entry(0);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
-    world.addEntry();
-    world.await("the new entry reports it as done", () -> world.status(0, 231) == QueryResult.DONE);
-    assertEquals(2, world.history().totalStarts());
+    cluster.await("the drop was refused", () -> cluster.store().dropsRefused() >= 1);
+    RunningEntry killed = cluster.entry(0);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
+    cluster.addEntry();
+    cluster.await("the new entry reports it as done", () -> cluster.status(0, 231) == QueryResult.DONE);
+    assertEquals(2, cluster.history().totalStarts());
   }
 
   /**
@@ -338,18 +338,18 @@
    */
   @Test
   void formerOwnerCannotStopRunsOfItsSuccessor() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(241, 1));
-    world.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
-      world.store().join(former.member(), Long.MAX_VALUE);
-      world.await(
+      cluster.store().join(former.member(), Long.MAX_VALUE);
+      cluster.await(
           "the side process has connected to the former owner", () -> former.report().isPresent());
       RunKey run = worker("vm-0").activeRuns().get(0);
       former.stop(
           run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
-      world.await(
+      cluster.await(
           "the side process has handled the stop",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
       assertEquals(List.of(run), worker("vm-0").activeRuns());
@@ -361,49 +361,49 @@
    */
   @Test
   void formerOwnerCannotAcknowledgeEndForItsSuccessor() throws IOException {
-    world.start(1, 1, 1_000);
+    cluster.start(1, 1, 1_000);
     submit(WorkflowTestCluster.workflow(242, 1));
-    world.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
     RunKey run = worker("vm-0").activeRuns().get(0);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    world.await("the run has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.await("the run has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
-      world.store().join(former.member(), Long.MAX_VALUE);
-      world.await(
+      cluster.store().join(former.member(), Long.MAX_VALUE);
+      cluster.await(
           "the side process has connected to the former owner", () -> former.report().isPresent());
       former.acknowledge(
           run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
-      world.await(
+      cluster.await(
           "the side process has handled the acknowledgement",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
-      world.store().drop(former.member());
+      cluster.store().drop(former.member());
     }
     replaceOnlyEntry();
-    world.await("the new entry reports it as done", () -> world.status(0, 242) == QueryResult.DONE);
-    assertEquals(1, world.history().totalStarts());
-    assertEquals(List.of(), world.history().violations());
+    cluster.await("the new entry reports it as done", () -> cluster.status(0, 242) == QueryResult.DONE);
+    assertEquals(1, cluster.history().totalStarts());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /** A cancel that its owner cannot make durable must be answered as well. */
   @Test
-  void cancelThatIsNotDurableIsAnsweredCannotTell() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+  void cancelThatIsNotDurableIsAnsweredUnavailable() throws IOException {
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(243, 1));
-    world.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
-    world.entry(0).store().setRefusing(true);
-    CompletableFuture<QueryResult> cancel = world.entry(0).entry().query(243, "queue", true);
-    world.await("the cancel is answered", cancel::isDone);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.entry(0).store().setRefusing(true);
+    CompletableFuture<QueryResult> cancel = cluster.entry(0).entry().query(243, "queue", true);
+    cluster.await("the cancel is answered", cancel::isDone);
     assertEquals(QueryResult.UNAVAILABLE, cancel.join());
-    world.entry(0).store().setRefusing(false);
-    world.await("the workflow is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
+    cluster.entry(0).store().setRefusing(false);
+    cluster.await("the workflow is cancelled", () -> cluster.status(0, 243) == QueryResult.CANCELLED);
   }
 
   private void replaceOnlyEntry() throws IOException {
-    RunningEntry killed = world.entry(0);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.addEntry();
+    RunningEntry killed = cluster.entry(0);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.addEntry();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -35,7 +35,7 @@
   /** A service that a queue is assigned to and that no VM runs. */
   static final String SERVICE_WITHOUT_VMS = "service-without-vms";
 
-  private static final long LONGEST_LEASE_MILLIS = 4_000;
+  private static final long MAX_LEASE_MILLIS = 4_000;
   private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
   private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
 
@@ -57,12 +57,12 @@
   private long lastHeartbeat;
 
   WorkflowTestCluster() {
-    this(LONGEST_LEASE_MILLIS);
+    this(MAX_LEASE_MILLIS);
   }
 
   /** Creates a cluster with the given maximum duration of leases. */
-  WorkflowTestCluster(long longestLeaseMillis) {
-    this.lease = WorkerLeaseTerms.forMaxLease(longestLeaseMillis);
+  WorkflowTestCluster(long maxLeaseMillis) {
+    this.lease = WorkerLeaseTerms.forMaxLease(maxLeaseMillis);
   }
 
   FakeAdviser adviser() {
@@ -92,22 +92,22 @@
   /**
    * Starts an entry.
    *
-   * @param keepEndedMillis how long the entry retains the status of an ended workflow
+   * @param endedRetentionMillis how long the entry retains the status of an ended workflow
    */
-  RunningEntry addEntry(long keepEndedMillis) throws IOException {
+  RunningEntry addEntry(long endedRetentionMillis) throws IOException {
     int port;
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
     }
     LinkLoop loop = new LinkLoop("entry-" + port, MonotonicClock.system());
     InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
-    RefusingStore reached = new RefusingStore(store);
-    EntryParameters terms = new EntryParameters(lease, keepEndedMillis, 1.5);
+    RefusingStore storeOfEntry = new RefusingStore(store);
+    EntryParameters parameters = new EntryParameters(lease, endedRetentionMillis, 1.5);
     WorkflowEntry entry =
-        new WorkflowEntry(loop, reached, address, System::currentTimeMillis, adviser, terms);
+        new WorkflowEntry(loop, storeOfEntry, address, System::currentTimeMillis, adviser, parameters);
     entry.start();
     entry.configure(configuration(1, "service"));
-    RunningEntry running = new RunningEntry(entry, loop, "127.0.0.1:" + port, reached);
+    RunningEntry running = new RunningEntry(entry, loop, "127.0.0.1:" + port, storeOfEntry);
     entries.add(running);
     return running;
   }
@@ -117,11 +117,11 @@
     return new QueueTable(
         version,
         ImmutableList.of(
-            new Queue("queue", "", "/", terms(service), 1_000),
-            new Queue("idle", "", "/idle/", terms(SERVICE_WITHOUT_VMS), 1_000)));
+            new Queue("queue", "", "/", policy(service), 1_000),
+            new Queue("idle", "", "/idle/", policy(SERVICE_WITHOUT_VMS), 1_000)));
   }
 
-  private static WorkflowSpec.QueuePolicy terms(String service) {
+  private static WorkflowSpec.QueuePolicy policy(String service) {
     return new WorkflowSpec.QueuePolicy(service, 0, 3, Optional.empty(), 2, 100);
   }
 
@@ -195,8 +195,8 @@
     return workflow(id, StepSpec.TaskTraits.PLAIN, widths);
   }
 
-  static WorkflowSpec workflow(long id, StepSpec.TaskTraits nature, int... widths) {
-    return workflow(id, Optional.empty(), nature, widths);
+  static WorkflowSpec workflow(long id, StepSpec.TaskTraits traits, int... widths) {
+    return workflow(id, Optional.empty(), traits, widths);
   }
 
   /** Returns a workflow of a queue that requires placement advice. */
@@ -206,7 +206,7 @@
   }
 
   private static WorkflowSpec workflow(
-      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits nature, int... widths) {
+      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits traits, int... widths) {
     ImmutableList.Builder<StepSpec> steps = ImmutableList.builder();
     for (int i = 0; i < widths.length; i++) {
       steps.add(
@@ -216,7 +216,7 @@
               100,
               i == 0 ? ImmutableList.of() : ImmutableList.of(i - 1),
               StepSpec.Placement.ANYWHERE,
-              nature));
+              traits));
     }
     return new WorkflowSpec(
         id,
