--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -187,7 +187,7 @@
     }
     Map<String, VmOffer> offersByVm = new HashMap<>();
     vms.offers().forEach(offer -> offersByVm.put(offer.place().vm(), offer));
-    // Free capacity only shrinks during a pass, so a failed placement fails for its whole rest.
+    // Free capacity only shrinks during a pass: a task that does not fit now will not fit later.
     Set<Requirements> unplaceable = new HashSet<>();
     Set<Workflow> served = new HashSet<>();
     boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offersByVm.values());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
@@ -41,7 +41,8 @@
     boolean due = run.recordRunning(now, SPEED_SAMPLE_NANOS);
     if (due && !step.traits().bestEffort() && !step.traits().longRunning()) {
       double workedMillis = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      slowdowns.addSample(vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
+      slowdowns.addSample(
+          vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
     }
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -93,7 +93,8 @@
               wallNow,
               task -> {
                 if (isLongRunning(task)) {
-                  observations.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
+                  observations.add(
+                      new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -180,7 +180,8 @@
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      fleet.recordImageEvidence(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      fleet.recordImageEvidence(
+          report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
       grantLease(session);
     }
     listener.capacityChanged();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
@@ -24,11 +24,7 @@
    *
    * @param sessions the newest connection of each VM that has one, by the VM's name
    */
-  VmView(
-      LinkLoop loop,
-      Map<String, VmSession> sessions,
-      OpenRuns openRuns,
-      FleetStatistics fleet) {
+  VmView(LinkLoop loop, Map<String, VmSession> sessions, OpenRuns openRuns, FleetStatistics fleet) {
     this.loop = requireNonNull(loop, "loop");
     this.sessions = Collections.unmodifiableMap(sessions);
     this.openRuns = requireNonNull(openRuns, "openRuns");
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -55,7 +55,8 @@
       submit((int) id % 2, id, 3, 2);
     }
     awaitDone(LongStream.rangeClosed(1, 8).toArray());
-    cluster.await("the other entry reports it as done", () -> cluster.status(1, 1) == QueryResult.DONE);
+    cluster.await(
+        "the other entry reports it as done", () -> cluster.status(1, 1) == QueryResult.DONE);
     assertEquals(8 * 5, cluster.history().totalStarts());
     assertNoConcurrentRuns();
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -37,7 +37,8 @@
   }
 
   private void submit(WorkflowSpec workflow) {
-    assertInstanceOf(WorkflowStore.Appended.class, cluster.entry(0).entry().submit(workflow).join());
+    assertInstanceOf(
+        WorkflowStore.Appended.class, cluster.entry(0).entry().submit(workflow).join());
   }
 
   private void killSecondEntry() {
@@ -154,7 +155,8 @@
     for (int entry = 0; entry < 2; entry++) {
       WorkflowEntry queried = cluster.entry(entry).entry();
       cluster.await(
-          "all waiting workflows are counted", () -> queried.waitingWorkflows("queue").join() == 12);
+          "all waiting workflows are counted",
+          () -> queried.waitingWorkflows("queue").join() == 12);
       assertEquals(0, queried.waitingWorkflows("another queue").join());
     }
     cluster.addSide("vm-0", NEVER_ENDS_MILLIS);
@@ -234,7 +236,8 @@
     FakeWorkerGateway shared = worker("vm-0");
     cluster.await("the service is running", () -> shared.activeRuns().size() == 3);
     submit(WorkflowTestCluster.workflow(182, BEST_EFFORT, 1));
-    cluster.await("the best-effort task runs on the same VM", () -> shared.activeRuns().size() == 4);
+    cluster.await(
+        "the best-effort task runs on the same VM", () -> shared.activeRuns().size() == 4);
     shared.measurement(400);
     cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
     cluster.await("the best-effort task has moved", () -> worker("vm-1").activeRuns().size() == 1);
@@ -298,8 +301,7 @@
 
   /**
    * An entry cannot read the store any more. It must answer a query on a workflow that another
-   * entry may have accepted meanwhile with UNAVAILABLE: "unknown" means that the workflow is
-   * lost.
+   * entry may have accepted meanwhile with UNAVAILABLE: "unknown" means that the workflow is lost.
    */
   @Test
   void entryWithoutStoreDoesNotReportUnknownWorkflow() throws IOException {
@@ -327,7 +329,8 @@
     cluster.kill(killed);
     cluster.store().drop(killed.memberPrefix());
     cluster.addEntry();
-    cluster.await("the new entry reports it as done", () -> cluster.status(0, 231) == QueryResult.DONE);
+    cluster.await(
+        "the new entry reports it as done", () -> cluster.status(0, 231) == QueryResult.DONE);
     assertEquals(2, cluster.history().totalStarts());
   }
 
@@ -380,7 +383,8 @@
       cluster.store().drop(former.member());
     }
     replaceOnlyEntry();
-    cluster.await("the new entry reports it as done", () -> cluster.status(0, 242) == QueryResult.DONE);
+    cluster.await(
+        "the new entry reports it as done", () -> cluster.status(0, 242) == QueryResult.DONE);
     assertEquals(1, cluster.history().totalStarts());
     assertEquals(List.of(), cluster.history().violations());
   }
@@ -396,7 +400,8 @@
     cluster.await("the cancel is answered", cancel::isDone);
     assertEquals(QueryResult.UNAVAILABLE, cancel.join());
     cluster.entry(0).store().setRefusing(false);
-    cluster.await("the workflow is cancelled", () -> cluster.status(0, 243) == QueryResult.CANCELLED);
+    cluster.await(
+        "the workflow is cancelled", () -> cluster.status(0, 243) == QueryResult.CANCELLED);
   }
 
   private void replaceOnlyEntry() throws IOException {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -104,7 +104,8 @@
     RefusingStore storeOfEntry = new RefusingStore(store);
     EntryParameters parameters = new EntryParameters(lease, endedRetentionMillis, 1.5);
     WorkflowEntry entry =
-        new WorkflowEntry(loop, storeOfEntry, address, System::currentTimeMillis, adviser, parameters);
+        new WorkflowEntry(
+            loop, storeOfEntry, address, System::currentTimeMillis, adviser, parameters);
     entry.start();
     entry.configure(configuration(1, "service"));
     RunningEntry running = new RunningEntry(entry, loop, "127.0.0.1:" + port, storeOfEntry);
