--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -34,44 +34,45 @@
 import java.util.function.Supplier;
 
 /**
- * Offers room to waiting tasks of the partitions that this entry owns, in {@link WaitingOrder},
- * where {@link VmChooser} says.
+ * Places the waiting tasks of the partitions that this entry owns.
  *
- * <p>Confined to the loop's thread.
+ * <p>{@link WaitingOrder} decides which task is next, {@link VmChooser} and {@link GangChooser}
+ * decide where it runs. Confined to the loop's thread.
  */
 final class EntryScheduler {
   private static final EventLog LOG = EventLog.of(EntryScheduler.class);
 
-  /** What a refused task waits before its next attempt, times the refusals in a row. */
+  /** Backoff of a refused task, multiplied by its consecutive refusals. */
   private static final long REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /**
-   * The same for a gang: each refusal costs all other members a start and a stop, and the report
-   * that tells how much room there really is comes within this time.
+   * Backoff of a refused gang, multiplied by its consecutive refusals. Longer than that of a single
+   * task because each refusal costs all other members a start and a stop. A report with the VM's
+   * actual capacity arrives within this time.
    */
   private static final long GANG_REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** What a lasting task that failed waits, times its failures in a row. */
+  /** Backoff of a failed long-running task. */
   private static final long FAILED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
-   * Between a report and the look at waiting tasks that its room is worth, in nanoseconds: reports
-   * of many VMs come close together, and one look serves all of them.
+   * Delay between a report of capacity and the scheduling pass that it causes, in nanoseconds.
+   * Reports of many VMs arrive together, and one pass serves all of them.
    */
   private static final long CAPACITY_PASS_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private static final int MAX_BACKOFF_FACTOR = 20;
 
   /**
-   * The longest that a refused task or gang waits. Guards against one that stands still for seconds
-   * after room has come: nobody looks at it before, whatever reports tell.
+   * Longest backoff of a refused task or gang, in nanoseconds. Reports of free capacity do not end
+   * a backoff early, so a longer one would leave the task idle for seconds beside free capacity.
    */
   private static final long MAX_REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-  /** Where tasks that fill may work at this share of their speed at most, they are moved away. */
+  /** Best-effort runs throttled to this share of their speed or less are moved, in percent. */
   private static final int THROTTLED_PERCENT = 25;
 
-  /** Work that is not saved may be given up while it is at most this far, in percent. */
+  /** A run without checkpoints may be restarted up to this progress, in percent. */
   private static final int CHEAP_RESTART_PERCENT = 25;
 
   private final LinkLoop loop;
@@ -103,7 +104,7 @@
     this.configuration = requireNonNull(configuration, "configuration");
   }
 
-  /** Has waiting tasks looked at after what runs now. */
+  /** Schedules a pass over the waiting tasks after the current task of the loop. */
   void schedulePass() {
     if (!passScheduled) {
       passScheduled = true;
@@ -115,7 +116,7 @@
     }
   }
 
-  /** Has waiting tasks looked at, since a VM may have other room. */
+  /** Schedules a delayed pass because the capacity of a VM may have changed. */
   void capacityChanged() {
     if (!capacityPassScheduled && !passScheduled) {
       capacityPassScheduled = true;
@@ -128,20 +129,20 @@
     }
   }
 
-  /** Sets how long the task of an ended run waits. */
+  /** Sets the backoff of the task of an ended run and schedules a pass. */
   void runEnded(WorkflowTask task, RunOutcome outcome) {
     if (outcome == RunOutcome.REFUSED) {
       int factor = Math.min(task.refusals(), MAX_BACKOFF_FACTOR);
       boolean gang = task.step().traits().gang();
-      long once = gang ? GANG_REFUSED_BACKOFF_NANOS : REFUSED_BACKOFF_NANOS;
-      task.deferUntil(loop.now() + Math.min(factor * once, MAX_REFUSED_BACKOFF_NANOS));
+      long base = gang ? GANG_REFUSED_BACKOFF_NANOS : REFUSED_BACKOFF_NANOS;
+      task.deferUntil(loop.now() + Math.min(factor * base, MAX_REFUSED_BACKOFF_NANOS));
     } else if (outcome == RunOutcome.FAILED && task.step().traits().longRunning()) {
       task.deferUntil(loop.now() + FAILED_BACKOFF_NANOS);
     }
     schedulePass();
   }
 
-  /** A task, or a gang by its first member. */
+  /** A waiting task, or a waiting gang represented by its first member. */
   private record WaitingTask(OwnedPartition partition, WorkflowTask task, Urgency urgency) {
     List<WorkflowTask> members() {
       return task.step().traits().gang() ? task.workflow().gangMembers(task) : List.of(task);
@@ -154,12 +155,13 @@
   }
 
   /**
-   * All that decides whether a task finds room: where equal needs found none, this finds none.
+   * Everything that decides whether a task can be placed: after one task could not be placed, tasks
+   * with equal requirements are skipped in the same pass.
    *
-   * <p>Guards against tasks that are never ordered though there is room: equal steps are found in
-   * workflows of several services, and one whose service is full would speak for them all.
+   * <p>Includes the service because workflows of several services may have equal steps: without it,
+   * a full service would keep tasks of the others from being placed although there is capacity.
    *
-   * @param countedStep the step, where VMs take so many tasks of each only
+   * @param countedStep the step, present only if the number of its tasks per VM is limited
    */
   private record Requirements(
       String service, StepSpec step, Urgency urgency, Optional<StepKey> countedStep) {
@@ -183,32 +185,34 @@
     if (waiting.isEmpty()) {
       return;
     }
-    Map<String, VmOffer> offers = new HashMap<>();
-    vms.offers().forEach(offer -> offers.put(offer.place().vm(), offer));
-    // Rooms only fill up in one pass.
-    Set<Requirements> full = new HashSet<>();
-    Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.hasSpareCapacity(offers.values());
+    Map<String, VmOffer> offersByVm = new HashMap<>();
+    vms.offers().forEach(offer -> offersByVm.put(offer.place().vm(), offer));
+    // Free capacity only shrinks during a pass: a task that does not fit now will not fit later.
+    Set<Requirements> unplaceable = new HashSet<>();
+    Set<Workflow> served = new HashSet<>();
+    boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offersByVm.values());
     for (WaitingTask candidate : waiting) {
       WorkflowTask task = candidate.task();
-      // One task at work is enough for a workflow not to starve.
-      boolean mayStarve = roomy && !fed.contains(task.workflow());
+      // A workflow with one running task no longer starves.
+      boolean mayStarve = hasSpareCapacity && !served.contains(task.workflow());
       WaitingTask each = mayStarve ? candidate : candidate.withoutStarvation();
-      Requirements need = Requirements.of(each);
-      if (full.contains(need)) {
+      Requirements requirements = Requirements.of(each);
+      if (unplaceable.contains(requirements)) {
         continue;
       }
-      List<VmOffer> chosen = chooseWithAdvice(each, offers.values());
+      List<VmOffer> chosen = chooseWithAdvice(each, offersByVm.values());
       if (chosen.isEmpty()) {
         if (!needsAdvice(task)) {
-          full.add(need);
+          unplaceable.add(requirements);
         }
         continue;
       }
       chosen.forEach(
-          offer -> offers.computeIfPresent(offer.place().vm(), (vm, now) -> offerAfter(now, task)));
+          offer ->
+              offersByVm.computeIfPresent(
+                  offer.place().vm(), (vm, left) -> offerAfter(left, task)));
       order(each, chosen.stream().map(VmOffer::place).toList());
-      fed.add(task.workflow());
+      served.add(task.workflow());
     }
   }
 
@@ -221,7 +225,8 @@
   }
 
   /**
-   * Asks the adviser where a queue's policy wants that, about more VMs when the allowed are full.
+   * Returns a VM for each member, or none. If the queue requires placement advice, only VMs that
+   * the adviser allowed are used, and further VMs are requested when these have no capacity left.
    */
   private List<VmOffer> chooseWithAdvice(WaitingTask waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
@@ -239,17 +244,17 @@
   }
 
   /**
-   * Returns a VM for each member, or none. A task that failed on a VM goes elsewhere as long as it
-   * can: the VM may be what fails.
+   * Returns a VM for each member, or none. VMs on which a member has failed are avoided where
+   * possible, since the VM may be the cause of the failure; see {@link VmChooser#prefersOtherVm}.
    */
   private List<VmOffer> choose(WaitingTask waiting, Collection<VmOffer> offers) {
     List<WorkflowTask> members = waiting.members();
-    List<VmOffer> others =
+    List<VmOffer> withoutFailure =
         offers.stream()
             .filter(offer -> members.stream().noneMatch(each -> hasFailedOn(each, offer)))
             .toList();
-    List<VmOffer> elsewhere = chooseAmong(waiting, others);
-    if (others.size() == offers.size()) {
+    List<VmOffer> elsewhere = chooseAmong(waiting, withoutFailure);
+    if (withoutFailure.size() == offers.size()) {
       return elsewhere;
     }
     List<VmOffer> anywhere = chooseAmong(waiting, offers);
@@ -257,10 +262,10 @@
       return elsewhere.isEmpty() ? anywhere : elsewhere;
     }
     StepSpec step = waiting.task().step();
-    boolean leave =
+    boolean avoid =
         VmChooser.prefersOtherVm(
             step, elsewhere.stream().findFirst(), anywhere.stream().findFirst());
-    return leave ? elsewhere : anywhere;
+    return avoid ? elsewhere : anywhere;
   }
 
   private static boolean hasFailedOn(WorkflowTask task, VmOffer offer) {
@@ -270,9 +275,9 @@
   private List<VmOffer> chooseAmong(WaitingTask waiting, Collection<VmOffer> offers) {
     WorkflowTask task = waiting.task();
     if (task.step().traits().gang()) {
-      TaskPlacementRequest wish = placementRequest(task, waiting.urgency(), "");
+      TaskPlacementRequest request = placementRequest(task, waiting.urgency(), "");
       Optional<ImmutableList<VmOffer>> all =
-          gangChooser.choose(wish, waiting.members().size(), offers);
+          gangChooser.choose(request, waiting.members().size(), offers);
       return all.orElse(ImmutableList.of());
     }
     return chooseAmong(task, waiting.urgency(), offers).stream().toList();
@@ -289,21 +294,21 @@
 
   private TaskPlacementRequest placementRequest(
       WorkflowTask task, Urgency urgency, String siblingRack) {
-    double harm = vms.interferenceOf(task.step().traits().image());
+    double interference = vms.interferenceOf(task.step().traits().image());
     return new TaskPlacementRequest(
-        task.workflow().spec(), task.step(), harm, urgency, siblingRack);
+        task.workflow().spec(), task.step(), interference, urgency, siblingRack);
   }
 
   private List<WaitingTask> waitingTasks(QueueTable queues) {
     long now = loop.now();
-    long wall = wallMillis.getAsLong();
+    long wallNow = wallMillis.getAsLong();
     record Candidate(OwnedPartition partition, Workflow workflow, WaitingOrder.Rank rank) {}
     List<Candidate> candidates = new ArrayList<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
         if (!workflow.status().isTerminal()
             && queues.usesService(workflow.spec().policy().service())) {
-          candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wall)));
+          candidates.add(new Candidate(partition, workflow, WaitingOrder.rank(workflow, wallNow)));
         }
       }
     }
@@ -313,7 +318,7 @@
       candidate
           .workflow()
           .forEachReady(
-              wall,
+              wallNow,
               task -> {
                 WaitingTask each =
                     new WaitingTask(candidate.partition(), task, candidate.rank().urgency());
@@ -326,7 +331,7 @@
   }
 
   /**
-   * Returns why a ready task has no order out, as if nothing else waited.
+   * Returns why a ready task has not been ordered, as if no other task waited.
    *
    * @param offers the VMs that may be given work now
    */
@@ -355,7 +360,7 @@
     return unadvised ? WaitCause.NOT_ADVISED : WaitCause.ADMITTED;
   }
 
-  /** Returns what the VMs offered say to a ready task, such as {@code 6 without room}. */
+  /** Returns how many of the offers give which verdict on a ready task, as a text for logs. */
   String verdictCounts(WorkflowTask task, Collection<VmOffer> offers) {
     Urgency urgency = WaitingOrder.rank(task.workflow(), wallMillis.getAsLong()).urgency();
     Multiset<VmChooser.Verdict> verdicts = EnumMultiset.create(VmChooser.Verdict.class);
@@ -395,7 +400,7 @@
     String worker = task.place().orElseThrow().worker();
     String ticket = needsAdvice(task) ? adviceClient.ticket(task, worker) : "";
     boolean starved = waiting.urgency() == Urgency.STARVED;
-    return OpenRun.decided(waiting.partition(), task, loop.now(), starved, ticket);
+    return OpenRun.create(waiting.partition(), task, loop.now(), starved, ticket);
   }
 
   private void logOrdered(WaitingTask waiting, WorkflowTask task) {
@@ -412,41 +417,46 @@
             .with("waited_ms", wallMillis.getAsLong() - workflow.spec().acceptedMillis()));
   }
 
-  /** Moves what can be moved off VMs whose workers leave, or where it is slowed down. */
+  /**
+   * Moves runs off VMs whose workers drain, that have too many interfering runs beside services, or
+   * on which the runs are throttled; runs whose restart would lose too much work stay.
+   */
   void evacuateRuns() {
     for (OpenRun run : vms.runsOnDrainingVms()) {
       boolean movable =
           run.task().step().traits().longRunning() || run.task().step().traits().checkpointable();
       if (movable) {
-        move(run, "its worker leaves");
+        move(run, "worker is draining");
       }
     }
     for (OpenRun run : vms.excessRuns()) {
       if (isCheapToMove(run.task())) {
-        move(run, "too many that may disturb stand beside services");
+        move(run, "too many interfering runs beside service tasks");
       }
     }
     moveThrottled(vms.runsThrottledTo(THROTTLED_PERCENT));
   }
 
-  private void moveThrottled(List<OpenRun> slowed) {
-    if (slowed.isEmpty()) {
+  private void moveThrottled(List<OpenRun> throttled) {
+    if (throttled.isEmpty()) {
       return;
     }
-    List<VmOffer> free = new ArrayList<>();
-    vms.offers().stream().filter(offer -> offer.serviceTasks() == 0).forEach(free::add);
-    for (OpenRun run : slowed) {
+    List<VmOffer> withoutServices = new ArrayList<>();
+    vms.offers().stream().filter(offer -> offer.serviceTasks() == 0).forEach(withoutServices::add);
+    for (OpenRun run : throttled) {
       WorkflowTask task = run.task();
       Optional<VmOffer> better =
-          isCheapToStop(task) ? chooseAmong(task, Urgency.ORDINARY, free) : Optional.empty();
-      if (better.isPresent() && move(run, "it is slowed down beside tasks that serve")) {
-        free.remove(better.get());
-        free.add(offerAfter(better.get(), task));
+          isCheapToStop(task)
+              ? chooseAmong(task, Urgency.ORDINARY, withoutServices)
+              : Optional.empty();
+      if (better.isPresent() && move(run, "throttled beside service tasks")) {
+        withoutServices.remove(better.get());
+        withoutServices.add(offerAfter(better.get(), task));
       }
     }
   }
 
-  /** The last run of a workflow stays, or nothing of it would be at work. */
+  /** Returns false also for the only run of a workflow, which would make no progress without it. */
   private static boolean isCheapToMove(WorkflowTask task) {
     return task.workflow().openTasks().size() > 1 && isCheapToStop(task);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/FleetStatistics.java
@@ -13,71 +13,79 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What an entry learns of the fleet from reports: which VMs fail what they start, which are slow,
- * and which images disturb services.
+ * Statistics of the fleet, learned from reports: VMs on which runs fail, slow VMs, and the
+ * interference of images with service tasks.
  *
- * <p>All of it is soft: a new owner learns it anew. Confined to the loop's thread.
+ * <p>Not durable: a new owner learns it again. Confined to the loop's thread.
  */
 final class FleetStatistics {
   private static final EventLog LOG = EventLog.of(FleetStatistics.class);
 
-  /** Between two looks at the pace of a run, in nanoseconds: reports come about as often. */
+  /** Interval of speed samples of a run, in nanoseconds; about that of reports. */
   private static final long SPEED_SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final VmQuarantine quarantine = new VmQuarantine();
-  private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
+  private final VmSlowdownEstimator slowdowns = new VmSlowdownEstimator();
   private final ImageInterference interference = new ImageInterference();
-  private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
+  private final ImageEvidenceAggregator imageEvidence = new ImageEvidenceAggregator();
 
-  /** Takes how far a run is; what fills or lasts tells nothing of its VM's pace. */
+  /**
+   * Records the progress of a run. Best-effort and long-running runs are ignored: their progress
+   * says nothing about the speed of the VM.
+   *
+   * @param percent progress of the run
+   * @param now the loop's nanoseconds
+   */
   void recordProgress(OpenRun run, String vm, int percent, long now) {
     StepSpec step = run.task().step();
     boolean due = run.recordRunning(now, SPEED_SAMPLE_NANOS);
     if (due && !step.traits().bestEffort() && !step.traits().longRunning()) {
-      double worked = step.estimateMillis() * Math.max(percent, 1) / 100.0;
-      speed.addSample(vm, worked, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
+      double workedMillis = step.estimateMillis() * Math.max(percent, 1) / 100.0;
+      slowdowns.addSample(
+          vm, workedMillis, TimeUnit.NANOSECONDS.toMillis(run.runningNanos(now)), now);
     }
   }
 
-  /** Takes the end of a run. */
+  /** Records the end of a run; ignores outcomes that neither complete it nor count as a failure. */
   void recordEnd(OpenRun run, String vm, RunOutcome outcome, long now) {
     if (!outcome.completes() && !outcome.countsAsFailure()) {
       return;
     }
-    boolean restedBefore = quarantine.isQuarantined(vm, now);
+    boolean wasQuarantined = quarantine.isQuarantined(vm, now);
     quarantine.recordEnd(vm, outcome.countsAsFailure(), now);
-    if (!restedBefore && quarantine.isQuarantined(vm, now)) {
-      LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "what it starts fails"));
+    if (!wasQuarantined && quarantine.isQuarantined(vm, now)) {
+      LOG.info(LogLine.of("vm-rests").with("vm", vm).with("reason", "runs on the VM keep failing"));
     }
     StepSpec step = run.task().step();
     if (outcome.completes() && !step.traits().bestEffort()) {
-      double took = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
-      speed.addSample(vm, step.estimateMillis(), took, now);
+      double tookMillis = TimeUnit.NANOSECONDS.toMillis(now - run.orderedAt());
+      slowdowns.addSample(vm, step.estimateMillis(), tookMillis, now);
     }
   }
 
-  /** Forgets what was learned of a VM whose worker is another one. */
+  /** Drops the statistics of a VM that has a new worker. */
   void reset(String vm) {
     quarantine.reset(vm);
-    speed.reset(vm);
+    slowdowns.reset(vm);
   }
 
-  /** Takes what a VM saw of images. */
-  void recordImages(String vm, Map<String, ImageInterference.Evidence> seen) {
-    images.update(vm, seen);
-    interference.setRemoteEvidence(images.total());
+  /** Replaces the interference evidence of images from a VM. */
+  void recordImageEvidence(String vm, Map<String, ImageInterference.Evidence> evidence) {
+    imageEvidence.update(vm, evidence);
+    interference.setRemoteEvidence(imageEvidence.total());
   }
 
-  /** Returns what all VMs but one saw of images. */
-  Map<String, ImageInterference.Evidence> imagesOfOtherVms(String vm) {
-    return images.totalExcluding(vm);
+  /** Returns the interference evidence of images from all other VMs. */
+  Map<String, ImageInterference.Evidence> imageEvidenceOfOtherVms(String vm) {
+    return imageEvidence.totalExcluding(vm);
   }
 
+  /** Returns the estimated interference of the image with service tasks, from 0 to 1. */
   double interferenceOf(String image) {
     return interference.belief(image);
   }
 
-  /** Returns whether the task's image may disturb tasks that serve. */
+  /** Returns whether the task's image may interfere with service tasks. */
   boolean isInterfering(WorkflowTask task) {
     return ImageInterference.isInterfering(interferenceOf(task.step().traits().image()));
   }
@@ -86,7 +94,8 @@
     return quarantine.isQuarantined(vm, now);
   }
 
-  double slowness(String vm, long now) {
-    return speed.slowdown(vm, now);
+  /** Returns the slowdown factor of the VM against the others; 1 if it is not slow. */
+  double slowdown(String vm, long now) {
+    return slowdowns.slowdown(vm, now);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -25,24 +25,23 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells of lasting tasks of the owned partitions that nobody sees at work, with what this owner
- * believes of each.
+ * Logs long-running tasks of the owned partitions that no report shows as running, with the state
+ * that this owner has recorded for each.
  *
- * <p>A task is seen at work by a report that shows its open attempt as started and not being
- * stopped, on the worker that it was ordered on, while that worker answers its side process: a side
- * process beside a worker that is gone goes on naming what ran there. Also tells each {@link
- * #SUMMARY_INTERVAL_NANOS} which partitions are owned here, so that a task of which no owner says
- * anything shows too.
+ * <p>A task counts as running if a report shows its open attempt as started and not stopping, on
+ * the worker that it was ordered on, while that worker answers its side process: a side process
+ * keeps listing the runs of a worker that is gone. Every {@link #SUMMARY_INTERVAL_NANOS} the owned
+ * partitions are logged as well, which makes a task visible that no owner logs.
  *
- * <p>Decides nothing about tasks. Confined to the loop's thread; a look takes time in the number of
- * tasks of running workflows.
+ * <p>Takes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
+ * the number of tasks of running workflows.
  */
 final class LongRunningTaskMonitor {
   private static final EventLog LOG = EventLog.of(LongRunningTaskMonitor.class);
 
   /**
-   * Between two lines on what is watched, in nanoseconds; {@link AbsenceDetector#REPEAT_NANOS}
-   * while more is away than is told.
+   * Interval of summary lines, in nanoseconds; {@link AbsenceDetector#REPEAT_NANOS} while more
+   * tasks are absent than are logged.
    */
   static final long SUMMARY_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -51,7 +50,7 @@
   private final PartitionOwnership ownership;
   private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final AbsenceDetector watch = new AbsenceDetector();
+  private final AbsenceDetector detector = new AbsenceDetector();
   private long summaryAt = Long.MIN_VALUE;
   private long unreportedRecoveries;
 
@@ -68,39 +67,40 @@
     this.scheduler = requireNonNull(scheduler, "scheduler");
   }
 
-  /** Looks once; to be called about each second. */
+  /** Checks all long-running tasks once; to be called about every second. */
   void check() {
-    CheckResult look = watch.check(observations(), loop.now());
-    look.recoveries().forEach(this::logRecovery);
-    if (!look.absences().isEmpty()) {
+    CheckResult result = detector.check(observations(), loop.now());
+    result.recoveries().forEach(this::logRecovery);
+    if (!result.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
-      String standings = availabilityCounts();
-      look.absences().forEach(absence -> logAbsent(absence, offers, standings));
+      String availability = availabilityCounts();
+      result.absences().forEach(absence -> logAbsent(absence, offers, availability));
     }
-    unreportedRecoveries += look.omittedRecoveries();
-    logSummary(look);
+    unreportedRecoveries += result.omittedRecoveries();
+    logSummary(result);
   }
 
   private ImmutableList<Observation> observations() {
-    ImmutableList.Builder<Observation> sights = ImmutableList.builder();
-    long wall = wallMillis.getAsLong();
+    ImmutableList.Builder<Observation> observations = ImmutableList.builder();
+    long wallNow = wallMillis.getAsLong();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
         if (!workflow.status().isTerminal() && isLongRunning(workflow)) {
           workflow.openTasks().stream()
               .filter(LongRunningTaskMonitor::isLongRunning)
-              .forEach(task -> sights.add(observe(task)));
+              .forEach(task -> observations.add(observe(task)));
           workflow.forEachReady(
-              wall,
+              wallNow,
               task -> {
                 if (isLongRunning(task)) {
-                  sights.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
+                  observations.add(
+                      new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
       }
     }
-    return sights.build();
+    return observations.build();
   }
 
   private static boolean isLongRunning(Workflow workflow) {
@@ -114,19 +114,19 @@
   private Observation observe(WorkflowTask task) {
     Place place = task.place().orElseThrow();
     Optional<VmSession> session = vms.view().session(place.vm());
-    Optional<RunReport> named = session.flatMap(each -> each.run(task.openRun()));
-    if (named.isEmpty()) {
+    Optional<RunReport> report = session.flatMap(each -> each.run(task.openRun()));
+    if (report.isEmpty()) {
       return new Observation(task, OptionalLong.empty(), OptionalLong.empty());
     }
-    OptionalLong namedAt = OptionalLong.of(session.get().reportedAt());
-    // Runs of unknown size make a VM unhealthy to others; its worker listed them all the same.
+    OptionalLong reportedAt = OptionalLong.of(session.get().reportedAt());
+    // Runs of unknown size make a VM unhealthy to other owners although its worker listed them.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
     boolean answers = listed && session.get().report().getWorker().equals(place.worker());
-    boolean seen = answers && named.get().getStarted() && !named.get().getStopping();
-    return new Observation(task, seen ? namedAt : OptionalLong.empty(), namedAt);
+    boolean running = answers && report.get().getStarted() && !report.get().getStopping();
+    return new Observation(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
   }
 
-  private void logAbsent(Absence absence, List<VmOffer> offers, String standings) {
+  private void logAbsent(Absence absence, List<VmOffer> offers, String availability) {
     WorkflowTask task = absence.task();
     long now = loop.now();
     LogLine line =
@@ -134,13 +134,13 @@
             .with("task", task.key())
             .with("partition", partitionOf(task).number())
             .with("absent_ms", TimeUnit.NANOSECONDS.toMillis(now - absence.since()))
-            .with("since", absence.seenBefore() ? "seen at work" : "looked for here")
+            .with("since", absence.seenBefore() ? "last seen running" : "first checked")
             .with("named_ms", age(absence.namedAt()));
     Optional<Place> place = task.place();
     LOG.info(
         place.isPresent()
             ? addOpenRun(line, task, place.get())
-            : addWait(line, task, offers, standings));
+            : addWait(line, task, offers, availability));
   }
 
   private LogLine addOpenRun(LogLine line, WorkflowTask task, Place place) {
@@ -175,11 +175,12 @@
     return run.get().getStarted() ? "started" : "ordered";
   }
 
-  private LogLine addWait(LogLine line, WorkflowTask task, List<VmOffer> offers, String standings) {
+  private LogLine addWait(
+      LogLine line, WorkflowTask task, List<VmOffer> offers, String availability) {
     return line.with("belief", "ready")
         .with("reason", scheduler.waitCause(partitionOf(task), task, offers))
         .with("offers", scheduler.verdictCounts(task, offers))
-        .with("vms", standings)
+        .with("vms", availability)
         .with("attempts", task.lastAttempt())
         .with("refusals", task.refusals());
   }
@@ -199,36 +200,36 @@
         : String.valueOf(TimeUnit.NANOSECONDS.toMillis(loop.now() - at.getAsLong()));
   }
 
-  /** Returns how many of the connected VMs stand how, such as {@code 3 offered, 1 rests}. */
+  /** Returns the number of connected VMs by availability, such as {@code 3 offered, 1 rests}. */
   private String availabilityCounts() {
-    Multiset<VmAvailability> standings = EnumMultiset.create(VmAvailability.class);
-    vms.view().sessions().forEach(each -> standings.add(vms.view().availability(each)));
-    return CountFormat.format(standings);
+    Multiset<VmAvailability> counts = EnumMultiset.create(VmAvailability.class);
+    vms.view().sessions().forEach(each -> counts.add(vms.view().availability(each)));
+    return CountFormat.format(counts);
   }
 
-  private void logRecovery(Recovery back) {
-    WorkflowTask task = back.task();
+  private void logRecovery(Recovery recovery) {
+    WorkflowTask task = recovery.task();
     LOG.info(
         LogLine.of("task-back")
             .with("task", task.key())
-            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.absentNanos()))
+            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(recovery.absentNanos()))
             .with("run", task.openRun())
             .with("vm", task.place().orElseThrow().vm()));
   }
 
-  private void logSummary(CheckResult look) {
-    long spacing =
-        look.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
-    if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < spacing) {
+  private void logSummary(CheckResult result) {
+    long interval =
+        result.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
+    if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < interval) {
       return;
     }
     summaryAt = loop.now();
     List<Integer> partitions = ownership.active().stream().map(OwnedPartition::number).toList();
     LOG.info(
         LogLine.of("tasks-watched")
-            .with("lasting", look.longRunning())
-            .with("absent", look.absent())
-            .with("untold", look.omittedAbsences())
+            .with("lasting", result.longRunning())
+            .with("absent", result.absent())
+            .with("untold", result.omittedAbsences())
             .with("back_untold", unreportedRecoveries)
             .with("partitions", partitions));
     unreportedRecoveries = 0;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
@@ -20,27 +20,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks the placement adviser for the steps that wait, one call at a time.
+ * Requests placement advice for waiting steps, one call at a time, and caches it.
  *
- * <p>The adviser serves the calls of one process in turn anyway; asked one at a time, the step that
- * is next is the one that is first in the waiting order when the adviser is free, not the one that
- * came first. Confined to the loop's thread.
+ * <p>The adviser serves the calls of one process sequentially. With one call in flight, the next
+ * call is for the step that is first in the waiting order when the adviser is free, not for the
+ * step that was requested first. Confined to the loop's thread.
  */
 final class PlacementAdviceClient {
   private static final EventLog LOG = EventLog.of(PlacementAdviceClient.class);
 
-  /** How many times as long as it should take an answer may take: the adviser has other callers. */
+  /** Call timeout as a multiple of the expected duration: the adviser also has other callers. */
   private static final int TIMEOUT_FACTOR = 4;
 
-  /** Added to that for the way there and back, in milliseconds. */
+  /** Network round trip that is added to the call timeout, in milliseconds. */
   private static final long ROUND_TRIP_MILLIS = 1_000;
 
-  /** After a call that failed, in nanoseconds: the adviser may be overloaded. */
+  /** Delay after a failed call, in nanoseconds; the adviser may be overloaded. */
   private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-  /**
-   * Steps beyond which all that was advised is forgotten, and asked for anew where it is wanted.
-   */
+  /** Number of cached steps above which the cache is cleared; advice is then requested again. */
   private static final int MAX_CACHED_STEPS = 4_000;
 
   private final LinkLoop loop;
@@ -51,22 +49,25 @@
   private long retryAt = Long.MIN_VALUE;
 
   /**
-   * Creates a desk.
+   * Creates a client with an empty cache.
    *
-   * @param answered run when waiting tasks should be looked at again
+   * @param onResult runs on the loop after each call; waiting tasks may be placeable then
    */
-  PlacementAdviceClient(LinkLoop loop, PlacementAdviser adviser, Runnable answered) {
+  PlacementAdviceClient(LinkLoop loop, PlacementAdviser adviser, Runnable onResult) {
     this.loop = requireNonNull(loop, "loop");
     this.adviser = requireNonNull(adviser, "adviser");
-    this.onResult = requireNonNull(answered, "answered");
+    this.onResult = requireNonNull(onResult, "onResult");
   }
 
-  /** Returns the offers that tasks of the step may be placed on now. */
+  /** Returns the offers on which the task's step may be placed now according to cached advice. */
   ImmutableList<VmOffer> allowed(WorkflowTask task, Collection<VmOffer> offers) {
     return adviceFor(task).allowedOffers(offers, loop.now());
   }
 
-  /** Returns the ticket by which a worker takes the task; empty if there is none. */
+  /**
+   * Returns the ticket that the worker requires to accept the task, or an empty string if there is
+   * no valid one.
+   */
   String ticket(WorkflowTask task, String worker) {
     return adviceFor(task).ticket(worker, loop.now()).orElse("");
   }
@@ -79,21 +80,22 @@
   }
 
   /**
-   * Asks about the best candidates that were not asked about yet, unless a call is on its way.
+   * Requests advice on the best candidates without a cached answer; does nothing while a call is in
+   * flight or for a short time after a failed call.
    *
-   * @param candidates VMs with room for the task, the best first
+   * @param candidates VMs that admit the task, best first
    */
   void request(WorkflowTask task, Collection<VmOffer> candidates) {
     if (callInFlight || loop.now() < retryAt) {
       return;
     }
-    ImmutableList<String> named =
+    ImmutableList<String> workers =
         adviceFor(task).workersToQuery(candidates, StepAdvice.MAX_VMS_PER_CALL, loop.now());
-    if (named.isEmpty()) {
+    if (workers.isEmpty()) {
       return;
     }
     callInFlight = true;
-    AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
+    AdviserTiming timing = task.workflow().spec().policy().advice().orElseThrow();
     long sentAt = loop.now();
     TaskKey key = task.key();
     adviser
@@ -101,25 +103,25 @@
             key.workflow(),
             key.occurrence(),
             key.step(),
-            named,
-            TIMEOUT_FACTOR * terms.callMillis(named.size()) + ROUND_TRIP_MILLIS)
-        .thenAccept(result -> loop.run(() -> handleResult(task, named, sentAt, result)));
+            workers,
+            TIMEOUT_FACTOR * timing.callMillis(workers.size()) + ROUND_TRIP_MILLIS)
+        .thenAccept(result -> loop.run(() -> handleResult(task, workers, sentAt, result)));
   }
 
   private void handleResult(
-      WorkflowTask task, ImmutableList<String> named, long sentAt, AdviceResult result) {
+      WorkflowTask task, ImmutableList<String> workers, long sentAt, AdviceResult result) {
     callInFlight = false;
     LogLine line =
         LogLine.of("placement-advised")
             .with("task", task.key())
-            .with("named", named.size())
+            .with("named", workers.size())
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - sentAt));
-    if (result instanceof Advised told) {
-      AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
-      // Counted from the asking: the adviser's clock for the ticket began after that.
-      long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(terms.validMillis());
-      adviceFor(task).recordAnswer(named, told.tickets(), validUntil);
-      LOG.info(line.with("allowed", told.tickets().size()));
+    if (result instanceof Advised advised) {
+      AdviserTiming timing = task.workflow().spec().policy().advice().orElseThrow();
+      // Counted from the request, which precedes the start of the validity at the adviser.
+      long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(timing.validMillis());
+      adviceFor(task).recordAnswer(workers, advised.tickets(), validUntil);
+      LOG.info(line.with("allowed", advised.tickets().size()));
     } else {
       retryAt = loop.now() + RETRY_DELAY_NANOS;
       LOG.warning(line.with("reason", ((AdviceUnavailable) result).reason()));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -3,24 +3,27 @@
 import io.marigoldsail.protocol.VmReport;
 import java.util.concurrent.TimeUnit;
 
-/** Whether a connected VM may be given work, or what forbids that. */
+/** Whether a connected VM may be given work, or why not. */
 enum VmAvailability {
   /** It may be given work. */
   OFFERED("offered"),
-  /** Its last report is too old. */
-  SILENT("silent"),
-  /** Its side process knows no worker. */
+  /** Its last report is older than {@link #SILENT_NANOS}. */
+  UNRESPONSIVE("silent"),
+  /** Its side process has no worker. */
   NO_WORKER("no worker"),
-  /** Its worker takes nothing new. */
+  /** Its worker is draining. */
   DRAINING("leaves"),
-  /** Its worker leaves calls unanswered or refuses them, or runs what other owners must size. */
+  /**
+   * Its worker does not answer calls or refuses them, or has runs whose resource requests only
+   * other owners know.
+   */
   UNHEALTHY("unhealthy"),
-  /** It runs what only the owners know the size of. */
+  /** It has runs whose resource requests only their owners know. */
   UNKNOWN_RESOURCES("runs of unknown size"),
-  /** What it starts fails. */
+  /** It is quarantined because runs on it keep failing. */
   QUARANTINED("rests");
 
-  /** A VM that was silent for this long gets no new work, in nanoseconds: three reports missed. */
+  /** Age of the last report from which a VM gets no work, in nanoseconds: three missed reports. */
   static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   private final String text;
@@ -29,11 +32,11 @@
     this.text = text;
   }
 
-  /** Returns how the VM stands at a time in the loop's nanoseconds. */
-  static VmAvailability of(VmSession session, FleetStatistics knowledge, long now) {
+  /** Returns the availability of the VM at a time in the loop's nanoseconds. */
+  static VmAvailability of(VmSession session, FleetStatistics fleet, long now) {
     VmReport report = session.report();
     if (now - session.reportedAt() >= SILENT_NANOS) {
-      return SILENT;
+      return UNRESPONSIVE;
     }
     if (report.getWorker().isEmpty()) {
       return NO_WORKER;
@@ -47,10 +50,10 @@
     if (report.getUnhealthy()) {
       return UNHEALTHY;
     }
-    return knowledge.isQuarantined(session.vm(), now) ? QUARANTINED : OFFERED;
+    return fleet.isQuarantined(session.vm(), now) ? QUARANTINED : OFFERED;
   }
 
-  /** Returns the words for logs. */
+  /** Returns the text for logs. */
   @Override
   public String toString() {
     return text;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -33,33 +33,33 @@
 import java.util.function.Predicate;
 
 /**
- * The VMs as an entry knows them, and the runs that it owns on them.
+ * Tracks the VMs that report to this entry and reconciles the runs that it owns with the reports.
  *
- * <p>Reports tell the whole state of a VM as far as this entry owns it, so that a lost connection,
- * a restart or a new owner needs no protocol of its own: what an owner expects and a report lacks
- * is ordered again, and what a report has and no owner expects is stopped. Orders name the attempt,
- * and a worker carries out each at most once.
+ * <p>Each report contains the whole state of a VM as far as this entry owns it, so a lost
+ * connection, a restart and a new owner need no protocol of their own: a run that the owner expects
+ * and a report lacks is ordered again, and a run that a report contains and no owner expects is
+ * stopped. Orders name the attempt, and a worker executes each attempt at most once.
  *
  * <p>Confined to the loop's thread.
  */
 final class VmTracker {
   private static final EventLog LOG = EventLog.of(VmTracker.class);
 
-  /** Between two orders to stop the same run, in nanoseconds. */
+  /** Minimum interval between two orders to stop the same run, in nanoseconds. */
   private static final long STOP_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** Told what reports change; runs on the loop. */
+  /** Notified of changes that reports cause; runs on the loop. */
   interface Listener {
-    /** A run ended and its task may wait again. */
+    /** Called when a run has ended; its task may be waiting again. */
     void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome);
 
-    /** A VM has more or other room. */
+    /** Called when the free capacity of a VM may have changed. */
     void capacityChanged();
   }
 
   private final LinkLoop loop;
   private final PartitionOwnership ownership;
-  private final WorkerLeaseTerms terms;
+  private final WorkerLeaseTerms leaseTerms;
   private final Listener listener;
   private final LongSupplier wallMillis;
   private final Map<LinkConnection, VmSession> sessions = new HashMap<>();
@@ -74,19 +74,19 @@
   VmTracker(
       LinkLoop loop,
       PartitionOwnership ownership,
-      WorkerLeaseTerms terms,
+      WorkerLeaseTerms leaseTerms,
       LongSupplier wallMillis,
       Listener listener) {
     this.loop = requireNonNull(loop, "loop");
     this.ownership = requireNonNull(ownership, "ownership");
-    this.terms = requireNonNull(terms, "terms");
+    this.leaseTerms = requireNonNull(leaseTerms, "leaseTerms");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.listener = requireNonNull(listener, "listener");
     this.view = new VmView(loop, sessionsByVm, openRuns, fleet);
     this.endAcknowledger = new RunEndAcknowledger(loop);
   }
 
-  /** Follows the runs that former owners of the partition ordered. */
+  /** Starts to track the runs that former owners of the partition ordered. */
   void partitionActivated(OwnedPartition partition) {
     for (Workflow workflow : partition.workflows()) {
       workflow
@@ -95,12 +95,12 @@
     }
   }
 
-  /** Forgets the runs of a partition that another process decides for. */
+  /** Stops tracking the runs of a partition that another process owns. */
   void partitionLost(OwnedPartition partition) {
     openRuns.removePartition(partition);
   }
 
-  /** Follows runs of a workflow that were just decided on, and orders them once that is durable. */
+  /** Tracks new runs of one workflow, at least one; orders them once the decision is durable. */
   void addOrdered(OwnedPartition partition, List<OpenRun> decided) {
     Map<RunKey, OpenRun> runs = new LinkedHashMap<>();
     for (OpenRun run : decided) {
@@ -133,13 +133,13 @@
   }
 
   private void sendStop(VmSession session, OpenRun run) {
-    if (run.tryStartStop(loop.now(), STOP_RESEND_NANOS)) {
+    if (run.tryMarkStopSent(loop.now(), STOP_RESEND_NANOS)) {
       session.addStop(run.task().openRun());
       scheduleFlush();
     }
   }
 
-  /** Stops the open runs of the workflow that are not wanted any more. */
+  /** Sends stops for the durable open runs of the workflow that should not run any more. */
   void stopUnwanted(Workflow workflow) {
     for (WorkflowTask task : workflow.openTasks()) {
       Place place = task.place().orElseThrow();
@@ -151,7 +151,7 @@
     }
   }
 
-  /** Takes a report from a side process. */
+  /** Handles a report from a side process. */
   void handleReport(LinkConnection connection, VmReport report) {
     if (report.getVm().isEmpty()) {
       LOG.warning(LogLine.of("report-without-vm").with("peer", connection));
@@ -173,14 +173,15 @@
       }
       session.update(report, loop.now());
     }
-    // Its only connection, if the newest of the VM was one from before that was read late.
+    // An older connection may have been read last and have ended since: this is the only one left.
     sessionsByVm.putIfAbsent(report.getVm(), session);
     if (sessionsByVm.get(report.getVm()) != session) {
       return;
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      fleet.recordImages(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      fleet.recordImageEvidence(
+          report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
       grantLease(session);
     }
     listener.capacityChanged();
@@ -203,7 +204,7 @@
       }
       Place place = run.task().place().orElseThrow();
       if (isWorkerGone(place, report)) {
-        closeRun(run, RunOutcome.LOST, "", "its worker is gone");
+        closeRun(run, RunOutcome.LOST, "", "worker is gone");
       } else if (place.worker().equals(report.getWorker())
           && run.isDurable()
           && run.isOrderHandled(session, report.getOrdersSeen())) {
@@ -218,26 +219,26 @@
   }
 
   private void reconcileRun(
-      VmSession session, VmReport report, Optional<OpenRun> found, RunKey key, RunReport run) {
+      VmSession session, VmReport report, Optional<OpenRun> found, RunKey key, RunReport reported) {
     if (found.isEmpty() || !isOnWorker(found.get(), report.getWorker())) {
-      stopUnknownRun(session, key, run.getStopping());
+      stopUnknownRun(session, key, reported.getStopping());
       return;
     }
     OpenRun open = found.get();
-    if (run.getStarted()) {
+    if (reported.getStarted()) {
       boolean first = !open.task().workflow().hasStarted();
-      open.task().recordProgress(run.getCheckpoint(), run.getPercent());
-      fleet.recordProgress(open, report.getVm(), run.getPercent(), loop.now());
+      open.task().recordProgress(reported.getCheckpoint(), reported.getPercent());
+      fleet.recordProgress(open, report.getVm(), reported.getPercent(), loop.now());
       if (first) {
         open.partition().persist(open.task().workflow());
       }
     }
     if (open.shouldStop()) {
       sendStop(session, open);
-    } else if (run.getSizeUnknown()
+    } else if (reported.getSizeUnknown()
         && open.isDurable()
         && open.isOrderHandled(session, report.getOrdersSeen())) {
-      // A restarted side process finds the run on its worker and cannot know what to book for it.
+      // A restarted side process finds the run on its worker without its resource requests.
       sendOrder(open, open.task().place().orElseThrow());
     }
   }
@@ -259,7 +260,7 @@
     scheduleFlush();
   }
 
-  /** One member's end was told first; the others' ends are on their way, and need no stop. */
+  /** Returns whether the run's gang has completed: its other members need no stop to end. */
   private static boolean hasGangCompleted(OwnedPartition partition, RunKey key) {
     return partition
         .workflow(key.task().workflow())
@@ -305,7 +306,8 @@
     RunKey key = task.openRun();
     Place place = task.place().orElseThrow();
     Workflow workflow = task.workflow();
-    // First of all: a run that stays open in its workflow would never be ordered or noted again.
+    // Comes first, in case a later step throws: a run that stays open in its workflow would never
+    // be ordered or acknowledged again.
     boolean ended = workflow.recordEnd(key, outcome, checkpoint, wallMillis.getAsLong());
     openRuns.remove(place.vm(), key);
     fleet.recordEnd(run, place.vm(), outcome, loop.now());
@@ -327,18 +329,18 @@
     listener.runEnded(run.partition(), task, outcome);
   }
 
-  /** One member's end is the end of the others too, or makes their attempt worth nothing. */
+  /** Ends the attempt for all members: it has completed, or is useless without the ended one. */
   private void endGangAttempt(WorkflowTask ended) {
     Workflow workflow = ended.workflow();
     openRuns.removeEnded(workflow);
     stopUnwanted(workflow);
   }
 
-  /** Answers a report that asks for a lease, with the orders that wait. */
+  /** Answers a report that requests a lease, together with the pending orders. */
   private void grantLease(VmSession session) {
     session.flush(
         leaseGrant(session).toBuilder()
-            .addAllImages(ImageObservationCodec.encode(fleet.imagesOfOtherVms(session.vm())))
+            .addAllImages(ImageObservationCodec.encode(fleet.imageEvidenceOfOtherVms(session.vm())))
             .build());
   }
 
@@ -377,7 +379,7 @@
     }
   }
 
-  /** Forgets a connection. */
+  /** Removes a connection that has ended. */
   void disconnected(LinkConnection connection, String reason) {
     VmSession session = sessions.remove(connection);
     if (session == null) {
@@ -388,28 +390,28 @@
   }
 
   /**
-   * Counts runs as over on VMs that are out of reach or know no worker, once every lease that they
-   * can have is.
+   * Closes the runs on VMs that are unreachable or report no worker, once every lease that they may
+   * hold has expired.
    *
-   * <p>Guards against a task in two places: a VM that is cut off goes on with what it runs until
-   * its worker's deadline, which rests on what this entry last sent it, or a former owner before
-   * this one shut it out. A side process that was restarted beside a dead worker hears of none, and
-   * extends no lease.
+   * <p>Closing them earlier could run a task twice at once: a disconnected VM continues its runs
+   * until its worker's deadline, which depends on the last grant of this entry, or of a former
+   * owner until this entry fenced it. A side process that was restarted beside a dead worker
+   * reports no worker and extends no lease.
    */
   void closeExpiredRuns() {
     long now = loop.now();
     for (String vm : openRuns.vms()) {
       VmSession session = sessionsByVm.get(vm);
-      boolean tellsOfWorker = session != null && session.place().isPresent();
-      if (tellsOfWorker && now - session.reportedAt() < VmAvailability.SILENT_NANOS) {
+      boolean reportsWorker = session != null && session.place().isPresent();
+      if (reportsWorker && now - session.reportedAt() < VmAvailability.SILENT_NANOS) {
         continue;
       }
       long granted = lastLeaseGrantAt.getOrDefault(vm, Long.MIN_VALUE);
       for (OpenRun run : openRuns.onVm(vm)) {
         long since = Math.max(granted, run.partition().writer().openedAt());
-        long over = since + TimeUnit.MILLISECONDS.toNanos(terms.takeoverMillis());
-        if (run.task().isOpen() && now > Math.max(over, run.orderedAt())) {
-          closeRun(run, RunOutcome.LOST, "", "its VM is out of reach and its lease over");
+        long expiresAt = since + TimeUnit.MILLISECONDS.toNanos(leaseTerms.takeoverMillis());
+        if (run.task().isOpen() && now > Math.max(expiresAt, run.orderedAt())) {
+          closeRun(run, RunOutcome.LOST, "", "VM is unreachable and its lease has expired");
         }
       }
     }
@@ -430,17 +432,17 @@
     return offers;
   }
 
-  /** Returns how harmful the image is believed to be to tasks that serve, from 0 to 1. */
+  /** Returns the estimated interference of the image with services, from 0 to 1. */
   double interferenceOf(String image) {
     return fleet.interferenceOf(image);
   }
 
-  /** Returns how many open runs of the step and occurrence are on the VM. */
+  /** Returns the number of open runs of the task's step and occurrence on the VM. */
   int openRunsOfStep(String vm, WorkflowTask task) {
     return openRuns.countOfStep(vm, task);
   }
 
-  /** Returns a rack where tasks of the step and occurrence are at work, or empty. */
+  /** Returns a rack on which tasks of the step and occurrence run, or an empty string. */
   String rackOfStep(WorkflowTask task) {
     return task.workflow().tasksOf(task.key().occurrence(), task.key().step()).stream()
         .flatMap(sibling -> sibling.place().stream())
@@ -451,24 +453,24 @@
         .orElse("");
   }
 
-  /** Returns all open runs on VMs whose workers leave. */
+  /** Returns all open runs on VMs whose workers are draining. */
   ImmutableList<OpenRun> runsOnDrainingVms() {
     return runsOn(VmReport::getDraining);
   }
 
-  /** Returns the open runs that are too many beside the services of their VMs. */
+  /** Returns the open runs that exceed their VM's capacity for interfering runs. */
   ImmutableList<OpenRun> excessRuns() {
-    ImmutableList.Builder<OpenRun> crowded = ImmutableList.builder();
+    ImmutableList.Builder<OpenRun> excess = ImmutableList.builder();
     for (VmSession session : sessionsByVm.values()) {
       session.report().getRunsList().stream()
           .filter(RunReport::getCrowded)
           .flatMap(run -> openRuns.find(session.vm(), WorkflowCodec.decode(run.getTask())).stream())
-          .forEach(crowded::add);
+          .forEach(excess::add);
     }
-    return crowded.build();
+    return excess.build();
   }
 
-  /** Returns all open runs that fill on VMs where such tasks may work at the share at most. */
+  /** Returns the open interfering runs on VMs that throttle such runs to the share or less. */
   ImmutableList<OpenRun> runsThrottledTo(int percent) {
     return runsOn(report -> report.getServing() > 0 && report.getFillPercent() <= percent).stream()
         .filter(run -> run.task().step().traits().bestEffort())
@@ -476,10 +478,10 @@
         .collect(ImmutableList.toImmutableList());
   }
 
-  private ImmutableList<OpenRun> runsOn(Predicate<VmReport> vms) {
+  private ImmutableList<OpenRun> runsOn(Predicate<VmReport> predicate) {
     ImmutableList.Builder<OpenRun> runs = ImmutableList.builder();
     for (VmSession session : sessionsByVm.values()) {
-      if (vms.test(session.report())) {
+      if (predicate.test(session.report())) {
         runs.addAll(openRuns.onVm(session.vm()));
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * What {@link VmTracker} knows, to look at and not to change. Confined to the loop's thread; each
- * call shows the state at its time.
+ * A read-only view of {@link VmTracker}; each call returns the current state. Confined to the
+ * loop's thread.
  */
 final class VmView {
   private final LinkLoop loop;
@@ -20,22 +20,18 @@
   private final FleetStatistics fleet;
 
   /**
-   * Returns a view.
+   * Creates a view.
    *
    * @param sessions the newest connection of each VM that has one, by the VM's name
    */
-  VmView(
-      LinkLoop loop,
-      Map<String, VmSession> sessions,
-      OpenRuns openRuns,
-      FleetStatistics knowledge) {
+  VmView(LinkLoop loop, Map<String, VmSession> sessions, OpenRuns openRuns, FleetStatistics fleet) {
     this.loop = requireNonNull(loop, "loop");
     this.sessions = Collections.unmodifiableMap(sessions);
     this.openRuns = requireNonNull(openRuns, "openRuns");
-    this.fleet = requireNonNull(knowledge, "knowledge");
+    this.fleet = requireNonNull(fleet, "fleet");
   }
 
-  /** Returns whether the VM may be given work now, or what forbids that. */
+  /** Returns whether the VM may be given work now, or why not. */
   VmAvailability availability(VmSession session) {
     return VmAvailability.of(session, fleet, loop.now());
   }
@@ -50,7 +46,7 @@
     return Optional.ofNullable(sessions.get(vm));
   }
 
-  /** Returns the open attempt of a task as it is followed here, or empty if none is. */
+  /** Returns the tracked run of the task's open attempt, or empty if there is none. */
   Optional<OpenRun> openRun(WorkflowTask task) {
     return task.place().flatMap(place -> openRuns.find(place.vm(), task.openRun()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -37,8 +37,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * An entry's part in workflows: accepts them, answers for them, and decides for those whose
- * partitions it owns.
+ * Runs workflows in an entry: accepts submissions, answers queries, and schedules the workflows of
+ * the partitions that the entry owns.
  *
  * <p>The public methods may be called from any thread; everything else runs on the loop.
  */
@@ -51,7 +51,7 @@
   private static final long EVICTION_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
   private static final long MONITOR_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How long a cancel may take to become durable before its caller is told to ask again. */
+  /** Time in which a cancel has to become durable before the result is unknown, in nanoseconds. */
   private static final long CANCEL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private static final int MAX_LINKS = 2_000;
@@ -72,14 +72,14 @@
   private volatile boolean leaving;
 
   /**
-   * Creates an entry that does nothing yet.
+   * Creates an entry that has not started yet.
    *
    * @param loop the process's loop
-   * @param store where workflows last
-   * @param address where side processes and other entries reach this one
-   * @param wallMillis the time of day in milliseconds
-   * @param adviser asked where a queue's policy says which VMs may run a step
-   * @param terms what the deployment allows
+   * @param store the durable store of workflows
+   * @param address address of the link server, for side processes and other entries
+   * @param wallMillis the wall clock in milliseconds
+   * @param adviser restricts the VMs of a step for queues whose policy requires placement advice
+   * @param parameters parameters of the deployment
    */
   public WorkflowEntry(
       LinkLoop loop,
@@ -87,21 +87,21 @@
       InetSocketAddress address,
       LongSupplier wallMillis,
       PlacementAdviser adviser,
-      EntryParameters terms) {
+      EntryParameters parameters) {
     this.loop = requireNonNull(loop, "loop");
-    this.parameters = requireNonNull(terms, "terms");
+    this.parameters = requireNonNull(parameters, "parameters");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.self = new EntryMember(address.getHostString(), address.getPort(), wallMillis.getAsLong());
     this.ownership = new PartitionOwnership(store, loop, self, new OwnershipListener());
     this.peers = new EntryPeers(loop, self);
-    this.vms = new VmTracker(loop, ownership, terms.lease(), wallMillis, new VmListener());
+    this.vms = new VmTracker(loop, ownership, parameters.lease(), wallMillis, new VmListener());
     this.scheduler =
         new EntryScheduler(
             loop,
             wallMillis,
             ownership,
             vms,
-            VmChooser.of(terms.farRackFactor()),
+            VmChooser.of(parameters.farRackFactor()),
             adviser,
             () -> this.configuration);
     this.taskMonitor = new LongRunningTaskMonitor(loop, wallMillis, ownership, vms, scheduler);
@@ -110,9 +110,9 @@
   }
 
   /**
-   * Begins to listen and to join the owners.
+   * Starts the link server and the ownership of partitions.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     server.start();
@@ -124,10 +124,12 @@
     loop.repeat(this::evictEnded, EVICTION_INTERVAL_NANOS);
   }
 
-  /** Puts a configuration in force; older versions than the one in force are passed over. */
+  /**
+   * Puts a configuration in force; ignores it unless its version is higher than the current one.
+   */
   public void configure(QueueTable queues) {
-    Optional<QueueTable> before = configuration;
-    if (before.isPresent() && before.get().version() >= queues.version()) {
+    Optional<QueueTable> current = configuration;
+    if (current.isPresent() && current.get().version() >= queues.version()) {
       return;
     }
     configuration = Optional.of(queues);
@@ -138,12 +140,12 @@
     loop.run(scheduler::schedulePass);
   }
 
-  /** Returns the configuration in force, or empty while none is known. */
+  /** Returns the configuration in force, or empty while there is none. */
   public Optional<QueueTable> configuration() {
     return configuration;
   }
 
-  /** Returns whether this entry should be given callers. */
+  /** Returns whether this entry is ready for requests of callers. */
   public boolean isReady() {
     return !leaving && ownership.isConnected() && configuration.isPresent();
   }
@@ -151,29 +153,29 @@
   /**
    * Writes a workflow durably.
    *
-   * @return completes on the loop with how the append ended
+   * @return completes on the loop with the result of the append
    */
   public CompletableFuture<AppendResult> submit(WorkflowSpec spec) {
-    CompletableFuture<AppendResult> told = new CompletableFuture<>();
+    CompletableFuture<AppendResult> appended = new CompletableFuture<>();
     loop.run(
         () -> {
           if (!ownership.isConnected()) {
-            // Spares the caller the wait for an append that is known to fail.
+            // Fails fast: the caller need not wait for an append that is expected to fail.
             completeSubmission(
-                spec, new NotAppended("the store did not answer the last call"), told);
+                spec, new NotAppended("store did not answer the last join"), appended);
             return;
           }
           int partition = ownership.partitionOf(spec.id());
           String key = WorkflowIds.format(spec.id());
           KeyedRecord submission = new KeyedRecord(key, WorkflowCodec.encode(spec));
           submissions.write(
-              partition, submission, result -> completeSubmission(spec, result, told));
+              partition, submission, result -> completeSubmission(spec, result, appended));
         });
-    return told;
+    return appended;
   }
 
   private void completeSubmission(
-      WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> told) {
+      WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> appended) {
     LOG.info(
         LogLine.of("workflow-submitted")
             .with("workflow", WorkflowIds.format(spec.id()))
@@ -183,82 +185,94 @@
             .with("configuration", configuration.map(QueueTable::version).orElse(0L))
             .with("result", result.getClass().getSimpleName()));
     if (result instanceof Appended) {
-      // Spares the owner, if it is this entry, the wait for its own reading.
-      ownership.active(ownership.partitionOf(spec.id())).ifPresent(own -> own.add(spec));
+      // If this entry is the owner, it need not wait until it reads the submission from the store.
+      ownership.active(ownership.partitionOf(spec.id())).ifPresent(owned -> owned.add(spec));
     }
-    told.complete(result);
+    appended.complete(result);
   }
 
   /**
-   * Asks for the status of a workflow, or cancels it.
+   * Queries the status of a workflow, or cancels it first.
    *
-   * @return completes on the loop
+   * @return completes on the loop; {@link QueryResult#UNAVAILABLE} if the owner is not reached in
+   *     time
    */
   public CompletableFuture<QueryResult> query(long workflow, String queue, boolean cancel) {
-    CompletableFuture<QueryResult> told = new CompletableFuture<>();
-    loop.run(() -> handleQuery(workflow, queue, cancel, true, told::complete));
-    return told;
+    CompletableFuture<QueryResult> future = new CompletableFuture<>();
+    loop.run(() -> handleQuery(workflow, queue, cancel, true, future::complete));
+    return future;
   }
 
   private void handleQuery(
-      long workflow, String queue, boolean cancel, boolean mayAsk, Consumer<QueryResult> told) {
+      long workflow,
+      String queue,
+      boolean cancel,
+      boolean mayForward,
+      Consumer<QueryResult> onResult) {
     int partition = ownership.partitionOf(workflow);
-    Optional<OwnedPartition> own = ownership.active(partition);
-    if (own.isPresent()) {
-      queryOwned(own.get(), workflow, cancel, told);
-    } else if (mayAsk) {
-      WorkflowQuery question =
+    Optional<OwnedPartition> owned = ownership.active(partition);
+    if (owned.isPresent()) {
+      queryOwned(owned.get(), workflow, cancel, onResult);
+    } else if (mayForward) {
+      WorkflowQuery forwarded =
           WorkflowQuery.newBuilder()
               .setWorkflow(workflow)
               .setQueue(queue)
               .setCancel(cancel)
               .build();
-      peers.query(partition, question, told);
+      peers.query(partition, forwarded, onResult);
     } else {
-      told.accept(QueryResult.UNAVAILABLE);
+      onResult.accept(QueryResult.UNAVAILABLE);
     }
   }
 
-  private void queryOwned(OwnedPartition own, long id, boolean cancel, Consumer<QueryResult> told) {
-    Optional<Workflow> found = own.workflow(id);
+  private void queryOwned(
+      OwnedPartition owned, long id, boolean cancel, Consumer<QueryResult> onResult) {
+    Optional<Workflow> found = owned.workflow(id);
     if (found.isEmpty()) {
-      told.accept(own.isCaughtUp() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.UNAVAILABLE);
+      onResult.accept(owned.isCaughtUp() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.UNAVAILABLE);
       return;
     }
     Workflow workflow = found.get();
     if (!cancel) {
-      told.accept(QueryResult.of(workflow.durableStatus()));
+      onResult.accept(QueryResult.of(workflow.durableStatus()));
       return;
     }
-    cancelOwned(own, workflow).thenAccept(told);
+    cancelOwned(owned, workflow).thenAccept(onResult);
   }
 
-  private CompletableFuture<QueryResult> cancelOwned(OwnedPartition own, Workflow workflow) {
+  private CompletableFuture<QueryResult> cancelOwned(OwnedPartition owned, Workflow workflow) {
     if (workflow.cancel(wallMillis.getAsLong())) {
       LOG.info(
           LogLine.of("workflow-cancelled")
               .with("workflow", WorkflowIds.format(workflow.spec().id()))
               .with("open_runs", workflow.openTasks().size()));
-      own.persist(workflow);
+      owned.persist(workflow);
     }
-    CompletableFuture<QueryResult> told = new CompletableFuture<>();
-    own.writer()
+    CompletableFuture<QueryResult> cancelled = new CompletableFuture<>();
+    owned
+        .writer()
         .afterDurable(
             () -> {
               vms.stopUnwanted(workflow);
-              told.complete(QueryResult.of(workflow.durableStatus()));
+              cancelled.complete(QueryResult.of(workflow.durableStatus()));
             });
-    // The partition may have another owner, or the store may be out of reach.
-    loop.schedule(() -> told.complete(QueryResult.UNAVAILABLE), CANCEL_TIMEOUT_NANOS);
-    return told;
+    // The cancel may never become durable if the partition has another owner or the store is
+    // unreachable.
+    loop.schedule(() -> cancelled.complete(QueryResult.UNAVAILABLE), CANCEL_TIMEOUT_NANOS);
+    return cancelled;
   }
 
-  /** Returns how many accepted workflows of the queue have no task begun; completes on the loop. */
+  /**
+   * Returns the number of accepted workflows of the queue of which no task has started, at all
+   * entries; completes on the loop. The numbers of other entries may be some seconds old.
+   */
   public CompletableFuture<Integer> waitingWorkflows(String queue) {
-    CompletableFuture<Integer> told = new CompletableFuture<>();
+    CompletableFuture<Integer> count = new CompletableFuture<>();
     loop.run(
-        () -> told.complete(waitingLocally().getOrDefault(queue, 0) + peers.waitingAtPeers(queue)));
-    return told;
+        () ->
+            count.complete(waitingLocally().getOrDefault(queue, 0) + peers.waitingAtPeers(queue)));
+    return count;
   }
 
   private Map<String, Integer> waitingLocally() {
@@ -275,8 +289,8 @@
 
   private void renewEvidence() {
     for (OwnedPartition partition : ownership.active()) {
-      boolean old = loop.now() - partition.writer().evidenceAt() > EVIDENCE_INTERVAL_NANOS;
-      if (old && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
+      boolean due = loop.now() - partition.writer().evidenceAt() > EVIDENCE_INTERVAL_NANOS;
+      if (due && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
         partition.writer().renewEvidence();
       }
     }
@@ -289,18 +303,24 @@
   }
 
   private void evictEnded() {
-    long before = wallMillis.getAsLong() - parameters.endedRetentionMillis();
+    long endedBefore = wallMillis.getAsLong() - parameters.endedRetentionMillis();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : ImmutableList.copyOf(partition.workflows())) {
-        boolean over = workflow.durableStatus().isTerminal() && workflow.endedMillis() < before;
-        if (over && !workflow.hasOpenTasks()) {
+        boolean expired =
+            workflow.durableStatus().isTerminal() && workflow.endedMillis() < endedBefore;
+        if (expired && !workflow.hasOpenTasks()) {
           partition.evict(workflow);
         }
       }
     }
   }
 
-  /** Gives all partitions back and stops deciding; callers are still answered by other owners. */
+  /**
+   * Releases all partitions and stops scheduling; queries are still answered through their new
+   * owners.
+   *
+   * @return completes on any thread when the store has answered
+   */
   public CompletableFuture<Boolean> leave() {
     leaving = true;
     CompletableFuture<Boolean> left = new CompletableFuture<>();
@@ -308,12 +328,12 @@
     return left;
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   public void close() {
     server.close();
   }
 
-  /** What changes in the partitions. */
+  /** Handles changes of the ownership of partitions. */
   private final class OwnershipListener implements PartitionOwnership.Listener {
     @Override
     public void ownersRead(long asOfGeneration, Owners owners) {
@@ -339,7 +359,7 @@
     }
   }
 
-  /** What changes on the VMs. */
+  /** Handles changes on the VMs. */
   private final class VmListener implements VmTracker.Listener {
     @Override
     public void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
@@ -355,7 +375,7 @@
     }
   }
 
-  /** Connections from side processes and other entries. */
+  /** Handles connections from side processes and other entries. */
   private final class IncomingLinkListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
@@ -367,7 +387,7 @@
       switch (frame.getBodyCase()) {
         case VM_REPORT -> {
           vms.handleReport(connection, frame.getVmReport());
-          sendOwnerMap(connection, frame.getVmReport().getOwnersDigest());
+          sendOwnerMapIfStale(connection, frame.getVmReport().getOwnersDigest());
         }
         case WORKFLOW_QUERY -> handlePeerQuery(connection, frame.getWorkflowQuery());
         case WAITING_COUNTS -> peers.updateCounts(frame.getWaitingCounts());
@@ -387,10 +407,11 @@
     }
   }
 
-  /** Guards against a side process that missed a change and goes on with a map of its own. */
-  private void sendOwnerMap(LinkConnection connection, int digestThere) {
-    if (digestThere != peers.ownerMap().getDigest()
-        && ownerMapLimiter.maySend(connection, loop.now())) {
+  /**
+   * Sends the owner map if the side process uses another one, since it may have missed a change.
+   */
+  private void sendOwnerMapIfStale(LinkConnection connection, int digest) {
+    if (digest != peers.ownerMap().getDigest() && ownerMapLimiter.maySend(connection, loop.now())) {
       sendOwnerMap(connection);
     }
   }
@@ -400,18 +421,18 @@
     connection.send(Frame.newBuilder().setOwnerMap(peers.ownerMap()).build());
   }
 
-  private void handlePeerQuery(LinkConnection connection, WorkflowQuery question) {
+  private void handlePeerQuery(LinkConnection connection, WorkflowQuery query) {
     handleQuery(
-        question.getWorkflow(),
-        question.getQueue(),
-        question.getCancel(),
+        query.getWorkflow(),
+        query.getQueue(),
+        query.getCancel(),
         false,
         result ->
             connection.send(
                 Frame.newBuilder()
                     .setWorkflowQueryAnswer(
                         WorkflowQueryAnswer.newBuilder()
-                            .setId(question.getId())
+                            .setId(query.getId())
                             .setResult(result.number()))
                     .build()));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -29,27 +29,27 @@
   private static final StepSpec.TaskTraits LONG_RUNNING =
       new StepSpec.TaskTraits(false, false, false, true, false, "", 0, 0);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
-    world.close();
+    cluster.close();
   }
 
   private void start(long runMillis) throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", runMillis);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", runMillis);
+    cluster.awaitReady();
   }
 
-  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits nature) {
+  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits traits) {
     return new StepSpec(
         tasks,
         new Sizes(500, 1 << 20, 0),
         100,
         ImmutableList.of(),
         new StepSpec.Placement("", "", false, maxPerVm),
-        nature);
+        traits);
   }
 
   private void submit(long id, String service, int priority, StepSpec... steps) {
@@ -62,12 +62,12 @@
             ImmutableList.copyOf(steps),
             WorkflowSpec.Schedule.IMMEDIATE,
             System.currentTimeMillis());
-    assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(spec).join());
+    assertInstanceOf(WorkflowStore.Appended.class, cluster.entry(0).entry().submit(spec).join());
   }
 
   /**
-   * A gang was refused again and again while others raced it for room. When there was room for it
-   * at last, it was not looked at for four seconds more.
+   * A gang was refused repeatedly while other tasks competed for its capacity. With an unbounded
+   * backoff, it was not tried for four more seconds after there was capacity for it.
    */
   @Test
   void backoffOfRefusedGangIsBounded() {
@@ -90,7 +90,7 @@
     Workflow workflow = Workflow.of(WorkflowTestCluster.workflow(94, gang, 2));
     WorkflowTask member = workflow.tasks().get(0);
     for (int i = 0; i < 30; i++) {
-      workflow.startGangAttempt(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
+      workflow.startGangAttempt(member, Collections.nCopies(2, new Place("vm-0", "incarnation-1")));
       workflow
           .openTasks()
           .forEach(
@@ -98,8 +98,10 @@
                 workflow.recordEnd(task.openRun(), RunOutcome.REFUSED, "", 0);
                 scheduler.runEnded(task, RunOutcome.REFUSED);
               });
-      long waits = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
-      assertTrue(waits > 0 && waits <= 1_000, "waits " + waits + " ms after " + (i + 1));
+      long backoffMillis = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
+      assertTrue(
+          backoffMillis > 0 && backoffMillis <= 1_000,
+          "backoff of " + backoffMillis + " ms after " + (i + 1) + " refusals");
     }
   }
 
@@ -112,28 +114,28 @@
   }
 
   /**
-   * A workflow waits for a service of which no VM is left. Another one with equal tasks came later,
-   * for a service with nothing to do, and did not begin before the first one did.
+   * A workflow waits for a service without VMs. A later workflow with equal tasks for an idle
+   * service did not start before the first one did.
    */
   @Test
   void workflowWithoutCapacityDoesNotBlockEqualOneOfAnotherService() throws IOException {
     start(40);
     submit(91, WorkflowTestCluster.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.TaskTraits.PLAIN));
     submit(92, "service", 1, step(2, 0, StepSpec.TaskTraits.PLAIN));
-    world.await("the other is done", () -> world.status(0, 92) == QueryResult.DONE);
-    assertEquals(0, world.history().starts(new TaskKey(91, 0, 0, 0)));
+    cluster.await("the other workflow is done", () -> cluster.status(0, 92) == QueryResult.DONE);
+    assertEquals(0, cluster.history().starts(new TaskKey(91, 0, 0, 0)));
   }
 
   /**
-   * Two services of one workflow are alike, and a VM takes one task of each at most. The first
-   * lacks a second VM for good, and nothing of the second was ever at work.
+   * Two steps of one workflow are equal, with at most one task of each per VM. The first step has
+   * no second VM, and no task of the second step was ever started.
    */
   @Test
   void stepWithoutCapacityDoesNotBlockEqualStepOfItsWorkflow() throws IOException {
     start(60_000);
     submit(93, "service", 0, step(2, 1, LONG_RUNNING), step(2, 1, LONG_RUNNING));
-    world.await("one of each is at work", () -> world.history().totalStarts() == 2);
-    assertEquals(1, world.history().starts(new TaskKey(93, 0, 0, 0)));
-    assertEquals(1, world.history().starts(new TaskKey(93, 0, 1, 0)));
+    cluster.await("one task of each step has started", () -> cluster.history().totalStarts() == 2);
+    assertEquals(1, cluster.history().starts(new TaskKey(93, 0, 0, 0)));
+    assertEquals(1, cluster.history().starts(new TaskKey(93, 0, 1, 0)));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/NoOpOwnershipListener.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/NoOpOwnershipListener.java
@@ -2,7 +2,7 @@
 
 import io.marigoldsail.workflow.Workflow;
 
-/** Takes what becomes of partitions and does nothing about it. */
+/** An ownership listener that does nothing. */
 class NoOpOwnershipListener implements PartitionOwnership.Listener {
   @Override
   public void ownersRead(long asOfGeneration, WorkflowStore.Owners owners) {}
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiterTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiterTest.java
@@ -10,29 +10,29 @@
   private static final long ROUND_TRIP_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   /**
-   * While partitions moved, two entries held different maps of one generation. A side process took
-   * each in turn, and told all entries its whole state each time, in every round trip. An entry
-   * that was just heard must wait before it says the same again.
+   * While partitions moved, two entries held different owner maps of one generation. A side process
+   * applied them alternately and reported its whole state to all entries in every round trip. An
+   * entry must wait before it sends the same map again.
    */
   @Test
   void differingOwnerMapsAreSentAtALimitedRate() {
-    OwnerMapRateLimiter<String> turns = new OwnerMapRateLimiter<>();
-    int told = 0;
+    OwnerMapRateLimiter<String> limiter = new OwnerMapRateLimiter<>();
+    int sent = 0;
     for (long now = 0; now < 10 * OwnerMapRateLimiter.MIN_INTERVAL_NANOS; now += ROUND_TRIP_NANOS) {
-      if (turns.maySend("side", now)) {
-        turns.recordSent("side", now);
-        told++;
+      if (limiter.maySend("side", now)) {
+        limiter.recordSent("side", now);
+        sent++;
       }
     }
-    assertEquals(10, told);
+    assertEquals(10, sent);
   }
 
   @Test
   void newConnectionIsSentTheMapAtOnce() {
-    OwnerMapRateLimiter<String> turns = new OwnerMapRateLimiter<>();
-    turns.recordSent("side", 5);
-    assertTrue(turns.maySend("other", 6));
-    turns.remove("side");
-    assertTrue(turns.maySend("side", 6));
+    OwnerMapRateLimiter<String> limiter = new OwnerMapRateLimiter<>();
+    limiter.recordSent("side", 5);
+    assertTrue(limiter.maySend("other", 6));
+    limiter.remove("side");
+    assertTrue(limiter.maySend("side", 6));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunEndAcknowledgerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunEndAcknowledgerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When an owner notes ends of runs that it has no record of, on virtual time. */
+/** Acknowledgement of ends of runs by their owner, on virtual time. */
 class RunEndAcknowledgerTest {
   private static final RunKey UNKNOWN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final long SUCCESSOR_EPOCH = 1_000_000;
@@ -44,7 +44,10 @@
     acknowledger.acknowledgeWhenSafe(partition, run, "vm-0", () -> acknowledged.add(run));
   }
 
-  /** Guards against a task that runs again: its owner never hears of an end that another noted. */
+  /**
+   * An end that a former owner acknowledges is never reported to the current owner, which would run
+   * the task again.
+   */
   @Test
   void formerOwnerDoesNotAcknowledgeEndOfSuccessorsRun() {
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
@@ -53,7 +56,7 @@
     assertEquals(List.of(), acknowledged);
   }
 
-  /** Guards against the same while the former owner cannot reach the store. */
+  /** The same, while the former owner cannot reach the store. */
   @Test
   void ownerWithoutStoreDoesNotAcknowledgeUnknownEnd() {
     storeOfOwner.setRefusing(true);
@@ -69,10 +72,10 @@
   }
 
   private static RunKey order(Workflow workflow) {
-    return workflow.startAttempt(workflow.tasks().get(0), new Place("vm-0", "life-1"));
+    return workflow.startAttempt(workflow.tasks().get(0), new Place("vm-0", "incarnation-1"));
   }
 
-  /** Guards against a task that runs again: its workflow has not taken the end that is noted. */
+  /** An end that is acknowledged before its workflow has recorded it makes the task run again. */
   @Test
   void endOfOpenRunIsNotAcknowledged() {
     RunKey open = order(ownWorkflow());
@@ -81,7 +84,7 @@
     assertEquals(List.of(), acknowledged);
   }
 
-  /** Guards against a worker that keeps ends for good of attempts that were followed by others. */
+  /** Otherwise a worker would retain the ends of superseded attempts forever. */
   @Test
   void endOfEarlierAttemptIsAcknowledged() {
     Workflow workflow = ownWorkflow();
@@ -93,7 +96,10 @@
     assertEquals(List.of(first), acknowledged);
   }
 
-  /** Guards against a task that runs again: a later owner has ordered an attempt not known here. */
+  /**
+   * A later owner has ordered an attempt that is unknown here; if its end were acknowledged here,
+   * the task would run again.
+   */
   @Test
   void formerOwnerDoesNotAcknowledgeEndOfLaterAttempt() {
     Workflow workflow = ownWorkflow();
@@ -105,7 +111,7 @@
     assertEquals(List.of(), acknowledged);
   }
 
-  /** Guards against ends that are noted though what they changed was dropped with the ownership. */
+  /** The state change of the end is dropped with the ownership, so it is not durable. */
   @Test
   void releasedPartitionAcknowledgesNothing() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
@@ -117,7 +123,7 @@
     assertEquals(List.of(), acknowledged);
   }
 
-  /** Guards against a worker that keeps ends for good whose workflows are forgotten. */
+  /** Otherwise a worker would retain the ends of evicted workflows forever. */
   @Test
   void ownerAcknowledgesUnknownEnd() {
     reportEnd(UNKNOWN);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
@@ -16,16 +16,16 @@
   }
 
   /**
-   * An order waited to be sent when the report came that the worker had another life. It went out
-   * for the new one, which would start a task that its owner orders elsewhere.
+   * An order was pending when a report with a new worker incarnation arrived. It was sent to the
+   * new incarnation, which would start a task that its owner orders elsewhere.
    */
   @Test
   void pendingOrdersAreDroppedWhenTheIncarnationChanges() {
-    VmSession session = new VmSession(null, report("life-1"), 0);
+    VmSession session = new VmSession(null, report("incarnation-1"), 0);
     session.addStop(RUN);
-    session.update(report("life-1"), 1);
+    session.update(report("incarnation-1"), 1);
     assertTrue(session.hasPendingOrders());
-    session.update(report("life-2"), 2);
+    session.update(report("incarnation-2"), 2);
     assertFalse(session.hasPendingOrders());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
@@ -14,16 +14,16 @@
 import org.junit.jupiter.api.Test;
 
 class VmTrackerTest {
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("vm", MonotonicClock.system());
 
   @AfterEach
   void stop() {
     loop.close();
-    world.close();
+    cluster.close();
   }
 
-  /** A connection of a side process, of which a test plays the part. */
+  /** A connection of a side process that the test simulates. */
   private final class ScriptedLink implements LinkListener {
     private final CompletableFuture<LinkConnection> opened = new CompletableFuture<>();
     private final AtomicInteger leases = new AtomicInteger();
@@ -32,14 +32,18 @@
       loop.dial(entry, this, opened::completeExceptionally);
     }
 
-    /** Reports until a lease has come back that was not there before. */
+    /** Sends reports until a new lease arrives. */
     void awaitLease() {
       int before = leases.get();
       VmReport report =
-          VmReport.newBuilder().setVm("vm-0").setWorker("life-1").setWantsLease(true).build();
+          VmReport.newBuilder()
+              .setVm("vm-0")
+              .setWorker("incarnation-1")
+              .setWantsLease(true)
+              .build();
       LinkConnection connection = opened.join();
-      world.await(
-          "a lease",
+      cluster.await(
+          "a lease is granted",
           () -> {
             loop.run(() -> connection.send(Frame.newBuilder().setVmReport(report).build()));
             return leases.get() > before;
@@ -48,7 +52,7 @@
 
     void close() {
       LinkConnection connection = opened.join();
-      loop.run(() -> connection.close("told to close"));
+      loop.run(() -> connection.close("closed by the test"));
     }
 
     @Override
@@ -68,22 +72,22 @@
   }
 
   /**
-   * A side process gave a slow connection up and dialled anew; what it had sent on the first was
-   * read after what it sent on the second, and then the first ended. The entry passed over all
-   * further reports of the VM, and gave its tasks no lease.
+   * A side process abandoned a slow connection and dialled again. Its report on the first
+   * connection was read after that on the second, and then the first connection ended. The entry
+   * ignored all further reports of the VM and granted no lease.
    */
   @Test
   void remainingConnectionIsUsedThoughAnotherWasReadLater() throws IOException {
-    String address = world.addEntry().memberPrefix();
+    String address = cluster.addEntry().memberPrefix();
     int colon = address.indexOf(':');
     InetSocketAddress entry =
         new InetSocketAddress(
             address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
-    ScriptedLink left = new ScriptedLink(entry);
-    left.awaitLease();
+    ScriptedLink remaining = new ScriptedLink(entry);
+    remaining.awaitLease();
     ScriptedLink readLate = new ScriptedLink(entry);
     readLate.awaitLease();
     readLate.close();
-    left.awaitLease();
+    remaining.awaitLease();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What callers and workers may rely on, each under the trouble that would break it. */
+/** The guarantees to callers and workers, each under a fault that could break it. */
 class WorkflowRulesTest {
   private static final long NEVER_ENDS_MILLIS = 60_000;
   private static final StepSpec.TaskTraits LONG_RUNNING =
@@ -29,39 +29,39 @@
   private static final StepSpec.TaskTraits BEST_EFFORT =
       new StepSpec.TaskTraits(false, true, false, false, true, "batch", 0, 0);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
-    world.close();
+    cluster.close();
   }
 
   private void submit(WorkflowSpec workflow) {
-    assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(workflow).join());
+    assertInstanceOf(
+        WorkflowStore.Appended.class, cluster.entry(0).entry().submit(workflow).join());
   }
 
   private void killSecondEntry() {
-    RunningEntry killed = world.entry(1);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
+    RunningEntry killed = cluster.entry(1);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
   }
 
   private FakeWorkerGateway worker(String vm) {
-    return world.side(vm).worker();
+    return cluster.side(vm).worker();
   }
 
   private int starts(long id, int index) {
-    return world.history().starts(new TaskKey(id, 0, 0, index));
+    return cluster.history().starts(new TaskKey(id, 0, 0, index));
   }
 
   /**
-   * A caller's task fails wherever it runs, and the entry that decides for it is killed after the
-   * first failures. The next owner has to go on counting where the first one was, and to tell the
-   * caller that it failed after three runs, not after three more.
+   * A task always fails, and its owner is killed after the first failures. The next owner must
+   * continue the count of failures: the workflow fails after three runs, not after three more.
    */
   @Test
   void failureLimitHoldsAcrossATakeover() throws IOException {
-    world.start(2, 3, 300);
+    cluster.start(2, 3, 300);
     for (int vm = 0; vm < 3; vm++) {
       worker("vm-" + vm).outcomeOfRuns(RunOutcome.FAILED);
     }
@@ -69,175 +69,181 @@
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 1));
     }
-    world.await(
-        "all are at their second run", () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
+    cluster.await(
+        "all tasks are in their second run",
+        () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
     killSecondEntry();
     for (long id : ids) {
-      world.await("it has failed", () -> world.status(0, id) == QueryResult.FAILED);
-      assertEquals(3, starts(id, 0), "runs of " + id);
+      cluster.await("the workflow has failed", () -> cluster.status(0, id) == QueryResult.FAILED);
+      assertEquals(3, starts(id, 0), "runs of workflow " + id);
     }
   }
 
   /**
-   * An entry is killed while a first step is at work. The next owner knows from the store alone
-   * what was done, and no task of a later step may begin before all of the step before are done.
+   * An entry is killed while first steps run. The next owner knows only from the store which tasks
+   * are done, and must not start a task of a later step before all tasks of the previous step are
+   * done.
    */
   @Test
   void stepDependenciesHoldAcrossATakeover() throws IOException {
-    world.start(2, 2, 400);
+    cluster.start(2, 2, 400);
     long[] ids = LongStream.rangeClosed(111, 116).toArray();
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 2, 2, 1));
     }
-    world.await("half have begun", () -> world.history().totalStarts() >= 15);
+    cluster.await("half of the tasks have started", () -> cluster.history().totalStarts() >= 15);
     killSecondEntry();
     for (long id : ids) {
-      world.await("it is done", () -> world.status(0, id) == QueryResult.DONE);
+      cluster.await("the workflow is done", () -> cluster.status(0, id) == QueryResult.DONE);
       for (int index = 0; index < 2; index++) {
-        assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 1, index)));
+        assertEquals(2, cluster.history().doneBefore(new TaskKey(id, 0, 1, index)));
       }
-      assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 2, 0)));
+      assertEquals(2, cluster.history().doneBefore(new TaskKey(id, 0, 2, 0)));
     }
-    assertEquals(List.of(), world.history().violations());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
-   * All tasks end while the store takes nothing. Whoever asks must not hear that the workflow is
-   * done: were the entry to die now, the next owner would run the last task again.
+   * All tasks end while the store refuses appends. The workflow must not be reported as done yet:
+   * if the entry died now, the next owner would run the last task again.
    */
   @Test
   void endIsNotReportedBeforeItIsDurable() throws IOException {
-    world.start(1, 1, 500);
+    cluster.start(1, 1, 500);
     submit(WorkflowTestCluster.workflow(121, 2));
-    world.await("both are at work", () -> world.history().totalStarts() == 2);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.await("both tasks are running", () -> cluster.history().totalStarts() == 2);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     FakeWorkerGateway worker = worker("vm-0");
-    world.await(
-        "both have ended", () -> worker.activeRuns().isEmpty() && worker.unacknowledgedEnds() == 2);
-    world.await(
-        "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
-    assertNotEquals(QueryResult.DONE, world.status(0, 121));
-    assertEquals(2, worker.unacknowledgedEnds(), "an end was noted that is not durable");
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("it is done", () -> world.status(0, 121) == QueryResult.DONE);
-    world.await("all ends are noted", () -> worker.unacknowledgedEnds() == 0);
+    cluster.await(
+        "both runs have ended",
+        () -> worker.activeRuns().isEmpty() && worker.unacknowledgedEnds() == 2);
+    cluster.await(
+        "the entry has retried the append several times", () -> cluster.store().faultsSeen() >= 5);
+    assertNotEquals(QueryResult.DONE, cluster.status(0, 121));
+    assertEquals(2, worker.unacknowledgedEnds(), "an end was acknowledged that is not durable");
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.await("the workflow is done", () -> cluster.status(0, 121) == QueryResult.DONE);
+    cluster.await("all ends are acknowledged", () -> worker.unacknowledgedEnds() == 0);
   }
 
   /**
-   * The store takes nothing when the owner decides where tasks go. No worker may be asked yet: were
-   * the owner to die now, the next one would know nothing of the order and run the tasks elsewhere.
+   * The store refuses appends when the owner places tasks. No start may be sent yet: if the owner
+   * died now, the next one would not know of the order and run the tasks elsewhere as well.
    */
   @Test
   void noStartIsSentBeforeTheAttemptIsDurable() throws IOException {
-    world.start(1, 1, 100);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.start(1, 1, 100);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     submit(WorkflowTestCluster.workflow(125, 2));
-    world.await(
-        "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
+    cluster.await(
+        "the entry has retried the append several times", () -> cluster.store().faultsSeen() >= 5);
     assertEquals(List.of(), worker("vm-0").startRequests());
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.await("it is done", () -> world.status(0, 125) == QueryResult.DONE);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.await("the workflow is done", () -> cluster.status(0, 125) == QueryResult.DONE);
   }
 
   /**
-   * No worker is there yet, and callers hand in. Whichever entry the operator asks has to count all
-   * that wait, also those that another entry decides for, and none once they have begun.
+   * Workflows are submitted while there is no worker. Every entry must count all waiting workflows,
+   * including those owned by the other entry, and none once they have started.
    */
   @Test
   void everyEntryCountsAllWaitingWorkflows() throws IOException {
-    world.start(2, 0, 0);
+    cluster.start(2, 0, 0);
     for (long id = 131; id <= 142; id++) {
       submit(WorkflowTestCluster.workflow(id, 1));
     }
     for (int entry = 0; entry < 2; entry++) {
-      WorkflowEntry asked = world.entry(entry).entry();
-      world.await("all are counted", () -> asked.waitingWorkflows("queue").join() == 12);
-      assertEquals(0, asked.waitingWorkflows("another queue").join());
+      WorkflowEntry queried = cluster.entry(entry).entry();
+      cluster.await(
+          "all waiting workflows are counted",
+          () -> queried.waitingWorkflows("queue").join() == 12);
+      assertEquals(0, queried.waitingWorkflows("another queue").join());
     }
-    world.addSide("vm-0", NEVER_ENDS_MILLIS);
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.addSide("vm-0", NEVER_ENDS_MILLIS);
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
     for (int entry = 0; entry < 2; entry++) {
-      WorkflowEntry asked = world.entry(entry).entry();
-      world.await("none waits", () -> asked.waitingWorkflows("queue").join() == 0);
+      WorkflowEntry queried = cluster.entry(entry).entry();
+      cluster.await("no workflow waits", () -> queried.waitingWorkflows("queue").join() == 0);
     }
   }
 
   /**
-   * A worker does not answer an order to start, the caller cancels, and the worker carries the
-   * order out seconds later. By then it must have been told not to: nothing of a cancelled workflow
-   * begins.
+   * A worker does not answer a start, the caller cancels, and the worker executes the start seconds
+   * later. It must have received the stop by then: no task of a cancelled workflow starts.
    */
   @Test
   void delayedStartAfterCancelRunsNothing() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
     worker.delayStarts(Integer.MAX_VALUE, 1_500);
     submit(WorkflowTestCluster.workflow(151, 2));
-    world.await("both were asked for", () -> worker.startRequests().size() >= 2);
-    assertEquals(QueryResult.CANCELLED, world.entry(0).entry().query(151, "queue", true).join());
-    world.await("all late orders were carried out", () -> worker.hasExecutedDelayedStarts());
-    assertEquals(0, world.history().totalStarts());
+    cluster.await("both starts were sent", () -> worker.startRequests().size() >= 2);
+    assertEquals(QueryResult.CANCELLED, cluster.entry(0).entry().query(151, "queue", true).join());
+    cluster.await("all delayed starts were executed", () -> worker.hasExecutedDelayedStarts());
+    assertEquals(0, cluster.history().totalStarts());
   }
 
   /**
-   * A worker says that it leaves. What lasts has to be at work elsewhere before it has gone, and
-   * nothing more may begin on it, however much waits.
+   * A worker drains. Its long-running tasks have to run elsewhere before it stops, and no task may
+   * be started on it however many wait.
    */
   @Test
   void drainingWorkerGetsNoRunsAndItsServicesMove() throws IOException {
-    world.start(2, 1, NEVER_ENDS_MILLIS);
+    cluster.start(2, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(161, LONG_RUNNING, 3));
-    FakeWorkerGateway leaving = worker("vm-0");
-    world.await("all are at work", () -> leaving.activeRuns().size() == 3);
-    leaving.drain();
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await("all are at work elsewhere", () -> worker("vm-1").activeRuns().size() == 3);
-    assertEquals(List.of(), leaving.activeRuns());
-    // As many as the other VM has no room for.
+    FakeWorkerGateway draining = worker("vm-0");
+    cluster.await("all tasks are running", () -> draining.activeRuns().size() == 3);
+    draining.drain();
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.await(
+        "all tasks are running on the other VM", () -> worker("vm-1").activeRuns().size() == 3);
+    assertEquals(List.of(), draining.activeRuns());
+    // More tasks than the other VM has capacity for.
     submit(WorkflowTestCluster.workflow(162, 8));
-    world.await("it is full", () -> worker("vm-1").activeRuns().size() == 8);
-    assertEquals(3, leaving.startRequests().size());
-    assertEquals(List.of(), world.history().violations());
+    cluster.await("the other VM is full", () -> worker("vm-1").activeRuns().size() == 8);
+    assertEquals(3, draining.startRequests().size());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
-   * A sick worker does not answer an order to start and then says that it leaves. Asked again it
-   * may well answer, and the task is on a worker that ends it a moment later; it belongs elsewhere.
+   * A faulty worker does not answer a start and then drains. The start must not be repeated: the
+   * worker might accept it and end the task shortly afterwards. The task has to run elsewhere.
    */
   @Test
   void drainingWorkerGetsNoRepeatedStart() throws IOException {
-    world.start(1, 1, 200);
-    FakeWorkerGateway leaving = worker("vm-0");
-    leaving.dropStarts(Integer.MAX_VALUE);
+    cluster.start(1, 1, 200);
+    FakeWorkerGateway draining = worker("vm-0");
+    draining.dropStarts(Integer.MAX_VALUE);
     submit(WorkflowTestCluster.workflow(171, 1));
-    world.await("it was asked for", () -> !leaving.startRequests().isEmpty());
-    leaving.drain();
-    world.heartbeatAndWait("vm-0");
-    List<RunKey> asked = leaving.startRequests();
-    world.addSide("vm-1", 200);
-    world.await("it is done", () -> world.status(0, 171) == QueryResult.DONE);
-    assertEquals(asked, leaving.startRequests());
+    cluster.await("the start was sent", () -> !draining.startRequests().isEmpty());
+    draining.drain();
+    cluster.heartbeatAndWait("vm-0");
+    List<RunKey> startsBefore = draining.startRequests();
+    cluster.addSide("vm-1", 200);
+    cluster.await("the workflow is done", () -> cluster.status(0, 171) == QueryResult.DONE);
+    assertEquals(startsBefore, draining.startRequests());
   }
 
   /**
-   * Heavy tasks stand beside a service whose users they disturb, and a VM without services is free.
-   * The heavy ones are slowed down and move there; the service, of which only one task may be away,
-   * is neither stopped nor moved.
+   * A best-effort task interferes with a service on its VM, and a VM without services is free. The
+   * best-effort task is throttled and moved there; the service, of which only one task may be
+   * unavailable, is neither stopped nor moved.
    */
   @Test
   void interferingTaskMovesAndTheServiceStays() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(181, LONG_RUNNING, 3));
-    FakeWorkerGateway crowded = worker("vm-0");
-    world.await("the service is at work", () -> crowded.activeRuns().size() == 3);
+    FakeWorkerGateway shared = worker("vm-0");
+    cluster.await("the service is running", () -> shared.activeRuns().size() == 3);
     submit(WorkflowTestCluster.workflow(182, BEST_EFFORT, 1));
-    world.await("a heavy task is beside it", () -> crowded.activeRuns().size() == 4);
-    crowded.measurement(400);
-    world.addSide("vm-1", NEVER_ENDS_MILLIS);
-    world.await("the heavy task has moved", () -> worker("vm-1").activeRuns().size() == 1);
+    cluster.await(
+        "the best-effort task runs on the same VM", () -> shared.activeRuns().size() == 4);
+    shared.measurement(400);
+    cluster.addSide("vm-1", NEVER_ENDS_MILLIS);
+    cluster.await("the best-effort task has moved", () -> worker("vm-1").activeRuns().size() == 1);
     assertEquals(182, worker("vm-1").activeRuns().get(0).task().workflow());
     assertEquals(Collections.nCopies(3, 1), startsOf(181, 3));
-    assertEquals(3, crowded.activeRuns().size());
+    assertEquals(3, shared.activeRuns().size());
   }
 
   private List<Integer> startsOf(long id, int tasks) {
@@ -245,157 +251,164 @@
   }
 
   /**
-   * The operator sends a queue to another service, and a copy of the version before arrives late.
-   * Nothing more of the queue may begin on the former service's workers; what waits goes on once a
-   * newer version sends the queue back.
+   * A configuration assigns a queue to another service, and the previous version arrives after it.
+   * No task of the queue may start on workers of the former service until a newer version assigns
+   * the queue to it again.
    */
   @Test
   void queueIsServedByTheServiceOfTheNewestVersionOnly() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
-    WorkflowEntry entry = world.entry(0).entry();
+    WorkflowEntry entry = cluster.entry(0).entry();
     submit(WorkflowTestCluster.workflow(211, 1));
-    world.await("it is at work", () -> worker.activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker.activeRuns().size() == 1);
     entry.configure(WorkflowTestCluster.configuration(3, "another"));
     entry.configure(WorkflowTestCluster.configuration(2, "service"));
     submit(WorkflowTestCluster.workflow(212, 1));
     int before = worker.listings();
-    world.await("the worker was looked at again", () -> worker.listings() >= before + 3);
+    cluster.await("the worker was listed several times", () -> worker.listings() >= before + 3);
     assertEquals(1, worker.startRequests().size());
     entry.configure(WorkflowTestCluster.configuration(4, "service"));
-    world.await("both are at work", () -> worker.activeRuns().size() == 2);
+    cluster.await("both tasks are running", () -> worker.activeRuns().size() == 2);
   }
 
   /**
-   * All entries lose power at once, with workflows waiting and at work. New ones that know nothing
-   * but the store bring every accepted workflow to its end.
+   * All entries die at once while workflows wait and run. New entries, which know only the store,
+   * must complete every accepted workflow.
    */
   @Test
   void newEntriesTakeOverWhenAllHaveDied() throws IOException {
-    world.start(2, 2, 700);
+    cluster.start(2, 2, 700);
     long[] ids = LongStream.rangeClosed(191, 202).toArray();
     for (long id : ids) {
       submit(WorkflowTestCluster.workflow(id, 2, 1));
     }
-    // More than there is room for at once, so that some are done.
-    world.await("some are done", () -> world.history().totalStarts() >= 20);
+    // More starts than there is capacity for at once, so some tasks are done.
+    cluster.await("some tasks are done", () -> cluster.history().totalStarts() >= 20);
     for (int i = 0; i < 2; i++) {
-      RunningEntry killed = world.entry(0);
-      world.kill(killed);
-      world.store().drop(killed.memberPrefix());
+      RunningEntry killed = cluster.entry(0);
+      cluster.kill(killed);
+      cluster.store().drop(killed.memberPrefix());
     }
-    world.addEntry();
-    world.addEntry();
+    cluster.addEntry();
+    cluster.addEntry();
     for (long id : ids) {
-      world.await("workflow " + id + " is done", () -> world.status(0, id) == QueryResult.DONE);
+      cluster.await("workflow " + id + " is done", () -> cluster.status(0, id) == QueryResult.DONE);
     }
-    assertTrue(world.history().totalStarts() >= ids.length * 3);
-    assertEquals(List.of(), world.history().violations());
+    assertTrue(cluster.history().totalStarts() >= ids.length * 3);
+    assertEquals(List.of(), cluster.history().violations());
   }
 
   /**
-   * An entry can read nothing from the store any more. A caller asks it for a workflow that another
-   * entry may have taken meanwhile; it has to say that it cannot tell, since "unknown" means that
-   * the caller's work is lost.
+   * An entry cannot read the store any more. It must answer a query on a workflow that another
+   * entry may have accepted meanwhile with UNAVAILABLE: "unknown" means that the workflow is lost.
    */
   @Test
   void entryWithoutStoreDoesNotReportUnknownWorkflow() throws IOException {
-    world.start(1, 0, 0);
-    assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 221));
-    world.entry(0).store().setRefusing(true);
-    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.UNAVAILABLE);
+    cluster.start(1, 0, 0);
+    assertEquals(QueryResult.UNKNOWN_WORKFLOW, cluster.status(0, 221));
+    cluster.entry(0).store().setRefusing(true);
+    cluster.await(
+        "the entry answers that the status is unavailable",
+        () -> cluster.status(0, 221) == QueryResult.UNAVAILABLE);
   }
 
   /**
-   * A workflow ended long ago and is to be forgotten, but the store does not drop what the caller
-   * handed in. What is known of its end has to stay as well: a new owner that finds the one without
-   * the other takes it for new and runs it again.
+   * An ended workflow is evicted, but the store does not drop its submission. Its progress must be
+   * kept as well: a new owner would take a submission without progress as new and run it again.
    */
   @Test
   void partlyEvictedWorkflowDoesNotRunAgain() throws IOException {
-    world.addEntry(0);
-    world.addSide("vm-0", 50);
-    world.awaitReady();
-    world.store().refuseDrops();
+    cluster.addEntry(0);
+    cluster.addSide("vm-0", 50);
+    cluster.awaitReady();
+    cluster.store().refuseDrops();
     submit(WorkflowTestCluster.workflow(231, 2));
-    world.await("it was to be dropped", () -> world.store().dropsRefused() >= 1);
-    RunningEntry killed = world.entry(0);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
-    world.addEntry();
-    world.await("the next one tells", () -> world.status(0, 231) == QueryResult.DONE);
-    assertEquals(2, world.history().totalStarts());
+    cluster.await("the drop was refused", () -> cluster.store().dropsRefused() >= 1);
+    RunningEntry killed = cluster.entry(0);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
+    cluster.addEntry();
+    cluster.await(
+        "the new entry reports it as done", () -> cluster.status(0, 231) == QueryResult.DONE);
+    assertEquals(2, cluster.history().totalStarts());
   }
 
   /**
-   * An entry that lost its partitions while it was suspended wakes up, finds runs that it does not
-   * know on a VM, and orders to stop them. The side process has heard from its successor under a
-   * higher epoch and must not obey.
+   * An entry that lost its partitions while it was suspended resumes, finds unknown runs on a VM
+   * and sends stops. The side process must ignore them: it has received a higher epoch from the
+   * successor.
    */
   @Test
   void formerOwnerCannotStopRunsOfItsSuccessor() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(241, 1));
-    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
-      world.store().join(former.member(), Long.MAX_VALUE);
-      world.await("the side process knows it", () -> former.report().isPresent());
+      cluster.store().join(former.member(), Long.MAX_VALUE);
+      cluster.await(
+          "the side process has connected to the former owner", () -> former.report().isPresent());
       RunKey run = worker("vm-0").activeRuns().get(0);
       former.stop(
           run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
-      world.await(
-          "the side process has read the order",
+      cluster.await(
+          "the side process has handled the stop",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
       assertEquals(List.of(run), worker("vm-0").activeRuns());
     }
   }
 
-  /** Guards against a task that runs again, since a former owner noted an end for its successor. */
+  /**
+   * An end that a former owner could acknowledge for its successor would make the task run again.
+   */
   @Test
   void formerOwnerCannotAcknowledgeEndForItsSuccessor() throws IOException {
-    world.start(1, 1, 1_000);
+    cluster.start(1, 1, 1_000);
     submit(WorkflowTestCluster.workflow(242, 1));
-    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
     RunKey run = worker("vm-0").activeRuns().get(0);
-    world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    world.await("it has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
+    cluster.await("the run has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
-      world.store().join(former.member(), Long.MAX_VALUE);
-      world.await("the side process knows it", () -> former.report().isPresent());
+      cluster.store().join(former.member(), Long.MAX_VALUE);
+      cluster.await(
+          "the side process has connected to the former owner", () -> former.report().isPresent());
       former.acknowledge(
           run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
-      world.await(
-          "the side process has read the note",
+      cluster.await(
+          "the side process has handled the acknowledgement",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
-      world.store().drop(former.member());
+      cluster.store().drop(former.member());
     }
     replaceOnlyEntry();
-    world.await("the next one tells", () -> world.status(0, 242) == QueryResult.DONE);
-    assertEquals(1, world.history().totalStarts());
-    assertEquals(List.of(), world.history().violations());
+    cluster.await(
+        "the new entry reports it as done", () -> cluster.status(0, 242) == QueryResult.DONE);
+    assertEquals(1, cluster.history().totalStarts());
+    assertEquals(List.of(), cluster.history().violations());
   }
 
-  /** Guards against a cancel without an answer, since its owner cannot make it durable. */
+  /** A cancel that its owner cannot make durable must be answered as well. */
   @Test
-  void cancelThatIsNotDurableIsAnsweredCannotTell() throws IOException {
-    world.start(1, 1, NEVER_ENDS_MILLIS);
+  void cancelThatIsNotDurableIsAnsweredUnavailable() throws IOException {
+    cluster.start(1, 1, NEVER_ENDS_MILLIS);
     submit(WorkflowTestCluster.workflow(243, 1));
-    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
-    world.entry(0).store().setRefusing(true);
-    CompletableFuture<QueryResult> told = world.entry(0).entry().query(243, "queue", true);
-    world.await("it is answered", told::isDone);
-    assertEquals(QueryResult.UNAVAILABLE, told.join());
-    world.entry(0).store().setRefusing(false);
-    world.await("it is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
+    cluster.await("the task is running", () -> worker("vm-0").activeRuns().size() == 1);
+    cluster.entry(0).store().setRefusing(true);
+    CompletableFuture<QueryResult> cancel = cluster.entry(0).entry().query(243, "queue", true);
+    cluster.await("the cancel is answered", cancel::isDone);
+    assertEquals(QueryResult.UNAVAILABLE, cancel.join());
+    cluster.entry(0).store().setRefusing(false);
+    cluster.await(
+        "the workflow is cancelled", () -> cluster.status(0, 243) == QueryResult.CANCELLED);
   }
 
   private void replaceOnlyEntry() throws IOException {
-    RunningEntry killed = world.entry(0);
-    world.kill(killed);
-    world.store().drop(killed.memberPrefix());
-    world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
-    world.addEntry();
+    RunningEntry killed = cluster.entry(0);
+    cluster.kill(killed);
+    cluster.store().drop(killed.memberPrefix());
+    cluster.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
+    cluster.addEntry();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -28,22 +28,22 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Entries and side processes over real links, with a store and workers in memory. */
+/** A cluster of entries and side processes over real links, with an in-memory store and workers. */
 final class WorkflowTestCluster implements AutoCloseable {
   static final int PARTITIONS = 6;
 
-  /** A service that a queue sends tasks to and that no VM runs. */
+  /** A service that a queue is assigned to and that no VM runs. */
   static final String SERVICE_WITHOUT_VMS = "service-without-vms";
 
-  private static final long LONGEST_LEASE_MILLIS = 4_000;
+  private static final long MAX_LEASE_MILLIS = 4_000;
   private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
   private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
 
-  /** An entry with what the test needs to take it down. */
+  /** A running entry. */
   record RunningEntry(
       WorkflowEntry entry, LinkLoop loop, String memberPrefix, RefusingStore store) {}
 
-  /** A side process with its worker. */
+  /** A running side process with its worker. */
   record RunningSide(
       String vm, WorkflowSideProcess side, LinkLoop loop, FakeWorkerGateway worker) {}
 
@@ -57,12 +57,12 @@
   private long lastHeartbeat;
 
   WorkflowTestCluster() {
-    this(LONGEST_LEASE_MILLIS);
+    this(MAX_LEASE_MILLIS);
   }
 
-  /** Creates a world whose workers grant leases of this length at most. */
-  WorkflowTestCluster(long longestLeaseMillis) {
-    this.lease = WorkerLeaseTerms.forMaxLease(longestLeaseMillis);
+  /** Creates a cluster with the given maximum duration of leases. */
+  WorkflowTestCluster(long maxLeaseMillis) {
+    this.lease = WorkerLeaseTerms.forMaxLease(maxLeaseMillis);
   }
 
   FakeAdviser adviser() {
@@ -92,46 +92,44 @@
   /**
    * Starts an entry.
    *
-   * @param keepEndedMillis how long it tells the status of a workflow that has ended
+   * @param endedRetentionMillis how long the entry retains the status of an ended workflow
    */
-  RunningEntry addEntry(long keepEndedMillis) throws IOException {
+  RunningEntry addEntry(long endedRetentionMillis) throws IOException {
     int port;
     try (ServerSocket socket = new ServerSocket(0)) {
       port = socket.getLocalPort();
     }
     LinkLoop loop = new LinkLoop("entry-" + port, MonotonicClock.system());
     InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
-    RefusingStore reached = new RefusingStore(store);
-    EntryParameters terms = new EntryParameters(lease, keepEndedMillis, 1.5);
+    RefusingStore storeOfEntry = new RefusingStore(store);
+    EntryParameters parameters = new EntryParameters(lease, endedRetentionMillis, 1.5);
     WorkflowEntry entry =
-        new WorkflowEntry(loop, reached, address, System::currentTimeMillis, adviser, terms);
+        new WorkflowEntry(
+            loop, storeOfEntry, address, System::currentTimeMillis, adviser, parameters);
     entry.start();
     entry.configure(configuration(1, "service"));
-    RunningEntry running = new RunningEntry(entry, loop, "127.0.0.1:" + port, reached);
+    RunningEntry running = new RunningEntry(entry, loop, "127.0.0.1:" + port, storeOfEntry);
     entries.add(running);
     return running;
   }
 
-  /**
-   * Returns a configuration in which one queue sends its tasks to the service, and another one to a
-   * service that no VM has.
-   */
+  /** Returns a configuration with one queue for the service and one for a service without VMs. */
   static QueueTable configuration(long version, String service) {
     return new QueueTable(
         version,
         ImmutableList.of(
-            new Queue("queue", "", "/", terms(service), 1_000),
-            new Queue("idle", "", "/idle/", terms(SERVICE_WITHOUT_VMS), 1_000)));
+            new Queue("queue", "", "/", policy(service), 1_000),
+            new Queue("idle", "", "/idle/", policy(SERVICE_WITHOUT_VMS), 1_000)));
   }
 
-  private static WorkflowSpec.QueuePolicy terms(String service) {
+  private static WorkflowSpec.QueuePolicy policy(String service) {
     return new WorkflowSpec.QueuePolicy(service, 0, 3, Optional.empty(), 2, 100);
   }
 
   /**
-   * Starts entries, and VMs called {@code vm-0} and so on, and waits until partitions have owners.
+   * Starts entries and VMs, named {@code vm-0} and so on, and waits until all partitions are owned.
    *
-   * @param runMillis how long each task works
+   * @param runMillis how long each task runs
    */
   void start(int entryCount, int vms, long runMillis) throws IOException {
     for (int i = 0; i < entryCount; i++) {
@@ -143,14 +141,14 @@
     awaitReady();
   }
 
-  /** Ends an entry as a kill does: without a word to anybody. */
+  /** Stops an entry as a kill does, without a clean leave. */
   void kill(RunningEntry entry) {
     entry.loop().close();
     entries.remove(entry);
   }
 
   void addSide(String vm, long runMillis) {
-    startSide(vm, new FakeWorkerGateway("life-1-" + vm, timer, history, runMillis));
+    startSide(vm, new FakeWorkerGateway("incarnation-1-" + vm, timer, history, runMillis));
   }
 
   private void startSide(String vm, FakeWorkerGateway worker) {
@@ -162,16 +160,16 @@
         () -> sendHeartbeat(vm), 1, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends a side process as a kill does and starts another one beside the same worker. */
+  /** Stops a side process as a kill does and starts another one for the same worker. */
   void restartSide(String vm) {
     RunningSide old = sides.get(vm);
     old.loop().close();
     startSide(vm, old.worker());
   }
 
-  /** Has the VM's worker say what it is doing, and waits until its side process has heard it. */
+  /** Sends a heartbeat of the VM's worker and waits until its side process has received it. */
   void heartbeatAndWait(String vm) {
-    assertTrue(sendHeartbeat(vm).join(), "the heartbeat was not taken");
+    assertTrue(sendHeartbeat(vm).join(), "the heartbeat was not accepted");
   }
 
   private synchronized CompletableFuture<Boolean> sendHeartbeat(String vm) {
@@ -198,18 +196,18 @@
     return workflow(id, StepSpec.TaskTraits.PLAIN, widths);
   }
 
-  static WorkflowSpec workflow(long id, StepSpec.TaskTraits nature, int... widths) {
-    return workflow(id, Optional.empty(), nature, widths);
+  static WorkflowSpec workflow(long id, StepSpec.TaskTraits traits, int... widths) {
+    return workflow(id, Optional.empty(), traits, widths);
   }
 
-  /** Returns a workflow of a queue that wants placement advice. */
+  /** Returns a workflow of a queue that requires placement advice. */
   static WorkflowSpec workflowWithAdvice(long id, int... widths) {
     AdviserTiming advice = new AdviserTiming(1, 1, 60_000);
     return workflow(id, Optional.of(advice), StepSpec.TaskTraits.PLAIN, widths);
   }
 
   private static WorkflowSpec workflow(
-      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits nature, int... widths) {
+      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits traits, int... widths) {
     ImmutableList.Builder<StepSpec> steps = ImmutableList.builder();
     for (int i = 0; i < widths.length; i++) {
       steps.add(
@@ -219,7 +217,7 @@
               100,
               i == 0 ? ImmutableList.of() : ImmutableList.of(i - 1),
               StepSpec.Placement.ANYWHERE,
-              nature));
+              traits));
     }
     return new WorkflowSpec(
         id,
@@ -235,18 +233,22 @@
     return entries.get(entry).entry().query(id, "queue", false).join();
   }
 
-  /** Waits for the condition; fails after far longer than it can take. */
-  void await(String what, BooleanSupplier condition) {
-    long until = System.nanoTime() + TIMEOUT_NANOS;
+  /**
+   * Waits for the condition; fails after a timeout.
+   *
+   * @param description the condition, for the message of the failure
+   */
+  void await(String description, BooleanSupplier condition) {
+    long deadline = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "not seen: " + what);
+      assertTrue(System.nanoTime() < deadline, "timed out waiting until " + description);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
     }
   }
 
   void awaitReady() {
     await(
-        "all entries know their partitions",
+        "all entries are ready and all partitions are owned",
         () ->
             entries.stream().allMatch(each -> each.entry().isReady())
                 && status(0, 1) == QueryResult.UNKNOWN_WORKFLOW);
