--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
@@ -1,48 +1,46 @@
 package io.marigoldsail.guard;
 
 /**
- * How many evictions a VM may still make: a bucket that refills evenly.
+ * Token bucket that limits the evictions of a VM.
  *
- * <p>Load pattern: noise that no eviction mends, such as a service that is itself overloaded.
- * Without a budget the guard would empty the VM, task by task, for nothing. Not safe for use by
- * several threads.
+ * <p>Guards against slow services that no eviction helps, such as one that is itself overloaded: without a budget, the guard would evict every task of the VM in vain. Not thread-safe.
  */
 final class EvictionBudget {
   private static final double NANOS_PER_HOUR = 3_600e9;
 
-  /** An empty VM may evict a few at once; a wave of noise comes with several tasks. */
+  /** Capacity as a fraction of the evictions per hour: a wave of interference comes with several tasks, so a VM may evict a few at once. */
   private static final double BURST_PART = 0.25;
 
-  private double left;
+  private double tokens;
   private long filledNanos;
 
-  EvictionBudget(GuardTerms terms, long nowNanos) {
-    left = most(terms);
+  EvictionBudget(GuardTerms policy, long nowNanos) {
+    tokens = most(policy);
     filledNanos = nowNanos;
   }
 
-  /** Takes one eviction out of the budget, and returns whether there was one. */
-  boolean take(GuardTerms terms, long nowNanos) {
-    boolean any = left(terms, nowNanos);
-    left -= any ? 1 : 0;
+  /** Consumes one eviction if the budget allows one; returns whether it did. */
+  boolean take(GuardTerms policy, long nowNanos) {
+    boolean any = left(policy, nowNanos);
+    tokens -= any ? 1 : 0;
     return any;
   }
 
-  /** Returns whether there is at least one eviction left. */
-  boolean left(GuardTerms terms, long nowNanos) {
-    double refill = (nowNanos - filledNanos) / NANOS_PER_HOUR * terms.evictionsPerHour();
-    left = Math.min(most(terms), left + refill);
+  /** Returns whether the budget allows an eviction. */
+  boolean left(GuardTerms policy, long nowNanos) {
+    double refill = (nowNanos - filledNanos) / NANOS_PER_HOUR * policy.evictionsPerHour();
+    tokens = Math.min(most(policy), tokens + refill);
     filledNanos = nowNanos;
-    return left >= 1;
+    return tokens >= 1;
   }
 
-  /** Counts an eviction that somebody else decided; what that overdraws has to refill first. */
-  void spend(GuardTerms terms, long nowNanos) {
-    boolean unused = left(terms, nowNanos);
-    left = Math.max(-most(terms), left - 1);
+  /** Consumes an eviction that was decided elsewhere; the budget may become negative and must refill first. */
+  void spend(GuardTerms policy, long nowNanos) {
+    boolean unused = left(policy, nowNanos);
+    tokens = Math.max(-most(policy), tokens - 1);
   }
 
-  private static double most(GuardTerms terms) {
-    return Math.max(1, terms.evictionsPerHour() * BURST_PART);
+  private static double most(GuardTerms policy) {
+    return Math.max(1, policy.evictionsPerHour() * BURST_PART);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
@@ -11,62 +11,48 @@
 import java.util.Set;
 
 /**
- * Decides what the batch tasks of one VM give up for the service beside them.
+ * Decides how to throttle and evict the batch tasks of one VM so that its service meets its latency goal.
  *
- * <p>Load pattern: a wave of noisy tasks slows the service, seen only in measurements that arrive
- * late; which task it is, nobody says. Evicting at once loses the work of the wrong tasks and moves
- * the noise to the next VM; doing nothing loses callers. So the guard throttles first, by halves,
- * those it suspects most before others (programs that slowed the service before, then the youngest
- * and largest), twice as many at each step while the service stays slow. It lets them loose one
- * after the other when the service has been quiet, and learns from what follows whom to suspect: a
- * task that slows the service again goes back and waits twice as long for its next try. It evicts
- * only when everything has been throttled for a while and the service is still slow by a margin
- * that the site's weights give, at most one task per settling time, within a budget, and the one
- * that frees most for the least lost work.
+ * <p>Interfering tasks slow the service down, which shows only in measurements that arrive late and do not name the task. Immediate eviction loses the work of the wrong tasks and moves the interference to the next VM; no action lets the service miss its goal. So the guard throttles first, halving the processor share of the tasks with the highest interference score (programs that slowed the service down before, then the youngest and largest), and of twice as many tasks at each step while the service stays slow. When the service has recovered, it relaxes tasks one by one and learns from the result: a task that slows the service down again is throttled again and waits twice as long for its next try. It evicts only when all tasks have been throttled for a while and the service is still slower than the site's weights allow: one task per settling time, within a budget, the one that frees most for the least lost work.
  *
- * <p>Between the two pressures nothing changes (hysteresis), because a reading lags: acting on each
- * would answer the same noise several times over. Not safe for use by several threads; a decision
- * costs a sort of the VM's tasks.
+ * <p>Between the two pressures nothing changes (hysteresis): readings lag, so acting on each would answer the same interference several times. Not thread-safe; a decision sorts the VM's tasks.
  */
 public final class Guard {
-  /** The service is slow from here on; a little below its goal, as readings lag. */
+  /** Pressure above which the service is slow; a little below its goal, because readings lag. */
   static final double SLOW = 0.95;
 
-  /** The service is quiet up to here. */
+  /** Pressure up to which the service has recovered. */
   static final double QUIET = 0.8;
 
-  /**
-   * How long an action is given to show in the readings, in nanoseconds: as long as a reading lags.
-   * Twice as long won no throughput over three seeds and cost the service's tail.
-   */
+  /** Time for an action to show in the readings, in nanoseconds: as long as a reading lags. Twice as long gained no throughput over three seeds and worsened the tail latency of the service. */
   static final long SETTLE_NANOS = 1_000_000_000L;
 
-  /** How long everything must have been throttled before an eviction, in nanoseconds. */
+  /** How long all tasks must have been throttled before an eviction, in nanoseconds. */
   static final long EVICT_AFTER_NANOS = 5_000_000_000L;
 
-  /** Readings older than this say nothing, in nanoseconds. */
+  /** Readings older than this are ignored, in nanoseconds. */
   static final long STALE_NANOS = 10_000_000_000L;
 
-  /** How much a task keeps at the least: enough to go on writing checkpoints, in percent. */
+  /** Lowest processor share of a task, in percent: enough to go on writing checkpoints. */
   static final int LEAST_PERCENT = 10;
 
   private static final int LOOSE = 100;
 
-  /** Expected noise that weighs as much as one confirmed suspicion here. */
+  /** Expected slowdown that raises the score as much as one confirmation on this VM. */
   private static final double NOISE_OF_A_SUSPECT = 0.2;
 
-  /** A suspect that was throttled to the least for so long goes, if it is not the only one. */
+  /** How long several interfering tasks stay at the lowest share before one of them is evicted, in nanoseconds. */
   private static final long STUCK_NANOS = 20_000_000_000L;
 
-  /** A program confirmed again and again is tried about once a minute. */
+  /** Limits the wait of a program that is confirmed repeatedly: it is tried about once a minute. */
   private static final double MOST_DOUBLINGS = 5;
 
-  /** More tasks than a VM runs; keeps a service that is slow for a minute from overflowing. */
+  /** More tasks than a VM runs; prevents an overflow while a service is slow for a minute. */
   private static final int MAX_STEP = 1_024;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Work lost weighs double where the task is due within this time, in milliseconds. */
+  /** Lost work counts double if the task is due within this time, in milliseconds. */
   private static final long DUE_SOON_MILLIS = 600_000;
 
   private final Suspicion suspicion = new Suspicion();
@@ -83,10 +69,11 @@
   private int probeSize = 1;
 
   /**
-   * A task that is throttled.
+   * A throttled task.
    *
-   * @param percent how much it may use
-   * @param probeAt from when on it may be tried with more
+   * @param task the task
+   * @param percent its processor share, in percent
+   * @param probeAt when it may be tried with a higher share
    */
   private record Hold(GuardedTask task, int percent, long probeAt) {
     int tighter() {
@@ -98,25 +85,25 @@
     }
   }
 
-  /** Creates a guard that throttles nothing. */
-  public Guard(GuardTerms terms, long nowNanos) {
-    this.budget = new EvictionBudget(terms, nowNanos);
+  /** Creates a guard without throttled tasks. */
+  public Guard(GuardTerms policy, long nowNanos) {
+    this.budget = new EvictionBudget(policy, nowNanos);
     this.nextStep = nowNanos;
     this.quietSince = nowNanos;
     this.stuckSince = nowNanos;
   }
 
   /**
-   * Returns what to do now.
+   * Returns the actions to take now.
    *
-   * @param terms what the configuration in force says
-   * @param reading how the service does, or empty if it serves nothing
-   * @param tasks the batch tasks that run
-   * @param nowNanos this process's clock
-   * @param nowMillis this VM's clock, for the tasks' deadlines only
+   * @param policy the policy in force
+   * @param reading the tail latency of the service, or empty if it serves nothing
+   * @param tasks the running batch tasks
+   * @param nowNanos the clock of this process, in nanoseconds
+   * @param nowMillis the clock of this VM in milliseconds, for deadlines of tasks only
    */
   public List<GuardAction> decide(
-      GuardTerms terms,
+      GuardTerms policy,
       Optional<ServiceReading> reading,
       List<GuardedTask> tasks,
       long nowNanos,
@@ -129,22 +116,22 @@
     if (nowNanos - nextStep < 0) {
       return List.of();
     }
-    List<GuardAction> stuck = evictStuck(terms, tasks, nowNanos, nowMillis);
-    if (!stuck.isEmpty()) {
+    List<GuardAction> evictions = evictStuck(policy, tasks, nowNanos, nowMillis);
+    if (!evictions.isEmpty()) {
       nextStep = nowNanos + SETTLE_NANOS;
-      return stuck;
+      return evictions;
     }
     if (pressure > SLOW) {
-      return onSlow(terms, pressure, tasks, nowNanos, nowMillis);
+      return onSlow(policy, pressure, tasks, nowNanos, nowMillis);
     }
     slowBefore = false;
     stepSize = 1;
-    return letLoose(terms, nowNanos);
+    return letLoose(policy, nowNanos);
   }
 
-  /** Counts an eviction for urgent work, which an entry decided, against this VM's budget. */
-  public void evictedForUrgent(GuardTerms terms, long nowNanos) {
-    budget.spend(terms, nowNanos);
+  /** Counts an eviction for urgent work, decided by an entry, against this VM's budget. */
+  public void evictedForUrgent(GuardTerms policy, long nowNanos) {
+    budget.spend(policy, nowNanos);
   }
 
   private static double pressure(Optional<ServiceReading> reading, long nowNanos) {
@@ -153,13 +140,13 @@
   }
 
   private List<GuardAction> onSlow(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardTerms policy, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     nextStep = nowNanos + SETTLE_NANOS;
-    List<GuardAction> takenBack = takeBackProbe(terms, pressure, nowNanos);
-    if (!takenBack.isEmpty()) {
-      return takenBack;
+    List<GuardAction> reverted = takeBackProbe(policy, pressure, nowNanos);
+    if (!reverted.isEmpty()) {
+      return reverted;
     }
-    List<GuardAction> actions = throttleMore(terms, pressure, tasks, nowNanos);
+    List<GuardAction> actions = throttleMore(policy, pressure, tasks, nowNanos);
     if (!actions.isEmpty()) {
       allThrottled = false;
       return actions;
@@ -169,19 +156,19 @@
       allThrottledSince = nowNanos;
     }
     boolean longEnough = nowNanos - allThrottledSince >= EVICT_AFTER_NANOS;
-    if (!longEnough || pressure <= terms.evictionPressure()) {
+    if (!longEnough || pressure <= policy.evictionPressure()) {
       return List.of();
     }
-    return evictOne(terms, pressure, tasks, nowNanos, nowMillis);
+    return evictOne(policy, pressure, tasks, nowNanos, nowMillis);
   }
 
-  /** The service slowed after tasks were let loose: those go back, and wait longer. */
-  private List<GuardAction> takeBackProbe(GuardTerms terms, double pressure, long nowNanos) {
+  /** Throttles the tasks again after whose relaxing the service slowed down, with a longer wait. */
+  private List<GuardAction> takeBackProbe(GuardTerms policy, double pressure, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (Hold hold : probing) {
-      GuardedTask task = hold.task();
+    for (Hold throttledTask : probing) {
+      GuardedTask task = throttledTask.task();
       suspicion.confirmed(task.program(), 1.0 / probing.size());
-      Hold before = new Hold(task, hold.percent(), probeAt(terms, task, nowNanos));
+      Hold before = new Hold(task, throttledTask.percent(), probeAt(policy, task, nowNanos));
       holds.put(task.token(), before);
       actions.add(new GuardAction.Throttle(task.token(), before.percent(), slowness(pressure)));
     }
@@ -191,7 +178,7 @@
   }
 
   private List<GuardAction> throttleMore(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos) {
+      GuardTerms policy, double pressure, List<GuardedTask> tasks, long nowNanos) {
     List<GuardedTask> candidates = new ArrayList<>(tasks);
     candidates.removeIf(task -> percent(task) <= LEAST_PERCENT);
     candidates.sort(
@@ -202,93 +189,90 @@
     slowBefore = true;
     List<GuardAction> actions = new ArrayList<>();
     for (GuardedTask task : candidates.subList(0, Math.min(stepSize, candidates.size()))) {
-      Hold hold = new Hold(task, percent(task), probeAt(terms, task, nowNanos));
-      Hold tighter = new Hold(task, hold.tighter(), hold.probeAt());
-      holds.put(task.token(), tighter);
-      actions.add(new GuardAction.Throttle(task.token(), tighter.percent(), slowness(pressure)));
+      Hold throttledTask = new Hold(task, percent(task), probeAt(policy, task, nowNanos));
+      Hold tightened = new Hold(task, throttledTask.tighter(), throttledTask.probeAt());
+      holds.put(task.token(), tightened);
+      actions.add(new GuardAction.Throttle(task.token(), tightened.percent(), slowness(pressure)));
     }
     return actions;
   }
 
-  /** Returns how much the task is suspected, here and by what entries learned elsewhere. */
+  /** Returns the interference score of the task, from this VM and from what entries learned elsewhere. */
   private double suspected(GuardedTask task) {
     return suspicion.of(task.program()) + task.noise() / NOISE_OF_A_SUSPECT;
   }
 
   private int percent(GuardedTask task) {
-    Hold hold = holds.get(task.token());
-    return hold == null ? LOOSE : hold.percent();
+    Hold throttledTask = holds.get(task.token());
+    return throttledTask == null ? LOOSE : throttledTask.percent();
   }
 
-  /** Returns when a task may be tried with more: later, the more its program is suspected. */
-  private long probeAt(GuardTerms terms, GuardedTask task, long nowNanos) {
+  /** Returns when a task may be tried with a higher share: later the higher its score is. */
+  private long probeAt(GuardTerms policy, GuardedTask task, long nowNanos) {
     double doublings = Math.min(MOST_DOUBLINGS, suspected(task));
-    return nowNanos + (long) (terms.recoveryMillis() * NANOS_PER_MILLI * Math.pow(2, doublings));
+    return nowNanos + (long) (policy.recoveryMillis() * NANOS_PER_MILLI * Math.pow(2, doublings));
   }
 
   private List<GuardAction> evictOne(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardTerms policy, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     Optional<GuardedTask> victim =
         tasks.stream()
             .filter(GuardedTask::evictable)
             .max(Comparator.comparingDouble(task -> worth(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.take(terms, nowNanos)) {
+    if (victim.isEmpty() || !budget.take(policy, nowNanos)) {
       return List.of();
     }
-    // The next one only after this one's leaving has had the time to show.
+    // The next eviction waits until this one can show in the readings.
     allThrottledSince = nowNanos;
     holds.remove(victim.get().token());
     return List.of(
         new GuardAction.Evict(
-            victim.get().token(), slowness(pressure) + " with all batch tasks throttled"));
+            victim.get().token(), slowness(pressure) + " although all batch tasks are throttled"));
   }
 
-  /** Returns how much evicting the task helps for what it loses. */
+  /** Returns the benefit of evicting the task relative to the work that it loses. */
   private double worth(GuardedTask task, long nowNanos, long nowMillis) {
-    double frees = (1 + suspected(task)) * (1 + task.used().milliProcessors());
+    double freed = (1 + suspected(task)) * (1 + task.used().milliProcessors());
     double lostSeconds = (nowNanos - task.checkpointedNanos()) / 1e9;
-    boolean dueSoon =
+    boolean isDueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
-    return frees / (1 + lostSeconds) / (dueSoon ? 2 : 1);
+    return freed / (1 + lostSeconds) / (isDueSoon ? 2 : 1);
   }
 
-  private List<GuardAction> letLoose(GuardTerms terms, long nowNanos) {
+  private List<GuardAction> letLoose(GuardTerms policy, long nowNanos) {
     allThrottled = false;
-    long recoveryNanos = terms.recoveryMillis() * NANOS_PER_MILLI;
+    long recoveryNanos = policy.recoveryMillis() * NANOS_PER_MILLI;
     if (nowNanos - quietSince < recoveryNanos) {
       return List.of();
     }
-    probing.forEach(hold -> suspicion.cleared(hold.task().program()));
+    probing.forEach(throttledTask -> suspicion.cleared(throttledTask.task().program()));
     probeSize = probing.isEmpty() ? probeSize : Math.min(MAX_STEP, probeSize * 2);
     probing = List.of();
     List<Hold> next =
         holds.values().stream()
-            .filter(hold -> nowNanos - hold.probeAt() >= 0)
+            .filter(throttledTask -> nowNanos - throttledTask.probeAt() >= 0)
             .sorted(
-                Comparator.comparingDouble((Hold hold) -> suspected(hold.task()))
-                    .thenComparingLong(hold -> hold.task().startedNanos()))
+                Comparator.comparingDouble((Hold throttledTask) -> suspected(throttledTask.task()))
+                    .thenComparingLong(throttledTask -> throttledTask.task().startedNanos()))
             .toList();
     if (next.isEmpty()) {
       probeSize = 1;
       return List.of();
     }
-    return probe(terms, next.subList(0, Math.min(probeSize, next.size())), nowNanos);
+    return probe(policy, next.subList(0, Math.min(probeSize, next.size())), nowNanos);
   }
 
-  /**
-   * Lets tasks have twice as much: one at first, so that a service that slows again tells which it
-   * was, then more at a time as long as it stays quiet.
-   */
-  private List<GuardAction> probe(GuardTerms terms, List<Hold> chosen, long nowNanos) {
+  /** Doubles the share of tasks: of one at first, so that a service that slows down again identifies it, then of more at a time while the service stays fast. */
+  private List<GuardAction> probe(GuardTerms policy, List<Hold> chosen, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (Hold hold : chosen) {
-      GuardedTask task = hold.task();
-      if (hold.looser() == LOOSE) {
+    for (Hold throttledTask : chosen) {
+      GuardedTask task = throttledTask.task();
+      if (throttledTask.looser() == LOOSE) {
         holds.remove(task.token());
       } else {
-        holds.put(task.token(), new Hold(task, hold.looser(), probeAt(terms, task, nowNanos)));
+        holds.put(task.token(), new Hold(task, throttledTask.looser(), probeAt(policy, task, nowNanos)));
       }
-      actions.add(new GuardAction.Throttle(task.token(), hold.looser(), "the service is quiet"));
+      actions.add(new GuardAction.Throttle(task.token(), throttledTask.looser(), "the service has recovered"));
     }
     probing = List.copyOf(chosen);
     quietSince = nowNanos;
@@ -296,18 +280,14 @@
     return actions;
   }
 
-  /**
-   * Evicts one of several suspects that have been throttled to the least for long. Each of them
-   * holds its room for ten times as long as its work takes, and together they can never be let
-   * loose here; on another VM, or later, one alone can.
-   */
+  /** Evicts one of several interfering tasks that have stayed at the lowest share for long. Each of them holds its resources ten times as long as its work takes, and together they can never be relaxed here; on another VM, or later, one alone can. */
   private List<GuardAction> evictStuck(
-      GuardTerms terms, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
-    List<GuardedTask> stuck =
+      GuardTerms policy, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+    List<GuardedTask> stuckTasks =
         tasks.stream()
             .filter(task -> percent(task) <= LEAST_PERCENT && suspected(task) >= 1)
             .toList();
-    if (stuck.size() < 2) {
+    if (stuckTasks.size() < 2) {
       stuckSince = nowNanos;
       return List.of();
     }
@@ -315,22 +295,22 @@
       return List.of();
     }
     Optional<GuardedTask> victim =
-        stuck.stream()
+        stuckTasks.stream()
             .filter(GuardedTask::evictable)
             .max(Comparator.comparingDouble(task -> worth(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.take(terms, nowNanos)) {
+    if (victim.isEmpty() || !budget.take(policy, nowNanos)) {
       return List.of();
     }
     holds.remove(victim.get().token());
-    String why = "one of %d noisy tasks here that cannot be let loose together";
-    return List.of(new GuardAction.Evict(victim.get().token(), why.formatted(stuck.size())));
+    String reason = "one of %d interfering tasks that cannot run unthrottled together here";
+    return List.of(new GuardAction.Evict(victim.get().token(), reason.formatted(stuckTasks.size())));
   }
 
   private void forgetEnded(List<GuardedTask> tasks) {
     Set<Long> running = new HashSet<>();
     tasks.forEach(task -> running.add(task.token()));
     holds.keySet().retainAll(running);
-    probing = probing.stream().filter(h -> running.contains(h.task().token())).toList();
+    probing = probing.stream().filter(throttledTask -> running.contains(throttledTask.task().token())).toList();
   }
 
   private static String slowness(double pressure) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
@@ -2,15 +2,15 @@
 
 import static java.util.Objects.requireNonNull;
 
-/** What a {@link Guard} wants done; each kind is immutable and rejects nulls. */
+/** Action decided by a {@link Guard}; each kind is immutable and rejects nulls. */
 public sealed interface GuardAction {
   /** Returns the task's fencing token. */
   long token();
 
-  /** Returns the grounds, for people. */
+  /** Returns the reason, for people. */
   String why();
 
-  /** Let the task use so much of its processors, 1 to 100 percent. */
+  /** Limit the task to a share of its processors, 1 to 100 percent. */
   record Throttle(long token, int percent, String why) implements GuardAction {
     /** Checks the components. */
     public Throttle {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardTerms.java
@@ -3,14 +3,14 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * What the configuration of a site says about guarding.
+ * Policy of a guard, from a site's configuration.
  *
  * <p>Immutable.
  *
- * @param tailLatencyWeight how much a slow service weighs
- * @param evictionsWeight how much an eviction weighs
- * @param throughputWeight how much slowed batch work weighs
- * @param evictionsPerHour how many evictions one VM may make in an hour
+ * @param tailLatencyWeight weight of a slow service
+ * @param evictionsWeight weight of an eviction
+ * @param throughputWeight weight of throttled batch work
+ * @param evictionsPerHour evictions that one VM may make in an hour
  */
 public record GuardTerms(
     double tailLatencyWeight,
@@ -20,10 +20,10 @@
   /** Tail latency first, evictions second: payouts may finish late. */
   public static final GuardTerms VATULELE = new GuardTerms(1, 0.5, 0.2, 12);
 
-  /** Evictions nearly as much as tail latency: an evicted camera watch can miss the sky. */
+  /** Evictions weigh nearly as much as tail latency: an evicted camera watch can miss an event in the sky. */
   public static final GuardTerms KITAMIZORA = new GuardTerms(1, 0.9, 0.2, 4);
 
-  /** What holds where no configuration says otherwise. */
+  /** Policy where no configuration sets another. */
   public static final GuardTerms DEFAULT = VATULELE;
 
   private static final double EVICTION_STEP = 0.5;
@@ -37,19 +37,12 @@
     checkArgument(evictionsPerHour >= 0, "evictionsPerHour is negative: %s", evictionsPerHour);
   }
 
-  /**
-   * Returns the pressure (tail latency over goal) from which on an eviction is worth it although
-   * all is throttled: the goal missed by a quarter where evictions weigh half as much as latency,
-   * by nearly a half where they weigh nearly as much.
-   */
+  /** Returns the pressure (tail latency over goal) above which an eviction is worthwhile although all tasks are throttled: 1.25 where evictions weigh half as much as latency, nearly 1.5 where they weigh nearly as much. */
   public double evictionPressure() {
     return 1 + EVICTION_STEP * evictionsWeight / tailLatencyWeight;
   }
 
-  /**
-   * Returns how long the service must be quiet before a throttled task gets more, in milliseconds:
-   * 2 s where throughput weighs a fifth of latency; longer the less it weighs, at most four times.
-   */
+  /** Returns how long the service must have recovered before a throttled task gets a higher share, in milliseconds: 2 s where throughput weighs a fifth of latency, longer the less it weighs, at most four times as long. */
   public long recoveryMillis() {
     double relative = 0.2 * tailLatencyWeight / Math.max(throughputWeight, 0.05);
     return (long) (MEAN_RECOVERY_MILLIS * Math.max(0.25, Math.min(4, relative)));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
@@ -10,15 +10,14 @@
  * <p>Immutable. Rejects nulls.
  *
  * @param token its fencing token
- * @param program what it runs; tasks of one program behave alike
- * @param booked what was booked for it
- * @param used what it was last measured to use; the booked sizes before the first measurement
+ * @param program the program that it runs; tasks of one program behave alike
+ * @param booked the resources booked for it
+ * @param used the resources that it last used; the booked ones before the first measurement
  * @param startedNanos when it started
  * @param checkpointedNanos when it last wrote a checkpoint, or started
  * @param finishByMillis when it should be done, in milliseconds since the Unix epoch; 0 for none
- * @param noise how much longer it is expected to make the service take, from what entries learned
- *     on other VMs: 0.5 for half as long again; 0 if nothing is known
- * @param evictable whether evicting it loses at most work, not its outcome
+ * @param noise expected slowdown of the service by this task, learned by entries from other VMs: 0.5 for half as long again; 0 if unknown
+ * @param evictable whether an eviction loses at most work, not the outcome
  */
 public record GuardedTask(
     long token,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
@@ -7,14 +7,12 @@
 import java.util.Optional;
 
 /**
- * Finds the task that must go because the VM's memory is nearly full.
+ * Selects the task to evict when the VM's memory is nearly full.
  *
- * <p>Load pattern: tasks that use far more memory than they declared. Throttling frees no memory,
- * and a VM that runs out of it loses the service and every task at once. So the one that exceeds
- * what was booked for it by most goes, outside of any budget.
+ * <p>Guards against tasks that use far more memory than they declared. Throttling frees no memory, and a VM that runs out of it loses the service and all tasks at once. So the task that exceeds its booking by most is evicted, outside of any budget.
  */
 public final class MemoryGuard {
-  /** Memory is nearly full from this part on; measurements lag, so not the last bit. */
+  /** Fraction of the memory above which it is nearly full; below 1 because measurements lag. */
   private static final double NEARLY_FULL = 0.95;
 
   private MemoryGuard() {}
@@ -22,8 +20,8 @@
   /**
    * Returns the eviction that is needed, or empty.
    *
-   * @param tasks the batch tasks that run
-   * @param othersBytes what else uses memory on the VM, in bytes
+   * @param tasks the running batch tasks
+   * @param othersBytes memory used by everything else on the VM, in bytes
    * @param capacityBytes the VM's memory, in bytes
    */
   public static Optional<GuardAction> decide(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/PreemptableTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/PreemptableTask.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.job.TaskClass;
 
 /**
- * A running attempt that might go for an urgent task.
+ * A running attempt that may be preempted for an urgent task.
  *
  * <p>Immutable. Rejects nulls.
  *
@@ -14,11 +14,11 @@
  * @param token its fencing token
  * @param taskClass its class
  * @param urgent whether it is urgent itself
- * @param evictable whether evicting it loses at most work, not its outcome
- * @param booked what it leaves
- * @param unsavedMillis how long it has run since its last checkpoint, or its start
+ * @param evictable whether an eviction loses at most work, not the outcome
+ * @param booked the resources that an eviction frees
+ * @param unsavedMillis run time since its last checkpoint, or its start, in milliseconds
  * @param finishByMillis when it should be done, in milliseconds since the Unix epoch; 0 for none
- * @param evictions how often its task was evicted before
+ * @param evictions number of earlier evictions of its task
  */
 public record PreemptableTask(
     String task,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/PreemptableVm.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/PreemptableVm.java
@@ -6,13 +6,13 @@
 import java.util.List;
 
 /**
- * A VM on which room might be made for an urgent task.
+ * A VM on which tasks may be preempted for an urgent task.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param vm its name
  * @param registration its registration
- * @param free the room that is left there
+ * @param free its free resources
  * @param tasks the attempts that run there
  */
 public record PreemptableVm(String vm, long registration, Sizes free, List<PreemptableTask> tasks) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
@@ -14,29 +14,23 @@
 import java.util.Set;
 
 /**
- * Decides which attempts go so that an urgent task can start in a full fleet.
+ * Selects the attempts to preempt so that an urgent task can start in a full fleet.
  *
- * <p>Load pattern: VMs are lost, and the room kept for urgent work with them; urgent tasks wait
- * until something ends (a trial at 8 of 11 VMs: 33 s at the 99th percentile). So batch work that is
- * not urgent goes: on the one VM where that costs least, by the site's weights for evictions and
- * for lost work. Never a latency-critical or urgent task, nor one that has gone {@value
- * #MOST_EVICTIONS} times, nor more than {@value #MOST_VICTIMS} at once.
+ * <p>When VMs are lost, the capacity reserved for urgent work is lost with them, and urgent tasks wait until a task ends; with 8 of 11 VMs they waited 33 s at the 99th percentile. So batch work that is not urgent is preempted on the one VM where that costs least by the site's weights for evictions and for lost work. Never preempts a latency-critical or urgent task, nor one that was evicted {@value #MOST_EVICTIONS} times, nor more than {@value #MOST_VICTIMS} tasks at once.
  *
- * <p>No wave results: each VM has a budget that every eviction in the log counts against, the
- * guard's too, and what goes is batch work, which makes no room for itself. Not safe for use by
- * several threads; a decision costs a sort of the tasks of each VM that has budget.
+ * <p>Preemptions do not cascade: every eviction in the log, by the guard too, counts against the budget of its VM, and the preempted batch work preempts nothing itself. Not thread-safe; a decision sorts the tasks of each VM that has budget left.
  */
 public final class Preemptor {
-  /** More would empty a VM for one task. */
+  /** Maximum number of tasks preempted at once; more would empty a VM for one task. */
   static final int MOST_VICTIMS = 4;
 
-  /** A task that went so often stays: it must end some time. */
+  /** A task evicted this often is not preempted again, so that it ends at some time. */
   static final int MOST_EVICTIONS = 3;
 
-  /** So many seconds of lost work weigh, at equal weights, as much as an eviction. */
+  /** Seconds of lost work that cost, at equal weights, as much as an eviction. */
   private static final double SECONDS_OF_AN_EVICTION = 10;
 
-  /** A task due within this time, in milliseconds, costs double. */
+  /** The cost of a task that is due within this time doubles, in milliseconds. */
   private static final long DUE_SOON_MILLIS = 600_000;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -44,11 +38,11 @@
   private final Map<String, EvictionBudget> budgets = new HashMap<>();
 
   /**
-   * Who goes.
+   * The attempts to preempt.
    *
-   * @param vm the VM where
+   * @param vm the VM
    * @param victims the attempts
-   * @param cost what it costs, in evictions by the site's weights
+   * @param cost their cost, in evictions by the site's weights
    */
   public record Choice(PreemptableVm vm, List<Preemption.Victim> victims, double cost) {
     /** Checks and copies the components. */
@@ -58,36 +52,36 @@
     }
   }
 
-  /** Creates a preemptor that knows of no eviction. */
+  /** Creates a preemptor without recorded evictions. */
   public Preemptor() {}
 
-  /** Notes an eviction on a VM, for whatever reason. */
-  public void evicted(GuardTerms terms, String vm, long nowNanos) {
-    budget(terms, vm, nowNanos).spend(terms, nowNanos);
+  /** Records an eviction on a VM, for whatever reason. */
+  public void evicted(GuardTerms policy, String vm, long nowNanos) {
+    budget(policy, vm, nowNanos).spend(policy, nowNanos);
   }
 
-  /** Forgets VMs that are gone. */
+  /** Drops the budgets of all VMs but the given ones. */
   public void retain(Set<String> vms) {
     budgets.keySet().retainAll(vms);
   }
 
   /**
-   * Returns who goes, or empty if nobody may.
+   * Returns the attempts to preempt, or empty if there is no permitted choice.
    *
-   * @param terms what the configuration in force says
-   * @param wanted what the urgent task needs
-   * @param vms where it may run
-   * @param nowNanos this process's clock
-   * @param nowMillis this VM's clock, for the tasks' deadlines only
+   * @param policy the policy in force
+   * @param required the resources that the urgent task needs
+   * @param vms the VMs on which it may run
+   * @param nowNanos the clock of this process, in nanoseconds
+   * @param nowMillis the clock of this VM in milliseconds, for deadlines of tasks only
    */
   public Optional<Choice> decide(
-      GuardTerms terms, Sizes wanted, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
+      GuardTerms policy, Sizes required, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
     Choice best = null;
     for (PreemptableVm vm : vms) {
-      if (!budget(terms, vm.vm(), nowNanos).left(terms, nowNanos)) {
+      if (!budget(policy, vm.vm(), nowNanos).left(policy, nowNanos)) {
         continue;
       }
-      Optional<Choice> choice = choose(terms, wanted, vm, nowMillis);
+      Optional<Choice> choice = choose(policy, required, vm, nowMillis);
       if (choice.isPresent() && (best == null || choice.get().cost() < best.cost())) {
         best = choice.get();
       }
@@ -96,63 +90,63 @@
   }
 
   private static Optional<Choice> choose(
-      GuardTerms terms, Sizes wanted, PreemptableVm vm, long nowMillis) {
+      GuardTerms policy, Sizes required, PreemptableVm vm, long nowMillis) {
     List<PreemptableTask> candidates = new ArrayList<>(vm.tasks());
     candidates.removeIf(task -> !mayGo(task));
     candidates.sort(
-        Comparator.comparingDouble((PreemptableTask task) -> cost(terms, task, nowMillis))
+        Comparator.comparingDouble((PreemptableTask task) -> cost(policy, task, nowMillis))
             .thenComparingLong(task -> -dueMillis(task)));
     List<PreemptableTask> victims = new ArrayList<>();
     Sizes free = vm.free();
     for (PreemptableTask task : candidates) {
-      if (wanted.fitsIn(free) || victims.size() == MOST_VICTIMS) {
+      if (required.fitsIn(free) || victims.size() == MOST_VICTIMS) {
         break;
       }
       victims.add(task);
       free = free.plus(task.booked());
     }
-    if (!wanted.fitsIn(free)) {
+    if (!required.fitsIn(free)) {
       return Optional.empty();
     }
-    spare(victims, wanted, vm.free());
-    double cost = victims.stream().mapToDouble(task -> cost(terms, task, nowMillis)).sum();
-    List<Preemption.Victim> going =
+    spare(victims, required, vm.free());
+    double cost = victims.stream().mapToDouble(task -> cost(policy, task, nowMillis)).sum();
+    List<Preemption.Victim> preempted =
         victims.stream().map(task -> new Preemption.Victim(task.task(), task.token())).toList();
-    return Optional.of(new Choice(vm, going, cost));
+    return Optional.of(new Choice(vm, preempted, cost));
   }
 
-  /** Leaves those out, the dearest first, without whom the others make room enough. */
-  private static void spare(List<PreemptableTask> victims, Sizes wanted, Sizes free) {
+  /** Removes the victims, most expensive first, without which the others free enough. */
+  private static void spare(List<PreemptableTask> victims, Sizes required, Sizes free) {
     for (int i = victims.size() - 1; i >= 0; i--) {
-      Sizes without = free;
+      Sizes freeWithout = free;
       for (PreemptableTask other : victims) {
-        without = other == victims.get(i) ? without : without.plus(other.booked());
+        freeWithout = other == victims.get(i) ? freeWithout : freeWithout.plus(other.booked());
       }
-      if (wanted.fitsIn(without)) {
+      if (required.fitsIn(freeWithout)) {
         victims.remove(i);
       }
     }
   }
 
   private static boolean mayGo(PreemptableTask task) {
-    boolean lowest = task.taskClass() == TaskClass.BATCH && !task.urgent();
-    return lowest && task.evictable() && task.evictions() < MOST_EVICTIONS;
+    boolean lowPriority = task.taskClass() == TaskClass.BATCH && !task.urgent();
+    return lowPriority && task.evictable() && task.evictions() < MOST_EVICTIONS;
   }
 
-  private static double cost(GuardTerms terms, PreemptableTask task, long nowMillis) {
-    double eviction = terms.evictionsWeight() * (1 + task.evictions());
+  private static double cost(GuardTerms policy, PreemptableTask task, long nowMillis) {
+    double eviction = policy.evictionsWeight() * (1 + task.evictions());
     double lostSeconds = task.unsavedMillis() / MILLIS_PER_SECOND;
-    double lost = terms.throughputWeight() * lostSeconds / SECONDS_OF_AN_EVICTION;
-    boolean dueSoon =
+    double lost = policy.throughputWeight() * lostSeconds / SECONDS_OF_AN_EVICTION;
+    boolean isDueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
-    return (eviction + lost) * (dueSoon ? 2 : 1);
+    return (eviction + lost) * (isDueSoon ? 2 : 1);
   }
 
   private static long dueMillis(PreemptableTask task) {
     return task.finishByMillis() == 0 ? Long.MAX_VALUE : task.finishByMillis();
   }
 
-  private EvictionBudget budget(GuardTerms terms, String vm, long nowNanos) {
-    return budgets.computeIfAbsent(vm, unused -> new EvictionBudget(terms, nowNanos));
+  private EvictionBudget budget(GuardTerms policy, String vm, long nowNanos) {
+    return budgets.computeIfAbsent(vm, unused -> new EvictionBudget(policy, nowNanos));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/ServiceReading.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/ServiceReading.java
@@ -1,13 +1,13 @@
 package io.marigoldsail.guard;
 
 /**
- * How the VM's service did over the last moments.
+ * Recent tail latency of a VM's service.
  *
  * <p>Immutable.
  *
- * @param tailMillis the 99th percentile of the time that it took to answer, in milliseconds
- * @param goalMillis what that should be at most, in milliseconds
- * @param measuredNanos when the newest request of the reading was answered
+ * @param tailMillis 99th percentile of the response time, in milliseconds
+ * @param goalMillis upper limit that it should meet, in milliseconds
+ * @param measuredNanos when the last request of the reading was answered, in nanoseconds
  */
 public record ServiceReading(double tailMillis, double goalMillis, long measuredNanos) {
   /** Returns the tail latency as a multiple of its goal. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Suspicion.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Suspicion.java
@@ -4,10 +4,9 @@
 import java.util.Map;
 
 /**
- * How much each program is suspected of slowing this VM's service, from what happened when its
- * tasks were let loose again.
+ * Interference scores of programs on this VM: how often the service slowed down when their tasks were relaxed.
  *
- * <p>Bounded; what was not seen for long is forgotten first. Not safe for use by several threads.
+ * <p>Bounded; the least recently used programs are evicted first. Not thread-safe.
  */
 final class Suspicion {
   private static final int MAX_PROGRAMS = 256;
@@ -25,12 +24,12 @@
     return scores.getOrDefault(program, 0.0);
   }
 
-  /** The service slowed soon after tasks were let loose, of which this was the given part. */
-  void confirmed(String program, double part) {
-    scores.merge(program, part, Double::sum);
+  /** Adds to the score, because the service slowed down soon after tasks were relaxed, of which this program was the given fraction. */
+  void confirmed(String program, double fraction) {
+    scores.merge(program, fraction, Double::sum);
   }
 
-  /** The service stayed quiet after a task of the program was let loose. */
+  /** Decays the score, because the service stayed fast after a task of the program was relaxed. */
   void cleared(String program) {
     scores.computeIfPresent(program, (name, score) -> score < 0.1 ? null : score * FADING);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
@@ -6,10 +6,9 @@
 import java.util.Optional;
 
 /**
- * The tail latency of a service over its last answers.
+ * Tail latency of a service over its most recent responses.
  *
- * <p>Holds the last {@value #SIZE} answers that are younger than the window; a tail needs at least
- * {@value #LEAST}. Safe for any thread; adding costs a lock and two stores, reading a sort.
+ * <p>Holds the last {@value #SIZE} responses within the window; a tail needs at least {@value #LEAST}. Thread-safe; adding costs a lock and two stores, reading a sort.
  */
 public final class TailWindow {
   private static final int SIZE = 512;
@@ -25,43 +24,43 @@
   /**
    * Creates an empty window.
    *
-   * @param windowNanos answers older than this no longer count
+   * @param windowNanos maximum age of the responses, in nanoseconds
    */
   public TailWindow(long windowNanos) {
     checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.windowNanos = windowNanos;
   }
 
-  /** Adds an answer that took so long and came now. */
+  /** Adds a response with the given latency that was received now. */
   public synchronized void add(long latencyNanos, long nowNanos) {
-    int place = added % SIZE;
-    latencies[place] = latencyNanos;
-    answered[place] = nowNanos;
-    added = added == Integer.MAX_VALUE ? SIZE + place + 1 : added + 1;
+    int slot = added % SIZE;
+    latencies[slot] = latencyNanos;
+    answered[slot] = nowNanos;
+    added = added == Integer.MAX_VALUE ? SIZE + slot + 1 : added + 1;
   }
 
   /**
-   * Returns the tail of what was answered within the window, or empty if that was too little.
+   * Returns the tail latency within the window, or empty if it has too few responses.
    *
-   * @param goalMillis what the tail should be at most, in milliseconds
-   * @param nowNanos the present reading of the clock
+   * @param goalMillis upper limit that the tail should meet, in milliseconds
+   * @param nowNanos current time, in nanoseconds
    */
   public synchronized Optional<ServiceReading> reading(double goalMillis, long nowNanos) {
-    long[] young = new long[SIZE];
+    long[] recent = new long[SIZE];
     int count = 0;
     long newest = Long.MIN_VALUE;
-    for (int place = 0; place < Math.min(added, SIZE); place++) {
-      if (nowNanos - answered[place] < windowNanos) {
-        young[count] = latencies[place];
+    for (int slot = 0; slot < Math.min(added, SIZE); slot++) {
+      if (nowNanos - answered[slot] < windowNanos) {
+        recent[count] = latencies[slot];
         count++;
-        newest = Math.max(newest, answered[place]);
+        newest = Math.max(newest, answered[slot]);
       }
     }
     if (count < LEAST) {
       return Optional.empty();
     }
-    Arrays.sort(young, 0, count);
-    long tail = young[(int) Math.ceil(TAIL * count) - 1];
+    Arrays.sort(recent, 0, count);
+    long tail = recent[(int) Math.ceil(TAIL * count) - 1];
     return Optional.of(new ServiceReading(tail / NANOS_PER_MILLI, goalMillis, newest));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Protecting the service of one VM from the batch tasks beside it: throttle first, evict last.
+ * Protects the service of one VM from the batch tasks on it: throttles first, evicts last.
  *
- * <p>Reach for {@link io.marigoldsail.guard.Guard} to decide, and {@link
- * io.marigoldsail.guard.TailWindow} to measure the service.
+ * <p>{@link io.marigoldsail.guard.Guard} decides, {@link io.marigoldsail.guard.TailWindow} measures
+ * the service.
  */
 package io.marigoldsail.guard;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
@@ -1,12 +1,9 @@
 package io.marigoldsail.lease;
 
 /**
- * What a side process knows of its VM's registration: which one is current, and until when an entry
- * has borne out that it is not revoked.
+ * What a side process knows of its VM's registration: which one is current, and at which time it was last confirmed not to be revoked.
  *
- * <p>All times are readings of the side process's own clock, among them the one that came back with
- * the vouch; so neither transit time nor another clock's drift can lengthen a lease. Not safe for
- * use by several threads.
+ * <p>All times are readings of the side process's own clock, among them the time of the request that a confirmation returns, so neither transit time nor the drift of another clock can lengthen a lease. Not thread-safe.
  */
 public final class LeaseEvidence {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -16,62 +13,60 @@
   private long provenNanos;
 
   /**
-   * Creates evidence of nothing.
+   * Creates an instance without evidence.
    *
-   * @param processIncarnation this side process's start; vouches for an earlier one are dropped
+   * @param processIncarnation the start of this side process; confirmations for an earlier one are ignored
    */
   public LeaseEvidence(long processIncarnation) {
     this.processIncarnation = processIncarnation;
   }
 
-  /** What a vouch changed. */
+  /** Effect of a confirmation. */
   public enum Change {
-    /**
-     * Nothing: it was meant for an earlier process or registration, or is older than what stands.
-     */
+    /** None: it was meant for an earlier process or registration, or is older than the present evidence. */
     NONE,
     /** Leases may be renewed further. */
     EXTENDED,
-    /** The VM has a new registration; nothing of an earlier one may run on. */
+    /** The VM has a new registration; runs of an earlier one must stop. */
     NEW_REGISTRATION
   }
 
   /**
-   * Takes in a vouch.
+   * Records a confirmation.
    *
-   * @param vouchedRegistration the registration that was not revoked
-   * @param forProcess the side process that the vouch was meant for
-   * @param askedNanos the reading of this process's clock that the evidence dates from
-   * @param nowNanos this process's clock
+   * @param confirmedRegistration the registration that was not revoked
+   * @param forProcess the side process that the confirmation was meant for
+   * @param requestedNanos when this process sent the confirmed request, on its own clock
+   * @param nowNanos the present time, on the same clock
    */
-  public Change vouched(long vouchedRegistration, long forProcess, long askedNanos, long nowNanos) {
-    boolean ours = forProcess == processIncarnation && askedNanos - nowNanos <= 0;
-    if (!ours || vouchedRegistration < registration) {
+  public Change vouched(long confirmedRegistration, long forProcess, long requestedNanos, long nowNanos) {
+    boolean isValid = forProcess == processIncarnation && requestedNanos - nowNanos <= 0;
+    if (!isValid || confirmedRegistration < registration) {
       return Change.NONE;
     }
-    if (vouchedRegistration > registration) {
-      registration = vouchedRegistration;
-      provenNanos = askedNanos;
+    if (confirmedRegistration > registration) {
+      registration = confirmedRegistration;
+      provenNanos = requestedNanos;
       return Change.NEW_REGISTRATION;
     }
-    if (askedNanos - provenNanos <= 0) {
+    if (requestedNanos - provenNanos <= 0) {
       return Change.NONE;
     }
-    provenNanos = askedNanos;
+    provenNanos = requestedNanos;
     return Change.EXTENDED;
   }
 
-  /** Returns the current registration, or -1 if none was vouched for yet. */
+  /** Returns the current registration, or -1 if none was confirmed yet. */
   public long registration() {
     return registration;
   }
 
-  /** Returns whether any vouch was taken in. */
+  /** Returns whether any confirmation was recorded. */
   public boolean known() {
     return registration >= 0;
   }
 
-  /** Returns until when a lease of the given length lasts; meaningless unless {@link #known()}. */
+  /** Returns when a lease of the given length expires; meaningless unless {@link #known()}. */
   public long deadlineNanos(long leaseMillis) {
     return provenNanos + leaseMillis * NANOS_PER_MILLI;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/UsageSample.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/UsageSample.java
@@ -6,16 +6,15 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * What one attempt used over a measured span; arrives late.
+ * Measured usage of one attempt over a span of time; arrives late.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param task the task's name
  * @param token the attempt's fencing token
- * @param measuredMillis when the span ended, a reading of the worker's clock
- * @param used mean processors and largest memory over the span
- * @param slowdown how much longer the same work took than alone: 1 for undisturbed, 2 for twice as
- *     long
+ * @param measuredMillis end of the span, on the worker's clock in milliseconds
+ * @param used mean processors and peak memory over the span
+ * @param slowdown run time as a multiple of that without co-located tasks: 1 for undisturbed, 2 for twice as long
  */
 public record UsageSample(
     String task, long token, long measuredMillis, Sizes used, double slowdown) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/VouchLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/VouchLedger.java
@@ -8,26 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * An entry's evidence for vouching: which asks it had received before it sent which heartbeat.
+ * Tracks which lease requests an entry had received before it sent which heartbeat to the log.
  *
- * <p>An entry that reads its own heartbeat back has read everything that stood in the log when the
- * heartbeat got in. If no revocation of a VM is among it, the VM was not revoked when the entry
- * sent the heartbeat, and so not when the VM's ask, received earlier, was sent. Reading the tail
- * instead would prove nothing, because a read may be stale. Vouching for an ask received after the
- * heartbeat was sent would date the evidence too late; a revocation could lie between.
+ * <p>An entry that reads its own heartbeat back has read everything that precedes it in the log. If that contains no revocation of a VM, the VM was not revoked when the entry sent the heartbeat, and so not when the VM's request, received earlier, was sent. Reading the end of the log instead proves nothing, because a read may be stale. Confirming a request that was received after the heartbeat was sent would date the evidence too late, because a revocation could lie between.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class VouchLedger {
   private static final int MAX_PENDING = 64;
 
   /**
-   * What a side process asked with.
+   * Request of a side process to confirm that its VM is not revoked.
    *
    * @param vm the VM's name
-   * @param bootIncarnation the worker's boot
-   * @param processIncarnation the side process's start
-   * @param askedNanos the side process's clock when it asked
+   * @param bootIncarnation the boot of the worker
+   * @param processIncarnation the start of the side process
+   * @param askedNanos the side process's clock when it sent the request
    */
   public record Ask(String vm, long bootIncarnation, long processIncarnation, long askedNanos) {
     /** Checks the components. */
@@ -43,38 +39,36 @@
   /** Creates an empty ledger. */
   public VouchLedger() {}
 
-  /** Keeps an ask; a later one of the same VM takes its place. */
-  public void asked(Ask ask) {
-    latest.put(ask.vm(), ask);
+  /** Records a request, which replaces an earlier one of the same VM. */
+  public void asked(Ask request) {
+    latest.put(request.vm(), request);
   }
 
-  /** Forgets a VM that is gone. */
+  /** Removes the request of a VM that is gone. */
   public void forget(String vm) {
     latest.remove(vm);
   }
 
   /**
-   * Notes that a heartbeat is about to be sent and returns its number. Must be called before the
-   * append, never after.
+   * Records that a heartbeat is about to be sent and returns its number.
+   *
+   * <p>Must be called before the append, never after.
    */
   public long heartbeatLeaves() {
     long number = nextHeartbeat;
     nextHeartbeat++;
     pending.put(number, List.copyOf(latest.values()));
     if (pending.size() > MAX_PENDING) {
-      // During an outage of the log the oldest evidence is worth least.
+      // During an outage of the log the oldest evidence is of least use.
       pending.pollFirstEntry();
     }
     return number;
   }
 
-  /**
-   * Returns the asks that a heartbeat read back from the log bears out, and forgets it and earlier
-   * ones.
-   */
+  /** Returns the requests that a heartbeat read back from the log confirms, and drops it and earlier ones. */
   public List<Ask> heartbeatReadBack(long number) {
-    List<Ask> asks = pending.get(number);
+    List<Ask> requests = pending.get(number);
     pending.headMap(number, true).clear();
-    return asks == null ? List.of() : asks;
+    return requests == null ? List.of() : requests;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerBoot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerBoot.java
@@ -10,9 +10,8 @@
  * <p>Immutable. Rejects nulls.
  *
  * @param incarnation identifies the boot; a new boot runs nothing of an earlier one
- * @param capacity what tasks may use in all
- * @param clockMillis the worker's clock when it answered, in milliseconds from any origin; steady
- *     within a boot
+ * @param capacity the resources of all tasks together
+ * @param clockMillis the worker's clock at the time of the response, in milliseconds from any origin; monotonic within a boot
  */
 public record WorkerBoot(long incarnation, Sizes capacity, long clockMillis) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
@@ -3,11 +3,9 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Turns deadlines of this process's clock into deadlines of a worker's clock, never later ones.
+ * Converts deadlines on this process's clock to deadlines on a worker's clock, never to later ones.
  *
- * <p>A worker tells its clock in an answer. It read it at some moment between the call and the
- * answer; taking the moment of the answer makes every turned deadline too early by at most the
- * length of the call, never too late. Immutable.
+ * <p>A worker returns a reading of its clock, taken at some time between the call and the response. The reading is treated as taken at the time of the response, so every converted deadline is too early by at most the duration of the call, and never too late. Immutable.
  */
 public final class WorkerClock {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -21,18 +19,18 @@
   }
 
   /**
-   * Returns the clock of a worker that told a reading.
+   * Returns the clock of a worker that returned a reading.
    *
-   * @param workerMillis what the worker told, in its milliseconds
+   * @param workerMillis the reading, in the worker's milliseconds
    * @param calledNanos this process's clock before the call
-   * @param answeredNanos this process's clock after the answer
+   * @param answeredNanos this process's clock after the response
    */
   public static WorkerClock of(long workerMillis, long calledNanos, long answeredNanos) {
-    checkArgument(answeredNanos >= calledNanos, "answered %s before the call", answeredNanos);
+    checkArgument(answeredNanos >= calledNanos, "answeredNanos is before calledNanos: %s", answeredNanos);
     return new WorkerClock(workerMillis, answeredNanos);
   }
 
-  /** Returns the reading of the worker's clock that is not after the given one of this process. */
+  /** Returns the latest reading of the worker's clock that is not after the given one of this process. */
   public long deadlineMillis(long deadlineNanos) {
     return workerMillis + Math.floorDiv(deadlineNanos - answeredNanos, NANOS_PER_MILLI);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerListing.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerListing.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * What a worker runs and recently ended, at one moment.
+ * The running and recently ended attempts of a worker at one time.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param boot the boot that the tasks belong to
- * @param tasks the running ones and those that ended within the worker's memory
+ * @param tasks the running ones, and the ended ones that the worker still remembers
  */
 public record WorkerListing(WorkerBoot boot, List<WorkerTask> tasks) {
   /** Checks and copies the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerStart.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerStart.java
@@ -6,19 +6,18 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * What a worker is told to run.
+ * Order to a worker to start an attempt.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param task the task's name, such as {@code payout/3}
  * @param attempt the attempt, from 1
  * @param token the fencing token: the log offset of the accepted claim
- * @param leaseDeadlineMillis when the worker stops the attempt by itself, a reading of its clock
- * @param sizes what the attempt may use
- * @param command what to run, opaque to this system
- * @param checkpoint the checkpoint to resume from, or empty for a fresh start
- * @param checkpointIntervalMillis how often the task writes a checkpoint by itself, in
- *     milliseconds; 0 for never
+ * @param leaseDeadlineMillis when the worker stops the attempt by itself, on its own clock in milliseconds
+ * @param sizes the resources that the attempt may use
+ * @param command the command, opaque to this system
+ * @param checkpoint the checkpoint to resume from, or empty to start afresh
+ * @param checkpointIntervalMillis interval at which the task writes checkpoints by itself, in milliseconds; 0 for never
  * @param runMillis the declared run time in milliseconds; often far off
  */
 public record WorkerStart(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerTask.java
@@ -5,16 +5,16 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * An attempt of a task as its worker sees it.
+ * An attempt of a task as its worker reports it.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param task the task's name
  * @param attempt the attempt
  * @param token the fencing token it was started with
- * @param state what became of it
- * @param sizes what it was started with; counted against the worker only while it runs
- * @param checkpoint the last checkpoint's id, or empty
+ * @param state its state
+ * @param sizes the resources that it was started with; they count against the worker only while it runs
+ * @param checkpoint the id of the last checkpoint, or empty
  * @param detail why it ended, or empty
  */
 public record WorkerTask(
@@ -25,7 +25,7 @@
     Sizes sizes,
     String checkpoint,
     String detail) {
-  /** What became of an attempt. */
+  /** State of an attempt. */
   public enum State {
     /** It runs, or may still run. */
     RUNNING,
@@ -33,9 +33,9 @@
     DONE,
     /** It ended by itself without success; the detail says why. */
     FAILED,
-    /** It was told to stop and has. */
+    /** It was stopped on request. */
     STOPPED,
-    /** The worker stopped it because its lease passed. */
+    /** The worker stopped it because its lease expired. */
     LAPSED
   }
 
@@ -48,7 +48,7 @@
     requireNonNull(detail, "detail");
   }
 
-  /** Returns whether the attempt still takes up its sizes. */
+  /** Returns whether the attempt still occupies its resources. */
   public boolean running() {
     return state == State.RUNNING;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Leases of tasks: the worker that enforces them, evidence to renew them, lapses and revocation.
+ * Leases of tasks: the worker that enforces them, evidence to renew them, expiry and revocation.
  *
- * <p>Reach for {@link io.marigoldsail.lease.Worker} to plug in a platform's worker.
+ * <p>A platform's worker implements {@link io.marigoldsail.lease.Worker}.
  */
 package io.marigoldsail.lease;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
@@ -12,10 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * The VMs that may be given tasks at one moment, with the room that is left.
+ * The VMs that may be given tasks at one time, with their free resources.
  *
- * <p>Made anew for each round of decisions; takes note of what the round gives away. Not safe for
- * use by several threads.
+ * <p>Created for each round of decisions; records the allocations of the round. Not thread-safe.
  */
 public final class Fleet {
   private final List<VmRoom> rooms = new ArrayList<>();
@@ -30,7 +29,7 @@
    *
    * @param vms the registrations
    * @param usable whether a VM may be given tasks
-   * @param programsOn how many tasks of each program a registration holds
+   * @param programsOn returns the number of tasks of each program on a registration
    */
   public Fleet(
       List<VmState> vms,
@@ -42,19 +41,19 @@
       }
       capacity = capacity.plus(vm.description().capacity());
       if (usable.test(vm)) {
-        VmRoom room = new VmRoom(vm, programsOn);
-        rooms.add(room);
-        byRegistration.put(vm.registration(), room);
+        VmRoom candidate = new VmRoom(vm, programsOn);
+        rooms.add(candidate);
+        byRegistration.put(vm.registration(), candidate);
       }
     }
   }
 
-  /** Keeps the room of preemptions under way for the tasks that they are for. */
+  /** Reserves the resources freed by preemptions in progress for the tasks that they are for. */
   public void keep(List<Preemption> preemptions) {
     for (Preemption preemption : preemptions) {
-      VmRoom room = byRegistration.get(preemption.registration());
-      if (room != null) {
-        room.keep(preemption.task(), preemption.sizes());
+      VmRoom candidate = byRegistration.get(preemption.registration());
+      if (candidate != null) {
+        candidate.keep(preemption.task(), preemption.sizes());
       }
     }
   }
@@ -64,37 +63,37 @@
     return rooms;
   }
 
-  /** Returns what all VMs have together, those that may not be given tasks included. */
+  /** Returns the total capacity of all VMs, including those that may not be given tasks. */
   public Sizes capacity() {
     return capacity;
   }
 
   /**
-   * Keeps so many VMs open for urgent work from now on.
+   * Reserves VMs for urgent work from now on.
    *
-   * @param each the room that an open VM has at least
-   * @param count how many VMs
+   * @param each the resources that a reserved VM has free at least
+   * @param count the number of VMs
    */
   public void reserve(Sizes each, int count) {
     reservedEach = each;
     reservedCount = each.equals(Sizes.NONE) ? 0 : count;
     open = 0;
-    for (VmRoom room : rooms) {
-      open += isOpen(room.free()) ? 1 : 0;
+    for (VmRoom candidate : rooms) {
+      open += isOpen(candidate.free()) ? 1 : 0;
     }
   }
 
-  /** Returns whether work that is not urgent may take the sizes and leave enough VMs open. */
-  boolean leavesReserve(VmRoom room, Sizes sizes) {
-    boolean closes = isOpen(room.free()) && !isOpen(room.free().minus(sizes));
-    return reservedCount == 0 || !closes || open > reservedCount;
+  /** Returns whether work that is not urgent may take the resources and leave enough VMs reserved. */
+  boolean leavesReserve(VmRoom candidate, Sizes sizes) {
+    boolean endsReserve = isOpen(candidate.free()) && !isOpen(candidate.free().minus(sizes));
+    return reservedCount == 0 || !endsReserve || open > reservedCount;
   }
 
   private boolean isOpen(Sizes free) {
     return reservedEach.fitsIn(free);
   }
 
-  /** Returns what a VM has on average. */
+  /** Returns the mean capacity of a VM. */
   public Sizes meanCapacity() {
     int vms = Math.max(1, rooms.size());
     return new Sizes(
@@ -103,28 +102,25 @@
         capacity.accelerators() / vms);
   }
 
-  /** Notes that a claim for the sizes is on its way to the log; unknown registrations pass. */
+  /** Records that a claim for the resources is being written to the log; ignores unknown registrations. */
   public void take(long registration, String program, Sizes sizes) {
-    VmRoom room = byRegistration.get(registration);
-    if (room != null) {
-      boolean before = isOpen(room.free());
-      room.take(program, sizes);
-      open -= before && !isOpen(room.free()) ? 1 : 0;
+    VmRoom candidate = byRegistration.get(registration);
+    if (candidate != null) {
+      boolean before = isOpen(candidate.free());
+      candidate.take(program, sizes);
+      open -= before && !isOpen(candidate.free()) ? 1 : 0;
     }
   }
 
-  /**
-   * Returns why the sizes fit no VM even if it were empty, or empty if they fit one. A fleet of
-   * which no VM is known yet refuses nothing.
-   */
+  /** Returns why the resources fit no VM even if it were empty, or empty if they fit one, or if no VM is known yet. */
   public static Optional<String> whyNever(List<VmState> vms, Sizes sizes) {
     Sizes largest = Sizes.NONE;
     for (VmState vm : vms) {
-      Sizes has = vm.description().capacity();
-      if (sizes.fitsIn(has)) {
+      Sizes vmCapacity = vm.description().capacity();
+      if (sizes.fitsIn(vmCapacity)) {
         return Optional.empty();
       }
-      largest = largest.max(has);
+      largest = largest.max(vmCapacity);
     }
     return vms.isEmpty() ? Optional.empty() : Optional.of(reason(sizes, largest));
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Interference.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Interference.java
@@ -5,24 +5,17 @@
 import java.util.Map;
 
 /**
- * How much programs slow each other, learned from measurements that arrive late.
+ * Learns how much programs slow each other down, from measurements that arrive late.
  *
- * <p>Load pattern: which pairs hurt each other is known to nobody beforehand and shifts with load.
- * Without this, placement puts the same pair together again and again, and each time the guard has
- * to throttle it apart.
+ * <p>Which programs interfere is not known in advance and changes with load. Without these estimates, placement co-locates the same pair again and again, and the guard has to throttle one of them each time.
  *
- * <p>A measurement says that a program took so many times longer beside such neighbours. The excess
- * is shared among the neighbours by what is known of them (least mean squares): a prediction that
- * was too low raises the weights of all that were there, one that was too high lowers them. So the
- * one that is always there when it is slow gains, those that are also there when it is not lose,
- * and what ceases to hurt is unlearned at the same rate. Weights below a floor are forgotten; the
- * table is bounded. Safe for any thread.
+ * <p>A measurement states how many times longer a program took beside given neighbours. The excess over the prediction is distributed over the neighbours by least mean squares: too low a prediction raises the weights of all that were present, too high a one lowers them. So the weight grows of a neighbour that is present whenever the program is slow, shrinks for those that are also present when it is not, and interference that stops is unlearned at the same rate. Weights below a minimum are dropped; the table is bounded. Thread-safe.
  */
 public final class Interference {
-  /** The program that stands for the service of a VM. */
+  /** Program name that stands for the service of a VM. */
   public static final String SERVICE = "service";
 
-  /** How far one measurement moves a prediction; readings are noisy, so a fifth. */
+  /** Fraction of the error by which one measurement changes a prediction; low because readings are noisy. */
   private static final double RATE = 0.2;
 
   private static final double FLOOR = 0.005;
@@ -31,7 +24,7 @@
   private static final int MAX_PROGRAMS = 1_024;
   private static final int MAX_NEIGHBOURS = 64;
 
-  /** Slowed program, then neighbour, to the excess that one such neighbour causes. */
+  /** Slowed program, then neighbour, to the excess run time that one such neighbour causes. */
   private final Map<String, Map<String, Double>> weights =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
@@ -40,21 +33,20 @@
         }
       };
 
-  /** Creates a table that has learned nothing. */
+  /** Creates a table without measurements. */
   public Interference() {}
 
   /**
-   * Takes in a measurement.
+   * Records a measurement.
    *
-   * @param program what was slowed, or {@link #SERVICE}
-   * @param present how much of each program ran beside it: 1 for a task that ran free, less for one
-   *     that was throttled, the sum for several
-   * @param slowdown how much longer it took than alone, from 1
+   * @param program the slowed program, or {@link #SERVICE}
+   * @param present co-located programs with the number of their tasks, where a throttled task counts by its fraction
+   * @param slowdown run time as a multiple of that without neighbours, at least 1
    */
   public synchronized void measured(String program, Map<String, Double> present, double slowdown) {
     double norm = 0;
-    for (double much : present.values()) {
-      norm += much * much;
+    for (double count : present.values()) {
+      norm += count * count;
     }
     if (norm < LEAST_PRESENT) {
       return;
@@ -75,20 +67,18 @@
     }
   }
 
-  /** Returns what one task of each program costs another, those that cost it nothing left out. */
+  /** Returns the excess run time that one task of each program causes to the program; programs without effect are left out. */
   public synchronized Map<String, Double> costsTo(String program) {
     return Map.copyOf(weights.getOrDefault(program, Map.of()));
   }
 
-  /** Returns the excess time that one neighbour costs a program; 0 for what is not known. */
+  /** Returns the excess run time that one neighbour causes to a program; 0 if unknown. */
   public synchronized double excess(String program, String neighbour) {
     Map<String, Double> row = weights.get(program);
     return row == null ? 0 : row.getOrDefault(neighbour, 0.0);
   }
 
-  /**
-   * Returns what a program and each other one cost each other, those that cost nothing left out.
-   */
+  /** Returns the excess run time that the program and each other program cause each other, added up; programs without effect are left out. */
   public synchronized Map<String, Double> mutual(String program) {
     Map<String, Double> costs = new HashMap<>();
     Map<String, Double> row = weights.get(program);
@@ -96,8 +86,8 @@
       costs.putAll(row);
     }
     weights.forEach(
-        (other, ofOther) -> {
-          Double weight = ofOther.get(program);
+        (other, otherRow) -> {
+          Double weight = otherRow.get(program);
           if (weight != null) {
             costs.merge(other, weight, Double::sum);
           }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * The costs of running beside neighbours, from what {@link Interference} has learned.
+ * Placement costs of co-located tasks, from the interference that {@link Interference} has learned.
  *
- * <p>Not safe for use by several threads. Costs a few look-ups for each VM.
+ * <p>Not thread-safe. Costs a few look-ups for each VM.
  */
 public final class InterferenceCosts implements PlacementCosts {
-  /** A neighbour that doubles the run time of either costs as much as one and a half full VMs. */
+  /** Cost per unit of slowdown: a neighbour that doubles the run time of either costs as much as one and a half full VMs. */
   private static final double EXCESS_COST = 1.5;
 
-  /** Tasks that slow the service by less are placed without regard to it. */
+  /** Tasks that slow the service down by less are placed without regard to it. */
   private static final double NOISY = 0.08;
 
-  /** The service of one VM is slowed by at most so much, unless by a single task. */
+  /** Maximum slowdown of the service of one VM, unless by a single task. */
   private static final double MOST_NOISE = 0.2;
 
   private final Interference interference;
@@ -25,7 +25,7 @@
   private Map<String, Double> mutual = Map.of();
   private Map<String, Double> service = Map.of();
 
-  /** Creates costs that follow what the table learns. */
+  /** Creates costs based on the given interference estimates. */
   public InterferenceCosts(Interference interference) {
     this.interference = requireNonNull(interference, "interference");
   }
@@ -41,33 +41,29 @@
     mutual = mutualByProgram.computeIfAbsent(request.spec().program(), interference::mutual);
   }
 
-  /**
-   * Noisy tasks wait for a VM whose service is not slowed already. Placed all the same, they would
-   * be throttled there to a fraction and hold room that calm tasks could use (a trial of a noisy
-   * wave that way came to 38% of the baseline's throughput).
-   */
+  /** Tasks that slow services down wait for a VM whose service is not slowed down yet. Otherwise they would be throttled there to a fraction of their speed and hold capacity that other tasks could use; a wave of such tasks reached 38% of the baseline throughput that way. */
   @Override
-  public boolean bearable(PlacementRequest request, VmRoom room) {
-    double own = service.getOrDefault(request.spec().program(), 0.0);
-    if (own < NOISY) {
+  public boolean bearable(PlacementRequest request, VmRoom candidate) {
+    double added = service.getOrDefault(request.spec().program(), 0.0);
+    if (added < NOISY) {
       return true;
     }
-    double there = 0;
-    for (Map.Entry<String, Double> noise : service.entrySet()) {
-      Integer count = room.programs().get(noise.getKey());
-      there += count == null ? 0 : noise.getValue() * count;
+    double total = 0;
+    for (Map.Entry<String, Double> slowdown : service.entrySet()) {
+      Integer count = candidate.programs().get(slowdown.getKey());
+      total += count == null ? 0 : slowdown.getValue() * count;
     }
-    return there < NOISY || there + own <= MOST_NOISE;
+    return total < NOISY || total + added <= MOST_NOISE;
   }
 
   @Override
-  public double cost(PlacementRequest request, VmRoom room) {
+  public double cost(PlacementRequest request, VmRoom candidate) {
     if (mutual.isEmpty()) {
       return 0;
     }
     double excess = 0;
     for (Map.Entry<String, Double> neighbour : mutual.entrySet()) {
-      Integer count = room.programs().get(neighbour.getKey());
+      Integer count = candidate.programs().get(neighbour.getKey());
       if (count != null) {
         excess += neighbour.getValue() * count;
       }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
@@ -1,28 +1,28 @@
 package io.marigoldsail.placement;
 
 /**
- * What makes a VM worse for a task beside the room it has, in units of a whole VM's load.
+ * Costs of placing a task on a VM beside its load, in loads of a whole VM.
  *
- * <p>Implementations must return at once.
+ * <p>Implementations must not block.
  */
 @FunctionalInterface
 public interface PlacementCosts {
-  /** Called once before a round of placements; what was learned meanwhile counts from here. */
+  /** Called once before a round of placements, which uses the current estimates. */
   default void beginRound() {}
 
-  /** Called once before the costs of one request are asked for, VM by VM. */
+  /** Called once per request, before the costs of its candidate VMs are queried. */
   default void prepare(PlacementRequest request) {}
 
   /** Returns the cost, 0 for none. */
-  double cost(PlacementRequest request, VmRoom room);
+  double cost(PlacementRequest request, VmRoom candidate);
 
-  /** Returns whether the service beside can bear the task there. */
-  default boolean bearable(PlacementRequest request, VmRoom room) {
+  /** Returns whether the service of the VM tolerates the task there. */
+  default boolean bearable(PlacementRequest request, VmRoom candidate) {
     return true;
   }
 
-  /** Returns costs that know nothing. */
+  /** Returns costs that are always zero. */
   static PlacementCosts none() {
-    return (request, room) -> 0;
+    return (request, candidate) -> 0;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
@@ -2,13 +2,13 @@
 
 import static java.util.Objects.requireNonNull;
 
-/** What a {@link Placer} decided; each kind is immutable and rejects nulls. */
+/** Decision of a {@link Placer}; each kind is immutable and rejects nulls. */
 public sealed interface PlacementDecision {
   /**
-   * Run it there.
+   * Run the task on the VM.
    *
    * @param room the VM
-   * @param why the grounds, for people
+   * @param why the reason, for people
    */
   record Chosen(VmRoom room, String why) implements PlacementDecision {
     /** Checks the components. */
@@ -19,9 +19,9 @@
   }
 
   /**
-   * Let it wait.
+   * Let the task wait.
    *
-   * @param why the grounds, for people
+   * @param why the reason, for people
    */
   record NoRoom(String why) implements PlacementDecision {
     /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementRequest.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementRequest.java
@@ -8,15 +8,14 @@
 import java.util.Map;
 
 /**
- * A task that wants a VM.
+ * Placement request of a task.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param spec its job
  * @param task the task
- * @param sizes what is booked for it
- * @param inGroup how many of the job's tasks run in each part of the fleet that the job's spread
- *     tells apart; empty where it tells none
+ * @param sizes the resources to book for it
+ * @param inGroup number of the job's running tasks in each group of VMs that the job's spread distinguishes; empty if it distinguishes none
  */
 public record PlacementRequest(
     JobSpec spec, TaskState task, Sizes sizes, Map<String, Integer> inGroup) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
@@ -8,20 +8,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses the VM for one task: it must fit, must not have failed there as long as another VM could
- * hold it, and should be away from its job's other tasks, from bad neighbours and from load.
+ * Chooses the VM for one task: one with enough capacity on which the task has not failed, as long as another VM could hold it, preferably away from the job's other tasks, from interfering tasks and from load.
  *
- * <p>Looks at every VM once, so the cost is linear in the fleet. Not safe for use by several
- * threads.
+ * <p>Examines every VM once, so the cost is linear in the size of the fleet. Not thread-safe.
  */
 public final class Placer {
-  /** Each of the job's tasks in the same rack or zone costs as much as a quarter of a VM's load. */
+  /** Cost of each of the job's tasks in the same rack or zone, in loads of a whole VM. */
   private static final double SAME_GROUP = 0.25;
 
-  /** An accelerator held back from tasks that need one costs as much as a whole VM's load. */
+  /** Cost of occupying a VM with accelerators by a task that needs none, in loads of a whole VM. */
   private static final double WASTED_ACCELERATORS = 1;
 
-  /** Keeps entries that decide at once on one view from all choosing the same VM. */
+  /** Keeps entries that decide at once on the same view from all choosing the same VM. */
   private static final double JITTER = 0.02;
 
   private static final long MIXER = 0x9E3779B97F4A7C15L;
@@ -34,7 +32,7 @@
   /**
    * Creates a placer.
    *
-   * @param costs what is known of VMs beside their room
+   * @param costs further costs of VMs, beside their load
    * @param random breaks ties
    */
   public Placer(PlacementCosts costs, RandomGenerator random) {
@@ -42,29 +40,29 @@
     this.random = requireNonNull(random, "random");
   }
 
-  /** Begins a round of placements into one fleet. */
+  /** Begins a round of placements in one fleet. */
   public void beginRound() {
     costs.beginRound();
   }
 
-  /** Returns where the task should run, without noting it in the fleet. */
+  /** Returns where the task should run, without allocating it in the fleet. */
   public PlacementDecision place(PlacementRequest request, Fleet fleet) {
     costs.prepare(request);
     VmRoom best = null;
     double bestCost = Double.POSITIVE_INFINITY;
     long salt = random.nextLong();
-    boolean elsewhere = fitsWhereItDidNotFail(request, fleet);
-    for (VmRoom room : fleet.rooms()) {
-      boolean avoided = elsewhere && failedOn(request, room);
-      if (avoided || !request.sizes().fitsIn(room.freeFor(request.task().name()))) {
+    boolean fitsElsewhere = fitsWhereItDidNotFail(request, fleet);
+    for (VmRoom candidate : fleet.rooms()) {
+      boolean excluded = fitsElsewhere && failedOn(request, candidate);
+      if (excluded || !request.sizes().fitsIn(candidate.freeFor(request.task().name()))) {
         continue;
       }
-      if (!request.spec().urgent() && !mayTake(request, room, fleet)) {
+      if (!request.spec().urgent() && !mayTake(request, candidate, fleet)) {
         continue;
       }
-      double cost = cost(request, room) + jitter(room, salt);
+      double cost = cost(request, candidate) + jitter(candidate, salt);
       if (cost < bestCost) {
-        best = room;
+        best = candidate;
         bestCost = cost;
       }
     }
@@ -72,61 +70,61 @@
       return new PlacementDecision.NoRoom(whyNone(request, fleet));
     }
     String why =
-        String.format(Locale.ROOT, "cheapest of %d VMs, cost %.2f", fleet.rooms().size(), bestCost);
+        String.format(Locale.ROOT, "lowest cost of %d VMs: %.2f", fleet.rooms().size(), bestCost);
     return new PlacementDecision.Chosen(best, why);
   }
 
   /**
-   * Returns whether some VM on which the task has not failed is large enough, full or not. A worker
-   * that fails all it is given is always empty; were its VM merely dearer, tasks would go back to
-   * it whenever the others are full, and use up their attempts there.
+   * Returns whether some VM on which the task has not failed is large enough, full or not.
+   *
+   * <p>A worker that fails everything is always empty. If its VM only had a higher cost, tasks would return to it whenever the others are full, and use up their attempts there.
    */
   private static boolean fitsWhereItDidNotFail(PlacementRequest request, Fleet fleet) {
     if (request.task().failedVms().isEmpty()) {
       return true;
     }
-    for (VmRoom room : fleet.rooms()) {
-      Sizes capacity = room.state().description().capacity();
-      if (!failedOn(request, room) && request.sizes().fitsIn(capacity)) {
+    for (VmRoom candidate : fleet.rooms()) {
+      Sizes capacity = candidate.state().description().capacity();
+      if (!failedOn(request, candidate) && request.sizes().fitsIn(capacity)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean mayTake(PlacementRequest request, VmRoom room, Fleet fleet) {
-    return fleet.leavesReserve(room, request.sizes()) && costs.bearable(request, room);
+  private boolean mayTake(PlacementRequest request, VmRoom candidate, Fleet fleet) {
+    return fleet.leavesReserve(candidate, request.sizes()) && costs.bearable(request, candidate);
   }
 
-  private static boolean failedOn(PlacementRequest request, VmRoom room) {
-    return request.task().failedVms().contains(room.vm());
+  private static boolean failedOn(PlacementRequest request, VmRoom candidate) {
+    return request.task().failedVms().contains(candidate.vm());
   }
 
-  /** Returns a small random cost; a hash, because a random number for every VM costs more. */
-  private static double jitter(VmRoom room, long salt) {
-    long mixed = (room.state().registration() ^ salt) * MIXER;
+  /** Returns a small pseudorandom cost, computed by a hash because a random number for every VM costs more. */
+  private static double jitter(VmRoom candidate, long salt) {
+    long mixed = (candidate.state().registration() ^ salt) * MIXER;
     return JITTER * (mixed >>> HASH_SHIFT) / HASH_RANGE;
   }
 
-  private double cost(PlacementRequest request, VmRoom room) {
-    double cost = room.loadWith(request.sizes());
+  private double cost(PlacementRequest request, VmRoom candidate) {
+    double cost = candidate.loadWith(request.sizes());
     Spread spread = request.spec().spread();
     if (spread != Spread.NONE) {
-      String group = spread.groupOf(room.state().description());
+      String group = spread.groupOf(candidate.state().description());
       cost += SAME_GROUP * request.inGroup().getOrDefault(group, 0);
     }
     if (request.sizes().accelerators() == 0
-        && room.state().description().capacity().accelerators() > 0) {
+        && candidate.state().description().capacity().accelerators() > 0) {
       cost += WASTED_ACCELERATORS;
     }
-    return cost + costs.cost(request, room);
+    return cost + costs.cost(request, candidate);
   }
 
   private static String whyNone(PlacementRequest request, Fleet fleet) {
     if (fleet.rooms().isEmpty()) {
-      return "no VM may be given tasks now";
+      return "no VM accepts tasks now";
     }
-    return "no VM of %d has room for %s that is not kept for urgent work or for a quiet service"
+    return "none of %d VMs can take %s without using the urgent reserve or slowing its service"
         .formatted(fleet.rooms().size(), request.sizes());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
@@ -9,31 +9,26 @@
 import java.util.Map;
 
 /**
- * What a task is booked at: what its program was measured to use, not only what its job declares.
+ * Estimates the resources to book for a task from the measured usage of its program and the declared sizes.
  *
- * <p>Load pattern: declared sizes several times too large leave a fleet half empty; declared sizes
- * too small fill VMs beyond what they hold. Memory and accelerators cannot be taken back from a
- * running task, so memory is booked at the larger of declared and measured; processors are booked
- * at the measured use, below what was declared too, because the guard can throttle what uses more.
+ * <p>Declared sizes that are several times too large leave a fleet half empty; those that are too small overload VMs. Memory and accelerators cannot be taken back from a running task, so memory is booked at the larger of declared and measured. Processors are booked at the measured use, even below the declared one, because the guard can throttle tasks that use more.
  *
- * <p>Estimates rise at once and fall slowly, because a booking that was too small hurts the
- * neighbours and one that was too large only waits. Bounded; programs not seen for long are
- * forgotten. Safe for any thread.
+ * <p>Estimates rise at once and fall slowly, because too small a booking slows neighbours down, and too large a one only delays work. Bounded; the programs least recently used are evicted. Thread-safe.
  */
 public final class SizeEstimates {
-  /** Programs are believed after so many measurements. */
+  /** Measurements of a program before its estimate is used. */
   static final int BELIEVED_AFTER = 5;
 
   private static final int MAX_PROGRAMS = 4_096;
   private static final double FALLING = 0.05;
 
-  /** Booked beyond the measured processors, up to what was declared. */
+  /** Booked processors as a percentage of the measured ones, up to the declared ones. */
   private static final double PROCESSOR_PERCENT = 115;
 
-  /** Booked beyond the measured memory, where more was measured than declared. */
+  /** Booked memory as a percentage of the measured memory, if that exceeds the declared memory. */
   private static final double MEMORY_PERCENT = 110;
 
-  /** However little was measured, a task is booked at this part of what it declared. */
+  /** Minimum fraction of the declared processors that is booked. */
   private static final double LEAST_PART = 0.1;
 
   private static final class Estimate {
@@ -50,10 +45,10 @@
         }
       };
 
-  /** Creates estimates that have seen nothing. */
+  /** Creates estimates without measurements. */
   public SizeEstimates() {}
 
-  /** Takes in what a task of a program was measured to use. */
+  /** Records the measured usage of a task of a program. */
   public synchronized void measured(String program, Sizes used) {
     requireNonNull(used, "used");
     Estimate estimate = byProgram.computeIfAbsent(program, unused -> new Estimate());
@@ -62,7 +57,7 @@
     estimate.measurements = Math.min(BELIEVED_AFTER, estimate.measurements + 1);
   }
 
-  /** Returns what to book for a task of the job. */
+  /** Returns the resources to book for a task of the job. */
   public synchronized Sizes booking(JobSpec spec) {
     Sizes declared = spec.sizes();
     Estimate estimate = byProgram.get(Programs.of(spec.team(), spec.command()));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
@@ -5,27 +5,20 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * How much room is kept open for urgent work.
+ * Capacity that is kept free for urgent work.
  *
- * <p>Load pattern: a fleet filled to the brim by batch work, and an urgent task. First in the queue
- * is not enough then: it waits until something ends (a trial at eleven full VMs: 26 s at the 99th
- * percentile). So a few VMs are kept with room for the largest urgent task seen lately; work that
- * is not urgent is not placed where that would leave fewer. Fleets without urgent work keep nothing
- * open.
+ * <p>Guards against a fleet that batch work fills completely: an urgent task that is first in the queue still waits until a task ends; at eleven full VMs it waited 26 s at the 99th percentile. So a few VMs keep capacity for the largest urgent task seen recently, and work that is not urgent is not placed where fewer VMs would be left with it. A fleet without urgent work reserves nothing.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class UrgentReserve {
-  /** Urgent tasks seen this long ago, in milliseconds, still count: they come in series. */
+  /** How long an urgent task counts at least after it was seen, in milliseconds, because urgent tasks come in series. */
   static final long REMEMBERED_MILLIS = 600_000;
 
-  /** Room for a job of two tasks and one more that comes before they end. */
+  /** Enough for a job of two tasks and one more task that arrives before they end. */
   private static final int LEAST_VMS = 3;
 
-  /**
-   * Of a large fleet one VM in fifty: 15 of 770, which at 90 starts a second, a twentieth of them
-   * urgent, is what starts in three seconds.
-   */
+  /** Fleet size per reserved VM: one in fifty is 15 of 770 VMs, the urgent starts of three seconds at 90 starts per second of which a twentieth are urgent. */
   private static final int VMS_PER_OPEN_ONE = 50;
 
   private static final int PARTS_OF_A_VM = 4;
@@ -38,7 +31,13 @@
   /** Creates a reserve that has seen no urgent task. */
   public UrgentReserve() {}
 
-  /** Takes in what is booked for a waiting task. */
+  /**
+   * Records the booking of a waiting task.
+   *
+   * @param sizes the resources that are booked for it
+   * @param urgent whether the task is urgent
+   * @param nowMillis the time, in milliseconds
+   */
   public void seen(Sizes sizes, boolean urgent, long nowMillis) {
     requireNonNull(sizes, "sizes");
     roll(nowMillis);
@@ -49,9 +48,10 @@
   }
 
   /**
-   * Returns the room that each open VM keeps; nothing where no urgent task was seen lately.
+   * Returns the resources that each reserved VM keeps free; none if no urgent task was seen recently.
    *
-   * @param mean what a VM of the fleet has on average
+   * @param mean the mean capacity of a VM of the fleet
+   * @param nowMillis the time, in milliseconds
    */
   public Sizes each(Sizes mean, long nowMillis) {
     roll(nowMillis);
@@ -65,7 +65,7 @@
         0);
   }
 
-  /** Returns how many VMs of a fleet are kept open. */
+  /** Returns how many VMs of a fleet of the given size are reserved. */
   public int count(int vms) {
     return Math.max(LEAST_VMS, vms / VMS_PER_OPEN_ONE);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearning.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearning.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * Turns late reports of what runs on a VM into estimates of sizes and interference.
+ * Updates the estimates of sizes and interference from usage reports of VMs, which arrive late.
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 public final class UsageLearning {
   private static final int MAX_VMS = 4_096;
 
-  /** How fast the undisturbed pressure of a service follows a lower reading, and a higher one. */
+  /** Rates at which the base pressure of a service follows a lower reading, and a higher one. */
   private static final double FALLING = 0.2;
 
   private static final double RISING = 0.01;
@@ -24,10 +24,10 @@
   /**
    * One task of a report.
    *
-   * @param program what it runs
-   * @param used what it used, or {@link Sizes#NONE} if that was not told
-   * @param slowdown how much longer its work took than alone, or 0 if that was not told
-   * @param present how much of its processors the guard let it use, 0 to 1
+   * @param program the program that it runs
+   * @param used the resources that it used, or {@link Sizes#NONE} if unknown
+   * @param slowdown its run time as a multiple of that without co-located tasks, or 0 if unknown
+   * @param present the fraction of its processors that the guard let it use, 0 to 1
    */
   public record Measured(String program, Sizes used, double slowdown, double present) {
     /** Checks the components. */
@@ -47,18 +47,18 @@
         }
       };
 
-  /** Creates learning into the given tables. */
+  /** Creates a learner that updates the given estimates. */
   public UsageLearning(SizeEstimates estimates, Interference interference) {
     this.estimates = requireNonNull(estimates, "estimates");
     this.interference = requireNonNull(interference, "interference");
   }
 
   /**
-   * Takes in a report.
+   * Records a report.
    *
    * @param vm the VM's name
    * @param tasks all tasks on it
-   * @param pressure its service's tail latency as a multiple of the goal; 0 if that was not told
+   * @param pressure tail latency of its service as a multiple of the goal; 0 if unknown
    */
   public synchronized void report(String vm, List<Measured> tasks, double pressure) {
     Map<String, Double> present = new HashMap<>();
@@ -72,20 +72,20 @@
   }
 
   private void learn(Measured task, Map<String, Double> present) {
-    boolean told = !task.used().equals(Sizes.NONE) && task.present() > 0;
-    if (told) {
+    boolean known = !task.used().equals(Sizes.NONE) && task.present() > 0;
+    if (known) {
       long free = (long) (task.used().milliProcessors() / task.present());
       estimates.measured(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
     }
     if (task.slowdown() > 0) {
       Map<String, Double> others = new HashMap<>(present);
       others.merge(task.program(), -task.present(), Double::sum);
-      others.values().removeIf(much -> much <= 0);
+      others.values().removeIf(share -> share <= 0);
       interference.measured(task.program(), others, task.slowdown());
     }
   }
 
-  /** Returns how much longer the service takes than in its quieter moments on this VM. */
+  /** Returns the service's pressure as a multiple of its base pressure on this VM. */
   private double slowdown(String vm, double pressure) {
     double base = undisturbed.getOrDefault(vm, pressure);
     base += (pressure < base ? FALLING : RISING) * (pressure - base);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/VmRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/VmRoom.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** One VM inside a {@link Fleet}: its state in the log, and what is about to be claimed on it. */
+/** A VM of a {@link Fleet}: its state in the log and the allocations of the current round. */
 public final class VmRoom {
   private final VmState state;
   private final Function<Long, Map<String, Integer>> programsOn;
@@ -21,7 +21,7 @@
     this.free = state.free();
   }
 
-  /** Returns the VM's registration as folded from the log. */
+  /** Returns the VM's registration, as read from the log. */
   public VmState state() {
     return state;
   }
@@ -31,17 +31,17 @@
     return state.vm();
   }
 
-  /** Returns the room left after what is about to be claimed or is kept for one urgent task. */
+  /** Returns the free resources, less those about to be claimed or reserved for one urgent task. */
   public Sizes free() {
     return free.minus(kept);
   }
 
-  /** Returns the room that the task may take: what is kept for it included. */
+  /** Returns the free resources for the task, including those reserved for it. */
   public Sizes freeFor(String task) {
     return keptFor.equals(task) ? free : free();
   }
 
-  /** Returns whether room is being freed here for an urgent task. */
+  /** Returns whether resources are being freed here for an urgent task. */
   public boolean preempting() {
     return !keptFor.isEmpty();
   }
@@ -51,7 +51,7 @@
     kept = sizes;
   }
 
-  /** Returns how many tasks of each program are claimed there. */
+  /** Returns the number of claimed tasks of each program. */
   public Map<String, Integer> programs() {
     if (programs == null) {
       programs = programsOn.apply(state.registration());
@@ -59,7 +59,7 @@
     return programs;
   }
 
-  /** Returns the largest share of one kind of resource that would be taken with the sizes added. */
+  /** Returns the highest utilization of one kind of resource if the sizes were added. */
   double loadWith(Sizes sizes) {
     Sizes capacity = state.description().capacity();
     double processors =
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
@@ -7,24 +7,17 @@
 import java.util.Set;
 
 /**
- * Which VMs are set apart because attempts fail there that succeed elsewhere.
+ * Quarantines VMs on which attempts fail that succeed elsewhere.
  *
- * <p>Load pattern: a worker that fails everything it starts is empty all the time, so whoever
- * spreads load sends it task after task; it eats a fleet's queue in minutes. Counting failures
- * alone would set healthy VMs apart when a team submits a job that fails everywhere. So a VM is
- * compared with the rest of the fleet, and of each job at most one failure counts until it has
- * succeeded somewhere: a VM is set apart when several jobs failed on it and its rate of failures is
- * far above the others'. It is tried again after a while with one task at a time, later and later
- * as long as that fails.
+ * <p>Guards against a worker that fails everything it starts: it is always empty, so a scheduler that spreads load sends it task after task, and it consumes a fleet's queue in minutes. Counting failures alone would quarantine healthy VMs when a team submits a job that fails everywhere. So a VM is compared with the rest of the fleet, and at most one failure of each job counts until the job has succeeded somewhere. A VM is quarantined when several jobs failed on it and its failure rate is far above that of the others. After a backoff it is retried with one task at a time; the backoff doubles while that fails.
  *
- * <p>Safe for any thread. Counts fade by halves every {@value #HALF_LIFE_MILLIS} ms, so that a VM
- * that was mended is trusted again. State is bounded by the VMs that {@link #retain} keeps.
+ * <p>Thread-safe. Counts decay with a half-life of {@value #HALF_LIFE_MILLIS} ms, so that a repaired VM is used again. State is bounded by the VMs that {@link #retain} keeps.
  */
 public final class WorkerHealth {
-  /** Half as long as a bad evening: ten minutes. */
+  /** Half-life of the counts, in milliseconds: ten minutes, half as long as a VM typically stays faulty. */
   static final long HALF_LIFE_MILLIS = 600_000;
 
-  /** So many failures must count against a VM; two may be chance. */
+  /** Failures that must count against a VM; two may be chance. */
   private static final double LEAST_FAILURES = 2.5;
 
   private static final long FIRST_BACK_OFF_MILLIS = 30_000;
@@ -37,7 +30,7 @@
     private double failures;
     private double successes;
     private long countedMillis;
-    private long backOffMillis;
+    private long backoffMillis;
     private long apartUntilMillis;
     private boolean onTrial;
 
@@ -54,7 +47,7 @@
 
   private final Map<String, Counts> records = new HashMap<>();
 
-  /** Jobs of which an attempt succeeded anywhere; the oldest are forgotten. */
+  /** Jobs of which an attempt succeeded anywhere; the least recently used are evicted. */
   private final Map<String, Boolean> succeeded =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
@@ -63,91 +56,97 @@
         }
       };
 
-  /** Creates health that has seen nothing. */
+  /** Creates an instance without records. */
   public WorkerHealth() {}
 
   /**
-   * Takes in the end of an attempt.
+   * Records the end of an attempt.
    *
-   * @param vm where it ran
-   * @param job the job it belongs to
-   * @param success whether it ended with success
-   * @param nowMillis the time, in milliseconds of any steady clock
+   * @param vm the VM on which it ran
+   * @param job its job
+   * @param success whether it succeeded
+   * @param nowMillis the time, in milliseconds of any monotonic clock
    */
   public synchronized void ended(String vm, String job, boolean success, long nowMillis) {
-    Counts record = records.computeIfAbsent(vm, unused -> newCounts(nowMillis));
-    record.fade(nowMillis);
+    Counts counts = records.computeIfAbsent(vm, unused -> newCounts(nowMillis));
+    counts.fade(nowMillis);
     if (success) {
-      record.successes++;
+      counts.successes++;
       succeeded.put(job, Boolean.TRUE);
-      record.onTrial = false;
-      record.backOffMillis = 0;
+      counts.onTrial = false;
+      counts.backoffMillis = 0;
       return;
     }
-    boolean firstOfJob = record.blamedJobs.size() < MAX_JOBS && record.blamedJobs.add(job);
+    boolean firstOfJob = counts.blamedJobs.size() < MAX_JOBS && counts.blamedJobs.add(job);
     if (firstOfJob || succeeded.containsKey(job)) {
-      record.failures++;
+      counts.failures++;
     }
-    if (record.onTrial || stands(vm, record, nowMillis)) {
-      setApart(record, nowMillis);
+    if (counts.onTrial || stands(vm, counts, nowMillis)) {
+      setApart(counts, nowMillis);
     }
   }
 
-  /** Returns whether the VM may be given a task, when so many already run or are claimed there. */
+  /**
+   * Returns whether the VM may be given a task.
+   *
+   * @param vm the VM
+   * @param tasks number of tasks that run or are claimed there
+   * @param nowMillis the time, in milliseconds of any monotonic clock
+   */
   public synchronized boolean usable(String vm, int tasks, long nowMillis) {
-    Counts record = records.get(vm);
-    if (record == null || record.apartUntilMillis == 0) {
+    Counts counts = records.get(vm);
+    if (counts == null || counts.apartUntilMillis == 0) {
       return true;
     }
-    if (nowMillis < record.apartUntilMillis) {
+    if (nowMillis < counts.apartUntilMillis) {
       return false;
     }
-    if (record.onTrial) {
+    if (counts.onTrial) {
       return tasks == 0;
     }
     return true;
   }
 
-  /** Forgets all VMs but the given ones. */
+  /** Drops the records of all VMs but the given ones. */
   public synchronized void retain(Set<String> vms) {
     records.keySet().retainAll(vms);
   }
 
   private static Counts newCounts(long nowMillis) {
-    Counts record = new Counts();
-    record.countedMillis = nowMillis;
-    return record;
+    Counts counts = new Counts();
+    counts.countedMillis = nowMillis;
+    return counts;
   }
 
-  private static void setApart(Counts record, long nowMillis) {
-    record.backOffMillis =
-        record.backOffMillis == 0
+  private static void setApart(Counts counts, long nowMillis) {
+    counts.backoffMillis =
+        counts.backoffMillis == 0
             ? FIRST_BACK_OFF_MILLIS
-            : Math.min(LONGEST_BACK_OFF_MILLIS, 2 * record.backOffMillis);
-    record.apartUntilMillis = nowMillis + record.backOffMillis;
-    record.onTrial = true;
+            : Math.min(LONGEST_BACK_OFF_MILLIS, 2 * counts.backoffMillis);
+    counts.apartUntilMillis = nowMillis + counts.backoffMillis;
+    counts.onTrial = true;
   }
 
-  /** Returns whether the VM stands out from the others, itself left out of their rate. */
-  private boolean stands(String vm, Counts record, long nowMillis) {
-    if (record.failures < LEAST_FAILURES) {
+  /** Returns whether the failure rate of the VM stands out from that of all other VMs. */
+  private boolean stands(String vm, Counts counts, long nowMillis) {
+    if (counts.failures < LEAST_FAILURES) {
       return false;
     }
     double failures = 0;
-    double ends = 0;
+    double total = 0;
     for (Map.Entry<String, Counts> other : records.entrySet()) {
       if (!other.getKey().equals(vm)) {
         other.getValue().fade(nowMillis);
         failures += other.getValue().failures;
-        ends += other.getValue().failures + other.getValue().successes;
+        total += other.getValue().failures + other.getValue().successes;
       }
     }
-    if (ends == 0) {
-      // Nothing to compare with: the jobs may be at fault.
+    if (total == 0) {
+      // Without ends elsewhere there is no comparison: the jobs may be at fault.
       return false;
     }
-    double own = record.failures / (record.failures + record.successes);
-    // Half of what the others get right goes wrong here.
-    return own > (1 + failures / ends) / 2;
+    double own = counts.failures / (counts.failures + counts.successes);
+    // More than half of the runs that succeed elsewhere fail here.
+    return own > (1 + failures / total) / 2;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which VM runs a task: room as measured, racks and zones, interference, and worker health.
+ * Placement of tasks on VMs by measured usage, racks and zones, interference, and worker health.
  *
- * <p>Reach for {@link io.marigoldsail.placement.Placer} to choose a VM; {@link
- * io.marigoldsail.placement.Fleet} is what it chooses from.
+ * <p>{@link io.marigoldsail.placement.Placer} chooses a VM of a {@link
+ * io.marigoldsail.placement.Fleet}.
  */
 package io.marigoldsail.placement;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceWatch.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceWatch.java
@@ -15,34 +15,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which lasting tasks are worth a word because nobody has seen them at work for a while,
- * and which are back.
+ * Decides which long-running tasks to report as absent, because no report has shown them running for a while, and which have recovered.
  *
- * <p>Guards against tasks that run nowhere while their owner takes them to be at work: it goes by
- * what reports show, never by which attempts are open. What is told stays bounded however many
- * tasks are away: one word a task within {@link #REPEAT_NANOS}, and {@link #MOST_PER_LOOK} tasks a
- * look, those never told of first; the rest is a number.
+ * <p>Guards against tasks that run nowhere while their owner assumes that they run: it uses what reports show, never which attempts are open. The number of reports is bounded however many tasks are absent: one per task within {@link #REPEAT_NANOS}, and {@link #MOST_PER_LOOK} tasks per check, those never reported first; the others are only counted.
  *
- * <p>Confined to one thread. Rejects nulls. A look takes time in the number of lasting tasks, times
- * the logarithm of those away.
+ * <p>Confined to one thread. Rejects nulls. A check takes time linear in the number of long-running tasks, times the logarithm of the number of absent ones.
  */
 public final class AbsenceWatch {
-  /** How long a task is not seen before it counts as away, in nanoseconds. */
+  /** How long a task is not seen running before it counts as absent, in nanoseconds. */
   public static final long ABSENT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** Between two words about the same task that stays away, in nanoseconds. */
+  /** Interval between reports of the same absent task, in nanoseconds. */
   public static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** The most tasks that one look tells to be away, and the most that it tells to be back. */
+  /** Maximum number of absences, and of recoveries, that one check reports. */
   public static final int MOST_PER_LOOK = 4;
 
   /**
-   * What is known of a lasting task that should be at work.
+   * What is known of a long-running task that should run.
    *
    * @param task the task
-   * @param seenAt when the newest report was read that shows it at work, in the looker's
-   *     nanoseconds; empty if there is none now
-   * @param namedAt when the newest report was read that names an attempt of it at all
+   * @param seenAt when the latest report that shows it running was read, in nanoseconds of the caller's clock; empty if there is none now
+   * @param namedAt when the latest report that names any attempt of it was read; empty if there is none
    */
   public record Sight(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
     /** Checks the components. */
@@ -54,33 +48,32 @@
   }
 
   /**
-   * A task that is away.
+   * A task that is absent.
    *
    * @param task the task
-   * @param seenBefore whether it was ever seen at work here
-   * @param since when it was last seen, or when it was first looked for, in nanoseconds
-   * @param namedAt when the newest report was read that named an attempt of it; empty if none did
+   * @param seenBefore whether it was ever seen running here
+   * @param since when it was last seen, or first checked, in nanoseconds
+   * @param namedAt when the latest report that named an attempt of it was read; empty if none did
    */
   public record Absence(WorkflowTask task, boolean seenBefore, long since, OptionalLong namedAt) {}
 
   /**
-   * A task that was away and is seen again.
+   * A task that was absent and is seen running again.
    *
    * @param task the task
-   * @param awayNanos from when it was last seen, or first looked for, to when it was seen again
+   * @param awayNanos time from when it was last seen, or first checked, until it was seen again
    */
   public record Return(WorkflowTask task, long awayNanos) {}
 
   /**
-   * What one look found.
+   * Result of one check.
    *
-   * @param lasting how many tasks were looked for
-   * @param away how many of them are away
-   * @param absences those away to be told now
-   * @param absencesLeftOut how many more would have been told now but for the bound; they come
-   *     first with the next look
-   * @param returns those back to be told now
-   * @param returnsLeftOut how many more are back
+   * @param lasting number of tasks checked
+   * @param away number of those that are absent
+   * @param absences the absences to report now
+   * @param absencesLeftOut number of further absences that are due but over the limit; they come first in the next check
+   * @param returns the recoveries to report now
+   * @param returnsLeftOut number of further recoveries
    */
   public record Look(
       int lasting,
@@ -110,75 +103,76 @@
 
   private final Map<TaskKey, Watched> watched = new HashMap<>();
 
-  /** Creates a watch that knows of no task. */
+  /** Creates a detector without tasks. */
   public AbsenceWatch() {}
 
   /**
-   * Takes what is known of all lasting tasks that should be at work, and forgets all others.
+   * Checks all long-running tasks that should run, and drops the state of all others.
    *
-   * @param now in nanoseconds; never before that of the last look
+   * @param longRunning what is known of these tasks
+   * @param now in nanoseconds; never earlier than in the previous check
    */
-  public Look look(Collection<Sight> lasting, long now) {
+  public Look look(Collection<Sight> longRunning, long now) {
     List<Due> due = new ArrayList<>();
-    List<Return> returns = new ArrayList<>();
-    Set<TaskKey> known = new HashSet<>();
+    List<Return> recoveries = new ArrayList<>();
+    Set<TaskKey> checkedKeys = new HashSet<>();
     int away = 0;
-    for (Sight sight : lasting) {
-      known.add(sight.task().key());
-      Watched each = watched.computeIfAbsent(sight.task().key(), unused -> begin(now));
-      if (sight.namedAt().isPresent()) {
-        each.namedAt = sight.namedAt();
+    for (Sight observation : longRunning) {
+      checkedKeys.add(observation.task().key());
+      Watched state = watched.computeIfAbsent(observation.task().key(), unused -> begin(now));
+      if (observation.namedAt().isPresent()) {
+        state.namedAt = observation.namedAt();
       }
-      if (sight.seenAt().isPresent()) {
-        takeSeen(sight.task(), each, sight.seenAt().getAsLong(), returns);
+      if (observation.seenAt().isPresent()) {
+        takeSeen(observation.task(), state, observation.seenAt().getAsLong(), recoveries);
       }
-      each.away |= now - each.since >= ABSENT_NANOS;
-      if (each.away) {
+      state.away |= now - state.since >= ABSENT_NANOS;
+      if (state.away) {
         away++;
-        if (each.isDue(now)) {
-          due.add(new Due(sight.task(), each));
+        if (state.isDue(now)) {
+          due.add(new Due(observation.task(), state));
         }
       }
     }
-    watched.keySet().retainAll(known);
+    watched.keySet().retainAll(checkedKeys);
     due.sort(LONGEST_UNTOLD_FIRST);
     return new Look(
-        lasting.size(),
+        longRunning.size(),
         away,
         tell(due, now),
         Math.max(0, due.size() - MOST_PER_LOOK),
-        returns.stream().limit(MOST_PER_LOOK).collect(ImmutableList.toImmutableList()),
-        Math.max(0, returns.size() - MOST_PER_LOOK));
+        recoveries.stream().limit(MOST_PER_LOOK).collect(ImmutableList.toImmutableList()),
+        Math.max(0, recoveries.size() - MOST_PER_LOOK));
   }
 
   private static Watched begin(long now) {
-    Watched begun = new Watched();
-    begun.since = now;
-    return begun;
+    Watched tracked = new Watched();
+    tracked.since = now;
+    return tracked;
   }
 
-  private static void takeSeen(WorkflowTask task, Watched each, long seenAt, List<Return> returns) {
-    boolean newer = !each.seenBefore || seenAt > each.since;
+  private static void takeSeen(WorkflowTask task, Watched state, long seenAt, List<Return> recoveries) {
+    boolean newer = !state.seenBefore || seenAt > state.since;
     if (!newer) {
       return;
     }
-    if (each.away) {
-      returns.add(new Return(task, seenAt - each.since));
-      each.away = false;
-      each.toldAt = Long.MIN_VALUE;
+    if (state.away) {
+      recoveries.add(new Return(task, seenAt - state.since));
+      state.away = false;
+      state.toldAt = Long.MIN_VALUE;
     }
-    each.seenBefore = true;
-    each.since = seenAt;
+    state.seenBefore = true;
+    state.since = seenAt;
   }
 
   private static ImmutableList<Absence> tell(List<Due> due, long now) {
-    ImmutableList.Builder<Absence> told = ImmutableList.builder();
-    for (Due each : due.subList(0, Math.min(MOST_PER_LOOK, due.size()))) {
-      each.watched.toldAt = now;
-      told.add(
+    ImmutableList.Builder<Absence> reported = ImmutableList.builder();
+    for (Due next : due.subList(0, Math.min(MOST_PER_LOOK, due.size()))) {
+      next.watched.toldAt = now;
+      reported.add(
           new Absence(
-              each.task, each.watched.seenBefore, each.watched.since, each.watched.namedAt));
+              next.task, next.watched.seenBefore, next.watched.since, next.watched.namedAt));
     }
-    return told.build();
+    return reported.build();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviceTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviceTerms.java
@@ -3,13 +3,13 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * What an adviser takes to say which VMs may run a step, and for how long that holds.
+ * Timing of a placement adviser, which decides which VMs may run a step.
  *
  * <p>Immutable.
  *
- * @param decideMillis for one call, however many VMs it names
- * @param periodMillis for each VM that a call names
- * @param validMillis how long a ticket is good for
+ * @param decideMillis time per call, in milliseconds, however many VMs the call names
+ * @param periodMillis additional time per named VM, in milliseconds
+ * @param validMillis how long a ticket is valid, in milliseconds
  */
 public record AdviceTerms(long decideMillis, long periodMillis, long validMillis) {
   /** Checks the components. */
@@ -19,7 +19,7 @@
     checkArgument(validMillis >= 0, "validMillis is negative: %s", validMillis);
   }
 
-  /** Returns how long a call takes that names so many VMs, once its turn has come. */
+  /** Returns the duration of a call that names so many VMs, without queueing, in milliseconds. */
   public long callMillis(int named) {
     return decideMillis + periodMillis * named;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/FillPacer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/FillPacer.java
@@ -5,67 +5,47 @@
 import java.util.List;
 
 /**
- * Decides at which share of their speed the tasks that fill one VM may work, so that tasks with a
- * latency target beside them keep it.
+ * Throttles the best-effort tasks of one VM so that co-located service tasks meet their latency targets.
  *
- * <p>Load pattern: a task that fills disturbs the tasks that serve, by amounts that differ by image
- * and change within seconds, and the tail is measured each half second. Without pacing a service is
- * over its target for as long as the heavy tasks last; with shares that jump between all and
- * nothing what fills stands still most of the time and disturbs in between. So what suspects may
- * work on together is bounded by a number of processors. It falls by the measure of a bad reading
- * and rises by the measure of what is left below the target: near the target nothing moves, far
- * below it speed comes back within seconds. Tasks that join share what there is, so a burst of them
- * does not disturb more than the ones before. The third reading in a row over the target stops
- * everything that fills: readings come half a second to a second apart, are rough, and users feel
- * what lasts some seconds.
+ * <p>The interference of a best-effort task differs by image and changes within seconds, and tails are measured every half second. Without throttling, a service misses its target for as long as the heavy tasks last; with percentages that jump between 0 and 100, best-effort tasks are stopped most of the time and interfere in between. So the processors that interfering tasks may use together are limited by a budget. It shrinks with the severity of a reading over or near the target, and grows with the distance below it: near the target it does not change, far below it recovers within seconds. Tasks that join share the budget, so a burst interferes no more than the tasks before it. The third consecutive reading over the target stops all best-effort tasks: readings are half a second to a second apart and rough, and users notice a tail that lasts some seconds.
  *
- * <p>Tasks of images believed to be harmless ({@link ImageHarm}), as opposed to suspects, are
- * slowed only once slowing the suspects did not help, and only for tails over the target. Without
- * tasks that fill, tails swing with the load of the services themselves and say nothing.
+ * <p>Tasks of images believed to be benign ({@link ImageHarm}) are throttled only after throttling the interfering ones did not help, and only for tails over the target. Without best-effort tasks, tails vary with the load of the services themselves and are ignored.
  *
  * <p>Confined to one thread.
  */
 public final class FillPacer {
-  /** A tail over this share of its target, in percent, slows suspects down a little. */
+  /** A tail over this percentage of its target shrinks the budget of interfering tasks a little. */
   static final int HIGH_PERCENT = 92;
 
-  /** A tail over this share of its target, in percent, is felt. */
+  /** A tail over this percentage of its target is noticed by users. */
   static final int OVER_PERCENT = 100;
 
-  /** A tail over this share of its target, in percent, takes most of the speed at once. */
+  /** A tail over this percentage of its target takes away most of the budget at once. */
   static final int SEVERE_PERCENT = 150;
 
-  /** A tail under this share of its target, in percent, lets suspects speed up. */
+  /** A tail under this percentage of its target lets the budget grow. */
   static final int LOW_PERCENT = 80;
 
-  /**
-   * The most by which the processors of suspects rise with a reading, as a part of the VM's, for a
-   * tail of nothing. Half way down from {@link #LOW_PERCENT} it is a quarter of that: tails answer
-   * to what disturbs them late and then steeply.
-   */
+  /** Largest growth of the budget per reading, as a fraction of the VM's processors, for a tail of zero. Half way down from {@link #LOW_PERCENT} the growth is a quarter of that, because tails respond to interference late and then steeply. */
   private static final double MOST_RISE_PART = 0.4;
 
-  /** By how much the share of what is believed to be harmless rises with a reading, in percent. */
+  /** Growth per reading of the percentage of benign tasks, in percentage points. */
   static final int HARMLESS_RISE = 25;
 
-  /**
-   * The part of a VM's processors on which suspects begin beside a service: so much that tails tell
-   * within two seconds whether their image disturbs, and so little that most services bear it until
-   * then.
-   */
+  /** Initial budget as a fraction of the VM's processors: large enough that tails show within two seconds whether an image interferes, and small enough that most services tolerate it until then. */
   private static final double FIRST_PART = 0.125;
 
-  /** Speeds under this, in percent, are taken as none. */
+  /** Percentages below this are rounded down to zero. */
   static final int LEAST = 4;
 
-  /** The least time between two decisions, in nanoseconds: readings are over half a second. */
+  /** Minimum time between two decisions, in nanoseconds: readings cover half a second. */
   static final long PERIOD_NANOS = 350_000_000L;
 
   /**
-   * The tail of one task.
+   * Tail latency of one service task.
    *
-   * @param tailMillis as measured over the last half second
-   * @param targetMillis what its users are promised
+   * @param tailMillis as measured over the last half second, in milliseconds
+   * @param targetMillis the latency target, in milliseconds
    */
   public record Reading(long tailMillis, long targetMillis) {
     double share() {
@@ -74,11 +54,11 @@
   }
 
   /**
-   * What fills a VM, in thousandths of a processor.
+   * Declared processors of the best-effort tasks of a VM, in thousandths.
    *
-   * @param suspectMilli what tasks of images that may disturb declared
-   * @param harmlessMilli what tasks of images that are believed to be harmless declared
-   * @param capacityMilli all that the VM has
+   * @param suspectMilli those of tasks of interfering images
+   * @param harmlessMilli those of tasks of images believed to be benign
+   * @param capacityMilli all processors of the VM
    */
   public record Filling(long suspectMilli, long harmlessMilli, long capacityMilli) {
     /** Checks the components. */
@@ -93,7 +73,7 @@
     }
   }
 
-  /** What suspects may work on together, in thousandths of a processor. */
+  /** Processors that interfering tasks may use together, in thousandths. */
   private double allowedMilli;
 
   private int percent = 100;
@@ -101,27 +81,28 @@
   private int overInRow;
   private long lastReading = Long.MIN_VALUE;
 
-  /** Returns the share of its speed at which a suspect may work now, 0 to 100. */
+  /** Returns the throttle percentage of interfering tasks, 0 to 100. */
   public int percent() {
     return percent;
   }
 
-  /** Returns the same for a task of an image that is believed to be harmless. */
+  /** Returns the throttle percentage of benign tasks, 0 to 100. */
   public int harmlessPercent() {
     return harmlessPercent;
   }
 
   /**
-   * Takes the newest readings of all tasks with a target; none if no such task runs.
+   * Records the latest readings.
    *
-   * @param filling what is beside them
+   * @param readings those of all tasks with a latency target; empty if none runs
+   * @param load the best-effort tasks co-located with them
    * @param now monotonic nanoseconds
-   * @return the new share of suspects
+   * @return the new throttle percentage of interfering tasks
    */
-  public int observe(List<Reading> readings, Filling filling, long now) {
-    boolean nothingFills = filling.suspectMilli() == 0 && filling.harmlessMilli() == 0;
-    if (readings.isEmpty() || nothingFills) {
-      allowedMilli = filling.firstMilli();
+  public int observe(List<Reading> readings, Filling load, long now) {
+    boolean noBestEffort = load.suspectMilli() == 0 && load.harmlessMilli() == 0;
+    if (readings.isEmpty() || noBestEffort) {
+      allowedMilli = load.firstMilli();
       percent = 100;
       harmlessPercent = 100;
       overInRow = 0;
@@ -129,49 +110,49 @@
     }
     boolean first = lastReading == Long.MIN_VALUE;
     if (first) {
-      allowedMilli = filling.firstMilli();
+      allowedMilli = load.firstMilli();
     }
     if (first || now - lastReading >= PERIOD_NANOS) {
       lastReading = now;
-      take(worstPercent(readings), filling);
+      take(worstPercent(readings), load);
     }
-    percent = share(filling);
+    percent = budgetPercent(load);
     return percent;
   }
 
-  private void take(double worst, Filling filling) {
-    overInRow = worst > OVER_PERCENT ? overInRow + 1 : 0;
-    if (worst > HIGH_PERCENT) {
-      slowDown(worst, filling);
+  private void take(double worstTail, Filling load) {
+    overInRow = worstTail > OVER_PERCENT ? overInRow + 1 : 0;
+    if (worstTail > HIGH_PERCENT) {
+      throttle(worstTail, load);
     } else {
-      speedUp(worst, filling);
+      restore(worstTail, load);
     }
-    if (filling.suspectMilli() == 0) {
-      allowedMilli = filling.firstMilli();
+    if (load.suspectMilli() == 0) {
+      allowedMilli = load.firstMilli();
     }
   }
 
-  private int share(Filling filling) {
-    if (filling.suspectMilli() == 0) {
+  private int budgetPercent(Filling load) {
+    if (load.suspectMilli() == 0) {
       return 100;
     }
-    double share = 100 * allowedMilli / filling.suspectMilli();
-    return share < LEAST ? 0 : (int) Math.min(100, share);
+    double budget = 100 * allowedMilli / load.suspectMilli();
+    return budget < LEAST ? 0 : (int) Math.min(100, budget);
   }
 
-  /** Returns the worst tail as a share of its target, in percent. */
+  /** Returns the worst tail as a percentage of its target; 0 without readings. */
   public static double worstPercent(List<Reading> readings) {
     return readings.stream().mapToDouble(Reading::share).max().orElse(0);
   }
 
-  private void slowDown(double worst, Filling filling) {
-    double working = Math.min(allowedMilli, filling.suspectMilli());
-    if (worst > SEVERE_PERCENT) {
-      allowedMilli = working / 4;
-    } else if (worst > OVER_PERCENT) {
-      allowedMilli = working / 2;
+  private void throttle(double worstTail, Filling load) {
+    double usedMilli = Math.min(allowedMilli, load.suspectMilli());
+    if (worstTail > SEVERE_PERCENT) {
+      allowedMilli = usedMilli / 4;
+    } else if (worstTail > OVER_PERCENT) {
+      allowedMilli = usedMilli / 2;
     } else {
-      allowedMilli = working * 3 / 4;
+      allowedMilli = usedMilli * 3 / 4;
     }
     if (overInRow == 2) {
       harmlessPercent = harmlessPercent / 2 < LEAST ? 0 : harmlessPercent / 2;
@@ -181,15 +162,15 @@
     }
   }
 
-  private void speedUp(double worst, Filling filling) {
+  private void restore(double worstTail, Filling load) {
     if (harmlessPercent < 100) {
       harmlessPercent = Math.min(100, harmlessPercent + HARMLESS_RISE);
       return;
     }
-    boolean inUse = allowedMilli < filling.suspectMilli() + filling.firstMilli();
-    if (worst < LOW_PERCENT && inUse) {
-      double left = (LOW_PERCENT - worst) / LOW_PERCENT;
-      allowedMilli += MOST_RISE_PART * filling.capacityMilli() * left * left;
+    boolean budgetInUse = allowedMilli < load.suspectMilli() + load.firstMilli();
+    if (worstTail < LOW_PERCENT && budgetInUse) {
+      double headroom = (LOW_PERCENT - worstTail) / LOW_PERCENT;
+      allowedMilli += MOST_RISE_PART * load.capacityMilli() * headroom * headroom;
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
@@ -16,13 +16,9 @@
 /**
  * Chooses the VMs for all members of a gang at once, or for none.
  *
- * <p>Load pattern: tasks that work only while all of them are there, on a fleet that is nearly
- * full. Placed one by one, two gangs hold half of their places each and wait for the other half for
- * ever; nothing works, and what waits too long is given up by its worker. So a gang takes its room
- * in one turn or leaves it to others, and members that are slower apart go to one rack that holds
- * them all if there is any.
+ * <p>Guards against gangs that deadlock on a nearly full fleet, because their tasks make progress only while all of them run. Placed one by one, two gangs would each hold half of their places and wait for the other half until their workers give up. So a gang is placed in a single pass or not at all. Members that are slower on separate racks go to one rack that holds them all, if there is any.
  *
- * <p>Immutable, and safe for any thread. Takes time in members times VMs, for each rack tried.
+ * <p>Immutable, and safe for any thread. Takes time proportional to members times VMs, for each rack tried.
  */
 public final class GangChooser {
   private final VmChooser chooser;
@@ -31,60 +27,60 @@
     this.chooser = chooser;
   }
 
-  /** Returns a chooser that rates VMs for single members by the one given. */
+  /** Returns a chooser that rates VMs for single members with the given chooser. */
   public static GangChooser of(VmChooser chooser) {
     return new GangChooser(requireNonNull(chooser, "chooser"));
   }
 
   /**
-   * Returns a VM for each member, or empty if there is no room for all of them.
+   * Returns a VM for each member, or empty if not all of them fit.
    *
-   * @param wish what each member needs
-   * @param members how many there are
+   * @param request the request of each member
+   * @param members the number of members, at least 1
    * @param offers the VMs to choose from
    */
   public Optional<ImmutableList<VmOffer>> choose(
-      PlacementWish wish, int members, Collection<VmOffer> offers) {
+      PlacementWish request, int members, Collection<VmOffer> offers) {
     checkArgument(members >= 1, "members is not positive: %s", members);
-    if (wish.step().placement().sameRack()) {
+    if (request.step().placement().sameRack()) {
       for (List<VmOffer> rack : racks(offers)) {
-        Optional<ImmutableList<VmOffer>> together = fill(wish, members, rack);
-        if (together.isPresent()) {
-          return together;
+        Optional<ImmutableList<VmOffer>> onOneRack = fill(request, members, rack);
+        if (onOneRack.isPresent()) {
+          return onOneRack;
         }
       }
     }
-    return fill(wish, members, offers);
+    return fill(request, members, offers);
   }
 
-  /** The VMs of each rack, the rack with the most processors left first. */
+  /** Returns the VMs of each rack, the rack with the most remaining processors first. */
   private static List<List<VmOffer>> racks(Collection<VmOffer> offers) {
     Map<String, List<VmOffer>> byRack =
         offers.stream()
             .filter(offer -> !offer.rack().isEmpty())
             .collect(Collectors.groupingBy(VmOffer::rack));
-    Comparator<List<VmOffer>> byRoom =
+    Comparator<List<VmOffer>> byRemaining =
         Comparator.comparingLong(
             rack -> rack.stream().mapToLong(VmOffer::leftMilliProcessors).sum());
-    return byRack.values().stream().sorted(byRoom.reversed()).toList();
+    return byRack.values().stream().sorted(byRemaining.reversed()).toList();
   }
 
   private Optional<ImmutableList<VmOffer>> fill(
-      PlacementWish wish, int members, Collection<VmOffer> offers) {
-    Map<String, VmOffer> left = new LinkedHashMap<>();
-    offers.forEach(offer -> left.put(offer.place().vm(), offer));
+      PlacementWish request, int members, Collection<VmOffer> offers) {
+    Map<String, VmOffer> remaining = new LinkedHashMap<>();
+    offers.forEach(offer -> remaining.put(offer.place().vm(), offer));
     Map<String, Integer> placed = new HashMap<>();
     ImmutableList.Builder<VmOffer> chosen = ImmutableList.builder();
     for (int i = 0; i < members; i++) {
       Optional<VmOffer> best =
-          chooser.choose(wish, left.values(), offer -> placed.getOrDefault(offer.place().vm(), 0));
+          chooser.choose(request, remaining.values(), offer -> placed.getOrDefault(offer.place().vm(), 0));
       if (best.isEmpty()) {
         return Optional.empty();
       }
       String vm = best.get().place().vm();
       chosen.add(best.get());
       placed.merge(vm, 1, Integer::sum);
-      left.put(vm, best.get().after(wish.step(), wish.harm()));
+      remaining.put(vm, best.get().after(request.step(), request.harm()));
     }
     return Optional.of(chosen.build());
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageHarm.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageHarm.java
@@ -8,66 +8,61 @@
 import java.util.Map;
 
 /**
- * Which images of tasks that fill disturb tasks that serve beside them, learned from tails.
+ * Learns from tail latencies which images of best-effort tasks interfere with co-located service tasks.
  *
- * <p>Load pattern: about half of the images disturb, the others hardly do, and nobody declares
- * which. If all are taken for harmful, what services leave on their VMs stays empty; if none is,
- * services miss their targets. Each reading over a target blames what filled the VM then, by what
- * each worked and by what is believed of it already; each reading well below clears it. What VMs
- * learn is added up, since an image's tasks are on few VMs. Observations fade, because the effects
- * change.
+ * <p>About half of the images interfere, the others hardly do, and nobody declares which. If all are treated as interfering, the processors that services leave idle stay idle; if none is, services miss their latency targets. A reading over a target blames the images that ran on the VM then, in proportion to their work and to the current belief; a reading well below the target clears them. The evidence of all VMs is added up, because the tasks of an image run on few VMs. Evidence decays, because the effects change.
  *
  * <p>Confined to one thread.
  */
 public final class ImageHarm {
-  /** What is believed of an image that was never seen: a little over half are harmful. */
+  /** Belief about an image without evidence: a little over half of the images interfere. */
   public static final double UNKNOWN = 0.5;
 
-  /** Images believed to be more harmful than this are suspects, see {@link #isSuspect}. */
+  /** Images with a belief above this are treated as interfering, see {@link #isSuspect}. */
   static final double HARMLESS = 0.25;
 
-  /** Images believed to be this harmful certainly disturb. */
+  /** Images with at least this belief certainly interfere. */
   static final double HARMFUL = 0.65;
 
-  /** Observations that the first belief is worth. */
+  /** Weight of the prior belief, in observations. */
   private static final double PRIOR_WEIGHT = 1.5;
 
-  /** The most that earlier observations count, so that later ones can overturn them. */
+  /** Maximum weight of earlier observations, so that later ones can change the belief. */
   private static final double MOST_WEIGHT = 12;
 
-  /** Work that makes an observation count in full, in thousandths of a processor. */
+  /** Work at which an observation counts in full, in thousandths of a processor. */
   private static final double FULL_WORK = 1_500;
 
-  /** How much more the more suspicious of two images is blamed, as an exponent. */
+  /** Exponent of the belief in the share of blame of an image. */
   private static final double SHARPNESS = 4;
 
-  /** A tail over this share of its target, in percent, blames. */
+  /** A tail over this percentage of its target blames images. */
   static final double BLAMES_PERCENT = 100;
 
-  /** A tail under this share of its target, in percent, clears. */
+  /** A tail under this percentage of its target clears images. */
   static final double CLEARS_PERCENT = 65;
 
   /**
-   * What was seen of an image.
+   * Evidence on an image.
    *
-   * @param blame how much of the weight spoke against it
-   * @param weight how much was seen
+   * @param blame the part of the weight that indicates interference
+   * @param weight the weight of all observations
    */
   public record Seen(double blame, double weight) {
-    /** Nothing. */
+    /** No evidence. */
     public static final Seen NOTHING = new Seen(0, 0);
 
     /** Checks the components. */
     public Seen {
-      checkArgument(blame >= 0 && weight >= blame, "not a share: %s of %s", blame, weight);
+      checkArgument(blame >= 0 && weight >= blame, "blame %s is not between 0 and weight %s", blame, weight);
     }
 
-    /** Returns both together. */
+    /** Returns the sum. */
     public Seen plus(Seen other) {
       return new Seen(blame + other.blame, weight + other.weight);
     }
 
-    /** Returns this less a part of it, cut at zero: sums of doubles may fall just below. */
+    /** Returns the difference, at least zero, because sums of doubles may fall just below. */
     Seen minus(Seen part) {
       double lessWeight = Math.max(0, weight - part.weight);
       return new Seen(Math.min(Math.max(0, blame - part.blame), lessWeight), lessWeight);
@@ -85,10 +80,10 @@
   }
 
   /**
-   * What filled a VM.
+   * CPU use of the tasks of one image on a VM.
    *
-   * @param image of the tasks
-   * @param milliProcessors what they worked on together, in thousandths of a processor
+   * @param image the image of the tasks
+   * @param milliProcessors their total use, in thousandths of a processor
    */
   public record Filling(String image, double milliProcessors) {
     /** Checks the components. */
@@ -98,61 +93,61 @@
   }
 
   private final Map<String, Seen> own = new HashMap<>();
-  private Map<String, Seen> others = Map.of();
+  private Map<String, Seen> remoteEvidence = Map.of();
 
   /**
-   * Returns whether tasks of an image may disturb tasks that serve beside them.
+   * Returns whether tasks of an image may interfere with co-located service tasks.
    *
-   * @param harm how harmful it is believed to be, from 0 to 1
+   * @param interference the believed interference, from 0 to 1
    */
-  public static boolean isSuspect(double harm) {
-    return harm > HARMLESS;
+  public static boolean isSuspect(double interference) {
+    return interference > HARMLESS;
   }
 
-  /** Replaces what other VMs saw. */
-  public void others(Map<String, Seen> seen) {
-    others = Map.copyOf(seen);
+  /** Replaces the evidence of other VMs. */
+  public void others(Map<String, Seen> evidence) {
+    remoteEvidence = Map.copyOf(evidence);
   }
 
-  /** Returns what was seen here. */
+  /** Returns the evidence of this VM, as a copy. */
   public Map<String, Seen> own() {
     return Map.copyOf(own);
   }
 
-  /** Returns how harmful the image is believed to be, from 0 to 1. */
+  /** Returns the believed interference of the image, from 0 to 1. */
   public double belief(String image) {
-    Seen here = own.getOrDefault(image, Seen.NOTHING);
-    return here.plus(others.getOrDefault(image, Seen.NOTHING)).belief();
+    Seen local = own.getOrDefault(image, Seen.NOTHING);
+    return local.plus(remoteEvidence.getOrDefault(image, Seen.NOTHING)).belief();
   }
 
   /**
-   * Takes one reading of a VM.
+   * Records one reading of a VM; ignored if nothing ran, or if the tail neither blames nor clears.
    *
-   * @param fillings what worked there, one of each image
-   * @param worstPercent the worst tail as a share of its target, in percent
+   * @param loads the best-effort load of the VM, one for each image
+   * @param worstPercent the worst tail latency as a percentage of its target
    */
-  public void observe(Collection<Filling> fillings, double worstPercent) {
-    double work = fillings.stream().mapToDouble(Filling::milliProcessors).sum();
+  public void observe(Collection<Filling> loads, double worstPercent) {
+    double totalMilli = loads.stream().mapToDouble(Filling::milliProcessors).sum();
     boolean blames = worstPercent > BLAMES_PERCENT;
-    if (work <= 0 || (!blames && worstPercent >= CLEARS_PERCENT)) {
+    if (totalMilli <= 0 || (!blames && worstPercent >= CLEARS_PERCENT)) {
       return;
     }
-    double counts = Math.min(1, work / FULL_WORK);
-    Map<String, Double> suspicion = new HashMap<>();
-    fillings.forEach(each -> suspicion.put(each.image(), suspicion(each)));
-    double all = suspicion.values().stream().mapToDouble(Double::doubleValue).sum();
-    for (Filling each : fillings) {
+    double observationWeight = Math.min(1, totalMilli / FULL_WORK);
+    Map<String, Double> blameWeights = new HashMap<>();
+    loads.forEach(each -> blameWeights.put(each.image(), blameWeight(each)));
+    double totalBlameWeight = blameWeights.values().stream().mapToDouble(Double::doubleValue).sum();
+    for (Filling each : loads) {
       double weight =
           blames
-              ? counts * suspicion.get(each.image()) / all
-              : counts * Math.min(1, each.milliProcessors() / FULL_WORK);
+              ? observationWeight * blameWeights.get(each.image()) / totalBlameWeight
+              : observationWeight * Math.min(1, each.milliProcessors() / FULL_WORK);
       Seen before = own.getOrDefault(each.image(), Seen.NOTHING);
       own.put(each.image(), before.with(blames ? weight : 0, weight));
     }
   }
 
-  /** Blame goes mostly to the worst of what stands together, or the harmless would share it. */
-  private double suspicion(Filling filling) {
-    return filling.milliProcessors() * Math.pow(belief(filling.image()), SHARPNESS);
+  /** Returns the weight of an image in the distribution of blame, which goes mostly to the most interfering one; otherwise benign images would share it. */
+  private double blameWeight(Filling load) {
+    return load.milliProcessors() * Math.pow(belief(load.image()), SHARPNESS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageSums.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageSums.java
@@ -7,52 +7,51 @@
 import java.util.Map;
 
 /**
- * What all VMs of a fleet saw of images, and what all but one saw.
+ * Sums evidence on the interference of images over all VMs of a fleet, and over all VMs but one.
  *
- * <p>Each VM tells anew every second and is told what the others saw. Added up anew each time, that
- * is work in the square of the number of VMs; here a VM's word costs time in the number of images.
+ * <p>Each VM reports its evidence every second and receives that of the others. Adding all of it up for each VM would take time quadratic in the number of VMs; here an update takes time linear in the number of images.
  *
  * <p>Confined to one thread. Rejects nulls.
  */
 public final class ImageSums {
-  /** Rounding leaves no more than this, and a belief does not feel what weighs as little. */
+  /** Weights up to this are rounding errors, too small to affect a belief. */
   private static final double NOTHING_WEIGHT = 1e-6;
 
   private final Map<String, Map<String, ImageHarm.Seen>> byVm = new HashMap<>();
   private final Map<String, ImageHarm.Seen> sum = new HashMap<>();
 
-  /** Replaces what a VM saw. */
-  public void saw(String vm, Map<String, ImageHarm.Seen> seen) {
-    Map<String, ImageHarm.Seen> before = byVm.put(requireNonNull(vm, "vm"), Map.copyOf(seen));
+  /** Replaces the evidence of a VM. */
+  public void saw(String vm, Map<String, ImageHarm.Seen> evidence) {
+    Map<String, ImageHarm.Seen> before = byVm.put(requireNonNull(vm, "vm"), Map.copyOf(evidence));
     if (before != null) {
       takeOut(before, sum);
     }
-    seen.forEach(
-        (image, what) -> {
-          if (what.weight() > NOTHING_WEIGHT) {
-            sum.merge(image, what, ImageHarm.Seen::plus);
+    evidence.forEach(
+        (image, each) -> {
+          if (each.weight() > NOTHING_WEIGHT) {
+            sum.merge(image, each, ImageHarm.Seen::plus);
           }
         });
   }
 
-  /** Takes a part out of sums; what is left of an image that was seen nowhere else is dropped. */
+  /** Subtracts a part from sums and drops images whose remaining weight is negligible. */
   private static void takeOut(Map<String, ImageHarm.Seen> part, Map<String, ImageHarm.Seen> from) {
     part.forEach(
-        (image, what) ->
+        (image, each) ->
             from.computeIfPresent(
                 image,
-                (key, all) -> {
-                  ImageHarm.Seen left = all.minus(what);
-                  return left.weight() > NOTHING_WEIGHT ? left : null;
+                (key, total) -> {
+                  ImageHarm.Seen remaining = total.minus(each);
+                  return remaining.weight() > NOTHING_WEIGHT ? remaining : null;
                 }));
   }
 
-  /** Returns what all VMs saw; a view that later words change. */
+  /** Returns the evidence of all VMs, as a live view. */
   public Map<String, ImageHarm.Seen> all() {
     return Collections.unmodifiableMap(sum);
   }
 
-  /** Returns what all VMs but the one saw, as it is now. */
+  /** Returns the evidence of all VMs but the given one, as a copy. */
   public Map<String, ImageHarm.Seen> elsewhere(String vm) {
     Map<String, ImageHarm.Seen> others = new HashMap<>(sum);
     takeOut(byVm.getOrDefault(vm, Map.of()), others);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
@@ -9,14 +9,9 @@
 import java.util.OptionalLong;
 
 /**
- * Until when the worker of one VM may run what it runs: the side process's decision.
+ * Decides how long the worker of one VM may run its tasks, on behalf of the side process.
  *
- * <p>Each run belongs to the owner of a partition, and that owner moves it elsewhere once every
- * lease that it can have is over. The worker has one deadline for everything, so it follows the
- * partition with the oldest evidence among those that have runs here; what belongs to a partition
- * whose owner is silent for long is stopped, so that it does not end the others. All times are on
- * the worker's clock, in milliseconds: a side process that was suspended cannot make evidence
- * younger than it is.
+ * <p>Each run belongs to the owner of a partition, and that owner restarts it elsewhere once every lease that the run can have has expired. The worker has one deadline for all its runs, so the deadline follows the oldest evidence among the partitions that have runs here. Runs of a partition whose owner has been silent for long are stopped, so that they do not end the others. All times are on the worker's clock, in milliseconds: a side process that was suspended cannot take its evidence for newer than it is.
  *
  * <p>Confined to one thread. Rejects nulls.
  */
@@ -32,9 +27,12 @@
   }
 
   /**
-   * Takes evidence that the owner of the epoch owned the partition at the time.
+   * Records evidence that the owner of the epoch owned the partition at the given time.
    *
-   * @return whether the epoch is the highest seen; orders of lower ones are not carried out
+   * @param partition the partition
+   * @param epoch the owner's epoch
+   * @param workerClock the time, on the worker's clock in milliseconds
+   * @return whether the epoch is the highest seen; orders of lower epochs are rejected
    */
   public boolean observe(int partition, long epoch, long workerClock) {
     Evidence known = newest.get(partition);
@@ -46,15 +44,15 @@
     return true;
   }
 
-  /** Returns whether no owner of the partition was ever heard. */
+  /** Returns whether no evidence of an owner of the partition was ever received. */
   public boolean isUnknown(int partition) {
     return !newest.containsKey(partition);
   }
 
   /**
-   * Returns until when the worker may run on, or empty if a partition has no evidence at all.
+   * Returns until when the worker may run, or empty if there is no partition or one has no evidence.
    *
-   * @param partitions those that have runs here
+   * @param partitions the partitions that have runs here
    */
   public OptionalLong deadline(Collection<Integer> partitions) {
     long oldest = Long.MAX_VALUE;
@@ -71,10 +69,9 @@
   }
 
   /**
-   * Returns whether a run of the partition may start under the deadline that the worker has.
+   * Returns whether a run of the partition may start under the worker's current deadline.
    *
-   * <p>Deadlines never shorten: a run that starts under one that reaches beyond what its owner
-   * waits for could still be at work after the owner ordered it elsewhere.
+   * <p>Deadlines never shorten: a run that starts under a deadline beyond its owner's takeover could still run after the owner has restarted it elsewhere.
    */
   public boolean mayStart(int partition, long workerDeadline, long workerClock) {
     Evidence evidence = newest.get(partition);
@@ -83,7 +80,7 @@
         && evidence.workerClock() + terms.leaseMillis() - terms.stopAheadMillis() > workerClock;
   }
 
-  /** Returns the partitions, of the given ones, whose runs must be stopped now. */
+  /** Returns those of the given partitions whose runs must be stopped now. */
   public List<Integer> overdue(Collection<Integer> partitions, long workerClock) {
     return partitions.stream()
         .filter(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
@@ -1,69 +1,65 @@
 package io.marigoldsail.workflow;
 
 /**
- * How much more than what is left of a VM's processors tasks that fill may declare there.
+ * Estimates how many processors best-effort tasks may declare on a VM beyond those that are not booked.
  *
- * <p>Load pattern: services book processors for their peaks, and in a burst of heavy workflows what
- * they book and leave idle is most of the room there is. Tasks that fill get what is idle, whoever
- * booked it. While those on the VM get the processors they ask for, a part of what is booked counts
- * as idle; while they do not, less of it does, and more would only make all of them late. The same
- * while a service misses its target: many tasks that hardly disturb do so together.
+ * <p>Services book processors for their peak load, and in a burst of heavy workflows most of the available capacity is what they have booked and leave idle. While the best-effort tasks of the VM get the processors that they request, a growing part of the booked processors counts as idle. While they do not, less counts as idle, because more tasks would only make all of them late. The same holds while a service misses its target, because many tasks that hardly interfere one by one do so together.
  *
  * <p>Confined to one thread.
  */
 public final class Overcommit {
-  /** What may be declared beyond what is left even where nothing is idle: few work all the time. */
+  /** Processors that may be declared beyond the unbooked ones even if nothing is idle, because few tasks work all the time; in thousandths. */
   static final long BASE_MILLI = 6_000;
 
-  /** The most of what is booked that counts as idle, in percent. */
+  /** Largest part of the booked processors that counts as idle, in percent. */
   static final int MOST_PERCENT = 50;
 
-  /** The part of what is booked that counts as idle where nothing is known yet, in percent. */
+  /** Part of the booked processors that counts as idle before the first reading, in percent. */
   private static final int FIRST_PERCENT = 25;
 
-  /** A tail over this share of its target, in percent, forbids more of what fills. */
+  /** A tail over this percentage of its target halves the part that counts as idle. */
   private static final double OVER_PERCENT = 100;
 
-  /** A tail under this share of its target, in percent, allows more of what fills. */
+  /** The part that counts as idle grows only with tails under this percentage of their target. */
   private static final double LOW_PERCENT = 80;
 
-  /** Tasks that get less than this of the processors they ask for, in percent, lack some. */
+  /** Tasks that get less than this percentage of the requested processors lack some. */
   private static final int LACKING_PERCENT = 55;
 
-  /** Tasks that get more than this, in percent, lack none; sizes are declared roughly. */
+  /** Tasks that get at least this percentage lack none; sizes are declared roughly. */
   private static final int SATED_PERCENT = 70;
 
-  /** By how much the part that counts as idle grows with a reading, in percent. */
+  /** Growth per reading of the part that counts as idle, in percent of the booked processors. */
   private static final int RISE_PERCENT = 5;
 
-  /** Tasks that ask for less together, in thousandths of a processor, tell nothing. */
+  /** Readings with fewer requested processors are ignored, in thousandths of a processor. */
   private static final double LEAST_ASKED_MILLI = 2_000;
 
   private int idlePercent = FIRST_PERCENT;
 
   /**
-   * Takes a reading of the tasks that fill and of the services beside them.
+   * Records a reading of the best-effort tasks and of the services co-located with them.
    *
-   * @param askedMilli what the tasks declared, at the speeds that they were given
-   * @param usedMilli what they worked on
-   * @param worstTailPercent the worst tail as a share of its target, in percent; 0 without services
+   * @param requestedMilli requested processors: those declared, times the throttle percentage in force, in thousandths
+   * @param usedMilli processors in use, in thousandths
+   * @param worstTailPercent the worst tail as a percentage of its target; 0 without services
    */
-  public void observe(double askedMilli, double usedMilli, double worstTailPercent) {
-    if (askedMilli < LEAST_ASKED_MILLI) {
+  public void observe(double requestedMilli, double usedMilli, double worstTailPercent) {
+    if (requestedMilli < LEAST_ASKED_MILLI) {
       return;
     }
-    double attained = 100 * usedMilli / askedMilli;
-    if (attained < LACKING_PERCENT || worstTailPercent > OVER_PERCENT) {
+    double attainedPercent = 100 * usedMilli / requestedMilli;
+    if (attainedPercent < LACKING_PERCENT || worstTailPercent > OVER_PERCENT) {
       idlePercent /= 2;
-    } else if (attained >= SATED_PERCENT && worstTailPercent < LOW_PERCENT) {
+    } else if (attainedPercent >= SATED_PERCENT && worstTailPercent < LOW_PERCENT) {
       idlePercent = Math.min(MOST_PERCENT, idlePercent + RISE_PERCENT);
     }
   }
 
   /**
-   * Returns what tasks that fill may declare beyond what is left, in thousandths of a processor.
+   * Returns the processors that best-effort tasks may declare beyond the unbooked ones, in thousandths.
    *
-   * @param bookedMilli what others have booked
+   * @param bookedMilli booked processors, in thousandths
    */
   public long milliProcessors(long bookedMilli) {
     return BASE_MILLI + bookedMilli * idlePercent / 100;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Place.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Place.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Where a run is: one life of a worker on a VM.
+ * Where a run is: one incarnation of a worker on a VM.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param vm the VM's name
- * @param worker names the worker's life; another one after each crash
+ * @param worker identifies the incarnation; changes with each crash of the worker
  */
 public record Place(String vm, String worker) {
   /** Checks the components. */
   public Place {
-    checkArgument(!vm.isEmpty(), "a place has no VM");
-    checkArgument(!worker.isEmpty(), "a place has no worker");
+    checkArgument(!vm.isEmpty(), "vm is empty");
+    checkArgument(!worker.isEmpty(), "worker is empty");
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/PlacementWish.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/PlacementWish.java
@@ -3,16 +3,15 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What a waiting task needs of a VM.
+ * Placement request of a waiting task.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param spec the workflow
  * @param step the task's step
- * @param harm how harmful the step's image is believed to be, see {@link ImageHarm}
- * @param urgency how much a place matters
- * @param siblingRack the rack where tasks of the step are at work, if they are to stand on one rack
- *     together; else empty
+ * @param harm the believed interference of the step's image, from 0 to 1, see {@link ImageHarm}
+ * @param urgency the urgency of the placement
+ * @param siblingRack the rack on which tasks of the step run already, if they are to share a rack; else empty
  */
 public record PlacementWish(
     WorkflowSpec spec, StepSpec step, double harm, Urgency urgency, String siblingRack) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * What an owner answers to a question about a workflow.
+ * An owner's answer to a query about a workflow.
  *
- * <p>Numbers are sent between processes and never change.
+ * <p>The numbers are sent between processes and never change.
  */
 public enum QueryResult {
   /** Accepted; no task has run. */
@@ -14,13 +14,13 @@
   RUNNING(2, WorkflowStatus.RUNNING),
   /** All tasks are done. */
   DONE(3, WorkflowStatus.DONE),
-  /** Given up after too many failures. */
+  /** A task failed as often as the queue allows. */
   FAILED(4, WorkflowStatus.FAILED),
   /** Cancelled. */
   CANCELLED(5, WorkflowStatus.CANCELLED),
   /** No such workflow was ever accepted, or it ended long ago. */
   UNKNOWN_WORKFLOW(6, null),
-  /** The one who was asked does not own the workflow, or cannot tell now. */
+  /** The queried process does not own the workflow, or does not know its status now. */
   CANNOT_TELL(7, null);
 
   private final int number;
@@ -36,17 +36,17 @@
     return number;
   }
 
-  /** Returns the status that was told, or empty if none was. */
+  /** Returns the reported status, or empty if there is none. */
   public Optional<WorkflowStatus> status() {
     return Optional.ofNullable(status);
   }
 
-  /** Returns the result that tells the status. */
+  /** Returns the result that reports the status. */
   public static QueryResult of(WorkflowStatus status) {
     return forNumber(status.number());
   }
 
-  /** Returns the result of a number; {@link #CANNOT_TELL} for one of a newer version. */
+  /** Returns the result with the number; {@link #CANNOT_TELL} for an unknown number, which a newer version may send. */
   public static QueryResult forNumber(int number) {
     for (QueryResult result : values()) {
       if (result.number == number) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Queue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Queue.java
@@ -4,21 +4,21 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * A queue that callers hand workflows in to.
+ * A queue to which callers submit workflows.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name unique in a configuration
- * @param host the host name by which callers address it; empty for any
- * @param prefix the start of the paths by which callers address it
- * @param terms for the workflows handed in
- * @param timeoutMillis how long a call may take
+ * @param host the host name of its calls; empty for any
+ * @param prefix the prefix of the paths of its calls
+ * @param terms the policy for its workflows
+ * @param timeoutMillis timeout of a call, in milliseconds
  */
 public record Queue(
     String name, String host, String prefix, WorkflowSpec.Terms terms, long timeoutMillis) {
   /** Checks the components. */
   public Queue {
-    checkArgument(!name.isEmpty(), "a queue has no name");
+    checkArgument(!name.isEmpty(), "name is empty");
     requireNonNull(host, "host");
     checkArgument(prefix.startsWith("/"), "prefix does not begin with a slash: %s", prefix);
     requireNonNull(terms, "terms");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
@@ -11,8 +11,8 @@
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param version rises with every change
- * @param queues each with a name of its own
+ * @param version increases with every change
+ * @param queues the queues, with unique names
  */
 public record QueueTable(long version, ImmutableList<Queue> queues) {
   /** Checks the components. */
@@ -20,19 +20,19 @@
     requireNonNull(queues, "queues");
   }
 
-  /** Returns the queue with the longest prefix that the path begins with, or empty. */
+  /** Returns the queue with the longest prefix that matches the host and path, or empty if none does. */
   public Optional<Queue> find(String host, String path) {
     return queues.stream()
         .filter(queue -> queue.serves(host, path))
         .max(Comparator.comparingInt(queue -> queue.prefix().length()));
   }
 
-  /** Returns the queue of that name, or empty if this version has none. */
+  /** Returns the queue with the name, or empty if this version has none. */
   public Optional<Queue> named(String name) {
     return queues.stream().filter(queue -> queue.name().equals(name)).findFirst();
   }
 
-  /** Returns whether any queue sends tasks to the service. */
+  /** Returns whether the tasks of any queue run on the service. */
   public boolean uses(String service) {
     return queues.stream().anyMatch(queue -> queue.terms().service().equals(service));
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RoomLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RoomLedger.java
@@ -7,26 +7,19 @@
 import java.util.Map;
 
 /**
- * What is booked on one VM: the last word on whether a run may start there.
+ * Accounts for the resources of one VM and makes the final decision whether a run may start there.
  *
- * <p>Load pattern: several owners place on the same VM at the same time, each by what it heard
- * last. All their orders pass through here, so a race costs one of them a refusal and never
- * overbooks the VM. A run is booked from before its order to the worker until the worker has listed
- * its end or is gone: a start without an answer may be carried out later, and what is being stopped
- * still works. Tasks that fill book no processors, so what they declare is added up here and held
- * to the bound of {@link Overcommit}: without it three owners that saw the same empty VM put 24
- * such tasks of 43 processors on one of 24.
+ * <p>Guards against overbooking by several owners that place on the same VM at once, each based on its last report. All their start orders pass through this ledger, so a race costs one of them a refusal. A run is booked from before its order goes to the worker until the worker has listed its end or is gone: a start without an answer may still be carried out, and a run that is being stopped still uses its resources. Best-effort tasks book no processors, so the processors that they declare are summed up here and limited by {@link Overcommit}. Without that limit, three owners that saw the same empty VM of 24 processors placed 24 best-effort tasks on it that declared 43 processors.
  *
  * <p>Confined to one thread. Rejects nulls.
  */
 public final class RoomLedger {
   /**
-   * What a run takes.
+   * Resource claim of a run.
    *
-   * @param sizes what it declares
-   * @param fills whether it takes only the processors that others leave
-   * @param urgency how much the place matters; one that starves is not held to the bound of what
-   *     fills
+   * @param sizes the declared resources
+   * @param fills whether the run is best-effort: it uses only processors that others leave idle
+   * @param urgency the urgency of the run; the limit on best-effort runs does not apply to {@link Urgency#STARVED}
    */
   public record Claim(Sizes sizes, boolean fills, Urgency urgency) {
     /** Checks the components. */
@@ -35,7 +28,7 @@
       requireNonNull(urgency, "urgency");
     }
 
-    /** Returns what is booked for it: no processors if it fills. */
+    /** Returns the resources to book; a best-effort run books no processors. */
     public Sizes booked() {
       return fills ? sizes.withoutProcessors() : sizes;
     }
@@ -51,22 +44,22 @@
   private Sizes total = Sizes.NONE;
   private long fillMilliProcessors;
 
-  /** Returns a ledger in which nothing is booked. */
+  /** Creates a ledger without bookings. */
   public RoomLedger(Overcommit overcommit) {
     this.overcommit = requireNonNull(overcommit, "overcommit");
   }
 
-  /** Sets what the VM has. */
+  /** Sets the capacity of the VM. */
   public void capacity(Sizes newCapacity) {
     capacity = requireNonNull(newCapacity, "newCapacity");
   }
 
-  /** Returns what the VM has. */
+  /** Returns the capacity of the VM. */
   public Sizes capacity() {
     return capacity;
   }
 
-  /** Books room for the run if there is; returns whether the run is booked now. */
+  /** Books the run if its resources are free; returns whether it is booked now, also if it was before. */
   public boolean tryBook(RunKey run, Claim claim) {
     if (claims.containsKey(run)) {
       return true;
@@ -79,12 +72,12 @@
   }
 
   private boolean hasProcessorsToFill(Claim claim) {
-    long left = free().milliProcessors() - fillMilliProcessors;
-    boolean bound = claim.fills() && claim.urgency() != Urgency.STARVED;
-    return !bound || left + overcommitMilliProcessors() >= claim.sizes().milliProcessors();
+    long remaining = free().milliProcessors() - fillMilliProcessors;
+    boolean limited = claim.fills() && claim.urgency() != Urgency.STARVED;
+    return !limited || remaining + overcommitMilliProcessors() >= claim.sizes().milliProcessors();
   }
 
-  /** Books room for a run that is there already, whether or not there is room. */
+  /** Books a run that exists already, even beyond the capacity; replaces its earlier booking. */
   public void book(RunKey run, Claim claim) {
     requireNonNull(run, "run");
     requireNonNull(claim, "claim");
@@ -94,7 +87,7 @@
     fillMilliProcessors += claim.fillMilliProcessors();
   }
 
-  /** Frees what the run had. */
+  /** Releases the booking of the run, if there is one. */
   public void release(RunKey run) {
     Claim claim = claims.remove(run);
     if (claim != null) {
@@ -103,17 +96,17 @@
     }
   }
 
-  /** Returns what the runs that fill declared, in thousandths of a processor. */
+  /** Returns the processors that booked best-effort runs declare, in thousandths of a processor. */
   public long fillMilliProcessors() {
     return fillMilliProcessors;
   }
 
-  /** Returns what such runs may declare beyond what is left, in thousandths of a processor. */
+  /** Returns the processors that best-effort runs may declare beyond the unbooked ones, in thousandths of a processor. */
   public long overcommitMilliProcessors() {
     return overcommit.milliProcessors(total.milliProcessors());
   }
 
-  /** Returns what is not booked. */
+  /** Returns the resources that are not booked. */
   public Sizes free() {
     return capacity.minus(total);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunKey.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunKey.java
@@ -4,7 +4,7 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Names one run of a task; a task's attempts are numbered from 1 and never used twice.
+ * Identifies one run of a task. The attempts of a task are numbered from 1; no number is reused.
  *
  * <p>Immutable. Rejects nulls.
  *
@@ -18,7 +18,7 @@
     checkArgument(attempt >= 1, "attempt is not positive: %s", attempt);
   }
 
-  /** Returns the text form, such as {@code 5c0e7a21d94b36f8.0.1.17#2}; for logs. */
+  /** Returns the text form, such as {@code 5c0e7a21d94b36f8.0.1.17#2}, used in logs. */
   @Override
   public String toString() {
     return task + "#" + attempt;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
@@ -3,16 +3,16 @@
 /**
  * How a run ended.
  *
- * <p>Numbers are written to durable records and never change.
+ * <p>The numbers are written to durable records and never change.
  */
 public enum RunOutcome {
-  /** It did its work. */
+  /** It completed. */
   DONE(1),
-  /** It failed, by its own fault or the worker's. */
+  /** It failed, through its own fault or the worker's. */
   FAILED(2),
-  /** It was told to stop. */
+  /** It was stopped on request. */
   STOPPED(3),
-  /** Its lease ran out. */
+  /** Its lease expired. */
   LAPSED(4),
   /** Another member of its gang ended. */
   BROKEN(5),
@@ -20,9 +20,9 @@
   ALONE(6),
   /** It never ran and never will: the worker or the side process refused it. */
   REFUSED(7),
-  /** The worker that it ran on is gone, or every lease it could have is over. */
+  /** Its worker is gone, or every lease that it can have has expired. */
   LOST(8),
-  /** The worker knows that the attempt is over, and not how it ended. */
+  /** The worker knows that the attempt is over, but no longer its outcome. */
   FORGOTTEN(9);
 
   private final int number;
@@ -36,22 +36,22 @@
     return number;
   }
 
-  /** Returns whether the task is done for good, unless it is one that lasts. */
+  /** Returns whether the task is complete, unless it is long-running. */
   public boolean completes() {
     return this == DONE;
   }
 
-  /** Returns whether this uses up one of the allowed failures. */
+  /** Returns whether this counts towards the allowed failures. */
   public boolean countsAsFailure() {
     return this == FAILED;
   }
 
-  /** Returns whether the task may have worked. */
+  /** Returns whether the task may have run. */
   public boolean ran() {
     return this != REFUSED;
   }
 
-  /** Returns the outcome of a number; {@link #FORGOTTEN} for one of a newer version. */
+  /** Returns the outcome with the number; {@link #FORGOTTEN} for an unknown number, which a newer version may write. */
   public static RunOutcome forNumber(int number) {
     for (RunOutcome outcome : values()) {
       if (outcome.number == number) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
@@ -12,19 +12,14 @@
 import java.util.Set;
 
 /**
- * What a placement adviser has said of one step of one occurrence.
+ * Caches the advice of a placement adviser on one step of one occurrence.
  *
- * <p>Load pattern: many steps wait for advice at once, and the adviser takes calls one at a time,
- * each the longer the more VMs it names. Asked about the whole fleet for each step it is the
- * bottleneck; asked about one VM, most calls are in vain. So a call names the best candidates, as
- * many as callers expect it to, and further ones only once all that were named are refused or full.
- * The answer for a VM does not change: who was refused is not named again, and who was allowed only
- * when the ticket runs out.
+ * <p>Many steps wait for advice at once, and the adviser serves one call at a time, each taking longer the more VMs it names. Calls that name the whole fleet make the adviser the bottleneck; calls that name one VM are mostly in vain. So a call names the best candidates, as many as callers allow time for, and further ones only once all of those are refused or full. The answer for a VM does not change: a refused worker is not named again, and an allowed one only once its ticket has expired.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 public final class StepAdvice {
-  /** The most VMs in one call: what the time that callers allow for a step is reckoned with. */
+  /** Maximum number of VMs in one call; the time that callers allow for a step is based on it. */
   public static final int MOST_NAMED = 30;
 
   private record Ticket(String text, long validUntil) {}
@@ -33,11 +28,11 @@
   private final Set<String> refused = new HashSet<>();
 
   /**
-   * Takes an answer.
+   * Records an answer.
    *
-   * @param named the lives of workers that the call named
-   * @param allowed those that may run the step, with their tickets
-   * @param validUntil when these tickets run out
+   * @param named the worker incarnations that the call named
+   * @param allowed the tickets of those that may run the step
+   * @param validUntil when these tickets expire
    */
   public void answered(Collection<String> named, Map<String, String> allowed, long validUntil) {
     for (String worker : named) {
@@ -50,7 +45,7 @@
     }
   }
 
-  /** Returns the ticket for a worker, or empty if there is none that is valid. */
+  /** Returns the valid ticket of a worker, or empty if there is none. */
   public Optional<String> ticket(String worker, long now) {
     return Optional.ofNullable(tickets.get(requireNonNull(worker, "worker")))
         .filter(ticket -> now < ticket.validUntil())
@@ -65,16 +60,18 @@
   }
 
   /**
-   * Returns the workers that the next call is to name; none if all are refused or have tickets.
+   * Returns the workers that the next call is to name; empty if all are refused or have tickets.
    *
    * @param candidates VMs that could run a task of the step, the best first
+   * @param limit maximum number of workers, at least 1
+   * @param now monotonic nanoseconds
    */
-  public ImmutableList<String> toName(Collection<VmOffer> candidates, int most, long now) {
-    checkArgument(most >= 1, "most is not positive: %s", most);
+  public ImmutableList<String> toName(Collection<VmOffer> candidates, int limit, long now) {
+    checkArgument(limit >= 1, "limit is not positive: %s", limit);
     return candidates.stream()
         .map(offer -> offer.place().worker())
         .filter(worker -> !refused.contains(worker) && ticket(worker, now).isEmpty())
-        .limit(most)
+        .limit(limit)
         .collect(ImmutableList.toImmutableList());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
@@ -7,13 +7,13 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * One step of a workflow: equal tasks that may run side by side once the steps before are done.
+ * One step of a workflow: identical tasks that may run in parallel once the steps before are done.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param tasks how many tasks
- * @param sizes what each needs
- * @param estimateMillis roughly how long one takes, as declared; often far off
+ * @param tasks the number of tasks
+ * @param sizes the resources that each task needs
+ * @param estimateMillis the declared run time of a task, in milliseconds; often far off
  * @param dependsOn positions of earlier steps whose tasks must all be done first
  * @param placement where the tasks may run
  * @param nature how the tasks behave
@@ -32,7 +32,7 @@
    * @param requiredLabel a label that the VM must have; empty for any VM
    * @param preferredRack the rack near the step's data; empty for none
    * @param sameRack whether the tasks are slower when spread over racks
-   * @param maxPerVm how many tasks of one occurrence may share a VM; 0 for any number
+   * @param maxPerVm maximum number of tasks of one occurrence on a VM; 0 for no limit
    */
   public record Placement(
       String requiredLabel, String preferredRack, boolean sameRack, int maxPerVm) {
@@ -50,14 +50,14 @@
   /**
    * How the tasks of a step behave.
    *
-   * @param gang whether they work only while all of one attempt are there
-   * @param checkpointable whether they save their progress
+   * @param gang whether they make progress only while all tasks of an attempt run
+   * @param checkpointable whether they write checkpoints
    * @param speculative whether copies of one task may run at the same time
    * @param lasting whether they run until the workflow is cancelled
-   * @param fills whether they take only the processors that other tasks leave
-   * @param image what they run; empty if not told
-   * @param latencyTargetMillis the tail latency that their own users are promised; 0 for none
-   * @param allowedUnavailable how many may be away at the same time by decisions of this system
+   * @param fills whether they are best-effort: they use only processors that other tasks leave idle
+   * @param image the image that they run; empty if unknown
+   * @param latencyTargetMillis the tail latency promised to their own users, in milliseconds; 0 for none
+   * @param allowedUnavailable how many may be unavailable at the same time by decisions of this system
    */
   public record Nature(
       boolean gang,
@@ -68,17 +68,17 @@
       String image,
       long latencyTargetMillis,
       int allowedUnavailable) {
-    /** Plain tasks that end. */
+    /** Tasks that end by themselves, without special behaviour. */
     public static final Nature PLAIN = new Nature(false, false, false, false, false, "", 0, 0);
 
     /** Checks the components. */
     public Nature {
       requireNonNull(image, "image");
-      checkArgument(latencyTargetMillis >= 0, "target is negative: %s", latencyTargetMillis);
-      checkArgument(allowedUnavailable >= 0, "allowance is negative: %s", allowedUnavailable);
+      checkArgument(latencyTargetMillis >= 0, "latencyTargetMillis is negative: %s", latencyTargetMillis);
+      checkArgument(allowedUnavailable >= 0, "maxUnavailable is negative: %s", allowedUnavailable);
     }
 
-    /** Returns whether the tasks answer users of their own. */
+    /** Returns whether the tasks are service tasks: they have a latency target for users of their own. */
     public boolean serves() {
       return latencyTargetMillis > 0;
     }
@@ -94,7 +94,7 @@
     requireNonNull(nature, "nature");
   }
 
-  /** Returns what a VM books for a task: processors are not booked for one that fills. */
+  /** Returns the resources that a VM books for a task; a best-effort task books no processors. */
   public Sizes booked() {
     return nature.fills() ? sizes.withoutProcessors() : sizes;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/SuspectRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/SuspectRoom.java
@@ -4,39 +4,34 @@
 import java.util.List;
 
 /**
- * How much of what may disturb fits beside tasks that serve.
+ * Capacity of a VM for interfering tasks that are co-located with service tasks.
  *
- * <p>Load pattern: in a burst of heavy workflows all VMs without services are full. Tasks of images
- * that disturb several times as much as they work ({@link ImageHarm}) then went beside services, as
- * many as had declared room; there {@link FillPacer} held them all near nothing for as long as the
- * burst lasted, and they took the place of harmless ones. What a service bears of such images is
- * about an eighth of its VM: few work, at a good part of their speed, and the others wait for a VM
- * without services.
+ * <p>Guards against bursts of heavy workflows in which all VMs without services are full. Tasks of interfering images ({@link ImageHarm}) were then placed beside services up to their declared processors; there {@link FillPacer} throttled all of them to nearly zero for the whole burst, and they displaced benign tasks. A service tolerates interfering tasks of about an eighth of its VM. So a few run at a good part of their speed, and the others wait for a VM without services.
  *
  * <p>Stateless.
  */
 public final class SuspectRoom {
-  /** The part of a VM's processors that suspects may declare beside tasks that serve. */
+  /** Interfering tasks may declare the VM's processors divided by this beside service tasks. */
   private static final int PART = 8;
 
   private SuspectRoom() {}
 
   /**
-   * Returns whether one more suspect fits beside tasks that serve; the first always does.
+   * Returns whether one more interfering task fits beside service tasks; the first always does.
    *
-   * @param capacityMilli the processors of the VM, in thousandths
-   * @param declaredMilli what the suspects there declare, in thousandths of a processor
-   * @param milli what the next one declares
+   * @param capacityMilli processors of the VM, in thousandths
+   * @param declaredMilli processors declared by its interfering tasks, in thousandths
+   * @param milli processors declared by the next one, in thousandths
    */
   public static boolean admits(long capacityMilli, long declaredMilli, long milli) {
     return declaredMilli == 0 || declaredMilli + milli <= capacityMilli / PART;
   }
 
   /**
-   * Returns the positions of the suspects that are too many beside tasks that serve.
+   * Returns the positions of the interfering tasks that exceed the capacity beside service tasks.
    *
-   * @param capacityMilli the processors of the VM, in thousandths
-   * @param declaredMilli what each suspect declares, the one that came first in front
+   * @param capacityMilli processors of the VM, in thousandths
+   * @param declaredMilli processors declared by each task in thousandths, the oldest task first
    */
   public static ImmutableList<Integer> excess(long capacityMilli, List<Long> declaredMilli) {
     ImmutableList.Builder<Integer> excess = ImmutableList.builder();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskKey.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskKey.java
@@ -3,12 +3,12 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Names one task among all workflows.
+ * Identifies a task among all workflows.
  *
  * <p>Immutable.
  *
  * @param workflow the workflow's id
- * @param occurrence which of the workflow's runs by schedule, from 0; 0 where it has none
+ * @param occurrence the occurrence of the workflow, from 0; 0 without a schedule
  * @param step the step's position in the workflow, from 0
  * @param index the task's position in the step, from 0
  */
@@ -20,7 +20,7 @@
     checkArgument(index >= 0, "index is negative: %s", index);
   }
 
-  /** Returns the text form, such as {@code 5c0e7a21d94b36f8.0.1.17}; also for logs. */
+  /** Returns the text form, such as {@code 5c0e7a21d94b36f8.0.1.17}, also used in logs. */
   @Override
   public String toString() {
     return WorkflowIds.format(workflow) + "." + occurrence + "." + step + "." + index;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskRecordState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskRecordState.java
@@ -6,19 +6,19 @@
 import java.util.Optional;
 
 /**
- * What is durable of one task.
+ * Durable state of one task.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param done whether a run ended as done
- * @param lastAttempt the highest attempt that was ever ordered; 0 for none
- * @param failures how many attempts failed
+ * @param done whether a run completed
+ * @param lastAttempt the number of the last attempt; 0 for none
+ * @param failures the number of failed attempts
  * @param place where the last attempt is, while it may still run
- * @param checkpoint the newest progress saved; empty for none
+ * @param checkpoint the latest checkpoint; empty for none
  */
 public record TaskRecordState(
     boolean done, int lastAttempt, int failures, Optional<Place> place, String checkpoint) {
-  /** A task of which nothing was ever ordered. */
+  /** State of a task without attempts. */
   public static final TaskRecordState NEW = new TaskRecordState(false, 0, 0, Optional.empty(), "");
 
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Urgency.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Urgency.java
@@ -1,14 +1,14 @@
 package io.marigoldsail.workflow;
 
-/** How much a place matters to a waiting task. */
+/** Urgency of placing a waiting task. */
 public enum Urgency {
-  /** It can be in time at full speed only: better wait for it than be slowed down. */
+  /** It can be in time only at full speed, so it waits rather than run throttled. */
   HURRIED,
-  /** Any place that is not too crowded will do. */
+  /** It may run anywhere within the limits on best-effort tasks. */
   ORDINARY,
   /**
-   * Nothing of its workflow has been at work for some time: any place that holds its memory will
-   * do, also where it is slowed down and however much fills there.
+   * Nothing of its workflow has run for some time: it may run wherever its memory fits, even
+   * throttled and beyond the limits on best-effort tasks.
    */
   STARVED
 }
