--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
@@ -12,43 +12,31 @@
 /**
  * Chooses the VM for a task.
  *
- * <p>Load pattern: small tasks that callers wait for, wide steps of heavy tasks that take only what
- * others leave, and lasting tasks that serve users, all on the same VMs. A task that fills disturbs
- * one that serves beside it, and is then slowed down; two that serve do not disturb each other.
- * Spread evenly, tasks that serve stand on nearly every VM, and what fills is slowed down nearly
- * everywhere. So tasks that serve are packed on few VMs, small tasks go beside them, and tasks that
- * fill go where none serves as long as there is room; among equals the VM with the most processors
- * left wins, since a task that fills works at the share of its processors that is left.
+ * <p>The VMs are shared by small tasks that callers wait for, wide steps of heavy best-effort tasks, and long-running service tasks. A best-effort task disturbs a co-located service task and is throttled for it; service tasks do not disturb each other. Spread evenly, service tasks occupy nearly every VM, and best-effort tasks are throttled nearly everywhere. So service tasks are packed on few VMs, small tasks are co-located with them, and best-effort tasks go to VMs without services while those have capacity. Among equal VMs the one with the most remaining processors wins, because a best-effort task runs at the share of its processors that is left.
  *
  * <p>Immutable, and safe for any thread.
  */
 public final class VmChooser {
-  /**
-   * What the right company counts, in thousandths of a processor: more than any VM has, so that
-   * room decides only among VMs with the same company.
-   */
+  /** Weight of the preferred co-location, in thousandths of a processor: more than any VM has, so that remaining processors decide only among VMs with equal co-location. */
   static final long COMPANY = 1_000_000;
 
-  /**
-   * How many times what fills counts against a VM for a task that serves: moving in beside it slows
-   * it down, and the users feel it until then.
-   */
+  /** Factor by which best-effort processors count against a VM for a service task: a service that is placed beside them throttles them, and its users notice them until then. */
   static final long FILL_AGAINST_SERVING = 20;
 
-  /** Whether a VM may be given a task, or what forbids it. */
+  /** Whether a VM may be given a task, or the reason against it. */
   public enum Verdict {
-    /** It may. */
-    ADMITTED("admit it"),
-    /** It runs tasks of another service. */
+    /** The VM may be given the task. */
+    ADMITTED("admitting it"),
+    /** The VM runs tasks of another service. */
     OTHER_SERVICE("of another service"),
-    /** It lacks the label that the step requires. */
-    NO_LABEL("without its label"),
-    /** What the task books is not free. */
+    /** The VM lacks the label that the step requires. */
+    NO_LABEL("without the required label"),
+    /** The resources that the task books are not free. */
     NO_ROOM("without room"),
-    /** The task would fill, and too much does already. */
-    CROWDED("filled"),
-    /** As many tasks of the step are on it as may share a VM. */
-    ENOUGH_OF_STEP("with enough of its step");
+    /** The best-effort task would exceed the limits on such tasks. */
+    CROWDED("at the best-effort limit"),
+    /** The VM has as many tasks of the step as may share a VM. */
+    ENOUGH_OF_STEP("at the limit of the step");
 
     private final String text;
 
@@ -56,7 +44,7 @@
       this.text = text;
     }
 
-    /** Returns the words for logs. */
+    /** Returns the text for logs. */
     @Override
     public String toString() {
       return text;
@@ -72,40 +60,38 @@
   /**
    * Returns a chooser for a deployment.
    *
-   * @param farRackFactor how many times as long a task takes on another rack than its data or the
-   *     tasks that it is to stand together with
+   * @param farRackFactor how many times longer a task takes on another rack than that of its data or its sibling tasks; at least 1
    */
   public static VmChooser of(double farRackFactor) {
-    checkArgument(farRackFactor >= 1, "farRackFactor is under 1: %s", farRackFactor);
+    checkArgument(farRackFactor >= 1, "farRackFactor is less than 1: %s", farRackFactor);
     return new VmChooser(farRackFactor);
   }
 
   /**
-   * Returns the best VM that has room for the task, or empty if none has.
+   * Returns the best VM with capacity for the task, or empty if there is none.
    *
-   * <p>A suspect in a hurry waits for a VM without services if there is one at all: beside services
-   * it would be late, and all tasks that it came with did their work for nothing.
+   * <p>A hurried interfering task waits for a VM without services as long as there is one: throttled beside services it would be late, and the work of all tasks of its workflow would be wasted.
    *
-   * @param wish what the task needs
+   * @param request the request of the task
    * @param offers the VMs to choose from
-   * @param ofStepOn how many tasks of the same step and occurrence are on a VM
+   * @param ofStepOn the number of tasks of the same step and occurrence on a VM
    */
   public Optional<VmOffer> choose(
-      PlacementWish wish, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
+      PlacementWish request, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
     requireNonNull(ofStepOn, "ofStepOn");
-    boolean onlyFree =
-        wish.urgency() == Urgency.HURRIED
-            && wish.step().nature().fills()
-            && ImageHarm.isSuspect(wish.harm())
+    boolean onlyWithoutServices =
+        request.urgency() == Urgency.HURRIED
+            && request.step().nature().fills()
+            && ImageHarm.isSuspect(request.harm())
             && offers.stream().anyMatch(offer -> offer.serving() == 0);
     VmOffer best = null;
     double bestScore = Double.NEGATIVE_INFINITY;
     for (VmOffer offer : offers) {
-      boolean slow = onlyFree && offer.serving() > 0;
-      if (slow || !admits(wish, offer, ofStepOn)) {
+      boolean excluded = onlyWithoutServices && offer.serving() > 0;
+      if (excluded || !admits(request, offer, ofStepOn)) {
         continue;
       }
-      double score = score(wish, offer);
+      double score = score(request, offer);
       if (score > bestScore) {
         best = offer;
         bestScore = score;
@@ -115,25 +101,26 @@
   }
 
   /**
-   * Returns the VMs that have room for the task, the best first.
+   * Returns the VMs with capacity for the task, the best first.
    *
-   * @param most how many at most
+   * @param request the request of the task
+   * @param offers the VMs to choose from
+   * @param limit maximum number of VMs
    */
-  public ImmutableList<VmOffer> best(PlacementWish wish, Collection<VmOffer> offers, int most) {
+  public ImmutableList<VmOffer> best(PlacementWish request, Collection<VmOffer> offers, int limit) {
     return offers.stream()
-        .filter(offer -> admits(wish, offer, unused -> 0))
-        .sorted(Comparator.comparingDouble((VmOffer offer) -> score(wish, offer)).reversed())
-        .limit(most)
+        .filter(offer -> admits(request, offer, unused -> 0))
+        .sorted(Comparator.comparingDouble((VmOffer offer) -> score(request, offer)).reversed())
+        .limit(limit)
         .collect(ImmutableList.toImmutableList());
   }
 
   /**
-   * Returns whether a task that failed on a VM is to go elsewhere rather than back to it.
+   * Returns whether a task that failed on a VM should move to another VM rather than go back.
    *
-   * <p>Not if it serves and would be the first to do so on its VM: services fail by themselves now
-   * and then, and one alone on a VM takes that from all tasks that fill. A VM that fails what it
-   * runs is no choice at all for a while ({@link VmTrust}).
+   * <p>Not if it is a service task and would be the first on its new VM: services fail through their own fault now and then, and a VM with a single service is lost to best-effort tasks. A VM that fails everything it runs is excluded for a while anyway ({@link VmTrust}).
    *
+   * @param step the task's step
    * @param elsewhere the best VM on which it has not failed
    * @param anywhere the best of all VMs
    */
@@ -142,26 +129,28 @@
     if (elsewhere.isEmpty() || anywhere.isEmpty()) {
       return elsewhere.isPresent();
     }
-    boolean alone = elsewhere.get().serving() == 0 && anywhere.get().serving() > 0;
-    return !(step.nature().serves() && alone);
+    boolean leavesServices = elsewhere.get().serving() == 0 && anywhere.get().serving() > 0;
+    return !(step.nature().serves() && leavesServices);
   }
 
   private static boolean admits(
-      PlacementWish wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
-    return verdict(wish, offer, ofStepOn) == Verdict.ADMITTED;
+      PlacementWish request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+    return verdict(request, offer, ofStepOn) == Verdict.ADMITTED;
   }
 
   /**
-   * Returns whether a VM may be given the task, or the first thing that forbids it.
+   * Returns whether a VM may be given the task, or the first reason against it.
    *
-   * @param ofStepOn how many tasks of the same step and occurrence are on a VM
+   * @param request the request of the task
+   * @param offer the VM
+   * @param ofStepOn the number of tasks of the same step and occurrence on a VM
    */
   public static Verdict verdict(
-      PlacementWish wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
-    if (!offer.service().equals(wish.spec().terms().service())) {
+      PlacementWish request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+    if (!offer.service().equals(request.spec().terms().service())) {
       return Verdict.OTHER_SERVICE;
     }
-    StepSpec step = wish.step();
+    StepSpec step = request.step();
     StepSpec.Placement placement = step.placement();
     if (!placement.requiredLabel().isEmpty()
         && !offer.labels().contains(placement.requiredLabel())) {
@@ -170,19 +159,19 @@
     if (!step.booked().fitsIn(offer.free())) {
       return Verdict.NO_ROOM;
     }
-    boolean crowds = step.nature().fills() && !hasRoomToFill(step, wish.harm(), offer);
-    if (crowds && wish.urgency() != Urgency.STARVED) {
+    boolean overLimit = step.nature().fills() && !hasRoomToFill(step, request.harm(), offer);
+    if (overLimit && request.urgency() != Urgency.STARVED) {
       return Verdict.CROWDED;
     }
-    boolean spread = placement.maxPerVm() == 0 || ofStepOn.applyAsInt(offer) < placement.maxPerVm();
-    return spread ? Verdict.ADMITTED : Verdict.ENOUGH_OF_STEP;
+    boolean belowPerVmLimit = placement.maxPerVm() == 0 || ofStepOn.applyAsInt(offer) < placement.maxPerVm();
+    return belowPerVmLimit ? Verdict.ADMITTED : Verdict.ENOUGH_OF_STEP;
   }
 
-  private static boolean hasRoomToFill(StepSpec step, double harm, VmOffer offer) {
+  private static boolean hasRoomToFill(StepSpec step, double interference, VmOffer offer) {
     if (offer.leftToFillMilli() < step.sizes().milliProcessors()) {
       return false;
     }
-    if (offer.serving() == 0 || !ImageHarm.isSuspect(harm)) {
+    if (offer.serving() == 0 || !ImageHarm.isSuspect(interference)) {
       return true;
     }
     return SuspectRoom.admits(
@@ -191,31 +180,31 @@
         step.sizes().milliProcessors());
   }
 
-  private double score(PlacementWish wish, VmOffer offer) {
-    double score = companyScore(wish.step(), wish.harm(), offer);
+  private double score(PlacementWish request, VmOffer offer) {
+    double score = companyScore(request.step(), request.harm(), offer);
     double slowness = offer.slowness();
-    String dataRack = wish.step().placement().preferredRack();
+    String dataRack = request.step().placement().preferredRack();
     if (!dataRack.isEmpty() && !offer.labels().contains(dataRack)) {
       slowness *= farRackFactor;
     }
-    if (!wish.siblingRack().isEmpty() && !offer.rack().equals(wish.siblingRack())) {
+    if (!request.siblingRack().isEmpty() && !offer.rack().equals(request.siblingRack())) {
       slowness *= farRackFactor;
     }
-    // A slow VM is worth what its speed leaves of it, whichever sign the rest has.
+    // The penalty for slowness does not depend on the sign of the rest of the score.
     return score - (slowness - 1) * (COMPANY + offer.capacity().milliProcessors());
   }
 
-  private static double companyScore(StepSpec step, double harm, VmOffer offer) {
-    double left = offer.leftMilliProcessors() - step.sizes().milliProcessors();
-    boolean besideServing = offer.serving() > 0;
+  private static double companyScore(StepSpec step, double interference, VmOffer offer) {
+    double remaining = offer.leftMilliProcessors() - step.sizes().milliProcessors();
+    boolean hasServices = offer.serving() > 0;
     if (step.nature().serves()) {
-      double packed = besideServing ? COMPANY : 0;
-      return packed - FILL_AGAINST_SERVING * offer.fillMilliProcessors() - left;
+      double colocation = hasServices ? COMPANY : 0;
+      return colocation - FILL_AGAINST_SERVING * offer.fillMilliProcessors() - remaining;
     }
     if (step.nature().fills()) {
-      boolean harmless = !ImageHarm.isSuspect(harm);
-      return left + (besideServing == harmless ? COMPANY : 0);
+      boolean benign = !ImageHarm.isSuspect(interference);
+      return remaining + (hasServices == benign ? COMPANY : 0);
     }
-    return left + (besideServing && left >= 0 ? COMPANY : 0);
+    return remaining + (hasServices && remaining >= 0 ? COMPANY : 0);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
@@ -7,23 +7,21 @@
 import java.util.Collection;
 
 /**
- * A VM as one that looks for room sees it: what its side process reported, less what was ordered
- * since.
+ * Resources of a VM as seen by a scheduler: the last report of its side process, less the runs started since.
  *
- * <p>Immutable. Rejects nulls. Soft: the side process has the last word on room.
+ * <p>Immutable. Rejects nulls. The side process makes the final decision on capacity.
  *
- * @param place the VM and its worker's life
- * @param service whose tasks it runs
- * @param labels what is said of the VM, its rack among them
- * @param rack the rack that it stands in; empty if not told
- * @param capacity all that it has
- * @param free what is not booked
- * @param fillMilliProcessors what running tasks that fill declared, in thousandths of a processor
- * @param suspectMilliProcessors the part of that which suspects declared, see {@link SuspectRoom}
- * @param overcommitMilliProcessors what tasks that fill may declare beyond what is left, see {@link
- *     Overcommit}
- * @param serving how many tasks with a latency target of their own run here
- * @param slowness how many times as long as elsewhere tasks take here; 1 for as long
+ * @param place the VM and the incarnation of its worker
+ * @param service the service whose tasks it runs
+ * @param labels the labels of the VM, its rack among them
+ * @param rack the rack of the VM; empty if unknown
+ * @param capacity the total resources
+ * @param free the resources that are not booked
+ * @param fillMilliProcessors processors declared by running best-effort tasks, in thousandths
+ * @param suspectMilliProcessors the part of those declared by interfering tasks, see {@link SuspectRoom}
+ * @param overcommitMilliProcessors processors that best-effort tasks may declare beyond the unbooked ones, see {@link Overcommit}
+ * @param serving number of running service tasks
+ * @param slowness how many times longer tasks take here than on other VMs; 1 for no difference
  */
 public record VmOffer(
     Place place,
@@ -37,10 +35,7 @@
     long overcommitMilliProcessors,
     int serving,
     double slowness) {
-  /**
-   * Unbooked processors of a roomy fleet, in percent: callers expect work to get on where half is
-   * free, and what entries know of room is up to a second old.
-   */
+  /** Unbooked processors of a fleet with spare capacity, in percent: callers expect progress where half is free, and the knowledge of entries is up to a second old. */
   private static final long ROOMY_PERCENT = 40;
 
   /** Checks the components. */
@@ -54,11 +49,9 @@
   }
 
   /**
-   * Returns whether a good part of all processors is not booked, so that a workflow with nothing at
-   * work is a fault rather than the price of a burst.
+   * Returns whether the fleet has spare capacity, so that a workflow without running tasks is a fault rather than the result of a burst.
    *
-   * <p>Guards against both: held to the bounds on what fills, workflows waited for good beside free
-   * room; freed of them in a burst, each pressed in somewhere, and half as many were in time.
+   * <p>Guards against two faults. With the limits on best-effort tasks always in force, workflows waited forever although capacity was free. Without the limits in a burst, every workflow was squeezed in somewhere, and only half as many were in time.
    */
   public static boolean isRoomy(Collection<VmOffer> offers) {
     long capacity = offers.stream().mapToLong(each -> each.capacity.milliProcessors()).sum();
@@ -66,25 +59,26 @@
     return free * 100 >= capacity * ROOMY_PERCENT;
   }
 
-  /** Returns what is left of the processors once tasks that fill have what they declared. */
+  /** Returns the processors that remain after booked and best-effort tasks; may be negative. */
   long leftMilliProcessors() {
     return free.milliProcessors() - fillMilliProcessors;
   }
 
-  /** Returns what tasks that fill may still declare here, in thousandths of a processor. */
+  /** Returns the processors that best-effort tasks may still declare here, in thousandths. */
   long leftToFillMilli() {
     return leftMilliProcessors() + overcommitMilliProcessors;
   }
 
   /**
-   * Returns this offer after a task of the step was placed here.
+   * Returns this offer less a task of the step that was placed here.
    *
-   * @param harm how harmful the step's image is believed to be
+   * @param step the step
+   * @param interference the believed interference of the step's image, from 0 to 1
    */
-  public VmOffer after(StepSpec step, double harm) {
-    long fills = step.nature().fills() ? step.sizes().milliProcessors() : 0;
-    long suspect = ImageHarm.isSuspect(harm) ? fills : 0;
-    int nowServing = step.nature().serves() ? serving + 1 : serving;
+  public VmOffer after(StepSpec step, double interference) {
+    long bestEffortMilli = step.nature().fills() ? step.sizes().milliProcessors() : 0;
+    long interferingMilli = ImageHarm.isSuspect(interference) ? bestEffortMilli : 0;
+    int newServiceTasks = step.nature().serves() ? serving + 1 : serving;
     return new VmOffer(
         place,
         service,
@@ -92,10 +86,10 @@
         rack,
         capacity,
         free.minus(step.booked()),
-        fillMilliProcessors + fills,
-        suspectMilliProcessors + suspect,
+        fillMilliProcessors + bestEffortMilli,
+        suspectMilliProcessors + interferingMilli,
         overcommitMilliProcessors,
-        nowServing,
+        newServiceTasks,
         slowness);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmSpeed.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmSpeed.java
@@ -4,23 +4,20 @@
 import java.util.Map;
 
 /**
- * How fast each VM is against the others, by how far running tasks get.
+ * Estimates how many times slower than the rest of the fleet each VM runs its tasks.
  *
- * <p>Load pattern: some VMs turn several times slower for seconds. What waits for the ends of their
- * tasks learns of it late; progress shows it within a second. Declared run times are off by any
- * factor, but not by VM, so the mean of the logarithm of a VM's pace is compared with that of the
- * fleet. Samples fade within {@link #FADE_NANOS}, so that a VM that recovered is believed soon.
+ * <p>Guards against VMs that run several times slower for some seconds. The progress of running tasks shows this within a second, ends of tasks only later. Declared run times may be wrong by any factor, but the error does not depend on the VM, so the mean logarithm of measured over declared run time is compared with that of the other VMs. Samples decay within {@link #FADE_NANOS}, so that a VM that has recovered is used again soon.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 public final class VmSpeed {
-  /** How long a sample counts, in nanoseconds. */
+  /** Time constant of the exponential decay of samples, in nanoseconds. */
   static final long FADE_NANOS = 4_000_000_000L;
 
-  /** Samples that a VM needs before it is judged, in their present weight. */
+  /** Decayed weight of samples that both sides of a comparison need. */
   static final double LEAST_WEIGHT = 2;
 
-  /** A VM this many times slower than the others at least counts as slow; less is chance. */
+  /** Smallest slowdown that is reported; smaller ratios are random variation. */
   static final double SLOW = 2;
 
   private static final class Pace {
@@ -39,11 +36,12 @@
   private final Map<String, Pace> paces = new HashMap<>();
 
   /**
-   * Takes a sample.
+   * Adds a progress sample; ignored unless both durations are positive.
    *
-   * @param vm where
-   * @param workedMillis what was done, in milliseconds of declared run time
-   * @param tookMillis how long it took
+   * @param vm the VM
+   * @param workedMillis the progress, in milliseconds of declared run time
+   * @param tookMillis the time that it took, in milliseconds
+   * @param now monotonic nanoseconds
    */
   public void sample(String vm, double workedMillis, double tookMillis, long now) {
     if (workedMillis <= 0 || tookMillis <= 0) {
@@ -55,9 +53,7 @@
     pace.weight += 1;
   }
 
-  /**
-   * Returns how many times as long as elsewhere tasks take on the VM; 1 if nothing speaks for it.
-   */
+  /** Returns how many times longer tasks take on the VM than on the others; 1 if unknown or less than {@link #SLOW}. */
   public double slowness(String vm, long now) {
     Pace own = paces.get(vm);
     if (own == null) {
@@ -80,7 +76,7 @@
     return ratio < SLOW ? 1 : ratio;
   }
 
-  /** Forgets a VM that has a new worker. */
+  /** Drops the samples of a VM that has a new worker. */
   public void renewed(String vm) {
     paces.remove(vm);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmTrust.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmTrust.java
@@ -6,31 +6,26 @@
 import java.util.Map;
 
 /**
- * Which VMs are given no new work for a while, because what they start fails.
+ * Excludes VMs from new work for a while after repeated failures there.
  *
- * <p>Load pattern: a worker that fails all that it starts is always idle, so a policy that goes by
- * room sends it everything, and tasks use up their attempts there. After {@link #ROW} failures in a
- * row without a success between them the VM rests; each time it fails again right after, twice as
- * long, so that a VM that is broken for good costs one task now and then. Tasks that fail
- * everywhere do not blame VMs: where more than {@link #FLEET_SHARE} of all recent ends are
- * failures, none rests.
+ * <p>Guards against a worker that fails everything it starts: it is always idle, so a policy that places by free capacity sends it all work, and tasks use up their attempts there. A VM is quarantined after {@link #ROW} consecutive failures. A failure right after a quarantine doubles the next one, so that a VM that is broken permanently costs one task now and then. While the ratio of failures among all recent ends is {@link #FLEET_SHARE} or more, the tasks are assumed to be at fault, and no VM is quarantined.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 public final class VmTrust {
-  /** Failures in a row after which a VM rests; one in twenty tasks fails by its own fault. */
+  /** Consecutive failures that quarantine a VM; one task in twenty fails through its own fault. */
   static final int ROW = 3;
 
-  /** The first rest, in nanoseconds. */
+  /** Duration of the first quarantine, in nanoseconds. */
   static final long REST_NANOS = 1_500_000_000L;
 
-  /** The longest rest, in nanoseconds. */
+  /** Longest quarantine, in nanoseconds. */
   static final long LONGEST_REST_NANOS = 12_000_000_000L;
 
-  /** The share of failures among all ends from which on VMs are not to blame. */
+  /** Ratio of failures in the fleet from which on no VM is quarantined. */
   static final double FLEET_SHARE = 0.5;
 
-  /** How many ends the share is taken over, roughly. */
+  /** Number of ended runs over which the failure ratio of the fleet is averaged, roughly. */
   private static final double FLEET_ENDS = 60;
 
   private static final class Standing {
@@ -42,32 +37,38 @@
   private final Map<String, Standing> standings = new HashMap<>();
   private double fleetFailures;
 
-  /** Takes the end of a run on the VM: one that did its work, or one that failed. */
+  /**
+   * Records the end of a run on the VM.
+   *
+   * @param vm the VM
+   * @param failed whether the run failed rather than completed
+   * @param now monotonic nanoseconds
+   */
   public void ended(String vm, boolean failed, long now) {
     fleetFailures += ((failed ? 1 : 0) - fleetFailures) / FLEET_ENDS;
-    Standing standing =
+    Standing record =
         standings.computeIfAbsent(requireNonNull(vm, "vm"), unused -> new Standing());
     if (!failed) {
-      standing.row = 0;
-      standing.rest = 0;
+      record.row = 0;
+      record.rest = 0;
       return;
     }
-    standing.row++;
-    boolean again = standing.rest > 0;
-    if ((standing.row >= ROW || again) && fleetFailures < FLEET_SHARE) {
-      standing.rest = again ? Math.min(2 * standing.rest, LONGEST_REST_NANOS) : REST_NANOS;
-      standing.until = now + standing.rest;
-      standing.row = 0;
+    record.row++;
+    boolean repeated = record.rest > 0;
+    if ((record.row >= ROW || repeated) && fleetFailures < FLEET_SHARE) {
+      record.rest = repeated ? Math.min(2 * record.rest, LONGEST_REST_NANOS) : REST_NANOS;
+      record.until = now + record.rest;
+      record.row = 0;
     }
   }
 
   /** Returns whether the VM is to be given no new work now. */
   public boolean rests(String vm, long now) {
-    Standing standing = standings.get(vm);
-    return standing != null && now < standing.until;
+    Standing record = standings.get(vm);
+    return record != null && now < record.until;
   }
 
-  /** Forgets a VM that has a new worker. */
+  /** Drops the record of a VM that has a new worker. */
   public void renewed(String vm) {
     standings.remove(vm);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
@@ -3,40 +3,26 @@
 import java.util.Comparator;
 
 /**
- * The order in which waiting tasks are offered room.
+ * Order in which waiting tasks are placed.
  *
- * <p>Load pattern: for some seconds more work than room. First come, first served makes everything
- * late then: each workflow waits behind all that came before it, also behind those that are past
- * saving. Queues of a lower priority number go first, since they may have room that others hold.
- * Within a priority goes first what is worth most for the work that it still needs: a workflow that
- * is nearly done before one that has hardly begun, and one that will be late only with so little
- * left that it is worth it; what comes too late for anybody goes last. Without that, in a burst of
- * heavy workflows each step of each competes with the first steps of newer ones, all advance and
- * hardly any is done in time. Among equals the one accepted first.
+ * <p>Guards against bursts with more work than capacity. First come, first served would make everything late then, because each workflow waits behind all earlier ones, also behind those that can no longer be in time. Queues of a lower priority number go first. Within a priority the order is by value per remaining work: a workflow that is nearly done goes before one that has hardly started, and one that will be late goes early only if little of it is left; results that would be too late to use go last. Without that, in a burst of heavy workflows the steps of each compete with the first steps of newer ones, all advance, and hardly any is done in time. Among equals the one accepted first goes first.
  *
- * <p>Compares snapshots of the moment given, so the order is consistent while one list is sorted.
+ * <p>Compares snapshots taken at a given time, so the order is consistent while a list is sorted.
  */
 public final class WaitingOrder {
-  /** A workflow this many times later than in time is of no use any more. */
+  /** A workflow that takes more than this multiple of its allowed time is of no use. */
   static final long USELESS_FACTOR = 3;
 
-  /** What a late workflow is worth to its callers, as a part of one in time. */
+  /** Value of a late workflow to its callers, as a fraction of one in time. */
   private static final double LATE_PART = 0.15;
 
-  /**
-   * How many times as long a task may take that is slowed down beside services: suspects work there
-   * at about a third of their speed.
-   */
+  /** How many times longer a task may take that is throttled beside services: interfering tasks run at about a third of their speed there. */
   private static final long SLOWED_FACTOR = 3;
 
-  /**
-   * For how long a workflow with nothing at work waits for a better place, in milliseconds: its
-   * caller must see it get on within three seconds if there is any room, and orders, refusals and
-   * starts take up to one and a half.
-   */
+  /** How long a workflow without running tasks waits for a better place, in milliseconds. Its caller must see progress within three seconds if there is any capacity, and orders, refusals and starts take up to 1.5 s. */
   static final long HOLD_MILLIS = 1_200;
 
-  /** Under this part of its work left, a workflow counts as nearly done. */
+  /** Remaining work below this fraction counts as this fraction. */
   private static final double LEAST_LEFT = 0.02;
 
   private static final Comparator<Ranked> ORDER =
@@ -45,13 +31,13 @@
           .thenComparingLong(each -> each.acceptedMillis)
           .thenComparingLong(each -> each.id);
 
-  /** What a workflow that waits is still good for. */
+  /** Whether the result of a waiting workflow is still of use. */
   public enum Use {
     /** It can be in time. */
     IN_TIME(1),
-    /** It will be late. */
+    /** It will be late, but of use. */
     LATE(LATE_PART),
-    /** It comes too late for anybody. */
+    /** It will be too late to be of use. */
     NONE(0);
 
     private final double worth;
@@ -61,7 +47,7 @@
     }
   }
 
-  /** A workflow with its place in the order at one moment. Immutable. */
+  /** Rank of a workflow at one time. Immutable. */
   public static final class Ranked implements Comparable<Ranked> {
     private final int priority;
     private final Use use;
@@ -79,12 +65,12 @@
       this.id = workflow.spec().id();
     }
 
-    /** Returns what it is still good for. */
+    /** Returns whether the result is still of use. */
     public Use use() {
       return use;
     }
 
-    /** Returns how much a place matters to its tasks. */
+    /** Returns the urgency of placing its tasks. */
     public Urgency urgency() {
       return urgency;
     }
@@ -107,7 +93,7 @@
 
   private WaitingOrder() {}
 
-  /** Returns the workflow's place at a wall clock in milliseconds. */
+  /** Returns the workflow's rank at a wall clock in milliseconds. */
   public static Ranked rank(Workflow workflow, long wallMillis) {
     WorkflowSpec spec = workflow.spec();
     boolean lasting = spec.steps().stream().anyMatch(step -> step.nature().lasting());
@@ -119,13 +105,13 @@
     long age = wallMillis - spec.acceptedMillis();
     long left = workflow.chainMillis(true);
     boolean inTime = age + left <= allowed;
-    boolean bearsSlowing = age + SLOWED_FACTOR * left <= allowed;
+    boolean inTimeIfThrottled = age + SLOWED_FACTOR * left <= allowed;
     Use use = inTime ? Use.IN_TIME : lateness(age + left, allowed);
-    return new Ranked(workflow, use, urgency(workflow, wallMillis, inTime && !bearsSlowing));
+    return new Ranked(workflow, use, urgency(workflow, wallMillis, inTime && !inTimeIfThrottled));
   }
 
-  private static Use lateness(long ends, double allowed) {
-    return ends <= USELESS_FACTOR * allowed ? Use.LATE : Use.NONE;
+  private static Use lateness(long endsAfterMillis, double allowed) {
+    return endsAfterMillis <= USELESS_FACTOR * allowed ? Use.LATE : Use.NONE;
   }
 
   private static Urgency urgency(Workflow workflow, long wallMillis, boolean hurried) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
@@ -11,14 +11,11 @@
 import java.util.function.Consumer;
 
 /**
- * One workflow as its owner knows it: which task may start, what runs, what ended.
+ * State machine of one workflow at its owner: which tasks may start, which run and which ended.
  *
- * <p>The owner writes {@link #record} durably before it acts on a change: an attempt before its
- * order leaves, an end before the worker may forget it, and it tells callers {@link #shownStatus}
- * only. So a new owner that restores the last record knows every order that may be on its way.
+ * <p>The owner makes {@link #record} durable before it acts on a change: an attempt before its start order is sent, an end before the worker may drop it. Callers see {@link #shownStatus} only. So a new owner that restores the last record knows every start order that may be in flight.
  *
- * <p>Confined to one thread. Rejects nulls. All operations take time in the number of tasks at
- * most.
+ * <p>Confined to one thread. Rejects nulls. Every operation takes time at most linear in the number of tasks.
  */
 public final class Workflow {
   private final WorkflowSpec spec;
@@ -43,17 +40,17 @@
     }
     this.tasksPerRound = first;
     this.doneOfStep = new int[stepCount * spec.schedule().rounds()];
-    for (int round = 0; round < spec.schedule().rounds(); round++) {
-      addRound(round);
+    for (int occurrence = 0; occurrence < spec.schedule().rounds(); occurrence++) {
+      addRound(occurrence);
     }
   }
 
-  /** Returns a workflow of which nothing was ordered yet. */
+  /** Returns a workflow without attempts. */
   public static Workflow of(WorkflowSpec spec) {
     return new Workflow(requireNonNull(spec, "spec"));
   }
 
-  /** Returns the workflow as the durable record left it. */
+  /** Returns a workflow restored from its durable record. */
   public static Workflow restore(WorkflowSpec spec, WorkflowRecordState state) {
     Workflow workflow = of(spec);
     int known = Math.min(state.tasks().size(), workflow.tasks.size());
@@ -72,41 +69,41 @@
     return workflow;
   }
 
-  private void addRound(int round) {
+  private void addRound(int occurrence) {
     for (int step = 0; step < spec.steps().size(); step++) {
       StepSpec stepSpec = spec.steps().get(step);
       for (int index = 0; index < stepSpec.tasks(); index++) {
-        tasks.add(new WorkflowTask(this, new TaskKey(spec.id(), round, step, index), stepSpec));
+        tasks.add(new WorkflowTask(this, new TaskKey(spec.id(), occurrence, step, index), stepSpec));
       }
     }
   }
 
-  /** Returns what was handed in. */
+  /** Returns the workflow as submitted. */
   public WorkflowSpec spec() {
     return spec;
   }
 
-  /** Returns the status as decided; callers are told {@link #shownStatus}. */
+  /** Returns the current status, durable or not; callers see {@link #shownStatus}. */
   public WorkflowStatus status() {
     return status;
   }
 
-  /** Returns the status that is durable. */
+  /** Returns the durable status. */
   public WorkflowStatus shownStatus() {
     return shownStatus;
   }
 
-  /** Takes the status of a record that became durable for the one to show. */
+  /** Sets the durable status once a record with it has become durable. */
   public void show(WorkflowStatus durable) {
     shownStatus = requireNonNull(durable, "durable");
   }
 
-  /** Returns the wall clock at the end, in milliseconds; 0 while it has not ended. */
+  /** Returns the wall clock at the end, in milliseconds; 0 until then. */
   public long endedMillis() {
     return endedMillis;
   }
 
-  /** Returns whether a worker has begun a task. */
+  /** Returns whether a worker has started a task. */
   public boolean hasBegun() {
     return begun;
   }
@@ -123,7 +120,7 @@
     return Collections.unmodifiableList(tasks);
   }
 
-  /** Returns the task of the key, or empty if the workflow has none. */
+  /** Returns the task with the key, or empty if the workflow has none. */
   public Optional<WorkflowTask> task(TaskKey key) {
     if (key.workflow() != spec.id()
         || key.occurrence() >= spec.schedule().rounds()
@@ -142,32 +139,33 @@
   }
 
   /**
-   * Calls the consumer for each task that may be ordered now, in order.
+   * Passes each task that may start now to the consumer, in order.
    *
-   * @param wallMillis the time of day, by which occurrences fall due
+   * @param wallMillis wall clock in milliseconds, which decides which occurrences are due
+   * @param consumer receives the tasks
    */
   public void forEachReady(long wallMillis, Consumer<WorkflowTask> consumer) {
     if (status.isTerminal()) {
       return;
     }
-    for (int round = 0; round < spec.schedule().rounds(); round++) {
-      if (spec.schedule().occurrences() > 0 && spec.schedule().dueMillis(round) > wallMillis) {
+    for (int occurrence = 0; occurrence < spec.schedule().rounds(); occurrence++) {
+      if (spec.schedule().occurrences() > 0 && spec.schedule().dueMillis(occurrence) > wallMillis) {
         return;
       }
       for (int step = 0; step < spec.steps().size(); step++) {
-        if (dependenciesDone(round, step) && !stepDone(round, step)) {
-          forEachReady(round, step, consumer);
+        if (dependenciesDone(occurrence, step) && !stepDone(occurrence, step)) {
+          forEachReady(occurrence, step, consumer);
         }
       }
     }
   }
 
-  private void forEachReady(int round, int step, Consumer<WorkflowTask> consumer) {
-    List<WorkflowTask> ofStep = tasksOf(round, step);
-    // The members of a gang have one attempt: the next begins when all of the last have ended.
-    boolean waits = isGang(step) && ofStep.stream().anyMatch(WorkflowTask::isOpen);
-    if (!waits) {
-      ofStep.stream().filter(task -> !task.isOpen() && !task.isDone()).forEach(consumer);
+  private void forEachReady(int occurrence, int step, Consumer<WorkflowTask> consumer) {
+    List<WorkflowTask> stepTasks = tasksOf(occurrence, step);
+    // Members share an attempt number: the next attempt waits for the ends of all runs of the last.
+    boolean mustWait = isGang(step) && stepTasks.stream().anyMatch(WorkflowTask::isOpen);
+    if (!mustWait) {
+      stepTasks.stream().filter(task -> !task.isOpen() && !task.isDone()).forEach(consumer);
     }
   }
 
@@ -175,13 +173,13 @@
     return spec.steps().get(step).nature().gang();
   }
 
-  private boolean dependenciesDone(int round, int step) {
+  private boolean dependenciesDone(int occurrence, int step) {
     return spec.steps().get(step).dependsOn().stream()
-        .allMatch(earlier -> stepDone(round, earlier));
+        .allMatch(earlier -> stepDone(occurrence, earlier));
   }
 
-  private boolean stepDone(int round, int step) {
-    return doneOfStep[round * spec.steps().size() + step] == spec.steps().get(step).tasks();
+  private boolean stepDone(int occurrence, int step) {
+    return doneOfStep[occurrence * spec.steps().size() + step] == spec.steps().get(step).tasks();
   }
 
   private int stepSlot(TaskKey key) {
@@ -189,50 +187,51 @@
   }
 
   /**
-   * Decides on the next attempt of a task.
+   * Starts the next attempt of a task that is not in a gang.
    *
-   * @throws IllegalStateException if one may still run, or the task is done
+   * @return the attempt, which the caller sends to the place
+   * @throws IllegalStateException if an attempt may still run, or the task is done
    */
   public RunKey order(WorkflowTask task, Place place) {
-    checkArgument(task.workflow() == this, "%s is a task of another workflow", task.key());
-    checkArgument(!task.step().nature().gang(), "%s is ordered with its gang only", task.key());
+    checkArgument(task.workflow() == this, "task %s belongs to another workflow", task.key());
+    checkArgument(!task.step().nature().gang(), "task %s is in a gang and starts only with it", task.key());
     task.order(place, task.lastAttempt() + 1, task.failures());
     return task.openRun();
   }
 
   /**
-   * Decides on the next attempt of all members of a gang, which has one number for all of them.
+   * Starts the next attempt of all members of a gang, which share one attempt number.
    *
    * @param member any member
    * @param places one for each member, in their order
-   * @throws IllegalStateException if a member may still run, or is done
+   * @throws IllegalStateException if an attempt of a member may still run, or a member is done
    */
   public void orderGang(WorkflowTask member, List<Place> places) {
     List<WorkflowTask> members = gangOf(member);
-    checkArgument(places.size() == members.size(), "%s places for a gang", places.size());
+    checkArgument(places.size() == members.size(), "number of places differs from the number of gang members: %s", places.size());
     int attempt = members.stream().mapToInt(WorkflowTask::lastAttempt).max().orElse(0) + 1;
-    // An attempt that failed has failed once for the gang, however many members say so.
+    // A failed attempt counts once for the gang, however many members report the failure.
     int failures = members.stream().mapToInt(WorkflowTask::failures).max().orElse(0);
     for (int i = 0; i < members.size(); i++) {
       members.get(i).order(places.get(i), attempt, failures);
     }
   }
 
-  /** Returns all tasks that work only together with the given one, itself among them. */
+  /** Returns all members of the task's gang, itself included. */
   public List<WorkflowTask> gangOf(WorkflowTask member) {
-    checkArgument(member.step().nature().gang(), "%s has no gang", member.key());
+    checkArgument(member.step().nature().gang(), "task %s is not in a gang", member.key());
     return tasksOf(member.key().occurrence(), member.key().step());
   }
 
-  /** Progress that one member saved is that of the gang, and all have to resume from the same. */
+  /** Copies the checkpoint of a member to the whole gang, whose members must resume from the same. */
   void shareCheckpoint(WorkflowTask member) {
     gangOf(member).forEach(each -> each.resumeFrom(member.checkpoint()));
   }
 
   /**
-   * Has what is left of broken gangs stopped, which a former owner may not have done.
+   * Requests the stop of what still runs of broken gangs, in case a former owner did not.
    *
-   * <p>Members that wait for one that has ended hold their room for nothing until they give up.
+   * <p>Members that wait for one that has ended hold their resources in vain until they give up.
    */
   private void breakGangs() {
     for (WorkflowTask task : tasks) {
@@ -243,9 +242,9 @@
   }
 
   /**
-   * Takes the end of a run.
+   * Records the end of a run.
    *
-   * @return whether this changed anything; ends of other attempts than the open one do not
+   * @return whether this changed anything; ends of attempts other than the open one are ignored
    */
   public boolean ended(RunKey run, RunOutcome outcome, String checkpoint, long wallMillis) {
     Optional<WorkflowTask> found = task(run.task());
@@ -271,11 +270,9 @@
   }
 
   /**
-   * Members end as done together; any other end of one is the end of the attempt.
+   * Completes the whole gang when a member completed; else requests the stop of the other members.
    *
-   * <p>Guards against a gang that is done in part, of which no attempt is ever ordered: the last
-   * report of a member's worker may be lost, so that its run counts as lost before another member
-   * tells that all were done. No later attempt is open then, since that waits for all ends.
+   * <p>Guards against a gang that is done in part, for which no attempt can start. The last report of a member's worker may be lost, so that its run counts as lost before another member reports completion. No later attempt is open then, because it starts only after all runs have ended.
    */
   private void endedInGang(WorkflowTask task) {
     shareCheckpoint(task);
@@ -312,9 +309,9 @@
   }
 
   /**
-   * Returns the declared run time of the longest chain of steps, in milliseconds.
+   * Returns the declared run time of the critical path, in milliseconds.
    *
-   * @param remaining whether to leave out steps that are done, of the first occurrence
+   * @param remaining whether to leave out the steps of the first occurrence that are done
    */
   public long chainMillis(boolean remaining) {
     int steps = spec.steps().size();
@@ -325,38 +322,38 @@
       for (int earlier : spec.steps().get(step).dependsOn()) {
         before = Math.max(before, upTo[earlier]);
       }
-      boolean over = remaining && stepDone(0, step);
-      upTo[step] = before + (over ? 0 : spec.steps().get(step).estimateMillis());
+      boolean done = remaining && stepDone(0, step);
+      upTo[step] = before + (done ? 0 : spec.steps().get(step).estimateMillis());
       longest = Math.max(longest, upTo[step]);
     }
     return longest;
   }
 
   /**
-   * Returns for how long nothing of it has been ordered that may run, in milliseconds.
+   * Returns how long the workflow has had no open attempt, in milliseconds; 0 while it has one.
    *
-   * @param wallMillis the time of day
+   * @param wallMillis wall clock in milliseconds
    */
   public long idleMillis(long wallMillis) {
     return hasOpenTasks() ? 0 : wallMillis - Math.max(lastRanMillis, spec.acceptedMillis());
   }
 
   /**
-   * Returns the part of the declared work that is not done, of the first occurrence, from 0 to 1.
+   * Returns the fraction of the declared work of the first occurrence that is not done, from 0 to 1.
    *
-   * <p>Work is run time times processors; what runs counts as not done.
+   * <p>Work is run time times processors; running tasks count as not done.
    */
   public double workLeft() {
-    double all = 0;
-    double left = 0;
+    double total = 0;
+    double remainingWork = 0;
     for (int step = 0; step < spec.steps().size(); step++) {
       StepSpec each = spec.steps().get(step);
-      double ofTask =
+      double taskWork =
           (double) Math.max(1, each.estimateMillis()) * Math.max(1, each.sizes().milliProcessors());
-      all += ofTask * each.tasks();
-      left += ofTask * (each.tasks() - doneOfStep[step]);
+      total += taskWork * each.tasks();
+      remainingWork += taskWork * (each.tasks() - doneOfStep[step]);
     }
-    return left / all;
+    return remainingWork / total;
   }
 
   /** Returns whether the last attempt of any task may still run. */
@@ -369,7 +366,7 @@
     return tasks.stream().filter(WorkflowTask::isOpen).toList();
   }
 
-  /** Returns what must be durable of this workflow now. */
+  /** Returns the current state, which must be made durable. */
   public WorkflowRecordState record() {
     int last = tasks.size();
     while (last > 0 && tasks.get(last - 1).isNew()) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowIds.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowIds.java
@@ -6,7 +6,7 @@
 import com.google.common.hash.Hashing;
 import java.util.OptionalLong;
 
-/** Ids of workflows: 16 hexadecimal digits outside, a long inside. */
+/** Ids of workflows: 16 hexadecimal digits as text, a long in memory. */
 public final class WorkflowIds {
   private static final int DIGITS = 16;
   private static final int HEX = 16;
@@ -19,7 +19,7 @@
     return "0".repeat(DIGITS - digits.length()) + digits;
   }
 
-  /** Returns the id of the text, or empty if it is not 16 hexadecimal digits. */
+  /** Returns the id in the text, or empty if the text is not 16 hexadecimal digits. */
   public static OptionalLong parse(String text) {
     requireNonNull(text, "text");
     if (text.length() != DIGITS || !text.chars().allMatch(WorkflowIds::isHexDigit)) {
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Returns the partition that holds the workflow, from 0 to {@code partitions - 1}.
+   * Returns the partition of the workflow, from 0 to {@code partitions - 1}.
    *
-   * <p>Hashed, because callers choose ids and may choose neighbouring ones.
+   * <p>Hashes the id, because callers choose ids and may choose consecutive ones.
    */
   public static int partition(long id, int partitions) {
     checkArgument(partitions > 0, "partitions is not positive: %s", partitions);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowRecordState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowRecordState.java
@@ -5,17 +5,17 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * What is durable of a workflow besides what was handed in.
+ * Durable state of a workflow beside its specification.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param status as callers are told
- * @param tasks in the order of occurrence, step and index; tasks after the last are new ones
- * @param endedMillis wall clock of the owner when it ended; 0 while it has not
+ * @param status the status that callers see
+ * @param tasks in the order of occurrence, step and index; tasks after the last have no attempt yet
+ * @param endedMillis wall clock of the owner at the end, in milliseconds; 0 until then
  */
 public record WorkflowRecordState(
     WorkflowStatus status, ImmutableList<TaskRecordState> tasks, long endedMillis) {
-  /** A workflow of which nothing was ever ordered. */
+  /** State of a workflow without attempts. */
   public static final WorkflowRecordState NEW =
       new WorkflowRecordState(WorkflowStatus.QUEUED, ImmutableList.of(), 0);
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 
 /**
- * What a caller handed in, together with the terms of the queue at that time.
+ * A workflow as submitted by a caller, with the policy of its queue at that time.
  *
- * <p>Immutable. Rejects nulls. A workflow handed in again under its id is the same workflow.
+ * <p>Immutable. Rejects nulls. A workflow submitted again under its id is the same workflow.
  *
  * @param id chosen by the caller
  * @param queue the name of the queue
- * @param terms the queue's terms when the workflow was accepted
+ * @param terms the policy of the queue when the workflow was accepted
  * @param program opaque text for the worker
  * @param steps at least one
  * @param schedule when it runs
@@ -29,14 +29,14 @@
     long acceptedMillis) {
 
   /**
-   * The terms of the queue.
+   * Policy of a queue.
    *
-   * @param service whose workers run the tasks
-   * @param priority 0 comes first
+   * @param service the service whose workers run the tasks
+   * @param priority 0 is the highest
    * @param maxFailures failed runs of one task after which the workflow fails
-   * @param advice how a placement adviser is asked; empty where none must be
-   * @param slackFactor how many times its longest chain of work a workflow may take and be in time
-   * @param objectiveMillis what it may take in addition, in milliseconds
+   * @param advice timing of the placement adviser; empty if placement needs no advice
+   * @param slackFactor multiple of the critical path within which a workflow is in time
+   * @param objectiveMillis time that is allowed in addition, in milliseconds
    */
   public record Terms(
       String service,
@@ -49,7 +49,7 @@
     public Terms {
       requireNonNull(service, "service");
       requireNonNull(advice, "advice");
-      checkArgument(slackFactor >= 1, "slackFactor is under 1: %s", slackFactor);
+      checkArgument(slackFactor >= 1, "slackFactor is less than 1: %s", slackFactor);
       checkArgument(objectiveMillis >= 0, "objectiveMillis is negative: %s", objectiveMillis);
       checkArgument(maxFailures >= 1, "maxFailures is not positive: %s", maxFailures);
     }
@@ -58,12 +58,12 @@
   /**
    * When a workflow runs.
    *
-   * @param occurrences how many times; 0 for once, as soon as it can
-   * @param firstDueMillis wall clock of the first time, in milliseconds
-   * @param intervalMillis from one time to the next, in milliseconds
+   * @param occurrences number of occurrences; 0 to run once, as soon as possible
+   * @param firstDueMillis wall clock at which the first occurrence is due, in milliseconds
+   * @param intervalMillis time between the due times of occurrences, in milliseconds
    */
   public record Schedule(int occurrences, long firstDueMillis, long intervalMillis) {
-    /** Once, as soon as it can. */
+    /** Runs once, as soon as possible. */
     public static final Schedule AT_ONCE = new Schedule(0, 0, 0);
 
     /** Checks the components. */
@@ -72,37 +72,37 @@
       checkArgument(intervalMillis >= 0, "intervalMillis is negative: %s", intervalMillis);
     }
 
-    /** Returns how often the steps run. */
+    /** Returns how many times the steps run. */
     public int rounds() {
       return Math.max(1, occurrences);
     }
 
-    /** Returns when the occurrence may begin, wall clock in milliseconds. */
+    /** Returns the earliest start of the occurrence, as wall clock in milliseconds; 0 without a schedule. */
     public long dueMillis(int occurrence) {
       return occurrences == 0 ? 0 : firstDueMillis + occurrence * intervalMillis;
     }
   }
 
-  /** The most tasks that a workflow may have over all its occurrences. */
+  /** Maximum number of tasks of a workflow over all its occurrences. */
   public static final int MAX_TASKS = 20_000;
 
-  /** Checks the components, and that steps depend on earlier ones only. */
+  /** Checks the components, and that steps depend only on earlier ones. */
   public WorkflowSpec {
     requireNonNull(queue, "queue");
     requireNonNull(terms, "terms");
     requireNonNull(program, "program");
     requireNonNull(schedule, "schedule");
-    checkArgument(!steps.isEmpty(), "a workflow has no steps");
+    checkArgument(!steps.isEmpty(), "workflow has no steps");
     long tasks = 0;
     for (int i = 0; i < steps.size(); i++) {
       int step = i;
       checkArgument(
           steps.get(i).dependsOn().stream().allMatch(earlier -> earlier >= 0 && earlier < step),
-          "step %s depends on one that is not earlier",
+          "step %s depends on a step that is not earlier",
           step);
       tasks += steps.get(i).tasks();
     }
     long total = tasks * schedule.rounds();
-    checkArgument(total <= MAX_TASKS, "a workflow has %s tasks, %s at most", total, MAX_TASKS);
+    checkArgument(total <= MAX_TASKS, "workflow has %s tasks, more than the maximum of %s", total, MAX_TASKS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowStatus.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowStatus.java
@@ -1,9 +1,9 @@
 package io.marigoldsail.workflow;
 
 /**
- * What callers are told of a workflow.
+ * Status of a workflow as callers see it.
  *
- * <p>Numbers are written to durable records and never change.
+ * <p>The numbers are written to durable records and never change.
  */
 public enum WorkflowStatus {
   /** Accepted; no task has run. */
@@ -30,12 +30,12 @@
     return number;
   }
 
-  /** Returns whether nothing more will start. */
+  /** Returns whether no more tasks will start. */
   public boolean isTerminal() {
     return terminal;
   }
 
-  /** Returns the status of a number; {@link #RUNNING} for one of a newer version. */
+  /** Returns the status with the number; {@link #RUNNING} for an unknown number, which a newer version may write. */
   public static WorkflowStatus forNumber(int number) {
     for (WorkflowStatus status : values()) {
       if (status.number == number) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
@@ -10,7 +10,7 @@
 /**
  * One task of a {@link Workflow}, as its owner knows it.
  *
- * <p>Changed only by its workflow, but for what workers report of a run. Confined to one thread.
+ * <p>Modified only by its workflow, except for the progress that workers report. Confined to one thread.
  */
 public final class WorkflowTask {
   private final Workflow workflow;
@@ -34,27 +34,27 @@
     this.step = step;
   }
 
-  /** Returns the workflow that this belongs to. */
+  /** Returns the workflow of this task. */
   public Workflow workflow() {
     return workflow;
   }
 
-  /** Returns the task's name. */
+  /** Returns the task's key. */
   public TaskKey key() {
     return key;
   }
 
-  /** Returns the step that this belongs to. */
+  /** Returns the step of this task. */
   public StepSpec step() {
     return step;
   }
 
-  /** Returns whether a run ended as done. */
+  /** Returns whether a run completed. */
   public boolean isDone() {
     return done;
   }
 
-  /** Returns where the last attempt may still run, or empty if nothing may run. */
+  /** Returns where the last attempt may still run, or empty if no attempt may run. */
   public Optional<Place> place() {
     return Optional.ofNullable(place);
   }
@@ -67,74 +67,79 @@
   /**
    * Returns the attempt that may still run.
    *
-   * @throws IllegalStateException if none may
+   * @throws IllegalStateException if there is none
    */
   public RunKey openRun() {
-    checkState(place != null, "%s has no open attempt", key);
+    checkState(place != null, "task %s has no open attempt", key);
     return new RunKey(key, lastAttempt);
   }
 
-  /** Returns whether the attempt was ordered and cannot run any more. */
+  /** Returns whether the attempt was started and can no longer run. */
   public boolean hasEnded(int attempt) {
     return attempt < lastAttempt || (attempt == lastAttempt && place == null);
   }
 
-  /** Returns the highest attempt ever ordered; 0 for none. */
+  /** Returns the number of the last attempt; 0 for none. */
   public int lastAttempt() {
     return lastAttempt;
   }
 
-  /** Returns how many attempts failed. */
+  /** Returns the number of failed attempts. */
   public int failures() {
     return failures;
   }
 
-  /** Returns the newest progress saved; empty for none. */
+  /** Returns the latest checkpoint; empty for none. */
   public String checkpoint() {
     return checkpoint;
   }
 
-  /** Returns whether a worker has said that the open attempt runs. */
+  /** Returns whether a worker has reported that the open attempt runs. */
   public boolean isStarted() {
     return started;
   }
 
-  /** Returns how far the open attempt is, 0 to 100; 100 for a lasting one at work. */
+  /** Returns the progress of the open attempt, 0 to 100; 100 for a long-running task that runs. */
   public int percent() {
     return percent;
   }
 
-  /** Returns whether the owner wants the open attempt to end, to run it elsewhere. */
+  /** Returns whether the owner has requested a stop of the open attempt, to run it elsewhere. */
   public boolean isStopWanted() {
     return stopWanted;
   }
 
-  /** Asks that the open attempt be stopped; it is ordered anew once it has ended. */
+  /** Requests a stop of the open attempt; the next one may start once it has ended. */
   public void wantStop() {
     stopWanted = true;
   }
 
-  /** Returns the time before which no attempt is to be ordered, in the owner's nanoseconds. */
+  /** Returns the earliest start of the next attempt, in the owner's nanoseconds. */
   public long notBefore() {
     return notBefore;
   }
 
-  /** Sets the time before which no attempt is to be ordered, in the owner's nanoseconds. */
+  /** Sets the earliest start of the next attempt, in the owner's nanoseconds. */
   public void waitUntil(long nanos) {
     notBefore = nanos;
   }
 
-  /** Returns how many attempts in a row were refused without having run. */
+  /** Returns how many consecutive attempts were refused without having run. */
   public int refusals() {
     return refusals;
   }
 
-  /** Returns whether an attempt failed on the VM, as far as this owner saw. */
+  /** Returns whether an attempt failed on the VM, as far as this owner knows. */
   public boolean hasFailedOn(String vm) {
     return failedOn.contains(vm);
   }
 
-  /** Takes what a worker says of the open attempt. */
+  /**
+   * Records what a worker reported of the open attempt.
+   *
+   * @param newCheckpoint the latest checkpoint; empty for none
+   * @param newPercent the progress, 0 to 100
+   */
   public void observe(String newCheckpoint, int newPercent) {
     started = true;
     refusals = 0;
@@ -153,7 +158,7 @@
   }
 
   void order(Place newPlace, int attempt, int failuresBefore) {
-    checkState(place == null && !done, "%s cannot be ordered", key);
+    checkState(place == null && !done, "task %s is done or has an open attempt", key);
     place = requireNonNull(newPlace, "place");
     lastAttempt = attempt;
     failures = failuresBefore;
@@ -185,7 +190,7 @@
     }
   }
 
-  /** Takes the word of another member that the attempt of the gang did its work. */
+  /** Completes the task because another member reported that the gang's attempt completed. */
   void doneWithGang() {
     if (isOpen()) {
       close(RunOutcome.DONE, "");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Workflows: jobs of steps that depend on one another, from their hand-in to their end.
+ * Workflows: jobs of steps that depend on one another, from submission to completion.
  *
  * <p>Decisions and state only, without network, threads, clock or log; the time is an argument.
- * {@link io.marigoldsail.workflow.Workflow} is the state machine that the owner of a workflow runs,
+ * {@link io.marigoldsail.workflow.Workflow} is the state machine that the owner of a workflow runs.
  * {@link io.marigoldsail.workflow.VmChooser} and {@link io.marigoldsail.workflow.WaitingOrder}
- * decide what starts next and where, {@link io.marigoldsail.workflow.RoomLedger} and {@link
- * io.marigoldsail.workflow.LeaseLedger} are the side process's last word on whether a run may start
- * and how long it may live.
+ * decide what starts next and where. {@link io.marigoldsail.workflow.RoomLedger} and {@link
+ * io.marigoldsail.workflow.LeaseLedger} make the side process's final decision whether a run may
+ * start and how long it may run.
  */
 package io.marigoldsail.workflow;
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
@@ -21,7 +21,7 @@
   private final List<Long> loose = new ArrayList<>();
   private long now = SECOND;
   private Guard guard = new Guard(GuardTerms.VATULELE, now);
-  private GuardTerms terms = GuardTerms.VATULELE;
+  private GuardTerms policy = GuardTerms.VATULELE;
 
   private void add(long token, String program, long startedSecond, long checkpointedSecond) {
     tasks.add(
@@ -38,12 +38,12 @@
     loose.add(token);
   }
 
-  /** Runs the guard on a service whose pressure follows from which tasks are loose. */
+  /** Runs the guard on a service whose pressure depends on the tasks that run unthrottled. */
   private void run(long seconds, ToDoubleFunction<List<Long>> pressure) {
     for (long until = now + seconds * SECOND; now < until; now += STEP) {
       ServiceReading reading = new ServiceReading(pressure.applyAsDouble(loose), 1, now);
       List<GuardAction> decided =
-          guard.decide(terms, Optional.of(reading), List.copyOf(tasks), now, 0);
+          guard.decide(policy, Optional.of(reading), List.copyOf(tasks), now, 0);
       decided.forEach(this::carryOut);
       actions.addAll(decided);
     }
@@ -66,108 +66,102 @@
   @Test
   void aQuietServiceCostsTheTasksNothing() {
     add(1, "calm", 0, 0);
-    run(60, running -> 0.5);
+    run(60, unthrottledTokens -> 0.5);
 
     assertEquals(List.of(), actions);
   }
 
-  /**
-   * One of four tasks slows the service. It is throttled, nothing is evicted, and once the guard
-   * has learned which it was, the others run free.
-   */
+  /** One of four tasks slows the service down. It is throttled, nothing is evicted, and once the guard has identified the task, the others run unthrottled. */
   @Test
   void aNoisyTaskIsThrottledAndTheOthersRunFree() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
     add(3, "calm", 0, 0);
     add(4, "calm", 0, 0);
-    run(120, running -> running.contains(2L) ? 1.5 : 0.5);
+    run(120, unthrottledTokens -> unthrottledTokens.contains(2L) ? 1.5 : 0.5);
 
     assertEquals(0, evictions());
-    assertTrue(loose.containsAll(List.of(1L, 3L, 4L)), () -> "loose: " + loose);
+    assertTrue(loose.containsAll(List.of(1L, 3L, 4L)), () -> "unthrottled: " + loose);
   }
 
-  /** Each try of a known culprit costs the service a slow moment, so tries become rare. */
+  /** Each probe of a task that is known to interfere slows the service down, so probes become rare. */
   @Test
   void aCulpritIsTriedAgainLessAndLess() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
-    run(600, running -> running.contains(2L) ? 1.5 : 0.5);
+    run(600, unthrottledTokens -> unthrottledTokens.contains(2L) ? 1.5 : 0.5);
 
-    long tries =
+    long probes =
         actions.stream()
             .filter(action -> action.token() == 2)
-            .filter(action -> action.why().contains("quiet"))
+            .filter(action -> action.why().contains("recovered"))
             .count();
-    assertTrue(tries > 2 && tries < 40, () -> "tries " + tries);
+    assertTrue(probes > 2 && probes < 40, () -> "probes " + probes);
   }
 
-  /** Between quiet and slow nothing changes, or lagging readings would make the guard swing. */
+  /** Guards against oscillation: readings lag, so nothing changes between the two thresholds. */
   @Test
   void betweenQuietAndSlowNothingChanges() {
     add(1, "noisy", 0, 0);
-    run(2, running -> 1.2);
+    run(2, unthrottledTokens -> 1.2);
     int before = actions.size();
-    run(60, running -> 0.9);
+    run(60, unthrottledTokens -> 0.9);
 
     assertEquals(before, actions.size());
     assertFalse(loose.contains(1L));
   }
 
-  /**
-   * Throttling does not help, as with a task that thrashes the memory bus however little it runs.
-   * Only then a task is evicted, the one that loses least work.
-   */
+  /** Throttling does not help, for example with a task that saturates the memory bus even at a low share. Only then one task is evicted, the one that loses least work. */
   @Test
   void evictsTheTaskThatLosesLeastWhenThrottlingDoesNotHelp() {
     add(1, "a", 0, 0);
     add(2, "b", 0, 1);
     add(3, "c", 0, 0);
-    run(14, running -> 1.4);
+    run(14, unthrottledTokens -> 1.4);
 
     assertEquals(1, evictions());
     assertEquals(2, actions.get(actions.size() - 1).token());
   }
 
-  /** A service that is overloaded by its own callers is not helped by evicting task after task. */
+  /** Guards against evicting task after task in vain when callers overload the service. */
   @Test
   void evictionsStayWithinTheBudget() {
     for (int token = 1; token <= 16; token++) {
       add(token, "calm", 0, 0);
     }
-    run(600, running -> 3);
+    run(600, unthrottledTokens -> 3);
 
     assertTrue(evictions() <= 5, () -> "evictions " + evictions());
   }
 
-  /** Where evictions weigh more, a slowness that Vatulele evicts for is borne. */
+  /** Where evictions weigh more, a slowdown that causes an eviction at Vatulele does not cause one. */
   @Test
   void theSitesWeightsDecideWhatAnEvictionIsWorth() {
-    terms = GuardTerms.KITAMIZORA;
-    guard = new Guard(terms, now);
+    policy = GuardTerms.KITAMIZORA;
+    guard = new Guard(policy, now);
     add(1, "noisy", 0, 0);
-    run(60, running -> 1.4);
+    run(60, unthrottledTokens -> 1.4);
 
     assertEquals(0, evictions());
   }
 
-  /** Readings that ceased to come say nothing about now. */
+  /** Guards against acting on readings of a service that is no longer measured. */
   @Test
   void oldReadingsAreNotActedOn() {
     add(1, "calm", 0, 0);
     ServiceReading old = new ServiceReading(9, 1, now - 20 * SECOND);
 
-    assertEquals(List.of(), guard.decide(terms, Optional.of(old), List.copyOf(tasks), now, 0));
+    assertEquals(List.of(), guard.decide(policy, Optional.of(old), List.copyOf(tasks), now, 0));
   }
 
-  /** Memory cannot be throttled: what exceeds its booking most goes before the VM runs out. */
+  /** Memory cannot be throttled, so the task that exceeds its booking most is evicted before the VM runs out. */
   @Test
   void theTaskThatExceedsItsMemoryGoes() {
     Sizes large = new Sizes(1_000, 3_000, 0);
-    GuardedTask honest = new GuardedTask(1, "a", BOOKED, BOOKED, 0, 0, 0, 0, true);
-    GuardedTask liar = new GuardedTask(2, "b", BOOKED, large, 0, 0, 0, 0, true);
+    GuardedTask withinBooking = new GuardedTask(1, "a", BOOKED, BOOKED, 0, 0, 0, 0, true);
+    GuardedTask overBooking = new GuardedTask(2, "b", BOOKED, large, 0, 0, 0, 0, true);
 
-    assertEquals(Optional.empty(), MemoryGuard.decide(List.of(honest, liar), 0, 10_000));
-    assertEquals(2L, MemoryGuard.decide(List.of(honest, liar), 0, 4_000).orElseThrow().token());
+    assertEquals(Optional.empty(), MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 10_000));
+    assertEquals(2L, MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 4_000).orElseThrow().token());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/PreemptorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/PreemptorTest.java
@@ -34,12 +34,12 @@
     return new PreemptableVm(name, 1, free, Arrays.asList(tasks));
   }
 
-  private Optional<Preemptor.Choice> decide(GuardTerms terms, Sizes wanted, PreemptableVm... vms) {
-    return preemptor.decide(terms, wanted, Arrays.asList(vms), 0, 0);
+  private Optional<Preemptor.Choice> decide(GuardTerms policy, Sizes required, PreemptableVm... vms) {
+    return preemptor.decide(policy, required, Arrays.asList(vms), 0, 0);
   }
 
-  private List<Long> victims(Sizes wanted, PreemptableVm... vms) {
-    return decide(GuardTerms.VATULELE, wanted, vms)
+  private List<Long> victims(Sizes required, PreemptableVm... vms) {
+    return decide(GuardTerms.VATULELE, required, vms)
         .map(choice -> choice.victims().stream().map(Preemption.Victim::token).toList())
         .orElse(List.of());
   }
@@ -55,10 +55,10 @@
   @Test
   void whatIsDueSoonOrWentBeforeStays() {
     PreemptableTask dueSoon = task(1, TaskClass.BATCH, false, 0, SOON_MILLIS, 0);
-    PreemptableTask wentBefore = task(2, TaskClass.BATCH, false, 0, 0, 2);
+    PreemptableTask evictedBefore = task(2, TaskClass.BATCH, false, 0, 0, 2);
 
     assertEquals(
-        List.of(3L), victims(HALF, vm("vm-1", Sizes.NONE, dueSoon, wentBefore, task(3, 9_000))));
+        List.of(3L), victims(HALF, vm("vm-1", Sizes.NONE, dueSoon, evictedBefore, task(3, 9_000))));
   }
 
   @Test
@@ -69,17 +69,17 @@
     assertEquals(List.of(2L), victims(HALF, vm("vm-1", Sizes.NONE, sooner, later)));
   }
 
-  /** Latency-critical and urgent tasks never go, nor one that has gone three times. */
+  /** Latency-critical and urgent tasks are never preempted, nor one that was evicted three times. */
   @Test
   void onlyTheLowestClassGoes() {
     PreemptableTask critical = task(1, TaskClass.LATENCY_CRITICAL, false, 0, 0, 0);
     PreemptableTask urgent = task(2, TaskClass.BATCH, true, 0, 0, 0);
-    PreemptableTask worn = task(3, TaskClass.BATCH, false, 0, 0, Preemptor.MOST_EVICTIONS);
+    PreemptableTask evictedOften = task(3, TaskClass.BATCH, false, 0, 0, Preemptor.MOST_EVICTIONS);
 
-    assertEquals(List.of(), victims(HALF, vm("vm-1", Sizes.NONE, critical, urgent, worn)));
+    assertEquals(List.of(), victims(HALF, vm("vm-1", Sizes.NONE, critical, urgent, evictedOften)));
   }
 
-  /** No more go than are needed, and never so many that a VM is emptied for one task. */
+  /** Preempts no more tasks than needed, and never so many that a VM is emptied for one task. */
   @Test
   void noMoreGoThanAreNeeded() {
     PreemptableTask[] small =
@@ -90,17 +90,14 @@
     assertEquals(List.of(), victims(new Sizes(6_000, 1_000, 0), vm("vm-1", HALF, small)));
   }
 
-  /**
-   * Urgent tasks come one after the other. A VM whose budget is used up, by the guard's evictions
-   * too, is left alone until it has refilled, so that no wave of evictions results.
-   */
+  /** Guards against waves of evictions when urgent tasks arrive one after the other: a VM whose budget is used up, also by the guard's evictions, is skipped until it has refilled. */
   @Test
   void aVmWithoutBudgetIsLeftAlone() {
     PreemptableVm cheap = vm("vm-1", Sizes.NONE, task(1, 0));
-    PreemptableVm dear = vm("vm-2", Sizes.NONE, task(2, 60_000));
+    PreemptableVm expensive = vm("vm-2", Sizes.NONE, task(2, 60_000));
     IntStream.range(0, 3).forEach(i -> preemptor.evicted(GuardTerms.VATULELE, "vm-1", 0));
 
-    assertEquals(List.of(2L), victims(HALF, cheap, dear));
+    assertEquals(List.of(2L), victims(HALF, cheap, expensive));
     assertEquals(List.of(), victims(HALF, cheap));
     assertTrue(
         preemptor
@@ -108,7 +105,7 @@
             .isPresent());
   }
 
-  /** Where evictions weigh more, one that loses more work is better than two. */
+  /** Where evictions weigh more, evicting one task that loses more work is better than evicting two. */
   @Test
   void theSitesWeightsDecideBetweenEvictionsAndLostWork() {
     PreemptableVm two = vm("vm-1", Sizes.NONE, task(1, 0), task(2, 0));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/LeaseEvidenceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/LeaseEvidenceTest.java
@@ -16,10 +16,7 @@
     assertFalse(evidence.known());
   }
 
-  /**
-   * A vouch is stuck in a connection for a minute and arrives late. The lease counts from the ask
-   * it answers, not from its arrival, so it is over by then.
-   */
+  /** A confirmation is delayed in a connection for a minute. Guards against a lease that counts from its arrival instead of from the request, and so outlives a revocation. */
   @Test
   void aLateVouchDatesFromItsAsk() {
     assertEquals(Change.NEW_REGISTRATION, evidence.vouched(7, 42, 10 * SECOND, 70 * SECOND));
@@ -38,7 +35,7 @@
     assertEquals(16 * SECOND, evidence.deadlineNanos(5_000));
   }
 
-  /** What an earlier process asked for, and clock readings from the future, prove nothing. */
+  /** Confirmations for an earlier process, and clock readings from the future, are ignored. */
   @Test
   void vouchesForAnotherProcessAreDropped() {
     assertEquals(Change.NONE, evidence.vouched(7, 41, 10 * SECOND, 10 * SECOND));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/VouchLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/VouchLedgerTest.java
@@ -12,11 +12,7 @@
     return new VouchLedger.Ask(vm, 1, 1, nanos);
   }
 
-  /**
-   * A VM asks again while a heartbeat is on its way to the log, and is revoked in between. The
-   * heartbeat stands before the revocation, so it may bear out the first ask only; the second would
-   * give the VM a lease that counts from after its revocation.
-   */
+  /** A VM sends a second request while a heartbeat is on its way to the log, and is revoked in between. The heartbeat precedes the revocation, so it confirms only the first request. Guards against a lease that counts from after the revocation. */
   @Test
   void aHeartbeatBearsOutOnlyAsksFromBeforeItLeft() {
     ledger.asked(ask("vm-1", 10));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
@@ -9,10 +9,7 @@
 class WorkerClockTest {
   private static final long MILLI = 1_000_000;
 
-  /**
-   * The worker reads its clock at any moment of a call of any length. A deadline turned into its
-   * clock must never be later than the one meant, or a task would outlive its lease.
-   */
+  /** The worker reads its clock at any time during a call of any duration. Guards against a converted deadline that is later than the original, which would let a task outlive its lease. */
   @Property(tries = 500, seed = "5")
   void neverTurnsADeadlineIntoALaterOne(
       @ForAll @IntRange(max = 1_000_000) int called,
@@ -25,9 +22,9 @@
     WorkerClock clock =
         WorkerClock.of(workerMillis, called * MILLI, ((long) called + callMillis) * MILLI);
 
-    long turned = clock.deadlineMillis(deadline * MILLI);
+    long converted = clock.deadlineMillis(deadline * MILLI);
 
-    assertTrue(turned <= (long) deadline + originDifference);
-    assertTrue(turned >= (long) deadline + originDifference - callMillis);
+    assertTrue(converted <= (long) deadline + originDifference);
+    assertTrue(converted >= (long) deadline + originDifference - callMillis);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/placement/InterferenceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/placement/InterferenceTest.java
@@ -10,7 +10,7 @@
 class InterferenceTest {
   private final Interference interference = new Interference();
 
-  /** A program slows whenever one neighbour is there, whoever else is; the others stay clear. */
+  /** A program is slow whenever one neighbour is present, whatever the others are; only that neighbour is blamed. */
   @Test
   void findsTheNeighbourThatHurts() {
     Random random = new Random(3);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/placement/PlacerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/placement/PlacerTest.java
@@ -46,7 +46,7 @@
     return new Fleet(table.vms(), vm -> true, table::programsOn);
   }
 
-  /** Places all tasks of a job and returns how many came to each VM. */
+  /** Places all tasks of a job and returns the number of tasks on each VM. */
   private Map<String, Integer> placeAll(JobSpec spec, Fleet fleet) {
     placer.beginRound();
     Map<String, Integer> counts = new HashMap<>();
@@ -87,7 +87,7 @@
     assertEquals(2, counts.get("vm-3"));
   }
 
-  /** A VM with accelerators is kept for tasks that need them, as long as others have room. */
+  /** A VM with accelerators stays free for tasks that need them while others have capacity. */
   @Test
   void keepsAcceleratorsFree() {
     join("vm-1", "r1", new Sizes(8_000, 8_000, 2));
@@ -96,7 +96,7 @@
     assertEquals(Map.of("vm-2", 4), placeAll(accept("a", "x", 4, ONE, Spread.NONE), fleet()));
   }
 
-  /** A program that was seen to slow another is not put beside it again while there is a choice. */
+  /** A program that is known to slow another down is not co-located with it while there is an alternative. */
   @Test
   void keepsPairsApartThatHurtEachOther() {
     join("vm-1", "r1", ROOM);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/placement/WorkerHealthTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/placement/WorkerHealthTest.java
@@ -20,7 +20,7 @@
     }
   }
 
-  /** A worker fails all it is given, of a job that succeeds elsewhere. It gets nothing more. */
+  /** Guards against a worker that fails every attempt of a job that succeeds elsewhere and gets more tasks all the same. */
   @Test
   void aWorkerThatFailsEverythingIsSetApart() {
     goodElsewhere("job");
@@ -30,7 +30,7 @@
     assertTrue(health.usable("vm-2", 0, 0));
   }
 
-  /** A job fails wherever it runs; that is no worker's fault. */
+  /** Guards against quarantining healthy workers because of a job that fails everywhere. */
   @Test
   void aJobThatFailsEverywhereBlamesNoWorker() {
     for (int vm = 1; vm <= 5; vm++) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** One VM happens to get the first tasks of several broken jobs, but does good work besides. */
+  /** One VM runs the first tasks of several broken jobs, but succeeds with other jobs. */
   @Test
   void failuresAmongSuccessesAreBorne() {
     goodElsewhere("job");
@@ -56,7 +56,7 @@
     assertTrue(health.usable("vm-1", 0, 0));
   }
 
-  /** It is tried again after 30 s with a single task, after a failure only after a minute. */
+  /** The VM is retried after 30 s with a single task, and after another failure only after a minute. */
   @Test
   void isTriedAgainLaterAndLater() {
     goodElsewhere("job");
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/AbsenceWatchTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/AbsenceWatchTest.java
@@ -19,7 +19,7 @@
 class AbsenceWatchTest {
   private static final long SECOND = 1_000_000_000L;
 
-  private final AbsenceWatch watch = new AbsenceWatch();
+  private final AbsenceWatch detector = new AbsenceWatch();
 
   private static List<WorkflowTask> tasks(int count) {
     return Workflow.of(Workflows.spec(Workflows.step(count, 500, Workflows.lasting(25)))).tasks();
@@ -29,7 +29,7 @@
     return new Sight(task, OptionalLong.of(at), OptionalLong.of(at));
   }
 
-  /** Named by a report, such as one of a VM whose worker answers nothing. */
+  /** A task named by a report but not running, such as on a VM whose worker does not respond. */
   private static Sight named(WorkflowTask task, long at) {
     return new Sight(task, OptionalLong.empty(), OptionalLong.of(at));
   }
@@ -42,48 +42,45 @@
   void aTaskThatReportsShowIsNeverTold() {
     WorkflowTask task = tasks(1).get(0);
     for (long now = 0; now < 60 * SECOND; now += SECOND) {
-      Look look = watch.look(List.of(seen(task, now - SECOND / 2)), now);
+      Look look = detector.look(List.of(seen(task, now - SECOND / 2)), now);
       assertEquals(0, look.away());
       assertTrue(look.absences().isEmpty() && look.returns().isEmpty());
     }
   }
 
-  /** A start that takes its time, or a side process that restarts, is nothing to tell of. */
+  /** A slow start or a restart of a side process is not reported. */
   @Test
   void nothingIsToldBeforeTheBound() {
     WorkflowTask task = tasks(1).get(0);
-    assertTrue(watch.look(List.of(unseen(task)), 0).absences().isEmpty());
-    assertEquals(0, watch.look(List.of(unseen(task)), ABSENT_NANOS - 1).away());
-    Look look = watch.look(List.of(unseen(task)), ABSENT_NANOS);
+    assertTrue(detector.look(List.of(unseen(task)), 0).absences().isEmpty());
+    assertEquals(0, detector.look(List.of(unseen(task)), ABSENT_NANOS - 1).away());
+    Look look = detector.look(List.of(unseen(task)), ABSENT_NANOS);
     assertEquals(1, look.away());
     assertEquals(0, look.absences().get(0).since());
     assertFalse(look.absences().get(0).seenBefore());
   }
 
-  /**
-   * The side process goes on naming a run whose worker is dead, and the attempt stays open. The
-   * task is away all the same, and since when it was last seen.
-   */
+  /** The side process still names a run whose worker is dead, and the attempt stays open. The task must be absent all the same, since it was last seen running. */
   @Test
   void aRunThatIsNamedButNotSeenAtWorkIsAway() {
     WorkflowTask task = tasks(1).get(0);
-    watch.look(List.of(seen(task, 10 * SECOND)), 10 * SECOND);
+    detector.look(List.of(seen(task, 10 * SECOND)), 10 * SECOND);
     for (long now = 11 * SECOND; now < 13 * SECOND; now += SECOND) {
-      assertEquals(0, watch.look(List.of(named(task, now)), now).away());
+      assertEquals(0, detector.look(List.of(named(task, now)), now).away());
     }
-    Look look = watch.look(List.of(named(task, 13 * SECOND)), 13 * SECOND);
+    Look look = detector.look(List.of(named(task, 13 * SECOND)), 13 * SECOND);
     AbsenceWatch.Absence absence = look.absences().get(0);
     assertTrue(absence.seenBefore());
     assertEquals(10 * SECOND, absence.since());
     assertEquals(OptionalLong.of(13 * SECOND), absence.namedAt());
   }
 
-  /** A VM that is cut off leaves its last report behind; that report only grows older. */
+  /** A VM that is cut off leaves its last report behind, which only grows older. */
   @Test
   void anOldReportIsNoNewSight() {
     WorkflowTask task = tasks(1).get(0);
-    watch.look(List.of(seen(task, SECOND)), SECOND);
-    Look look = watch.look(List.of(seen(task, SECOND)), SECOND + ABSENT_NANOS);
+    detector.look(List.of(seen(task, SECOND)), SECOND);
+    Look look = detector.look(List.of(seen(task, SECOND)), SECOND + ABSENT_NANOS);
     assertEquals(1, look.away());
     assertEquals(SECOND, look.absences().get(0).since());
   }
@@ -91,62 +88,62 @@
   @Test
   void aTaskIsToldOncePerSpacingAndOnceWhenItIsBack() {
     WorkflowTask task = tasks(1).get(0);
-    watch.look(List.of(unseen(task)), 0);
-    int told = 0;
+    detector.look(List.of(unseen(task)), 0);
+    int reported = 0;
     for (long now = SECOND; now <= 44 * SECOND; now += SECOND) {
-      told += watch.look(List.of(unseen(task)), now).absences().size();
+      reported += detector.look(List.of(unseen(task)), now).absences().size();
     }
-    // At 3 s, and then each 5 s up to 43 s.
-    assertEquals(1 + (44 * SECOND - ABSENT_NANOS) / REPEAT_NANOS, told);
-    Look back = watch.look(List.of(seen(task, 45 * SECOND)), 45 * SECOND);
+    // At 3 s, and then every 5 s until 43 s.
+    assertEquals(1 + (44 * SECOND - ABSENT_NANOS) / REPEAT_NANOS, reported);
+    Look back = detector.look(List.of(seen(task, 45 * SECOND)), 45 * SECOND);
     assertEquals(List.of(new Return(task, 45 * SECOND)), back.returns());
     assertEquals(0, back.away());
-    Look after = watch.look(List.of(seen(task, 46 * SECOND)), 46 * SECOND);
+    Look after = detector.look(List.of(seen(task, 46 * SECOND)), 46 * SECOND);
     assertTrue(after.returns().isEmpty());
   }
 
-  /** Away again soon after it was back, it is told at once: the spacing is that of one absence. */
+  /** A new absence soon after a recovery is reported at its own threshold; the interval applies within one absence. */
   @Test
   void theNextAbsenceIsToldAtItsOwnBound() {
     WorkflowTask task = tasks(1).get(0);
-    watch.look(List.of(unseen(task)), 0);
-    assertEquals(1, watch.look(List.of(unseen(task)), ABSENT_NANOS).absences().size());
+    detector.look(List.of(unseen(task)), 0);
+    assertEquals(1, detector.look(List.of(unseen(task)), ABSENT_NANOS).absences().size());
     long back = ABSENT_NANOS + SECOND;
-    watch.look(List.of(seen(task, back)), back);
-    assertEquals(1, watch.look(List.of(unseen(task)), back + ABSENT_NANOS).absences().size());
+    detector.look(List.of(seen(task, back)), back);
+    assertEquals(1, detector.look(List.of(unseen(task)), back + ABSENT_NANOS).absences().size());
   }
 
-  /** All of a fleet is away: lines stay few, and each task gets its turn within the spacing. */
+  /** All long-running tasks of a fleet are absent: reports stay few, and each task is reported within the interval. */
   @Test
   void manyTasksAreToldInTurnAndTheRestCounted() {
     List<Sight> all = tasks(18).stream().map(AbsenceWatchTest::unseen).toList();
-    watch.look(all, 0);
-    Map<TaskKey, Integer> told = new HashMap<>();
-    for (int turn = 0; turn < 5; turn++) {
-      Look look = watch.look(all, ABSENT_NANOS + turn * SECOND);
+    detector.look(all, 0);
+    Map<TaskKey, Integer> reported = new HashMap<>();
+    for (int round = 0; round < 5; round++) {
+      Look look = detector.look(all, ABSENT_NANOS + round * SECOND);
       assertEquals(18, look.lasting());
       assertEquals(18, look.away());
       assertTrue(look.absences().size() <= MOST_PER_LOOK);
-      assertEquals(Math.max(0, 18 - (turn + 1) * MOST_PER_LOOK), look.absencesLeftOut());
-      look.absences().forEach(each -> told.merge(each.task().key(), 1, Integer::sum));
+      assertEquals(Math.max(0, 18 - (round + 1) * MOST_PER_LOOK), look.absencesLeftOut());
+      look.absences().forEach(each -> reported.merge(each.task().key(), 1, Integer::sum));
     }
-    assertEquals(18, told.size());
-    assertTrue(told.values().stream().allMatch(times -> times == 1));
+    assertEquals(18, reported.size());
+    assertTrue(reported.values().stream().allMatch(times -> times == 1));
     long later = ABSENT_NANOS + 6 * SECOND;
     List<Sight> again = all.stream().map(each -> seen(each.task(), later)).toList();
-    Look back = watch.look(again, later);
+    Look back = detector.look(again, later);
     assertEquals(MOST_PER_LOOK, back.returns().size());
     assertEquals(18 - MOST_PER_LOOK, back.returnsLeftOut());
   }
 
-  /** A workflow was cancelled, or its partition went to another owner and came back. */
+  /** A workflow was cancelled, or its partition moved to another owner and came back. */
   @Test
   void whatIsNotLookedForAnyMoreIsForgotten() {
     WorkflowTask task = tasks(1).get(0);
-    watch.look(List.of(unseen(task)), 0);
-    watch.look(List.of(), SECOND);
-    assertEquals(0, watch.look(List.of(unseen(task)), 10 * SECOND).away());
+    detector.look(List.of(unseen(task)), 0);
+    detector.look(List.of(), SECOND);
+    assertEquals(0, detector.look(List.of(unseen(task)), 10 * SECOND).away());
     assertEquals(
-        10 * SECOND, watch.look(List.of(unseen(task)), 13 * SECOND).absences().get(0).since());
+        10 * SECOND, detector.look(List.of(unseen(task)), 13 * SECOND).absences().get(0).since());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/GangChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/GangChooserTest.java
@@ -31,11 +31,7 @@
         1);
   }
 
-  /**
-   * Two wide gangs came to a fleet with room for one. Placed task by task each held half of the
-   * room and waited for the other half, nothing worked, and the workers gave both up. The first
-   * takes its room whole; the second takes none and leaves the rest to others.
-   */
+  /** Two wide gangs share a fleet with capacity for one. Guards against placing them task by task: each held half of the capacity and waited for the other half until the workers gave both up. The first gang must be placed whole, the second not at all. */
   @Test
   void aGangTakesItsRoomWholeOrNotAtAll() {
     StepSpec gang = Workflows.gang(4, 3_000, false);
@@ -47,7 +43,7 @@
         choose(gang, Workflows.offer("a", 6_000, 0, 0), Workflows.offer("b", 5_900, 0, 0)));
   }
 
-  /** Members that are slower apart wait for nobody, but take a rack that holds them all first. */
+  /** Members that are slower on separate racks do not wait, but prefer a rack that holds all of them. */
   @Test
   void oneRackThatHoldsAllComesBeforeTheEmptiestVms() {
     StepSpec gang = Workflows.gang(4, 3_000, true);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageHarmTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageHarmTest.java
@@ -17,27 +17,23 @@
     return image % 2 == 0;
   }
 
-  /**
-   * Nine images, five of which disturb. Two or three stand together on a VM at a time, and the tail
-   * tells only that something there disturbs. Within some dozens of readings those that do not must
-   * be known, so that they may use what services leave.
-   */
+  /** Five of nine images interfere, and the tasks of two images run on a VM at a time, whose tail shows only that one of them interferes. After some dozens of readings the benign images must be known, so that they may use processors that services leave idle. */
   @Test
   void tellsHarmfulFromHarmlessThoughTheyStandTogether() {
     Random random = new Random(11);
-    ImageHarm harm = new ImageHarm();
+    ImageHarm interference = new ImageHarm();
     for (int reading = 0; reading < 120; reading++) {
-      List<ImageHarm.Filling> fillings = new ArrayList<>();
-      boolean disturbed = false;
+      List<ImageHarm.Filling> loads = new ArrayList<>();
+      boolean slow = false;
       for (int i = 0; i < 2; i++) {
         int image = random.nextInt(IMAGES);
-        fillings.add(new ImageHarm.Filling("image-" + image, 1_500));
-        disturbed |= isHeavy(image);
+        loads.add(new ImageHarm.Filling("image-" + image, 1_500));
+        slow |= isHeavy(image);
       }
-      harm.observe(fillings, disturbed ? 150 + random.nextInt(300) : 20 + random.nextInt(40));
+      interference.observe(loads, slow ? 150 + random.nextInt(300) : 20 + random.nextInt(40));
     }
     for (int image = 0; image < IMAGES; image++) {
-      double belief = harm.belief("image-" + image);
+      double belief = interference.belief("image-" + image);
       if (isHeavy(image)) {
         assertTrue(belief > ImageHarm.HARMFUL, "image " + image + ": " + belief);
       } else {
@@ -53,35 +49,35 @@
 
   @Test
   void whatOthersSawCountsAsMuchAsWhatWasSeenHere() {
-    ImageHarm here = new ImageHarm();
-    ImageHarm there = new ImageHarm();
+    ImageHarm local = new ImageHarm();
+    ImageHarm remote = new ImageHarm();
     for (int i = 0; i < 6; i++) {
-      there.observe(List.of(new ImageHarm.Filling("image", 2_000)), 30);
+      remote.observe(List.of(new ImageHarm.Filling("image", 2_000)), 30);
     }
-    here.others(there.own());
-    assertTrue(here.belief("image") < ImageHarm.HARMLESS);
+    local.others(remote.own());
+    assertTrue(local.belief("image") < ImageHarm.HARMLESS);
     Map<String, ImageHarm.Seen> nothing = new HashMap<>();
-    here.others(nothing);
-    assertEquals(ImageHarm.UNKNOWN, here.belief("image"));
+    local.others(nothing);
+    assertEquals(ImageHarm.UNKNOWN, local.belief("image"));
   }
 
   @Test
   void effectsThatChangeAreBelievedAnew() {
-    ImageHarm harm = new ImageHarm();
+    ImageHarm interference = new ImageHarm();
     for (int i = 0; i < 200; i++) {
-      harm.observe(List.of(new ImageHarm.Filling("image", 2_000)), 30);
+      interference.observe(List.of(new ImageHarm.Filling("image", 2_000)), 30);
     }
     for (int i = 0; i < 30; i++) {
-      harm.observe(List.of(new ImageHarm.Filling("image", 2_000)), 300);
+      interference.observe(List.of(new ImageHarm.Filling("image", 2_000)), 300);
     }
-    assertTrue(harm.belief("image") > ImageHarm.HARMFUL);
+    assertTrue(interference.belief("image") > ImageHarm.HARMFUL);
   }
 
   @Test
   void readingsBetweenTellNothing() {
-    ImageHarm harm = new ImageHarm();
-    harm.observe(List.of(new ImageHarm.Filling("image", 2_000)), 90);
-    harm.observe(List.of(), 500);
-    assertEquals(Map.of(), harm.own());
+    ImageHarm interference = new ImageHarm();
+    interference.observe(List.of(new ImageHarm.Filling("image", 2_000)), 90);
+    interference.observe(List.of(), 500);
+    assertEquals(Map.of(), interference.own());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageSumsTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageSumsTest.java
@@ -37,17 +37,14 @@
     assertFalse(sums.all().containsKey("old"));
   }
 
-  /**
-   * Images come and go with releases for as long as an entry lives. Those that no VM had seen for
-   * days were still in the sums with a weight of nothing, and each VM was told of all of them.
-   */
+  /** Images change with releases for as long as an entry runs. Guards against keeping images that no VM has reported for days with a negligible weight, and sending all of them to every VM. */
   @Test
   void anImageThatNoVmTellsOfAnyMoreIsDropped() {
     Seen tenth = new Seen(0.1, 0.1);
     Seen fifth = new Seen(0.2, 0.2);
     sums.saw("vm-1", Map.of("old", tenth));
     sums.saw("vm-2", Map.of("old", fifth));
-    // What is left of doubles after this is a little over nothing.
+    // Rounding leaves a weight slightly above zero after this.
     sums.saw("vm-1", Map.of());
     sums.saw("vm-2", Map.of("new", tenth));
     assertEquals(Set.of("new"), sums.all().keySet());
@@ -70,23 +67,23 @@
 
   @Property
   void sumsAreThoseOfTheLastWords(
-      @ForAll @Size(max = 60) List<@IntRange(max = 2_399) Integer> words) {
-    ImageSums told = new ImageSums();
-    Map<String, Map<String, Seen>> last = new HashMap<>();
-    for (int word : words) {
-      String vm = "vm-" + word % 4;
-      double weight = word / 200.0;
-      Map<String, Seen> seen = Map.of("image-" + word % 3, new Seen(weight * 0.3, weight));
-      last.put(vm, seen);
-      told.saw(vm, seen);
+      @ForAll @Size(max = 60) List<@IntRange(max = 2_399) Integer> updates) {
+    ImageSums aggregator = new ImageSums();
+    Map<String, Map<String, Seen>> latest = new HashMap<>();
+    for (int update : updates) {
+      String vm = "vm-" + update % 4;
+      double weight = update / 200.0;
+      Map<String, Seen> seen = Map.of("image-" + update % 3, new Seen(weight * 0.3, weight));
+      latest.put(vm, seen);
+      aggregator.saw(vm, seen);
     }
     for (int image = 0; image < 3; image++) {
       String name = "image-" + image;
       Seen expected =
-          last.values().stream()
+          latest.values().stream()
               .map(seen -> seen.getOrDefault(name, Seen.NOTHING))
               .reduce(Seen.NOTHING, Seen::plus);
-      assertSeen(expected, told.all().getOrDefault(name, Seen.NOTHING));
+      assertSeen(expected, aggregator.all().getOrDefault(name, Seen.NOTHING));
     }
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
@@ -20,7 +20,7 @@
       @ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
     LeaseTermsOfWorker terms = LeaseTermsOfWorker.forLongestLease(longest);
     assertTrue(terms.boundMillis() <= longest);
-    // The worker's clock is 2% slow: so much real time passes until it shows the bound.
+    // On a worker's clock that is 2% slow, this much real time passes until the bound.
     assertTrue(terms.takeoverMillis() > terms.boundMillis() / 0.98);
   }
 
@@ -34,10 +34,7 @@
     assertEquals(OptionalLong.empty(), ledger.deadline(Set.of()));
   }
 
-  /**
-   * A former owner that is cut off from the store still reaches a VM. A new owner has set a higher
-   * epoch, so what the former one sends must neither prolong leases nor start anything.
-   */
+  /** A former owner that is cut off from the store still reaches a VM after a new owner has set a higher epoch. Guards against the former owner extending leases or starting runs. */
   @Test
   void aLowerEpochProvesNothing() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
@@ -46,11 +43,7 @@
     assertEquals(OptionalLong.of(1_000 + TERMS.leaseMillis()), ledger.deadline(Set.of(1)));
   }
 
-  /**
-   * Deadlines never shorten and hold for everything on a worker. A run that starts under a deadline
-   * that other partitions moved far ahead would outlive what its own owner waits for, and run
-   * beside its successor.
-   */
+  /** Deadlines never shorten and hold for all runs of a worker. Guards against a run that starts under a deadline that other partitions have moved far ahead: it would outlive its owner's takeover and run concurrently with its successor. */
   @Test
   void nothingStartsUnderADeadlineBeyondWhatItsOwnerWaitsFor() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
@@ -72,10 +65,7 @@
     assertFalse(ledger.mayStart(1, 1_000 + TERMS.leaseMillis(), late));
   }
 
-  /**
-   * Workers grant short leases. Evidence of a calm owner is renewed and passed on within two
-   * seconds; runs were stopped once it was 1.1 s old, so nothing longer ever came to its end.
-   */
+  /** Workers grant short leases, and evidence of a healthy owner takes up to two seconds to be renewed and delivered. Guards against stopping runs earlier: at 1.1 s, no longer run ever completed. */
   @Test
   void shortLeasesLeaveEvidenceTheTimeItTravels() {
     LeaseLedger ledger = new LeaseLedger(LeaseTermsOfWorker.forLongestLease(4_000));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
@@ -9,28 +9,25 @@
 class OvercommitTest {
   private static final long BOOKED_MILLI = 26_000;
 
-  private static int taken(RoomLedger room) {
-    RoomLedger.Claim fills = new RoomLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
+  private static int taken(RoomLedger ledger) {
+    RoomLedger.Claim bestEffort = new RoomLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
     int taken = 0;
-    while (room.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), fills)) {
+    while (ledger.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), bestEffort)) {
       taken++;
     }
     return taken;
   }
 
   private static RoomLedger withServices(Overcommit overcommit) {
-    RoomLedger room = new RoomLedger(overcommit);
-    room.capacity(new Sizes(32_000, 1_000, 0));
+    RoomLedger ledger = new RoomLedger(overcommit);
+    ledger.capacity(new Sizes(32_000, 1_000, 0));
     RunKey services = new RunKey(new TaskKey(1, 0, 0, 0), 1);
-    room.book(
+    ledger.book(
         services, new RoomLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
-    return room;
+    return ledger;
   }
 
-  /**
-   * A burst of heavy workflows meets a fleet on which services book most processors and use half of
-   * them. Guards against heavy tasks that wait beside idle processors until they are late.
-   */
+  /** A burst of heavy workflows meets a fleet on which services book most processors and use half of them. Guards against heavy tasks that wait beside idle processors until they are late. */
   @Test
   void whatServicesLeaveIdleIsRoomInABurst() {
     Overcommit overcommit = new Overcommit();
@@ -40,10 +37,7 @@
     assertEquals(7, taken(withServices(overcommit)));
   }
 
-  /**
-   * Services use all that they book. Guards against ever more heavy tasks that share nothing, each
-   * slower than the one before.
-   */
+  /** Services use all processors that they book. Guards against starting ever more heavy tasks, each slower than the one before. */
   @Test
   void whatIsNotIdleIsCountedOnNoMore() {
     Overcommit overcommit = new Overcommit();
@@ -54,10 +48,7 @@
     assertEquals(3, taken(withServices(overcommit)));
   }
 
-  /**
-   * Many heavy tasks that were found to disturb nobody stand beside a service, and together they
-   * do. Guards against still more of them.
-   */
+  /** Many heavy tasks that do not interfere one by one do so together beside a service. Guards against starting still more of them. */
   @Test
   void aServiceOverItsTargetForbidsMore() {
     Overcommit overcommit = new Overcommit();
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/RoomLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/RoomLedgerTest.java
@@ -16,63 +16,57 @@
     return new RoomLedger.Claim(new Sizes(milliProcessors, memory, 0), false, Urgency.ORDINARY);
   }
 
-  /**
-   * Two entries saw the same free processors and ordered at the same moment. Only the side process
-   * sees both orders; the second is refused, and told again later it fits.
-   */
+  /** Two entries saw the same free processors and sent start orders at the same time. Only the side process sees both; it must refuse the second and accept it after a release. */
   @Test
   void theSecondOfTwoRacingOrdersIsRefused() {
-    RoomLedger room = new RoomLedger(new Overcommit());
-    room.capacity(new Sizes(1_000, 1_000, 0));
-    RoomLedger.Claim most = plain(600, 100);
-    assertTrue(room.tryBook(run(1), most));
-    assertFalse(room.tryBook(run(2), most));
-    room.release(run(1));
-    assertTrue(room.tryBook(run(2), most));
+    RoomLedger ledger = new RoomLedger(new Overcommit());
+    ledger.capacity(new Sizes(1_000, 1_000, 0));
+    RoomLedger.Claim largeClaim = plain(600, 100);
+    assertTrue(ledger.tryBook(run(1), largeClaim));
+    assertFalse(ledger.tryBook(run(2), largeClaim));
+    ledger.release(run(1));
+    assertTrue(ledger.tryBook(run(2), largeClaim));
   }
 
   @Test
   void aRepeatedOrderBooksOnce() {
-    RoomLedger room = new RoomLedger(new Overcommit());
-    room.capacity(new Sizes(1_000, 1_000, 0));
-    assertTrue(room.tryBook(run(1), plain(600, 100)));
-    assertTrue(room.tryBook(run(1), plain(600, 100)));
-    assertEquals(new Sizes(400, 900, 0), room.free());
-    room.release(run(1));
-    room.release(run(1));
-    assertEquals(new Sizes(1_000, 1_000, 0), room.free());
+    RoomLedger ledger = new RoomLedger(new Overcommit());
+    ledger.capacity(new Sizes(1_000, 1_000, 0));
+    assertTrue(ledger.tryBook(run(1), plain(600, 100)));
+    assertTrue(ledger.tryBook(run(1), plain(600, 100)));
+    assertEquals(new Sizes(400, 900, 0), ledger.free());
+    ledger.release(run(1));
+    ledger.release(run(1));
+    assertEquals(new Sizes(1_000, 1_000, 0), ledger.free());
   }
 
   @Test
   void whatIsThereAlreadyIsBookedEvenBeyondTheCapacity() {
-    RoomLedger room = new RoomLedger(new Overcommit());
-    room.capacity(new Sizes(1_000, 1_000, 0));
-    room.book(run(1), plain(900, 100));
-    room.book(run(2), plain(900, 100));
-    assertEquals(new Sizes(0, 800, 0), room.free());
-    room.release(run(1));
-    assertEquals(new Sizes(100, 900, 0), room.free());
+    RoomLedger ledger = new RoomLedger(new Overcommit());
+    ledger.capacity(new Sizes(1_000, 1_000, 0));
+    ledger.book(run(1), plain(900, 100));
+    ledger.book(run(2), plain(900, 100));
+    assertEquals(new Sizes(0, 800, 0), ledger.free());
+    ledger.release(run(1));
+    assertEquals(new Sizes(100, 900, 0), ledger.free());
   }
 
-  /**
-   * Three entries fill the same empty VM at the same moment. What its tasks declare went to nearly
-   * twice its processors, and all of them came late.
-   */
+  /** Three entries place best-effort tasks on the same empty VM at the same time. Guards against tasks that declare nearly twice its processors, which made all of them late. */
   @Test
   void whatFillsIsBoundedAlsoWhenOwnersRace() {
-    RoomLedger room = new RoomLedger(new Overcommit());
-    room.capacity(new Sizes(24_000, 1_000, 0));
-    RoomLedger.Claim fills = new RoomLedger.Claim(new Sizes(2_000, 10, 0), true, Urgency.ORDINARY);
-    int taken = 0;
+    RoomLedger ledger = new RoomLedger(new Overcommit());
+    ledger.capacity(new Sizes(24_000, 1_000, 0));
+    RoomLedger.Claim bestEffort = new RoomLedger.Claim(new Sizes(2_000, 10, 0), true, Urgency.ORDINARY);
+    int booked = 0;
     for (int index = 0; index < 24; index++) {
-      taken += room.tryBook(run(index), fills) ? 1 : 0;
+      booked += ledger.tryBook(run(index), bestEffort) ? 1 : 0;
     }
-    assertEquals(15, taken);
-    assertEquals(30_000, room.fillMilliProcessors());
-    assertEquals(new Sizes(24_000, 850, 0), room.free());
-    room.release(run(0));
-    assertTrue(room.tryBook(run(24), fills));
-    assertFalse(room.tryBook(run(25), fills));
-    assertTrue(room.tryBook(run(25), new RoomLedger.Claim(fills.sizes(), true, Urgency.STARVED)));
+    assertEquals(15, booked);
+    assertEquals(30_000, ledger.fillMilliProcessors());
+    assertEquals(new Sizes(24_000, 850, 0), ledger.free());
+    ledger.release(run(0));
+    assertTrue(ledger.tryBook(run(24), bestEffort));
+    assertFalse(ledger.tryBook(run(25), bestEffort));
+    assertTrue(ledger.tryBook(run(25), new RoomLedger.Claim(bestEffort.sizes(), true, Urgency.STARVED)));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/StepAdviceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/StepAdviceTest.java
@@ -16,11 +16,7 @@
     return offer.place().worker();
   }
 
-  /**
-   * Each step of each workflow asked about the whole fleet, again and again; the adviser, which
-   * takes one call at a time, told the first ones when the others were late already. A call names
-   * the best few, then others, and nobody twice while the answer holds.
-   */
+  /** Guards against calls about the whole fleet for each step of each workflow: the adviser, which serves one call at a time, answered the first ones when the others were late already. A call names the best few workers, the next call others, and none twice while its answer is valid. */
   @Test
   void namesTheBestFirstAndNobodyTwice() {
     StepAdvice advice = new StepAdvice();
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/SuspectRoomTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/SuspectRoomTest.java
@@ -15,10 +15,7 @@
     assertFalse(SuspectRoom.admits(16_000, 1_000, 1_001));
   }
 
-  /**
-   * Images prove to disturb once four of their tasks stand beside services. None of them gets
-   * anywhere there; those beyond what the services bear have to go, and the oldest stay.
-   */
+  /** An image proves to interfere when four of its tasks already run beside services. The tasks beyond the capacity have to stop, because they would all be throttled to nearly zero; the oldest stay. */
   @Test
   void thoseThatCameLastAreTooMany() {
     assertEquals(List.of(2, 3), SuspectRoom.excess(16_000, List.of(900L, 900L, 900L, 900L)));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
@@ -22,7 +22,7 @@
         .map(offer -> offer.place().vm());
   }
 
-  private static VmOffer with(VmOffer offer, long suspectMilli, double slowness) {
+  private static VmOffer with(VmOffer offer, long interferingMilli, double slowness) {
     return new VmOffer(
         offer.place(),
         offer.service(),
@@ -31,17 +31,13 @@
         offer.capacity(),
         offer.free(),
         offer.fillMilliProcessors(),
-        suspectMilli,
+        interferingMilli,
         offer.overcommitMilliProcessors(),
         offer.serving(),
         slowness);
   }
 
-  /**
-   * Users of lasting services felt heavy tasks on nearly every VM: the services stood one on each,
-   * the heavy tasks wherever processors were left, and each was slowed down beside a service.
-   * Packed, the services leave most VMs to the heavy tasks.
-   */
+  /** Guards against users of services who notice heavy tasks on nearly every VM: services were spread one per VM, heavy tasks went wherever processors were left, and each was throttled beside a service. Packed services leave most VMs to the heavy tasks. */
   @Test
   void servicesArePackedAndHeavyTasksStandElsewhere() {
     StepSpec service = Workflows.step(1, 3_200, Workflows.lasting(125));
@@ -51,9 +47,9 @@
       offers.put("vm-" + i, Workflows.offer("vm-" + i, 16_000, 0, 0));
     }
     List<String> services = place(service, 8, offers);
-    List<String> fills = place(heavy, 20, offers);
+    List<String> bestEffortVms = place(heavy, 20, offers);
     assertEquals(2, ImmutableSet.copyOf(services).size());
-    assertTrue(fills.stream().noneMatch(services::contains), "beside a service: " + fills);
+    assertTrue(bestEffortVms.stream().noneMatch(services::contains), "VMs of best-effort tasks: " + bestEffortVms);
   }
 
   private static List<String> place(StepSpec step, int count, Map<String, VmOffer> offers) {
@@ -84,20 +80,16 @@
   @Test
   void heavyTasksGoBesideServicesOnlyWhenNothingElseHasRoom() {
     StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
-    VmOffer beside = Workflows.offer("serving", 9_000, 0, 1);
+    VmOffer withService = Workflows.offer("serving", 9_000, 0, 1);
     assertEquals(
-        Optional.of("tight"), choose(heavy, beside, Workflows.offer("tight", 2_000, 6_100, 0)));
+        Optional.of("tight"), choose(heavy, withService, Workflows.offer("tight", 2_000, 6_100, 0)));
     assertEquals(
-        Optional.of("serving"), choose(heavy, beside, Workflows.offer("tight", 2_000, 6_300, 0)));
-    assertEquals(Optional.of("serving"), choose(heavy, with(beside, 200, 1)));
-    assertEquals(Optional.empty(), choose(heavy, with(beside, 201, 1)));
+        Optional.of("serving"), choose(heavy, withService, Workflows.offer("tight", 2_000, 6_300, 0)));
+    assertEquals(Optional.of("serving"), choose(heavy, with(withService, 200, 1)));
+    assertEquals(Optional.empty(), choose(heavy, with(withService, 201, 1)));
   }
 
-  /**
-   * A lasting task fails by itself; its VM has its room free again, and only the one VM without
-   * services has room besides. It went there, and heavy workflows of all callers came late for the
-   * rest of the day: the VM had done half of their work.
-   */
+  /** A service task fails through its own fault; apart from its former VM, only the one VM without services has capacity. Guards against moving it there, which made heavy workflows late for the rest of the day, because that VM had done half of their work. */
   @Test
   void aServiceThatFailedDoesNotTakeTheVmThatHasNone() {
     StepSpec service = Workflows.step(1, 3_200, Workflows.lasting(125));
@@ -112,7 +104,7 @@
     assertTrue(VmChooser.isWorthLeaving(plain, Optional.of(free), Optional.of(former)));
   }
 
-  /** What services leave on their VMs is a good part of all room; harmless tasks are to use it. */
+  /** Processors that services leave idle are a large part of the capacity, and benign tasks should use them. */
   @Test
   void knownImagesStandWhereTheyDoNoHarm() {
     StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
@@ -130,11 +122,7 @@
     assertEquals("serving", choose(heavy, ImageHarm.HARMLESS, withOne).orElseThrow());
   }
 
-  /**
-   * In a burst of heavy workflows half of the tasks of each went beside services, at a third of
-   * their speed, and each workflow was as late as its slowest task. Who can be in time only at full
-   * speed waits for a VM without services; who is late anyway takes what is left.
-   */
+  /** Guards against bursts of heavy workflows in which half of the tasks of each run beside services at a third of their speed, so that each workflow is as late as its slowest task. A workflow that can be in time only at full speed waits for a VM without services; one that is late anyway takes what is left. */
   @Test
   void whoIsInAHurryIsNotSlowedDown() {
     StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
@@ -147,10 +135,7 @@
     assertEquals("serving", hurried(heavy, ImageHarm.UNKNOWN, List.of(serving)).orElseThrow());
   }
 
-  /**
-   * Most of the room was free, but a service stood on each VM, with as much beside it as it bears.
-   * Workflows with nothing at work waited for good; each is to have one task at work somewhere.
-   */
+  /** Most of the capacity was free, but each VM had a service with as many best-effort tasks beside it as it tolerates. Guards against workflows without running tasks that wait forever; each must get one task to run somewhere. */
   @Test
   void aWorkflowWithNothingAtWorkGetsAnyPlace() {
     StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
@@ -169,23 +154,19 @@
     assertFalse(VmOffer.isRoomy(List.of(full, Workflows.offer("free", 12_700, 0, 0))));
   }
 
-  private static Optional<String> hurried(StepSpec step, double harm, List<VmOffer> offers) {
+  private static Optional<String> hurried(StepSpec step, double interference, List<VmOffer> offers) {
     return Workflows.CHOOSER
-        .choose(Workflows.wish(step, harm, Urgency.HURRIED), offers, offer -> 0)
+        .choose(Workflows.wish(step, interference, Urgency.HURRIED), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
-  private static Optional<String> choose(StepSpec step, double harm, List<VmOffer> offers) {
+  private static Optional<String> choose(StepSpec step, double interference, List<VmOffer> offers) {
     return Workflows.CHOOSER
-        .choose(Workflows.wish(step, harm, Urgency.ORDINARY), offers, offer -> 0)
+        .choose(Workflows.wish(step, interference, Urgency.ORDINARY), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
-  /**
-   * Tasks that take half as long again apart were spread over racks, and their workflow came late:
-   * the rack of those at work counts like a slow VM, so that an idle VM elsewhere loses to a busy
-   * one beside them, but not to none.
-   */
+  /** Guards against workflows that are late because tasks that take half as long again on separate racks are spread over racks. The rack of the running tasks counts like VM speed: an idle VM elsewhere loses to a busy one on that rack, but is chosen if it is the only one. */
   @Test
   void tasksThatAreSlowerApartStandOnOneRack() {
     StepSpec small = Workflows.step(1, 240, StepSpec.Nature.PLAIN);
@@ -259,7 +240,7 @@
     return new StepSpec(1, step.sizes(), 1, ImmutableList.of(), placement, step.nature());
   }
 
-  /** What an engineer reads of a task that no VM admits is what the choice goes by. */
+  /** The verdicts that engineers read of a task that no VM admits are those that the choice uses. */
   @Test
   void aVmThatIsNoChoiceSaysWhy() {
     StepSpec plain = Workflows.step(1, 5_000, StepSpec.Nature.PLAIN);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmTrustTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmTrustTest.java
@@ -8,20 +8,17 @@
 class VmTrustTest {
   private static final long SECOND = 1_000_000_000L;
 
-  /**
-   * One worker of twelve fails all that it starts. It is always idle, so it is offered everything,
-   * and workflows fail there that any other VM would have finished.
-   */
+  /** One worker of twelve fails everything that it starts. Guards against offering it all work because it is always idle, so that workflows fail there that any other VM would have completed. */
   @Test
   void aWorkerThatFailsAllIsLeftAloneAndTriedSeldom() {
-    VmTrust trust = new VmTrust();
+    VmTrust quarantine = new VmTrust();
     int startsOnBad = 0;
-    for (int turn = 0; turn < 2_000; turn++) {
-      long now = turn * SECOND / 20;
-      trust.ended("good-" + turn % 11, turn % 20 == 0, now);
-      if (!trust.rests("bad", now)) {
+    for (int i = 0; i < 2_000; i++) {
+      long now = i * SECOND / 20;
+      quarantine.ended("good-" + i % 11, i % 20 == 0, now);
+      if (!quarantine.rests("bad", now)) {
         startsOnBad++;
-        trust.ended("bad", true, now);
+        quarantine.ended("bad", true, now);
       }
     }
     assertTrue(startsOnBad < 20, startsOnBad + " starts within 100 s on a VM that fails all");
@@ -29,28 +26,28 @@
 
   @Test
   void tasksThatFailEverywhereBlameNoVm() {
-    VmTrust trust = new VmTrust();
-    for (int turn = 0; turn < 400; turn++) {
-      trust.ended("vm-" + turn % 4, true, turn * SECOND / 10);
+    VmTrust quarantine = new VmTrust();
+    for (int i = 0; i < 400; i++) {
+      quarantine.ended("vm-" + i % 4, true, i * SECOND / 10);
     }
     for (int vm = 0; vm < 4; vm++) {
-      assertFalse(trust.rests("vm-" + vm, 60 * SECOND));
+      assertFalse(quarantine.rests("vm-" + vm, 60 * SECOND));
     }
   }
 
   @Test
   void aSuccessAfterTheRestClearsTheVm() {
-    VmTrust trust = new VmTrust();
+    VmTrust quarantine = new VmTrust();
     for (int i = 0; i < 30; i++) {
-      trust.ended("other", false, 0);
+      quarantine.ended("other", false, 0);
     }
     for (int i = 0; i < VmTrust.ROW; i++) {
-      trust.ended("vm", true, SECOND);
+      quarantine.ended("vm", true, SECOND);
     }
-    assertTrue(trust.rests("vm", SECOND + 1));
-    assertFalse(trust.rests("vm", SECOND + VmTrust.REST_NANOS));
-    trust.ended("vm", false, 4 * SECOND);
-    trust.ended("vm", true, 5 * SECOND);
-    assertFalse(trust.rests("vm", 5 * SECOND + 1));
+    assertTrue(quarantine.rests("vm", SECOND + 1));
+    assertFalse(quarantine.rests("vm", SECOND + VmTrust.REST_NANOS));
+    quarantine.ended("vm", false, 4 * SECOND);
+    quarantine.ended("vm", true, 5 * SECOND);
+    assertFalse(quarantine.rests("vm", 5 * SECOND + 1));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
@@ -34,33 +34,29 @@
         sorted(30, workflow(1, 2, 10), workflow(2, 0, 30), workflow(3, 0, 20)));
   }
 
-  /** 2 x 1 s of work and 1 s are allowed: after 2 s it will be late, after 8 s it is useless. */
+  /** 2 x 1 s of work and 1 s are allowed: a start after 2 s is late, one after 8 s is of no use. */
   @Test
   void whatCanStillBeInTimeGoesBeforeWhatCannot() {
-    Workflow useless = workflow(1, 0, 0);
+    Workflow expired = workflow(1, 0, 0);
     Workflow late = workflow(2, 0, 5_000);
     Workflow inTime = workflow(3, 0, 9_000);
-    assertEquals(List.of(3L, 2L, 1L), sorted(10_000, useless, late, inTime));
-    assertEquals(WaitingOrder.Use.LATE, WaitingOrder.rank(useless, 8_000).use());
-    assertEquals(WaitingOrder.Use.NONE, WaitingOrder.rank(useless, 8_001).use());
+    assertEquals(List.of(3L, 2L, 1L), sorted(10_000, expired, late, inTime));
+    assertEquals(WaitingOrder.Use.LATE, WaitingOrder.rank(expired, 8_000).use());
+    assertEquals(WaitingOrder.Use.NONE, WaitingOrder.rank(expired, 8_001).use());
   }
 
-  /**
-   * For ten seconds 2.6 times as much work comes as there is room for, then as much as fits. What
-   * callers receive in time must be most of what there was room for; served in the order of arrival
-   * everything after the first seconds is late.
-   */
+  /** For ten seconds 2.6 times as much work arrives as there is capacity for, then as much as fits. Most of the capacity must go to workflows that are in time. Guards against the order of arrival, in which everything after the first seconds is late. */
   @Test
   void aBurstMakesSomeWorkLateAndNotAll() {
-    int inOrderOfUse = servedInTime(true);
-    int inOrderOfArrival = servedInTime(false);
+    int byTimeliness = servedInTime(true);
+    int byArrival = servedInTime(false);
     assertEquals(
-        true, inOrderOfUse >= 3 * inOrderOfArrival, inOrderOfUse + " / " + inOrderOfArrival);
-    assertEquals(true, inOrderOfUse >= 250, "in time: " + inOrderOfUse);
+        true, byTimeliness >= 3 * byArrival, byTimeliness + " / " + byArrival);
+    assertEquals(true, byTimeliness >= 250, "in time: " + byTimeliness);
   }
 
-  /** Ten slots, each a second a workflow, for 40 s. */
-  private static int servedInTime(boolean byUse) {
+  /** Simulates ten slots that each run one workflow per second, for 40 s. */
+  private static int servedInTime(boolean ranked) {
     List<Workflow> waiting = new ArrayList<>();
     int inTime = 0;
     long id = 0;
@@ -70,7 +66,7 @@
         waiting.add(workflow(++id, 0, wall));
       }
       waiting.sort(
-          byUse
+          ranked
               ? Comparator.comparing(workflow -> WaitingOrder.rank(workflow, wall))
               : Comparator.comparingLong(workflow -> workflow.spec().acceptedMillis()));
       List<Workflow> served = waiting.subList(0, Math.min(10, waiting.size()));
@@ -84,15 +80,15 @@
     return inTime;
   }
 
-  /** 2 x 1 s of work and 1 s are allowed: slowed down it takes 3 s. */
+  /** 2 x 1 s of work and 1 s are allowed: throttled, the workflow takes 3 s. */
   @Test
   void whoHasWaitedIsInAHurryUntilItStarvesOrIsLate() {
     Workflow workflow = workflow(1, 0, 0);
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 0).urgency());
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 1).urgency());
-    long held = WaitingOrder.HOLD_MILLIS;
-    assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, held - 1).urgency());
-    assertEquals(Urgency.STARVED, WaitingOrder.rank(workflow, held).urgency());
+    long starvedMillis = WaitingOrder.HOLD_MILLIS;
+    assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, starvedMillis - 1).urgency());
+    assertEquals(Urgency.STARVED, WaitingOrder.rank(workflow, starvedMillis).urgency());
     workflow.order(workflow.tasks().get(0), Workflows.HERE);
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 2_000).urgency());
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 2_001).urgency());
@@ -109,26 +105,23 @@
                 new WorkflowSpec.Schedule(2, 0, 10_000),
                 Workflows.step(1, 1_800, Workflows.filling())));
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(recurring, 100).urgency());
-    long held = WaitingOrder.HOLD_MILLIS;
-    assertEquals(Urgency.STARVED, WaitingOrder.rank(recurring, held).urgency());
+    long starvedMillis = WaitingOrder.HOLD_MILLIS;
+    assertEquals(Urgency.STARVED, WaitingOrder.rank(recurring, starvedMillis).urgency());
   }
 
-  /**
-   * Two heavy workflows wait, and one of them has little left. The one that came first took the
-   * room for its first step, and both were late.
-   */
+  /** Two heavy workflows wait, one of them with little work left. Guards against giving the first step of the earlier one the capacity, which made both late. */
   @Test
   void whatIsNearlyDoneGoesBeforeWhatHasHardlyBegun() {
     Workflow first = heavy(1, 0);
-    Workflow begun = heavy(2, 1_000);
+    Workflow started = heavy(2, 1_000);
     for (int step = 0; step < 2; step++) {
-      for (WorkflowTask task : begun.tasksOf(0, step)) {
-        begun.ended(begun.order(task, Workflows.HERE), RunOutcome.DONE, "", 1_000);
+      for (WorkflowTask task : started.tasksOf(0, step)) {
+        started.ended(started.order(task, Workflows.HERE), RunOutcome.DONE, "", 1_000);
       }
     }
-    assertEquals(List.of(2L, 1L), sorted(1_000, first, begun));
-    // Late, a third of the work left: worth less for it than one that can still be in time.
-    assertEquals(List.of(3L, 2L), sorted(12_000, begun, heavy(3, 11_000)));
+    assertEquals(List.of(2L, 1L), sorted(1_000, first, started));
+    // Late, with a third of the work left: less value per work than one that can still be in time.
+    assertEquals(List.of(3L, 2L), sorted(12_000, started, heavy(3, 11_000)));
   }
 
   private static Workflow heavy(long id, long accepted) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowTest.java
@@ -68,9 +68,9 @@
   @Test
   void failsAfterTheAllowedFailuresOnly() {
     Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(1, 100, StepSpec.Nature.PLAIN)));
-    for (RunOutcome harmless :
+    for (RunOutcome uncounted :
         List.of(RunOutcome.REFUSED, RunOutcome.STOPPED, RunOutcome.LAPSED, RunOutcome.LOST)) {
-      workflow.ended(run(workflow, 0, 0), harmless, "", WALL);
+      workflow.ended(run(workflow, 0, 0), uncounted, "", WALL);
     }
     workflow.ended(run(workflow, 0, 0), RunOutcome.FAILED, "", WALL);
     assertEquals(WorkflowStatus.RUNNING, workflow.status());
@@ -142,10 +142,7 @@
     assertTrue(workflow.openTasks().isEmpty());
   }
 
-  /**
-   * Two members of a gang failed in one attempt, or one in each of two; a caller was told that the
-   * workflow had failed after the first, though two attempts were allowed. An attempt counts once.
-   */
+  /** Two members of a gang failed in one attempt. Guards against counting both, which failed the workflow after its first attempt although two were allowed. */
   @Test
   void anAttemptOfAGangFailsOnce() {
     Workflow workflow = Workflow.of(Workflows.spec(Workflows.gang(3, 100, false)));
@@ -159,11 +156,7 @@
     assertEquals(WorkflowStatus.FAILED, workflow.status());
   }
 
-  /**
-   * A gang did its work on two VMs. The worker of one crashed before its end was told, and counted
-   * as lost; the end of the other, held up on its way, said done. The caller's workflow stayed half
-   * done for good, and ordering the other half failed with everything that waited behind it.
-   */
+  /** A gang completed on two VMs. The worker of one crashed before it reported the end, so that member counted as lost; the delayed end of the other reported completion. Guards against a workflow that stays half done, and whose further attempts fail together with everything that waits behind it. */
   @Test
   void doneByOneMemberIsDoneByAMemberThatCountedAsLost() {
     WorkflowSpec spec = Workflows.spec(Workflows.gang(3, 100, false));
@@ -180,7 +173,7 @@
     }
   }
 
-  /** An owner dies while it stops what is left of a broken gang: the next one stops it. */
+  /** An owner dies while it stops the rest of a broken gang; the next owner must stop it. */
   @Test
   void whatIsLeftOfABrokenGangIsStoppedByTheNextOwner() {
     WorkflowSpec spec = Workflows.spec(Workflows.gang(3, 100, false));
@@ -194,10 +187,7 @@
     assertTrue(broken.openTasks().stream().allMatch(WorkflowTask::isStopWanted));
   }
 
-  /**
-   * An owner dies at any moment and another goes on from the last durable record. Whatever the
-   * first had decided and written, the second must know each open attempt and give no number twice.
-   */
+  /** An owner dies at any time and another continues from the last durable record. Guards against losing an open attempt or reusing an attempt number. */
   @Property(tries = 200)
   void aRestoredWorkflowGoesOnWhereTheRecordWas(
       @ForAll List<@IntRange(min = 0, max = 4) Integer> steps) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/Workflows.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/Workflows.java
@@ -5,19 +5,19 @@
 import io.marigoldsail.job.Sizes;
 import java.util.Optional;
 
-/** Specimens for the tests of this package. */
+/** Fixtures for the tests of this package. */
 final class Workflows {
   static final long ID = 0x5c0e7a21d94b36f8L;
   static final Place HERE = new Place("vm-1", "life-1");
   private static final long MEBIBYTE = 1 << 20;
 
-  /** Chooses where a task takes half as long again on another rack. */
+  /** Chooser of a deployment where a task takes half as long again on another rack. */
   static final VmChooser CHOOSER = VmChooser.of(1.5);
 
   private Workflows() {}
 
-  static PlacementWish wish(StepSpec step, double harm, Urgency urgency) {
-    return new PlacementWish(spec(step), step, harm, urgency, "");
+  static PlacementWish wish(StepSpec step, double interference, Urgency urgency) {
+    return new PlacementWish(spec(step), step, interference, urgency, "");
   }
 
   static StepSpec.Nature lasting(long targetMillis) {
@@ -39,12 +39,12 @@
         new StepSpec.Nature(true, true, false, false, false, "", 0, 0));
   }
 
-  static StepSpec step(int tasks, long milliProcessors, StepSpec.Nature nature, Integer... after) {
+  static StepSpec step(int tasks, long milliProcessors, StepSpec.Nature nature, Integer... dependsOn) {
     return new StepSpec(
         tasks,
         new Sizes(milliProcessors, 100 * MEBIBYTE, 0),
         1_000,
-        ImmutableList.copyOf(after),
+        ImmutableList.copyOf(dependsOn),
         StepSpec.Placement.ANYWHERE,
         nature);
   }
@@ -54,7 +54,7 @@
   }
 
   static WorkflowSpec spec(
-      long id, int priority, long accepted, WorkflowSpec.Schedule schedule, StepSpec... steps) {
+      long id, int priority, long acceptedMillis, WorkflowSpec.Schedule schedule, StepSpec... steps) {
     return new WorkflowSpec(
         id,
         "queue",
@@ -62,10 +62,10 @@
         "program",
         ImmutableList.copyOf(steps),
         schedule,
-        accepted);
+        acceptedMillis);
   }
 
-  static VmOffer offer(String vm, long freeMilli, long fillMilli, int serving) {
+  static VmOffer offer(String vm, long freeMilli, long bestEffortMilli, int serviceTasks) {
     Sizes capacity = new Sizes(16_000, 64_000 * MEBIBYTE, 0);
     return new VmOffer(
         new Place(vm, "life-of-" + vm),
@@ -74,10 +74,10 @@
         "rack-" + vm,
         capacity,
         new Sizes(freeMilli, 32_000 * MEBIBYTE, 0),
-        fillMilli,
+        bestEffortMilli,
         0,
         Overcommit.BASE_MILLI,
-        serving,
+        serviceTasks,
         1.0);
   }
 }
