--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/FillPacerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/FillPacerTest.java
@@ -114,7 +114,7 @@
       throttler.observe(List.of(new FillPacer.Reading(tail, 125)), INTERFERING, reading * STEP);
     }
     assertTrue(workDone / readings > 0.2, "share of work done: " + workDone);
-    assertTrue(overTarget <= 2, overTarget + " readings over the target");
+    assertTrue(overTarget <= 2, "over the target in " + overTarget + " readings");
   }
 
   /** The tail is a little over its target and readings are a second apart. Guards against halving the share each time, benign tasks last, which let users notice the interference for four seconds. After the third reading nothing that could interfere may run. */
