--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
@@ -3,44 +3,51 @@
 /**
  * Token bucket that limits the evictions of a VM.
  *
- * <p>Guards against slow services that no eviction helps, such as one that is itself overloaded: without a budget, the guard would evict every task of the VM in vain. Not thread-safe.
+ * <p>Guards against slow services that no eviction helps, such as one that is itself overloaded:
+ * without a budget, the guard would evict every task of the VM in vain. Not thread-safe.
  */
 final class EvictionBudget {
   private static final double NANOS_PER_HOUR = 3_600e9;
 
-  /** Capacity as a fraction of the evictions per hour: a wave of interference comes with several tasks, so a VM may evict a few at once. */
-  private static final double BURST_PART = 0.25;
+  /**
+   * Capacity as a fraction of the evictions per hour: a wave of interference comes with several
+   * tasks, so a VM may evict a few at once.
+   */
+  private static final double BURST_FRACTION = 0.25;
 
   private double tokens;
-  private long filledNanos;
+  private long refilledNanos;
 
-  EvictionBudget(GuardTerms policy, long nowNanos) {
-    tokens = most(policy);
-    filledNanos = nowNanos;
+  EvictionBudget(GuardPolicy policy, long nowNanos) {
+    tokens = capacity(policy);
+    refilledNanos = nowNanos;
   }
 
   /** Consumes one eviction if the budget allows one; returns whether it did. */
-  boolean take(GuardTerms policy, long nowNanos) {
-    boolean any = left(policy, nowNanos);
+  boolean tryConsume(GuardPolicy policy, long nowNanos) {
+    boolean any = hasRemaining(policy, nowNanos);
     tokens -= any ? 1 : 0;
     return any;
   }
 
   /** Returns whether the budget allows an eviction. */
-  boolean left(GuardTerms policy, long nowNanos) {
-    double refill = (nowNanos - filledNanos) / NANOS_PER_HOUR * policy.evictionsPerHour();
-    tokens = Math.min(most(policy), tokens + refill);
-    filledNanos = nowNanos;
+  boolean hasRemaining(GuardPolicy policy, long nowNanos) {
+    double refill = (nowNanos - refilledNanos) / NANOS_PER_HOUR * policy.evictionsPerHour();
+    tokens = Math.min(capacity(policy), tokens + refill);
+    refilledNanos = nowNanos;
     return tokens >= 1;
   }
 
-  /** Consumes an eviction that was decided elsewhere; the budget may become negative and must refill first. */
-  void spend(GuardTerms policy, long nowNanos) {
-    boolean unused = left(policy, nowNanos);
-    tokens = Math.max(-most(policy), tokens - 1);
+  /**
+   * Consumes an eviction that was decided elsewhere; the budget may become negative and must refill
+   * first.
+   */
+  void consume(GuardPolicy policy, long nowNanos) {
+    boolean unused = hasRemaining(policy, nowNanos);
+    tokens = Math.max(-capacity(policy), tokens - 1);
   }
 
-  private static double most(GuardTerms policy) {
-    return Math.max(1, policy.evictionsPerHour() * BURST_PART);
+  private static double capacity(GuardPolicy policy) {
+    return Math.max(1, policy.evictionsPerHour() * BURST_FRACTION);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
@@ -16,7 +16,8 @@
  * @param startedNanos when it started
  * @param checkpointedNanos when it last wrote a checkpoint, or started
  * @param finishByMillis when it should be done, in milliseconds since the Unix epoch; 0 for none
- * @param noise expected slowdown of the service by this task, learned by entries from other VMs: 0.5 for half as long again; 0 if unknown
+ * @param expectedSlowdown expected slowdown of the service by this task, learned by entries from
+ *     other VMs: 0.5 for half as long again; 0 if unknown
  * @param evictable whether an eviction loses at most work, not the outcome
  */
 public record GuardedTask(
@@ -27,7 +28,7 @@
     long startedNanos,
     long checkpointedNanos,
     long finishByMillis,
-    double noise,
+    double expectedSlowdown,
     boolean evictable) {
   /** Checks the components. */
   public GuardedTask {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
@@ -9,11 +9,13 @@
 /**
  * Selects the task to evict when the VM's memory is nearly full.
  *
- * <p>Guards against tasks that use far more memory than they declared. Throttling frees no memory, and a VM that runs out of it loses the service and all tasks at once. So the task that exceeds its booking by most is evicted, outside of any budget.
+ * <p>Guards against tasks that use far more memory than they declared. Throttling frees no memory,
+ * and a VM that runs out of it loses the service and all tasks at once. So the task that exceeds
+ * its booking by most is evicted, outside of any budget.
  */
 public final class MemoryGuard {
   /** Fraction of the memory above which it is nearly full; below 1 because measurements lag. */
-  private static final double NEARLY_FULL = 0.95;
+  private static final double MAX_USED_FRACTION = 0.95;
 
   private MemoryGuard() {}
 
@@ -31,7 +33,7 @@
     for (GuardedTask task : tasks) {
       used += task.used().memoryBytes();
     }
-    if (used <= capacityBytes * NEARLY_FULL) {
+    if (used <= capacityBytes * MAX_USED_FRACTION) {
       return Optional.empty();
     }
     return tasks.stream()
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
@@ -16,19 +16,25 @@
 /**
  * Selects the attempts to preempt so that an urgent task can start in a full fleet.
  *
- * <p>When VMs are lost, the capacity reserved for urgent work is lost with them, and urgent tasks wait until a task ends; with 8 of 11 VMs they waited 33 s at the 99th percentile. So batch work that is not urgent is preempted on the one VM where that costs least by the site's weights for evictions and for lost work. Never preempts a latency-critical or urgent task, nor one that was evicted {@value #MOST_EVICTIONS} times, nor more than {@value #MOST_VICTIMS} tasks at once.
+ * <p>When VMs are lost, the capacity reserved for urgent work is lost with them, and urgent tasks
+ * wait until a task ends; with 8 of 11 VMs they waited 33 s at the 99th percentile. So batch work
+ * that is not urgent is preempted on the one VM where that costs least by the site's weights for
+ * evictions and for lost work. Never preempts a latency-critical or urgent task, nor one that was
+ * evicted {@value #MOST_EVICTIONS} times, nor more than {@value #MOST_VICTIMS} tasks at once.
  *
- * <p>Preemptions do not cascade: every eviction in the log, by the guard too, counts against the budget of its VM, and the preempted batch work preempts nothing itself. Not thread-safe; a decision sorts the tasks of each VM that has budget left.
+ * <p>Preemptions do not cascade: every eviction in the log, by the guard too, counts against the
+ * budget of its VM, and the preempted batch work preempts nothing itself. Not thread-safe; a
+ * decision sorts the tasks of each VM that has budget left.
  */
 public final class Preemptor {
   /** Maximum number of tasks preempted at once; more would empty a VM for one task. */
-  static final int MOST_VICTIMS = 4;
+  static final int MAX_VICTIMS = 4;
 
   /** A task evicted this often is not preempted again, so that it ends at some time. */
-  static final int MOST_EVICTIONS = 3;
+  static final int MAX_EVICTIONS = 3;
 
   /** Seconds of lost work that cost, at equal weights, as much as an eviction. */
-  private static final double SECONDS_OF_AN_EVICTION = 10;
+  private static final double LOST_SECONDS_PER_EVICTION = 10;
 
   /** The cost of a task that is due within this time doubles, in milliseconds. */
   private static final long DUE_SOON_MILLIS = 600_000;
@@ -56,8 +62,8 @@
   public Preemptor() {}
 
   /** Records an eviction on a VM, for whatever reason. */
-  public void evicted(GuardTerms policy, String vm, long nowNanos) {
-    budget(policy, vm, nowNanos).spend(policy, nowNanos);
+  public void recordEviction(GuardPolicy policy, String vm, long nowNanos) {
+    budget(policy, vm, nowNanos).consume(policy, nowNanos);
   }
 
   /** Drops the budgets of all VMs but the given ones. */
@@ -75,10 +81,10 @@
    * @param nowMillis the clock of this VM in milliseconds, for deadlines of tasks only
    */
   public Optional<Choice> decide(
-      GuardTerms policy, Sizes required, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
+      GuardPolicy policy, Sizes required, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
     Choice best = null;
     for (PreemptableVm vm : vms) {
-      if (!budget(policy, vm.vm(), nowNanos).left(policy, nowNanos)) {
+      if (!budget(policy, vm.vm(), nowNanos).hasRemaining(policy, nowNanos)) {
         continue;
       }
       Optional<Choice> choice = choose(policy, required, vm, nowMillis);
@@ -90,16 +96,16 @@
   }
 
   private static Optional<Choice> choose(
-      GuardTerms policy, Sizes required, PreemptableVm vm, long nowMillis) {
+      GuardPolicy policy, Sizes required, PreemptableVm vm, long nowMillis) {
     List<PreemptableTask> candidates = new ArrayList<>(vm.tasks());
-    candidates.removeIf(task -> !mayGo(task));
+    candidates.removeIf(task -> !isPreemptable(task));
     candidates.sort(
         Comparator.comparingDouble((PreemptableTask task) -> cost(policy, task, nowMillis))
             .thenComparingLong(task -> -dueMillis(task)));
     List<PreemptableTask> victims = new ArrayList<>();
     Sizes free = vm.free();
     for (PreemptableTask task : candidates) {
-      if (required.fitsIn(free) || victims.size() == MOST_VICTIMS) {
+      if (required.fitsIn(free) || victims.size() == MAX_VICTIMS) {
         break;
       }
       victims.add(task);
@@ -108,7 +114,7 @@
     if (!required.fitsIn(free)) {
       return Optional.empty();
     }
-    spare(victims, required, vm.free());
+    removeUnneeded(victims, required, vm.free());
     double cost = victims.stream().mapToDouble(task -> cost(policy, task, nowMillis)).sum();
     List<Preemption.Victim> preempted =
         victims.stream().map(task -> new Preemption.Victim(task.task(), task.token())).toList();
@@ -116,7 +122,7 @@
   }
 
   /** Removes the victims, most expensive first, without which the others free enough. */
-  private static void spare(List<PreemptableTask> victims, Sizes required, Sizes free) {
+  private static void removeUnneeded(List<PreemptableTask> victims, Sizes required, Sizes free) {
     for (int i = victims.size() - 1; i >= 0; i--) {
       Sizes freeWithout = free;
       for (PreemptableTask other : victims) {
@@ -128,15 +134,15 @@
     }
   }
 
-  private static boolean mayGo(PreemptableTask task) {
+  private static boolean isPreemptable(PreemptableTask task) {
     boolean lowPriority = task.taskClass() == TaskClass.BATCH && !task.urgent();
-    return lowPriority && task.evictable() && task.evictions() < MOST_EVICTIONS;
+    return lowPriority && task.evictable() && task.evictions() < MAX_EVICTIONS;
   }
 
-  private static double cost(GuardTerms policy, PreemptableTask task, long nowMillis) {
+  private static double cost(GuardPolicy policy, PreemptableTask task, long nowMillis) {
     double eviction = policy.evictionsWeight() * (1 + task.evictions());
     double lostSeconds = task.unsavedMillis() / MILLIS_PER_SECOND;
-    double lost = policy.throughputWeight() * lostSeconds / SECONDS_OF_AN_EVICTION;
+    double lost = policy.throughputWeight() * lostSeconds / LOST_SECONDS_PER_EVICTION;
     boolean isDueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
     return (eviction + lost) * (isDueSoon ? 2 : 1);
@@ -146,7 +152,7 @@
     return task.finishByMillis() == 0 ? Long.MAX_VALUE : task.finishByMillis();
   }
 
-  private EvictionBudget budget(GuardTerms policy, String vm, long nowNanos) {
+  private EvictionBudget budget(GuardPolicy policy, String vm, long nowNanos) {
     return budgets.computeIfAbsent(vm, unused -> new EvictionBudget(policy, nowNanos));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
@@ -8,16 +8,17 @@
 /**
  * Tail latency of a service over its most recent responses.
  *
- * <p>Holds the last {@value #SIZE} responses within the window; a tail needs at least {@value #LEAST}. Thread-safe; adding costs a lock and two stores, reading a sort.
+ * <p>Holds the last {@value #SIZE} responses within the window; a tail needs at least {@value
+ * #LEAST}. Thread-safe; adding costs a lock and two stores, reading a sort.
  */
 public final class TailWindow {
   private static final int SIZE = 512;
-  private static final int LEAST = 20;
-  private static final double TAIL = 0.99;
+  private static final int MIN_SAMPLES = 20;
+  private static final double TAIL_QUANTILE = 0.99;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  private final long[] latencies = new long[SIZE];
-  private final long[] answered = new long[SIZE];
+  private final long[] latencySamplesNanos = new long[SIZE];
+  private final long[] answeredNanos = new long[SIZE];
   private final long windowNanos;
   private int added;
 
@@ -34,8 +35,8 @@
   /** Adds a response with the given latency that was received now. */
   public synchronized void add(long latencyNanos, long nowNanos) {
     int slot = added % SIZE;
-    latencies[slot] = latencyNanos;
-    answered[slot] = nowNanos;
+    latencySamplesNanos[slot] = latencyNanos;
+    answeredNanos[slot] = nowNanos;
     added = added == Integer.MAX_VALUE ? SIZE + slot + 1 : added + 1;
   }
 
@@ -50,17 +51,17 @@
     int count = 0;
     long newest = Long.MIN_VALUE;
     for (int slot = 0; slot < Math.min(added, SIZE); slot++) {
-      if (nowNanos - answered[slot] < windowNanos) {
-        recent[count] = latencies[slot];
+      if (nowNanos - answeredNanos[slot] < windowNanos) {
+        recent[count] = latencySamplesNanos[slot];
         count++;
-        newest = Math.max(newest, answered[slot]);
+        newest = Math.max(newest, answeredNanos[slot]);
       }
     }
-    if (count < LEAST) {
+    if (count < MIN_SAMPLES) {
       return Optional.empty();
     }
     Arrays.sort(recent, 0, count);
-    long tail = recent[(int) Math.ceil(TAIL * count) - 1];
+    long tail = recent[(int) Math.ceil(TAIL_QUANTILE * count) - 1];
     return Optional.of(new ServiceReading(tail / NANOS_PER_MILLI, goalMillis, newest));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/VouchLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/ConfirmationLedger.java
@@ -10,11 +10,15 @@
 /**
  * Tracks which lease requests an entry had received before it sent which heartbeat to the log.
  *
- * <p>An entry that reads its own heartbeat back has read everything that precedes it in the log. If that contains no revocation of a VM, the VM was not revoked when the entry sent the heartbeat, and so not when the VM's request, received earlier, was sent. Reading the end of the log instead proves nothing, because a read may be stale. Confirming a request that was received after the heartbeat was sent would date the evidence too late, because a revocation could lie between.
+ * <p>An entry that reads its own heartbeat back has read everything that precedes it in the log. If
+ * that contains no revocation of a VM, the VM was not revoked when the entry sent the heartbeat,
+ * and so not when the VM's request, received earlier, was sent. Reading the end of the log instead
+ * proves nothing, because a read may be stale. Confirming a request that was received after the
+ * heartbeat was sent would date the evidence too late, because a revocation could lie between.
  *
  * <p>Not thread-safe.
  */
-public final class VouchLedger {
+public final class ConfirmationLedger {
   private static final int MAX_PENDING = 64;
 
   /**
@@ -23,29 +27,30 @@
    * @param vm the VM's name
    * @param bootIncarnation the boot of the worker
    * @param processIncarnation the start of the side process
-   * @param askedNanos the side process's clock when it sent the request
+   * @param requestedNanos the side process's clock when it sent the request
    */
-  public record Ask(String vm, long bootIncarnation, long processIncarnation, long askedNanos) {
+  public record Request(
+      String vm, long bootIncarnation, long processIncarnation, long requestedNanos) {
     /** Checks the components. */
-    public Ask {
+    public Request {
       requireNonNull(vm, "vm");
     }
   }
 
-  private final Map<String, Ask> latest = new HashMap<>();
-  private final TreeMap<Long, List<Ask>> pending = new TreeMap<>();
+  private final Map<String, Request> latest = new HashMap<>();
+  private final TreeMap<Long, List<Request>> pending = new TreeMap<>();
   private long nextHeartbeat;
 
   /** Creates an empty ledger. */
-  public VouchLedger() {}
+  public ConfirmationLedger() {}
 
   /** Records a request, which replaces an earlier one of the same VM. */
-  public void asked(Ask request) {
+  public void recordRequest(Request request) {
     latest.put(request.vm(), request);
   }
 
   /** Removes the request of a VM that is gone. */
-  public void forget(String vm) {
+  public void remove(String vm) {
     latest.remove(vm);
   }
 
@@ -54,7 +59,7 @@
    *
    * <p>Must be called before the append, never after.
    */
-  public long heartbeatLeaves() {
+  public long recordHeartbeatSent() {
     long number = nextHeartbeat;
     nextHeartbeat++;
     pending.put(number, List.copyOf(latest.values()));
@@ -65,9 +70,12 @@
     return number;
   }
 
-  /** Returns the requests that a heartbeat read back from the log confirms, and drops it and earlier ones. */
-  public List<Ask> heartbeatReadBack(long number) {
-    List<Ask> requests = pending.get(number);
+  /**
+   * Returns the requests that a heartbeat read back from the log confirms, and drops it and earlier
+   * ones.
+   */
+  public List<Request> confirmedBy(long number) {
+    List<Request> requests = pending.get(number);
     pending.headMap(number, true).clear();
     return requests == null ? List.of() : requests;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
@@ -1,21 +1,25 @@
 package io.marigoldsail.lease;
 
 /**
- * What a side process knows of its VM's registration: which one is current, and at which time it was last confirmed not to be revoked.
+ * What a side process knows of its VM's registration: which one is current, and at which time it
+ * was last confirmed not to be revoked.
  *
- * <p>All times are readings of the side process's own clock, among them the time of the request that a confirmation returns, so neither transit time nor the drift of another clock can lengthen a lease. Not thread-safe.
+ * <p>All times are readings of the side process's own clock, among them the time of the request
+ * that a confirmation returns, so neither transit time nor the drift of another clock can lengthen
+ * a lease. Not thread-safe.
  */
 public final class LeaseEvidence {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final long processIncarnation;
   private long registration = -1;
-  private long provenNanos;
+  private long confirmedNanos;
 
   /**
    * Creates an instance without evidence.
    *
-   * @param processIncarnation the start of this side process; confirmations for an earlier one are ignored
+   * @param processIncarnation the start of this side process; confirmations for an earlier one are
+   *     ignored
    */
   public LeaseEvidence(long processIncarnation) {
     this.processIncarnation = processIncarnation;
@@ -23,7 +27,10 @@
 
   /** Effect of a confirmation. */
   public enum Change {
-    /** None: it was meant for an earlier process or registration, or is older than the present evidence. */
+    /**
+     * None: it was meant for an earlier process or registration, or is older than the present
+     * evidence.
+     */
     NONE,
     /** Leases may be renewed further. */
     EXTENDED,
@@ -39,20 +46,21 @@
    * @param requestedNanos when this process sent the confirmed request, on its own clock
    * @param nowNanos the present time, on the same clock
    */
-  public Change vouched(long confirmedRegistration, long forProcess, long requestedNanos, long nowNanos) {
+  public Change confirm(
+      long confirmedRegistration, long forProcess, long requestedNanos, long nowNanos) {
     boolean isValid = forProcess == processIncarnation && requestedNanos - nowNanos <= 0;
     if (!isValid || confirmedRegistration < registration) {
       return Change.NONE;
     }
     if (confirmedRegistration > registration) {
       registration = confirmedRegistration;
-      provenNanos = requestedNanos;
+      confirmedNanos = requestedNanos;
       return Change.NEW_REGISTRATION;
     }
-    if (requestedNanos - provenNanos <= 0) {
+    if (requestedNanos - confirmedNanos <= 0) {
       return Change.NONE;
     }
-    provenNanos = requestedNanos;
+    confirmedNanos = requestedNanos;
     return Change.EXTENDED;
   }
 
@@ -62,12 +70,14 @@
   }
 
   /** Returns whether any confirmation was recorded. */
-  public boolean known() {
+  public boolean isConfirmed() {
     return registration >= 0;
   }
 
-  /** Returns when a lease of the given length expires; meaningless unless {@link #known()}. */
+  /**
+   * Returns when a lease of the given length expires; meaningless unless {@link #isConfirmed()}.
+   */
   public long deadlineNanos(long leaseMillis) {
-    return provenNanos + leaseMillis * NANOS_PER_MILLI;
+    return confirmedNanos + leaseMillis * NANOS_PER_MILLI;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/UsageSample.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/UsageSample.java
@@ -14,7 +14,8 @@
  * @param token the attempt's fencing token
  * @param measuredMillis end of the span, on the worker's clock in milliseconds
  * @param used mean processors and peak memory over the span
- * @param slowdown run time as a multiple of that without co-located tasks: 1 for undisturbed, 2 for twice as long
+ * @param slowdown run time as a multiple of that without co-located tasks: 1 for undisturbed, 2 for
+ *     twice as long
  */
 public record UsageSample(
     String task, long token, long measuredMillis, Sizes used, double slowdown) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerBoot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerBoot.java
@@ -11,7 +11,8 @@
  *
  * @param incarnation identifies the boot; a new boot runs nothing of an earlier one
  * @param capacity the resources of all tasks together
- * @param clockMillis the worker's clock at the time of the response, in milliseconds from any origin; monotonic within a boot
+ * @param clockMillis the worker's clock at the time of the response, in milliseconds from any
+ *     origin; monotonic within a boot
  */
 public record WorkerBoot(long incarnation, Sizes capacity, long clockMillis) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
@@ -5,7 +5,9 @@
 /**
  * Converts deadlines on this process's clock to deadlines on a worker's clock, never to later ones.
  *
- * <p>A worker returns a reading of its clock, taken at some time between the call and the response. The reading is treated as taken at the time of the response, so every converted deadline is too early by at most the duration of the call, and never too late. Immutable.
+ * <p>A worker returns a reading of its clock, taken at some time between the call and the response.
+ * The reading is treated as taken at the time of the response, so every converted deadline is too
+ * early by at most the duration of the call, and never too late. Immutable.
  */
 public final class WorkerClock {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -26,11 +28,15 @@
    * @param answeredNanos this process's clock after the response
    */
   public static WorkerClock of(long workerMillis, long calledNanos, long answeredNanos) {
-    checkArgument(answeredNanos >= calledNanos, "answeredNanos is before calledNanos: %s", answeredNanos);
+    checkArgument(
+        answeredNanos >= calledNanos, "answeredNanos is before calledNanos: %s", answeredNanos);
     return new WorkerClock(workerMillis, answeredNanos);
   }
 
-  /** Returns the latest reading of the worker's clock that is not after the given one of this process. */
+  /**
+   * Returns the latest reading of the worker's clock that is not after the given one of this
+   * process.
+   */
   public long deadlineMillis(long deadlineNanos) {
     return workerMillis + Math.floorDiv(deadlineNanos - answeredNanos, NANOS_PER_MILLI);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerStart.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerStart.java
@@ -13,11 +13,13 @@
  * @param task the task's name, such as {@code payout/3}
  * @param attempt the attempt, from 1
  * @param token the fencing token: the log offset of the accepted claim
- * @param leaseDeadlineMillis when the worker stops the attempt by itself, on its own clock in milliseconds
+ * @param leaseDeadlineMillis when the worker stops the attempt by itself, on its own clock in
+ *     milliseconds
  * @param sizes the resources that the attempt may use
  * @param command the command, opaque to this system
  * @param checkpoint the checkpoint to resume from, or empty to start afresh
- * @param checkpointIntervalMillis interval at which the task writes checkpoints by itself, in milliseconds; 0 for never
+ * @param checkpointIntervalMillis interval at which the task writes checkpoints by itself, in
+ *     milliseconds; 0 for never
  * @param runMillis the declared run time in milliseconds; often far off
  */
 public record WorkerStart(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerTask.java
@@ -13,7 +13,8 @@
  * @param attempt the attempt
  * @param token the fencing token it was started with
  * @param state its state
- * @param sizes the resources that it was started with; they count against the worker only while it runs
+ * @param sizes the resources that it was started with; they count against the worker only while it
+ *     runs
  * @param checkpoint the id of the last checkpoint, or empty
  * @param detail why it ended, or empty
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/VmRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
@@ -6,16 +6,18 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** A VM of a {@link Fleet}: its state in the log and the allocations of the current round. */
-public final class VmRoom {
+/**
+ * A VM of a {@link FleetMedians}: its state in the log and the allocations of the current round.
+ */
+public final class CandidateVm {
   private final VmState state;
   private final Function<Long, Map<String, Integer>> programsOn;
   private Map<String, Integer> programs;
   private Sizes free;
-  private Sizes kept = Sizes.NONE;
-  private String keptFor = "";
+  private Sizes reserved = Sizes.NONE;
+  private String reservedFor = "";
 
-  VmRoom(VmState state, Function<Long, Map<String, Integer>> programsOn) {
+  CandidateVm(VmState state, Function<Long, Map<String, Integer>> programsOn) {
     this.state = state;
     this.programsOn = programsOn;
     this.free = state.free();
@@ -33,22 +35,22 @@
 
   /** Returns the free resources, less those about to be claimed or reserved for one urgent task. */
   public Sizes free() {
-    return free.minus(kept);
+    return free.minus(reserved);
   }
 
   /** Returns the free resources for the task, including those reserved for it. */
   public Sizes freeFor(String task) {
-    return keptFor.equals(task) ? free : free();
+    return reservedFor.equals(task) ? free : free();
   }
 
   /** Returns whether resources are being freed here for an urgent task. */
-  public boolean preempting() {
-    return !keptFor.isEmpty();
+  public boolean isPreempting() {
+    return !reservedFor.isEmpty();
   }
 
-  void keep(String task, Sizes sizes) {
-    keptFor = task;
-    kept = sizes;
+  void reserveFor(String task, Sizes sizes) {
+    reservedFor = task;
+    reserved = sizes;
   }
 
   /** Returns the number of claimed tasks of each program. */
@@ -60,7 +62,7 @@
   }
 
   /** Returns the highest utilization of one kind of resource if the sizes were added. */
-  double loadWith(Sizes sizes) {
+  double utilizationWith(Sizes sizes) {
     Sizes capacity = state.description().capacity();
     double processors =
         share(
@@ -73,7 +75,7 @@
     return Math.max(processors, memory);
   }
 
-  void take(String program, Sizes sizes) {
+  void allocate(String program, Sizes sizes) {
     free = free.minus(sizes);
     Map<String, Integer> after = new HashMap<>(programs());
     after.merge(program, 1, Integer::sum);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
@@ -17,8 +17,8 @@
  * <p>Created for each round of decisions; records the allocations of the round. Not thread-safe.
  */
 public final class Fleet {
-  private final List<VmRoom> rooms = new ArrayList<>();
-  private final Map<Long, VmRoom> byRegistration = new HashMap<>();
+  private final List<CandidateVm> candidates = new ArrayList<>();
+  private final Map<Long, CandidateVm> byRegistration = new HashMap<>();
   private Sizes capacity = Sizes.NONE;
   private Sizes reservedEach = Sizes.NONE;
   private int reservedCount;
@@ -41,26 +41,26 @@
       }
       capacity = capacity.plus(vm.description().capacity());
       if (usable.test(vm)) {
-        VmRoom candidate = new VmRoom(vm, programsOn);
-        rooms.add(candidate);
+        CandidateVm candidate = new CandidateVm(vm, programsOn);
+        candidates.add(candidate);
         byRegistration.put(vm.registration(), candidate);
       }
     }
   }
 
   /** Reserves the resources freed by preemptions in progress for the tasks that they are for. */
-  public void keep(List<Preemption> preemptions) {
+  public void reservePreempted(List<Preemption> preemptions) {
     for (Preemption preemption : preemptions) {
-      VmRoom candidate = byRegistration.get(preemption.registration());
+      CandidateVm candidate = byRegistration.get(preemption.registration());
       if (candidate != null) {
-        candidate.keep(preemption.task(), preemption.sizes());
+        candidate.reserveFor(preemption.task(), preemption.sizes());
       }
     }
   }
 
   /** Returns the VMs that may be given tasks, oldest registration first. */
-  public List<VmRoom> rooms() {
-    return rooms;
+  public List<CandidateVm> candidates() {
+    return candidates;
   }
 
   /** Returns the total capacity of all VMs, including those that may not be given tasks. */
@@ -74,17 +74,19 @@
    * @param each the resources that a reserved VM has free at least
    * @param count the number of VMs
    */
-  public void reserve(Sizes each, int count) {
+  public void reserveVms(Sizes each, int count) {
     reservedEach = each;
     reservedCount = each.equals(Sizes.NONE) ? 0 : count;
     open = 0;
-    for (VmRoom candidate : rooms) {
+    for (CandidateVm candidate : candidates) {
       open += isOpen(candidate.free()) ? 1 : 0;
     }
   }
 
-  /** Returns whether work that is not urgent may take the resources and leave enough VMs reserved. */
-  boolean leavesReserve(VmRoom candidate, Sizes sizes) {
+  /**
+   * Returns whether work that is not urgent may take the resources and leave enough VMs reserved.
+   */
+  boolean leavesReserve(CandidateVm candidate, Sizes sizes) {
     boolean endsReserve = isOpen(candidate.free()) && !isOpen(candidate.free().minus(sizes));
     return reservedCount == 0 || !endsReserve || open > reservedCount;
   }
@@ -95,25 +97,31 @@
 
   /** Returns the mean capacity of a VM. */
   public Sizes meanCapacity() {
-    int vms = Math.max(1, rooms.size());
+    int vms = Math.max(1, candidates.size());
     return new Sizes(
         capacity.milliProcessors() / vms,
         capacity.memoryBytes() / vms,
         capacity.accelerators() / vms);
   }
 
-  /** Records that a claim for the resources is being written to the log; ignores unknown registrations. */
-  public void take(long registration, String program, Sizes sizes) {
-    VmRoom candidate = byRegistration.get(registration);
+  /**
+   * Records that a claim for the resources is being written to the log; ignores unknown
+   * registrations.
+   */
+  public void allocate(long registration, String program, Sizes sizes) {
+    CandidateVm candidate = byRegistration.get(registration);
     if (candidate != null) {
       boolean before = isOpen(candidate.free());
-      candidate.take(program, sizes);
+      candidate.allocate(program, sizes);
       open -= before && !isOpen(candidate.free()) ? 1 : 0;
     }
   }
 
-  /** Returns why the resources fit no VM even if it were empty, or empty if they fit one, or if no VM is known yet. */
-  public static Optional<String> whyNever(List<VmState> vms, Sizes sizes) {
+  /**
+   * Returns why the resources fit no VM even if it were empty, or empty if they fit one, or if no
+   * VM is known yet.
+   */
+  public static Optional<String> infeasibilityReason(List<VmState> vms, Sizes sizes) {
     Sizes largest = Sizes.NONE;
     for (VmState vm : vms) {
       Sizes vmCapacity = vm.description().capacity();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
@@ -11,14 +11,17 @@
  * <p>Not thread-safe. Costs a few look-ups for each VM.
  */
 public final class InterferenceCosts implements PlacementCosts {
-  /** Cost per unit of slowdown: a neighbour that doubles the run time of either costs as much as one and a half full VMs. */
-  private static final double EXCESS_COST = 1.5;
+  /**
+   * Cost per unit of slowdown: a neighbour that doubles the run time of either costs as much as one
+   * and a half full VMs.
+   */
+  private static final double SLOWDOWN_COST = 1.5;
 
   /** Tasks that slow the service down by less are placed without regard to it. */
-  private static final double NOISY = 0.08;
+  private static final double MIN_SLOWDOWN = 0.08;
 
   /** Maximum slowdown of the service of one VM, unless by a single task. */
-  private static final double MOST_NOISE = 0.2;
+  private static final double MAX_TOTAL_SLOWDOWN = 0.2;
 
   private final Interference interference;
   private final Map<String, Map<String, Double>> mutualByProgram = new HashMap<>();
@@ -38,14 +41,18 @@
 
   @Override
   public void prepare(PlacementRequest request) {
-    mutual = mutualByProgram.computeIfAbsent(request.spec().program(), interference::mutual);
+    mutual = mutualByProgram.computeIfAbsent(request.spec().program(), interference::mutualCosts);
   }
 
-  /** Tasks that slow services down wait for a VM whose service is not slowed down yet. Otherwise they would be throttled there to a fraction of their speed and hold capacity that other tasks could use; a wave of such tasks reached 38% of the baseline throughput that way. */
+  /**
+   * Tasks that slow services down wait for a VM whose service is not slowed down yet. Otherwise
+   * they would be throttled there to a fraction of their speed and hold capacity that other tasks
+   * could use; a wave of such tasks reached 38% of the baseline throughput that way.
+   */
   @Override
-  public boolean bearable(PlacementRequest request, VmRoom candidate) {
+  public boolean isTolerable(PlacementRequest request, CandidateVm candidate) {
     double added = service.getOrDefault(request.spec().program(), 0.0);
-    if (added < NOISY) {
+    if (added < MIN_SLOWDOWN) {
       return true;
     }
     double total = 0;
@@ -53,11 +60,11 @@
       Integer count = candidate.programs().get(slowdown.getKey());
       total += count == null ? 0 : slowdown.getValue() * count;
     }
-    return total < NOISY || total + added <= MOST_NOISE;
+    return total < MIN_SLOWDOWN || total + added <= MAX_TOTAL_SLOWDOWN;
   }
 
   @Override
-  public double cost(PlacementRequest request, VmRoom candidate) {
+  public double cost(PlacementRequest request, CandidateVm candidate) {
     if (mutual.isEmpty()) {
       return 0;
     }
@@ -68,6 +75,6 @@
         excess += neighbour.getValue() * count;
       }
     }
-    return EXCESS_COST * excess;
+    return SLOWDOWN_COST * excess;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
@@ -14,10 +14,10 @@
   default void prepare(PlacementRequest request) {}
 
   /** Returns the cost, 0 for none. */
-  double cost(PlacementRequest request, VmRoom candidate);
+  double cost(PlacementRequest request, CandidateVm candidate);
 
   /** Returns whether the service of the VM tolerates the task there. */
-  default boolean bearable(PlacementRequest request, VmRoom candidate) {
+  default boolean isTolerable(PlacementRequest request, CandidateVm candidate) {
     return true;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementRequest.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementRequest.java
@@ -15,7 +15,8 @@
  * @param spec its job
  * @param task the task
  * @param sizes the resources to book for it
- * @param inGroup number of the job's running tasks in each group of VMs that the job's spread distinguishes; empty if it distinguishes none
+ * @param inGroup number of the job's running tasks in each group of VMs that the job's spread
+ *     distinguishes; empty if it distinguishes none
  */
 public record PlacementRequest(
     JobSpec spec, TaskState task, Sizes sizes, Map<String, Integer> inGroup) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearning.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
@@ -13,13 +13,13 @@
  *
  * <p>Thread-safe.
  */
-public final class UsageLearning {
+public final class UsageLearner {
   private static final int MAX_VMS = 4_096;
 
   /** Rates at which the base pressure of a service follows a lower reading, and a higher one. */
-  private static final double FALLING = 0.2;
+  private static final double FALL_RATE = 0.2;
 
-  private static final double RISING = 0.01;
+  private static final double RISE_RATE = 0.01;
 
   /**
    * One task of a report.
@@ -27,11 +27,11 @@
    * @param program the program that it runs
    * @param used the resources that it used, or {@link Sizes#NONE} if unknown
    * @param slowdown its run time as a multiple of that without co-located tasks, or 0 if unknown
-   * @param present the fraction of its processors that the guard let it use, 0 to 1
+   * @param activeShare the fraction of its processors that the guard let it use, 0 to 1
    */
-  public record Measured(String program, Sizes used, double slowdown, double present) {
+  public record TaskMeasurement(String program, Sizes used, double slowdown, double activeShare) {
     /** Checks the components. */
-    public Measured {
+    public TaskMeasurement {
       requireNonNull(program, "program");
       requireNonNull(used, "used");
     }
@@ -39,7 +39,7 @@
 
   private final SizeEstimates estimates;
   private final Interference interference;
-  private final Map<String, Double> undisturbed =
+  private final Map<String, Double> basePressure =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
@@ -48,7 +48,7 @@
       };
 
   /** Creates a learner that updates the given estimates. */
-  public UsageLearning(SizeEstimates estimates, Interference interference) {
+  public UsageLearner(SizeEstimates estimates, Interference interference) {
     this.estimates = requireNonNull(estimates, "estimates");
     this.interference = requireNonNull(interference, "interference");
   }
@@ -60,36 +60,36 @@
    * @param tasks all tasks on it
    * @param pressure tail latency of its service as a multiple of the goal; 0 if unknown
    */
-  public synchronized void report(String vm, List<Measured> tasks, double pressure) {
+  public synchronized void report(String vm, List<TaskMeasurement> tasks, double pressure) {
     Map<String, Double> present = new HashMap<>();
-    tasks.forEach(task -> present.merge(task.program(), task.present(), Double::sum));
-    for (Measured task : tasks) {
+    tasks.forEach(task -> present.merge(task.program(), task.activeShare(), Double::sum));
+    for (TaskMeasurement task : tasks) {
       learn(task, present);
     }
     if (pressure > 0) {
-      interference.measured(Interference.SERVICE, present, slowdown(vm, pressure));
+      interference.recordMeasurement(Interference.SERVICE, present, slowdown(vm, pressure));
     }
   }
 
-  private void learn(Measured task, Map<String, Double> present) {
-    boolean known = !task.used().equals(Sizes.NONE) && task.present() > 0;
+  private void learn(TaskMeasurement task, Map<String, Double> present) {
+    boolean known = !task.used().equals(Sizes.NONE) && task.activeShare() > 0;
     if (known) {
-      long free = (long) (task.used().milliProcessors() / task.present());
-      estimates.measured(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
+      long free = (long) (task.used().milliProcessors() / task.activeShare());
+      estimates.recordUsage(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
     }
     if (task.slowdown() > 0) {
       Map<String, Double> others = new HashMap<>(present);
-      others.merge(task.program(), -task.present(), Double::sum);
+      others.merge(task.program(), -task.activeShare(), Double::sum);
       others.values().removeIf(share -> share <= 0);
-      interference.measured(task.program(), others, task.slowdown());
+      interference.recordMeasurement(task.program(), others, task.slowdown());
     }
   }
 
   /** Returns the service's pressure as a multiple of its base pressure on this VM. */
   private double slowdown(String vm, double pressure) {
-    double base = undisturbed.getOrDefault(vm, pressure);
-    base += (pressure < base ? FALLING : RISING) * (pressure - base);
-    undisturbed.put(vm, base);
+    double base = basePressure.getOrDefault(vm, pressure);
+    base += (pressure < base ? FALL_RATE : RISE_RATE) * (pressure - base);
+    basePressure.put(vm, base);
     return base <= 0 ? 1 : pressure / base;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
@@ -9,19 +9,29 @@
 /**
  * Quarantines VMs on which attempts fail that succeed elsewhere.
  *
- * <p>Guards against a worker that fails everything it starts: it is always empty, so a scheduler that spreads load sends it task after task, and it consumes a fleet's queue in minutes. Counting failures alone would quarantine healthy VMs when a team submits a job that fails everywhere. So a VM is compared with the rest of the fleet, and at most one failure of each job counts until the job has succeeded somewhere. A VM is quarantined when several jobs failed on it and its failure rate is far above that of the others. After a backoff it is retried with one task at a time; the backoff doubles while that fails.
+ * <p>Guards against a worker that fails everything it starts: it is always empty, so a scheduler
+ * that spreads load sends it task after task, and it consumes a fleet's queue in minutes. Counting
+ * failures alone would quarantine healthy VMs when a team submits a job that fails everywhere. So a
+ * VM is compared with the rest of the fleet, and at most one failure of each job counts until the
+ * job has succeeded somewhere. A VM is quarantined when several jobs failed on it and its failure
+ * rate is far above that of the others. After a backoff it is retried with one task at a time; the
+ * backoff doubles while that fails.
  *
- * <p>Thread-safe. Counts decay with a half-life of {@value #HALF_LIFE_MILLIS} ms, so that a repaired VM is used again. State is bounded by the VMs that {@link #retain} keeps.
+ * <p>Thread-safe. Counts decay with a half-life of {@value #HALF_LIFE_MILLIS} ms, so that a
+ * repaired VM is used again. State is bounded by the VMs that {@link #retain} keeps.
  */
 public final class WorkerHealth {
-  /** Half-life of the counts, in milliseconds: ten minutes, half as long as a VM typically stays faulty. */
+  /**
+   * Half-life of the counts, in milliseconds: ten minutes, half as long as a VM typically stays
+   * faulty.
+   */
   static final long HALF_LIFE_MILLIS = 600_000;
 
   /** Failures that must count against a VM; two may be chance. */
-  private static final double LEAST_FAILURES = 2.5;
+  private static final double MIN_FAILURES = 2.5;
 
-  private static final long FIRST_BACK_OFF_MILLIS = 30_000;
-  private static final long LONGEST_BACK_OFF_MILLIS = 3_600_000;
+  private static final long INITIAL_BACKOFF_MILLIS = 30_000;
+  private static final long MAX_BACKOFF_MILLIS = 3_600_000;
   private static final int MAX_JOBS = 32;
   private static final int MAX_SUCCEEDED = 4_096;
 
@@ -31,10 +41,10 @@
     private double successes;
     private long countedMillis;
     private long backoffMillis;
-    private long apartUntilMillis;
-    private boolean onTrial;
+    private long quarantinedUntilMillis;
+    private boolean onProbation;
 
-    private void fade(long nowMillis) {
+    private void decay(long nowMillis) {
       double factor = Math.pow(0.5, (double) (nowMillis - countedMillis) / HALF_LIFE_MILLIS);
       failures *= factor;
       successes *= factor;
@@ -67,13 +77,13 @@
    * @param success whether it succeeded
    * @param nowMillis the time, in milliseconds of any monotonic clock
    */
-  public synchronized void ended(String vm, String job, boolean success, long nowMillis) {
+  public synchronized void recordEnd(String vm, String job, boolean success, long nowMillis) {
     Counts counts = records.computeIfAbsent(vm, unused -> newCounts(nowMillis));
-    counts.fade(nowMillis);
+    counts.decay(nowMillis);
     if (success) {
       counts.successes++;
       succeeded.put(job, Boolean.TRUE);
-      counts.onTrial = false;
+      counts.onProbation = false;
       counts.backoffMillis = 0;
       return;
     }
@@ -81,8 +91,8 @@
     if (firstOfJob || succeeded.containsKey(job)) {
       counts.failures++;
     }
-    if (counts.onTrial || stands(vm, counts, nowMillis)) {
-      setApart(counts, nowMillis);
+    if (counts.onProbation || isOutlier(vm, counts, nowMillis)) {
+      quarantine(counts, nowMillis);
     }
   }
 
@@ -93,15 +103,15 @@
    * @param tasks number of tasks that run or are claimed there
    * @param nowMillis the time, in milliseconds of any monotonic clock
    */
-  public synchronized boolean usable(String vm, int tasks, long nowMillis) {
+  public synchronized boolean isUsable(String vm, int tasks, long nowMillis) {
     Counts counts = records.get(vm);
-    if (counts == null || counts.apartUntilMillis == 0) {
+    if (counts == null || counts.quarantinedUntilMillis == 0) {
       return true;
     }
-    if (nowMillis < counts.apartUntilMillis) {
+    if (nowMillis < counts.quarantinedUntilMillis) {
       return false;
     }
-    if (counts.onTrial) {
+    if (counts.onProbation) {
       return tasks == 0;
     }
     return true;
@@ -118,25 +128,25 @@
     return counts;
   }
 
-  private static void setApart(Counts counts, long nowMillis) {
+  private static void quarantine(Counts counts, long nowMillis) {
     counts.backoffMillis =
         counts.backoffMillis == 0
-            ? FIRST_BACK_OFF_MILLIS
-            : Math.min(LONGEST_BACK_OFF_MILLIS, 2 * counts.backoffMillis);
-    counts.apartUntilMillis = nowMillis + counts.backoffMillis;
-    counts.onTrial = true;
+            ? INITIAL_BACKOFF_MILLIS
+            : Math.min(MAX_BACKOFF_MILLIS, 2 * counts.backoffMillis);
+    counts.quarantinedUntilMillis = nowMillis + counts.backoffMillis;
+    counts.onProbation = true;
   }
 
   /** Returns whether the failure rate of the VM stands out from that of all other VMs. */
-  private boolean stands(String vm, Counts counts, long nowMillis) {
-    if (counts.failures < LEAST_FAILURES) {
+  private boolean isOutlier(String vm, Counts counts, long nowMillis) {
+    if (counts.failures < MIN_FAILURES) {
       return false;
     }
     double failures = 0;
     double total = 0;
     for (Map.Entry<String, Counts> other : records.entrySet()) {
       if (!other.getKey().equals(vm)) {
-        other.getValue().fade(nowMillis);
+        other.getValue().decay(nowMillis);
         failures += other.getValue().failures;
         total += other.getValue().failures + other.getValue().successes;
       }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceWatch.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -15,13 +15,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which long-running tasks to report as absent, because no report has shown them running for a while, and which have recovered.
+ * Decides which long-running tasks to report as absent, because no report has shown them running
+ * for a while, and which have recovered.
  *
- * <p>Guards against tasks that run nowhere while their owner assumes that they run: it uses what reports show, never which attempts are open. The number of reports is bounded however many tasks are absent: one per task within {@link #REPEAT_NANOS}, and {@link #MOST_PER_LOOK} tasks per check, those never reported first; the others are only counted.
+ * <p>Guards against tasks that run nowhere while their owner assumes that they run: it uses what
+ * reports show, never which attempts are open. The number of reports is bounded however many tasks
+ * are absent: one per task within {@link #REPEAT_NANOS}, and {@link #MAX_PER_CHECK} tasks per
+ * check, those never reported first; the others are only counted.
  *
- * <p>Confined to one thread. Rejects nulls. A check takes time linear in the number of long-running tasks, times the logarithm of the number of absent ones.
+ * <p>Confined to one thread. Rejects nulls. A check takes time linear in the number of long-running
+ * tasks, times the logarithm of the number of absent ones.
  */
-public final class AbsenceWatch {
+public final class AbsenceDetector {
   /** How long a task is not seen running before it counts as absent, in nanoseconds. */
   public static final long ABSENT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
@@ -29,18 +34,20 @@
   public static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   /** Maximum number of absences, and of recoveries, that one check reports. */
-  public static final int MOST_PER_LOOK = 4;
+  public static final int MAX_PER_CHECK = 4;
 
   /**
    * What is known of a long-running task that should run.
    *
    * @param task the task
-   * @param seenAt when the latest report that shows it running was read, in nanoseconds of the caller's clock; empty if there is none now
-   * @param namedAt when the latest report that names any attempt of it was read; empty if there is none
+   * @param seenAt when the latest report that shows it running was read, in nanoseconds of the
+   *     caller's clock; empty if there is none now
+   * @param namedAt when the latest report that names any attempt of it was read; empty if there is
+   *     none
    */
-  public record Sight(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
+  public record Observation(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
     /** Checks the components. */
-    public Sight {
+    public Observation {
       requireNonNull(task, "task");
       requireNonNull(seenAt, "seenAt");
       requireNonNull(namedAt, "namedAt");
@@ -61,50 +68,51 @@
    * A task that was absent and is seen running again.
    *
    * @param task the task
-   * @param awayNanos time from when it was last seen, or first checked, until it was seen again
+   * @param absentNanos time from when it was last seen, or first checked, until it was seen again
    */
-  public record Return(WorkflowTask task, long awayNanos) {}
+  public record Recovery(WorkflowTask task, long absentNanos) {}
 
   /**
    * Result of one check.
    *
-   * @param lasting number of tasks checked
-   * @param away number of those that are absent
+   * @param longRunning number of tasks checked
+   * @param absent number of those that are absent
    * @param absences the absences to report now
-   * @param absencesLeftOut number of further absences that are due but over the limit; they come first in the next check
-   * @param returns the recoveries to report now
-   * @param returnsLeftOut number of further recoveries
+   * @param omittedAbsences number of further absences that are due but over the limit; they come
+   *     first in the next check
+   * @param recoveries the recoveries to report now
+   * @param omittedRecoveries number of further recoveries
    */
-  public record Look(
-      int lasting,
-      int away,
+  public record CheckResult(
+      int longRunning,
+      int absent,
       ImmutableList<Absence> absences,
-      int absencesLeftOut,
-      ImmutableList<Return> returns,
-      int returnsLeftOut) {}
+      int omittedAbsences,
+      ImmutableList<Recovery> recoveries,
+      int omittedRecoveries) {}
 
-  private static final class Watched {
+  private static final class TrackedTask {
     private long since;
     private boolean seenBefore;
-    private boolean away;
-    private long toldAt = Long.MIN_VALUE;
+    private boolean absent;
+    private long reportedAt = Long.MIN_VALUE;
     private OptionalLong namedAt = OptionalLong.empty();
 
     private boolean isDue(long now) {
-      return toldAt == Long.MIN_VALUE || now - toldAt >= REPEAT_NANOS;
+      return reportedAt == Long.MIN_VALUE || now - reportedAt >= REPEAT_NANOS;
     }
   }
 
-  private record Due(WorkflowTask task, Watched watched) {}
+  private record Due(WorkflowTask task, TrackedTask watched) {}
 
-  private static final Comparator<Due> LONGEST_UNTOLD_FIRST =
-      Comparator.comparingLong((Due due) -> due.watched.toldAt)
+  private static final Comparator<Due> LEAST_RECENTLY_REPORTED_FIRST =
+      Comparator.comparingLong((Due due) -> due.watched.reportedAt)
           .thenComparingLong(due -> due.watched.since);
 
-  private final Map<TaskKey, Watched> watched = new HashMap<>();
+  private final Map<TaskKey, TrackedTask> tracked = new HashMap<>();
 
   /** Creates a detector without tasks. */
-  public AbsenceWatch() {}
+  public AbsenceDetector() {}
 
   /**
    * Checks all long-running tasks that should run, and drops the state of all others.
@@ -112,63 +120,65 @@
    * @param longRunning what is known of these tasks
    * @param now in nanoseconds; never earlier than in the previous check
    */
-  public Look look(Collection<Sight> longRunning, long now) {
+  public CheckResult check(Collection<Observation> longRunning, long now) {
     List<Due> due = new ArrayList<>();
-    List<Return> recoveries = new ArrayList<>();
+    List<Recovery> recoveries = new ArrayList<>();
     Set<TaskKey> checkedKeys = new HashSet<>();
     int away = 0;
-    for (Sight observation : longRunning) {
+    for (Observation observation : longRunning) {
       checkedKeys.add(observation.task().key());
-      Watched state = watched.computeIfAbsent(observation.task().key(), unused -> begin(now));
+      TrackedTask state =
+          tracked.computeIfAbsent(observation.task().key(), unused -> startTracking(now));
       if (observation.namedAt().isPresent()) {
         state.namedAt = observation.namedAt();
       }
       if (observation.seenAt().isPresent()) {
-        takeSeen(observation.task(), state, observation.seenAt().getAsLong(), recoveries);
+        recordSighting(observation.task(), state, observation.seenAt().getAsLong(), recoveries);
       }
-      state.away |= now - state.since >= ABSENT_NANOS;
-      if (state.away) {
+      state.absent |= now - state.since >= ABSENT_NANOS;
+      if (state.absent) {
         away++;
         if (state.isDue(now)) {
           due.add(new Due(observation.task(), state));
         }
       }
     }
-    watched.keySet().retainAll(checkedKeys);
-    due.sort(LONGEST_UNTOLD_FIRST);
-    return new Look(
+    tracked.keySet().retainAll(checkedKeys);
+    due.sort(LEAST_RECENTLY_REPORTED_FIRST);
+    return new CheckResult(
         longRunning.size(),
         away,
-        tell(due, now),
-        Math.max(0, due.size() - MOST_PER_LOOK),
-        recoveries.stream().limit(MOST_PER_LOOK).collect(ImmutableList.toImmutableList()),
-        Math.max(0, recoveries.size() - MOST_PER_LOOK));
+        takeReports(due, now),
+        Math.max(0, due.size() - MAX_PER_CHECK),
+        recoveries.stream().limit(MAX_PER_CHECK).collect(ImmutableList.toImmutableList()),
+        Math.max(0, recoveries.size() - MAX_PER_CHECK));
   }
 
-  private static Watched begin(long now) {
-    Watched tracked = new Watched();
+  private static TrackedTask startTracking(long now) {
+    TrackedTask tracked = new TrackedTask();
     tracked.since = now;
     return tracked;
   }
 
-  private static void takeSeen(WorkflowTask task, Watched state, long seenAt, List<Return> recoveries) {
+  private static void recordSighting(
+      WorkflowTask task, TrackedTask state, long seenAt, List<Recovery> recoveries) {
     boolean newer = !state.seenBefore || seenAt > state.since;
     if (!newer) {
       return;
     }
-    if (state.away) {
-      recoveries.add(new Return(task, seenAt - state.since));
-      state.away = false;
-      state.toldAt = Long.MIN_VALUE;
+    if (state.absent) {
+      recoveries.add(new Recovery(task, seenAt - state.since));
+      state.absent = false;
+      state.reportedAt = Long.MIN_VALUE;
     }
     state.seenBefore = true;
     state.since = seenAt;
   }
 
-  private static ImmutableList<Absence> tell(List<Due> due, long now) {
+  private static ImmutableList<Absence> takeReports(List<Due> due, long now) {
     ImmutableList.Builder<Absence> reported = ImmutableList.builder();
-    for (Due next : due.subList(0, Math.min(MOST_PER_LOOK, due.size()))) {
-      next.watched.toldAt = now;
+    for (Due next : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
+      next.watched.reportedAt = now;
       reported.add(
           new Absence(
               next.task, next.watched.seenBefore, next.watched.since, next.watched.namedAt));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
@@ -16,9 +16,14 @@
 /**
  * Chooses the VMs for all members of a gang at once, or for none.
  *
- * <p>Guards against gangs that deadlock on a nearly full fleet, because their tasks make progress only while all of them run. Placed one by one, two gangs would each hold half of their places and wait for the other half until their workers give up. So a gang is placed in a single pass or not at all. Members that are slower on separate racks go to one rack that holds them all, if there is any.
+ * <p>Guards against gangs that deadlock on a nearly full fleet, because their tasks make progress
+ * only while all of them run. Placed one by one, two gangs would each hold half of their places and
+ * wait for the other half until their workers give up. So a gang is placed in a single pass or not
+ * at all. Members that are slower on separate racks go to one rack that holds them all, if there is
+ * any.
  *
- * <p>Immutable, and safe for any thread. Takes time proportional to members times VMs, for each rack tried.
+ * <p>Immutable, and safe for any thread. Takes time proportional to members times VMs, for each
+ * rack tried.
  */
 public final class GangChooser {
   private final VmChooser chooser;
@@ -40,17 +45,17 @@
    * @param offers the VMs to choose from
    */
   public Optional<ImmutableList<VmOffer>> choose(
-      PlacementWish request, int members, Collection<VmOffer> offers) {
+      TaskPlacementRequest request, int members, Collection<VmOffer> offers) {
     checkArgument(members >= 1, "members is not positive: %s", members);
     if (request.step().placement().sameRack()) {
       for (List<VmOffer> rack : racks(offers)) {
-        Optional<ImmutableList<VmOffer>> onOneRack = fill(request, members, rack);
+        Optional<ImmutableList<VmOffer>> onOneRack = assign(request, members, rack);
         if (onOneRack.isPresent()) {
           return onOneRack;
         }
       }
     }
-    return fill(request, members, offers);
+    return assign(request, members, offers);
   }
 
   /** Returns the VMs of each rack, the rack with the most remaining processors first. */
@@ -61,26 +66,27 @@
             .collect(Collectors.groupingBy(VmOffer::rack));
     Comparator<List<VmOffer>> byRemaining =
         Comparator.comparingLong(
-            rack -> rack.stream().mapToLong(VmOffer::leftMilliProcessors).sum());
+            rack -> rack.stream().mapToLong(VmOffer::remainingMilliProcessors).sum());
     return byRack.values().stream().sorted(byRemaining.reversed()).toList();
   }
 
-  private Optional<ImmutableList<VmOffer>> fill(
-      PlacementWish request, int members, Collection<VmOffer> offers) {
+  private Optional<ImmutableList<VmOffer>> assign(
+      TaskPlacementRequest request, int members, Collection<VmOffer> offers) {
     Map<String, VmOffer> remaining = new LinkedHashMap<>();
     offers.forEach(offer -> remaining.put(offer.place().vm(), offer));
     Map<String, Integer> placed = new HashMap<>();
     ImmutableList.Builder<VmOffer> chosen = ImmutableList.builder();
     for (int i = 0; i < members; i++) {
       Optional<VmOffer> best =
-          chooser.choose(request, remaining.values(), offer -> placed.getOrDefault(offer.place().vm(), 0));
+          chooser.choose(
+              request, remaining.values(), offer -> placed.getOrDefault(offer.place().vm(), 0));
       if (best.isEmpty()) {
         return Optional.empty();
       }
       String vm = best.get().place().vm();
       chosen.add(best.get());
       placed.merge(vm, 1, Integer::sum);
-      remaining.put(vm, best.get().after(request.step(), request.harm()));
+      remaining.put(vm, best.get().afterPlacing(request.step(), request.interference()));
     }
     return Optional.of(chosen.build());
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/SuspectRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/InterferenceBudget.java
@@ -6,15 +6,20 @@
 /**
  * Capacity of a VM for interfering tasks that are co-located with service tasks.
  *
- * <p>Guards against bursts of heavy workflows in which all VMs without services are full. Tasks of interfering images ({@link ImageHarm}) were then placed beside services up to their declared processors; there {@link FillPacer} throttled all of them to nearly zero for the whole burst, and they displaced benign tasks. A service tolerates interfering tasks of about an eighth of its VM. So a few run at a good part of their speed, and the others wait for a VM without services.
+ * <p>Guards against bursts of heavy workflows in which all VMs without services are full. Tasks of
+ * interfering images ({@link ImageInterference}) were then placed beside services up to their
+ * declared processors; there {@link BestEffortThrottler} throttled all of them to nearly zero for
+ * the whole burst, and they displaced benign tasks. A service tolerates interfering tasks of about
+ * an eighth of its VM. So a few run at a good part of their speed, and the others wait for a VM
+ * without services.
  *
  * <p>Stateless.
  */
-public final class SuspectRoom {
+public final class InterferenceBudget {
   /** Interfering tasks may declare the VM's processors divided by this beside service tasks. */
-  private static final int PART = 8;
+  private static final int CAPACITY_DIVISOR = 8;
 
-  private SuspectRoom() {}
+  private InterferenceBudget() {}
 
   /**
    * Returns whether one more interfering task fits beside service tasks; the first always does.
@@ -24,7 +29,7 @@
    * @param milli processors declared by the next one, in thousandths
    */
   public static boolean admits(long capacityMilli, long declaredMilli, long milli) {
-    return declaredMilli == 0 || declaredMilli + milli <= capacityMilli / PART;
+    return declaredMilli == 0 || declaredMilli + milli <= capacityMilli / CAPACITY_DIVISOR;
   }
 
   /**
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
@@ -11,18 +11,23 @@
 /**
  * Decides how long the worker of one VM may run its tasks, on behalf of the side process.
  *
- * <p>Each run belongs to the owner of a partition, and that owner restarts it elsewhere once every lease that the run can have has expired. The worker has one deadline for all its runs, so the deadline follows the oldest evidence among the partitions that have runs here. Runs of a partition whose owner has been silent for long are stopped, so that they do not end the others. All times are on the worker's clock, in milliseconds: a side process that was suspended cannot take its evidence for newer than it is.
+ * <p>Each run belongs to the owner of a partition, and that owner restarts it elsewhere once every
+ * lease that the run can have has expired. The worker has one deadline for all its runs, so the
+ * deadline follows the oldest evidence among the partitions that have runs here. Runs of a
+ * partition whose owner has been silent for long are stopped, so that they do not end the others.
+ * All times are on the worker's clock, in milliseconds: a side process that was suspended cannot
+ * take its evidence for newer than it is.
  *
  * <p>Confined to one thread. Rejects nulls.
  */
 public final class LeaseLedger {
   private record Evidence(long epoch, long workerClock) {}
 
-  private final LeaseTermsOfWorker terms;
-  private final Map<Integer, Evidence> newest = new HashMap<>();
+  private final WorkerLeaseTerms terms;
+  private final Map<Integer, Evidence> latestByPartition = new HashMap<>();
 
   /** Creates a ledger without evidence. */
-  public LeaseLedger(LeaseTermsOfWorker terms) {
+  public LeaseLedger(WorkerLeaseTerms terms) {
     this.terms = requireNonNull(terms, "terms");
   }
 
@@ -35,29 +40,30 @@
    * @return whether the epoch is the highest seen; orders of lower epochs are rejected
    */
   public boolean observe(int partition, long epoch, long workerClock) {
-    Evidence known = newest.get(partition);
+    Evidence known = latestByPartition.get(partition);
     if (known != null && epoch < known.epoch()) {
       return false;
     }
     long clock = known == null ? workerClock : Math.max(workerClock, known.workerClock());
-    newest.put(partition, new Evidence(epoch, clock));
+    latestByPartition.put(partition, new Evidence(epoch, clock));
     return true;
   }
 
   /** Returns whether no evidence of an owner of the partition was ever received. */
-  public boolean isUnknown(int partition) {
-    return !newest.containsKey(partition);
+  public boolean hasNoEvidence(int partition) {
+    return !latestByPartition.containsKey(partition);
   }
 
   /**
-   * Returns until when the worker may run, or empty if there is no partition or one has no evidence.
+   * Returns until when the worker may run, or empty if there is no partition or one has no
+   * evidence.
    *
    * @param partitions the partitions that have runs here
    */
   public OptionalLong deadline(Collection<Integer> partitions) {
     long oldest = Long.MAX_VALUE;
     for (int partition : partitions) {
-      Evidence evidence = newest.get(partition);
+      Evidence evidence = latestByPartition.get(partition);
       if (evidence == null) {
         return OptionalLong.empty();
       }
@@ -71,10 +77,11 @@
   /**
    * Returns whether a run of the partition may start under the worker's current deadline.
    *
-   * <p>Deadlines never shorten: a run that starts under a deadline beyond its owner's takeover could still run after the owner has restarted it elsewhere.
+   * <p>Deadlines never shorten: a run that starts under a deadline beyond its owner's takeover
+   * could still run after the owner has restarted it elsewhere.
    */
   public boolean mayStart(int partition, long workerDeadline, long workerClock) {
-    Evidence evidence = newest.get(partition);
+    Evidence evidence = latestByPartition.get(partition);
     return evidence != null
         && workerDeadline <= evidence.workerClock() + terms.boundMillis()
         && evidence.workerClock() + terms.leaseMillis() - terms.stopAheadMillis() > workerClock;
@@ -85,7 +92,7 @@
     return partitions.stream()
         .filter(
             partition -> {
-              Evidence evidence = newest.get(partition);
+              Evidence evidence = latestByPartition.get(partition);
               return evidence != null
                   && evidence.workerClock() + terms.leaseMillis() - terms.stopAheadMillis()
                       <= workerClock;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
@@ -21,7 +21,7 @@
   /** No such workflow was ever accepted, or it ended long ago. */
   UNKNOWN_WORKFLOW(6, null),
   /** The queried process does not own the workflow, or does not know its status now. */
-  CANNOT_TELL(7, null);
+  UNAVAILABLE(7, null);
 
   private final int number;
   private final WorkflowStatus status;
@@ -46,13 +46,16 @@
     return forNumber(status.number());
   }
 
-  /** Returns the result with the number; {@link #CANNOT_TELL} for an unknown number, which a newer version may send. */
+  /**
+   * Returns the result with the number; {@link #UNAVAILABLE} for an unknown number, which a newer
+   * version may send.
+   */
   public static QueryResult forNumber(int number) {
     for (QueryResult result : values()) {
       if (result.number == number) {
         return result;
       }
     }
-    return CANNOT_TELL;
+    return UNAVAILABLE;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
@@ -20,20 +20,23 @@
     requireNonNull(queues, "queues");
   }
 
-  /** Returns the queue with the longest prefix that matches the host and path, or empty if none does. */
+  /**
+   * Returns the queue with the longest prefix that matches the host and path, or empty if none
+   * does.
+   */
   public Optional<Queue> find(String host, String path) {
     return queues.stream()
-        .filter(queue -> queue.serves(host, path))
+        .filter(queue -> queue.matches(host, path))
         .max(Comparator.comparingInt(queue -> queue.prefix().length()));
   }
 
   /** Returns the queue with the name, or empty if this version has none. */
-  public Optional<Queue> named(String name) {
+  public Optional<Queue> findByName(String name) {
     return queues.stream().filter(queue -> queue.name().equals(name)).findFirst();
   }
 
   /** Returns whether the tasks of any queue run on the service. */
-  public boolean uses(String service) {
-    return queues.stream().anyMatch(queue -> queue.terms().service().equals(service));
+  public boolean usesService(String service) {
+    return queues.stream().anyMatch(queue -> queue.policy().service().equals(service));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
@@ -47,11 +47,14 @@
   }
 
   /** Returns whether the task may have run. */
-  public boolean ran() {
+  public boolean mayHaveRun() {
     return this != REFUSED;
   }
 
-  /** Returns the outcome with the number; {@link #FORGOTTEN} for an unknown number, which a newer version may write. */
+  /**
+   * Returns the outcome with the number; {@link #FORGOTTEN} for an unknown number, which a newer
+   * version may write.
+   */
   public static RunOutcome forNumber(int number) {
     for (RunOutcome outcome : values()) {
       if (outcome.number == number) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
@@ -14,13 +14,18 @@
 /**
  * Caches the advice of a placement adviser on one step of one occurrence.
  *
- * <p>Many steps wait for advice at once, and the adviser serves one call at a time, each taking longer the more VMs it names. Calls that name the whole fleet make the adviser the bottleneck; calls that name one VM are mostly in vain. So a call names the best candidates, as many as callers allow time for, and further ones only once all of those are refused or full. The answer for a VM does not change: a refused worker is not named again, and an allowed one only once its ticket has expired.
+ * <p>Many steps wait for advice at once, and the adviser serves one call at a time, each taking
+ * longer the more VMs it names. Calls that name the whole fleet make the adviser the bottleneck;
+ * calls that name one VM are mostly in vain. So a call names the best candidates, as many as
+ * callers allow time for, and further ones only once all of those are refused or full. The answer
+ * for a VM does not change: a refused worker is not named again, and an allowed one only once its
+ * ticket has expired.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 public final class StepAdvice {
   /** Maximum number of VMs in one call; the time that callers allow for a step is based on it. */
-  public static final int MOST_NAMED = 30;
+  public static final int MAX_VMS_PER_CALL = 30;
 
   private record Ticket(String text, long validUntil) {}
 
@@ -34,7 +39,7 @@
    * @param allowed the tickets of those that may run the step
    * @param validUntil when these tickets expire
    */
-  public void answered(Collection<String> named, Map<String, String> allowed, long validUntil) {
+  public void recordAnswer(Collection<String> named, Map<String, String> allowed, long validUntil) {
     for (String worker : named) {
       String ticket = allowed.get(worker);
       if (ticket == null) {
@@ -53,7 +58,7 @@
   }
 
   /** Returns the offers whose workers may run the step now. */
-  public ImmutableList<VmOffer> allowed(Collection<VmOffer> offers, long now) {
+  public ImmutableList<VmOffer> allowedOffers(Collection<VmOffer> offers, long now) {
     return offers.stream()
         .filter(offer -> ticket(offer.place().worker(), now).isPresent())
         .collect(ImmutableList.toImmutableList());
@@ -66,7 +71,7 @@
    * @param limit maximum number of workers, at least 1
    * @param now monotonic nanoseconds
    */
-  public ImmutableList<String> toName(Collection<VmOffer> candidates, int limit, long now) {
+  public ImmutableList<String> workersToQuery(Collection<VmOffer> candidates, int limit, long now) {
     checkArgument(limit >= 1, "limit is not positive: %s", limit);
     return candidates.stream()
         .map(offer -> offer.place().worker())
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
@@ -16,7 +16,7 @@
  * @param estimateMillis the declared run time of a task, in milliseconds; often far off
  * @param dependsOn positions of earlier steps whose tasks must all be done first
  * @param placement where the tasks may run
- * @param nature how the tasks behave
+ * @param traits how the tasks behave
  */
 public record StepSpec(
     int tasks,
@@ -24,7 +24,7 @@
     long estimateMillis,
     ImmutableList<Integer> dependsOn,
     Placement placement,
-    Nature nature) {
+    TaskTraits traits) {
 
   /**
    * Where the tasks of a step may run.
@@ -53,33 +53,40 @@
    * @param gang whether they make progress only while all tasks of an attempt run
    * @param checkpointable whether they write checkpoints
    * @param speculative whether copies of one task may run at the same time
-   * @param lasting whether they run until the workflow is cancelled
-   * @param fills whether they are best-effort: they use only processors that other tasks leave idle
+   * @param longRunning whether they run until the workflow is cancelled
+   * @param bestEffort whether they are best-effort: they use only processors that other tasks leave
+   *     idle
    * @param image the image that they run; empty if unknown
-   * @param latencyTargetMillis the tail latency promised to their own users, in milliseconds; 0 for none
-   * @param allowedUnavailable how many may be unavailable at the same time by decisions of this system
+   * @param latencyTargetMillis the tail latency promised to their own users, in milliseconds; 0 for
+   *     none
+   * @param maxUnavailable how many may be unavailable at the same time by decisions of this system
    */
-  public record Nature(
+  public record TaskTraits(
       boolean gang,
       boolean checkpointable,
       boolean speculative,
-      boolean lasting,
-      boolean fills,
+      boolean longRunning,
+      boolean bestEffort,
       String image,
       long latencyTargetMillis,
-      int allowedUnavailable) {
+      int maxUnavailable) {
     /** Tasks that end by themselves, without special behaviour. */
-    public static final Nature PLAIN = new Nature(false, false, false, false, false, "", 0, 0);
+    public static final TaskTraits PLAIN =
+        new TaskTraits(false, false, false, false, false, "", 0, 0);
 
     /** Checks the components. */
-    public Nature {
+    public TaskTraits {
       requireNonNull(image, "image");
-      checkArgument(latencyTargetMillis >= 0, "latencyTargetMillis is negative: %s", latencyTargetMillis);
-      checkArgument(allowedUnavailable >= 0, "maxUnavailable is negative: %s", allowedUnavailable);
+      checkArgument(
+          latencyTargetMillis >= 0, "latencyTargetMillis is negative: %s", latencyTargetMillis);
+      checkArgument(maxUnavailable >= 0, "maxUnavailable is negative: %s", maxUnavailable);
     }
 
-    /** Returns whether the tasks are service tasks: they have a latency target for users of their own. */
-    public boolean serves() {
+    /**
+     * Returns whether the tasks are service tasks: they have a latency target for users of their
+     * own.
+     */
+    public boolean isService() {
       return latencyTargetMillis > 0;
     }
   }
@@ -91,11 +98,11 @@
     checkArgument(estimateMillis >= 0, "estimateMillis is negative: %s", estimateMillis);
     requireNonNull(dependsOn, "dependsOn");
     requireNonNull(placement, "placement");
-    requireNonNull(nature, "nature");
+    requireNonNull(traits, "nature");
   }
 
   /** Returns the resources that a VM books for a task; a best-effort task books no processors. */
   public Sizes booked() {
-    return nature.fills() ? sizes.withoutProcessors() : sizes;
+    return traits.bestEffort() ? sizes.withoutProcessors() : sizes;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/PlacementWish.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskPlacementRequest.java
@@ -9,14 +9,16 @@
  *
  * @param spec the workflow
  * @param step the task's step
- * @param harm the believed interference of the step's image, from 0 to 1, see {@link ImageHarm}
+ * @param interference the believed interference of the step's image, from 0 to 1, see {@link
+ *     ImageInterference}
  * @param urgency the urgency of the placement
- * @param siblingRack the rack on which tasks of the step run already, if they are to share a rack; else empty
+ * @param siblingRack the rack on which tasks of the step run already, if they are to share a rack;
+ *     else empty
  */
-public record PlacementWish(
-    WorkflowSpec spec, StepSpec step, double harm, Urgency urgency, String siblingRack) {
+public record TaskPlacementRequest(
+    WorkflowSpec spec, StepSpec step, double interference, Urgency urgency, String siblingRack) {
   /** Checks the components. */
-  public PlacementWish {
+  public TaskPlacementRequest {
     requireNonNull(spec, "spec");
     requireNonNull(step, "step");
     requireNonNull(urgency, "urgency");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
@@ -12,16 +12,28 @@
 /**
  * Chooses the VM for a task.
  *
- * <p>The VMs are shared by small tasks that callers wait for, wide steps of heavy best-effort tasks, and long-running service tasks. A best-effort task disturbs a co-located service task and is throttled for it; service tasks do not disturb each other. Spread evenly, service tasks occupy nearly every VM, and best-effort tasks are throttled nearly everywhere. So service tasks are packed on few VMs, small tasks are co-located with them, and best-effort tasks go to VMs without services while those have capacity. Among equal VMs the one with the most remaining processors wins, because a best-effort task runs at the share of its processors that is left.
+ * <p>The VMs are shared by small tasks that callers wait for, wide steps of heavy best-effort
+ * tasks, and long-running service tasks. A best-effort task disturbs a co-located service task and
+ * is throttled for it; service tasks do not disturb each other. Spread evenly, service tasks occupy
+ * nearly every VM, and best-effort tasks are throttled nearly everywhere. So service tasks are
+ * packed on few VMs, small tasks are co-located with them, and best-effort tasks go to VMs without
+ * services while those have capacity. Among equal VMs the one with the most remaining processors
+ * wins, because a best-effort task runs at the share of its processors that is left.
  *
  * <p>Immutable, and safe for any thread.
  */
 public final class VmChooser {
-  /** Weight of the preferred co-location, in thousandths of a processor: more than any VM has, so that remaining processors decide only among VMs with equal co-location. */
-  static final long COMPANY = 1_000_000;
+  /**
+   * Weight of the preferred co-location, in thousandths of a processor: more than any VM has, so
+   * that remaining processors decide only among VMs with equal co-location.
+   */
+  static final long COLOCATION_WEIGHT = 1_000_000;
 
-  /** Factor by which best-effort processors count against a VM for a service task: a service that is placed beside them throttles them, and its users notice them until then. */
-  static final long FILL_AGAINST_SERVING = 20;
+  /**
+   * Factor by which best-effort processors count against a VM for a service task: a service that is
+   * placed beside them throttles them, and its users notice them until then.
+   */
+  static final long BEST_EFFORT_PENALTY = 20;
 
   /** Whether a VM may be given a task, or the reason against it. */
   public enum Verdict {
@@ -30,13 +42,13 @@
     /** The VM runs tasks of another service. */
     OTHER_SERVICE("of another service"),
     /** The VM lacks the label that the step requires. */
-    NO_LABEL("without the required label"),
+    MISSING_LABEL("without the required label"),
     /** The resources that the task books are not free. */
-    NO_ROOM("without room"),
+    INSUFFICIENT_CAPACITY("without room"),
     /** The best-effort task would exceed the limits on such tasks. */
-    CROWDED("at the best-effort limit"),
+    BEST_EFFORT_LIMIT("at the best-effort limit"),
     /** The VM has as many tasks of the step as may share a VM. */
-    ENOUGH_OF_STEP("at the limit of the step");
+    PER_VM_LIMIT("at the limit of the step");
 
     private final String text;
 
@@ -60,7 +72,8 @@
   /**
    * Returns a chooser for a deployment.
    *
-   * @param farRackFactor how many times longer a task takes on another rack than that of its data or its sibling tasks; at least 1
+   * @param farRackFactor how many times longer a task takes on another rack than that of its data
+   *     or its sibling tasks; at least 1
    */
   public static VmChooser of(double farRackFactor) {
     checkArgument(farRackFactor >= 1, "farRackFactor is less than 1: %s", farRackFactor);
@@ -70,24 +83,26 @@
   /**
    * Returns the best VM with capacity for the task, or empty if there is none.
    *
-   * <p>A hurried interfering task waits for a VM without services as long as there is one: throttled beside services it would be late, and the work of all tasks of its workflow would be wasted.
+   * <p>A hurried interfering task waits for a VM without services as long as there is one:
+   * throttled beside services it would be late, and the work of all tasks of its workflow would be
+   * wasted.
    *
    * @param request the request of the task
    * @param offers the VMs to choose from
    * @param ofStepOn the number of tasks of the same step and occurrence on a VM
    */
   public Optional<VmOffer> choose(
-      PlacementWish request, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
+      TaskPlacementRequest request, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
     requireNonNull(ofStepOn, "ofStepOn");
     boolean onlyWithoutServices =
         request.urgency() == Urgency.HURRIED
-            && request.step().nature().fills()
-            && ImageHarm.isSuspect(request.harm())
-            && offers.stream().anyMatch(offer -> offer.serving() == 0);
+            && request.step().traits().bestEffort()
+            && ImageInterference.isInterfering(request.interference())
+            && offers.stream().anyMatch(offer -> offer.serviceTasks() == 0);
     VmOffer best = null;
     double bestScore = Double.NEGATIVE_INFINITY;
     for (VmOffer offer : offers) {
-      boolean excluded = onlyWithoutServices && offer.serving() > 0;
+      boolean excluded = onlyWithoutServices && offer.serviceTasks() > 0;
       if (excluded || !admits(request, offer, ofStepOn)) {
         continue;
       }
@@ -107,7 +122,8 @@
    * @param offers the VMs to choose from
    * @param limit maximum number of VMs
    */
-  public ImmutableList<VmOffer> best(PlacementWish request, Collection<VmOffer> offers, int limit) {
+  public ImmutableList<VmOffer> rankedOffers(
+      TaskPlacementRequest request, Collection<VmOffer> offers, int limit) {
     return offers.stream()
         .filter(offer -> admits(request, offer, unused -> 0))
         .sorted(Comparator.comparingDouble((VmOffer offer) -> score(request, offer)).reversed())
@@ -118,23 +134,26 @@
   /**
    * Returns whether a task that failed on a VM should move to another VM rather than go back.
    *
-   * <p>Not if it is a service task and would be the first on its new VM: services fail through their own fault now and then, and a VM with a single service is lost to best-effort tasks. A VM that fails everything it runs is excluded for a while anyway ({@link VmTrust}).
+   * <p>Not if it is a service task and would be the first on its new VM: services fail through
+   * their own fault now and then, and a VM with a single service is lost to best-effort tasks. A VM
+   * that fails everything it runs is excluded for a while anyway ({@link VmQuarantine}).
    *
    * @param step the task's step
    * @param elsewhere the best VM on which it has not failed
    * @param anywhere the best of all VMs
    */
-  public static boolean isWorthLeaving(
+  public static boolean prefersOtherVm(
       StepSpec step, Optional<VmOffer> elsewhere, Optional<VmOffer> anywhere) {
     if (elsewhere.isEmpty() || anywhere.isEmpty()) {
       return elsewhere.isPresent();
     }
-    boolean leavesServices = elsewhere.get().serving() == 0 && anywhere.get().serving() > 0;
-    return !(step.nature().serves() && leavesServices);
+    boolean leavesServices =
+        elsewhere.get().serviceTasks() == 0 && anywhere.get().serviceTasks() > 0;
+    return !(step.traits().isService() && leavesServices);
   }
 
   private static boolean admits(
-      PlacementWish request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+      TaskPlacementRequest request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
     return verdict(request, offer, ofStepOn) == Verdict.ADMITTED;
   }
 
@@ -146,43 +165,45 @@
    * @param ofStepOn the number of tasks of the same step and occurrence on a VM
    */
   public static Verdict verdict(
-      PlacementWish request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
-    if (!offer.service().equals(request.spec().terms().service())) {
+      TaskPlacementRequest request, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+    if (!offer.service().equals(request.spec().policy().service())) {
       return Verdict.OTHER_SERVICE;
     }
     StepSpec step = request.step();
     StepSpec.Placement placement = step.placement();
     if (!placement.requiredLabel().isEmpty()
         && !offer.labels().contains(placement.requiredLabel())) {
-      return Verdict.NO_LABEL;
+      return Verdict.MISSING_LABEL;
     }
     if (!step.booked().fitsIn(offer.free())) {
-      return Verdict.NO_ROOM;
+      return Verdict.INSUFFICIENT_CAPACITY;
     }
-    boolean overLimit = step.nature().fills() && !hasRoomToFill(step, request.harm(), offer);
+    boolean overLimit =
+        step.traits().bestEffort() && !hasBestEffortCapacity(step, request.interference(), offer);
     if (overLimit && request.urgency() != Urgency.STARVED) {
-      return Verdict.CROWDED;
+      return Verdict.BEST_EFFORT_LIMIT;
     }
-    boolean belowPerVmLimit = placement.maxPerVm() == 0 || ofStepOn.applyAsInt(offer) < placement.maxPerVm();
-    return belowPerVmLimit ? Verdict.ADMITTED : Verdict.ENOUGH_OF_STEP;
+    boolean belowPerVmLimit =
+        placement.maxPerVm() == 0 || ofStepOn.applyAsInt(offer) < placement.maxPerVm();
+    return belowPerVmLimit ? Verdict.ADMITTED : Verdict.PER_VM_LIMIT;
   }
 
-  private static boolean hasRoomToFill(StepSpec step, double interference, VmOffer offer) {
-    if (offer.leftToFillMilli() < step.sizes().milliProcessors()) {
+  private static boolean hasBestEffortCapacity(StepSpec step, double interference, VmOffer offer) {
+    if (offer.bestEffortHeadroomMilli() < step.sizes().milliProcessors()) {
       return false;
     }
-    if (offer.serving() == 0 || !ImageHarm.isSuspect(interference)) {
+    if (offer.serviceTasks() == 0 || !ImageInterference.isInterfering(interference)) {
       return true;
     }
-    return SuspectRoom.admits(
+    return InterferenceBudget.admits(
         offer.capacity().milliProcessors(),
-        offer.suspectMilliProcessors(),
+        offer.interferingMilliProcessors(),
         step.sizes().milliProcessors());
   }
 
-  private double score(PlacementWish request, VmOffer offer) {
-    double score = companyScore(request.step(), request.harm(), offer);
-    double slowness = offer.slowness();
+  private double score(TaskPlacementRequest request, VmOffer offer) {
+    double score = colocationScore(request.step(), request.interference(), offer);
+    double slowness = offer.slowdown();
     String dataRack = request.step().placement().preferredRack();
     if (!dataRack.isEmpty() && !offer.labels().contains(dataRack)) {
       slowness *= farRackFactor;
@@ -191,20 +212,20 @@
       slowness *= farRackFactor;
     }
     // The penalty for slowness does not depend on the sign of the rest of the score.
-    return score - (slowness - 1) * (COMPANY + offer.capacity().milliProcessors());
+    return score - (slowness - 1) * (COLOCATION_WEIGHT + offer.capacity().milliProcessors());
   }
 
-  private static double companyScore(StepSpec step, double interference, VmOffer offer) {
-    double remaining = offer.leftMilliProcessors() - step.sizes().milliProcessors();
-    boolean hasServices = offer.serving() > 0;
-    if (step.nature().serves()) {
-      double colocation = hasServices ? COMPANY : 0;
-      return colocation - FILL_AGAINST_SERVING * offer.fillMilliProcessors() - remaining;
+  private static double colocationScore(StepSpec step, double interference, VmOffer offer) {
+    double remaining = offer.remainingMilliProcessors() - step.sizes().milliProcessors();
+    boolean hasServices = offer.serviceTasks() > 0;
+    if (step.traits().isService()) {
+      double colocation = hasServices ? COLOCATION_WEIGHT : 0;
+      return colocation - BEST_EFFORT_PENALTY * offer.bestEffortMilliProcessors() - remaining;
     }
-    if (step.nature().fills()) {
-      boolean benign = !ImageHarm.isSuspect(interference);
-      return remaining + (hasServices == benign ? COMPANY : 0);
+    if (step.traits().bestEffort()) {
+      boolean benign = !ImageInterference.isInterfering(interference);
+      return remaining + (hasServices == benign ? COLOCATION_WEIGHT : 0);
     }
-    return remaining + (hasServices && remaining >= 0 ? COMPANY : 0);
+    return remaining + (hasServices && remaining >= 0 ? COLOCATION_WEIGHT : 0);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
@@ -7,7 +7,8 @@
 import java.util.Collection;
 
 /**
- * Resources of a VM as seen by a scheduler: the last report of its side process, less the runs started since.
+ * Resources of a VM as seen by a scheduler: the last report of its side process, less the runs
+ * started since.
  *
  * <p>Immutable. Rejects nulls. The side process makes the final decision on capacity.
  *
@@ -17,11 +18,13 @@
  * @param rack the rack of the VM; empty if unknown
  * @param capacity the total resources
  * @param free the resources that are not booked
- * @param fillMilliProcessors processors declared by running best-effort tasks, in thousandths
- * @param suspectMilliProcessors the part of those declared by interfering tasks, see {@link SuspectRoom}
- * @param overcommitMilliProcessors processors that best-effort tasks may declare beyond the unbooked ones, see {@link Overcommit}
- * @param serving number of running service tasks
- * @param slowness how many times longer tasks take here than on other VMs; 1 for no difference
+ * @param bestEffortMilliProcessors processors declared by running best-effort tasks, in thousandths
+ * @param interferingMilliProcessors the part of those declared by interfering tasks, see {@link
+ *     InterferenceBudget}
+ * @param overcommitMilliProcessors processors that best-effort tasks may declare beyond the
+ *     unbooked ones, see {@link Overcommit}
+ * @param serviceTasks number of running service tasks
+ * @param slowdown how many times longer tasks take here than on other VMs; 1 for no difference
  */
 public record VmOffer(
     Place place,
@@ -30,13 +33,16 @@
     String rack,
     Sizes capacity,
     Sizes free,
-    long fillMilliProcessors,
-    long suspectMilliProcessors,
+    long bestEffortMilliProcessors,
+    long interferingMilliProcessors,
     long overcommitMilliProcessors,
-    int serving,
-    double slowness) {
-  /** Unbooked processors of a fleet with spare capacity, in percent: callers expect progress where half is free, and the knowledge of entries is up to a second old. */
-  private static final long ROOMY_PERCENT = 40;
+    int serviceTasks,
+    double slowdown) {
+  /**
+   * Unbooked processors of a fleet with spare capacity, in percent: callers expect progress where
+   * half is free, and the knowledge of entries is up to a second old.
+   */
+  private static final long SPARE_CAPACITY_PERCENT = 40;
 
   /** Checks the components. */
   public VmOffer {
@@ -49,24 +55,27 @@
   }
 
   /**
-   * Returns whether the fleet has spare capacity, so that a workflow without running tasks is a fault rather than the result of a burst.
+   * Returns whether the fleet has spare capacity, so that a workflow without running tasks is a
+   * fault rather than the result of a burst.
    *
-   * <p>Guards against two faults. With the limits on best-effort tasks always in force, workflows waited forever although capacity was free. Without the limits in a burst, every workflow was squeezed in somewhere, and only half as many were in time.
+   * <p>Guards against two faults. With the limits on best-effort tasks always in force, workflows
+   * waited forever although capacity was free. Without the limits in a burst, every workflow was
+   * squeezed in somewhere, and only half as many were in time.
    */
-  public static boolean isRoomy(Collection<VmOffer> offers) {
+  public static boolean hasSpareCapacity(Collection<VmOffer> offers) {
     long capacity = offers.stream().mapToLong(each -> each.capacity.milliProcessors()).sum();
     long free = offers.stream().mapToLong(each -> each.free.milliProcessors()).sum();
-    return free * 100 >= capacity * ROOMY_PERCENT;
+    return free * 100 >= capacity * SPARE_CAPACITY_PERCENT;
   }
 
   /** Returns the processors that remain after booked and best-effort tasks; may be negative. */
-  long leftMilliProcessors() {
-    return free.milliProcessors() - fillMilliProcessors;
+  long remainingMilliProcessors() {
+    return free.milliProcessors() - bestEffortMilliProcessors;
   }
 
   /** Returns the processors that best-effort tasks may still declare here, in thousandths. */
-  long leftToFillMilli() {
-    return leftMilliProcessors() + overcommitMilliProcessors;
+  long bestEffortHeadroomMilli() {
+    return remainingMilliProcessors() + overcommitMilliProcessors;
   }
 
   /**
@@ -75,10 +84,10 @@
    * @param step the step
    * @param interference the believed interference of the step's image, from 0 to 1
    */
-  public VmOffer after(StepSpec step, double interference) {
-    long bestEffortMilli = step.nature().fills() ? step.sizes().milliProcessors() : 0;
-    long interferingMilli = ImageHarm.isSuspect(interference) ? bestEffortMilli : 0;
-    int newServiceTasks = step.nature().serves() ? serving + 1 : serving;
+  public VmOffer afterPlacing(StepSpec step, double interference) {
+    long bestEffortMilli = step.traits().bestEffort() ? step.sizes().milliProcessors() : 0;
+    long interferingMilli = ImageInterference.isInterfering(interference) ? bestEffortMilli : 0;
+    int newServiceTasks = step.traits().isService() ? serviceTasks + 1 : serviceTasks;
     return new VmOffer(
         place,
         service,
@@ -86,10 +95,10 @@
         rack,
         capacity,
         free.minus(step.booked()),
-        fillMilliProcessors + bestEffortMilli,
-        suspectMilliProcessors + interferingMilli,
+        bestEffortMilliProcessors + bestEffortMilli,
+        interferingMilliProcessors + interferingMilli,
         overcommitMilliProcessors,
         newServiceTasks,
-        slowness);
+        slowdown);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
@@ -13,35 +13,38 @@
 /**
  * State machine of one workflow at its owner: which tasks may start, which run and which ended.
  *
- * <p>The owner makes {@link #record} durable before it acts on a change: an attempt before its start order is sent, an end before the worker may drop it. Callers see {@link #shownStatus} only. So a new owner that restores the last record knows every start order that may be in flight.
+ * <p>The owner makes {@link #record} durable before it acts on a change: an attempt before its
+ * start order is sent, an end before the worker may drop it. Callers see {@link #durableStatus}
+ * only. So a new owner that restores the last record knows every start order that may be in flight.
  *
- * <p>Confined to one thread. Rejects nulls. Every operation takes time at most linear in the number of tasks.
+ * <p>Confined to one thread. Rejects nulls. Every operation takes time at most linear in the number
+ * of tasks.
  */
 public final class Workflow {
   private final WorkflowSpec spec;
   private final List<WorkflowTask> tasks = new ArrayList<>();
-  private final int tasksPerRound;
-  private final int[] firstOfStep;
-  private final int[] doneOfStep;
+  private final int tasksPerOccurrence;
+  private final int[] firstTaskOfStep;
+  private final int[] doneTasksOfStep;
   private WorkflowStatus status = WorkflowStatus.QUEUED;
-  private WorkflowStatus shownStatus = WorkflowStatus.QUEUED;
+  private WorkflowStatus durableStatus = WorkflowStatus.QUEUED;
   private long endedMillis;
-  private boolean begun;
+  private boolean started;
   private long lastRanMillis;
 
   private Workflow(WorkflowSpec spec) {
     this.spec = spec;
     int stepCount = spec.steps().size();
-    this.firstOfStep = new int[stepCount];
+    this.firstTaskOfStep = new int[stepCount];
     int first = 0;
     for (int step = 0; step < stepCount; step++) {
-      firstOfStep[step] = first;
+      firstTaskOfStep[step] = first;
       first += spec.steps().get(step).tasks();
     }
-    this.tasksPerRound = first;
-    this.doneOfStep = new int[stepCount * spec.schedule().rounds()];
-    for (int occurrence = 0; occurrence < spec.schedule().rounds(); occurrence++) {
-      addRound(occurrence);
+    this.tasksPerOccurrence = first;
+    this.doneTasksOfStep = new int[stepCount * spec.schedule().occurrenceCount()];
+    for (int occurrence = 0; occurrence < spec.schedule().occurrenceCount(); occurrence++) {
+      addOccurrence(occurrence);
     }
   }
 
@@ -58,22 +61,23 @@
       WorkflowTask task = workflow.tasks.get(i);
       task.restore(state.tasks().get(i));
       if (task.isDone()) {
-        workflow.doneOfStep[workflow.stepSlot(task.key())]++;
+        workflow.doneTasksOfStep[workflow.stepIndex(task.key())]++;
       }
     }
     workflow.status = state.status();
-    workflow.shownStatus = state.status();
+    workflow.durableStatus = state.status();
     workflow.endedMillis = state.endedMillis();
-    workflow.breakGangs();
-    workflow.begun = state.status() != WorkflowStatus.QUEUED;
+    workflow.stopBrokenGangs();
+    workflow.started = state.status() != WorkflowStatus.QUEUED;
     return workflow;
   }
 
-  private void addRound(int occurrence) {
+  private void addOccurrence(int occurrence) {
     for (int step = 0; step < spec.steps().size(); step++) {
       StepSpec stepSpec = spec.steps().get(step);
       for (int index = 0; index < stepSpec.tasks(); index++) {
-        tasks.add(new WorkflowTask(this, new TaskKey(spec.id(), occurrence, step, index), stepSpec));
+        tasks.add(
+            new WorkflowTask(this, new TaskKey(spec.id(), occurrence, step, index), stepSpec));
       }
     }
   }
@@ -83,19 +87,19 @@
     return spec;
   }
 
-  /** Returns the current status, durable or not; callers see {@link #shownStatus}. */
+  /** Returns the current status, durable or not; callers see {@link #durableStatus}. */
   public WorkflowStatus status() {
     return status;
   }
 
   /** Returns the durable status. */
-  public WorkflowStatus shownStatus() {
-    return shownStatus;
+  public WorkflowStatus durableStatus() {
+    return durableStatus;
   }
 
   /** Sets the durable status once a record with it has become durable. */
-  public void show(WorkflowStatus durable) {
-    shownStatus = requireNonNull(durable, "durable");
+  public void setDurableStatus(WorkflowStatus durable) {
+    durableStatus = requireNonNull(durable, "durable");
   }
 
   /** Returns the wall clock at the end, in milliseconds; 0 until then. */
@@ -104,12 +108,12 @@
   }
 
   /** Returns whether a worker has started a task. */
-  public boolean hasBegun() {
-    return begun;
+  public boolean hasStarted() {
+    return started;
   }
 
-  void begun() {
-    begun = true;
+  void started() {
+    started = true;
     if (status == WorkflowStatus.QUEUED) {
       status = WorkflowStatus.RUNNING;
     }
@@ -123,18 +127,19 @@
   /** Returns the task with the key, or empty if the workflow has none. */
   public Optional<WorkflowTask> task(TaskKey key) {
     if (key.workflow() != spec.id()
-        || key.occurrence() >= spec.schedule().rounds()
+        || key.occurrence() >= spec.schedule().occurrenceCount()
         || key.step() >= spec.steps().size()
         || key.index() >= spec.steps().get(key.step()).tasks()) {
       return Optional.empty();
     }
-    int position = key.occurrence() * tasksPerRound + firstOfStep[key.step()] + key.index();
+    int position =
+        key.occurrence() * tasksPerOccurrence + firstTaskOfStep[key.step()] + key.index();
     return Optional.of(tasks.get(position));
   }
 
   /** Returns the tasks of one step of one occurrence. */
   public List<WorkflowTask> tasksOf(int occurrence, int step) {
-    int first = occurrence * tasksPerRound + firstOfStep[step];
+    int first = occurrence * tasksPerOccurrence + firstTaskOfStep[step];
     return tasks.subList(first, first + spec.steps().get(step).tasks());
   }
 
@@ -148,7 +153,7 @@
     if (status.isTerminal()) {
       return;
     }
-    for (int occurrence = 0; occurrence < spec.schedule().rounds(); occurrence++) {
+    for (int occurrence = 0; occurrence < spec.schedule().occurrenceCount(); occurrence++) {
       if (spec.schedule().occurrences() > 0 && spec.schedule().dueMillis(occurrence) > wallMillis) {
         return;
       }
@@ -170,7 +175,7 @@
   }
 
   private boolean isGang(int step) {
-    return spec.steps().get(step).nature().gang();
+    return spec.steps().get(step).traits().gang();
   }
 
   private boolean dependenciesDone(int occurrence, int step) {
@@ -179,10 +184,11 @@
   }
 
   private boolean stepDone(int occurrence, int step) {
-    return doneOfStep[occurrence * spec.steps().size() + step] == spec.steps().get(step).tasks();
+    return doneTasksOfStep[occurrence * spec.steps().size() + step]
+        == spec.steps().get(step).tasks();
   }
 
-  private int stepSlot(TaskKey key) {
+  private int stepIndex(TaskKey key) {
     return key.occurrence() * spec.steps().size() + key.step();
   }
 
@@ -192,10 +198,11 @@
    * @return the attempt, which the caller sends to the place
    * @throws IllegalStateException if an attempt may still run, or the task is done
    */
-  public RunKey order(WorkflowTask task, Place place) {
+  public RunKey startAttempt(WorkflowTask task, Place place) {
     checkArgument(task.workflow() == this, "task %s belongs to another workflow", task.key());
-    checkArgument(!task.step().nature().gang(), "task %s is in a gang and starts only with it", task.key());
-    task.order(place, task.lastAttempt() + 1, task.failures());
+    checkArgument(
+        !task.step().traits().gang(), "task %s is in a gang and starts only with it", task.key());
+    task.startAttempt(place, task.lastAttempt() + 1, task.failures());
     return task.openRun();
   }
 
@@ -206,26 +213,31 @@
    * @param places one for each member, in their order
    * @throws IllegalStateException if an attempt of a member may still run, or a member is done
    */
-  public void orderGang(WorkflowTask member, List<Place> places) {
-    List<WorkflowTask> members = gangOf(member);
-    checkArgument(places.size() == members.size(), "number of places differs from the number of gang members: %s", places.size());
+  public void startGangAttempt(WorkflowTask member, List<Place> places) {
+    List<WorkflowTask> members = gangMembers(member);
+    checkArgument(
+        places.size() == members.size(),
+        "number of places differs from the number of gang members: %s",
+        places.size());
     int attempt = members.stream().mapToInt(WorkflowTask::lastAttempt).max().orElse(0) + 1;
     // A failed attempt counts once for the gang, however many members report the failure.
     int failures = members.stream().mapToInt(WorkflowTask::failures).max().orElse(0);
     for (int i = 0; i < members.size(); i++) {
-      members.get(i).order(places.get(i), attempt, failures);
+      members.get(i).startAttempt(places.get(i), attempt, failures);
     }
   }
 
   /** Returns all members of the task's gang, itself included. */
-  public List<WorkflowTask> gangOf(WorkflowTask member) {
-    checkArgument(member.step().nature().gang(), "task %s is not in a gang", member.key());
+  public List<WorkflowTask> gangMembers(WorkflowTask member) {
+    checkArgument(member.step().traits().gang(), "task %s is not in a gang", member.key());
     return tasksOf(member.key().occurrence(), member.key().step());
   }
 
-  /** Copies the checkpoint of a member to the whole gang, whose members must resume from the same. */
+  /**
+   * Copies the checkpoint of a member to the whole gang, whose members must resume from the same.
+   */
   void shareCheckpoint(WorkflowTask member) {
-    gangOf(member).forEach(each -> each.resumeFrom(member.checkpoint()));
+    gangMembers(member).forEach(each -> each.resumeFrom(member.checkpoint()));
   }
 
   /**
@@ -233,10 +245,10 @@
    *
    * <p>Members that wait for one that has ended hold their resources in vain until they give up.
    */
-  private void breakGangs() {
+  private void stopBrokenGangs() {
     for (WorkflowTask task : tasks) {
-      if (!task.isOpen() && !task.isDone() && task.step().nature().gang()) {
-        gangOf(task).stream().filter(WorkflowTask::isOpen).forEach(WorkflowTask::wantStop);
+      if (!task.isOpen() && !task.isDone() && task.step().traits().gang()) {
+        gangMembers(task).stream().filter(WorkflowTask::isOpen).forEach(WorkflowTask::requestStop);
       }
     }
   }
@@ -246,25 +258,25 @@
    *
    * @return whether this changed anything; ends of attempts other than the open one are ignored
    */
-  public boolean ended(RunKey run, RunOutcome outcome, String checkpoint, long wallMillis) {
+  public boolean recordEnd(RunKey run, RunOutcome outcome, String checkpoint, long wallMillis) {
     Optional<WorkflowTask> found = task(run.task());
     if (found.isEmpty() || !found.get().isOpen() || found.get().lastAttempt() != run.attempt()) {
       return false;
     }
     WorkflowTask task = found.get();
-    task.close(outcome, checkpoint);
-    lastRanMillis = outcome.ran() ? Math.max(lastRanMillis, wallMillis) : lastRanMillis;
-    if (outcome.ran() && outcome != RunOutcome.LOST) {
-      begun();
+    task.endAttempt(outcome, checkpoint);
+    lastRanMillis = outcome.mayHaveRun() ? Math.max(lastRanMillis, wallMillis) : lastRanMillis;
+    if (outcome.mayHaveRun() && outcome != RunOutcome.LOST) {
+      started();
     }
     if (task.isDone()) {
-      doneOfStep[stepSlot(task.key())]++;
+      doneTasksOfStep[stepIndex(task.key())]++;
     }
-    if (task.step().nature().gang()) {
-      endedInGang(task);
+    if (task.step().traits().gang()) {
+      recordGangMemberEnd(task);
     }
     if (!status.isTerminal()) {
-      conclude(task, wallMillis);
+      updateStatus(task, wallMillis);
     }
     return true;
   }
@@ -272,22 +284,24 @@
   /**
    * Completes the whole gang when a member completed; else requests the stop of the other members.
    *
-   * <p>Guards against a gang that is done in part, for which no attempt can start. The last report of a member's worker may be lost, so that its run counts as lost before another member reports completion. No later attempt is open then, because it starts only after all runs have ended.
+   * <p>Guards against a gang that is done in part, for which no attempt can start. The last report
+   * of a member's worker may be lost, so that its run counts as lost before another member reports
+   * completion. No later attempt is open then, because it starts only after all runs have ended.
    */
-  private void endedInGang(WorkflowTask task) {
+  private void recordGangMemberEnd(WorkflowTask task) {
     shareCheckpoint(task);
-    for (WorkflowTask other : gangOf(task)) {
+    for (WorkflowTask other : gangMembers(task)) {
       if (task.isDone() && !other.isDone()) {
-        other.doneWithGang();
-        doneOfStep[stepSlot(other.key())]++;
+        other.completeWithGang();
+        doneTasksOfStep[stepIndex(other.key())]++;
       } else if (other.isOpen()) {
-        other.wantStop();
+        other.requestStop();
       }
     }
   }
 
-  private void conclude(WorkflowTask task, long wallMillis) {
-    if (task.failures() >= spec.terms().maxFailures()) {
+  private void updateStatus(WorkflowTask task, long wallMillis) {
+    if (task.failures() >= spec.policy().maxFailures()) {
       end(WorkflowStatus.FAILED, wallMillis);
     } else if (task.isDone() && tasks.stream().allMatch(WorkflowTask::isDone)) {
       end(WorkflowStatus.DONE, wallMillis);
@@ -313,7 +327,7 @@
    *
    * @param remaining whether to leave out the steps of the first occurrence that are done
    */
-  public long chainMillis(boolean remaining) {
+  public long criticalPathMillis(boolean remaining) {
     int steps = spec.steps().size();
     long[] upTo = new long[steps];
     long longest = 0;
@@ -339,11 +353,12 @@
   }
 
   /**
-   * Returns the fraction of the declared work of the first occurrence that is not done, from 0 to 1.
+   * Returns the fraction of the declared work of the first occurrence that is not done, from 0 to
+   * 1.
    *
    * <p>Work is run time times processors; running tasks count as not done.
    */
-  public double workLeft() {
+  public double remainingWork() {
     double total = 0;
     double remainingWork = 0;
     for (int step = 0; step < spec.steps().size(); step++) {
@@ -351,7 +366,7 @@
       double taskWork =
           (double) Math.max(1, each.estimateMillis()) * Math.max(1, each.sizes().milliProcessors());
       total += taskWork * each.tasks();
-      remainingWork += taskWork * (each.tasks() - doneOfStep[step]);
+      remainingWork += taskWork * (each.tasks() - doneTasksOfStep[step]);
     }
     return remainingWork / total;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
@@ -13,7 +13,7 @@
  *
  * @param id chosen by the caller
  * @param queue the name of the queue
- * @param terms the policy of the queue when the workflow was accepted
+ * @param policy the policy of the queue when the workflow was accepted
  * @param program opaque text for the worker
  * @param steps at least one
  * @param schedule when it runs
@@ -22,7 +22,7 @@
 public record WorkflowSpec(
     long id,
     String queue,
-    Terms terms,
+    QueuePolicy policy,
     String program,
     ImmutableList<StepSpec> steps,
     Schedule schedule,
@@ -38,15 +38,15 @@
    * @param slackFactor multiple of the critical path within which a workflow is in time
    * @param objectiveMillis time that is allowed in addition, in milliseconds
    */
-  public record Terms(
+  public record QueuePolicy(
       String service,
       int priority,
       int maxFailures,
-      Optional<AdviceTerms> advice,
+      Optional<AdviserTiming> advice,
       double slackFactor,
       long objectiveMillis) {
     /** Checks the components. */
-    public Terms {
+    public QueuePolicy {
       requireNonNull(service, "service");
       requireNonNull(advice, "advice");
       checkArgument(slackFactor >= 1, "slackFactor is less than 1: %s", slackFactor);
@@ -64,7 +64,7 @@
    */
   public record Schedule(int occurrences, long firstDueMillis, long intervalMillis) {
     /** Runs once, as soon as possible. */
-    public static final Schedule AT_ONCE = new Schedule(0, 0, 0);
+    public static final Schedule IMMEDIATE = new Schedule(0, 0, 0);
 
     /** Checks the components. */
     public Schedule {
@@ -73,11 +73,14 @@
     }
 
     /** Returns how many times the steps run. */
-    public int rounds() {
+    public int occurrenceCount() {
       return Math.max(1, occurrences);
     }
 
-    /** Returns the earliest start of the occurrence, as wall clock in milliseconds; 0 without a schedule. */
+    /**
+     * Returns the earliest start of the occurrence, as wall clock in milliseconds; 0 without a
+     * schedule.
+     */
     public long dueMillis(int occurrence) {
       return occurrences == 0 ? 0 : firstDueMillis + occurrence * intervalMillis;
     }
@@ -89,7 +92,7 @@
   /** Checks the components, and that steps depend only on earlier ones. */
   public WorkflowSpec {
     requireNonNull(queue, "queue");
-    requireNonNull(terms, "terms");
+    requireNonNull(policy, "terms");
     requireNonNull(program, "program");
     requireNonNull(schedule, "schedule");
     checkArgument(!steps.isEmpty(), "workflow has no steps");
@@ -102,7 +105,8 @@
           step);
       tasks += steps.get(i).tasks();
     }
-    long total = tasks * schedule.rounds();
-    checkArgument(total <= MAX_TASKS, "workflow has %s tasks, more than the maximum of %s", total, MAX_TASKS);
+    long total = tasks * schedule.occurrenceCount();
+    checkArgument(
+        total <= MAX_TASKS, "workflow has %s tasks, more than the maximum of %s", total, MAX_TASKS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowStatus.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowStatus.java
@@ -35,7 +35,10 @@
     return terminal;
   }
 
-  /** Returns the status with the number; {@link #RUNNING} for an unknown number, which a newer version may write. */
+  /**
+   * Returns the status with the number; {@link #RUNNING} for an unknown number, which a newer
+   * version may write.
+   */
   public static WorkflowStatus forNumber(int number) {
     for (WorkflowStatus status : values()) {
       if (status.number == number) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
@@ -10,7 +10,8 @@
 /**
  * One task of a {@link Workflow}, as its owner knows it.
  *
- * <p>Modified only by its workflow, except for the progress that workers report. Confined to one thread.
+ * <p>Modified only by its workflow, except for the progress that workers report. Confined to one
+ * thread.
  */
 public final class WorkflowTask {
   private final Workflow workflow;
@@ -23,7 +24,7 @@
   private String checkpoint = "";
   private boolean started;
   private int percent;
-  private boolean stopWanted;
+  private boolean stopRequested;
   private long notBefore = Long.MIN_VALUE;
   private int refusals;
   private final Set<String> failedOn = new HashSet<>();
@@ -105,13 +106,13 @@
   }
 
   /** Returns whether the owner has requested a stop of the open attempt, to run it elsewhere. */
-  public boolean isStopWanted() {
-    return stopWanted;
+  public boolean isStopRequested() {
+    return stopRequested;
   }
 
   /** Requests a stop of the open attempt; the next one may start once it has ended. */
-  public void wantStop() {
-    stopWanted = true;
+  public void requestStop() {
+    stopRequested = true;
   }
 
   /** Returns the earliest start of the next attempt, in the owner's nanoseconds. */
@@ -120,7 +121,7 @@
   }
 
   /** Sets the earliest start of the next attempt, in the owner's nanoseconds. */
-  public void waitUntil(long nanos) {
+  public void deferUntil(long nanos) {
     notBefore = nanos;
   }
 
@@ -140,46 +141,46 @@
    * @param newCheckpoint the latest checkpoint; empty for none
    * @param newPercent the progress, 0 to 100
    */
-  public void observe(String newCheckpoint, int newPercent) {
+  public void recordProgress(String newCheckpoint, int newPercent) {
     started = true;
     refusals = 0;
     percent = newPercent;
     if (!newCheckpoint.isEmpty() && !newCheckpoint.equals(checkpoint)) {
       checkpoint = newCheckpoint;
-      if (step.nature().gang()) {
+      if (step.traits().gang()) {
         workflow.shareCheckpoint(this);
       }
     }
-    workflow.begun();
+    workflow.started();
   }
 
   void resumeFrom(String saved) {
     checkpoint = saved;
   }
 
-  void order(Place newPlace, int attempt, int failuresBefore) {
+  void startAttempt(Place newPlace, int attempt, int failuresBefore) {
     checkState(place == null && !done, "task %s is done or has an open attempt", key);
     place = requireNonNull(newPlace, "place");
     lastAttempt = attempt;
     failures = failuresBefore;
     started = false;
-    stopWanted = false;
+    stopRequested = false;
     percent = 0;
   }
 
-  void close(RunOutcome outcome, String newCheckpoint) {
+  void endAttempt(RunOutcome outcome, String newCheckpoint) {
     if (outcome.countsAsFailure()) {
       failedOn.add(place.vm());
     }
     place = null;
     started = false;
-    stopWanted = false;
+    stopRequested = false;
     percent = 0;
     if (!newCheckpoint.isEmpty()) {
       checkpoint = newCheckpoint;
     }
     refusals = outcome == RunOutcome.REFUSED ? refusals + 1 : 0;
-    if (step.nature().lasting()) {
+    if (step.traits().longRunning()) {
       return;
     }
     if (outcome.completes()) {
@@ -191,9 +192,9 @@
   }
 
   /** Completes the task because another member reported that the gang's attempt completed. */
-  void doneWithGang() {
+  void completeWithGang() {
     if (isOpen()) {
-      close(RunOutcome.DONE, "");
+      endAttempt(RunOutcome.DONE, "");
     }
     done = true;
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
@@ -18,10 +18,10 @@
 
   private final List<GuardedTask> tasks = new ArrayList<>();
   private final List<GuardAction> actions = new ArrayList<>();
-  private final List<Long> loose = new ArrayList<>();
+  private final List<Long> unthrottled = new ArrayList<>();
   private long now = SECOND;
-  private Guard guard = new Guard(GuardTerms.VATULELE, now);
-  private GuardTerms policy = GuardTerms.VATULELE;
+  private Guard guard = new Guard(GuardPolicy.VATULELE, now);
+  private GuardPolicy policy = GuardPolicy.VATULELE;
 
   private void add(long token, String program, long startedSecond, long checkpointedSecond) {
     tasks.add(
@@ -35,24 +35,24 @@
             0,
             0,
             true));
-    loose.add(token);
+    unthrottled.add(token);
   }
 
   /** Runs the guard on a service whose pressure depends on the tasks that run unthrottled. */
   private void run(long seconds, ToDoubleFunction<List<Long>> pressure) {
     for (long until = now + seconds * SECOND; now < until; now += STEP) {
-      ServiceReading reading = new ServiceReading(pressure.applyAsDouble(loose), 1, now);
+      ServiceReading reading = new ServiceReading(pressure.applyAsDouble(unthrottled), 1, now);
       List<GuardAction> decided =
           guard.decide(policy, Optional.of(reading), List.copyOf(tasks), now, 0);
-      decided.forEach(this::carryOut);
+      decided.forEach(this::apply);
       actions.addAll(decided);
     }
   }
 
-  private void carryOut(GuardAction action) {
-    loose.remove(action.token());
+  private void apply(GuardAction action) {
+    unthrottled.remove(action.token());
     if (action instanceof GuardAction.Throttle throttle && throttle.percent() == 100) {
-      loose.add(action.token());
+      unthrottled.add(action.token());
     }
     if (action instanceof GuardAction.Evict) {
       tasks.removeIf(task -> task.token() == action.token());
@@ -64,16 +64,19 @@
   }
 
   @Test
-  void aQuietServiceCostsTheTasksNothing() {
+  void doesNotThrottleBesideAHealthyService() {
     add(1, "calm", 0, 0);
     run(60, unthrottledTokens -> 0.5);
 
     assertEquals(List.of(), actions);
   }
 
-  /** One of four tasks slows the service down. It is throttled, nothing is evicted, and once the guard has identified the task, the others run unthrottled. */
+  /**
+   * One of four tasks slows the service down. It is throttled, nothing is evicted, and once the
+   * guard has identified the task, the others run unthrottled.
+   */
   @Test
-  void aNoisyTaskIsThrottledAndTheOthersRunFree() {
+  void throttlesOnlyTheInterferingTask() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
     add(3, "calm", 0, 0);
@@ -81,12 +84,14 @@
     run(120, unthrottledTokens -> unthrottledTokens.contains(2L) ? 1.5 : 0.5);
 
     assertEquals(0, evictions());
-    assertTrue(loose.containsAll(List.of(1L, 3L, 4L)), () -> "unthrottled: " + loose);
+    assertTrue(unthrottled.containsAll(List.of(1L, 3L, 4L)), () -> "unthrottled: " + unthrottled);
   }
 
-  /** Each probe of a task that is known to interfere slows the service down, so probes become rare. */
+  /**
+   * Each probe of a task that is known to interfere slows the service down, so probes become rare.
+   */
   @Test
-  void aCulpritIsTriedAgainLessAndLess() {
+  void probesAKnownInterferingTaskRarely() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
     run(600, unthrottledTokens -> unthrottledTokens.contains(2L) ? 1.5 : 0.5);
@@ -94,26 +99,29 @@
     long probes =
         actions.stream()
             .filter(action -> action.token() == 2)
-            .filter(action -> action.why().contains("recovered"))
+            .filter(action -> action.reason().contains("recovered"))
             .count();
     assertTrue(probes > 2 && probes < 40, () -> "probes " + probes);
   }
 
   /** Guards against oscillation: readings lag, so nothing changes between the two thresholds. */
   @Test
-  void betweenQuietAndSlowNothingChanges() {
+  void doesNothingBetweenTheThresholds() {
     add(1, "noisy", 0, 0);
     run(2, unthrottledTokens -> 1.2);
     int before = actions.size();
     run(60, unthrottledTokens -> 0.9);
 
     assertEquals(before, actions.size());
-    assertFalse(loose.contains(1L));
+    assertFalse(unthrottled.contains(1L));
   }
 
-  /** Throttling does not help, for example with a task that saturates the memory bus even at a low share. Only then one task is evicted, the one that loses least work. */
+  /**
+   * Throttling does not help, for example with a task that saturates the memory bus even at a low
+   * share. Only then one task is evicted, the one that loses least work.
+   */
   @Test
-  void evictsTheTaskThatLosesLeastWhenThrottlingDoesNotHelp() {
+  void evictsTheTaskWithLeastLostWorkWhenThrottlingFails() {
     add(1, "a", 0, 0);
     add(2, "b", 0, 1);
     add(3, "c", 0, 0);
@@ -125,7 +133,7 @@
 
   /** Guards against evicting task after task in vain when callers overload the service. */
   @Test
-  void evictionsStayWithinTheBudget() {
+  void limitsEvictionsToTheBudget() {
     for (int token = 1; token <= 16; token++) {
       add(token, "calm", 0, 0);
     }
@@ -134,10 +142,12 @@
     assertTrue(evictions() <= 5, () -> "evictions " + evictions());
   }
 
-  /** Where evictions weigh more, a slowdown that causes an eviction at Vatulele does not cause one. */
+  /**
+   * Where evictions weigh more, a slowdown that causes an eviction at Vatulele does not cause one.
+   */
   @Test
-  void theSitesWeightsDecideWhatAnEvictionIsWorth() {
-    policy = GuardTerms.KITAMIZORA;
+  void weightsSetTheEvictionThreshold() {
+    policy = GuardPolicy.KITAMIZORA;
     guard = new Guard(policy, now);
     add(1, "noisy", 0, 0);
     run(60, unthrottledTokens -> 1.4);
@@ -147,21 +157,27 @@
 
   /** Guards against acting on readings of a service that is no longer measured. */
   @Test
-  void oldReadingsAreNotActedOn() {
+  void ignoresStaleReadings() {
     add(1, "calm", 0, 0);
     ServiceReading old = new ServiceReading(9, 1, now - 20 * SECOND);
 
     assertEquals(List.of(), guard.decide(policy, Optional.of(old), List.copyOf(tasks), now, 0));
   }
 
-  /** Memory cannot be throttled, so the task that exceeds its booking most is evicted before the VM runs out. */
+  /**
+   * Memory cannot be throttled, so the task that exceeds its booking most is evicted before the VM
+   * runs out.
+   */
   @Test
-  void theTaskThatExceedsItsMemoryGoes() {
+  void evictsTheTaskThatExceedsItsMemoryMost() {
     Sizes large = new Sizes(1_000, 3_000, 0);
     GuardedTask withinBooking = new GuardedTask(1, "a", BOOKED, BOOKED, 0, 0, 0, 0, true);
     GuardedTask overBooking = new GuardedTask(2, "b", BOOKED, large, 0, 0, 0, 0, true);
 
-    assertEquals(Optional.empty(), MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 10_000));
-    assertEquals(2L, MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 4_000).orElseThrow().token());
+    assertEquals(
+        Optional.empty(), MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 10_000));
+    assertEquals(
+        2L,
+        MemoryGuard.decide(List.of(withinBooking, overBooking), 0, 4_000).orElseThrow().token());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
@@ -9,9 +9,12 @@
 class WorkerClockTest {
   private static final long MILLI = 1_000_000;
 
-  /** The worker reads its clock at any time during a call of any duration. Guards against a converted deadline that is later than the original, which would let a task outlive its lease. */
+  /**
+   * The worker reads its clock at any time during a call of any duration. Guards against a
+   * converted deadline that is later than the original, which would let a task outlive its lease.
+   */
   @Property(tries = 500, seed = "5")
-  void neverTurnsADeadlineIntoALaterOne(
+  void neverConvertsToALaterDeadline(
       @ForAll @IntRange(max = 1_000_000) int called,
       @ForAll @IntRange(max = 60_000) int callMillis,
       @ForAll @IntRange(max = 100) int readAtPercent,
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
@@ -13,12 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseLedgerTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
 
   @Property(tries = 200)
-  void anOwnerWaitsLongerThanAnyRunCanLive(
-      @ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
-    LeaseTermsOfWorker terms = LeaseTermsOfWorker.forLongestLease(longest);
+  void takeoverExceedsTheLongestRun(@ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
+    WorkerLeaseTerms terms = WorkerLeaseTerms.forMaxLease(longest);
     assertTrue(terms.boundMillis() <= longest);
     // On a worker's clock that is 2% slow, this much real time passes until the bound.
     assertTrue(terms.takeoverMillis() > terms.boundMillis() / 0.98);
@@ -34,18 +33,25 @@
     assertEquals(OptionalLong.empty(), ledger.deadline(Set.of()));
   }
 
-  /** A former owner that is cut off from the store still reaches a VM after a new owner has set a higher epoch. Guards against the former owner extending leases or starting runs. */
+  /**
+   * A former owner that is cut off from the store still reaches a VM after a new owner has set a
+   * higher epoch. Guards against the former owner extending leases or starting runs.
+   */
   @Test
-  void aLowerEpochProvesNothing() {
+  void ignoresEvidenceOfALowerEpoch() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     assertTrue(ledger.observe(1, 7, 1_000));
     assertFalse(ledger.observe(1, 6, 9_000));
     assertEquals(OptionalLong.of(1_000 + TERMS.leaseMillis()), ledger.deadline(Set.of(1)));
   }
 
-  /** Deadlines never shorten and hold for all runs of a worker. Guards against a run that starts under a deadline that other partitions have moved far ahead: it would outlive its owner's takeover and run concurrently with its successor. */
+  /**
+   * Deadlines never shorten and hold for all runs of a worker. Guards against a run that starts
+   * under a deadline that other partitions have moved far ahead: it would outlive its owner's
+   * takeover and run concurrently with its successor.
+   */
   @Test
-  void nothingStartsUnderADeadlineBeyondWhatItsOwnerWaitsFor() {
+  void refusesStartsUnderADeadlineBeyondTheTakeover() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     ledger.observe(1, 1, 1_000);
     long bound = 1_000 + TERMS.boundMillis();
@@ -55,7 +61,7 @@
   }
 
   @Test
-  void runsOfASilentOwnerAreStoppedBeforeTheyHoldTheOthersBack() {
+  void stopsRunsOfASilentOwnerBeforeTheyLimitTheOthers() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     ledger.observe(1, 1, 1_000);
     ledger.observe(2, 1, 6_000);
@@ -65,10 +71,14 @@
     assertFalse(ledger.mayStart(1, 1_000 + TERMS.leaseMillis(), late));
   }
 
-  /** Workers grant short leases, and evidence of a healthy owner takes up to two seconds to be renewed and delivered. Guards against stopping runs earlier: at 1.1 s, no longer run ever completed. */
+  /**
+   * Workers grant short leases, and evidence of a healthy owner takes up to two seconds to be
+   * renewed and delivered. Guards against stopping runs earlier: at 1.1 s, no longer run ever
+   * completed.
+   */
   @Test
-  void shortLeasesLeaveEvidenceTheTimeItTravels() {
-    LeaseLedger ledger = new LeaseLedger(LeaseTermsOfWorker.forLongestLease(4_000));
+  void shortLeasesTolerateEvidenceTwoSecondsOld() {
+    LeaseLedger ledger = new LeaseLedger(WorkerLeaseTerms.forMaxLease(4_000));
     ledger.observe(1, 1, 10_000);
     assertEquals(List.of(), ledger.overdue(Set.of(1), 11_900));
     assertEquals(List.of(1), ledger.overdue(Set.of(1), 12_000));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
@@ -9,8 +9,9 @@
 class OvercommitTest {
   private static final long BOOKED_MILLI = 26_000;
 
-  private static int taken(RoomLedger ledger) {
-    RoomLedger.Claim bestEffort = new RoomLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
+  private static int bookAll(ResourceLedger ledger) {
+    ResourceLedger.Claim bestEffort =
+        new ResourceLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
     int taken = 0;
     while (ledger.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), bestEffort)) {
       taken++;
@@ -18,39 +19,49 @@
     return taken;
   }
 
-  private static RoomLedger withServices(Overcommit overcommit) {
-    RoomLedger ledger = new RoomLedger(overcommit);
+  private static ResourceLedger withServices(Overcommit overcommit) {
+    ResourceLedger ledger = new ResourceLedger(overcommit);
     ledger.capacity(new Sizes(32_000, 1_000, 0));
     RunKey services = new RunKey(new TaskKey(1, 0, 0, 0), 1);
     ledger.book(
-        services, new RoomLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
+        services,
+        new ResourceLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
     return ledger;
   }
 
-  /** A burst of heavy workflows meets a fleet on which services book most processors and use half of them. Guards against heavy tasks that wait beside idle processors until they are late. */
+  /**
+   * A burst of heavy workflows meets a fleet on which services book most processors and use half of
+   * them. Guards against heavy tasks that wait beside idle processors until they are late.
+   */
   @Test
-  void whatServicesLeaveIdleIsRoomInABurst() {
+  void idleBookedProcessorsAreOvercommitted() {
     Overcommit overcommit = new Overcommit();
     for (int reading = 0; reading < 5; reading++) {
       overcommit.observe(10_000, 9_000, 60);
     }
-    assertEquals(7, taken(withServices(overcommit)));
+    assertEquals(7, bookAll(withServices(overcommit)));
   }
 
-  /** Services use all processors that they book. Guards against starting ever more heavy tasks, each slower than the one before. */
+  /**
+   * Services use all processors that they book. Guards against starting ever more heavy tasks, each
+   * slower than the one before.
+   */
   @Test
-  void whatIsNotIdleIsCountedOnNoMore() {
+  void busyBookedProcessorsAreNotOvercommitted() {
     Overcommit overcommit = new Overcommit();
     for (int reading = 0; reading < 8; reading++) {
       overcommit.observe(10_000, 3_000, 60);
     }
-    assertEquals(Overcommit.BASE_MILLI, overcommit.milliProcessors(BOOKED_MILLI));
-    assertEquals(3, taken(withServices(overcommit)));
+    assertEquals(Overcommit.BASE_MILLI_PROCESSORS, overcommit.milliProcessors(BOOKED_MILLI));
+    assertEquals(3, bookAll(withServices(overcommit)));
   }
 
-  /** Many heavy tasks that do not interfere one by one do so together beside a service. Guards against starting still more of them. */
+  /**
+   * Many heavy tasks that do not interfere one by one do so together beside a service. Guards
+   * against starting still more of them.
+   */
   @Test
-  void aServiceOverItsTargetForbidsMore() {
+  void aTailOverItsTargetReducesOvercommit() {
     Overcommit overcommit = new Overcommit();
     long before = overcommit.milliProcessors(BOOKED_MILLI);
     overcommit.observe(10_000, 9_000, 120);
@@ -58,7 +69,7 @@
   }
 
   @Test
-  void whatIsIdleAgainIsCountedOnAgain() {
+  void overcommitRecoversWhenProcessorsAreIdleAgain() {
     Overcommit overcommit = new Overcommit();
     overcommit.observe(10_000, 3_000, 60);
     long lacking = overcommit.milliProcessors(BOOKED_MILLI);
@@ -68,12 +79,12 @@
       overcommit.observe(10_000, 9_000, 60);
     }
     assertEquals(
-        Overcommit.BASE_MILLI + BOOKED_MILLI * Overcommit.MOST_PERCENT / 100,
+        Overcommit.BASE_MILLI_PROCESSORS + BOOKED_MILLI * Overcommit.MAX_PERCENT / 100,
         overcommit.milliProcessors(BOOKED_MILLI));
   }
 
   @Test
-  void fewWorkingTasksTellNothing() {
+  void ignoresReadingsOfLittleDemand() {
     Overcommit overcommit = new Overcommit();
     overcommit.observe(500, 0, 60);
     assertEquals(
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
@@ -12,12 +12,12 @@
 
   private static Workflow workflow(long id, int priority, long accepted) {
     return Workflow.of(
-        Workflows.spec(
+        WorkflowFixtures.spec(
             id,
             priority,
             accepted,
-            WorkflowSpec.Schedule.AT_ONCE,
-            Workflows.step(1, 1, StepSpec.Nature.PLAIN)));
+            WorkflowSpec.Schedule.IMMEDIATE,
+            WorkflowFixtures.step(1, 1, StepSpec.TaskTraits.PLAIN)));
   }
 
   private static List<Long> sorted(long wall, Workflow... workflows) {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whoHasPriorityGoesFirstThenWhoWasAcceptedFirst() {
+  void ordersByPriorityThenByAcceptance() {
     assertEquals(
         List.of(3L, 2L, 1L),
         sorted(30, workflow(1, 2, 10), workflow(2, 0, 30), workflow(3, 0, 20)));
@@ -36,22 +36,25 @@
 
   /** 2 x 1 s of work and 1 s are allowed: a start after 2 s is late, one after 8 s is of no use. */
   @Test
-  void whatCanStillBeInTimeGoesBeforeWhatCannot() {
+  void ordersByTimeliness() {
     Workflow expired = workflow(1, 0, 0);
     Workflow late = workflow(2, 0, 5_000);
     Workflow inTime = workflow(3, 0, 9_000);
     assertEquals(List.of(3L, 2L, 1L), sorted(10_000, expired, late, inTime));
-    assertEquals(WaitingOrder.Use.LATE, WaitingOrder.rank(expired, 8_000).use());
-    assertEquals(WaitingOrder.Use.NONE, WaitingOrder.rank(expired, 8_001).use());
+    assertEquals(WaitingOrder.Timeliness.LATE, WaitingOrder.rank(expired, 8_000).timeliness());
+    assertEquals(WaitingOrder.Timeliness.EXPIRED, WaitingOrder.rank(expired, 8_001).timeliness());
   }
 
-  /** For ten seconds 2.6 times as much work arrives as there is capacity for, then as much as fits. Most of the capacity must go to workflows that are in time. Guards against the order of arrival, in which everything after the first seconds is late. */
+  /**
+   * For ten seconds 2.6 times as much work arrives as there is capacity for, then as much as fits.
+   * Most of the capacity must go to workflows that are in time. Guards against the order of
+   * arrival, in which everything after the first seconds is late.
+   */
   @Test
-  void aBurstMakesSomeWorkLateAndNotAll() {
+  void aBurstDelaysOnlyPartOfTheWork() {
     int byTimeliness = servedInTime(true);
     int byArrival = servedInTime(false);
-    assertEquals(
-        true, byTimeliness >= 3 * byArrival, byTimeliness + " / " + byArrival);
+    assertEquals(true, byTimeliness >= 3 * byArrival, byTimeliness + " / " + byArrival);
     assertEquals(true, byTimeliness >= 250, "in time: " + byTimeliness);
   }
 
@@ -82,41 +85,45 @@
 
   /** 2 x 1 s of work and 1 s are allowed: throttled, the workflow takes 3 s. */
   @Test
-  void whoHasWaitedIsInAHurryUntilItStarvesOrIsLate() {
+  void urgencyChangesWithWaitingTime() {
     Workflow workflow = workflow(1, 0, 0);
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 0).urgency());
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 1).urgency());
-    long starvedMillis = WaitingOrder.HOLD_MILLIS;
+    long starvedMillis = WaitingOrder.STARVATION_MILLIS;
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, starvedMillis - 1).urgency());
     assertEquals(Urgency.STARVED, WaitingOrder.rank(workflow, starvedMillis).urgency());
-    workflow.order(workflow.tasks().get(0), Workflows.HERE);
+    workflow.startAttempt(workflow.tasks().get(0), WorkflowFixtures.PLACE);
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 2_000).urgency());
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 2_001).urgency());
   }
 
   @Test
-  void anOccurrenceWithNothingAtWorkStarvesToo() {
+  void idleOccurrencesStarve() {
     Workflow recurring =
         Workflow.of(
-            Workflows.spec(
+            WorkflowFixtures.spec(
                 1,
                 0,
                 0,
                 new WorkflowSpec.Schedule(2, 0, 10_000),
-                Workflows.step(1, 1_800, Workflows.filling())));
+                WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort())));
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(recurring, 100).urgency());
-    long starvedMillis = WaitingOrder.HOLD_MILLIS;
+    long starvedMillis = WaitingOrder.STARVATION_MILLIS;
     assertEquals(Urgency.STARVED, WaitingOrder.rank(recurring, starvedMillis).urgency());
   }
 
-  /** Two heavy workflows wait, one of them with little work left. Guards against giving the first step of the earlier one the capacity, which made both late. */
+  /**
+   * Two heavy workflows wait, one of them with little work left. Guards against giving the first
+   * step of the earlier one the capacity, which made both late.
+   */
   @Test
-  void whatIsNearlyDoneGoesBeforeWhatHasHardlyBegun() {
+  void nearlyDoneWorkflowsGoFirst() {
     Workflow first = heavy(1, 0);
     Workflow started = heavy(2, 1_000);
     for (int step = 0; step < 2; step++) {
       for (WorkflowTask task : started.tasksOf(0, step)) {
-        started.ended(started.order(task, Workflows.HERE), RunOutcome.DONE, "", 1_000);
+        started.recordEnd(
+            started.startAttempt(task, WorkflowFixtures.PLACE), RunOutcome.DONE, "", 1_000);
       }
     }
     assertEquals(List.of(2L, 1L), sorted(1_000, first, started));
@@ -126,13 +133,13 @@
 
   private static Workflow heavy(long id, long accepted) {
     return Workflow.of(
-        Workflows.spec(
+        WorkflowFixtures.spec(
             id,
             0,
             accepted,
-            WorkflowSpec.Schedule.AT_ONCE,
-            Workflows.step(4, 1_800, Workflows.filling()),
-            Workflows.step(4, 1_800, Workflows.filling(), 0),
-            Workflows.step(4, 1_800, Workflows.filling(), 1)));
+            WorkflowSpec.Schedule.IMMEDIATE,
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort()),
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort(), 0),
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort(), 1)));
   }
 }
