--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
@@ -125,7 +125,7 @@
       List<GuardedTask> tasks,
       long nowNanos,
       long nowMillis) {
-    forgetEnded(tasks);
+    dropEnded(tasks);
     double pressure = pressure(reading, nowNanos);
     if (pressure > RECOVERED_PRESSURE) {
       recoveredSince = nowNanos;
@@ -346,7 +346,7 @@
         new GuardAction.Evict(victim.get().token(), reason.formatted(stuckTasks.size())));
   }
 
-  private void forgetEnded(List<GuardedTask> tasks) {
+  private void dropEnded(List<GuardedTask> tasks) {
     Set<Long> running = new HashSet<>();
     tasks.forEach(task -> running.add(task.token()));
     throttled.keySet().retainAll(running);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
@@ -14,7 +14,7 @@
   record Throttle(long token, int percent, String reason) implements GuardAction {
     /** Checks the components. */
     public Throttle {
-      requireNonNull(reason, "why");
+      requireNonNull(reason, "reason");
     }
   }
 
@@ -22,7 +22,7 @@
   record Evict(long token, String reason) implements GuardAction {
     /** Checks the components. */
     public Evict {
-      requireNonNull(reason, "why");
+      requireNonNull(reason, "reason");
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
@@ -13,8 +13,8 @@
   record Chosen(CandidateVm candidate, String reason) implements PlacementDecision {
     /** Checks the components. */
     public Chosen {
-      requireNonNull(candidate, "room");
-      requireNonNull(reason, "why");
+      requireNonNull(candidate, "candidate");
+      requireNonNull(reason, "reason");
     }
   }
 
@@ -26,7 +26,7 @@
   record NoCapacity(String reason) implements PlacementDecision {
     /** Checks the components. */
     public NoCapacity {
-      requireNonNull(reason, "why");
+      requireNonNull(reason, "reason");
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
@@ -70,10 +70,10 @@
     if (estimate == null || estimate.measurements < MIN_MEASUREMENTS) {
       return declared;
     }
-    double mostProcessors = Math.max((double) declared.milliProcessors(), estimate.milliProcessors);
+    double maxProcessors = Math.max((double) declared.milliProcessors(), estimate.milliProcessors);
     double wanted = estimate.milliProcessors * PROCESSOR_PERCENT / 100;
     double least = declared.milliProcessors() * MIN_DECLARED_FRACTION;
-    double processors = Math.max(least, Math.min(mostProcessors, wanted));
+    double processors = Math.max(least, Math.min(maxProcessors, wanted));
     boolean larger = estimate.memoryBytes > declared.memoryBytes();
     double memory =
         larger ? estimate.memoryBytes * MEMORY_PERCENT / 100 : (double) declared.memoryBytes();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -103,11 +103,11 @@
     }
   }
 
-  private record Due(WorkflowTask task, TrackedTask watched) {}
+  private record Due(WorkflowTask task, TrackedTask state) {}
 
   private static final Comparator<Due> LEAST_RECENTLY_REPORTED_FIRST =
-      Comparator.comparingLong((Due due) -> due.watched.reportedAt)
-          .thenComparingLong(due -> due.watched.since);
+      Comparator.comparingLong((Due due) -> due.state.reportedAt)
+          .thenComparingLong(due -> due.state.since);
 
   private final Map<TaskKey, TrackedTask> tracked = new HashMap<>();
 
@@ -124,7 +124,7 @@
     List<Due> due = new ArrayList<>();
     List<Recovery> recoveries = new ArrayList<>();
     Set<TaskKey> checkedKeys = new HashSet<>();
-    int away = 0;
+    int absent = 0;
     for (Observation observation : longRunning) {
       checkedKeys.add(observation.task().key());
       TrackedTask state =
@@ -137,7 +137,7 @@
       }
       state.absent |= now - state.since >= ABSENT_NANOS;
       if (state.absent) {
-        away++;
+        absent++;
         if (state.isDue(now)) {
           due.add(new Due(observation.task(), state));
         }
@@ -147,7 +147,7 @@
     due.sort(LEAST_RECENTLY_REPORTED_FIRST);
     return new CheckResult(
         longRunning.size(),
-        away,
+        absent,
         takeReports(due, now),
         Math.max(0, due.size() - MAX_PER_CHECK),
         recoveries.stream().limit(MAX_PER_CHECK).collect(ImmutableList.toImmutableList()),
@@ -178,10 +178,10 @@
   private static ImmutableList<Absence> takeReports(List<Due> due, long now) {
     ImmutableList.Builder<Absence> reported = ImmutableList.builder();
     for (Due next : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
-      next.watched.reportedAt = now;
+      next.state.reportedAt = now;
       reported.add(
           new Absence(
-              next.task, next.watched.seenBefore, next.watched.since, next.watched.namedAt));
+              next.task, next.state.seenBefore, next.state.since, next.state.namedAt));
     }
     return reported.build();
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/BestEffortThrottler.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/BestEffortThrottler.java
@@ -83,8 +83,8 @@
   public record BestEffortLoad(long interferingMilli, long benignMilli, long capacityMilli) {
     /** Checks the components. */
     public BestEffortLoad {
-      checkArgument(interferingMilli >= 0, "suspectMilli is negative: %s", interferingMilli);
-      checkArgument(benignMilli >= 0, "harmlessMilli is negative: %s", benignMilli);
+      checkArgument(interferingMilli >= 0, "interferingMilli is negative: %s", interferingMilli);
+      checkArgument(benignMilli >= 0, "benignMilli is negative: %s", benignMilli);
       checkArgument(capacityMilli >= 0, "capacityMilli is negative: %s", capacityMilli);
     }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Queue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Queue.java
@@ -21,7 +21,7 @@
     checkArgument(!name.isEmpty(), "name is empty");
     requireNonNull(host, "host");
     checkArgument(prefix.startsWith("/"), "prefix does not begin with a slash: %s", prefix);
-    requireNonNull(policy, "terms");
+    requireNonNull(policy, "policy");
   }
 
   /** Returns whether a call to this host and path is for this queue. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
@@ -98,7 +98,7 @@
     checkArgument(estimateMillis >= 0, "estimateMillis is negative: %s", estimateMillis);
     requireNonNull(dependsOn, "dependsOn");
     requireNonNull(placement, "placement");
-    requireNonNull(traits, "nature");
+    requireNonNull(traits, "traits");
   }
 
   /** Returns the resources that a VM books for a task; a best-effort task books no processors. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
@@ -139,16 +139,16 @@
    * that fails everything it runs is excluded for a while anyway ({@link VmQuarantine}).
    *
    * @param step the task's step
-   * @param elsewhere the best VM on which it has not failed
-   * @param anywhere the best of all VMs
+   * @param bestOther the best VM on which it has not failed
+   * @param bestOverall the best of all VMs
    */
   public static boolean prefersOtherVm(
-      StepSpec step, Optional<VmOffer> elsewhere, Optional<VmOffer> anywhere) {
-    if (elsewhere.isEmpty() || anywhere.isEmpty()) {
-      return elsewhere.isPresent();
+      StepSpec step, Optional<VmOffer> bestOther, Optional<VmOffer> bestOverall) {
+    if (bestOther.isEmpty() || bestOverall.isEmpty()) {
+      return bestOther.isPresent();
     }
     boolean leavesServices =
-        elsewhere.get().serviceTasks() == 0 && anywhere.get().serviceTasks() > 0;
+        bestOther.get().serviceTasks() == 0 && bestOverall.get().serviceTasks() > 0;
     return !(step.traits().isService() && leavesServices);
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
@@ -7,7 +7,7 @@
  *
  * <p>Guards against bursts with more work than capacity. First come, first served would make
  * everything late then, because each workflow waits behind all earlier ones, also behind those that
- * can no longer be in time. Queues of a lower priority number go first. Within a priority the order
+ * can no longer be in time. Queues of a lower priority number go first, because they are entitled to capacity that others hold. Within a priority the order
  * is by value per remaining work: a workflow that is nearly done goes before one that has hardly
  * started, and one that will be late goes early only if little of it is left; results that would be
  * too late to use go last. Without that, in a burst of heavy workflows the steps of each compete
@@ -110,8 +110,8 @@
   /** Returns the workflow's rank at a wall clock in milliseconds. */
   public static Rank rank(Workflow workflow, long wallMillis) {
     WorkflowSpec spec = workflow.spec();
-    boolean lasting = spec.steps().stream().anyMatch(step -> step.traits().longRunning());
-    if (lasting || spec.schedule().occurrences() > 0) {
+    boolean hasLongRunning = spec.steps().stream().anyMatch(step -> step.traits().longRunning());
+    if (hasLongRunning || spec.schedule().occurrences() > 0) {
       return new Rank(workflow, Timeliness.IN_TIME, urgency(workflow, wallMillis, false));
     }
     double allowed =
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
@@ -92,7 +92,7 @@
   /** Checks the components, and that steps depend only on earlier ones. */
   public WorkflowSpec {
     requireNonNull(queue, "queue");
-    requireNonNull(policy, "terms");
+    requireNonNull(policy, "policy");
     requireNonNull(program, "program");
     requireNonNull(schedule, "schedule");
     checkArgument(!steps.isEmpty(), "workflow has no steps");
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/AbsenceDetectorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/AbsenceDetectorTest.java
@@ -45,9 +45,9 @@
   void aRunningTaskIsNeverReported() {
     WorkflowTask task = tasks(1).get(0);
     for (long now = 0; now < 60 * SECOND; now += SECOND) {
-      CheckResult look = detector.check(List.of(seen(task, now - SECOND / 2)), now);
-      assertEquals(0, look.absent());
-      assertTrue(look.absences().isEmpty() && look.recoveries().isEmpty());
+      CheckResult result = detector.check(List.of(seen(task, now - SECOND / 2)), now);
+      assertEquals(0, result.absent());
+      assertTrue(result.absences().isEmpty() && result.recoveries().isEmpty());
     }
   }
 
@@ -57,10 +57,10 @@
     WorkflowTask task = tasks(1).get(0);
     assertTrue(detector.check(List.of(unseen(task)), 0).absences().isEmpty());
     assertEquals(0, detector.check(List.of(unseen(task)), ABSENT_NANOS - 1).absent());
-    CheckResult look = detector.check(List.of(unseen(task)), ABSENT_NANOS);
-    assertEquals(1, look.absent());
-    assertEquals(0, look.absences().get(0).since());
-    assertFalse(look.absences().get(0).seenBefore());
+    CheckResult result = detector.check(List.of(unseen(task)), ABSENT_NANOS);
+    assertEquals(1, result.absent());
+    assertEquals(0, result.absences().get(0).since());
+    assertFalse(result.absences().get(0).seenBefore());
   }
 
   /**
@@ -74,8 +74,8 @@
     for (long now = 11 * SECOND; now < 13 * SECOND; now += SECOND) {
       assertEquals(0, detector.check(List.of(named(task, now)), now).absent());
     }
-    CheckResult look = detector.check(List.of(named(task, 13 * SECOND)), 13 * SECOND);
-    AbsenceDetector.Absence absence = look.absences().get(0);
+    CheckResult result = detector.check(List.of(named(task, 13 * SECOND)), 13 * SECOND);
+    AbsenceDetector.Absence absence = result.absences().get(0);
     assertTrue(absence.seenBefore());
     assertEquals(10 * SECOND, absence.since());
     assertEquals(OptionalLong.of(13 * SECOND), absence.namedAt());
@@ -86,9 +86,9 @@
   void anOldReportIsNoNewObservation() {
     WorkflowTask task = tasks(1).get(0);
     detector.check(List.of(seen(task, SECOND)), SECOND);
-    CheckResult look = detector.check(List.of(seen(task, SECOND)), SECOND + ABSENT_NANOS);
-    assertEquals(1, look.absent());
-    assertEquals(SECOND, look.absences().get(0).since());
+    CheckResult result = detector.check(List.of(seen(task, SECOND)), SECOND + ABSENT_NANOS);
+    assertEquals(1, result.absent());
+    assertEquals(SECOND, result.absences().get(0).since());
   }
 
   @Test
@@ -132,12 +132,12 @@
     detector.check(all, 0);
     Map<TaskKey, Integer> reported = new HashMap<>();
     for (int round = 0; round < 5; round++) {
-      CheckResult look = detector.check(all, ABSENT_NANOS + round * SECOND);
-      assertEquals(18, look.longRunning());
-      assertEquals(18, look.absent());
-      assertTrue(look.absences().size() <= MAX_PER_CHECK);
-      assertEquals(Math.max(0, 18 - (round + 1) * MAX_PER_CHECK), look.omittedAbsences());
-      look.absences().forEach(each -> reported.merge(each.task().key(), 1, Integer::sum));
+      CheckResult result = detector.check(all, ABSENT_NANOS + round * SECOND);
+      assertEquals(18, result.longRunning());
+      assertEquals(18, result.absent());
+      assertTrue(result.absences().size() <= MAX_PER_CHECK);
+      assertEquals(Math.max(0, 18 - (round + 1) * MAX_PER_CHECK), result.omittedAbsences());
+      result.absences().forEach(each -> reported.merge(each.task().key(), 1, Integer::sum));
     }
     assertEquals(18, reported.size());
     assertTrue(reported.values().stream().allMatch(times -> times == 1));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/QueueTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/QueueTableTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 
 class QueueTableTest {
-  private static final WorkflowSpec.QueuePolicy TERMS =
+  private static final WorkflowSpec.QueuePolicy POLICY =
       new WorkflowSpec.QueuePolicy("service", 0, 1, Optional.empty(), 2, 250);
 
   private static Queue queue(String name, String host, String prefix) {
-    return new Queue(name, host, prefix, TERMS, 3_000);
+    return new Queue(name, host, prefix, POLICY, 3_000);
   }
 
   @Test
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
@@ -134,13 +134,13 @@
     assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, offers).orElseThrow());
     assertEquals("free", choose(heavy, ImageInterference.PRIOR_BELIEF, offers).orElseThrow());
     assertEquals("free", choose(heavy, ImageInterference.INTERFERING_BELIEF, offers).orElseThrow());
-    List<VmOffer> onlyServing = offers.subList(0, 1);
+    List<VmOffer> onlyWithService = offers.subList(0, 1);
     assertEquals(
-        "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyServing).orElseThrow());
+        "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyWithService).orElseThrow());
     assertEquals(
-        "serving", choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyServing).orElseThrow());
+        "serving", choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyWithService).orElseThrow());
     List<VmOffer> withOne =
-        List.of(onlyServing.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
+        List.of(onlyWithService.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
     assertEquals(Optional.empty(), choose(heavy, ImageInterference.PRIOR_BELIEF, withOne));
     assertEquals(Optional.empty(), choose(heavy, ImageInterference.INTERFERING_BELIEF, withOne));
     assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, withOne).orElseThrow());
@@ -213,14 +213,14 @@
   @Test
   void prefersTheRackOfSiblingTasks() {
     StepSpec small = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         new TaskPlacementRequest(
             WorkflowFixtures.spec(small), small, 0, Urgency.ORDINARY, "rack-busy");
     VmOffer idle = WorkflowFixtures.offer("idle", 16_000, 0, 0);
     VmOffer busy = WorkflowFixtures.offer("busy", 300, 0, 0);
-    Optional<VmOffer> both = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle, busy), offer -> 0);
+    Optional<VmOffer> both = WorkflowFixtures.CHOOSER.choose(request, List.of(idle, busy), offer -> 0);
     assertEquals("busy", both.orElseThrow().place().vm());
-    Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle), offer -> 0);
+    Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(request, List.of(idle), offer -> 0);
     assertEquals("idle", one.orElseThrow().place().vm());
   }
 
@@ -238,12 +238,12 @@
     StepSpec big = WorkflowFixtures.step(1, 5_000, StepSpec.TaskTraits.PLAIN);
     assertEquals(Optional.empty(), choose(big, WorkflowFixtures.offer("vm", 4_999, 0, 0)));
     StepSpec.Placement labelled = new StepSpec.Placement("rack-b", "", false, 0);
-    StepSpec onlyThere =
+    StepSpec onlyOnLabel =
         new StepSpec(1, big.sizes(), 1, ImmutableList.of(), labelled, StepSpec.TaskTraits.PLAIN);
     VmOffer a = WorkflowFixtures.offer("a", 9_000, 0, 0);
     VmOffer b = WorkflowFixtures.offer("b", 6_000, 0, 0);
-    assertEquals(Optional.of("b"), choose(onlyThere, a, b));
-    assertEquals(Optional.empty(), choose(onlyThere, ofService("another", b)));
+    assertEquals(Optional.of("b"), choose(onlyOnLabel, a, b));
+    assertEquals(Optional.empty(), choose(onlyOnLabel, ofService("another", b)));
   }
 
   private static VmOffer ofService(String service, VmOffer offer) {
@@ -277,9 +277,9 @@
   }
 
   private static Verdict verdict(StepSpec step, VmOffer offer, int ofStepOn) {
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         WorkflowFixtures.request(step, ImageInterference.PRIOR_BELIEF, Urgency.ORDINARY);
-    return VmChooser.verdict(wish, offer, unused -> ofStepOn);
+    return VmChooser.verdict(request, offer, unused -> ofStepOn);
   }
 
   private static StepSpec placed(StepSpec step, StepSpec.Placement placement) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowFixtures.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowFixtures.java
@@ -40,14 +40,14 @@
   }
 
   static StepSpec step(
-      int tasks, long milliProcessors, StepSpec.TaskTraits nature, Integer... dependsOn) {
+      int tasks, long milliProcessors, StepSpec.TaskTraits traits, Integer... dependsOn) {
     return new StepSpec(
         tasks,
         new Sizes(milliProcessors, 100 * MEBIBYTE, 0),
         1_000,
         ImmutableList.copyOf(dependsOn),
         StepSpec.Placement.ANYWHERE,
-        nature);
+        traits);
   }
 
   static WorkflowSpec spec(StepSpec... steps) {
