--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
@@ -20,7 +20,7 @@
  * wait until a task ends; with 8 of 11 VMs they waited 33 s at the 99th percentile. So batch work
  * that is not urgent is preempted on the one VM where that costs least by the site's weights for
  * evictions and for lost work. Never preempts a latency-critical or urgent task, nor one that was
- * evicted {@value #MOST_EVICTIONS} times, nor more than {@value #MOST_VICTIMS} tasks at once.
+ * evicted {@value #MAX_EVICTIONS} times, nor more than {@value #MAX_VICTIMS} tasks at once.
  *
  * <p>Preemptions do not cascade: every eviction in the log, by the guard too, counts against the
  * budget of its VM, and the preempted batch work preempts nothing itself. Not thread-safe; a
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
@@ -9,7 +9,7 @@
  * Tail latency of a service over its most recent responses.
  *
  * <p>Holds the last {@value #SIZE} responses within the window; a tail needs at least {@value
- * #LEAST}. Thread-safe; adding costs a lock and two stores, reading a sort.
+ * #MIN_SAMPLES}. Thread-safe; adding costs a lock and two stores, reading a sort.
  */
 public final class TailWindow {
   private static final int SIZE = 512;
