--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
@@ -6,9 +6,7 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/**
- * A VM of a {@link Fleet}: its state in the log and the allocations of the current round.
- */
+/** A VM of a {@link Fleet}: its state in the log and the allocations of the current round. */
 public final class CandidateVm {
   private final VmState state;
   private final Function<Long, Map<String, Integer>> programsOn;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -180,8 +180,7 @@
     for (Due next : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
       next.state.reportedAt = now;
       reported.add(
-          new Absence(
-              next.task, next.state.seenBefore, next.state.since, next.state.namedAt));
+          new Absence(next.task, next.state.seenBefore, next.state.since, next.state.namedAt));
     }
     return reported.build();
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
@@ -7,12 +7,12 @@
  *
  * <p>Guards against bursts with more work than capacity. First come, first served would make
  * everything late then, because each workflow waits behind all earlier ones, also behind those that
- * can no longer be in time. Queues of a lower priority number go first, because they are entitled to capacity that others hold. Within a priority the order
- * is by value per remaining work: a workflow that is nearly done goes before one that has hardly
- * started, and one that will be late goes early only if little of it is left; results that would be
- * too late to use go last. Without that, in a burst of heavy workflows the steps of each compete
- * with the first steps of newer ones, all advance, and hardly any is done in time. Among equals the
- * one accepted first goes first.
+ * can no longer be in time. Queues of a lower priority number go first, because they are entitled
+ * to capacity that others hold. Within a priority the order is by value per remaining work: a
+ * workflow that is nearly done goes before one that has hardly started, and one that will be late
+ * goes early only if little of it is left; results that would be too late to use go last. Without
+ * that, in a burst of heavy workflows the steps of each compete with the first steps of newer ones,
+ * all advance, and hardly any is done in time. Among equals the one accepted first goes first.
  *
  * <p>Compares snapshots taken at a given time, so the order is consistent while a list is sorted.
  */
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
@@ -138,7 +138,8 @@
     assertEquals(
         "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyWithService).orElseThrow());
     assertEquals(
-        "serving", choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyWithService).orElseThrow());
+        "serving",
+        choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyWithService).orElseThrow());
     List<VmOffer> withOne =
         List.of(onlyWithService.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
     assertEquals(Optional.empty(), choose(heavy, ImageInterference.PRIOR_BELIEF, withOne));
@@ -218,7 +219,8 @@
             WorkflowFixtures.spec(small), small, 0, Urgency.ORDINARY, "rack-busy");
     VmOffer idle = WorkflowFixtures.offer("idle", 16_000, 0, 0);
     VmOffer busy = WorkflowFixtures.offer("busy", 300, 0, 0);
-    Optional<VmOffer> both = WorkflowFixtures.CHOOSER.choose(request, List.of(idle, busy), offer -> 0);
+    Optional<VmOffer> both =
+        WorkflowFixtures.CHOOSER.choose(request, List.of(idle, busy), offer -> 0);
     assertEquals("busy", both.orElseThrow().place().vm());
     Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(request, List.of(idle), offer -> 0);
     assertEquals("idle", one.orElseThrow().place().vm());
