--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
@@ -1,48 +1,53 @@
 package io.marigoldsail.guard;
 
 /**
- * How many evictions a VM may still make: a bucket that refills evenly.
+ * Token bucket that limits the evictions of a VM.
  *
- * <p>Load pattern: noise that no eviction mends, such as a service that is itself overloaded.
- * Without a budget the guard would empty the VM, task by task, for nothing. Not safe for use by
- * several threads.
+ * <p>Guards against slow services that no eviction helps, such as one that is itself overloaded:
+ * without a budget, the guard would evict every task of the VM in vain. Not thread-safe.
  */
 final class EvictionBudget {
   private static final double NANOS_PER_HOUR = 3_600e9;
 
-  /** An empty VM may evict a few at once; a wave of noise comes with several tasks. */
+  /**
+   * Capacity as a fraction of the evictions per hour: a wave of interference comes with several
+   * tasks, so a VM may evict a few at once.
+   */
   private static final double BURST_FRACTION = 0.25;
 
-  private double hasRemaining;
+  private double tokens;
   private long refilledNanos;
 
-  EvictionBudget(GuardPolicy terms, long nowNanos) {
-    hasRemaining = capacity(terms);
+  EvictionBudget(GuardPolicy policy, long nowNanos) {
+    tokens = capacity(policy);
     refilledNanos = nowNanos;
   }
 
-  /** Takes one eviction out of the budget, and returns whether there was one. */
-  boolean tryConsume(GuardPolicy terms, long nowNanos) {
-    boolean any = hasRemaining(terms, nowNanos);
-    hasRemaining -= any ? 1 : 0;
+  /** Consumes one eviction if the budget allows one; returns whether it did. */
+  boolean tryConsume(GuardPolicy policy, long nowNanos) {
+    boolean any = hasRemaining(policy, nowNanos);
+    tokens -= any ? 1 : 0;
     return any;
   }
 
-  /** Returns whether there is at least one eviction left. */
-  boolean hasRemaining(GuardPolicy terms, long nowNanos) {
-    double refill = (nowNanos - refilledNanos) / NANOS_PER_HOUR * terms.evictionsPerHour();
-    hasRemaining = Math.min(capacity(terms), hasRemaining + refill);
+  /** Returns whether the budget allows an eviction. */
+  boolean hasRemaining(GuardPolicy policy, long nowNanos) {
+    double refill = (nowNanos - refilledNanos) / NANOS_PER_HOUR * policy.evictionsPerHour();
+    tokens = Math.min(capacity(policy), tokens + refill);
     refilledNanos = nowNanos;
-    return hasRemaining >= 1;
+    return tokens >= 1;
   }
 
-  /** Counts an eviction that somebody else decided; what that overdraws has to refill first. */
-  void consume(GuardPolicy terms, long nowNanos) {
-    boolean unused = hasRemaining(terms, nowNanos);
-    hasRemaining = Math.max(-capacity(terms), hasRemaining - 1);
+  /**
+   * Consumes an eviction that was decided elsewhere; the budget may become negative and must refill
+   * first.
+   */
+  void consume(GuardPolicy policy, long nowNanos) {
+    boolean unused = hasRemaining(policy, nowNanos);
+    tokens = Math.max(-capacity(policy), tokens - 1);
   }
 
-  private static double capacity(GuardPolicy terms) {
-    return Math.max(1, terms.evictionsPerHour() * BURST_FRACTION);
+  private static double capacity(GuardPolicy policy) {
+    return Math.max(1, policy.evictionsPerHour() * BURST_FRACTION);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
@@ -11,62 +11,65 @@
 import java.util.Set;
 
 /**
- * Decides what the batch tasks of one VM give up for the service beside them.
+ * Decides how to throttle and evict the batch tasks of one VM so that its service meets its latency
+ * goal.
  *
- * <p>Load pattern: a wave of noisy tasks slows the service, seen only in measurements that arrive
- * late; which task it is, nobody says. Evicting at once loses the work of the wrong tasks and moves
- * the noise to the next VM; doing nothing loses callers. So the guard throttles first, by halves,
- * those it suspects most before others (programs that slowed the service before, then the youngest
- * and largest), twice as many at each step while the service stays slow. It lets them loose one
- * after the other when the service has been quiet, and learns from what follows whom to suspect: a
- * task that slows the service again goes back and waits twice as long for its next try. It evicts
- * only when everything has been throttled for a while and the service is still slow by a margin
- * that the site's weights give, at most one task per settling time, within a budget, and the one
- * that frees most for the least lost work.
+ * <p>Interfering tasks slow the service down, which shows only in measurements that arrive late and
+ * do not name the task. Immediate eviction loses the work of the wrong tasks and moves the
+ * interference to the next VM; no action lets the service miss its goal. So the guard throttles
+ * first, halving the processor share of the tasks with the highest interference score (programs
+ * that slowed the service down before, then the youngest and largest), and of twice as many tasks
+ * at each step while the service stays slow. When the service has recovered, it relaxes tasks one
+ * by one and learns from the result: a task that slows the service down again is throttled again
+ * and waits twice as long for its next try. It evicts only when all tasks have been throttled for a
+ * while and the service is still slower than the site's weights allow: one task per settling time,
+ * within a budget, the one that frees most for the least lost work.
  *
- * <p>Between the two pressures nothing changes (hysteresis), because a reading lags: acting on each
- * would answer the same noise several times over. Not safe for use by several threads; a decision
- * costs a sort of the VM's tasks.
+ * <p>Between the two pressures nothing changes (hysteresis): readings lag, so acting on each would
+ * answer the same interference several times. Not thread-safe; a decision sorts the VM's tasks.
  */
 public final class Guard {
-  /** The service is slow from here on; a little below its goal, as readings lag. */
+  /** Pressure above which the service is slow; a little below its goal, because readings lag. */
   static final double SLOW_PRESSURE = 0.95;
 
-  /** The service is quiet up to here. */
+  /** Pressure up to which the service has recovered. */
   static final double RECOVERED_PRESSURE = 0.8;
 
   /**
-   * How long an action is given to show in the readings, in nanoseconds: as long as a reading lags.
-   * Twice as long won no throughput over three seeds and cost the service's tail.
+   * Time for an action to show in the readings, in nanoseconds: as long as a reading lags. Twice as
+   * long gained no throughput over three seeds and worsened the tail latency of the service.
    */
   static final long SETTLE_NANOS = 1_000_000_000L;
 
-  /** How long everything must have been throttled before an eviction, in nanoseconds. */
+  /** How long all tasks must have been throttled before an eviction, in nanoseconds. */
   static final long EVICT_AFTER_NANOS = 5_000_000_000L;
 
-  /** Readings older than this say nothing, in nanoseconds. */
+  /** Readings older than this are ignored, in nanoseconds. */
   static final long STALE_NANOS = 10_000_000_000L;
 
-  /** How much a task keeps at the least: enough to go on writing checkpoints, in percent. */
+  /** Lowest processor share of a task, in percent: enough to go on writing checkpoints. */
   static final int MIN_PERCENT = 10;
 
   private static final int UNTHROTTLED_PERCENT = 100;
 
-  /** Expected noise that weighs as much as one confirmed suspicion here. */
+  /** Expected slowdown that raises the score as much as one confirmation on this VM. */
   private static final double SLOWDOWN_PER_SCORE = 0.2;
 
-  /** A suspect that was throttled to the least for so long goes, if it is not the only one. */
+  /**
+   * How long several interfering tasks stay at the lowest share before one of them is evicted, in
+   * nanoseconds.
+   */
   private static final long STUCK_NANOS = 20_000_000_000L;
 
-  /** A program confirmed again and again is tried about once a minute. */
+  /** Limits the wait of a program that is confirmed repeatedly: it is tried about once a minute. */
   private static final double MAX_DOUBLINGS = 5;
 
-  /** More tasks than a VM runs; keeps a service that is slow for a minute from overflowing. */
+  /** More tasks than a VM runs; prevents an overflow while a service is slow for a minute. */
   private static final int MAX_BATCH = 1_024;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Work lost weighs double where the task is due within this time, in milliseconds. */
+  /** Lost work counts double if the task is due within this time, in milliseconds. */
   private static final long DUE_SOON_MILLIS = 600_000;
 
   private final InterferenceScores scores = new InterferenceScores();
@@ -83,10 +86,11 @@
   private int probeBatch = 1;
 
   /**
-   * A task that is throttled.
+   * A throttled task.
    *
-   * @param percent how much it may use
-   * @param probeAt from when on it may be tried with more
+   * @param task the task
+   * @param percent its processor share, in percent
+   * @param probeAt when it may be tried with a higher share
    */
   private record ThrottledTask(GuardedTask task, int percent, long probeAt) {
     int tightenedPercent() {
@@ -98,30 +102,30 @@
     }
   }
 
-  /** Creates a guard that throttles nothing. */
-  public Guard(GuardPolicy terms, long nowNanos) {
-    this.budget = new EvictionBudget(terms, nowNanos);
+  /** Creates a guard without throttled tasks. */
+  public Guard(GuardPolicy policy, long nowNanos) {
+    this.budget = new EvictionBudget(policy, nowNanos);
     this.nextActionNanos = nowNanos;
     this.recoveredSince = nowNanos;
     this.stuckSince = nowNanos;
   }
 
   /**
-   * Returns what to do now.
+   * Returns the actions to take now.
    *
-   * @param terms what the configuration in force says
-   * @param reading how the service does, or empty if it serves nothing
-   * @param tasks the batch tasks that run
-   * @param nowNanos this process's clock
-   * @param nowMillis this VM's clock, for the tasks' deadlines only
+   * @param policy the policy in force
+   * @param reading the tail latency of the service, or empty if it serves nothing
+   * @param tasks the running batch tasks
+   * @param nowNanos the clock of this process, in nanoseconds
+   * @param nowMillis the clock of this VM in milliseconds, for deadlines of tasks only
    */
   public List<GuardAction> decide(
-      GuardPolicy terms,
+      GuardPolicy policy,
       Optional<ServiceReading> reading,
       List<GuardedTask> tasks,
       long nowNanos,
       long nowMillis) {
-    forgetEnded(tasks);
+    dropEnded(tasks);
     double pressure = pressure(reading, nowNanos);
     if (pressure > RECOVERED_PRESSURE) {
       recoveredSince = nowNanos;
@@ -129,22 +133,22 @@
     if (nowNanos - nextActionNanos < 0) {
       return List.of();
     }
-    List<GuardAction> stuck = evictStuck(terms, tasks, nowNanos, nowMillis);
-    if (!stuck.isEmpty()) {
+    List<GuardAction> evictions = evictStuck(policy, tasks, nowNanos, nowMillis);
+    if (!evictions.isEmpty()) {
       nextActionNanos = nowNanos + SETTLE_NANOS;
-      return stuck;
+      return evictions;
     }
     if (pressure > SLOW_PRESSURE) {
-      return onSlow(terms, pressure, tasks, nowNanos, nowMillis);
+      return onSlow(policy, pressure, tasks, nowNanos, nowMillis);
     }
     wasSlow = false;
     throttleBatch = 1;
-    return relax(terms, nowNanos);
+    return relax(policy, nowNanos);
   }
 
-  /** Counts an eviction for urgent work, which an entry decided, against this VM's budget. */
-  public void recordPreemption(GuardPolicy terms, long nowNanos) {
-    budget.consume(terms, nowNanos);
+  /** Counts an eviction for urgent work, decided by an entry, against this VM's budget. */
+  public void recordPreemption(GuardPolicy policy, long nowNanos) {
+    budget.consume(policy, nowNanos);
   }
 
   private static double pressure(Optional<ServiceReading> reading, long nowNanos) {
@@ -153,13 +157,13 @@
   }
 
   private List<GuardAction> onSlow(
-      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardPolicy policy, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     nextActionNanos = nowNanos + SETTLE_NANOS;
-    List<GuardAction> takenBack = revertProbes(terms, pressure, nowNanos);
-    if (!takenBack.isEmpty()) {
-      return takenBack;
+    List<GuardAction> reverted = revertProbes(policy, pressure, nowNanos);
+    if (!reverted.isEmpty()) {
+      return reverted;
     }
-    List<GuardAction> actions = throttleMore(terms, pressure, tasks, nowNanos);
+    List<GuardAction> actions = throttleMore(policy, pressure, tasks, nowNanos);
     if (!actions.isEmpty()) {
       allThrottled = false;
       return actions;
@@ -169,20 +173,20 @@
       allThrottledSince = nowNanos;
     }
     boolean longEnough = nowNanos - allThrottledSince >= EVICT_AFTER_NANOS;
-    if (!longEnough || pressure <= terms.evictionPressure()) {
+    if (!longEnough || pressure <= policy.evictionPressure()) {
       return List.of();
     }
-    return evictOne(terms, pressure, tasks, nowNanos, nowMillis);
+    return evictOne(policy, pressure, tasks, nowNanos, nowMillis);
   }
 
-  /** The service slowed after tasks were let loose: those go back, and wait longer. */
-  private List<GuardAction> revertProbes(GuardPolicy terms, double pressure, long nowNanos) {
+  /** Throttles the tasks again after whose relaxing the service slowed down, with a longer wait. */
+  private List<GuardAction> revertProbes(GuardPolicy policy, double pressure, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (ThrottledTask hold : probing) {
-      GuardedTask task = hold.task();
+    for (ThrottledTask throttledTask : probing) {
+      GuardedTask task = throttledTask.task();
       scores.confirm(task.program(), 1.0 / probing.size());
       ThrottledTask before =
-          new ThrottledTask(task, hold.percent(), probeAt(terms, task, nowNanos));
+          new ThrottledTask(task, throttledTask.percent(), probeAt(policy, task, nowNanos));
       throttled.put(task.token(), before);
       actions.add(
           new GuardAction.Throttle(task.token(), before.percent(), describePressure(pressure)));
@@ -193,7 +197,7 @@
   }
 
   private List<GuardAction> throttleMore(
-      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos) {
+      GuardPolicy policy, double pressure, List<GuardedTask> tasks, long nowNanos) {
     List<GuardedTask> candidates = new ArrayList<>(tasks);
     candidates.removeIf(task -> percent(task) <= MIN_PERCENT);
     candidates.sort(
@@ -204,97 +208,106 @@
     wasSlow = true;
     List<GuardAction> actions = new ArrayList<>();
     for (GuardedTask task : candidates.subList(0, Math.min(throttleBatch, candidates.size()))) {
-      ThrottledTask hold = new ThrottledTask(task, percent(task), probeAt(terms, task, nowNanos));
-      ThrottledTask tighter = new ThrottledTask(task, hold.tightenedPercent(), hold.probeAt());
-      throttled.put(task.token(), tighter);
+      ThrottledTask throttledTask =
+          new ThrottledTask(task, percent(task), probeAt(policy, task, nowNanos));
+      ThrottledTask tightened =
+          new ThrottledTask(task, throttledTask.tightenedPercent(), throttledTask.probeAt());
+      throttled.put(task.token(), tightened);
       actions.add(
-          new GuardAction.Throttle(task.token(), tighter.percent(), describePressure(pressure)));
+          new GuardAction.Throttle(task.token(), tightened.percent(), describePressure(pressure)));
     }
     return actions;
   }
 
-  /** Returns how much the task is suspected, here and by what entries learned elsewhere. */
+  /**
+   * Returns the interference score of the task, from this VM and from what entries learned
+   * elsewhere.
+   */
   private double interferenceScore(GuardedTask task) {
     return scores.score(task.program()) + task.expectedSlowdown() / SLOWDOWN_PER_SCORE;
   }
 
   private int percent(GuardedTask task) {
-    ThrottledTask hold = throttled.get(task.token());
-    return hold == null ? UNTHROTTLED_PERCENT : hold.percent();
+    ThrottledTask throttledTask = throttled.get(task.token());
+    return throttledTask == null ? UNTHROTTLED_PERCENT : throttledTask.percent();
   }
 
-  /** Returns when a task may be tried with more: later, the more its program is suspected. */
-  private long probeAt(GuardPolicy terms, GuardedTask task, long nowNanos) {
+  /** Returns when a task may be tried with a higher share: later the higher its score is. */
+  private long probeAt(GuardPolicy policy, GuardedTask task, long nowNanos) {
     double doublings = Math.min(MAX_DOUBLINGS, interferenceScore(task));
-    return nowNanos + (long) (terms.recoveryMillis() * NANOS_PER_MILLI * Math.pow(2, doublings));
+    return nowNanos + (long) (policy.recoveryMillis() * NANOS_PER_MILLI * Math.pow(2, doublings));
   }
 
   private List<GuardAction> evictOne(
-      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardPolicy policy, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     Optional<GuardedTask> victim =
         tasks.stream()
             .filter(GuardedTask::evictable)
             .max(Comparator.comparingDouble(task -> evictionValue(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.tryConsume(terms, nowNanos)) {
+    if (victim.isEmpty() || !budget.tryConsume(policy, nowNanos)) {
       return List.of();
     }
-    // The next one only after this one's leaving has had the time to show.
+    // The next eviction waits until this one can show in the readings.
     allThrottledSince = nowNanos;
     throttled.remove(victim.get().token());
     return List.of(
         new GuardAction.Evict(
-            victim.get().token(), describePressure(pressure) + " with all batch tasks throttled"));
+            victim.get().token(),
+            describePressure(pressure) + " although all batch tasks are throttled"));
   }
 
-  /** Returns how much evicting the task helps for what it loses. */
+  /** Returns the benefit of evicting the task relative to the work that it loses. */
   private double evictionValue(GuardedTask task, long nowNanos, long nowMillis) {
-    double frees = (1 + interferenceScore(task)) * (1 + task.used().milliProcessors());
+    double freed = (1 + interferenceScore(task)) * (1 + task.used().milliProcessors());
     double lostSeconds = (nowNanos - task.checkpointedNanos()) / 1e9;
-    boolean dueSoon =
+    boolean isDueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
-    return frees / (1 + lostSeconds) / (dueSoon ? 2 : 1);
+    return freed / (1 + lostSeconds) / (isDueSoon ? 2 : 1);
   }
 
-  private List<GuardAction> relax(GuardPolicy terms, long nowNanos) {
+  private List<GuardAction> relax(GuardPolicy policy, long nowNanos) {
     allThrottled = false;
-    long recoveryNanos = terms.recoveryMillis() * NANOS_PER_MILLI;
+    long recoveryNanos = policy.recoveryMillis() * NANOS_PER_MILLI;
     if (nowNanos - recoveredSince < recoveryNanos) {
       return List.of();
     }
-    probing.forEach(hold -> scores.clear(hold.task().program()));
+    probing.forEach(throttledTask -> scores.clear(throttledTask.task().program()));
     probeBatch = probing.isEmpty() ? probeBatch : Math.min(MAX_BATCH, probeBatch * 2);
     probing = List.of();
     List<ThrottledTask> next =
         throttled.values().stream()
-            .filter(hold -> nowNanos - hold.probeAt() >= 0)
+            .filter(throttledTask -> nowNanos - throttledTask.probeAt() >= 0)
             .sorted(
-                Comparator.comparingDouble((ThrottledTask hold) -> interferenceScore(hold.task()))
-                    .thenComparingLong(hold -> hold.task().startedNanos()))
+                Comparator.comparingDouble(
+                        (ThrottledTask throttledTask) -> interferenceScore(throttledTask.task()))
+                    .thenComparingLong(throttledTask -> throttledTask.task().startedNanos()))
             .toList();
     if (next.isEmpty()) {
       probeBatch = 1;
       return List.of();
     }
-    return probe(terms, next.subList(0, Math.min(probeBatch, next.size())), nowNanos);
+    return probe(policy, next.subList(0, Math.min(probeBatch, next.size())), nowNanos);
   }
 
   /**
-   * Lets tasks have twice as much: one at first, so that a service that slows again tells which it
-   * was, then more at a time as long as it stays quiet.
+   * Doubles the share of tasks: of one at first, so that a service that slows down again identifies
+   * it, then of more at a time while the service stays fast.
    */
-  private List<GuardAction> probe(GuardPolicy terms, List<ThrottledTask> chosen, long nowNanos) {
+  private List<GuardAction> probe(GuardPolicy policy, List<ThrottledTask> chosen, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (ThrottledTask hold : chosen) {
-      GuardedTask task = hold.task();
-      if (hold.relaxedPercent() == UNTHROTTLED_PERCENT) {
+    for (ThrottledTask throttledTask : chosen) {
+      GuardedTask task = throttledTask.task();
+      if (throttledTask.relaxedPercent() == UNTHROTTLED_PERCENT) {
         throttled.remove(task.token());
       } else {
         throttled.put(
             task.token(),
-            new ThrottledTask(task, hold.relaxedPercent(), probeAt(terms, task, nowNanos)));
+            new ThrottledTask(
+                task, throttledTask.relaxedPercent(), probeAt(policy, task, nowNanos)));
       }
       actions.add(
-          new GuardAction.Throttle(task.token(), hold.relaxedPercent(), "the service is quiet"));
+          new GuardAction.Throttle(
+              task.token(), throttledTask.relaxedPercent(), "the service has recovered"));
     }
     probing = List.copyOf(chosen);
     recoveredSince = nowNanos;
@@ -303,17 +316,17 @@
   }
 
   /**
-   * Evicts one of several suspects that have been throttled to the least for long. Each of them
-   * holds its room for ten times as long as its work takes, and together they can never be let
-   * loose here; on another VM, or later, one alone can.
+   * Evicts one of several interfering tasks that have stayed at the lowest share for long. Each of
+   * them holds its resources ten times as long as its work takes, and together they can never be
+   * relaxed here; on another VM, or later, one alone can.
    */
   private List<GuardAction> evictStuck(
-      GuardPolicy terms, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
-    List<GuardedTask> stuck =
+      GuardPolicy policy, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+    List<GuardedTask> stuckTasks =
         tasks.stream()
             .filter(task -> percent(task) <= MIN_PERCENT && interferenceScore(task) >= 1)
             .toList();
-    if (stuck.size() < 2) {
+    if (stuckTasks.size() < 2) {
       stuckSince = nowNanos;
       return List.of();
     }
@@ -321,22 +334,26 @@
       return List.of();
     }
     Optional<GuardedTask> victim =
-        stuck.stream()
+        stuckTasks.stream()
             .filter(GuardedTask::evictable)
             .max(Comparator.comparingDouble(task -> evictionValue(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.tryConsume(terms, nowNanos)) {
+    if (victim.isEmpty() || !budget.tryConsume(policy, nowNanos)) {
       return List.of();
     }
     throttled.remove(victim.get().token());
-    String why = "one of %d noisy tasks here that cannot be let loose together";
-    return List.of(new GuardAction.Evict(victim.get().token(), why.formatted(stuck.size())));
+    String reason = "one of %d interfering tasks that cannot run unthrottled together here";
+    return List.of(
+        new GuardAction.Evict(victim.get().token(), reason.formatted(stuckTasks.size())));
   }
 
-  private void forgetEnded(List<GuardedTask> tasks) {
+  private void dropEnded(List<GuardedTask> tasks) {
     Set<Long> running = new HashSet<>();
     tasks.forEach(task -> running.add(task.token()));
     throttled.keySet().retainAll(running);
-    probing = probing.stream().filter(h -> running.contains(h.task().token())).toList();
+    probing =
+        probing.stream()
+            .filter(throttledTask -> running.contains(throttledTask.task().token()))
+            .toList();
   }
 
   private static String describePressure(double pressure) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
@@ -2,31 +2,31 @@
 
 import static java.util.Objects.requireNonNull;
 
-/** What a {@link Placer} decided; each kind is immutable and rejects nulls. */
+/** Decision of a {@link Placer}; each kind is immutable and rejects nulls. */
 public sealed interface PlacementDecision {
   /**
-   * Run it there.
+   * Run the task on the VM.
    *
    * @param candidate the VM
-   * @param reason the grounds, for people
+   * @param reason the reason, for people
    */
   record Chosen(CandidateVm candidate, String reason) implements PlacementDecision {
     /** Checks the components. */
     public Chosen {
-      requireNonNull(candidate, "room");
-      requireNonNull(reason, "why");
+      requireNonNull(candidate, "candidate");
+      requireNonNull(reason, "reason");
     }
   }
 
   /**
-   * Let it wait.
+   * Let the task wait.
    *
-   * @param reason the grounds, for people
+   * @param reason the reason, for people
    */
   record NoCapacity(String reason) implements PlacementDecision {
     /** Checks the components. */
     public NoCapacity {
-      requireNonNull(reason, "why");
+      requireNonNull(reason, "reason");
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 
 /**
- * Turns late reports of what runs on a VM into estimates of sizes and interference.
+ * Updates the estimates of sizes and interference from usage reports of VMs, which arrive late.
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 public final class UsageLearner {
   private static final int MAX_VMS = 4_096;
 
-  /** How fast the undisturbed pressure of a service follows a lower reading, and a higher one. */
+  /** Rates at which the base pressure of a service follows a lower reading, and a higher one. */
   private static final double FALL_RATE = 0.2;
 
   private static final double RISE_RATE = 0.01;
@@ -24,10 +24,10 @@
   /**
    * One task of a report.
    *
-   * @param program what it runs
-   * @param used what it used, or {@link Sizes#NONE} if that was not told
-   * @param slowdown how much longer its work took than alone, or 0 if that was not told
-   * @param activeShare how much of its processors the guard let it use, 0 to 1
+   * @param program the program that it runs
+   * @param used the resources that it used, or {@link Sizes#NONE} if unknown
+   * @param slowdown its run time as a multiple of that without co-located tasks, or 0 if unknown
+   * @param activeShare the fraction of its processors that the guard let it use, 0 to 1
    */
   public record TaskMeasurement(String program, Sizes used, double slowdown, double activeShare) {
     /** Checks the components. */
@@ -47,18 +47,18 @@
         }
       };
 
-  /** Creates learning into the given tables. */
+  /** Creates a learner that updates the given estimates. */
   public UsageLearner(SizeEstimates estimates, Interference interference) {
     this.estimates = requireNonNull(estimates, "estimates");
     this.interference = requireNonNull(interference, "interference");
   }
 
   /**
-   * Takes in a report.
+   * Records a report.
    *
    * @param vm the VM's name
    * @param tasks all tasks on it
-   * @param pressure its service's tail latency as a multiple of the goal; 0 if that was not told
+   * @param pressure tail latency of its service as a multiple of the goal; 0 if unknown
    */
   public synchronized void report(String vm, List<TaskMeasurement> tasks, double pressure) {
     Map<String, Double> present = new HashMap<>();
@@ -72,20 +72,20 @@
   }
 
   private void learn(TaskMeasurement task, Map<String, Double> present) {
-    boolean told = !task.used().equals(Sizes.NONE) && task.activeShare() > 0;
-    if (told) {
+    boolean known = !task.used().equals(Sizes.NONE) && task.activeShare() > 0;
+    if (known) {
       long free = (long) (task.used().milliProcessors() / task.activeShare());
       estimates.recordUsage(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
     }
     if (task.slowdown() > 0) {
       Map<String, Double> others = new HashMap<>(present);
       others.merge(task.program(), -task.activeShare(), Double::sum);
-      others.values().removeIf(much -> much <= 0);
+      others.values().removeIf(share -> share <= 0);
       interference.recordMeasurement(task.program(), others, task.slowdown());
     }
   }
 
-  /** Returns how much longer the service takes than in its quieter moments on this VM. */
+  /** Returns the service's pressure as a multiple of its base pressure on this VM. */
   private double slowdown(String vm, double pressure) {
     double base = basePressure.getOrDefault(vm, pressure);
     base += (pressure < base ? FALL_RATE : RISE_RATE) * (pressure - base);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -15,34 +15,35 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides which lasting tasks are worth a word because nobody has seen them at work for a while,
- * and which are back.
+ * Decides which long-running tasks to report as absent, because no report has shown them running
+ * for a while, and which have recovered.
  *
- * <p>Guards against tasks that run nowhere while their owner takes them to be at work: it goes by
- * what reports show, never by which attempts are open. What is told stays bounded however many
- * tasks are away: one word a task within {@link #REPEAT_NANOS}, and {@link #MAX_PER_CHECK} tasks a
- * look, those never told of first; the rest is a number.
+ * <p>Guards against tasks that run nowhere while their owner assumes that they run: it uses what
+ * reports show, never which attempts are open. The number of reports is bounded however many tasks
+ * are absent: one per task within {@link #REPEAT_NANOS}, and {@link #MAX_PER_CHECK} tasks per
+ * check, those never reported first; the others are only counted.
  *
- * <p>Confined to one thread. Rejects nulls. A look takes time in the number of lasting tasks, times
- * the logarithm of those away.
+ * <p>Confined to one thread. Rejects nulls. A check takes time linear in the number of long-running
+ * tasks, times the logarithm of the number of absent ones.
  */
 public final class AbsenceDetector {
-  /** How long a task is not seen before it counts as away, in nanoseconds. */
+  /** How long a task is not seen running before it counts as absent, in nanoseconds. */
   public static final long ABSENT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** Between two words about the same task that stays away, in nanoseconds. */
+  /** Interval between reports of the same absent task, in nanoseconds. */
   public static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** The most tasks that one look tells to be away, and the most that it tells to be back. */
+  /** Maximum number of absences, and of recoveries, that one check reports. */
   public static final int MAX_PER_CHECK = 4;
 
   /**
-   * What is known of a lasting task that should be at work.
+   * What is known of a long-running task that should run.
    *
    * @param task the task
-   * @param seenAt when the newest report was read that shows it at work, in the looker's
-   *     nanoseconds; empty if there is none now
-   * @param namedAt when the newest report was read that names an attempt of it at all
+   * @param seenAt when the latest report that shows it running was read, in nanoseconds of the
+   *     caller's clock; empty if there is none now
+   * @param namedAt when the latest report that names any attempt of it was read; empty if there is
+   *     none
    */
   public record Observation(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
     /** Checks the components. */
@@ -54,33 +55,33 @@
   }
 
   /**
-   * A task that is away.
+   * A task that is absent.
    *
    * @param task the task
-   * @param seenBefore whether it was ever seen at work here
-   * @param since when it was last seen, or when it was first looked for, in nanoseconds
-   * @param namedAt when the newest report was read that named an attempt of it; empty if none did
+   * @param seenBefore whether it was ever seen running here
+   * @param since when it was last seen, or first checked, in nanoseconds
+   * @param namedAt when the latest report that named an attempt of it was read; empty if none did
    */
   public record Absence(WorkflowTask task, boolean seenBefore, long since, OptionalLong namedAt) {}
 
   /**
-   * A task that was away and is seen again.
+   * A task that was absent and is seen running again.
    *
    * @param task the task
-   * @param absentNanos from when it was last seen, or first looked for, to when it was seen again
+   * @param absentNanos time from when it was last seen, or first checked, until it was seen again
    */
   public record Recovery(WorkflowTask task, long absentNanos) {}
 
   /**
-   * What one look found.
+   * Result of one check.
    *
-   * @param longRunning how many tasks were looked for
-   * @param absent how many of them are away
-   * @param absences those away to be told now
-   * @param omittedAbsences how many more would have been told now but for the bound; they come
-   *     first with the next look
-   * @param recoveries those back to be told now
-   * @param omittedRecoveries how many more are back
+   * @param longRunning number of tasks checked
+   * @param absent number of those that are absent
+   * @param absences the absences to report now
+   * @param omittedAbsences number of further absences that are due but over the limit; they come
+   *     first in the next check
+   * @param recoveries the recoveries to report now
+   * @param omittedRecoveries number of further recoveries
    */
   public record CheckResult(
       int longRunning,
@@ -102,84 +103,85 @@
     }
   }
 
-  private record Due(WorkflowTask task, TrackedTask watched) {}
+  private record Due(WorkflowTask task, TrackedTask state) {}
 
   private static final Comparator<Due> LEAST_RECENTLY_REPORTED_FIRST =
-      Comparator.comparingLong((Due due) -> due.watched.reportedAt)
-          .thenComparingLong(due -> due.watched.since);
+      Comparator.comparingLong((Due due) -> due.state.reportedAt)
+          .thenComparingLong(due -> due.state.since);
 
   private final Map<TaskKey, TrackedTask> tracked = new HashMap<>();
 
-  /** Creates a watch that knows of no task. */
+  /** Creates a detector without tasks. */
   public AbsenceDetector() {}
 
   /**
-   * Takes what is known of all lasting tasks that should be at work, and forgets all others.
+   * Checks all long-running tasks that should run, and drops the state of all others.
    *
-   * @param now in nanoseconds; never before that of the last look
+   * @param longRunning what is known of these tasks
+   * @param now in nanoseconds; never earlier than in the previous check
    */
-  public CheckResult check(Collection<Observation> lasting, long now) {
+  public CheckResult check(Collection<Observation> longRunning, long now) {
     List<Due> due = new ArrayList<>();
-    List<Recovery> returns = new ArrayList<>();
-    Set<TaskKey> known = new HashSet<>();
-    int away = 0;
-    for (Observation sight : lasting) {
-      known.add(sight.task().key());
-      TrackedTask each = tracked.computeIfAbsent(sight.task().key(), unused -> startTracking(now));
-      if (sight.namedAt().isPresent()) {
-        each.namedAt = sight.namedAt();
+    List<Recovery> recoveries = new ArrayList<>();
+    Set<TaskKey> checkedKeys = new HashSet<>();
+    int absent = 0;
+    for (Observation observation : longRunning) {
+      checkedKeys.add(observation.task().key());
+      TrackedTask state =
+          tracked.computeIfAbsent(observation.task().key(), unused -> startTracking(now));
+      if (observation.namedAt().isPresent()) {
+        state.namedAt = observation.namedAt();
       }
-      if (sight.seenAt().isPresent()) {
-        recordSighting(sight.task(), each, sight.seenAt().getAsLong(), returns);
+      if (observation.seenAt().isPresent()) {
+        recordSighting(observation.task(), state, observation.seenAt().getAsLong(), recoveries);
       }
-      each.absent |= now - each.since >= ABSENT_NANOS;
-      if (each.absent) {
-        away++;
-        if (each.isDue(now)) {
-          due.add(new Due(sight.task(), each));
+      state.absent |= now - state.since >= ABSENT_NANOS;
+      if (state.absent) {
+        absent++;
+        if (state.isDue(now)) {
+          due.add(new Due(observation.task(), state));
         }
       }
     }
-    tracked.keySet().retainAll(known);
+    tracked.keySet().retainAll(checkedKeys);
     due.sort(LEAST_RECENTLY_REPORTED_FIRST);
     return new CheckResult(
-        lasting.size(),
-        away,
+        longRunning.size(),
+        absent,
         takeReports(due, now),
         Math.max(0, due.size() - MAX_PER_CHECK),
-        returns.stream().limit(MAX_PER_CHECK).collect(ImmutableList.toImmutableList()),
-        Math.max(0, returns.size() - MAX_PER_CHECK));
+        recoveries.stream().limit(MAX_PER_CHECK).collect(ImmutableList.toImmutableList()),
+        Math.max(0, recoveries.size() - MAX_PER_CHECK));
   }
 
   private static TrackedTask startTracking(long now) {
-    TrackedTask begun = new TrackedTask();
-    begun.since = now;
-    return begun;
+    TrackedTask tracked = new TrackedTask();
+    tracked.since = now;
+    return tracked;
   }
 
   private static void recordSighting(
-      WorkflowTask task, TrackedTask each, long seenAt, List<Recovery> returns) {
-    boolean newer = !each.seenBefore || seenAt > each.since;
+      WorkflowTask task, TrackedTask state, long seenAt, List<Recovery> recoveries) {
+    boolean newer = !state.seenBefore || seenAt > state.since;
     if (!newer) {
       return;
     }
-    if (each.absent) {
-      returns.add(new Recovery(task, seenAt - each.since));
-      each.absent = false;
-      each.reportedAt = Long.MIN_VALUE;
+    if (state.absent) {
+      recoveries.add(new Recovery(task, seenAt - state.since));
+      state.absent = false;
+      state.reportedAt = Long.MIN_VALUE;
     }
-    each.seenBefore = true;
-    each.since = seenAt;
+    state.seenBefore = true;
+    state.since = seenAt;
   }
 
   private static ImmutableList<Absence> takeReports(List<Due> due, long now) {
-    ImmutableList.Builder<Absence> told = ImmutableList.builder();
-    for (Due each : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
-      each.watched.reportedAt = now;
-      told.add(
-          new Absence(
-              each.task, each.watched.seenBefore, each.watched.since, each.watched.namedAt));
+    ImmutableList.Builder<Absence> reported = ImmutableList.builder();
+    for (Due next : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
+      next.state.reportedAt = now;
+      reported.add(
+          new Absence(next.task, next.state.seenBefore, next.state.since, next.state.namedAt));
     }
-    return told.build();
+    return reported.build();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageEvidenceAggregator.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageEvidenceAggregator.java
@@ -7,54 +7,55 @@
 import java.util.Map;
 
 /**
- * What all VMs of a fleet saw of images, and what all but one saw.
+ * Sums evidence on the interference of images over all VMs of a fleet, and over all VMs but one.
  *
- * <p>Each VM tells anew every second and is told what the others saw. Added up anew each time, that
- * is work in the square of the number of VMs; here a VM's word costs time in the number of images.
+ * <p>Each VM reports its evidence every second and receives that of the others. Adding all of it up
+ * for each VM would take time quadratic in the number of VMs; here an update takes time linear in
+ * the number of images.
  *
  * <p>Confined to one thread. Rejects nulls.
  */
 public final class ImageEvidenceAggregator {
-  /** Rounding leaves no more than this, and a belief does not feel what weighs as little. */
+  /** Weights up to this are rounding errors, too small to affect a belief. */
   private static final double NEGLIGIBLE_WEIGHT = 1e-6;
 
   private final Map<String, Map<String, ImageInterference.Evidence>> byVm = new HashMap<>();
   private final Map<String, ImageInterference.Evidence> total = new HashMap<>();
 
-  /** Replaces what a VM saw. */
-  public void update(String vm, Map<String, ImageInterference.Evidence> seen) {
+  /** Replaces the evidence of a VM. */
+  public void update(String vm, Map<String, ImageInterference.Evidence> evidence) {
     Map<String, ImageInterference.Evidence> before =
-        byVm.put(requireNonNull(vm, "vm"), Map.copyOf(seen));
+        byVm.put(requireNonNull(vm, "vm"), Map.copyOf(evidence));
     if (before != null) {
       subtract(before, total);
     }
-    seen.forEach(
-        (image, what) -> {
-          if (what.weight() > NEGLIGIBLE_WEIGHT) {
-            total.merge(image, what, ImageInterference.Evidence::plus);
+    evidence.forEach(
+        (image, each) -> {
+          if (each.weight() > NEGLIGIBLE_WEIGHT) {
+            total.merge(image, each, ImageInterference.Evidence::plus);
           }
         });
   }
 
-  /** Takes a part out of sums; what is left of an image that was seen nowhere else is dropped. */
+  /** Subtracts a part from sums and drops images whose remaining weight is negligible. */
   private static void subtract(
       Map<String, ImageInterference.Evidence> part, Map<String, ImageInterference.Evidence> from) {
     part.forEach(
-        (image, what) ->
+        (image, each) ->
             from.computeIfPresent(
                 image,
-                (key, all) -> {
-                  ImageInterference.Evidence left = all.minus(what);
-                  return left.weight() > NEGLIGIBLE_WEIGHT ? left : null;
+                (key, total) -> {
+                  ImageInterference.Evidence remaining = total.minus(each);
+                  return remaining.weight() > NEGLIGIBLE_WEIGHT ? remaining : null;
                 }));
   }
 
-  /** Returns what all VMs saw; a view that later words change. */
+  /** Returns the evidence of all VMs, as a live view. */
   public Map<String, ImageInterference.Evidence> total() {
     return Collections.unmodifiableMap(total);
   }
 
-  /** Returns what all VMs but the one saw, as it is now. */
+  /** Returns the evidence of all VMs but the given one, as a copy. */
   public Map<String, ImageInterference.Evidence> totalExcluding(String vm) {
     Map<String, ImageInterference.Evidence> others = new HashMap<>(total);
     subtract(byVm.getOrDefault(vm, Map.of()), others);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmQuarantine.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmQuarantine.java
@@ -6,31 +6,31 @@
 import java.util.Map;
 
 /**
- * Which VMs are given no new work for a while, because what they start fails.
+ * Excludes VMs from new work for a while after repeated failures there.
  *
- * <p>Load pattern: a worker that fails all that it starts is always idle, so a policy that goes by
- * room sends it everything, and tasks use up their attempts there. After {@link #FAILURE_STREAK}
- * failures in a row without a success between them the VM rests; each time it fails again right
- * after, twice as long, so that a VM that is broken for good costs one task now and then. Tasks
- * that fail everywhere do not blame VMs: where more than {@link #MAX_FLEET_FAILURE_RATIO} of all
- * recent ends are failures, none rests.
+ * <p>Guards against a worker that fails everything it starts: it is always idle, so a policy that
+ * places by free capacity sends it all work, and tasks use up their attempts there. A VM is
+ * quarantined after {@link #FAILURE_STREAK} consecutive failures. A failure right after a
+ * quarantine doubles the next one, so that a VM that is broken permanently costs one task now and
+ * then. While the ratio of failures among all recent ends is {@link #MAX_FLEET_FAILURE_RATIO} or
+ * more, the tasks are assumed to be at fault, and no VM is quarantined.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 public final class VmQuarantine {
-  /** Failures in a row after which a VM rests; one in twenty tasks fails by its own fault. */
+  /** Consecutive failures that quarantine a VM; one task in twenty fails through its own fault. */
   static final int FAILURE_STREAK = 3;
 
-  /** The first rest, in nanoseconds. */
+  /** Duration of the first quarantine, in nanoseconds. */
   static final long INITIAL_QUARANTINE_NANOS = 1_500_000_000L;
 
-  /** The longest rest, in nanoseconds. */
+  /** Longest quarantine, in nanoseconds. */
   static final long MAX_QUARANTINE_NANOS = 12_000_000_000L;
 
-  /** The share of failures among all ends from which on VMs are not to blame. */
+  /** Ratio of failures in the fleet from which on no VM is quarantined. */
   static final double MAX_FLEET_FAILURE_RATIO = 0.5;
 
-  /** How many ends the share is taken over, roughly. */
+  /** Number of ended runs over which the failure ratio of the fleet is averaged, roughly. */
   private static final double FLEET_SAMPLE_COUNT = 60;
 
   private static final class FailureRecord {
@@ -42,36 +42,42 @@
   private final Map<String, FailureRecord> records = new HashMap<>();
   private double fleetFailureRatio;
 
-  /** Takes the end of a run on the VM: one that did its work, or one that failed. */
+  /**
+   * Records the end of a run on the VM.
+   *
+   * @param vm the VM
+   * @param failed whether the run failed rather than completed
+   * @param now monotonic nanoseconds
+   */
   public void recordEnd(String vm, boolean failed, long now) {
     fleetFailureRatio += ((failed ? 1 : 0) - fleetFailureRatio) / FLEET_SAMPLE_COUNT;
-    FailureRecord standing =
+    FailureRecord record =
         records.computeIfAbsent(requireNonNull(vm, "vm"), unused -> new FailureRecord());
     if (!failed) {
-      standing.failureStreak = 0;
-      standing.quarantineNanos = 0;
+      record.failureStreak = 0;
+      record.quarantineNanos = 0;
       return;
     }
-    standing.failureStreak++;
-    boolean again = standing.quarantineNanos > 0;
-    if ((standing.failureStreak >= FAILURE_STREAK || again)
+    record.failureStreak++;
+    boolean repeated = record.quarantineNanos > 0;
+    if ((record.failureStreak >= FAILURE_STREAK || repeated)
         && fleetFailureRatio < MAX_FLEET_FAILURE_RATIO) {
-      standing.quarantineNanos =
-          again
-              ? Math.min(2 * standing.quarantineNanos, MAX_QUARANTINE_NANOS)
+      record.quarantineNanos =
+          repeated
+              ? Math.min(2 * record.quarantineNanos, MAX_QUARANTINE_NANOS)
               : INITIAL_QUARANTINE_NANOS;
-      standing.quarantinedUntil = now + standing.quarantineNanos;
-      standing.failureStreak = 0;
+      record.quarantinedUntil = now + record.quarantineNanos;
+      record.failureStreak = 0;
     }
   }
 
   /** Returns whether the VM is to be given no new work now. */
   public boolean isQuarantined(String vm, long now) {
-    FailureRecord standing = records.get(vm);
-    return standing != null && now < standing.quarantinedUntil;
+    FailureRecord record = records.get(vm);
+    return record != null && now < record.quarantinedUntil;
   }
 
-  /** Forgets a VM that has a new worker. */
+  /** Drops the record of a VM that has a new worker. */
   public void reset(String vm) {
     records.remove(vm);
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageEvidenceAggregatorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageEvidenceAggregatorTest.java
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Images come and go with releases for as long as an entry lives. Those that no VM had seen for
-   * days were still in the sums with a weight of nothing, and each VM was told of all of them.
+   * Images change with releases for as long as an entry runs. Guards against keeping images that no
+   * VM has reported for days with a negligible weight, and sending all of them to every VM.
    */
   @Test
   void dropsImagesThatNoVmReports() {
@@ -47,7 +47,7 @@
     Evidence fifth = new Evidence(0.2, 0.2);
     sums.update("vm-1", Map.of("old", tenth));
     sums.update("vm-2", Map.of("old", fifth));
-    // What is left of doubles after this is a little over nothing.
+    // Rounding leaves a weight slightly above zero after this.
     sums.update("vm-1", Map.of());
     sums.update("vm-2", Map.of("new", tenth));
     assertEquals(Set.of("new"), sums.total().keySet());
@@ -70,23 +70,24 @@
 
   @Property
   void totalsEqualTheSumOfTheLatestUpdates(
-      @ForAll @Size(max = 60) List<@IntRange(max = 2_399) Integer> words) {
-    ImageEvidenceAggregator told = new ImageEvidenceAggregator();
-    Map<String, Map<String, Evidence>> last = new HashMap<>();
-    for (int word : words) {
-      String vm = "vm-" + word % 4;
-      double weight = word / 200.0;
-      Map<String, Evidence> seen = Map.of("image-" + word % 3, new Evidence(weight * 0.3, weight));
-      last.put(vm, seen);
-      told.update(vm, seen);
+      @ForAll @Size(max = 60) List<@IntRange(max = 2_399) Integer> updates) {
+    ImageEvidenceAggregator aggregator = new ImageEvidenceAggregator();
+    Map<String, Map<String, Evidence>> latest = new HashMap<>();
+    for (int update : updates) {
+      String vm = "vm-" + update % 4;
+      double weight = update / 200.0;
+      Map<String, Evidence> seen =
+          Map.of("image-" + update % 3, new Evidence(weight * 0.3, weight));
+      latest.put(vm, seen);
+      aggregator.update(vm, seen);
     }
     for (int image = 0; image < 3; image++) {
       String name = "image-" + image;
       Evidence expected =
-          last.values().stream()
+          latest.values().stream()
               .map(seen -> seen.getOrDefault(name, Evidence.NONE))
               .reduce(Evidence.NONE, Evidence::plus);
-      assertSeen(expected, told.total().getOrDefault(name, Evidence.NONE));
+      assertSeen(expected, aggregator.total().getOrDefault(name, Evidence.NONE));
     }
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageInterferenceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ImageInterferenceTest.java
@@ -18,26 +18,26 @@
   }
 
   /**
-   * Nine images, five of which disturb. Two or three stand together on a VM at a time, and the tail
-   * tells only that something there disturbs. Within some dozens of readings those that do not must
-   * be known, so that they may use what services leave.
+   * Five of nine images interfere, and the tasks of two images run on a VM at a time, whose tail
+   * shows only that one of them interferes. After some dozens of readings the benign images must be
+   * known, so that they may use processors that services leave idle.
    */
   @Test
   void separatesInterferingFromBenignColocatedImages() {
     Random random = new Random(11);
-    ImageInterference harm = new ImageInterference();
+    ImageInterference interference = new ImageInterference();
     for (int reading = 0; reading < 120; reading++) {
-      List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
-      boolean disturbed = false;
+      List<ImageInterference.ImageLoad> loads = new ArrayList<>();
+      boolean slow = false;
       for (int i = 0; i < 2; i++) {
         int image = random.nextInt(IMAGES);
-        fillings.add(new ImageInterference.ImageLoad("image-" + image, 1_500));
-        disturbed |= isInterfering(image);
+        loads.add(new ImageInterference.ImageLoad("image-" + image, 1_500));
+        slow |= isInterfering(image);
       }
-      harm.observe(fillings, disturbed ? 150 + random.nextInt(300) : 20 + random.nextInt(40));
+      interference.observe(loads, slow ? 150 + random.nextInt(300) : 20 + random.nextInt(40));
     }
     for (int image = 0; image < IMAGES; image++) {
-      double belief = harm.belief("image-" + image);
+      double belief = interference.belief("image-" + image);
       if (isInterfering(image)) {
         assertTrue(belief > ImageInterference.INTERFERING_BELIEF, "image " + image + ": " + belief);
       } else {
@@ -53,35 +53,35 @@
 
   @Test
   void remoteEvidenceCountsLikeLocalEvidence() {
-    ImageInterference here = new ImageInterference();
-    ImageInterference there = new ImageInterference();
+    ImageInterference local = new ImageInterference();
+    ImageInterference remote = new ImageInterference();
     for (int i = 0; i < 6; i++) {
-      there.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 30);
+      remote.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 30);
     }
-    here.setRemoteEvidence(there.localEvidence());
-    assertTrue(here.belief("image") < ImageInterference.BENIGN_BELIEF);
+    local.setRemoteEvidence(remote.localEvidence());
+    assertTrue(local.belief("image") < ImageInterference.BENIGN_BELIEF);
     Map<String, ImageInterference.Evidence> nothing = new HashMap<>();
-    here.setRemoteEvidence(nothing);
-    assertEquals(ImageInterference.PRIOR_BELIEF, here.belief("image"));
+    local.setRemoteEvidence(nothing);
+    assertEquals(ImageInterference.PRIOR_BELIEF, local.belief("image"));
   }
 
   @Test
   void beliefFollowsChangedBehaviour() {
-    ImageInterference harm = new ImageInterference();
+    ImageInterference interference = new ImageInterference();
     for (int i = 0; i < 200; i++) {
-      harm.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 30);
+      interference.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 30);
     }
     for (int i = 0; i < 30; i++) {
-      harm.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 300);
+      interference.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 300);
     }
-    assertTrue(harm.belief("image") > ImageInterference.INTERFERING_BELIEF);
+    assertTrue(interference.belief("image") > ImageInterference.INTERFERING_BELIEF);
   }
 
   @Test
   void ignoresReadingsBetweenTheThresholds() {
-    ImageInterference harm = new ImageInterference();
-    harm.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 90);
-    harm.observe(List.of(), 500);
-    assertEquals(Map.of(), harm.localEvidence());
+    ImageInterference interference = new ImageInterference();
+    interference.observe(List.of(new ImageInterference.ImageLoad("image", 2_000)), 90);
+    interference.observe(List.of(), 500);
+    assertEquals(Map.of(), interference.localEvidence());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/InterferenceBudgetTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/InterferenceBudgetTest.java
@@ -16,8 +16,9 @@
   }
 
   /**
-   * Images prove to disturb once four of their tasks stand beside services. None of them gets
-   * anywhere there; those beyond what the services bear have to go, and the oldest stay.
+   * An image proves to interfere when four of its tasks already run beside services. The tasks
+   * beyond the capacity have to stop, because they would all be throttled to nearly zero; the
+   * oldest stay.
    */
   @Test
   void excessIsTheTasksThatArrivedLast() {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
@@ -19,7 +19,7 @@
   void takeoverExceedsTheLongestRun(@ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
     WorkerLeaseTerms terms = WorkerLeaseTerms.forMaxLease(longest);
     assertTrue(terms.boundMillis() <= longest);
-    // The worker's clock is 2% slow: so much real time passes until it shows the bound.
+    // On a worker's clock that is 2% slow, this much real time passes until the bound.
     assertTrue(terms.takeoverMillis() > terms.boundMillis() / 0.98);
   }
 
@@ -34,8 +34,8 @@
   }
 
   /**
-   * A former owner that is cut off from the store still reaches a VM. A new owner has set a higher
-   * epoch, so what the former one sends must neither prolong leases nor start anything.
+   * A former owner that is cut off from the store still reaches a VM after a new owner has set a
+   * higher epoch. Guards against the former owner extending leases or starting runs.
    */
   @Test
   void ignoresEvidenceOfALowerEpoch() {
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Deadlines never shorten and hold for everything on a worker. A run that starts under a deadline
-   * that other partitions moved far ahead would outlive what its own owner waits for, and run
-   * beside its successor.
+   * Deadlines never shorten and hold for all runs of a worker. Guards against a run that starts
+   * under a deadline that other partitions have moved far ahead: it would outlive its owner's
+   * takeover and run concurrently with its successor.
    */
   @Test
   void refusesStartsUnderADeadlineBeyondTheTakeover() {
@@ -72,8 +72,9 @@
   }
 
   /**
-   * Workers grant short leases. Evidence of a calm owner is renewed and passed on within two
-   * seconds; runs were stopped once it was 1.1 s old, so nothing longer ever came to its end.
+   * Workers grant short leases, and evidence of a healthy owner takes up to two seconds to be
+   * renewed and delivered. Guards against stopping runs earlier: at 1.1 s, no longer run ever
+   * completed.
    */
   @Test
   void shortLeasesTolerateEvidenceTwoSecondsOld() {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
@@ -9,24 +9,24 @@
 class OvercommitTest {
   private static final long BOOKED_MILLI = 26_000;
 
-  private static int bookAll(ResourceLedger room) {
-    ResourceLedger.Claim fills =
+  private static int bookAll(ResourceLedger ledger) {
+    ResourceLedger.Claim bestEffort =
         new ResourceLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
     int taken = 0;
-    while (room.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), fills)) {
+    while (ledger.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), bestEffort)) {
       taken++;
     }
     return taken;
   }
 
   private static ResourceLedger withServices(Overcommit overcommit) {
-    ResourceLedger room = new ResourceLedger(overcommit);
-    room.capacity(new Sizes(32_000, 1_000, 0));
+    ResourceLedger ledger = new ResourceLedger(overcommit);
+    ledger.capacity(new Sizes(32_000, 1_000, 0));
     RunKey services = new RunKey(new TaskKey(1, 0, 0, 0), 1);
-    room.book(
+    ledger.book(
         services,
         new ResourceLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
-    return room;
+    return ledger;
   }
 
   /**
@@ -43,7 +43,7 @@
   }
 
   /**
-   * Services use all that they book. Guards against ever more heavy tasks that share nothing, each
+   * Services use all processors that they book. Guards against starting ever more heavy tasks, each
    * slower than the one before.
    */
   @Test
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Many heavy tasks that were found to disturb nobody stand beside a service, and together they
-   * do. Guards against still more of them.
+   * Many heavy tasks that do not interfere one by one do so together beside a service. Guards
+   * against starting still more of them.
    */
   @Test
   void aTailOverItsTargetReducesOvercommit() {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
@@ -24,7 +24,7 @@
         .map(offer -> offer.place().vm());
   }
 
-  private static VmOffer with(VmOffer offer, long suspectMilli, double slowness) {
+  private static VmOffer with(VmOffer offer, long interferingMilli, double slowness) {
     return new VmOffer(
         offer.place(),
         offer.service(),
@@ -33,16 +33,16 @@
         offer.capacity(),
         offer.free(),
         offer.bestEffortMilliProcessors(),
-        suspectMilli,
+        interferingMilli,
         offer.overcommitMilliProcessors(),
         offer.serviceTasks(),
         slowness);
   }
 
   /**
-   * Users of lasting services felt heavy tasks on nearly every VM: the services stood one on each,
-   * the heavy tasks wherever processors were left, and each was slowed down beside a service.
-   * Packed, the services leave most VMs to the heavy tasks.
+   * Guards against users of services who notice heavy tasks on nearly every VM: services were
+   * spread one per VM, heavy tasks went wherever processors were left, and each was throttled
+   * beside a service. Packed services leave most VMs to the heavy tasks.
    */
   @Test
   void packsServicesAndPlacesBestEffortTasksElsewhere() {
@@ -53,9 +53,11 @@
       offers.put("vm-" + i, WorkflowFixtures.offer("vm-" + i, 16_000, 0, 0));
     }
     List<String> services = place(service, 8, offers);
-    List<String> fills = place(heavy, 20, offers);
+    List<String> bestEffortVms = place(heavy, 20, offers);
     assertEquals(2, ImmutableSet.copyOf(services).size());
-    assertTrue(fills.stream().noneMatch(services::contains), "beside a service: " + fills);
+    assertTrue(
+        bestEffortVms.stream().noneMatch(services::contains),
+        "VMs of best-effort tasks: " + bestEffortVms);
   }
 
   private static List<String> place(StepSpec step, int count, Map<String, VmOffer> offers) {
@@ -88,21 +90,21 @@
   @Test
   void placesBestEffortTasksBesideServicesOnlyAsALastResort() {
     StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
-    VmOffer beside = WorkflowFixtures.offer("serving", 9_000, 0, 1);
+    VmOffer withService = WorkflowFixtures.offer("serving", 9_000, 0, 1);
     assertEquals(
         Optional.of("tight"),
-        choose(heavy, beside, WorkflowFixtures.offer("tight", 2_000, 6_100, 0)));
+        choose(heavy, withService, WorkflowFixtures.offer("tight", 2_000, 6_100, 0)));
     assertEquals(
         Optional.of("serving"),
-        choose(heavy, beside, WorkflowFixtures.offer("tight", 2_000, 6_300, 0)));
-    assertEquals(Optional.of("serving"), choose(heavy, with(beside, 200, 1)));
-    assertEquals(Optional.empty(), choose(heavy, with(beside, 201, 1)));
+        choose(heavy, withService, WorkflowFixtures.offer("tight", 2_000, 6_300, 0)));
+    assertEquals(Optional.of("serving"), choose(heavy, with(withService, 200, 1)));
+    assertEquals(Optional.empty(), choose(heavy, with(withService, 201, 1)));
   }
 
   /**
-   * A lasting task fails by itself; its VM has its room free again, and only the one VM without
-   * services has room besides. It went there, and heavy workflows of all callers came late for the
-   * rest of the day: the VM had done half of their work.
+   * A service task fails through its own fault; apart from its former VM, only the one VM without
+   * services has capacity. Guards against moving it there, which made heavy workflows late for the
+   * rest of the day, because that VM had done half of their work.
    */
   @Test
   void aFailedServiceDoesNotMoveToTheOnlyVmWithoutServices() {
@@ -118,7 +120,10 @@
     assertTrue(VmChooser.prefersOtherVm(plain, Optional.of(free), Optional.of(former)));
   }
 
-  /** What services leave on their VMs is a good part of all room; harmless tasks are to use it. */
+  /**
+   * Processors that services leave idle are a large part of the capacity, and benign tasks should
+   * use them.
+   */
   @Test
   void placesImagesByTheirInterference() {
     StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
@@ -129,22 +134,24 @@
     assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, offers).orElseThrow());
     assertEquals("free", choose(heavy, ImageInterference.PRIOR_BELIEF, offers).orElseThrow());
     assertEquals("free", choose(heavy, ImageInterference.INTERFERING_BELIEF, offers).orElseThrow());
-    List<VmOffer> onlyServing = offers.subList(0, 1);
+    List<VmOffer> onlyWithService = offers.subList(0, 1);
     assertEquals(
-        "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyServing).orElseThrow());
+        "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyWithService).orElseThrow());
     assertEquals(
-        "serving", choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyServing).orElseThrow());
+        "serving",
+        choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyWithService).orElseThrow());
     List<VmOffer> withOne =
-        List.of(onlyServing.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
+        List.of(onlyWithService.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
     assertEquals(Optional.empty(), choose(heavy, ImageInterference.PRIOR_BELIEF, withOne));
     assertEquals(Optional.empty(), choose(heavy, ImageInterference.INTERFERING_BELIEF, withOne));
     assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, withOne).orElseThrow());
   }
 
   /**
-   * In a burst of heavy workflows half of the tasks of each went beside services, at a third of
-   * their speed, and each workflow was as late as its slowest task. Who can be in time only at full
-   * speed waits for a VM without services; who is late anyway takes what is left.
+   * Guards against bursts of heavy workflows in which half of the tasks of each run beside services
+   * at a third of their speed, so that each workflow is as late as its slowest task. A workflow
+   * that can be in time only at full speed waits for a VM without services; one that is late anyway
+   * takes what is left.
    */
   @Test
   void hurriedInterferingTasksWaitForAVmWithoutServices() {
@@ -162,8 +169,9 @@
   }
 
   /**
-   * Most of the room was free, but a service stood on each VM, with as much beside it as it bears.
-   * Workflows with nothing at work waited for good; each is to have one task at work somewhere.
+   * Most of the capacity was free, but each VM had a service with as many best-effort tasks beside
+   * it as it tolerates. Guards against workflows without running tasks that wait forever; each must
+   * get one task to run somewhere.
    */
   @Test
   void starvedTasksIgnoreTheBestEffortLimits() {
@@ -185,34 +193,36 @@
         VmOffer.hasSpareCapacity(List.of(full, WorkflowFixtures.offer("free", 12_700, 0, 0))));
   }
 
-  private static Optional<String> chooseHurried(StepSpec step, double harm, List<VmOffer> offers) {
+  private static Optional<String> chooseHurried(
+      StepSpec step, double interference, List<VmOffer> offers) {
     return WorkflowFixtures.CHOOSER
-        .choose(WorkflowFixtures.request(step, harm, Urgency.HURRIED), offers, offer -> 0)
+        .choose(WorkflowFixtures.request(step, interference, Urgency.HURRIED), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
-  private static Optional<String> choose(StepSpec step, double harm, List<VmOffer> offers) {
+  private static Optional<String> choose(StepSpec step, double interference, List<VmOffer> offers) {
     return WorkflowFixtures.CHOOSER
-        .choose(WorkflowFixtures.request(step, harm, Urgency.ORDINARY), offers, offer -> 0)
+        .choose(WorkflowFixtures.request(step, interference, Urgency.ORDINARY), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
   /**
-   * Tasks that take half as long again apart were spread over racks, and their workflow came late:
-   * the rack of those at work counts like a slow VM, so that an idle VM elsewhere loses to a busy
-   * one beside them, but not to none.
+   * Guards against workflows that are late because tasks that take half as long again on separate
+   * racks are spread over racks. The rack of the running tasks counts like VM speed: an idle VM
+   * elsewhere loses to a busy one on that rack, but is chosen if it is the only one.
    */
   @Test
   void prefersTheRackOfSiblingTasks() {
     StepSpec small = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         new TaskPlacementRequest(
             WorkflowFixtures.spec(small), small, 0, Urgency.ORDINARY, "rack-busy");
     VmOffer idle = WorkflowFixtures.offer("idle", 16_000, 0, 0);
     VmOffer busy = WorkflowFixtures.offer("busy", 300, 0, 0);
-    Optional<VmOffer> both = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle, busy), offer -> 0);
+    Optional<VmOffer> both =
+        WorkflowFixtures.CHOOSER.choose(request, List.of(idle, busy), offer -> 0);
     assertEquals("busy", both.orElseThrow().place().vm());
-    Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle), offer -> 0);
+    Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(request, List.of(idle), offer -> 0);
     assertEquals("idle", one.orElseThrow().place().vm());
   }
 
@@ -230,12 +240,12 @@
     StepSpec big = WorkflowFixtures.step(1, 5_000, StepSpec.TaskTraits.PLAIN);
     assertEquals(Optional.empty(), choose(big, WorkflowFixtures.offer("vm", 4_999, 0, 0)));
     StepSpec.Placement labelled = new StepSpec.Placement("rack-b", "", false, 0);
-    StepSpec onlyThere =
+    StepSpec onlyOnLabel =
         new StepSpec(1, big.sizes(), 1, ImmutableList.of(), labelled, StepSpec.TaskTraits.PLAIN);
     VmOffer a = WorkflowFixtures.offer("a", 9_000, 0, 0);
     VmOffer b = WorkflowFixtures.offer("b", 6_000, 0, 0);
-    assertEquals(Optional.of("b"), choose(onlyThere, a, b));
-    assertEquals(Optional.empty(), choose(onlyThere, ofService("another", b)));
+    assertEquals(Optional.of("b"), choose(onlyOnLabel, a, b));
+    assertEquals(Optional.empty(), choose(onlyOnLabel, ofService("another", b)));
   }
 
   private static VmOffer ofService(String service, VmOffer offer) {
@@ -269,16 +279,18 @@
   }
 
   private static Verdict verdict(StepSpec step, VmOffer offer, int ofStepOn) {
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         WorkflowFixtures.request(step, ImageInterference.PRIOR_BELIEF, Urgency.ORDINARY);
-    return VmChooser.verdict(wish, offer, unused -> ofStepOn);
+    return VmChooser.verdict(request, offer, unused -> ofStepOn);
   }
 
   private static StepSpec placed(StepSpec step, StepSpec.Placement placement) {
     return new StepSpec(1, step.sizes(), 1, ImmutableList.of(), placement, step.traits());
   }
 
-  /** What an engineer reads of a task that no VM admits is what the choice goes by. */
+  /**
+   * The verdicts that engineers read of a task that no VM admits are those that the choice uses.
+   */
   @Test
   void verdictNamesTheFirstUnmetRequirement() {
     StepSpec plain = WorkflowFixtures.step(1, 5_000, StepSpec.TaskTraits.PLAIN);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmQuarantineTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmQuarantineTest.java
@@ -9,19 +9,19 @@
   private static final long SECOND = 1_000_000_000L;
 
   /**
-   * One worker of twelve fails all that it starts. It is always idle, so it is offered everything,
-   * and workflows fail there that any other VM would have finished.
+   * One worker of twelve fails everything that it starts. Guards against offering it all work
+   * because it is always idle, so that workflows fail there that any other VM would have completed.
    */
   @Test
   void aWorkerThatFailsEveryRunIsRetriedRarely() {
-    VmQuarantine trust = new VmQuarantine();
+    VmQuarantine quarantine = new VmQuarantine();
     int startsOnBad = 0;
-    for (int turn = 0; turn < 2_000; turn++) {
-      long now = turn * SECOND / 20;
-      trust.recordEnd("good-" + turn % 11, turn % 20 == 0, now);
-      if (!trust.isQuarantined("bad", now)) {
+    for (int i = 0; i < 2_000; i++) {
+      long now = i * SECOND / 20;
+      quarantine.recordEnd("good-" + i % 11, i % 20 == 0, now);
+      if (!quarantine.isQuarantined("bad", now)) {
         startsOnBad++;
-        trust.recordEnd("bad", true, now);
+        quarantine.recordEnd("bad", true, now);
       }
     }
     assertTrue(startsOnBad < 20, startsOnBad + " starts within 100 s on a VM that fails all");
@@ -29,28 +29,28 @@
 
   @Test
   void fleetWideFailuresQuarantineNoVm() {
-    VmQuarantine trust = new VmQuarantine();
-    for (int turn = 0; turn < 400; turn++) {
-      trust.recordEnd("vm-" + turn % 4, true, turn * SECOND / 10);
+    VmQuarantine quarantine = new VmQuarantine();
+    for (int i = 0; i < 400; i++) {
+      quarantine.recordEnd("vm-" + i % 4, true, i * SECOND / 10);
     }
     for (int vm = 0; vm < 4; vm++) {
-      assertFalse(trust.isQuarantined("vm-" + vm, 60 * SECOND));
+      assertFalse(quarantine.isQuarantined("vm-" + vm, 60 * SECOND));
     }
   }
 
   @Test
   void aSuccessAfterQuarantineResetsTheVm() {
-    VmQuarantine trust = new VmQuarantine();
+    VmQuarantine quarantine = new VmQuarantine();
     for (int i = 0; i < 30; i++) {
-      trust.recordEnd("other", false, 0);
+      quarantine.recordEnd("other", false, 0);
     }
     for (int i = 0; i < VmQuarantine.FAILURE_STREAK; i++) {
-      trust.recordEnd("vm", true, SECOND);
+      quarantine.recordEnd("vm", true, SECOND);
     }
-    assertTrue(trust.isQuarantined("vm", SECOND + 1));
-    assertFalse(trust.isQuarantined("vm", SECOND + VmQuarantine.INITIAL_QUARANTINE_NANOS));
-    trust.recordEnd("vm", false, 4 * SECOND);
-    trust.recordEnd("vm", true, 5 * SECOND);
-    assertFalse(trust.isQuarantined("vm", 5 * SECOND + 1));
+    assertTrue(quarantine.isQuarantined("vm", SECOND + 1));
+    assertFalse(quarantine.isQuarantined("vm", SECOND + VmQuarantine.INITIAL_QUARANTINE_NANOS));
+    quarantine.recordEnd("vm", false, 4 * SECOND);
+    quarantine.recordEnd("vm", true, 5 * SECOND);
+    assertFalse(quarantine.isQuarantined("vm", 5 * SECOND + 1));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowFixtures.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowFixtures.java
@@ -5,19 +5,19 @@
 import io.marigoldsail.job.Sizes;
 import java.util.Optional;
 
-/** Specimens for the tests of this package. */
+/** Fixtures for the tests of this package. */
 final class WorkflowFixtures {
   static final long ID = 0x5c0e7a21d94b36f8L;
   static final Place PLACE = new Place("vm-1", "life-1");
   private static final long MEBIBYTE = 1 << 20;
 
-  /** Chooses where a task takes half as long again on another rack. */
+  /** Chooser of a deployment where a task takes half as long again on another rack. */
   static final VmChooser CHOOSER = VmChooser.of(1.5);
 
   private WorkflowFixtures() {}
 
-  static TaskPlacementRequest request(StepSpec step, double harm, Urgency urgency) {
-    return new TaskPlacementRequest(spec(step), step, harm, urgency, "");
+  static TaskPlacementRequest request(StepSpec step, double interference, Urgency urgency) {
+    return new TaskPlacementRequest(spec(step), step, interference, urgency, "");
   }
 
   static StepSpec.TaskTraits longRunning(long targetMillis) {
@@ -40,14 +40,14 @@
   }
 
   static StepSpec step(
-      int tasks, long milliProcessors, StepSpec.TaskTraits nature, Integer... after) {
+      int tasks, long milliProcessors, StepSpec.TaskTraits traits, Integer... dependsOn) {
     return new StepSpec(
         tasks,
         new Sizes(milliProcessors, 100 * MEBIBYTE, 0),
         1_000,
-        ImmutableList.copyOf(after),
+        ImmutableList.copyOf(dependsOn),
         StepSpec.Placement.ANYWHERE,
-        nature);
+        traits);
   }
 
   static WorkflowSpec spec(StepSpec... steps) {
@@ -55,7 +55,11 @@
   }
 
   static WorkflowSpec spec(
-      long id, int priority, long accepted, WorkflowSpec.Schedule schedule, StepSpec... steps) {
+      long id,
+      int priority,
+      long acceptedMillis,
+      WorkflowSpec.Schedule schedule,
+      StepSpec... steps) {
     return new WorkflowSpec(
         id,
         "queue",
@@ -63,10 +67,10 @@
         "program",
         ImmutableList.copyOf(steps),
         schedule,
-        accepted);
+        acceptedMillis);
   }
 
-  static VmOffer offer(String vm, long freeMilli, long fillMilli, int serving) {
+  static VmOffer offer(String vm, long freeMilli, long bestEffortMilli, int serviceTasks) {
     Sizes capacity = new Sizes(16_000, 64_000 * MEBIBYTE, 0);
     return new VmOffer(
         new Place(vm, "life-of-" + vm),
@@ -75,10 +79,10 @@
         "rack-" + vm,
         capacity,
         new Sizes(freeMilli, 32_000 * MEBIBYTE, 0),
-        fillMilli,
+        bestEffortMilli,
         0,
         Overcommit.BASE_MILLI_PROCESSORS,
-        serving,
+        serviceTasks,
         1.0);
   }
 }
