--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
@@ -9,57 +9,59 @@
  * <p>Short burst: a request is admitted if it can be served before its deadline. Refusing it would
  * gain nothing, and a bound on the delay would refuse requests that fit.
  *
- * <p>Lasting overload: once the queue was longer than the target delay for {@link #BURST_NANOS},
- * only as many requests are admitted as are served within the target delay. A longer queue raises
- * no throughput; without the bound every request is served just before its deadline, or after it.
- * The bound stays until no request was refused for {@link #CALM_NANOS}; otherwise the queue would
- * grow again each time it falls below the target delay.
+ * <p>Lasting overload: once the queue was longer than the target delay for {@link
+ * #OVERLOAD_ENTRY_NANOS}, only as many requests are admitted as are served within the target delay.
+ * A longer queue raises no throughput; without the bound every request is served just before its
+ * deadline, or after it. The bound stays until no request was refused for {@link
+ * #OVERLOAD_EXIT_NANOS}; otherwise the queue would grow again each time it falls below the target
+ * delay.
  *
  * <p>Hot caller or key: the wait is computed from the requests that would be served before this one
- * (see {@link FairQueue#aheadOf}), not from the queue length. A hot caller has its own backlog
+ * (see {@link FairQueue#countAhead}), not from the queue length. A hot caller has its own backlog
  * before it and other callers overtake that backlog. Without this, one caller fills the queue and
  * all others are refused.
  *
  * <p>During lasting overload, later requests with an earlier virtual start time overtake the queued
  * ones. A request is then also refused if its expected wait, with those requests included, is too
- * long ({@link FairQueue#expectedAheadOf}). Without this, requests of a hot caller waited up to 200
- * ms at a target delay of 20 ms. In a short burst the deadline alone bounds the wait.
+ * long ({@link FairQueue#expectedCountAhead}). Without this, requests of a hot caller waited up to
+ * 200 ms at a target delay of 20 ms. In a short burst the deadline alone bounds the wait.
  *
  * <p>A request of a caller without backlog may wait twice the target delay. With nine entries, 20
  * ms are ten requests at one entry, and a random cluster of such callers fills them while a hot
  * caller keeps the slots busy.
  *
- * <p>{@link #BURST_NANOS} is the longest burst that must be served; an equally long time without a
- * refusal, {@link #CALM_NANOS}, is the shortest sign that overload is over.
+ * <p>{@link #OVERLOAD_ENTRY_NANOS} is the longest burst that must be served; an equally long time
+ * without a refusal, {@link #OVERLOAD_EXIT_NANOS}, is the shortest sign that overload is over.
  *
  * <p>Not thread-safe.
  */
 public final class AdmissionPolicy {
   /** Time that the queue must exceed the target delay before the policy enters overload. */
-  static final long BURST_NANOS = 1_000_000_000L;
+  static final long OVERLOAD_ENTRY_NANOS = 1_000_000_000L;
 
   /** Time without a refusal after which the policy leaves overload. */
-  static final long CALM_NANOS = 1_000_000_000L;
+  static final long OVERLOAD_EXIT_NANOS = 1_000_000_000L;
 
   /**
    * Longest wait during overload, in target delays, of a request whose caller and key have no
    * backlog.
    */
-  static final int WITHIN_TURN_PATIENCE = 2;
+  static final int UNBACKLOGGED_TARGET_DELAYS = 2;
 
   /**
    * Longest expected wait during overload, in target delays, including requests that overtake it.
    */
-  static final int PASSED_PATIENCE = 4;
+  static final int EXPECTED_WAIT_TARGET_DELAYS = 4;
 
   /**
    * During overload, no delay bound applies while fewer requests than this wait or are expected
    * ahead.
    */
-  private static final int MIN_PLACES = 4;
+  private static final int MIN_BOUNDED_LENGTH = 4;
+
   private static final long NEVER = Long.MIN_VALUE;
 
-  private long aboveSince = NEVER;
+  private long aboveTargetDelaySince = NEVER;
   private boolean overloaded;
   private long lastRefusal = NEVER;
 
@@ -80,39 +82,40 @@
    * @param ahead number of queued requests that would be served before this one
    * @param expectedAhead like {@code ahead}, plus later requests expected to overtake it while the
    *     load lasts
-   * @param overShare whether its caller or key holds more than its fair share of the queue
-   * @param excess whether its caller or key is backlogged: its virtual start time is in the future
-   * @param perSecond requests served per second
+   * @param overFairShare whether its caller or key holds more than its fair share of the queue
+   * @param backlogged whether its caller or key is backlogged: its virtual start time is in the
+   *     future
+   * @param requestsPerSecond requests served per second
    * @param targetDelayNanos longest wait during lasting overload, in nanoseconds
    * @param maxWaiting maximum number of queued requests, whatever their delay
-   * @param spareNanos longest wait after which the request can still be answered by its deadline,
+   * @param slackNanos longest wait after which the request can still be answered by its deadline,
    *     in nanoseconds
    */
-  public record Situation(
+  public record QueueState(
       int waiting,
       int ahead,
       int expectedAhead,
-      boolean overShare,
-      boolean excess,
-      double perSecond,
+      boolean overFairShare,
+      boolean backlogged,
+      double requestsPerSecond,
       long targetDelayNanos,
       int maxWaiting,
-      long spareNanos) {
+      long slackNanos) {
     /** Checks the components. */
-    public Situation {
-      checkArgument(perSecond > 0, "perSecond is not positive: %s", perSecond);
+    public QueueState {
+      checkArgument(requestsPerSecond > 0, "perSecond is not positive: %s", requestsPerSecond);
     }
 
     private double waitNanos(int requests) {
-      return requests / perSecond * 1e9;
+      return requests / requestsPerSecond * 1e9;
     }
 
-    private int patience() {
-      return excess ? 1 : WITHIN_TURN_PATIENCE;
+    private int targetDelayMultiple() {
+      return backlogged ? 1 : UNBACKLOGGED_TARGET_DELAYS;
     }
 
     private Verdict refusal() {
-      return overShare ? Verdict.OVER_SHARE : Verdict.FULL;
+      return overFairShare ? Verdict.OVER_SHARE : Verdict.FULL;
     }
   }
 
@@ -124,8 +127,8 @@
    *
    * @param now current monotonic time, in nanoseconds
    */
-  public Verdict decide(Situation situation, long now) {
-    observe(situation, now);
+  public Verdict decide(QueueState situation, long now) {
+    updateOverload(situation, now);
     Verdict verdict = verdict(situation);
     if (verdict != Verdict.WAIT) {
       lastRefusal = now;
@@ -133,42 +136,43 @@
     return verdict;
   }
 
-  private Verdict verdict(Situation situation) {
+  private Verdict verdict(QueueState situation) {
     if (situation.waiting() >= situation.maxWaiting()) {
       return situation.refusal();
     }
-    if (situation.waitNanos(situation.ahead()) > situation.spareNanos()) {
+    if (situation.waitNanos(situation.ahead()) > situation.slackNanos()) {
       return situation.refusal();
     }
     return overloaded && isTooLong(situation) ? situation.refusal() : Verdict.WAIT;
   }
 
-  private static boolean isTooLong(Situation situation) {
-    if (situation.waiting() < MIN_PLACES || situation.expectedAhead() < MIN_PLACES) {
+  private static boolean isTooLong(QueueState situation) {
+    if (situation.waiting() < MIN_BOUNDED_LENGTH
+        || situation.expectedAhead() < MIN_BOUNDED_LENGTH) {
       return false;
     }
     double wait = situation.waitNanos(situation.ahead());
     double expected = situation.waitNanos(situation.expectedAhead());
-    return wait > situation.targetDelayNanos() * situation.patience()
-        || expected > situation.targetDelayNanos() * PASSED_PATIENCE;
+    return wait > situation.targetDelayNanos() * situation.targetDelayMultiple()
+        || expected > situation.targetDelayNanos() * EXPECTED_WAIT_TARGET_DELAYS;
   }
 
-  private void observe(Situation situation, long now) {
+  private void updateOverload(QueueState situation, long now) {
     if (overloaded) {
-      overloaded = lastRefusal != NEVER && now - lastRefusal < CALM_NANOS;
+      overloaded = lastRefusal != NEVER && now - lastRefusal < OVERLOAD_EXIT_NANOS;
       return;
     }
     if (situation.waitNanos(situation.waiting()) <= situation.targetDelayNanos()) {
-      aboveSince = NEVER;
+      aboveTargetDelaySince = NEVER;
       return;
     }
-    if (aboveSince == NEVER) {
-      aboveSince = now;
+    if (aboveTargetDelaySince == NEVER) {
+      aboveTargetDelaySince = now;
     }
-    if (now - aboveSince >= BURST_NANOS) {
+    if (now - aboveTargetDelaySince >= OVERLOAD_ENTRY_NANOS) {
       overloaded = true;
       lastRefusal = now;
-      aboveSince = NEVER;
+      aboveTargetDelaySince = NEVER;
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
@@ -20,10 +20,10 @@
  */
 public final class DrainRate {
   private static final int SAMPLES = 200;
-  private static final double INITIAL_MEAN_NANOS = 20e6;
+  private static final double INITIAL_MEAN_SERVICE_NANOS = 20e6;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private double meanNanos = INITIAL_MEAN_NANOS;
+  private double meanServiceNanos = INITIAL_MEAN_SERVICE_NANOS;
 
   /** Creates an estimate that starts from a service time of 20 ms. */
   public DrainRate() {}
@@ -33,23 +33,23 @@
    *
    * @throws IllegalArgumentException if {@code nanos} is negative
    */
-  public void answered(long nanos) {
+  public void recordServiceTime(long nanos) {
     checkArgument(nanos >= 0, "nanos is negative: %s", nanos);
-    meanNanos += (nanos - meanNanos) / SAMPLES;
+    meanServiceNanos += (nanos - meanServiceNanos) / SAMPLES;
   }
 
   /** Returns the mean service time, in nanoseconds. */
-  public double meanNanos() {
-    return meanNanos;
+  public double meanServiceNanos() {
+    return meanServiceNanos;
   }
 
   /** Returns the requests served per second with the given number in flight, but at least one. */
-  public double perSecond(int inFlight) {
-    return Math.max(1, inFlight) * NANOS_PER_SECOND / meanNanos;
+  public double requestsPerSecond(int inFlight) {
+    return Math.max(1, inFlight) * NANOS_PER_SECOND / meanServiceNanos;
   }
 
   /** Returns the time until the given number of queued requests is sent, in nanoseconds. */
   public double waitNanos(int waiting, int inFlight) {
-    return waiting * meanNanos / Math.max(1, inFlight);
+    return waiting * meanServiceNanos / Math.max(1, inFlight);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -20,9 +20,10 @@
  * start times. A caller's request for a hot key thus waits in that key's backlog, but its other
  * requests do not.
  *
- * <p>A flow may send {@link #AHEAD} requests ahead of its fair share. Otherwise the second of two
- * simultaneous requests of a quiet caller would wait for a whole round of the other flows, which
- * takes longer the fewer requests an entry serves. A hot caller gains these requests only once.
+ * <p>A flow may send {@link #BURST_ALLOWANCE} requests ahead of its fair share. Otherwise the
+ * second of two simultaneous requests of a quiet caller would wait for a whole round of the other
+ * flows, which takes longer the fewer requests an entry serves. A hot caller gains these requests
+ * only once.
  *
  * <p>At most {@link #MAX_FLOWS} clocks per kind of flow are kept, least recently used ones are
  * evicted. An evicted flow is treated as new, which costs fairness for one request.
@@ -36,10 +37,10 @@
   static final int MAX_FLOWS = 4_096;
 
   /** Number of requests that a flow may send ahead of its fair share without waiting. */
-  private static final int AHEAD = 4;
+  private static final int BURST_ALLOWANCE = 4;
 
   /** Served requests per measurement of the virtual time rate: 0.4 s at one entry of nine. */
-  private static final int PACE_REQUESTS = 200;
+  private static final int RATE_WINDOW_REQUESTS = 200;
 
   /** Multiple of the average backlog per flow above which a flow is over its fair share. */
   private static final int OVER_SHARE_FACTOR = 2;
@@ -47,41 +48,41 @@
   private final TreeSet<Ticket<T>> waiting = new TreeSet<>(Ticket.ORDER);
   private final Map<String, Integer> waitingOfCaller = new HashMap<>();
   private final Map<String, Integer> waitingOfKey = new HashMap<>();
-  private final Map<String, Long> callerClocks = new BoundedClocks();
-  private final Map<String, Long> keyClocks = new BoundedClocks();
-  private final TurnCounts turns = new TurnCounts();
+  private final Map<String, Long> callerClocks = new BoundedClockMap();
+  private final Map<String, Long> keyClocks = new BoundedClockMap();
+  private final StartTimeCounts startTimeCounts = new StartTimeCounts();
   private long virtualTime;
   private long sequence;
-  private int served;
-  private long virtualTimeBefore;
-  private double turnsPerRequest = 1;
+  private int servedInWindow;
+  private long windowStartVirtualTime;
+  private double virtualTimePerRequest = 1;
 
   /** A queued request; pass it to {@link #restore} or {@link #remove}. */
   public static final class Ticket<T> {
     private static final Comparator<Ticket<?>> ORDER =
-        Comparator.<Ticket<?>>comparingLong(ticket -> ticket.start)
+        Comparator.<Ticket<?>>comparingLong(ticket -> ticket.startTime)
             .thenComparingLong(ticket -> ticket.sequence);
 
     private final T item;
     private final String caller;
     private final String key;
-    private final long start;
+    private final long startTime;
     private final long sequence;
-    private final boolean excess;
-    private int place;
+    private final boolean backlogged;
+    private int countSlot;
 
     private Ticket(T item, String caller, String key, long start, long sequence, boolean excess) {
-      this.excess = excess;
+      this.backlogged = excess;
       this.item = item;
       this.caller = caller;
       this.key = key;
-      this.start = start;
+      this.startTime = start;
       this.sequence = sequence;
     }
 
     /** Returns whether its caller or key was backlogged when it was added. */
-    public boolean isExcess() {
-      return excess;
+    public boolean isBacklogged() {
+      return backlogged;
     }
 
     /** Returns the queued item. */
@@ -93,10 +94,10 @@
   /** Creates an empty queue. */
   public FairQueue() {}
 
-  private static final class BoundedClocks extends LinkedHashMap<String, Long> {
+  private static final class BoundedClockMap extends LinkedHashMap<String, Long> {
     private static final long serialVersionUID = 1;
 
-    private BoundedClocks() {
+    private BoundedClockMap() {
       super(16, 0.75f, true);
     }
 
@@ -113,26 +114,26 @@
    */
   public Ticket<T> add(T item, String caller, String key) {
     requireNonNull(item, "item");
-    long start = advance(callerClocks, caller);
+    long start = advanceClock(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, advance(keyClocks, key));
+      start = Math.max(start, advanceClock(keyClocks, key));
     }
     Ticket<T> ticket = new Ticket<>(item, caller, key, start, sequence++, start > virtualTime);
     insert(ticket);
     return ticket;
   }
 
-  private long advance(Map<String, Long> clocks, String flow) {
-    long start = startOf(clocks, flow);
+  private long advanceClock(Map<String, Long> clocks, String flow) {
+    long start = clockOf(clocks, flow);
     clocks.put(flow, start + 1);
-    return turnOf(start);
+    return startTimeAt(start);
   }
 
-  private long turnOf(long start) {
-    return Math.max(virtualTime, start - AHEAD);
+  private long startTimeAt(long start) {
+    return Math.max(virtualTime, start - BURST_ALLOWANCE);
   }
 
-  private long startOf(Map<String, Long> clocks, String flow) {
+  private long clockOf(Map<String, Long> clocks, String flow) {
     return Math.max(virtualTime, clocks.getOrDefault(flow, virtualTime));
   }
 
@@ -143,14 +144,14 @@
    */
   public void restore(Ticket<T> ticket) {
     checkArgument(!waiting.contains(ticket), "ticket is already in the queue");
-    served--;
+    servedInWindow--;
     insert(ticket);
   }
 
   private void insert(Ticket<T> ticket) {
     waiting.add(ticket);
-    ticket.place = TurnCounts.placeOf(ticket.start, virtualTime);
-    turns.add(ticket.place, 1);
+    ticket.countSlot = StartTimeCounts.slotOf(ticket.startTime, virtualTime);
+    startTimeCounts.add(ticket.countSlot, 1);
     waitingOfCaller.merge(ticket.caller, 1, Integer::sum);
     if (!ticket.key.isEmpty()) {
       waitingOfKey.merge(ticket.key, 1, Integer::sum);
@@ -165,18 +166,19 @@
     if (ticket == null) {
       return Optional.empty();
     }
-    virtualTime = Math.max(virtualTime, ticket.start);
-    forget(ticket);
-    notePace();
+    virtualTime = Math.max(virtualTime, ticket.startTime);
+    updateCountsOnRemoval(ticket);
+    updateVirtualTimeRate();
     return Optional.of(ticket);
   }
 
-  private void notePace() {
-    served++;
-    if (served >= PACE_REQUESTS) {
-      turnsPerRequest = Math.max(1, virtualTime - virtualTimeBefore) / (double) served;
-      served = 0;
-      virtualTimeBefore = virtualTime;
+  private void updateVirtualTimeRate() {
+    servedInWindow++;
+    if (servedInWindow >= RATE_WINDOW_REQUESTS) {
+      virtualTimePerRequest =
+          Math.max(1, virtualTime - windowStartVirtualTime) / (double) servedInWindow;
+      servedInWindow = 0;
+      windowStartVirtualTime = virtualTime;
     }
   }
 
@@ -184,13 +186,13 @@
   public boolean remove(Ticket<T> ticket) {
     boolean removed = waiting.remove(ticket);
     if (removed) {
-      forget(ticket);
+      updateCountsOnRemoval(ticket);
     }
     return removed;
   }
 
-  private void forget(Ticket<T> ticket) {
-    turns.add(ticket.place, -1);
+  private void updateCountsOnRemoval(Ticket<T> ticket) {
+    startTimeCounts.add(ticket.countSlot, -1);
     decrement(waitingOfCaller, ticket.caller);
     if (!ticket.key.isEmpty()) {
       decrement(waitingOfKey, ticket.key);
@@ -211,7 +213,7 @@
   }
 
   /** Returns the number of caller clocks, at most {@link #MAX_FLOWS}. */
-  int clocks() {
+  int callerClockCount() {
     return callerClocks.size();
   }
 
@@ -224,36 +226,38 @@
    * Returns the number of queued requests that would be served before a new one of this caller and
    * key.
    */
-  public int aheadOf(String caller, String key) {
-    return turns.upTo(TurnCounts.placeOf(nextTurn(caller, key), virtualTime), virtualTime);
+  public int countAhead(String caller, String key) {
+    return startTimeCounts.countUpTo(
+        StartTimeCounts.slotOf(nextStartTime(caller, key), virtualTime), virtualTime);
   }
 
   /**
    * Returns the number of requests expected to be served before a new one of this caller and key,
    * including later requests that overtake it if virtual time keeps its recent rate.
    */
-  public int expectedAheadOf(String caller, String key) {
-    double requestsUntilStart = (nextTurn(caller, key) - virtualTime) / turnsPerRequest;
-    return Math.max(aheadOf(caller, key), (int) Math.min(Integer.MAX_VALUE, requestsUntilStart));
+  public int expectedCountAhead(String caller, String key) {
+    double requestsUntilStart = (nextStartTime(caller, key) - virtualTime) / virtualTimePerRequest;
+    return Math.max(countAhead(caller, key), (int) Math.min(Integer.MAX_VALUE, requestsUntilStart));
   }
 
-  private long nextTurn(String caller, String key) {
-    long start = startOf(callerClocks, caller);
+  private long nextStartTime(String caller, String key) {
+    long start = clockOf(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, startOf(keyClocks, key));
+      start = Math.max(start, clockOf(keyClocks, key));
     }
-    return turnOf(start);
+    return startTimeAt(start);
   }
 
   /** Returns whether a new request of this caller and key would be backlogged. */
-  public boolean isExcess(String caller, String key) {
-    return nextTurn(caller, key) > virtualTime;
+  public boolean isBacklogged(String caller, String key) {
+    return nextStartTime(caller, key) > virtualTime;
   }
 
   /** Returns whether the caller or key holds more than its fair share of the queue. */
-  public boolean isOverShare(String caller, String key) {
+  public boolean isOverFairShare(String caller, String key) {
     long callerShare = (long) waitingOfCaller.getOrDefault(caller, 0) * waitingOfCaller.size();
-    long keyShare = key.isEmpty() ? 0 : (long) waitingOfKey.getOrDefault(key, 0) * waitingOfKey.size();
+    long keyShare =
+        key.isEmpty() ? 0 : (long) waitingOfKey.getOrDefault(key, 0) * waitingOfKey.size();
     return Math.max(callerShare, keyShare) > OVER_SHARE_FACTOR * waiting.size();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/ComeBackTimes.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/RetryAfterEstimator.java
@@ -12,24 +12,25 @@
  * current queue plus a random part, which spreads the refused callers over the time needed to serve
  * all of them.
  *
- * <p>Recent refusals are counted with an exponential decay of half-life {@link #HALF_LIFE_NANOS}.
- * The spread is at least a second, because the Retry-After header counts whole seconds, and at most
- * {@link #MAX_SPREAD_MILLIS}, because an estimate does not justify a delay of minutes.
+ * <p>Recent refusals are counted with an exponential decay of half-life {@link
+ * #REFUSAL_HALF_LIFE_NANOS}. The spread is at least a second, because the Retry-After header counts
+ * whole seconds, and at most {@link #MAX_SPREAD_MILLIS}, because an estimate does not justify a
+ * delay of minutes.
  *
  * <p>Not thread-safe.
  */
-public final class ComeBackTimes {
-  static final long HALF_LIFE_NANOS = 2_000_000_000L;
+public final class RetryAfterEstimator {
+  static final long REFUSAL_HALF_LIFE_NANOS = 2_000_000_000L;
   static final long MAX_SPREAD_MILLIS = 30_000;
   private static final long MIN_SPREAD_MILLIS = 1_000;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final RandomGenerator random;
-  private double refused;
-  private long countedAt;
+  private double recentRefusals;
+  private long refusedUpdatedAt;
 
   /** Creates an estimator without recent refusals. */
-  public ComeBackTimes(RandomGenerator random) {
+  public RetryAfterEstimator(RandomGenerator random) {
     this.random = requireNonNull(random, "random");
   }
 
@@ -40,11 +41,11 @@
    * @param requestsPerSecond requests served per second
    * @param now current monotonic time, in nanoseconds
    */
-  public long next(double waitNanos, double requestsPerSecond, long now) {
-    double ageNanos = Math.max(0, now - countedAt);
-    refused = refused * Math.pow(0.5, ageNanos / HALF_LIFE_NANOS) + 1;
-    countedAt = now;
-    long spreadMillis = (long) (refused / requestsPerSecond * MILLIS_PER_SECOND);
+  public long retryAfterMillis(double waitNanos, double requestsPerSecond, long now) {
+    double ageNanos = Math.max(0, now - refusedUpdatedAt);
+    recentRefusals = recentRefusals * Math.pow(0.5, ageNanos / REFUSAL_HALF_LIFE_NANOS) + 1;
+    refusedUpdatedAt = now;
+    long spreadMillis = (long) (recentRefusals / requestsPerSecond * MILLIS_PER_SECOND);
     spreadMillis = Math.max(MIN_SPREAD_MILLIS, Math.min(MAX_SPREAD_MILLIS, spreadMillis));
     return (long) (waitNanos / 1e6) + 1 + random.nextLong(spreadMillis);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/WireId.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptId.java
@@ -7,7 +7,7 @@
  * @param sequence number of the attempt, assigned when it is sent and increasing within the
  *     incarnation
  */
-public record WireId(long entryIncarnation, long sequence) {
+public record AttemptId(long entryIncarnation, long sequence) {
   @Override
   public String toString() {
     return Long.toHexString(entryIncarnation) + "-" + sequence;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -30,7 +30,7 @@
  *
  * @param <A> the type of a kept answer
  */
-public final class RequestLedger<A> {
+public final class AttemptTable<A> {
   /** The state of an attempt. */
   public enum State {
     /** Never seen. */
@@ -47,16 +47,16 @@
     FORGOTTEN
   }
 
-  private record Kept<A>(State state, Optional<A> answer, long bytes, long forgetAt) {}
+  private record EndedAttempt<A>(State state, Optional<A> answer, long bytes, long expiresAt) {}
 
   private final int maxEnded;
   private final long maxAnswerBytes;
-  private final long windowNanos;
-  private final Map<WireId, State> alive = new HashMap<>();
-  private final LinkedHashMap<WireId, Kept<A>> ended = new LinkedHashMap<>();
-  private final LinkedHashMap<WireId, Long> answerSizes = new LinkedHashMap<>();
-  private final Map<Long, SettledSequences> settled = new HashMap<>();
-  private final Map<Long, Long> forgottenUpTo = new HashMap<>();
+  private final long retentionNanos;
+  private final Map<AttemptId, State> active = new HashMap<>();
+  private final LinkedHashMap<AttemptId, EndedAttempt<A>> ended = new LinkedHashMap<>();
+  private final LinkedHashMap<AttemptId, Long> answerSizes = new LinkedHashMap<>();
+  private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
+  private final Map<Long, Long> highestForgotten = new HashMap<>();
   private long answerBytes;
 
   /**
@@ -66,36 +66,38 @@
    * @param maxAnswerBytes maximum total size of kept answers, in bytes
    * @param windowNanos time that an ended attempt is kept, in nanoseconds
    */
-  public RequestLedger(int maxEnded, long maxAnswerBytes, long windowNanos) {
+  public AttemptTable(int maxEnded, long maxAnswerBytes, long windowNanos) {
     checkArgument(maxEnded > 0, "maxEnded is not positive: %s", maxEnded);
     checkArgument(maxAnswerBytes >= 0, "maxAnswerBytes is negative: %s", maxAnswerBytes);
     checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.maxEnded = maxEnded;
     this.maxAnswerBytes = maxAnswerBytes;
-    this.windowNanos = windowNanos;
+    this.retentionNanos = windowNanos;
   }
 
   /** Returns the state of the attempt. */
-  public State state(WireId id) {
-    State activeState = alive.get(id);
+  public State state(AttemptId id) {
+    State activeState = active.get(id);
     if (activeState != null) {
       return activeState;
     }
-    Kept<A> kept = ended.get(id);
+    EndedAttempt<A> kept = ended.get(id);
     if (kept != null) {
       return kept.state();
     }
-    Long highestEvicted = forgottenUpTo.get(id.entryIncarnation());
+    Long highestEvicted = highestForgotten.get(id.entryIncarnation());
     if (highestEvicted != null && id.sequence() <= highestEvicted) {
       return State.FORGOTTEN;
     }
-    SettledSequences acknowledged = settled.get(id.entryIncarnation());
-    return acknowledged != null && acknowledged.contains(id.sequence()) ? State.FORGOTTEN : State.UNSEEN;
+    AcknowledgedSequences acknowledged = acknowledgedSequences.get(id.entryIncarnation());
+    return acknowledged != null && acknowledged.contains(id.sequence())
+        ? State.FORGOTTEN
+        : State.UNSEEN;
   }
 
   /** Returns the answer of a done attempt, if it is still kept. */
-  public Optional<A> answer(WireId id) {
-    Kept<A> kept = ended.get(id);
+  public Optional<A> answer(AttemptId id) {
+    EndedAttempt<A> kept = ended.get(id);
     return kept == null ? Optional.empty() : kept.answer();
   }
 
@@ -104,11 +106,11 @@
    *
    * @return whether it may run; false if its id was seen before
    */
-  public boolean admit(WireId id) {
+  public boolean admit(AttemptId id) {
     if (state(id) != State.UNSEEN) {
       return false;
     }
-    alive.put(id, State.WAITING);
+    active.put(id, State.WAITING);
     return true;
   }
 
@@ -117,9 +119,10 @@
    *
    * @throws IllegalStateException if the attempt is not waiting
    */
-  public void started(WireId id) {
-    checkState(alive.get(id) == State.WAITING, "attempt %s is %s, expected WAITING", id, state(id));
-    alive.put(id, State.RUNNING);
+  public void started(AttemptId id) {
+    checkState(
+        active.get(id) == State.WAITING, "attempt %s is %s, expected WAITING", id, state(id));
+    active.put(id, State.RUNNING);
   }
 
   /**
@@ -128,7 +131,7 @@
    * @return true if the attempt is proven never to run; false if it is running, has run, or its id
    *     was evicted
    */
-  public boolean bury(WireId id, long now) {
+  public boolean markNotRun(AttemptId id, long now) {
     State state = state(id);
     if (state == State.TOMBSTONE) {
       return true;
@@ -136,15 +139,15 @@
     if (state != State.UNSEEN && state != State.WAITING) {
       return false;
     }
-    alive.remove(id);
-    end(id, new Kept<>(State.TOMBSTONE, Optional.empty(), 0, now + windowNanos), now);
+    active.remove(id);
+    end(id, new EndedAttempt<>(State.TOMBSTONE, Optional.empty(), 0, now + retentionNanos), now);
     return true;
   }
 
   /** Sets a tombstone on a started attempt of which the target provably received no byte. */
-  public void neverReached(WireId id, long now) {
-    alive.remove(id);
-    end(id, new Kept<>(State.TOMBSTONE, Optional.empty(), 0, now + windowNanos), now);
+  public void markUndelivered(AttemptId id, long now) {
+    active.remove(id);
+    end(id, new EndedAttempt<>(State.TOMBSTONE, Optional.empty(), 0, now + retentionNanos), now);
   }
 
   /**
@@ -153,25 +156,26 @@
    * @param bytes size of the answer
    * @throws IllegalStateException if the attempt is not running
    */
-  public void done(WireId id, A answer, long bytes, long now) {
-    checkState(alive.remove(id) == State.RUNNING, "attempt %s is not running", id);
-    end(id, new Kept<>(State.DONE, Optional.of(answer), bytes, now + windowNanos), now);
+  public void done(AttemptId id, A answer, long bytes, long now) {
+    checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
+    end(id, new EndedAttempt<>(State.DONE, Optional.of(answer), bytes, now + retentionNanos), now);
   }
 
   /**
    * Drops the answer of a done attempt whose entry has received it completely, but keeps its id.
    */
-  public void acknowledged(WireId id, long now) {
-    Kept<A> kept = ended.get(id);
+  public void acknowledged(AttemptId id, long now) {
+    EndedAttempt<A> kept = ended.get(id);
     if (kept == null || kept.state() != State.DONE) {
       return;
     }
     ended.remove(id);
-    dropSize(id, kept);
-    SettledSequences sequences =
-        settled.computeIfAbsent(id.entryIncarnation(), entry -> new SettledSequences());
-    sequences.add(id.sequence(), now + windowNanos);
-    raiseMark(id.entryIncarnation(), sequences.passedUpTo());
+    removeResponseSize(id, kept);
+    AcknowledgedSequences sequences =
+        acknowledgedSequences.computeIfAbsent(
+            id.entryIncarnation(), entry -> new AcknowledgedSequences());
+    sequences.add(id.sequence(), now + retentionNanos);
+    raiseHighestForgotten(id.entryIncarnation(), sequences.evictedUpTo());
   }
 
   /**
@@ -179,26 +183,26 @@
    *
    * @throws IllegalStateException if the attempt is not running
    */
-  public void doneUnkept(WireId id, long now) {
-    checkState(alive.remove(id) == State.RUNNING, "attempt %s is not running", id);
-    end(id, new Kept<>(State.FORGOTTEN, Optional.empty(), 0, now + windowNanos), now);
+  public void doneWithoutResponse(AttemptId id, long now) {
+    checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
+    end(id, new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, now + retentionNanos), now);
   }
 
   /** Removes ended attempts whose retention time has passed. */
   public void expire(long now) {
     expireEnded(now);
-    expireSettled(now);
+    expireAcknowledged(now);
   }
 
   private void expireEnded(long now) {
-    Iterator<Map.Entry<WireId, Kept<A>>> oldest = ended.entrySet().iterator();
+    Iterator<Map.Entry<AttemptId, EndedAttempt<A>>> oldest = ended.entrySet().iterator();
     while (oldest.hasNext()) {
-      Map.Entry<WireId, Kept<A>> entry = oldest.next();
-      boolean due = entry.getValue().forgetAt() - now <= 0;
+      Map.Entry<AttemptId, EndedAttempt<A>> entry = oldest.next();
+      boolean due = entry.getValue().expiresAt() - now <= 0;
       if (!due && ended.size() <= maxEnded) {
         return;
       }
-      forget(entry.getKey(), entry.getValue());
+      evict(entry.getKey(), entry.getValue());
       oldest.remove();
     }
   }
@@ -206,12 +210,13 @@
   /**
    * Removes the acknowledged sequences of entry incarnations that have ended, a few kilobytes each.
    */
-  private void expireSettled(long now) {
-    Iterator<Map.Entry<Long, SettledSequences>> each = settled.entrySet().iterator();
+  private void expireAcknowledged(long now) {
+    Iterator<Map.Entry<Long, AcknowledgedSequences>> each =
+        acknowledgedSequences.entrySet().iterator();
     while (each.hasNext()) {
-      Map.Entry<Long, SettledSequences> entry = each.next();
-      if (entry.getValue().forgetAt() - now <= 0) {
-        raiseMark(entry.getKey(), entry.getValue().highest());
+      Map.Entry<Long, AcknowledgedSequences> entry = each.next();
+      if (entry.getValue().expiresAt() - now <= 0) {
+        raiseHighestForgotten(entry.getKey(), entry.getValue().highest());
         each.remove();
       }
     }
@@ -222,12 +227,12 @@
     return answerBytes;
   }
 
-  private void end(WireId id, Kept<A> kept, long now) {
+  private void end(AttemptId id, EndedAttempt<A> kept, long now) {
     ended.put(id, kept);
     if (kept.bytes() > 0) {
       answerSizes.put(id, kept.bytes());
       answerBytes += kept.bytes();
-      dropAnswers();
+      evictResponses();
     }
     expireEnded(now);
   }
@@ -236,30 +241,31 @@
    * Evicts the oldest answers but keeps their ids, so that these attempts are still known to have
    * run.
    */
-  private void dropAnswers() {
-    Iterator<Map.Entry<WireId, Long>> oldest = answerSizes.entrySet().iterator();
+  private void evictResponses() {
+    Iterator<Map.Entry<AttemptId, Long>> oldest = answerSizes.entrySet().iterator();
     while (answerBytes > maxAnswerBytes && oldest.hasNext()) {
-      Map.Entry<WireId, Long> entry = oldest.next();
-      Kept<A> kept = ended.get(entry.getKey());
+      Map.Entry<AttemptId, Long> entry = oldest.next();
+      EndedAttempt<A> kept = ended.get(entry.getKey());
       ended.replace(
-          entry.getKey(), new Kept<>(State.FORGOTTEN, Optional.empty(), 0, kept.forgetAt()));
+          entry.getKey(),
+          new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, kept.expiresAt()));
       answerBytes -= entry.getValue();
       oldest.remove();
     }
   }
 
-  private void forget(WireId id, Kept<A> kept) {
-    raiseMark(id.entryIncarnation(), id.sequence());
-    dropSize(id, kept);
+  private void evict(AttemptId id, EndedAttempt<A> kept) {
+    raiseHighestForgotten(id.entryIncarnation(), id.sequence());
+    removeResponseSize(id, kept);
   }
 
-  private void dropSize(WireId id, Kept<A> kept) {
+  private void removeResponseSize(AttemptId id, EndedAttempt<A> kept) {
     if (answerSizes.remove(id) != null) {
       answerBytes -= kept.bytes();
     }
   }
 
-  private void raiseMark(long entryIncarnation, long sequence) {
-    forgottenUpTo.merge(entryIncarnation, sequence, Math::max);
+  private void raiseHighestForgotten(long entryIncarnation, long sequence) {
+    highestForgotten.merge(entryIncarnation, sequence, Math::max);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
@@ -15,7 +15,7 @@
  */
 public interface RequestPolicy {
   /** Handles a new request. */
-  List<Decision> arrived(Arrival arrival, long now);
+  List<Decision> requestArrived(Arrival arrival, long now);
 
   /** Replaces the set of targets; targets missing from the list are removed. */
   List<Decision> targetsChanged(List<TargetState> targets, long now);
@@ -24,7 +24,7 @@
    * Handles a load report of a target's side process. A report that is part of an answer may be
    * passed before or after {@link #attemptEnded}.
    */
-  List<Decision> reported(String vm, TargetLoad load, long now);
+  List<Decision> loadReported(String vm, TargetLoad load, long now);
 
   /**
    * Handles the outcome of an attempt. If the policy retries the request, a new {@link
@@ -33,7 +33,7 @@
   List<Decision> attemptEnded(long request, String vm, AttemptOutcome outcome, long now);
 
   /** Handles the disconnection of the caller of a queued or sent request. */
-  List<Decision> callerGone(long request, long now);
+  List<Decision> callerDisconnected(long request, long now);
 
   /** Returns whether the policy still tracks the request, queued or sent. */
   boolean isPending(long request);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
@@ -9,9 +9,9 @@
  * @param waiting requests queued at the side process for a free slot
  * @param entries number of entries that the side process recently received messages from; each
  *     entry computes its fair share from it
- * @param leaving whether the target is draining and accepts no new requests
+ * @param draining whether the target is draining and accepts no new requests
  */
-public record TargetLoad(int inFlight, int waiting, int entries, boolean leaving) {
+public record TargetLoad(int inFlight, int waiting, int entries, boolean draining) {
   /** Checks the components. */
   public TargetLoad {
     checkArgument(inFlight >= 0, "inFlight is negative: %s", inFlight);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/WaitingRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetQueueLimit.java
@@ -14,14 +14,14 @@
  * other quarter is for requests that several entries send at the same time and that would be
  * rejected otherwise. A request above the limit is answered as not run.
  */
-public final class WaitingRoom {
-  private static final int SLOTS_PER_PLACE = 2;
+public final class TargetQueueLimit {
+  private static final int SLOTS_PER_QUEUED_REQUEST = 2;
 
-  private WaitingRoom() {}
+  private TargetQueueLimit() {}
 
   /** Returns the queue limit of a target with the given number of slots; at least 1. */
-  public static int placesFor(int slots) {
+  public static int forSlots(int slots) {
     checkArgument(slots > 0, "slots is not positive: %s", slots);
-    return Math.max(1, slots / SLOTS_PER_PLACE);
+    return Math.max(1, slots / SLOTS_PER_QUEUED_REQUEST);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetState.java
@@ -14,10 +14,10 @@
  * @param service name of the service
  * @param zone availability zone of the VM
  * @param slots number of requests that the target processes concurrently
- * @param leaving whether the target is draining and accepts no new requests
+ * @param draining whether the target is draining and accepts no new requests
  */
 public record TargetState(
-    String vm, long incarnation, String service, String zone, int slots, boolean leaving) {
+    String vm, long incarnation, String service, String zone, int slots, boolean draining) {
   /** Checks the components. */
   public TargetState {
     requireNonNull(vm, "vm");
@@ -27,7 +27,7 @@
   }
 
   /** Returns a copy of this state with the target draining. */
-  public TargetState asLeaving() {
+  public TargetState asDraining() {
     return new TargetState(vm, incarnation, service, zone, slots, true);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyStore.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/IdempotencyKeyStore.java
@@ -22,7 +22,7 @@
  * @param <W> the type of a waiter for an outcome
  * @param <A> the type of an outcome
  */
-public final class KeyStore<W, A> {
+public final class IdempotencyKeyStore<W, A> {
   /** The decision on a request with a key. */
   public sealed interface Admission<A> {
     /** The request runs now. */
@@ -32,7 +32,7 @@
     record Join<A>() implements Admission<A> {}
 
     /** A request with this key has run; the outcome is empty if it was evicted. */
-    record Ran<A>(Optional<A> outcome) implements Admission<A> {}
+    record Completed<A>(Optional<A> outcome) implements Admission<A> {}
 
     /** The key was used with a different request. */
     record Conflict<A>() implements Admission<A> {}
@@ -42,15 +42,15 @@
   }
 
   /** The state of one key; {@code forgetAt} is 0 while its request is running. */
-  private static final class Known<W, A> {
+  private static final class KeyState<W, A> {
     private final long fingerprint;
     private final List<W> waiters = new ArrayList<>();
     private Optional<A> outcome = Optional.empty();
     private long bytes;
-    private long forgetAt;
+    private long expiresAt;
     private boolean ended;
 
-    Known(long fingerprint) {
+    KeyState(long fingerprint) {
       this.fingerprint = fingerprint;
     }
   }
@@ -62,15 +62,15 @@
    * @param fingerprint hash of the request's method, path and body
    * @param outcome the outcome; empty if it was evicted
    * @param outcomeBytes size of the outcome, in bytes
-   * @param forgetAt expiry time of the key, in nanoseconds of the store's clock
+   * @param expiresAt expiry time of the key, in nanoseconds of the store's clock
    */
-  public record Ended<A>(
-      String key, long fingerprint, Optional<A> outcome, long outcomeBytes, long forgetAt) {}
+  public record CompletedKey<A>(
+      String key, long fingerprint, Optional<A> outcome, long outcomeBytes, long expiresAt) {}
 
   private final int maxKeys;
   private final long maxBytes;
-  private final Map<String, Known<W, A>> running = new LinkedHashMap<>();
-  private final LinkedHashMap<String, Known<W, A>> ended = new LinkedHashMap<>();
+  private final Map<String, KeyState<W, A>> running = new LinkedHashMap<>();
+  private final LinkedHashMap<String, KeyState<W, A>> completed = new LinkedHashMap<>();
   private long bytes;
 
   /**
@@ -79,7 +79,7 @@
    * @param maxKeys maximum number of keys
    * @param maxBytes maximum total size of outcomes, in bytes
    */
-  public KeyStore(int maxKeys, long maxBytes) {
+  public IdempotencyKeyStore(int maxKeys, long maxBytes) {
     checkArgument(maxKeys > 0, "maxKeys is not positive: %s", maxKeys);
     checkArgument(maxBytes >= 0, "maxBytes is negative: %s", maxBytes);
     this.maxKeys = maxKeys;
@@ -97,25 +97,25 @@
    */
   public Admission<A> admit(String key, long fingerprint, W waiter, long now) {
     expire(now);
-    Known<W, A> state = running.getOrDefault(key, ended.get(key));
+    KeyState<W, A> state = running.getOrDefault(key, completed.get(key));
     if (state == null) {
-      if (running.size() + ended.size() >= maxKeys) {
+      if (running.size() + completed.size() >= maxKeys) {
         return new Admission.Full<>();
       }
-      running.put(key, new Known<>(fingerprint));
+      running.put(key, new KeyState<>(fingerprint));
       return new Admission.Run<>();
     }
-    if (state.ended && state.forgetAt - now <= 0) {
+    if (state.ended && state.expiresAt - now <= 0) {
       // An imported key may be queued behind keys that expire later.
-      forget(state);
-      ended.remove(key);
+      releaseBytes(state);
+      completed.remove(key);
       return admit(key, fingerprint, waiter, now);
     }
     if (state.fingerprint != fingerprint) {
       return new Admission.Conflict<>();
     }
     if (state.ended) {
-      return new Admission.Ran<>(state.outcome);
+      return new Admission.Completed<>(state.outcome);
     }
     state.waiters.add(waiter);
     return new Admission.Join<>();
@@ -132,10 +132,11 @@
    * @return the requests that wait for the outcome
    * @throws IllegalStateException if no request with the key is running
    */
-  public List<W> ran(String key, A outcome, long outcomeBytes, long now) {
-    Known<W, A> state = running.remove(key);
+  public List<W> complete(String key, A outcome, long outcomeBytes, long now) {
+    KeyState<W, A> state = running.remove(key);
     checkState(state != null, "no request with key %s is running", key);
-    end(key, state, Optional.of(outcome), outcomeBytes, now + KeyTerms.WINDOW_NANOS);
+    recordCompletion(
+        key, state, Optional.of(outcome), outcomeBytes, now + KeyTimeouts.OUTCOME_RETENTION_NANOS);
     List<W> waiters = ImmutableList.copyOf(state.waiters);
     state.waiters.clear();
     return waiters;
@@ -146,21 +147,22 @@
    *
    * @throws IllegalStateException if no request with the key is running
    */
-  public List<W> notRun(String key) {
-    Known<W, A> state = running.remove(key);
+  public List<W> abort(String key) {
+    KeyState<W, A> state = running.remove(key);
     checkState(state != null, "no request with key %s is running", key);
     return ImmutableList.copyOf(state.waiters);
   }
 
   /** Returns the keys of the shard whose requests have run, without those that are running. */
-  public List<Ended<A>> endedOf(int shard, long now) {
+  public List<CompletedKey<A>> completedKeys(int shard, long now) {
     expire(now);
-    ImmutableList.Builder<Ended<A>> found = ImmutableList.builder();
-    ended.forEach(
+    ImmutableList.Builder<CompletedKey<A>> found = ImmutableList.builder();
+    completed.forEach(
         (key, state) -> {
           if (KeyShards.of(key) == shard) {
             found.add(
-                new Ended<>(key, state.fingerprint, state.outcome, state.bytes, state.forgetAt));
+                new CompletedKey<>(
+                    key, state.fingerprint, state.outcome, state.bytes, state.expiresAt));
           }
         });
     return found.build();
@@ -174,48 +176,48 @@
    *
    * @return whether the keys were imported
    */
-  public boolean takeOver(List<Ended<A>> keys, long now) {
+  public boolean importKeys(List<CompletedKey<A>> keys, long now) {
     expire(now);
-    if (running.size() + ended.size() + keys.size() > maxKeys) {
+    if (running.size() + completed.size() + keys.size() > maxKeys) {
       return false;
     }
-    for (Ended<A> key : keys) {
+    for (CompletedKey<A> key : keys) {
       if (running.containsKey(key.key())) {
         continue;
       }
-      Known<W, A> older = ended.remove(key.key());
+      KeyState<W, A> older = completed.remove(key.key());
       if (older != null) {
-        forget(older);
+        releaseBytes(older);
       }
-      end(
+      recordCompletion(
           key.key(),
-          new Known<>(key.fingerprint()),
+          new KeyState<>(key.fingerprint()),
           key.outcome(),
           key.outcomeBytes(),
-          key.forgetAt());
+          key.expiresAt());
     }
     return true;
   }
 
-  private void end(
-      String key, Known<W, A> state, Optional<A> outcome, long outcomeBytes, long forgetAt) {
+  private void recordCompletion(
+      String key, KeyState<W, A> state, Optional<A> outcome, long outcomeBytes, long forgetAt) {
     state.ended = true;
-    state.forgetAt = forgetAt;
-    ended.put(key, state);
+    state.expiresAt = forgetAt;
+    completed.put(key, state);
     if (outcomeBytes <= maxBytes) {
       state.outcome = outcome;
       state.bytes = outcomeBytes;
       bytes += outcomeBytes;
-      dropOutcomes();
+      evictOutcomes();
     }
   }
 
-  private void forget(Known<W, A> state) {
+  private void releaseBytes(KeyState<W, A> state) {
     bytes -= state.bytes;
   }
 
-  private void dropOutcomes() {
-    for (Known<W, A> oldest : ended.values()) {
+  private void evictOutcomes() {
+    for (KeyState<W, A> oldest : completed.values()) {
       if (bytes <= maxBytes) {
         return;
       }
@@ -227,13 +229,13 @@
 
   /** Removes completed keys whose retention time has passed. */
   private void expire(long now) {
-    Iterator<Known<W, A>> oldest = ended.values().iterator();
+    Iterator<KeyState<W, A>> oldest = completed.values().iterator();
     while (oldest.hasNext()) {
-      Known<W, A> state = oldest.next();
-      if (state.forgetAt - now > 0) {
+      KeyState<W, A> state = oldest.next();
+      if (state.expiresAt - now > 0) {
         return;
       }
-      forget(state);
+      releaseBytes(state);
       oldest.remove();
     }
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyShardTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyShardTable.java
@@ -53,8 +53,8 @@
   }
 
   private final MonotonicClock clock;
-  private final Map<Shard, KeyHome> homes = new TreeMap<>();
-  private final Map<Shard, Long> quietUntil = new TreeMap<>();
+  private final Map<Shard, ShardOwner> owners = new TreeMap<>();
+  private final Map<Shard, Long> servesFrom = new TreeMap<>();
 
   /**
    * Creates a table without owners.
@@ -91,7 +91,7 @@
    * @param incarnation incarnation of the successor
    */
   public static JsonNode handover(
-      String service, int shard, KeyHome from, String vm, long incarnation) {
+      String service, int shard, ShardOwner from, String vm, long incarnation) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.put("service", service).put("shard", shard);
     body.put("fromVm", from.vm()).put("fromIncarnation", from.incarnation());
@@ -105,14 +105,14 @@
   }
 
   /** Returns the owner of the shard, or empty if it has none. */
-  public synchronized Optional<KeyHome> home(String service, int shard) {
-    return Optional.ofNullable(homes.get(new Shard(service, shard)));
+  public synchronized Optional<ShardOwner> owner(String service, int shard) {
+    return Optional.ofNullable(owners.get(new Shard(service, shard)));
   }
 
   /** Returns the owners of the service's shards, by shard. */
-  public synchronized Map<Integer, KeyHome> homes(String service) {
-    ImmutableMap.Builder<Integer, KeyHome> found = ImmutableMap.builder();
-    homes.forEach(
+  public synchronized Map<Integer, ShardOwner> owners(String service) {
+    ImmutableMap.Builder<Integer, ShardOwner> found = ImmutableMap.builder();
+    owners.forEach(
         (shard, owner) -> {
           if (shard.service().equals(service)) {
             found.put(shard.number(), owner);
@@ -123,7 +123,7 @@
 
   /** Returns the services with at least one owned shard. */
   public synchronized Collection<String> services() {
-    return homes.keySet().stream().map(Shard::service).distinct().toList();
+    return owners.keySet().stream().map(Shard::service).distinct().toList();
   }
 
   @Override
@@ -146,11 +146,12 @@
     }
     for (JsonNode number : body.path("shards")) {
       Shard shard = new Shard(service, number.asInt(-1));
-      if (shard.number() < 0 || shard.number() >= KeyShards.COUNT || homes.containsKey(shard)) {
+      if (shard.number() < 0 || shard.number() >= KeyShards.COUNT || owners.containsKey(shard)) {
         continue;
       }
-      long servesFromNanos = quietUntil.getOrDefault(shard, clock.nanos());
-      homes.put(shard, new KeyHome(vm, body.path("incarnation").asLong(), position, servesFromNanos));
+      long servesFromNanos = servesFrom.getOrDefault(shard, clock.nanos());
+      owners.put(
+          shard, new ShardOwner(vm, body.path("incarnation").asLong(), position, servesFromNanos));
     }
   }
 
@@ -164,7 +165,7 @@
    */
   private void handOver(Position position, JsonNode body) {
     Shard shard = new Shard(body.path("service").asText(), body.path("shard").asInt(-1));
-    KeyHome owner = homes.get(shard);
+    ShardOwner owner = owners.get(shard);
     String vm = body.path("vm").asText();
     if (owner == null
         || vm.isEmpty()
@@ -175,21 +176,21 @@
       return;
     }
     long incarnation = body.path("incarnation").asLong();
-    homes.put(shard, new KeyHome(vm, incarnation, position, owner.quietUntil()));
+    owners.put(shard, new ShardOwner(vm, incarnation, position, owner.servesFrom()));
   }
 
   private void revoke(JsonNode body) {
     String vm = body.path("vm").asText();
     long incarnation = body.path("incarnation").asLong();
-    long servesFromNanos = clock.nanos() + KeyTerms.QUIET_NANOS;
-    homes
+    long servesFromNanos = clock.nanos() + KeyTimeouts.TAKEOVER_DELAY_NANOS;
+    owners
         .entrySet()
         .removeIf(
             entry -> {
-              KeyHome owner = entry.getValue();
+              ShardOwner owner = entry.getValue();
               boolean revoked = owner.vm().equals(vm) && owner.incarnation() == incarnation;
               if (revoked) {
-                quietUntil.put(entry.getKey(), servesFromNanos);
+                servesFrom.put(entry.getKey(), servesFromNanos);
               }
               return revoked;
             });
@@ -198,17 +199,17 @@
   @Override
   public synchronized JsonNode snapshot() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    homes.forEach(
+    owners.forEach(
         (shard, owner) -> {
           ObjectNode node = all.addObject();
           node.put("service", shard.service()).put("shard", shard.number());
           node.put("vm", owner.vm()).put("incarnation", owner.incarnation());
           node.put("offset", owner.claim().offset()).put("index", owner.claim().index());
-          node.put("inherited", quietUntil.containsKey(shard));
+          node.put("inherited", servesFrom.containsKey(shard));
         });
-    quietUntil.forEach(
+    servesFrom.forEach(
         (shard, time) -> {
-          if (!homes.containsKey(shard)) {
+          if (!owners.containsKey(shard)) {
             ObjectNode node = all.addObject();
             node.put("service", shard.service()).put("shard", shard.number());
             node.put("inherited", true);
@@ -222,21 +223,22 @@
    */
   @Override
   public synchronized void restore(JsonNode snapshot) {
-    homes.clear();
-    quietUntil.clear();
-    long servesFromNanos = clock.nanos() + KeyTerms.QUIET_NANOS;
+    owners.clear();
+    servesFrom.clear();
+    long servesFromNanos = clock.nanos() + KeyTimeouts.TAKEOVER_DELAY_NANOS;
     for (JsonNode node : snapshot) {
       Shard shard = new Shard(node.path("service").asText(), node.path("shard").asInt());
       boolean inherited = node.path("inherited").asBoolean();
       if (inherited) {
-        quietUntil.put(shard, servesFromNanos);
+        servesFrom.put(shard, servesFromNanos);
       }
       if (node.hasNonNull("vm")) {
         Position claim = new Position(node.path("offset").asLong(), node.path("index").asInt());
         long from = inherited ? servesFromNanos : clock.nanos();
-        homes.put(
+        owners.put(
             shard,
-            new KeyHome(node.path("vm").asText(), node.path("incarnation").asLong(), claim, from));
+            new ShardOwner(
+                node.path("vm").asText(), node.path("incarnation").asLong(), claim, from));
       }
     }
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/HomePlan.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardAssignment.java
@@ -16,8 +16,8 @@
  * same VM, and the shards of a lost VM spread over all others. Proposals of entries with different
  * targets may differ; the log decides between them. Shards are not moved when targets are added.
  */
-public final class HomePlan {
-  private HomePlan() {}
+public final class ShardAssignment {
+  private ShardAssignment() {}
 
   /**
    * Returns the shards of the service without an owner, grouped by the VM that should claim them.
@@ -26,11 +26,11 @@
    * @param owned shards that have an owner
    * @param targets the reachable targets; draining ones and those of other services are ignored
    */
-  public static Map<String, List<Integer>> claims(
+  public static Map<String, List<Integer>> proposeClaims(
       String service, Collection<Integer> owned, Collection<TargetState> targets) {
     List<String> vms =
         targets.stream()
-            .filter(target -> target.service().equals(service) && !target.leaving())
+            .filter(target -> target.service().equals(service) && !target.draining())
             .map(TargetState::vm)
             .toList();
     Map<String, List<Integer>> claims = new TreeMap<>();
@@ -39,7 +39,7 @@
     }
     for (int shard = 0; shard < KeyShards.COUNT; shard++) {
       if (!owned.contains(shard)) {
-        String vm = strongest(vms, service, shard);
+        String vm = highestWeighted(vms, service, shard);
         claims.computeIfAbsent(vm, name -> new ArrayList<>()).add(shard);
       }
     }
@@ -58,7 +58,7 @@
   public static Optional<TargetState> successor(
       String service, int shard, String from, Collection<TargetState> targets) {
     return targets.stream()
-        .filter(target -> target.service().equals(service) && !target.leaving())
+        .filter(target -> target.service().equals(service) && !target.draining())
         .filter(target -> !target.vm().equals(from))
         .max(Comparator.comparingLong(target -> KeyShards.weight(target.vm(), service, shard)));
   }
@@ -77,7 +77,7 @@
     return reachable >= unreachable;
   }
 
-  private static String strongest(List<String> vms, String service, int shard) {
+  private static String highestWeighted(List<String> vms, String service, int shard) {
     String best = vms.get(0);
     for (String vm : vms) {
       if (KeyShards.weight(vm, service, shard) > KeyShards.weight(best, service, shard)) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
@@ -17,7 +17,7 @@
  * clock.
  */
 public final class ShardLeases {
-  private record Lease(Position claim, long validUntil, long quietUntil) {}
+  private record Lease(Position claim, long validUntil, long servesFrom) {}
 
   private final Map<Integer, Lease> leases = new HashMap<>();
 
@@ -33,16 +33,17 @@
    * @param quietUntil time from which keys of the shard may run; the earliest time of several
    *     entries is used, since each of them is safe
    */
-  public void vouched(int shard, Position claim, long confirmedAt, long servesFrom) {
+  public void confirmed(int shard, Position claim, long confirmedAt, long servesFrom) {
     Lease lease = leases.get(shard);
     if (lease != null && lease.claim().compareTo(claim) > 0) {
       return;
     }
-    long validUntil = confirmedAt + KeyTerms.LEASE_NANOS;
+    long validUntil = confirmedAt + KeyTimeouts.LEASE_NANOS;
     long earliestServesFrom = servesFrom;
     if (lease != null && lease.claim().equals(claim)) {
       validUntil = later(lease.validUntil(), validUntil);
-      earliestServesFrom = lease.quietUntil() - earliestServesFrom <= 0 ? lease.quietUntil() : earliestServesFrom;
+      earliestServesFrom =
+          lease.servesFrom() - earliestServesFrom <= 0 ? lease.servesFrom() : earliestServesFrom;
     }
     leases.put(shard, new Lease(claim, validUntil, earliestServesFrom));
   }
@@ -51,12 +52,12 @@
    * Returns the time from which this process may run keys of the shard under the claim, or empty if
    * it holds no valid lease for this claim. The time is in the future during a takeover delay.
    */
-  public OptionalLong runsFrom(int shard, Position claim, long now) {
+  public OptionalLong servesFrom(int shard, Position claim, long now) {
     Lease lease = leases.get(shard);
     if (lease == null || !lease.claim().equals(claim) || lease.validUntil() - now <= 0) {
       return OptionalLong.empty();
     }
-    return OptionalLong.of(lease.quietUntil());
+    return OptionalLong.of(lease.servesFrom());
   }
 
   /** Returns the latest known claim of each shard that this process owns or has owned. */
@@ -65,7 +66,7 @@
   }
 
   /** Returns whether this process has a lease for the shard by a later claim than the given one. */
-  public boolean heldAfter(int shard, Position claim) {
+  public boolean hasLaterClaim(int shard, Position claim) {
     Lease lease = leases.get(shard);
     return lease != null && lease.claim().compareTo(claim) > 0;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyHome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardOwner.java
@@ -10,12 +10,12 @@
  * @param vm VM of the side process
  * @param incarnation incarnation of the side process
  * @param claim position of the claim in the log; a later claim has a higher position
- * @param quietUntil time from which the owner may run keys of the shard, in nanoseconds of this
+ * @param servesFrom time from which the owner may run keys of the shard, in nanoseconds of this
  *     process's monotonic clock; in the past if there was no predecessor whose keys matter
  */
-public record KeyHome(String vm, long incarnation, Position claim, long quietUntil) {
+public record ShardOwner(String vm, long incarnation, Position claim, long servesFrom) {
   /** Checks the components. */
-  public KeyHome {
+  public ShardOwner {
     requireNonNull(vm, "vm");
     requireNonNull(claim, "claim");
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
@@ -9,15 +9,15 @@
 /**
  * Decides whether and when a request is retried after an attempt has ended.
  *
- * <p>Failed attempts: a request is attempted at most {@link #MAX_FAILED_TRIES} times. It is retried
+ * <p>Failed attempts: a request is attempted at most {@link #MAX_ATTEMPTS} times. It is retried
  * only if that is safe, if the budget allows it, and if no requests wait, because a retry would
  * take capacity from a first attempt. The back-off is random and doubles with each retry, so that
  * retries to a restarting target are not synchronised.
  *
  * <p>Rejected attempts: a rejection by a full side process used no slot, so the request returns to
- * the queue immediately and without budget, for its first {@link #MAX_TURNED_AWAY} attempts;
- * without this limit it could be resent until its deadline. After that it is retried with a
- * doubling back-off up to its deadline. Load pattern: newly started processes stall for a quarter
+ * the queue immediately and without budget, for its first {@link #REJECTIONS_BEFORE_BACKOFF}
+ * attempts; without this limit it could be resent until its deadline. After that it is retried with
+ * a doubling back-off up to its deadline. Load pattern: newly started processes stall for a quarter
  * of a second while their first requests arrive. Eight attempts pass within that time, and without
  * the back-off callers of a nearly idle fleet were refused with most of their time left.
  *
@@ -25,13 +25,15 @@
  */
 public final class RetryPolicy {
   /** Maximum number of attempts of a request whose attempts fail. */
-  static final int MAX_FAILED_TRIES = 3;
+  static final int MAX_ATTEMPTS = 3;
+
   /** Number of attempts from which a rejected request is retried with a back-off. */
-  static final int MAX_TURNED_AWAY = 8;
-  static final long FIRST_BACK_OFF_NANOS = 10_000_000L;
+  static final int REJECTIONS_BEFORE_BACKOFF = 8;
+
+  static final long INITIAL_BACKOFF_NANOS = 10_000_000L;
 
-  /** Back-off after {@link #MAX_TURNED_AWAY} attempts; doubled with each further one. */
-  static final long TURNED_AWAY_BACK_OFF_NANOS = 20_000_000L;
+  /** Back-off after {@link #REJECTIONS_BEFORE_BACKOFF} attempts; doubled with each further one. */
+  static final long REJECTED_INITIAL_BACKOFF_NANOS = 20_000_000L;
 
   private static final int MAX_DOUBLINGS = 10;
 
@@ -44,8 +46,8 @@
   }
 
   /** Records the first attempt of a request. */
-  public void requestSent() {
-    budget.requestSent();
+  public void recordRequest() {
+    budget.recordRequest();
   }
 
   /**
@@ -68,27 +70,27 @@
     if (!outcome.mayRetry(idempotent)) {
       return OptionalLong.empty();
     }
-    if (outcome.refusedByTarget()) {
-      return before(deadline, now + turnedAwayBackOff(attempts));
+    if (outcome.rejectedBySideProcess()) {
+      return ifBefore(deadline, now + rejectionBackoff(attempts));
     }
-    if (queueing || attempts >= MAX_FAILED_TRIES) {
+    if (queueing || attempts >= MAX_ATTEMPTS) {
       return OptionalLong.empty();
     }
-    OptionalLong due = before(deadline, now + backOff(attempts));
-    return due.isPresent() && budget.spend() ? due : OptionalLong.empty();
+    OptionalLong due = ifBefore(deadline, now + failureBackoff(attempts));
+    return due.isPresent() && budget.tryAcquire() ? due : OptionalLong.empty();
   }
 
-  private static OptionalLong before(long deadline, long due) {
+  private static OptionalLong ifBefore(long deadline, long due) {
     return due < deadline ? OptionalLong.of(due) : OptionalLong.empty();
   }
 
-  private static long turnedAwayBackOff(int attempts) {
-    int beyond = attempts - MAX_TURNED_AWAY;
-    return beyond < 0 ? 0 : TURNED_AWAY_BACK_OFF_NANOS << Math.min(beyond, MAX_DOUBLINGS);
+  private static long rejectionBackoff(int attempts) {
+    int beyond = attempts - REJECTIONS_BEFORE_BACKOFF;
+    return beyond < 0 ? 0 : REJECTED_INITIAL_BACKOFF_NANOS << Math.min(beyond, MAX_DOUBLINGS);
   }
 
-  private long backOff(int attempts) {
-    long maxNanos = FIRST_BACK_OFF_NANOS << (attempts - 1);
+  private long failureBackoff(int attempts) {
+    long maxNanos = INITIAL_BACKOFF_NANOS << (attempts - 1);
     return maxNanos / 2 + random.nextLong(maxNanos / 2);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Route.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Route.java
@@ -27,7 +27,7 @@
      */
     ANY_ZONE("own zone busy, less loaded elsewhere"),
     /** No slot is free; the request waits in the target queue for the next one. */
-    WAITING_PLACE("all slots busy, queued at the target"),
+    TARGET_QUEUE("all slots busy, queued at the target"),
     /** The target was ejected as slow or failing, and is probed with this request. */
     PROBE("probe of an ejected target");
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
@@ -19,10 +19,10 @@
  * <p>Load pattern: many targets with delayed load reports, shared by several entries. Choosing the
  * least loaded target would send the requests of all entries to the same target until the next
  * report; a random choice leaves some targets full while others are idle. The better of {@link
- * #CHOICES} random targets with a free slot avoids both. Targets of the entry's own zone are
- * preferred while one of them is below a load of {@link #ZONE_LOAD}: a hop between zones costs one
- * millisecond each way, a busy target ten times that. If no slot is free, the request goes to a
- * target queue, so that a freed slot does not stay idle for a round trip.
+ * #SAMPLED_TARGETS} random targets with a free slot avoids both. Targets of the entry's own zone
+ * are preferred while one of them is below a load of {@link #OWN_ZONE_MAX_LOAD}: a hop between
+ * zones costs one millisecond each way, a busy target ten times that. If no slot is free, the
+ * request goes to a target queue, so that a freed slot does not stay idle for a round trip.
  *
  * <p>Load pattern: a hot caller keeps every entry busy. The other callers of an entry then wait
  * only for the slots that this entry uses, a ninth of all, and random bursts at nine entries no
@@ -31,33 +31,35 @@
  * other callers of all entries.
  *
  * <p>Ejected targets, which are slow or failing, receive only probes: one request at a time, at
- * intervals of at least {@link #PROBE_NANOS} and at most one in {@link #REQUESTS_PER_PROBE} of this
- * entry's requests, so that all entries together send well under 2% of their requests there. At
- * most one in {@link #TARGETS_PER_EASED} targets is ejected, because the remaining ones could not
- * take the load of more.
+ * intervals of at least {@link #MIN_PROBE_INTERVAL_NANOS} and at most one in {@link
+ * #REQUESTS_PER_PROBE} of this entry's requests, so that all entries together send well under 2% of
+ * their requests there. At most one in {@link #TARGETS_PER_EJECTED} targets is ejected, because the
+ * remaining ones could not take the load of more.
  *
  * <p>Not thread-safe. A choice costs O(targets).
  */
 public final class Router {
   /** Number of random candidates of which the less loaded one is chosen. */
-  static final int CHOICES = 2;
+  static final int SAMPLED_TARGETS = 2;
+
   /** Load per slot up to which targets of the own zone are preferred. */
-  static final double ZONE_LOAD = 0.75;
-  static final long PROBE_NANOS = 250_000_000L;
+  static final double OWN_ZONE_MAX_LOAD = 0.75;
+
+  static final long MIN_PROBE_INTERVAL_NANOS = 250_000_000L;
   static final int REQUESTS_PER_PROBE = 200;
-  static final int TARGETS_PER_EASED = 3;
-  private static final long ROW_PROBE_NANOS = 20_000_000L;
-  private static final long FLEET_NANOS = 50_000_000L;
-  private static final int SPACING_SAMPLES = 100;
-  private static final long ENTRY_START_NANOS = 2_000_000_000L;
+  static final int TARGETS_PER_EJECTED = 3;
+  private static final long STREAK_PROBE_INTERVAL_NANOS = 20_000_000L;
+  private static final long FLEET_REFRESH_NANOS = 50_000_000L;
+  private static final int SEND_INTERVAL_SAMPLES = 100;
+  private static final long ENTRY_STARTUP_NANOS = 2_000_000_000L;
 
   private final String zone;
   private final RandomGenerator random;
   private final Map<String, Target> targets = new LinkedHashMap<>();
-  private TargetHealth.Fleet fleet = TargetHealth.Fleet.UNKNOWN;
-  private long fleetAt = Long.MIN_VALUE;
+  private TargetHealth.FleetMedians fleet = TargetHealth.FleetMedians.UNKNOWN;
+  private long fleetUpdatedAt = Long.MIN_VALUE;
   private long firstTargetAt = Long.MAX_VALUE;
-  private double sendSpacingNanos;
+  private double meanSendIntervalNanos;
   private long lastSend = Long.MIN_VALUE;
 
   /** Creates a router without targets, for an entry in the given zone. */
@@ -67,7 +69,7 @@
   }
 
   /** Replaces the set of targets; a target with a new incarnation is new and is started slowly. */
-  public void changed(List<TargetState> states, long now) {
+  public void updateTargets(List<TargetState> states, long now) {
     Map<String, Target> before = new LinkedHashMap<>(targets);
     targets.clear();
     if (!states.isEmpty()) {
@@ -76,32 +78,34 @@
     for (TargetState state : states) {
       Target target = before.get(state.vm());
       if (target == null || target.state().incarnation() != state.incarnation()) {
-        target = new Target(state, rampOfNew(now), now);
+        target = new Target(state, slowStartForNewTarget(now), now);
       } else {
         target.update(state);
       }
       targets.put(state.vm(), target);
     }
-    fleetAt = Long.MIN_VALUE;
+    fleetUpdatedAt = Long.MIN_VALUE;
   }
 
   /**
    * Returns the slow start of a target. Targets announced while this entry starts were running
    * before it and are warm.
    */
-  private SlowStart rampOfNew(long now) {
-    return now - firstTargetAt < ENTRY_START_NANOS ? SlowStart.over(now) : SlowStart.at(now);
+  private SlowStart slowStartForNewTarget(long now) {
+    return now - firstTargetAt < ENTRY_STARTUP_NANOS
+        ? SlowStart.completed(now)
+        : SlowStart.startingAt(now);
   }
 
   /** Records a side process's load report; a report of an unknown VM is ignored. */
-  public void reported(String vm, TargetLoad load, long now) {
+  public void loadReported(String vm, TargetLoad load, long now) {
     Target target = targets.get(vm);
     if (target == null) {
       return;
     }
-    target.share().reported(load, now);
-    if (load.leaving()) {
-      target.markLeaving();
+    target.slotShare().loadReported(load, now);
+    if (load.draining()) {
+      target.markDraining();
     }
   }
 
@@ -121,10 +125,10 @@
         return probe;
       }
     }
-    boolean skipTargetQueues = backlogged && inFlight() >= evenPart();
-    Optional<Route> route = chooseOpen(avoided, skipTargetQueues, now);
+    boolean skipTargetQueues = backlogged && inFlight() >= evenShare();
+    Optional<Route> route = chooseAvailable(avoided, skipTargetQueues, now);
     if (route.isEmpty() && !avoided.isEmpty()) {
-      return chooseOpen("", skipTargetQueues, now);
+      return chooseAvailable("", skipTargetQueues, now);
     }
     return route;
   }
@@ -132,33 +136,33 @@
   private Optional<Route> probe(long now) {
     for (Target target : targets.values()) {
       if (target.isDueForProbe(now)) {
-        target.probeNotBefore(now + probeSpacing());
+        target.setNextProbe(now + nextProbeInterval());
         return Optional.of(new Route(target.state().vm(), Route.Reason.PROBE));
       }
     }
     return Optional.empty();
   }
 
-  private long probeSpacing() {
-    long requestInterval = (long) (REQUESTS_PER_PROBE * sendSpacingNanos);
-    long interval = Math.max(PROBE_NANOS, requestInterval);
+  private long nextProbeInterval() {
+    long requestInterval = (long) (REQUESTS_PER_PROBE * meanSendIntervalNanos);
+    long interval = Math.max(MIN_PROBE_INTERVAL_NANOS, requestInterval);
     return interval + random.nextLong(interval / 4);
   }
 
-  private Optional<Route> chooseOpen(String avoided, boolean skipTargetQueues, long now) {
+  private Optional<Route> chooseAvailable(String avoided, boolean skipTargetQueues, long now) {
     List<Target> inOwnZone = new ArrayList<>();
     List<Target> withFreeSlot = new ArrayList<>();
     List<Target> withQueueCapacity = new ArrayList<>();
     for (Target target : targets.values()) {
-      if (target.state().vm().equals(avoided) || !target.isOpen(now)) {
+      if (target.state().vm().equals(avoided) || !target.isAvailable(now)) {
         continue;
       }
-      if (target.share().hasFreeSlot(now)) {
+      if (target.slotShare().hasFreeSlot(now)) {
         withFreeSlot.add(target);
-        if (isNear(target)) {
+        if (isPreferredOwnZone(target)) {
           inOwnZone.add(target);
         }
-      } else if (!skipTargetQueues && target.share().hasPlace(now)) {
+      } else if (!skipTargetQueues && target.slotShare().hasQueueCapacity(now)) {
         withQueueCapacity.add(target);
       }
     }
@@ -168,11 +172,11 @@
     if (!withFreeSlot.isEmpty()) {
       return best(withFreeSlot, Route.Reason.ANY_ZONE, now);
     }
-    return best(withQueueCapacity, Route.Reason.WAITING_PLACE, now);
+    return best(withQueueCapacity, Route.Reason.TARGET_QUEUE, now);
   }
 
-  private boolean isNear(Target target) {
-    return target.state().zone().equals(zone) && target.share().loadRatio() < ZONE_LOAD;
+  private boolean isPreferredOwnZone(Target target) {
+    return target.state().zone().equals(zone) && target.slotShare().loadRatio() < OWN_ZONE_MAX_LOAD;
   }
 
   private Optional<Route> best(List<Target> candidates, Route.Reason reason, long now) {
@@ -182,7 +186,7 @@
     refreshFleet(now);
     Target best = null;
     double bestScore = Double.POSITIVE_INFINITY;
-    int choices = Math.min(CHOICES, candidates.size());
+    int choices = Math.min(SAMPLED_TARGETS, candidates.size());
     for (int i = 0; i < choices; i++) {
       int picked = i + random.nextInt(candidates.size() - i);
       Target target = candidates.get(picked);
@@ -197,68 +201,72 @@
   }
 
   private double score(Target target) {
-    double load = (target.share().inUse() + 1.0) / target.share().slots();
+    double load = (target.slotShare().estimatedInFlight() + 1.0) / target.slotShare().slots();
     return load * Math.max(1, target.health().relativeLatency(fleet));
   }
 
   private void refreshFleet(long now) {
-    if (fleetAt != Long.MIN_VALUE && now - fleetAt < FLEET_NANOS) {
+    if (fleetUpdatedAt != Long.MIN_VALUE && now - fleetUpdatedAt < FLEET_REFRESH_NANOS) {
       return;
     }
-    fleetAt = now;
-    double[] logLatencies = known().mapToDouble(TargetHealth::logLatency).sorted().toArray();
-    double[] failureRatios = known().mapToDouble(TargetHealth::failures).sorted().toArray();
+    fleetUpdatedAt = now;
+    double[] logLatencies =
+        measuredTargets().mapToDouble(TargetHealth::logLatency).sorted().toArray();
+    double[] failureRatios =
+        measuredTargets().mapToDouble(TargetHealth::failureRatio).sorted().toArray();
     if (logLatencies.length > 0) {
       int middle = (logLatencies.length - 1) / 2;
-      fleet = new TargetHealth.Fleet(logLatencies[middle], failureRatios[middle], logLatencies.length);
+      fleet =
+          new TargetHealth.FleetMedians(
+              logLatencies[middle], failureRatios[middle], logLatencies.length);
     }
   }
 
-  private Stream<TargetHealth> known() {
-    return targets.values().stream().map(Target::health).filter(TargetHealth::isKnown);
+  private Stream<TargetHealth> measuredTargets() {
+    return targets.values().stream().map(Target::health).filter(TargetHealth::isMeasured);
   }
 
   /** Records that a request was sent. */
-  public void sent(String vm, long now) {
-    targets.get(vm).share().sent(now);
+  public void attemptSent(String vm, long now) {
+    targets.get(vm).slotShare().attemptSent(now);
     if (lastSend != Long.MIN_VALUE) {
-      sendSpacingNanos += (now - lastSend - sendSpacingNanos) / SPACING_SAMPLES;
+      meanSendIntervalNanos += (now - lastSend - meanSendIntervalNanos) / SEND_INTERVAL_SAMPLES;
     }
     lastSend = now;
   }
 
   /** Records the outcome of an attempt that was sent at the given time. */
-  public void ended(String vm, AttemptOutcome outcome, long sentAt, long now) {
+  public void attemptEnded(String vm, AttemptOutcome outcome, long sentAt, long now) {
     Target target = targetOfAttempt(vm, sentAt);
     if (target == null) {
       return;
     }
-    if (outcome.refusedByTarget()) {
-      target.share().turnedAway(now);
+    if (outcome.rejectedBySideProcess()) {
+      target.slotShare().attemptRejected(now);
       return;
     }
-    target.share().tookOne();
+    target.slotShare().attemptAccepted();
     if (outcome == AttemptOutcome.ANSWERED) {
-      target.share().answeredWithin(now - sentAt);
+      target.slotShare().recordRoundTrip(now - sentAt);
     }
     refreshFleet(now);
-    boolean wasEjected = target.health().isEased();
-    boolean mayEject = eased().count() < Math.max(1, targets.size() / TARGETS_PER_EASED);
-    boolean changed = target.health().ended(outcome, now - sentAt, fleet, mayEject);
+    boolean wasEjected = target.health().isEjected();
+    boolean mayEject = ejectedTargets().count() < Math.max(1, targets.size() / TARGETS_PER_EJECTED);
+    boolean changed = target.health().attemptEnded(outcome, now - sentAt, fleet, mayEject);
     if (wasEjected && changed) {
-      target.restart(now);
-    } else if (target.health().isEased() && target.health().isInGoodRow()) {
-      target.probeNotBefore(now + ROW_PROBE_NANOS);
+      target.restartSlowStart(now);
+    } else if (target.health().isEjected() && target.health().hasGoodProbeStreak()) {
+      target.setNextProbe(now + STREAK_PROBE_INTERVAL_NANOS);
     } else if (changed) {
-      target.probeNotBefore(now + probeSpacing());
+      target.setNextProbe(now + nextProbeInterval());
     }
   }
 
   /** Records that an attempt was abandoned with an unknown outcome. */
-  public void abandoned(String vm, long sentAt) {
+  public void attemptAbandoned(String vm, long sentAt) {
     Target target = targetOfAttempt(vm, sentAt);
     if (target != null) {
-      target.share().ended();
+      target.slotShare().attemptEnded();
     }
   }
 
@@ -273,11 +281,11 @@
 
   /** Returns the number of this entry's requests in flight to targets. */
   public int inFlight() {
-    return targets.values().stream().mapToInt(target -> target.share().own()).sum();
+    return targets.values().stream().mapToInt(target -> target.slotShare().ownInFlight()).sum();
   }
 
-  private double evenPart() {
-    return targets.values().stream().mapToDouble(target -> target.share().evenPart()).sum();
+  private double evenShare() {
+    return targets.values().stream().mapToDouble(target -> target.slotShare().evenShare()).sum();
   }
 
   /** Returns whether there are no targets. */
@@ -286,22 +294,22 @@
   }
 
   /** Returns the VMs whose targets are ejected, for operators. */
-  public List<String> easedOff() {
-    return eased().map(target -> target.state().vm()).toList();
+  public List<String> ejectedVms() {
+    return ejectedTargets().map(target -> target.state().vm()).toList();
   }
 
-  private Stream<Target> eased() {
-    return targets.values().stream().filter(target -> target.health().isEased());
+  private Stream<Target> ejectedTargets() {
+    return targets.values().stream().filter(target -> target.health().isEjected());
   }
 
   /**
    * Returns the earliest end of a rejection back-off after the given time, or {@link
    * Long#MAX_VALUE}.
    */
-  public long nextChange(long now) {
+  public long nextBackoffEnd(long now) {
     long next = Long.MAX_VALUE;
     for (Target target : targets.values()) {
-      long backoffEnd = target.share().heldUntil();
+      long backoffEnd = target.slotShare().backoffUntil();
       if (backoffEnd > now) {
         next = Math.min(next, backoffEnd);
       }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.routing;
 
 import io.marigoldsail.dispatch.TargetLoad;
-import io.marigoldsail.dispatch.WaitingRoom;
+import io.marigoldsail.dispatch.TargetQueueLimit;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -24,10 +24,10 @@
  * <p>Load pattern: reports are delayed. The difference of a stale report and this entry's current
  * requests is off by all that changed since, and limits that follow it oscillate: with reports a
  * second old, three entries sent each request five times. So the estimate moves towards a report
- * depending on the time since the previous one, with time constant {@link #DAMPING_NANOS}. This
- * averages over ten answers of a busy entry, and follows the announcements to an idle one. After
- * each consecutive rejection by a target, the entry doubles the time that it waits before sending
- * another request.
+ * depending on the time since the previous one, with time constant {@link
+ * #REPORT_TIME_CONSTANT_NANOS}. This averages over ten answers of a busy entry, and follows the
+ * announcements to an idle one. After each consecutive rejection by a target, the entry doubles the
+ * time that it waits before sending another request.
  *
  * <p>Not thread-safe.
  */
@@ -37,26 +37,26 @@
    * trip reduces it. With a fixed time, all requests of an entry at a target that answers within a
    * millisecond were attributed to other entries, and the entry left half of the slots idle.
    */
-  static final long IN_FLIGHT_NANOS = 1_000_000L;
+  static final long MAX_REPORT_LAG_NANOS = 1_000_000L;
 
   /** Initial time without further requests after a rejection; doubled by each consecutive one. */
-  static final long TURNED_AWAY_NANOS = 3_000_000L;
+  static final long REJECTION_BACKOFF_NANOS = 3_000_000L;
 
   private static final int MAX_DOUBLINGS = 5;
 
   /** Time constant with which the estimate of other entries' requests follows the reports. */
-  private static final double DAMPING_NANOS = 150_000_000;
+  private static final double REPORT_TIME_CONSTANT_NANOS = 150_000_000;
 
   private static final long NEVER = Long.MIN_VALUE;
 
   private final Deque<Long> recentSends = new ArrayDeque<>();
   private int slots;
-  private long inFlightNanos = IN_FLIGHT_NANOS;
-  private int own;
-  private double others;
+  private long reportLagNanos = MAX_REPORT_LAG_NANOS;
+  private int ownInFlight;
+  private double othersInFlight;
   private int entries = 1;
-  private int turnedAwayInARow;
-  private long heldUntil = NEVER;
+  private int consecutiveRejections;
+  private long backoffUntil = NEVER;
   private long reportedAt = NEVER;
 
   SlotShare(int slots) {
@@ -67,39 +67,41 @@
     slots = newSlots;
   }
 
-  void sent(long now) {
-    own++;
+  void attemptSent(long now) {
+    ownInFlight++;
     recentSends.addLast(now);
-    forgetSendsBefore(now - inFlightNanos);
+    dropSendsBefore(now - reportLagNanos);
   }
 
-  void ended() {
-    own = Math.max(0, own - 1);
+  void attemptEnded() {
+    ownInFlight = Math.max(0, ownInFlight - 1);
   }
 
   /** Records that an attempt was accepted, so the target may have capacity for more. */
-  void tookOne() {
-    turnedAwayInARow = 0;
-    ended();
+  void attemptAccepted() {
+    consecutiveRejections = 0;
+    attemptEnded();
   }
 
-  void turnedAway(long now) {
-    ended();
-    heldUntil = now + (TURNED_AWAY_NANOS << Math.min(turnedAwayInARow, MAX_DOUBLINGS));
-    turnedAwayInARow++;
-    others = Math.max(others, slots + WaitingRoom.placesFor(slots) - own);
+  void attemptRejected(long now) {
+    attemptEnded();
+    backoffUntil =
+        now + (REJECTION_BACKOFF_NANOS << Math.min(consecutiveRejections, MAX_DOUBLINGS));
+    consecutiveRejections++;
+    othersInFlight =
+        Math.max(othersInFlight, slots + TargetQueueLimit.forSlots(slots) - ownInFlight);
   }
 
   /** Records the round-trip time of an answered attempt, in nanoseconds. */
-  void answeredWithin(long nanos) {
-    inFlightNanos = Math.min(inFlightNanos, nanos);
+  void recordRoundTrip(long nanos) {
+    reportLagNanos = Math.min(reportLagNanos, nanos);
   }
 
-  void reported(TargetLoad load, long now) {
-    forgetSendsBefore(now - inFlightNanos);
-    int reportedOwn = Math.max(0, own - recentSends.size());
+  void loadReported(TargetLoad load, long now) {
+    dropSendsBefore(now - reportLagNanos);
+    int reportedOwn = Math.max(0, ownInFlight - recentSends.size());
     int reportedOthers = Math.max(0, load.inFlight() + load.waiting() - reportedOwn);
-    others += (reportedOthers - others) * reportWeight(now);
+    othersInFlight += (reportedOthers - othersInFlight) * reportWeight(now);
     reportedAt = now;
     entries = Math.max(1, load.entries());
   }
@@ -108,46 +110,46 @@
     if (reportedAt == NEVER) {
       return 1;
     }
-    return 1 - Math.exp((reportedAt - now) / DAMPING_NANOS);
+    return 1 - Math.exp((reportedAt - now) / REPORT_TIME_CONSTANT_NANOS);
   }
 
-  private void forgetSendsBefore(long time) {
+  private void dropSendsBefore(long time) {
     while (!recentSends.isEmpty() && recentSends.peekFirst() < time) {
       recentSends.removeFirst();
     }
   }
 
-  int own() {
-    return own;
+  int ownInFlight() {
+    return ownInFlight;
   }
 
   int slots() {
     return slots;
   }
 
-  double inUse() {
-    return own + others;
+  double estimatedInFlight() {
+    return ownInFlight + othersInFlight;
   }
 
   double loadRatio() {
-    return inUse() / slots;
+    return estimatedInFlight() / slots;
   }
 
   /** Returns whether a request sent now would probably find a free slot. */
   boolean hasFreeSlot(long now) {
-    return now >= heldUntil && inUse() < slots;
+    return now >= backoffUntil && estimatedInFlight() < slots;
   }
 
   /** Returns whether a request may be sent now, to a free slot or to the target queue. */
-  boolean hasPlace(long now) {
-    if (now < heldUntil) {
+  boolean hasQueueCapacity(long now) {
+    if (now < backoffUntil) {
       return false;
     }
-    int maxInFlight = slots + (WaitingRoom.placesFor(slots) + 1) / 2;
-    if (own < fairShare(maxInFlight)) {
-      return own == 0 || inUse() < maxInFlight;
+    int maxInFlight = slots + (TargetQueueLimit.forSlots(slots) + 1) / 2;
+    if (ownInFlight < fairShare(maxInFlight)) {
+      return ownInFlight == 0 || estimatedInFlight() < maxInFlight;
     }
-    return inUse() < maxInFlight - 1;
+    return estimatedInFlight() < maxInFlight - 1;
   }
 
   private int fairShare(int maxInFlight) {
@@ -158,12 +160,12 @@
    * Returns this entry's even share of the slots plus one queued request; infinity if it is the
    * only entry.
    */
-  double evenPart() {
+  double evenShare() {
     return entries == 1 ? Double.POSITIVE_INFINITY : (slots + 1.0) / entries;
   }
 
   /** Returns the end of the back-off after a rejection. */
-  long heldUntil() {
-    return heldUntil;
+  long backoffUntil() {
+    return backoffUntil;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlowStart.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlowStart.java
@@ -20,12 +20,12 @@
     this.startedAt = startedAt;
   }
 
-  static SlowStart at(long now) {
+  static SlowStart startingAt(long now) {
     return new SlowStart(now);
   }
 
   /** Returns a completed slow start, for targets that were running before this entry. */
-  static SlowStart over(long now) {
+  static SlowStart completed(long now) {
     return new SlowStart(now - RAMP_NANOS);
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/admission/FairQueueTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/admission/FairQueueTest.java
@@ -18,7 +18,7 @@
   // A script sends a hundred requests at once. In a first-come-first-served queue the single
   // request of another caller, sent a moment later, would wait behind all of them.
   @Test
-  void servesAQuietCallerBeforeTheRestOfAHotOne() {
+  void servesAQuietCallerBeforeTheBacklogOfAHotOne() {
     for (int i = 0; i < 100; i++) {
       queue.add(i, "hot", "");
     }
@@ -30,7 +30,7 @@
   // Many callers request the same key. A request for this key waits in its backlog, but a request
   // of the same caller for another key must not be delayed by it.
   @Test
-  void holdsUpOnlyTheRequestsAboutAHotKey() {
+  void delaysOnlyRequestsForAHotKey() {
     for (int i = 0; i < 100; i++) {
       queue.add(i, "caller-" + i, "church-yard");
     }
@@ -42,7 +42,7 @@
   }
 
   @Property(seed = "7", tries = 200)
-  void countsWhatIsServedBeforeANewcomer(
+  void countsRequestsServedBeforeANewOne(
       @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 30) Integer> callers,
       @ForAll @IntRange(min = 0, max = 10) int served) {
     FairQueue<Integer> fresh = new FairQueue<>();
@@ -52,7 +52,7 @@
     for (int i = 0; i < served; i++) {
       fresh.poll();
     }
-    int ahead = fresh.aheadOf("caller-0", "key-0");
+    int ahead = fresh.countAhead("caller-0", "key-0");
     fresh.add(-1, "caller-0", "key-0");
     int servedBefore = 0;
     while (fresh.poll().orElseThrow().item() != -1) {
@@ -62,7 +62,7 @@
   }
 
   @Property(seed = "8", tries = 200)
-  void servesWhatIsRestoredOrLeftExactlyOnce(
+  void servesRestoredAndRemainingRequestsExactlyOnce(
       @ForAll @Size(max = 100) List<@IntRange(min = 0, max = 9) Integer> steps) {
     FairQueue<Integer> fresh = new FairQueue<>();
     List<FairQueue.Ticket<Integer>> tickets = new ArrayList<>();
@@ -95,19 +95,19 @@
       queue.add(i, "caller-" + i, "key-" + i);
       queue.poll();
     }
-    assertEquals(FairQueue.MAX_FLOWS, queue.clocks());
+    assertEquals(FairQueue.MAX_FLOWS, queue.callerClockCount());
   }
 
   @Test
-  void tellsWhoseRequestsFillTheQueue() {
+  void detectsACallerOverItsFairShare() {
     for (int i = 0; i < 20; i++) {
       queue.add(i, "hot", "");
     }
     for (int i = 0; i < 4; i++) {
       queue.add(i, "quiet-" + i, "");
     }
-    assertTrue(queue.isOverShare("hot", ""));
-    assertFalse(queue.isOverShare("quiet-0", ""));
+    assertTrue(queue.isOverFairShare("hot", ""));
+    assertFalse(queue.isOverFairShare("quiet-0", ""));
   }
 
   private List<Integer> pollMany(int count) {
@@ -121,7 +121,7 @@
   // Ten quiet callers send requests continuously and a hot one has eight queued. Its ninth request
   // has 18 requests before it, but the ten callers keep overtaking it: 40 are served first, not 18.
   @Test
-  void expectsThoseWhoComeLaterAndPass() {
+  void estimatesLaterRequestsThatOvertake() {
     FairQueue<Integer> queue = new FairQueue<>();
     int callers = 10;
     for (int i = 0; i < 61 * callers; i++) {
@@ -133,7 +133,7 @@
     for (int i = 0; i < 8; i++) {
       queue.add(i, "hot", "");
     }
-    assertEquals(18, queue.aheadOf("hot", ""));
-    assertEquals(40, queue.expectedAheadOf("hot", ""));
+    assertEquals(18, queue.countAhead("hot", ""));
+    assertEquals(40, queue.expectedCountAhead("hot", ""));
   }
 }
