--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
@@ -103,7 +103,7 @@
       long slackNanos) {
     /** Checks the components. */
     public QueueState {
-      checkArgument(requestsPerSecond > 0, "perSecond is not positive: %s", requestsPerSecond);
+      checkArgument(requestsPerSecond > 0, "requestsPerSecond is not positive: %s", requestsPerSecond);
     }
 
     private double waitNanos(int requests) {
@@ -127,42 +127,42 @@
    *
    * @param now current monotonic time, in nanoseconds
    */
-  public Verdict decide(QueueState situation, long now) {
-    updateOverload(situation, now);
-    Verdict verdict = verdict(situation);
+  public Verdict decide(QueueState queue, long now) {
+    updateOverload(queue, now);
+    Verdict verdict = verdict(queue);
     if (verdict != Verdict.WAIT) {
       lastRefusal = now;
     }
     return verdict;
   }
 
-  private Verdict verdict(QueueState situation) {
-    if (situation.waiting() >= situation.maxWaiting()) {
-      return situation.refusal();
+  private Verdict verdict(QueueState queue) {
+    if (queue.waiting() >= queue.maxWaiting()) {
+      return queue.refusal();
     }
-    if (situation.waitNanos(situation.ahead()) > situation.slackNanos()) {
-      return situation.refusal();
+    if (queue.waitNanos(queue.ahead()) > queue.slackNanos()) {
+      return queue.refusal();
     }
-    return overloaded && isTooLong(situation) ? situation.refusal() : Verdict.WAIT;
+    return overloaded && isTooLong(queue) ? queue.refusal() : Verdict.WAIT;
   }
 
-  private static boolean isTooLong(QueueState situation) {
-    if (situation.waiting() < MIN_BOUNDED_LENGTH
-        || situation.expectedAhead() < MIN_BOUNDED_LENGTH) {
+  private static boolean isTooLong(QueueState queue) {
+    if (queue.waiting() < MIN_BOUNDED_LENGTH
+        || queue.expectedAhead() < MIN_BOUNDED_LENGTH) {
       return false;
     }
-    double wait = situation.waitNanos(situation.ahead());
-    double expected = situation.waitNanos(situation.expectedAhead());
-    return wait > situation.targetDelayNanos() * situation.targetDelayMultiple()
-        || expected > situation.targetDelayNanos() * EXPECTED_WAIT_TARGET_DELAYS;
+    double waitNanos = queue.waitNanos(queue.ahead());
+    double expectedWaitNanos = queue.waitNanos(queue.expectedAhead());
+    return waitNanos > queue.targetDelayNanos() * queue.targetDelayMultiple()
+        || expectedWaitNanos > queue.targetDelayNanos() * EXPECTED_WAIT_TARGET_DELAYS;
   }
 
-  private void updateOverload(QueueState situation, long now) {
+  private void updateOverload(QueueState queue, long now) {
     if (overloaded) {
       overloaded = lastRefusal != NEVER && now - lastRefusal < OVERLOAD_EXIT_NANOS;
       return;
     }
-    if (situation.waitNanos(situation.waiting()) <= situation.targetDelayNanos()) {
+    if (queue.waitNanos(queue.waiting()) <= queue.targetDelayNanos()) {
       aboveTargetDelaySince = NEVER;
       return;
     }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
@@ -7,7 +7,7 @@
  * requests per second.
  *
  * <p>Load pattern: a mix of requests whose service times shift. A configured rate would soon be
- * wrong, and a count of answers measures only the offered load. By Little's law the rate of a fully
+ * wrong, and a count of responses measures only the offered load. By Little's law the rate of a fully
  * loaded service is the number in flight divided by the mean service time; both are known at any
  * load.
  *
@@ -29,7 +29,7 @@
   public DrainRate() {}
 
   /**
-   * Records the time from sending a request to its answer, in nanoseconds.
+   * Records the time from sending a request to its response, in nanoseconds.
    *
    * @throws IllegalArgumentException if {@code nanos} is negative
    */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -71,12 +71,12 @@
     private final boolean backlogged;
     private int countSlot;
 
-    private Ticket(T item, String caller, String key, long start, long sequence, boolean excess) {
-      this.backlogged = excess;
+    private Ticket(T item, String caller, String key, long startTime, long sequence, boolean backlogged) {
+      this.backlogged = backlogged;
       this.item = item;
       this.caller = caller;
       this.key = key;
-      this.startTime = start;
+      this.startTime = startTime;
       this.sequence = sequence;
     }
 
@@ -114,23 +114,23 @@
    */
   public Ticket<T> add(T item, String caller, String key) {
     requireNonNull(item, "item");
-    long start = advanceClock(callerClocks, caller);
+    long startTime = advanceClock(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, advanceClock(keyClocks, key));
+      startTime = Math.max(startTime, advanceClock(keyClocks, key));
     }
-    Ticket<T> ticket = new Ticket<>(item, caller, key, start, sequence++, start > virtualTime);
+    Ticket<T> ticket = new Ticket<>(item, caller, key, startTime, sequence++, startTime > virtualTime);
     insert(ticket);
     return ticket;
   }
 
   private long advanceClock(Map<String, Long> clocks, String flow) {
-    long start = clockOf(clocks, flow);
-    clocks.put(flow, start + 1);
-    return startTimeAt(start);
+    long clock = clockOf(clocks, flow);
+    clocks.put(flow, clock + 1);
+    return startTimeAt(clock);
   }
 
-  private long startTimeAt(long start) {
-    return Math.max(virtualTime, start - BURST_ALLOWANCE);
+  private long startTimeAt(long clock) {
+    return Math.max(virtualTime, clock - BURST_ALLOWANCE);
   }
 
   private long clockOf(Map<String, Long> clocks, String flow) {
@@ -241,11 +241,11 @@
   }
 
   private long nextStartTime(String caller, String key) {
-    long start = clockOf(callerClocks, caller);
+    long startTime = clockOf(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, clockOf(keyClocks, key));
+      startTime = Math.max(startTime, clockOf(keyClocks, key));
     }
-    return startTimeAt(start);
+    return startTimeAt(startTime);
   }
 
   /** Returns whether a new request of this caller and key would be backlogged. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/Arrival.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/Arrival.java
@@ -15,7 +15,7 @@
  *     none
  * @param idempotent whether the request may safely run twice
  * @param arrivedAt arrival time, in nanoseconds of the process's monotonic clock
- * @param deadline time after which the answer is useless, on the same clock
+ * @param deadline time after which the response is useless, on the same clock
  */
 public record Arrival(
     long request,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
@@ -2,9 +2,9 @@
 
 /** The outcome of one attempt of a request. */
 public enum AttemptOutcome {
-  /** The target answered; the answer is passed to the caller whatever its status. */
+  /** The target responded; the response is passed to the caller whatever its status. */
   ANSWERED(true, false),
-  /** The target answered with a server error (status 500 or above). */
+  /** The target responded with a server error (status 500 or above). */
   TARGET_ERROR(true, false),
   /** The attempt is proven not to have run; a tombstone prevents a late copy from running. */
   NOT_RUN(false, true),
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -14,11 +14,11 @@
  * an attempt runs at most once, and that an attempt reported as not run never runs.
  *
  * <p>An attempt may start only if its id was never seen. Rejecting an attempt, or resolving one
- * that never arrived, sets a tombstone on its id, so that a delayed copy cannot run later. Answers
- * of ended attempts are kept for entries that lost the connection on which the answer was sent.
+ * that never arrived, sets a tombstone on its id, so that a delayed copy cannot run later. Responses
+ * of ended attempts are kept for entries that lost the connection on which the response was sent.
  *
- * <p>Once an entry has acknowledged an answer it never asks for it again, so only the id is kept,
- * as one bit. Otherwise the kept answers of a fast target survive young collections and fill the
+ * <p>Once an entry has acknowledged a response it never asks for it again, so only the id is kept,
+ * as one bit. Otherwise the kept responses of a fast target survive young collections and fill the
  * old generation, and collecting it delays all requests.
  *
  * <p>Ids of ended attempts are kept for a limited time and up to a maximum count. To distinguish an
@@ -28,7 +28,7 @@
  *
  * <p>A pure state machine, confined to one thread; times are nanoseconds of one monotonic clock.
  *
- * @param <A> the type of a kept answer
+ * @param <A> the type of a kept response
  */
 public final class AttemptTable<A> {
   /** The state of an attempt. */
@@ -41,38 +41,38 @@
     WAITING,
     /** Passed to the target. */
     RUNNING,
-    /** Ended; the answer is kept. */
+    /** Ended; the response is kept. */
     DONE,
-    /** Seen before, or so old that this is unknown; no answer is kept. */
+    /** Seen before, or so old that this is unknown; no response is kept. */
     FORGOTTEN
   }
 
-  private record EndedAttempt<A>(State state, Optional<A> answer, long bytes, long expiresAt) {}
+  private record EndedAttempt<A>(State state, Optional<A> response, long bytes, long expiresAt) {}
 
   private final int maxEnded;
-  private final long maxAnswerBytes;
+  private final long maxResponseBytes;
   private final long retentionNanos;
   private final Map<AttemptId, State> active = new HashMap<>();
   private final LinkedHashMap<AttemptId, EndedAttempt<A>> ended = new LinkedHashMap<>();
-  private final LinkedHashMap<AttemptId, Long> answerSizes = new LinkedHashMap<>();
+  private final LinkedHashMap<AttemptId, Long> responseSizes = new LinkedHashMap<>();
   private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
   private final Map<Long, Long> highestForgotten = new HashMap<>();
-  private long answerBytes;
+  private long responseBytes;
 
   /**
    * Creates an empty table.
    *
    * @param maxEnded maximum number of ended attempts kept
-   * @param maxAnswerBytes maximum total size of kept answers, in bytes
-   * @param windowNanos time that an ended attempt is kept, in nanoseconds
+   * @param maxResponseBytes maximum total size of kept responses, in bytes
+   * @param retentionNanos time that an ended attempt is kept, in nanoseconds
    */
-  public AttemptTable(int maxEnded, long maxAnswerBytes, long windowNanos) {
+  public AttemptTable(int maxEnded, long maxResponseBytes, long retentionNanos) {
     checkArgument(maxEnded > 0, "maxEnded is not positive: %s", maxEnded);
-    checkArgument(maxAnswerBytes >= 0, "maxAnswerBytes is negative: %s", maxAnswerBytes);
-    checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
+    checkArgument(maxResponseBytes >= 0, "maxResponseBytes is negative: %s", maxResponseBytes);
+    checkArgument(retentionNanos > 0, "retentionNanos is not positive: %s", retentionNanos);
     this.maxEnded = maxEnded;
-    this.maxAnswerBytes = maxAnswerBytes;
-    this.retentionNanos = windowNanos;
+    this.maxResponseBytes = maxResponseBytes;
+    this.retentionNanos = retentionNanos;
   }
 
   /** Returns the state of the attempt. */
@@ -95,10 +95,10 @@
         : State.UNSEEN;
   }
 
-  /** Returns the answer of a done attempt, if it is still kept. */
+  /** Returns the response of a done attempt, if it is still kept. */
   public Optional<A> answer(AttemptId id) {
     EndedAttempt<A> kept = ended.get(id);
-    return kept == null ? Optional.empty() : kept.answer();
+    return kept == null ? Optional.empty() : kept.response();
   }
 
   /**
@@ -151,18 +151,18 @@
   }
 
   /**
-   * Records the answer of an attempt that ended.
+   * Records the response of an attempt that ended.
    *
-   * @param bytes size of the answer
+   * @param bytes size of the response
    * @throws IllegalStateException if the attempt is not running
    */
-  public void done(AttemptId id, A answer, long bytes, long now) {
+  public void done(AttemptId id, A response, long bytes, long now) {
     checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
-    end(id, new EndedAttempt<>(State.DONE, Optional.of(answer), bytes, now + retentionNanos), now);
+    end(id, new EndedAttempt<>(State.DONE, Optional.of(response), bytes, now + retentionNanos), now);
   }
 
   /**
-   * Drops the answer of a done attempt whose entry has received it completely, but keeps its id.
+   * Drops the response of a done attempt whose entry has received it completely, but keeps its id.
    */
   public void acknowledged(AttemptId id, long now) {
     EndedAttempt<A> kept = ended.get(id);
@@ -179,7 +179,7 @@
   }
 
   /**
-   * Records the end of an attempt whose answer is too large to keep.
+   * Records the end of an attempt whose response is too large to keep.
    *
    * @throws IllegalStateException if the attempt is not running
    */
@@ -222,34 +222,34 @@
     }
   }
 
-  /** Returns the total size of kept answers, in bytes. */
+  /** Returns the total size of kept responses, in bytes. */
   public long answerBytes() {
-    return answerBytes;
+    return responseBytes;
   }
 
   private void end(AttemptId id, EndedAttempt<A> kept, long now) {
     ended.put(id, kept);
     if (kept.bytes() > 0) {
-      answerSizes.put(id, kept.bytes());
-      answerBytes += kept.bytes();
+      responseSizes.put(id, kept.bytes());
+      responseBytes += kept.bytes();
       evictResponses();
     }
     expireEnded(now);
   }
 
   /**
-   * Evicts the oldest answers but keeps their ids, so that these attempts are still known to have
+   * Evicts the oldest responses but keeps their ids, so that these attempts are still known to have
    * run.
    */
   private void evictResponses() {
-    Iterator<Map.Entry<AttemptId, Long>> oldest = answerSizes.entrySet().iterator();
-    while (answerBytes > maxAnswerBytes && oldest.hasNext()) {
+    Iterator<Map.Entry<AttemptId, Long>> oldest = responseSizes.entrySet().iterator();
+    while (responseBytes > maxResponseBytes && oldest.hasNext()) {
       Map.Entry<AttemptId, Long> entry = oldest.next();
       EndedAttempt<A> kept = ended.get(entry.getKey());
       ended.replace(
           entry.getKey(),
           new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, kept.expiresAt()));
-      answerBytes -= entry.getValue();
+      responseBytes -= entry.getValue();
       oldest.remove();
     }
   }
@@ -260,8 +260,8 @@
   }
 
   private void removeResponseSize(AttemptId id, EndedAttempt<A> kept) {
-    if (answerSizes.remove(id) != null) {
-      answerBytes -= kept.bytes();
+    if (responseSizes.remove(id) != null) {
+      responseBytes -= kept.bytes();
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
@@ -21,7 +21,7 @@
   List<Decision> targetsChanged(List<TargetState> targets, long now);
 
   /**
-   * Handles a load report of a target's side process. A report that is part of an answer may be
+   * Handles a load report of a target's side process. A report that is part of a response may be
    * passed before or after {@link #attemptEnded}.
    */
   List<Decision> loadReported(String vm, TargetLoad load, long now);
@@ -40,7 +40,7 @@
 
   /**
    * Processes due timers: refuses requests that can no longer be served in time, and sends requests
-   * whose back-off has ended.
+   * whose backoff has ended.
    */
   List<Decision> wake(long now);
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/ServiceScheduler.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/ServiceScheduler.java
@@ -101,7 +101,7 @@
   }
 
   private AdmissionPolicy.QueueState queueState(Arrival arrival, long now) {
-    long slack =
+    long slackNanos =
         arrival.deadline() - now - (long) (MIN_SLACK_SERVICE_TIMES * drainRate.meanServiceNanos());
     return new AdmissionPolicy.QueueState(
         queue.size(),
@@ -112,7 +112,7 @@
         drainRate.requestsPerSecond(router.inFlight()),
         limits.targetDelayMillis() * NANOS_PER_MILLI,
         limits.maxWaiting(),
-        slack);
+        slackNanos);
   }
 
   private static ErrorKind kindOf(AdmissionPolicy.Verdict verdict) {
@@ -267,8 +267,8 @@
   }
 
   /**
-   * Returns whether less than the mean service time remains before the deadline. A slot spent on an
-   * answer that misses its deadline is lost to a request that could still meet its own.
+   * Returns whether less than the mean service time remains before the deadline. A slot spent on a
+   * response that misses its deadline is lost to a request that could still meet its own.
    */
   private boolean cannotMeetDeadline(ScheduledRequest request, long now) {
     return request.arrival().deadline() - now < drainRate.meanServiceNanos();
@@ -280,10 +280,10 @@
    */
   private boolean mayProbe(ScheduledRequest request, long now) {
     Arrival arrival = request.arrival();
-    double slack = arrival.deadline() - now;
+    double slackNanos = arrival.deadline() - now;
     return arrival.idempotent()
         && request.attempts() == 0
-        && slack > 10 * drainRate.meanServiceNanos();
+        && slackNanos > 10 * drainRate.meanServiceNanos();
   }
 
   private Decision send(ScheduledRequest request, Route route, long now) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/error/ErrorKind.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/error/ErrorKind.java
@@ -53,7 +53,7 @@
       504, Execution.UNKNOWN, Advice.RETRY_IF_IDEMPOTENT, "The answer came too late"),
   /** The target or the connection to it was lost, and the request may have run. */
   OUTCOME_UNKNOWN(502, Execution.UNKNOWN, Advice.RETRY_IF_IDEMPOTENT, "The outcome is unknown"),
-  /** The target's answer was truncated or invalid. */
+  /** The target's response was truncated or invalid. */
   TARGET_BROKEN_ANSWER(
       502, Execution.RAN, Advice.RETRY_IF_IDEMPOTENT, "The target's answer was broken"),
   /** The target refused the connection; nothing was sent. */
@@ -127,7 +127,7 @@
   }
 
   /**
-   * Returns the stable name used in answers, frames, logs and metrics, such as {@code no-target}.
+   * Returns the stable name used in responses, frames, logs and metrics, such as {@code no-target}.
    */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/marigoldsail-core/src/main/java/io/marigoldsail/error/Failure.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/error/Failure.java
@@ -11,7 +11,7 @@
  * @param kind kind of the error
  * @param detail one sentence that names the file, key, value or peer that caused it
  * @param retryAfterMillis time that the caller should wait before repeating the request, in
- *     milliseconds from the answer; 0 if unknown
+ *     milliseconds from the response; 0 if unknown
  */
 public record Failure(ErrorKind kind, String detail, long retryAfterMillis) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/IdempotencyKeyStore.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/IdempotencyKeyStore.java
@@ -41,7 +41,7 @@
     record Full<A>() implements Admission<A> {}
   }
 
-  /** The state of one key; {@code forgetAt} is 0 while its request is running. */
+  /** The state of one key; {@code expiresAt} is 0 while its request is running. */
   private static final class KeyState<W, A> {
     private final long fingerprint;
     private final List<W> waiters = new ArrayList<>();
@@ -200,9 +200,9 @@
   }
 
   private void recordCompletion(
-      String key, KeyState<W, A> state, Optional<A> outcome, long outcomeBytes, long forgetAt) {
+      String key, KeyState<W, A> state, Optional<A> outcome, long outcomeBytes, long expiresAt) {
     state.ended = true;
-    state.expiresAt = forgetAt;
+    state.expiresAt = expiresAt;
     completed.put(key, state);
     if (outcomeBytes <= maxBytes) {
       state.outcome = outcome;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyTimeouts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyTimeouts.java
@@ -11,7 +11,7 @@
    */
   public static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** Upper bound of the clock drift between two VMs over a lease and an outcome's retention. */
+  /** Generous bound on the clock drift between two VMs over a lease and an outcome's retention. */
   public static final long CLOCK_DRIFT_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** Time that a key's outcome is kept after its request has ended. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
@@ -30,7 +30,7 @@
    * @param shard number of the shard
    * @param claim the claim by which this process owns the shard
    * @param confirmedAt time at which the claim was in force, on this process's clock
-   * @param quietUntil time from which keys of the shard may run; the earliest time of several
+   * @param servesFrom time from which keys of the shard may run; the earliest time of several
    *     entries is used, since each of them is safe
    */
   public void confirmed(int shard, Position claim, long confirmedAt, long servesFrom) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
@@ -11,15 +11,15 @@
  *
  * <p>Failed attempts: a request is attempted at most {@link #MAX_ATTEMPTS} times. It is retried
  * only if that is safe, if the budget allows it, and if no requests wait, because a retry would
- * take capacity from a first attempt. The back-off is random and doubles with each retry, so that
+ * take capacity from a first attempt. The backoff is random and doubles with each retry, so that
  * retries to a restarting target are not synchronised.
  *
  * <p>Rejected attempts: a rejection by a full side process used no slot, so the request returns to
  * the queue immediately and without budget, for its first {@link #REJECTIONS_BEFORE_BACKOFF}
  * attempts; without this limit it could be resent until its deadline. After that it is retried with
- * a doubling back-off up to its deadline. Load pattern: newly started processes stall for a quarter
+ * a doubling backoff up to its deadline. Load pattern: newly started processes stall for a quarter
  * of a second while their first requests arrive. Eight attempts pass within that time, and without
- * the back-off callers of a nearly idle fleet were refused with most of their time left.
+ * the backoff callers of a nearly idle fleet were refused with most of their time left.
  *
  * <p>Not thread-safe.
  */
@@ -27,12 +27,12 @@
   /** Maximum number of attempts of a request whose attempts fail. */
   static final int MAX_ATTEMPTS = 3;
 
-  /** Number of attempts from which a rejected request is retried with a back-off. */
+  /** Number of attempts from which a rejected request is retried with a backoff. */
   static final int REJECTIONS_BEFORE_BACKOFF = 8;
 
   static final long INITIAL_BACKOFF_NANOS = 10_000_000L;
 
-  /** Back-off after {@link #REJECTIONS_BEFORE_BACKOFF} attempts; doubled with each further one. */
+  /** Backoff after {@link #REJECTIONS_BEFORE_BACKOFF} attempts; doubled with each further one. */
   static final long REJECTED_INITIAL_BACKOFF_NANOS = 20_000_000L;
 
   private static final int MAX_DOUBLINGS = 10;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
@@ -30,7 +30,7 @@
  * this entry has less than its even share of requests in flight; the remaining capacity is left to
  * other callers of all entries.
  *
- * <p>Ejected targets, which are slow or failing, receive only probes: one request at a time, at
+ * <p>Ejected targets, which are slow or failing, receive only probes: single requests, at
  * intervals of at least {@link #MIN_PROBE_INTERVAL_NANOS} and at most one in {@link
  * #REQUESTS_PER_PROBE} of this entry's requests, so that all entries together send well under 2% of
  * their requests there. At most one in {@link #TARGETS_PER_EJECTED} targets is ejected, because the
@@ -303,7 +303,7 @@
   }
 
   /**
-   * Returns the earliest end of a rejection back-off after the given time, or {@link
+   * Returns the earliest end of a rejection backoff after the given time, or {@link
    * Long#MAX_VALUE}.
    */
   public long nextBackoffEnd(long now) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
@@ -22,10 +22,10 @@
  * that request.
  *
  * <p>Load pattern: reports are delayed. The difference of a stale report and this entry's current
- * requests is off by all that changed since, and limits that follow it oscillate: with reports a
+ * requests is wrong by all changes since, and limits that follow it oscillate: with reports a
  * second old, three entries sent each request five times. So the estimate moves towards a report
  * depending on the time since the previous one, with time constant {@link
- * #REPORT_TIME_CONSTANT_NANOS}. This averages over ten answers of a busy entry, and follows the
+ * #REPORT_TIME_CONSTANT_NANOS}. This averages over ten responses of a busy entry, and follows the
  * announcements to an idle one. After each consecutive rejection by a target, the entry doubles the
  * time that it waits before sending another request.
  *
@@ -34,7 +34,7 @@
 final class SlotShare {
   /**
    * Requests sent within this time before a report may be missing from it; a shorter measured round
-   * trip reduces it. With a fixed time, all requests of an entry at a target that answers within a
+   * trip reduces it. With a fixed time, all requests of an entry at a target that responds within a
    * millisecond were attributed to other entries, and the entry left half of the slots idle.
    */
   static final long MAX_REPORT_LAG_NANOS = 1_000_000L;
@@ -164,7 +164,7 @@
     return entries == 1 ? Double.POSITIVE_INFINITY : (slots + 1.0) / entries;
   }
 
-  /** Returns the end of the back-off after a rejection. */
+  /** Returns the end of the backoff after a rejection. */
   long backoffUntil() {
     return backoffUntil;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/TargetHealth.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/TargetHealth.java
@@ -20,8 +20,8 @@
  * resets this streak.
  *
  * <p>Exponentially distributed latencies have a standard deviation of 1.28 in logarithm, and the
- * mean over about {@value #SAMPLES} answers one of 0.3; a ratio of four is 4.6 of these. A tenfold
- * slowdown crosses it after nine answers.
+ * mean over about {@value #LATENCY_SAMPLES} responses one of 0.3; a ratio of four is 4.6 of these. A tenfold
+ * slowdown crosses it after nine responses.
  *
  * <p>Not thread-safe.
  */
@@ -33,7 +33,7 @@
   private static final int LATENCY_SAMPLES = 10;
   private static final int FAILURE_SAMPLES = 6;
   private static final double MAX_FAILURE_RATIO = 0.5;
-  private static final int MIN_ANSWERS = 5;
+  private static final int MIN_ATTEMPTS = 5;
 
   /**
    * Added to each latency, so that a millisecond of latency between zones does not matter for very
@@ -43,7 +43,7 @@
 
   private double logLatency;
   private double failureRatio;
-  private int answers;
+  private int attempts;
   private boolean ejected;
   private int goodProbes;
   private double probeLogSum;
@@ -58,7 +58,7 @@
   }
 
   boolean isMeasured() {
-    return answers >= MIN_ANSWERS;
+    return attempts >= MIN_ATTEMPTS;
   }
 
   boolean isEjected() {
@@ -114,11 +114,11 @@
     return logOf(nanos) - fleet.logLatency() > Math.log(EJECT_RATIO);
   }
 
-  private void recordAttempt(boolean failed, double log) {
-    answers++;
+  private void recordAttempt(boolean failed, double logNanos) {
+    attempts++;
     failureRatio += ((failed ? 1 : 0) - failureRatio) / FAILURE_SAMPLES;
     if (!failed) {
-      logLatency += (log - logLatency) / Math.min(answers, LATENCY_SAMPLES);
+      logLatency += (logNanos - logLatency) / Math.min(attempts, LATENCY_SAMPLES);
     }
   }
 
@@ -129,13 +129,13 @@
     return failing || slow;
   }
 
-  private boolean probeEnded(boolean failed, double log, FleetMedians fleet) {
-    if (failed || log - fleet.logLatency() > Math.log(SLOW_PROBE_RATIO)) {
+  private boolean probeEnded(boolean failed, double logNanos, FleetMedians fleet) {
+    if (failed || logNanos - fleet.logLatency() > Math.log(SLOW_PROBE_RATIO)) {
       resetStreak();
       return false;
     }
     goodProbes++;
-    probeLogSum += log;
+    probeLogSum += logNanos;
     if (goodProbes < PROBES_TO_RECOVER) {
       return false;
     }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
@@ -94,7 +94,7 @@
   }
 
   /**
-   * Answers that their entry had read were kept, and collecting them stopped the side process once
+   * Responses that their entry had read were kept, and collecting them stopped the side process once
    * a second: at 16,000 requests per second one in a hundred took 85 ms.
    */
   @Test
--- a/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/IdempotencyKeyStoreTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/IdempotencyKeyStoreTest.java
@@ -19,7 +19,7 @@
     return store.admit(key, FINGERPRINT, waiter, now);
   }
 
-  /** A caller repeats its request while its charge is running: one charge, two answers. */
+  /** A caller repeats its request while its charge is running: one charge, two responses. */
   @Test
   void duplicateRequestGetsTheRunningRequestsOutcome() {
     assertInstanceOf(Admission.Run.class, admit("a", "first", 0));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/routing/RouterTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/routing/RouterTest.java
@@ -24,8 +24,8 @@
   private final Router router = new Router("suva", new SplittableRandom(9));
   private long now = 1;
 
-  private static TargetState target(String vm, long incarnation, String zone, boolean leaving) {
-    return new TargetState(vm, incarnation, "parking", zone, SLOTS, leaving);
+  private static TargetState target(String vm, long incarnation, String zone, boolean draining) {
+    return new TargetState(vm, incarnation, "parking", zone, SLOTS, draining);
   }
 
   private static List<TargetState> targets(int count) {
@@ -102,7 +102,7 @@
   }
 
   // Half of the targets become slow together, for instance because of a rack's switch. With all of
-  // them ejected, the rest would be full and inFlight callers refused, although slow answers were
+  // them ejected, the rest would be full and most callers refused, although slow responses were
   // available.
   @Test
   void neverEjectsMoreThanAThird() {
@@ -144,8 +144,8 @@
     assertEquals("vm-1", send(false).orElseThrow().vm());
   }
 
-  // A side process starts draining. Its last announcement is seconds old, but a report with an
-  // answer takes effect immediately.
+  // A side process starts draining. Its last announcement is seconds old, but a report with a
+  // response takes effect immediately.
   @Test
   void sendsNothingToADrainingTarget() {
     router.updateTargets(targets(1), now);
@@ -180,7 +180,7 @@
     assertTrue(router.nextBackoffEnd(now) > now);
   }
 
-  // A single entry with a target that answers within 0.2 ms. Requests of the last millisecond were
+  // A single entry with a target that responds within 0.2 ms. Requests of the last millisecond were
   // attributed to other entries, so the entry left slots idle and reached only 15,000 requests per
   // second with idle processors.
   @Test
