--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
@@ -103,7 +103,8 @@
       long slackNanos) {
     /** Checks the components. */
     public QueueState {
-      checkArgument(requestsPerSecond > 0, "requestsPerSecond is not positive: %s", requestsPerSecond);
+      checkArgument(
+          requestsPerSecond > 0, "requestsPerSecond is not positive: %s", requestsPerSecond);
     }
 
     private double waitNanos(int requests) {
@@ -147,8 +148,7 @@
   }
 
   private static boolean isTooLong(QueueState queue) {
-    if (queue.waiting() < MIN_BOUNDED_LENGTH
-        || queue.expectedAhead() < MIN_BOUNDED_LENGTH) {
+    if (queue.waiting() < MIN_BOUNDED_LENGTH || queue.expectedAhead() < MIN_BOUNDED_LENGTH) {
       return false;
     }
     double waitNanos = queue.waitNanos(queue.ahead());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
@@ -7,9 +7,9 @@
  * requests per second.
  *
  * <p>Load pattern: a mix of requests whose service times shift. A configured rate would soon be
- * wrong, and a count of responses measures only the offered load. By Little's law the rate of a fully
- * loaded service is the number in flight divided by the mean service time; both are known at any
- * load.
+ * wrong, and a count of responses measures only the offered load. By Little's law the rate of a
+ * fully loaded service is the number in flight divided by the mean service time; both are known at
+ * any load.
  *
  * <p>The mean is exponentially weighted over about {@value #SAMPLES} requests: at 500 requests per
  * second and entry it follows half of a change within 0.3 s. A faster mean is noisier: requests
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -71,7 +71,8 @@
     private final boolean backlogged;
     private int countSlot;
 
-    private Ticket(T item, String caller, String key, long startTime, long sequence, boolean backlogged) {
+    private Ticket(
+        T item, String caller, String key, long startTime, long sequence, boolean backlogged) {
       this.backlogged = backlogged;
       this.item = item;
       this.caller = caller;
@@ -118,7 +119,8 @@
     if (!key.isEmpty()) {
       startTime = Math.max(startTime, advanceClock(keyClocks, key));
     }
-    Ticket<T> ticket = new Ticket<>(item, caller, key, startTime, sequence++, startTime > virtualTime);
+    Ticket<T> ticket =
+        new Ticket<>(item, caller, key, startTime, sequence++, startTime > virtualTime);
     insert(ticket);
     return ticket;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -14,8 +14,9 @@
  * an attempt runs at most once, and that an attempt reported as not run never runs.
  *
  * <p>An attempt may start only if its id was never seen. Rejecting an attempt, or resolving one
- * that never arrived, sets a tombstone on its id, so that a delayed copy cannot run later. Responses
- * of ended attempts are kept for entries that lost the connection on which the response was sent.
+ * that never arrived, sets a tombstone on its id, so that a delayed copy cannot run later.
+ * Responses of ended attempts are kept for entries that lost the connection on which the response
+ * was sent.
  *
  * <p>Once an entry has acknowledged a response it never asks for it again, so only the id is kept,
  * as one bit. Otherwise the kept responses of a fast target survive young collections and fill the
@@ -158,7 +159,10 @@
    */
   public void done(AttemptId id, A response, long bytes, long now) {
     checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
-    end(id, new EndedAttempt<>(State.DONE, Optional.of(response), bytes, now + retentionNanos), now);
+    end(
+        id,
+        new EndedAttempt<>(State.DONE, Optional.of(response), bytes, now + retentionNanos),
+        now);
   }
 
   /**
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
@@ -3,7 +3,8 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A side process's report of its target's load, sent in announcements and with responses. Immutable.
+ * A side process's report of its target's load, sent in announcements and with responses.
+ * Immutable.
  *
  * @param inFlight requests of all entries that the target is processing
  * @param waiting requests queued at the side process for a free slot
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
@@ -30,11 +30,11 @@
  * this entry has less than its even share of requests in flight; the remaining capacity is left to
  * other callers of all entries.
  *
- * <p>Ejected targets, which are slow or failing, receive only probes: single requests, at
- * intervals of at least {@link #MIN_PROBE_INTERVAL_NANOS} and at most one in {@link
- * #REQUESTS_PER_PROBE} of this entry's requests, so that all entries together send well under 2% of
- * their requests there. At most one in {@link #TARGETS_PER_EJECTED} targets is ejected, because the
- * remaining ones could not take the load of more.
+ * <p>Ejected targets, which are slow or failing, receive only probes: single requests, at intervals
+ * of at least {@link #MIN_PROBE_INTERVAL_NANOS} and at most one in {@link #REQUESTS_PER_PROBE} of
+ * this entry's requests, so that all entries together send well under 2% of their requests there.
+ * At most one in {@link #TARGETS_PER_EJECTED} targets is ejected, because the remaining ones could
+ * not take the load of more.
  *
  * <p>Not thread-safe. A choice costs O(targets).
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/TargetHealth.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/TargetHealth.java
@@ -20,8 +20,8 @@
  * resets this streak.
  *
  * <p>Exponentially distributed latencies have a standard deviation of 1.28 in logarithm, and the
- * mean over about {@value #LATENCY_SAMPLES} responses one of 0.3; a ratio of four is 4.6 of these. A tenfold
- * slowdown crosses it after nine responses.
+ * mean over about {@value #LATENCY_SAMPLES} responses one of 0.3; a ratio of four is 4.6 of these.
+ * A tenfold slowdown crosses it after nine responses.
  *
  * <p>Not thread-safe.
  */
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Responses that their entry had read were kept, and collecting them stopped the side process once
-   * a second: at 16,000 requests per second one in a hundred took 85 ms.
+   * Responses that their entry had read were kept, and collecting them stopped the side process
+   * once a second: at 16,000 requests per second one in a hundred took 85 ms.
    */
   @Test
   void acknowledgedResponseIsDroppedButItsIdIsKept() {
