--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
@@ -134,7 +134,7 @@
       run.step(random);
     }
     run.finish();
-    assertEquals(run.arrived, run.settled);
+    assertEquals(run.arrived, run.completed);
   }
 
   private static final class Run {
@@ -142,7 +142,7 @@
     private final Map<Long, String> sent = new HashMap<>();
     private final Map<Long, Arrival> arrivals = new HashMap<>();
     private final Set<Long> arrived = new HashSet<>();
-    private final Set<Long> settled = new HashSet<>();
+    private final Set<Long> completed = new HashSet<>();
     private long now;
 
     private Run(RequestScheduler scheduler) {
@@ -153,13 +153,13 @@
       switch (random.nextInt(6)) {
         case 0 -> changeTargets(random);
         case 1 ->
-            carryOut(
+            apply(
                 scheduler.loadReported(
                     "vm-" + random.nextInt(4),
                     new TargetLoad(random.nextInt(3), random.nextInt(2), 3, false),
                     now));
-        case 2 -> carryOut(scheduler.wake(now));
-        case 3 -> endOne(OUTCOMES[random.nextInt(OUTCOMES.length)]);
+        case 2 -> apply(scheduler.wake(now));
+        case 3 -> endAttempt(OUTCOMES[random.nextInt(OUTCOMES.length)]);
         default -> arrive(random);
       }
     }
@@ -171,7 +171,7 @@
           targets.add(target("vm-" + i, "parking"));
         }
       }
-      carryOut(scheduler.targetsChanged(targets, now));
+      apply(scheduler.targetsChanged(targets, now));
     }
 
     private void arrive(SplittableRandom random) {
@@ -181,10 +181,10 @@
           new Arrival(number, "parking", caller, "", random.nextBoolean(), now, now + SECOND / 4);
       arrived.add(number);
       arrivals.put(number, arrival);
-      carryOut(scheduler.requestArrived(arrival, now));
+      apply(scheduler.requestArrived(arrival, now));
     }
 
-    private void endOne(AttemptOutcome outcome) {
+    private void endAttempt(AttemptOutcome outcome) {
       if (sent.isEmpty()) {
         return;
       }
@@ -194,9 +194,9 @@
       boolean retried = scheduler.isPending(number);
       assertTrue(!retried || outcome.mayRetry(arrivals.get(number).idempotent()));
       boolean refused = decisions.stream().anyMatch(d -> isRefusalOf(d, number));
-      carryOut(decisions);
+      apply(decisions);
       if (!retried && !refused) {
-        settle(number);
+        complete(number);
       }
     }
 
@@ -204,29 +204,29 @@
       return decision instanceof Decision.Refuse && decision.request() == number;
     }
 
-    private void carryOut(List<Decision> decisions) {
+    private void apply(List<Decision> decisions) {
       for (Decision decision : decisions) {
         if (decision instanceof Decision.Send send) {
           assertEquals(null, sent.put(send.request(), send.vm()));
         } else {
-          settle(decision.request());
+          complete(decision.request());
         }
       }
     }
 
-    private void settle(long number) {
-      assertTrue(settled.add(number), () -> "answered twice: " + number);
+    private void complete(long number) {
+      assertTrue(completed.add(number), () -> "answered twice: " + number);
       assertFalse(sent.containsKey(number));
     }
 
     private void finish() {
       now += SECOND;
-      carryOut(scheduler.wake(now));
+      apply(scheduler.wake(now));
       while (!sent.isEmpty()) {
-        endOne(AttemptOutcome.ANSWERED);
+        endAttempt(AttemptOutcome.ANSWERED);
       }
       now += SECOND;
-      carryOut(scheduler.wake(now));
+      apply(scheduler.wake(now));
     }
   }
 }
