--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -11,37 +11,38 @@
 import java.util.TreeSet;
 
 /**
- * A queue that serves callers, and what they ask about, in turn (start-time fair queueing).
+ * A queue with start-time fair queueing over callers and keys.
  *
- * <p>Load pattern: one caller, or one key that many callers ask about, sends many times its share.
- * Without turns, a queue that is first come first served makes everybody wait behind the hot one.
- * Here each caller and each key has a virtual clock that moves on by one for each of its requests;
- * a request is served in the order of the later of its two clocks. So a caller that asks about a
- * hot key waits for that request only, not for its others.
+ * <p>Load pattern: one caller, or one key that many callers request, sends many times its fair
+ * share. In a first-come-first-served queue every request waits behind that backlog. Here each
+ * caller and each key is a flow with a virtual clock that advances by one per request. A request's
+ * virtual start time is the later of its two clocks, and requests are served in the order of their
+ * start times. A caller's request for a hot key thus waits in that key's backlog, but its other
+ * requests do not.
  *
- * <p>A flow may be {@link #BURST_ALLOWANCE} requests ahead of its turn. Without that, of two
- * requests that a quiet caller happens to send together the second would wait for a whole round of
- * the others; the fewer requests an entry serves, the longer that takes. A hot caller gains four
- * requests, once.
+ * <p>A flow may send {@link #BURST_ALLOWANCE} requests ahead of its fair share. Otherwise the
+ * second of two simultaneous requests of a quiet caller would wait for a whole round of the other
+ * flows, which takes longer the fewer requests an entry serves. A hot caller gains these requests
+ * only once.
  *
- * <p>Memory is bounded by {@link #MAX_FLOWS} clocks of each sort, beyond the requests that wait: a
- * clock that is dropped early makes its owner look new, which costs fairness for one request.
+ * <p>At most {@link #MAX_FLOWS} clocks per kind of flow are kept, least recently used ones are
+ * evicted. An evicted flow is treated as new, which costs fairness for one request.
  *
- * <p>Not safe for use by several threads. Adding, taking and removing cost O(log n).
+ * <p>Not thread-safe. Adding, polling and removing cost O(log n).
  *
- * @param <T> what waits
+ * @param <T> the type of the queued items
  */
 public final class FairQueue<T> {
-  /** How many virtual clocks of callers, and of keys, are kept at most. */
+  /** Maximum number of virtual clocks kept for callers, and for keys. */
   static final int MAX_FLOWS = 4_096;
 
-  /** How many requests a flow may be ahead of its turn without having to wait for it. */
+  /** Number of requests that a flow may send ahead of its fair share without waiting. */
   private static final int BURST_ALLOWANCE = 4;
 
-  /** Over how many served requests the pace of turns is taken: 0.4 s of one entry of nine. */
+  /** Served requests per measurement of the virtual time rate: 0.4 s at one entry of nine. */
   private static final int RATE_WINDOW_REQUESTS = 200;
 
-  /** How many times an even part of the queue one flow may hold before it is called hot. */
+  /** Multiple of the average backlog per flow above which a flow is over its fair share. */
   private static final int OVER_SHARE_FACTOR = 2;
 
   private final TreeSet<Ticket<T>> waiting = new TreeSet<>(Ticket.ORDER);
@@ -56,7 +57,7 @@
   private long windowStartVirtualTime;
   private double virtualTimePerRequest = 1;
 
-  /** A place in the queue; hand it back to {@link #restore} or {@link #remove}. */
+  /** A queued request; pass it to {@link #restore} or {@link #remove}. */
   public static final class Ticket<T> {
     private static final Comparator<Ticket<?>> ORDER =
         Comparator.<Ticket<?>>comparingLong(ticket -> ticket.startTime)
@@ -70,21 +71,22 @@
     private final boolean backlogged;
     private int countSlot;
 
-    private Ticket(T item, String caller, String key, long start, long sequence, boolean excess) {
-      this.backlogged = excess;
+    private Ticket(
+        T item, String caller, String key, long startTime, long sequence, boolean backlogged) {
+      this.backlogged = backlogged;
       this.item = item;
       this.caller = caller;
       this.key = key;
-      this.startTime = start;
+      this.startTime = startTime;
       this.sequence = sequence;
     }
 
-    /** Returns whether its caller or key had had its turn already when it was added. */
+    /** Returns whether its caller or key was backlogged when it was added. */
     public boolean isBacklogged() {
       return backlogged;
     }
 
-    /** Returns what waits. */
+    /** Returns the queued item. */
     public T item() {
       return item;
     }
@@ -107,38 +109,43 @@
   }
 
   /**
-   * Adds a request at its caller's and its key's turn.
+   * Adds a request at its virtual start time.
    *
-   * @param key what the request is about; empty where it names nothing
+   * @param key the key that the request is for; empty if it has none
    */
   public Ticket<T> add(T item, String caller, String key) {
     requireNonNull(item, "item");
-    long start = advanceClock(callerClocks, caller);
+    long startTime = advanceClock(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, advanceClock(keyClocks, key));
+      startTime = Math.max(startTime, advanceClock(keyClocks, key));
     }
-    Ticket<T> ticket = new Ticket<>(item, caller, key, start, sequence++, start > virtualTime);
+    Ticket<T> ticket =
+        new Ticket<>(item, caller, key, startTime, sequence++, startTime > virtualTime);
     insert(ticket);
     return ticket;
   }
 
   private long advanceClock(Map<String, Long> clocks, String flow) {
-    long start = clockOf(clocks, flow);
-    clocks.put(flow, start + 1);
-    return startTimeAt(start);
+    long clock = clockOf(clocks, flow);
+    clocks.put(flow, clock + 1);
+    return startTimeAt(clock);
   }
 
-  private long startTimeAt(long start) {
-    return Math.max(virtualTime, start - BURST_ALLOWANCE);
+  private long startTimeAt(long clock) {
+    return Math.max(virtualTime, clock - BURST_ALLOWANCE);
   }
 
   private long clockOf(Map<String, Long> clocks, String flow) {
     return Math.max(virtualTime, clocks.getOrDefault(flow, virtualTime));
   }
 
-  /** Puts a request that was taken but not served back at its old place. */
+  /**
+   * Puts a polled but unserved request back at its original position.
+   *
+   * @throws IllegalArgumentException if the ticket is in the queue
+   */
   public void restore(Ticket<T> ticket) {
-    checkArgument(!waiting.contains(ticket), "the ticket already waits");
+    checkArgument(!waiting.contains(ticket), "ticket is already in the queue");
     servedInWindow--;
     insert(ticket);
   }
@@ -153,7 +160,9 @@
     }
   }
 
-  /** Takes the request whose turn it is, or returns empty if none waits. */
+  /**
+   * Removes and returns the request with the earliest virtual start time, or empty if none waits.
+   */
   public Optional<Ticket<T>> poll() {
     Ticket<T> ticket = waiting.pollFirst();
     if (ticket == null) {
@@ -175,13 +184,13 @@
     }
   }
 
-  /** Removes a request that waits; returns whether it did. */
+  /** Removes a request; returns whether it was in the queue. */
   public boolean remove(Ticket<T> ticket) {
-    boolean waited = waiting.remove(ticket);
-    if (waited) {
+    boolean removed = waiting.remove(ticket);
+    if (removed) {
       updateCountsOnRemoval(ticket);
     }
-    return waited;
+    return removed;
   }
 
   private void updateCountsOnRemoval(Ticket<T> ticket) {
@@ -200,53 +209,57 @@
     counts.computeIfPresent(flow, (name, count) -> count == 1 ? null : count - 1);
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   public int size() {
     return waiting.size();
   }
 
-  /** Returns how many clocks of callers are kept, at most {@link #MAX_FLOWS}. */
+  /** Returns the number of caller clocks, at most {@link #MAX_FLOWS}. */
   int callerClockCount() {
     return callerClocks.size();
   }
 
-  /** Returns whether no request waits. */
+  /** Returns whether the queue is empty. */
   public boolean isEmpty() {
     return waiting.isEmpty();
   }
 
-  /** Returns how many requests are served before one that the given caller would add now. */
+  /**
+   * Returns the number of queued requests that would be served before a new one of this caller and
+   * key.
+   */
   public int countAhead(String caller, String key) {
     return startTimeCounts.countUpTo(
         StartTimeCounts.slotOf(nextStartTime(caller, key), virtualTime), virtualTime);
   }
 
   /**
-   * Returns how many requests are likely served before one that the given caller would add now,
-   * those included that come later and pass it, if turns go on at the pace of late.
+   * Returns the number of requests expected to be served before a new one of this caller and key,
+   * including later requests that overtake it if virtual time keeps its recent rate.
    */
   public int expectedCountAhead(String caller, String key) {
-    double lead = (nextStartTime(caller, key) - virtualTime) / virtualTimePerRequest;
-    return Math.max(countAhead(caller, key), (int) Math.min(Integer.MAX_VALUE, lead));
+    double requestsUntilStart = (nextStartTime(caller, key) - virtualTime) / virtualTimePerRequest;
+    return Math.max(countAhead(caller, key), (int) Math.min(Integer.MAX_VALUE, requestsUntilStart));
   }
 
   private long nextStartTime(String caller, String key) {
-    long start = clockOf(callerClocks, caller);
+    long startTime = clockOf(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, clockOf(keyClocks, key));
+      startTime = Math.max(startTime, clockOf(keyClocks, key));
     }
-    return startTimeAt(start);
+    return startTimeAt(startTime);
   }
 
-  /** Returns whether a request that the given caller would add now is beyond its turn. */
+  /** Returns whether a new request of this caller and key would be backlogged. */
   public boolean isBacklogged(String caller, String key) {
     return nextStartTime(caller, key) > virtualTime;
   }
 
-  /** Returns whether the given caller or key has more waiting than an even part of the queue. */
+  /** Returns whether the caller or key holds more than its fair share of the queue. */
   public boolean isOverFairShare(String caller, String key) {
-    long ofCaller = (long) waitingOfCaller.getOrDefault(caller, 0) * waitingOfCaller.size();
-    long ofKey = key.isEmpty() ? 0 : (long) waitingOfKey.getOrDefault(key, 0) * waitingOfKey.size();
-    return Math.max(ofCaller, ofKey) > OVER_SHARE_FACTOR * waiting.size();
+    long callerShare = (long) waitingOfCaller.getOrDefault(caller, 0) * waitingOfCaller.size();
+    long keyShare =
+        key.isEmpty() ? 0 : (long) waitingOfKey.getOrDefault(key, 0) * waitingOfKey.size();
+    return Math.max(callerShare, keyShare) > OVER_SHARE_FACTOR * waiting.size();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -10,99 +10,102 @@
 import java.util.Optional;
 
 /**
- * What a side process knows of each attempt: not run, running, done; and what it has forgotten.
+ * The state of each attempt that a side process has seen: not run, running or done. It ensures that
+ * an attempt runs at most once, and that an attempt reported as not run never runs.
  *
- * <p>This is what makes "not run" true and "at most once" hold. An attempt may start only if its id
- * was never seen. Refusing one, or being asked about one that never came, puts a tombstone on its
- * id, so that a copy still on its way cannot run afterwards. Answers of ended attempts are kept for
- * whoever lost the connection they were sent on.
+ * <p>An attempt may start only if its id was never seen. Rejecting an attempt, or resolving one
+ * that never arrived, sets a tombstone on its id, so that a delayed copy cannot run later.
+ * Responses of ended attempts are kept for entries that lost the connection on which the response
+ * was sent.
  *
- * <p>An answer that its entry has whole is never asked for again; of it only the id is kept, as one
- * bit. Kept answers of a fast target else outlive young collections, fill the old generation, and
- * hold up every request while it is collected.
+ * <p>Once an entry has acknowledged a response it never asks for it again, so only the id is kept,
+ * as one bit. Otherwise the kept responses of a fast target survive young collections and fill the
+ * old generation, and collecting it delays all requests.
  *
- * <p>Ids of ended attempts are kept for a bounded time and number. To tell "never seen" from "seen
- * and forgotten", the highest forgotten sequence of each entry incarnation is remembered; at or
- * below it nothing is claimed. Sequences are given when an attempt is sent, so a living attempt is
- * never that old.
+ * <p>Ids of ended attempts are kept for a limited time and up to a maximum count. To distinguish an
+ * id that was never seen from one that was evicted, the highest evicted sequence per entry
+ * incarnation is kept, and no attempt with this or a lower sequence is admitted. Sequences are
+ * assigned when an attempt is sent, so an active attempt is never that old.
  *
  * <p>A pure state machine, confined to one thread; times are nanoseconds of one monotonic clock.
  *
- * @param <A> the type of a kept answer
+ * @param <A> the type of a kept response
  */
 public final class AttemptTable<A> {
-  /** What is known of an attempt. */
+  /** The state of an attempt. */
   public enum State {
     /** Never seen. */
     UNSEEN,
-    /** It did not run and never will. */
+    /** The attempt did not run and never will. */
     TOMBSTONE,
-    /** Held for a free slot; may still be given up as not run. */
+    /** Waiting for a free slot; can still be marked as not run. */
     WAITING,
-    /** Handed to the target. */
+    /** Passed to the target. */
     RUNNING,
-    /** Ended; its answer is kept. */
+    /** Ended; the response is kept. */
     DONE,
-    /** Seen once, or too old to tell. */
+    /** Seen before, or so old that this is unknown; no response is kept. */
     FORGOTTEN
   }
 
-  private record EndedAttempt<A>(State state, Optional<A> answer, long bytes, long expiresAt) {}
+  private record EndedAttempt<A>(State state, Optional<A> response, long bytes, long expiresAt) {}
 
   private final int maxEnded;
-  private final long maxAnswerBytes;
+  private final long maxResponseBytes;
   private final long retentionNanos;
   private final Map<AttemptId, State> active = new HashMap<>();
   private final LinkedHashMap<AttemptId, EndedAttempt<A>> ended = new LinkedHashMap<>();
-  private final LinkedHashMap<AttemptId, Long> answerSizes = new LinkedHashMap<>();
+  private final LinkedHashMap<AttemptId, Long> responseSizes = new LinkedHashMap<>();
   private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
   private final Map<Long, Long> highestForgotten = new HashMap<>();
-  private long answerBytes;
+  private long responseBytes;
 
   /**
-   * Creates an empty ledger.
+   * Creates an empty table.
    *
-   * @param maxEnded how many ended attempts are kept at most
-   * @param maxAnswerBytes how many bytes of answers are kept at most, all together
-   * @param windowNanos how long an ended attempt is kept
+   * @param maxEnded maximum number of ended attempts kept
+   * @param maxResponseBytes maximum total size of kept responses, in bytes
+   * @param retentionNanos time that an ended attempt is kept, in nanoseconds
    */
-  public AttemptTable(int maxEnded, long maxAnswerBytes, long windowNanos) {
+  public AttemptTable(int maxEnded, long maxResponseBytes, long retentionNanos) {
     checkArgument(maxEnded > 0, "maxEnded is not positive: %s", maxEnded);
-    checkArgument(maxAnswerBytes >= 0, "maxAnswerBytes is negative: %s", maxAnswerBytes);
-    checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
+    checkArgument(maxResponseBytes >= 0, "maxResponseBytes is negative: %s", maxResponseBytes);
+    checkArgument(retentionNanos > 0, "retentionNanos is not positive: %s", retentionNanos);
     this.maxEnded = maxEnded;
-    this.maxAnswerBytes = maxAnswerBytes;
-    this.retentionNanos = windowNanos;
+    this.maxResponseBytes = maxResponseBytes;
+    this.retentionNanos = retentionNanos;
   }
 
-  /** Returns what is known of the attempt. */
+  /** Returns the state of the attempt. */
   public State state(AttemptId id) {
-    State living = active.get(id);
-    if (living != null) {
-      return living;
+    State activeState = active.get(id);
+    if (activeState != null) {
+      return activeState;
     }
     EndedAttempt<A> kept = ended.get(id);
     if (kept != null) {
       return kept.state();
     }
-    Long mark = highestForgotten.get(id.entryIncarnation());
-    if (mark != null && id.sequence() <= mark) {
+    Long highestEvicted = highestForgotten.get(id.entryIncarnation());
+    if (highestEvicted != null && id.sequence() <= highestEvicted) {
       return State.FORGOTTEN;
     }
-    AcknowledgedSequences known = acknowledgedSequences.get(id.entryIncarnation());
-    return known != null && known.contains(id.sequence()) ? State.FORGOTTEN : State.UNSEEN;
+    AcknowledgedSequences acknowledged = acknowledgedSequences.get(id.entryIncarnation());
+    return acknowledged != null && acknowledged.contains(id.sequence())
+        ? State.FORGOTTEN
+        : State.UNSEEN;
   }
 
-  /** Returns the answer of an attempt that is done, if it is still kept. */
+  /** Returns the response of a done attempt, if it is still kept. */
   public Optional<A> answer(AttemptId id) {
     EndedAttempt<A> kept = ended.get(id);
-    return kept == null ? Optional.empty() : kept.answer();
+    return kept == null ? Optional.empty() : kept.response();
   }
 
   /**
-   * Takes an attempt in, to wait for a slot.
+   * Admits an attempt, which then waits for a slot.
    *
-   * @return whether it may run; false where its id was seen before
+   * @return whether it may run; false if its id was seen before
    */
   public boolean admit(AttemptId id) {
     if (state(id) != State.UNSEEN) {
@@ -113,19 +116,21 @@
   }
 
   /**
-   * Tells that the attempt is handed to the target now.
+   * Records that a waiting attempt was passed to the target.
    *
-   * @throws IllegalStateException if it was not waiting
+   * @throws IllegalStateException if the attempt is not waiting
    */
   public void started(AttemptId id) {
-    checkState(active.get(id) == State.WAITING, "%s is %s", id, state(id));
+    checkState(
+        active.get(id) == State.WAITING, "attempt %s is %s, expected WAITING", id, state(id));
     active.put(id, State.RUNNING);
   }
 
   /**
-   * Puts a tombstone on an attempt that has not started.
+   * Sets a tombstone on an attempt that has not started.
    *
-   * @return whether that is proof that it never runs; false where it runs, ran or is forgotten
+   * @return true if the attempt is proven never to run; false if it is running, has run, or its id
+   *     was evicted
    */
   public boolean markNotRun(AttemptId id, long now) {
     State state = state(id);
@@ -140,19 +145,29 @@
     return true;
   }
 
-  /** Puts a tombstone on an attempt that was started, on proof that its target saw no byte. */
+  /** Sets a tombstone on a started attempt of which the target provably received no byte. */
   public void markUndelivered(AttemptId id, long now) {
     active.remove(id);
     end(id, new EndedAttempt<>(State.TOMBSTONE, Optional.empty(), 0, now + retentionNanos), now);
   }
 
-  /** Keeps the answer of an attempt that ended. */
-  public void done(AttemptId id, A answer, long bytes, long now) {
-    checkState(active.remove(id) == State.RUNNING, "%s was not running", id);
-    end(id, new EndedAttempt<>(State.DONE, Optional.of(answer), bytes, now + retentionNanos), now);
+  /**
+   * Records the response of an attempt that ended.
+   *
+   * @param bytes size of the response
+   * @throws IllegalStateException if the attempt is not running
+   */
+  public void done(AttemptId id, A response, long bytes, long now) {
+    checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
+    end(
+        id,
+        new EndedAttempt<>(State.DONE, Optional.of(response), bytes, now + retentionNanos),
+        now);
   }
 
-  /** Drops the answer of an attempt that is done, because its entry has it whole; not its id. */
+  /**
+   * Drops the response of a done attempt whose entry has received it completely, but keeps its id.
+   */
   public void acknowledged(AttemptId id, long now) {
     EndedAttempt<A> kept = ended.get(id);
     if (kept == null || kept.state() != State.DONE) {
@@ -160,20 +175,24 @@
     }
     ended.remove(id);
     removeResponseSize(id, kept);
-    AcknowledgedSequences known =
+    AcknowledgedSequences sequences =
         acknowledgedSequences.computeIfAbsent(
             id.entryIncarnation(), entry -> new AcknowledgedSequences());
-    known.add(id.sequence(), now + retentionNanos);
-    raiseHighestForgotten(id.entryIncarnation(), known.evictedUpTo());
+    sequences.add(id.sequence(), now + retentionNanos);
+    raiseHighestForgotten(id.entryIncarnation(), sequences.evictedUpTo());
   }
 
-  /** Notes that an attempt ended whose answer is too long to be kept. */
+  /**
+   * Records the end of an attempt whose response is too large to keep.
+   *
+   * @throws IllegalStateException if the attempt is not running
+   */
   public void doneWithoutResponse(AttemptId id, long now) {
-    checkState(active.remove(id) == State.RUNNING, "%s was not running", id);
+    checkState(active.remove(id) == State.RUNNING, "attempt %s is not running", id);
     end(id, new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, now + retentionNanos), now);
   }
 
-  /** Forgets what is older than the window. */
+  /** Removes ended attempts whose retention time has passed. */
   public void expire(long now) {
     expireEnded(now);
     expireAcknowledged(now);
@@ -192,7 +211,9 @@
     }
   }
 
-  /** Lets go of entries that are gone; one of them costs a few kilobytes. */
+  /**
+   * Removes the acknowledged sequences of entry incarnations that have ended, a few kilobytes each.
+   */
   private void expireAcknowledged(long now) {
     Iterator<Map.Entry<Long, AcknowledgedSequences>> each =
         acknowledgedSequences.entrySet().iterator();
@@ -205,31 +226,34 @@
     }
   }
 
-  /** Returns how many bytes of answers are kept. */
+  /** Returns the total size of kept responses, in bytes. */
   public long answerBytes() {
-    return answerBytes;
+    return responseBytes;
   }
 
   private void end(AttemptId id, EndedAttempt<A> kept, long now) {
     ended.put(id, kept);
     if (kept.bytes() > 0) {
-      answerSizes.put(id, kept.bytes());
-      answerBytes += kept.bytes();
+      responseSizes.put(id, kept.bytes());
+      responseBytes += kept.bytes();
       evictResponses();
     }
     expireEnded(now);
   }
 
-  /** Drops the oldest answers but not their ids: what they were about is known to have run. */
+  /**
+   * Evicts the oldest responses but keeps their ids, so that these attempts are still known to have
+   * run.
+   */
   private void evictResponses() {
-    Iterator<Map.Entry<AttemptId, Long>> oldest = answerSizes.entrySet().iterator();
-    while (answerBytes > maxAnswerBytes && oldest.hasNext()) {
+    Iterator<Map.Entry<AttemptId, Long>> oldest = responseSizes.entrySet().iterator();
+    while (responseBytes > maxResponseBytes && oldest.hasNext()) {
       Map.Entry<AttemptId, Long> entry = oldest.next();
       EndedAttempt<A> kept = ended.get(entry.getKey());
       ended.replace(
           entry.getKey(),
           new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, kept.expiresAt()));
-      answerBytes -= entry.getValue();
+      responseBytes -= entry.getValue();
       oldest.remove();
     }
   }
@@ -240,8 +264,8 @@
   }
 
   private void removeResponseSize(AttemptId id, EndedAttempt<A> kept) {
-    if (answerSizes.remove(id) != null) {
-      answerBytes -= kept.bytes();
+    if (responseSizes.remove(id) != null) {
+      responseBytes -= kept.bytes();
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyTimeouts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyTimeouts.java
@@ -2,25 +2,26 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Spans of time that all processes must agree on, in nanoseconds. */
+/** Timeouts that all processes must agree on, in nanoseconds. */
 public final class KeyTimeouts {
   /**
-   * How long evidence from the log lets a home go on. Long enough that a short outage of the log
-   * goes unnoticed; a longer one delays a death's end little, for the window below dominates.
+   * Time that an owner may run keys after its lease was confirmed through the log. Long enough to
+   * bridge a short outage of the log; a longer lease adds little to the takeover delay, which is
+   * dominated by {@link #OUTCOME_RETENTION_NANOS}.
    */
   public static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** What the clocks of two VMs may drift apart over a lease and a window, with room to spare. */
+  /** Generous bound on the clock drift between two VMs over a lease and an outcome's retention. */
   public static final long CLOCK_DRIFT_MARGIN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How long a key's outcome is kept after its request ended. */
+  /** Time that a key's outcome is kept after its request has ended. */
   public static final long OUTCOME_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** How long nothing of a shard runs after its home was revoked, from when that was read. */
+  /** Time after reading a revocation during which no key of the shard runs. */
   public static final long TAKEOVER_DELAY_NANOS =
       LEASE_NANOS + OUTCOME_RETENTION_NANOS + CLOCK_DRIFT_MARGIN_NANOS;
 
-  /** How long a home is not heard of before it is revoked. */
+  /** Time that an owner must be unreachable before it is revoked. */
   public static final long REVOKE_AFTER_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private KeyTimeouts() {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
@@ -7,30 +7,32 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides whether an attempt that ended is tried again, and when.
+ * Decides whether and when a request is retried after an attempt has ended.
  *
- * <p>Load patterns: targets that fail, and a full service. A failed request is tried again at most
- * {@link #MAX_ATTEMPTS} times in all, only if that can do no harm, if the budget allows, never
- * while requests wait (a retry would take the place of somebody's first try) and only after a
- * random back-off that doubles, so that tries at a target that restarts do not come in step.
+ * <p>Failed attempts: a request is attempted at most {@link #MAX_ATTEMPTS} times. It is retried
+ * only if that is safe, if the budget allows it, and if no requests wait, because a retry would
+ * take capacity from a first attempt. The backoff is random and doubles with each retry, so that
+ * retries to a restarting target are not synchronised.
  *
- * <p>A request that a full side process turned away is another matter: it cost no slot, so it goes
- * back to the queue at once and without budget, up to {@link #REJECTIONS_BEFORE_BACKOFF} tries;
- * without that bound a request could circle until its deadline. After that it is tried again after
- * a back-off that doubles, as long as its deadline allows. Load pattern: processes that have just
- * started stand still for a quarter of a second while their first requests come; eight tries pass
- * within that time, and callers of a nearly idle fleet were refused with most of their time left.
- * Not safe for use by several threads.
+ * <p>Rejected attempts: a rejection by a full side process used no slot, so the request returns to
+ * the queue immediately and without budget, for its first {@link #REJECTIONS_BEFORE_BACKOFF}
+ * attempts; without this limit it could be resent until its deadline. After that it is retried with
+ * a doubling backoff up to its deadline. Load pattern: newly started processes stall for a quarter
+ * of a second while their first requests arrive. Eight attempts pass within that time, and without
+ * the backoff callers of a nearly idle fleet were refused with most of their time left.
+ *
+ * <p>Not thread-safe.
  */
 public final class RetryPolicy {
+  /** Maximum number of attempts of a request whose attempts fail. */
   static final int MAX_ATTEMPTS = 3;
+
+  /** Number of attempts from which a rejected request is retried with a backoff. */
   static final int REJECTIONS_BEFORE_BACKOFF = 8;
+
   static final long INITIAL_BACKOFF_NANOS = 10_000_000L;
 
-  /**
-   * What a request waits after its first {@link #REJECTIONS_BEFORE_BACKOFF} tries, doubled with
-   * each more.
-   */
+  /** Backoff after {@link #REJECTIONS_BEFORE_BACKOFF} attempts; doubled with each further one. */
   static final long REJECTED_INITIAL_BACKOFF_NANOS = 20_000_000L;
 
   private static final int MAX_DOUBLINGS = 10;
@@ -43,22 +45,25 @@
     this.random = requireNonNull(random, "random");
   }
 
-  /** Takes note of a request's first try. */
+  /** Records the first attempt of a request. */
   public void recordRequest() {
     budget.recordRequest();
   }
 
   /**
-   * Returns when to try again, or empty if the outcome is final.
+   * Returns the time of the next attempt, or empty if the outcome is final.
    *
-   * @param tries how often it was tried so far
-   * @param queueing whether other requests wait for a place
-   * @param deadline the request's deadline; what would be due later is not tried
+   * @param outcome outcome of the last attempt
+   * @param idempotent whether the request may safely run twice
+   * @param attempts number of attempts so far
+   * @param queueing whether other requests are queued
+   * @param deadline deadline of the request; a retry due after it is not made
+   * @param now current monotonic time, in nanoseconds
    */
   public OptionalLong retryAt(
       AttemptOutcome outcome,
       boolean idempotent,
-      int tries,
+      int attempts,
       boolean queueing,
       long deadline,
       long now) {
@@ -66,12 +71,12 @@
       return OptionalLong.empty();
     }
     if (outcome.rejectedBySideProcess()) {
-      return ifBefore(deadline, now + rejectionBackoff(tries));
+      return ifBefore(deadline, now + rejectionBackoff(attempts));
     }
-    if (queueing || tries >= MAX_ATTEMPTS) {
+    if (queueing || attempts >= MAX_ATTEMPTS) {
       return OptionalLong.empty();
     }
-    OptionalLong due = ifBefore(deadline, now + failureBackoff(tries));
+    OptionalLong due = ifBefore(deadline, now + failureBackoff(attempts));
     return due.isPresent() && budget.tryAcquire() ? due : OptionalLong.empty();
   }
 
@@ -79,13 +84,13 @@
     return due < deadline ? OptionalLong.of(due) : OptionalLong.empty();
   }
 
-  private static long rejectionBackoff(int tries) {
-    int beyond = tries - REJECTIONS_BEFORE_BACKOFF;
+  private static long rejectionBackoff(int attempts) {
+    int beyond = attempts - REJECTIONS_BEFORE_BACKOFF;
     return beyond < 0 ? 0 : REJECTED_INITIAL_BACKOFF_NANOS << Math.min(beyond, MAX_DOUBLINGS);
   }
 
-  private long failureBackoff(int tries) {
-    long most = INITIAL_BACKOFF_NANOS << (tries - 1);
-    return most / 2 + random.nextLong(most / 2);
+  private long failureBackoff(int attempts) {
+    long maxNanos = INITIAL_BACKOFF_NANOS << (attempts - 1);
+    return maxNanos / 2 + random.nextLong(maxNanos / 2);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
@@ -43,9 +43,8 @@
     assertFalse(scheduler.isPending(1));
   }
 
-  // All targets of the service go away while requests wait. They are told so at once, with a time
-  // to
-  // come back, not at their deadline.
+  // All targets of the service are removed while requests wait. The requests are refused
+  // immediately with a retry-after time, not at their deadline.
   @Test
   void refusesWaitingRequestsWhenTheLastTargetIsRemoved() {
     scheduler.targetsChanged(List.of(target("vm-0", "parking")), 0);
@@ -58,14 +57,14 @@
   }
 
   /**
-   * A fleet has just started: for a quarter of a second its side processes load classes, their
-   * slots stay taken and they turn newcomers away. Callers at a sixth of what the fleet can serve,
-   * with seconds to spare, must be served late rather than be told that it is full.
+   * A new fleet: for a quarter of a second its side processes load classes, their slots stay busy
+   * and they reject requests. Callers at a sixth of the fleet's capacity, with seconds to spare,
+   * must be served late rather than refused as overloaded.
    */
   @Test
   void servesAllRequestsOfANearlyIdleFleetThatStallsAtStart() {
-    long stall = SECOND / 4;
-    long spacing = SECOND / 62;
+    long stallNanos = SECOND / 4;
+    long spacingNanos = SECOND / 62;
     scheduler.targetsChanged(
         List.of(target("vm-0", "parking"), target("vm-1", "parking"), target("vm-2", "parking")),
         0);
@@ -76,7 +75,7 @@
     long arrivals = 0;
     for (long now = 0; now < 3 * SECOND; now += SECOND / 1_000) {
       List<Decision> decisions = new ArrayList<>(scheduler.wake(now));
-      if (now / spacing >= arrivals && now < SECOND) {
+      if (now / spacingNanos >= arrivals && now < SECOND) {
         Arrival next = new Arrival(arrivals, "parking", "caller", "", true, now, now + 2 * SECOND);
         arrivals++;
         decisions.addAll(scheduler.requestArrived(next, now));
@@ -89,8 +88,8 @@
       for (Decision decision : decisions) {
         if (decision instanceof Decision.Send send) {
           vms.put(send.request(), send.vm());
-          long takes = now < stall ? SECOND / 1_000 : SECOND / 500;
-          ends.add(new long[] {now + takes, send.request(), now < stall ? 0 : 1});
+          long durationNanos = now < stallNanos ? SECOND / 1_000 : SECOND / 500;
+          ends.add(new long[] {now + durationNanos, send.request(), now < stallNanos ? 0 : 1});
         } else {
           refused.add(decision);
         }
@@ -123,10 +122,8 @@
     assertEquals(ErrorKind.DEADLINE_BEFORE_START, refusal(decisions));
   }
 
-  // The promise that everything else rests on: whatever happens in whatever order, each arrival is
-  // refused or ends with an outcome exactly once, and nothing that may have run is sent twice
-  // unless
-  // it is idempotent.
+  // Main invariant: in any order of events, each request is refused or ends with an outcome exactly
+  // once, and a request that may have run is sent again only if it is idempotent.
   @Property(tries = 100, seed = "42")
   void answersEveryArrivalExactlyOnce(@ForAll @LongRange(min = 0, max = 1_000_000) long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -137,7 +134,7 @@
       run.step(random);
     }
     run.finish();
-    assertEquals(run.arrived, run.settled);
+    assertEquals(run.arrived, run.completed);
   }
 
   private static final class Run {
@@ -145,7 +142,7 @@
     private final Map<Long, String> sent = new HashMap<>();
     private final Map<Long, Arrival> arrivals = new HashMap<>();
     private final Set<Long> arrived = new HashSet<>();
-    private final Set<Long> settled = new HashSet<>();
+    private final Set<Long> completed = new HashSet<>();
     private long now;
 
     private Run(RequestScheduler scheduler) {
@@ -156,13 +153,13 @@
       switch (random.nextInt(6)) {
         case 0 -> changeTargets(random);
         case 1 ->
-            carryOut(
+            apply(
                 scheduler.loadReported(
                     "vm-" + random.nextInt(4),
                     new TargetLoad(random.nextInt(3), random.nextInt(2), 3, false),
                     now));
-        case 2 -> carryOut(scheduler.wake(now));
-        case 3 -> endOne(OUTCOMES[random.nextInt(OUTCOMES.length)]);
+        case 2 -> apply(scheduler.wake(now));
+        case 3 -> endAttempt(OUTCOMES[random.nextInt(OUTCOMES.length)]);
         default -> arrive(random);
       }
     }
@@ -174,7 +171,7 @@
           targets.add(target("vm-" + i, "parking"));
         }
       }
-      carryOut(scheduler.targetsChanged(targets, now));
+      apply(scheduler.targetsChanged(targets, now));
     }
 
     private void arrive(SplittableRandom random) {
@@ -184,22 +181,22 @@
           new Arrival(number, "parking", caller, "", random.nextBoolean(), now, now + SECOND / 4);
       arrived.add(number);
       arrivals.put(number, arrival);
-      carryOut(scheduler.requestArrived(arrival, now));
+      apply(scheduler.requestArrived(arrival, now));
     }
 
-    private void endOne(AttemptOutcome outcome) {
+    private void endAttempt(AttemptOutcome outcome) {
       if (sent.isEmpty()) {
         return;
       }
       long number = sent.keySet().iterator().next();
       String vm = sent.remove(number);
       List<Decision> decisions = scheduler.attemptEnded(number, vm, outcome, now);
-      boolean again = scheduler.isPending(number);
-      assertTrue(!again || outcome.mayRetry(arrivals.get(number).idempotent()));
+      boolean retried = scheduler.isPending(number);
+      assertTrue(!retried || outcome.mayRetry(arrivals.get(number).idempotent()));
       boolean refused = decisions.stream().anyMatch(d -> isRefusalOf(d, number));
-      carryOut(decisions);
-      if (!again && !refused) {
-        settle(number);
+      apply(decisions);
+      if (!retried && !refused) {
+        complete(number);
       }
     }
 
@@ -207,29 +204,29 @@
       return decision instanceof Decision.Refuse && decision.request() == number;
     }
 
-    private void carryOut(List<Decision> decisions) {
+    private void apply(List<Decision> decisions) {
       for (Decision decision : decisions) {
         if (decision instanceof Decision.Send send) {
           assertEquals(null, sent.put(send.request(), send.vm()));
         } else {
-          settle(decision.request());
+          complete(decision.request());
         }
       }
     }
 
-    private void settle(long number) {
-      assertTrue(settled.add(number), () -> "answered twice: " + number);
+    private void complete(long number) {
+      assertTrue(completed.add(number), () -> "answered twice: " + number);
       assertFalse(sent.containsKey(number));
     }
 
     private void finish() {
       now += SECOND;
-      carryOut(scheduler.wake(now));
+      apply(scheduler.wake(now));
       while (!sent.isEmpty()) {
-        endOne(AttemptOutcome.ANSWERED);
+        endAttempt(AttemptOutcome.ANSWERED);
       }
       now += SECOND;
-      carryOut(scheduler.wake(now));
+      apply(scheduler.wake(now));
     }
   }
 }
