--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
@@ -11,10 +11,10 @@
 import java.util.TreeMap;
 
 /**
- * The ends of runs of one worker's life that no owner has made durable yet.
+ * The ends of runs on one worker incarnation that their owners have not yet acknowledged as durable.
  *
- * <p>A worker forgets ends in the order of their numbers, so the number that may be forgotten stays
- * below the oldest end that nobody has noted. Confined to one thread.
+ * <p>A worker discards ends in the order of their sequence numbers, so the acknowledged number stays
+ * below the oldest unacknowledged end. Confined to one thread.
  */
 final class EndLedger {
   private final Map<RunKey, EndReport> ends = new LinkedHashMap<>();
@@ -23,13 +23,17 @@
   private long noted;
   private long highest;
 
-  /** Returns whether the end is listed for the first time. */
+  /** Records the sequence number of a listed end and returns whether it is new. */
   boolean isNew(long sequence) {
     highest = Math.max(highest, sequence);
     return sequence > noted && taken.add(sequence);
   }
 
-  /** Keeps an end; of one that the worker does not list the sequence is 0. */
+  /**
+   * Adds an end.
+   *
+   * @param sequence the worker's sequence number of the end; 0 if the worker does not list it
+   */
   void add(RunKey run, RunOutcome outcome, String checkpoint, long sequence, String reason) {
     ends.put(
         run,
@@ -45,7 +49,7 @@
     }
   }
 
-  /** Forgets an end that is durable; returns whether it was kept. */
+  /** Removes an end that its owner has made durable; returns whether it was present. */
   boolean note(RunKey run) {
     EndReport end = ends.remove(run);
     if (end == null) {
@@ -65,12 +69,12 @@
     return ends.values();
   }
 
-  /** Returns the number up to which the worker may forget. */
+  /** Returns the sequence number up to which the worker may discard ends. */
   long noted() {
     return noted;
   }
 
-  /** Returns whether every end that the worker lists is durable. */
+  /** Returns whether the owners have acknowledged every end that the worker lists. */
   boolean isAllNoted() {
     return unnoted.isEmpty();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingTurns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingTurns.java
@@ -15,16 +15,16 @@
 import java.util.function.Supplier;
 
 /**
- * When a worker is asked for its next listing: one is under way or one is planned, never two.
+ * Schedules the listing requests to a worker: one is either in flight or scheduled, never both.
  *
- * <p>Guards against listings that multiply: asked for early while one is planned, a second chain of
- * them would begin, and each chain asks for as long as the worker lives. A plan takes the place of
- * the one before. Confined to the loop's thread.
+ * <p>Each listing schedules the next one. Without this rule a request made early, while another is
+ * scheduled, would start a second chain of requests that lasts as long as the worker. Scheduling a
+ * request therefore replaces the one scheduled before. Confined to the loop's thread.
  */
 final class ListingTurns {
   private static final EventLog LOG = EventLog.of(ListingTurns.class);
 
-  /** Until the next try where asking threw, in nanoseconds. */
+  /** Delay before the next request after one that threw, in nanoseconds. */
   private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final LinkLoop loop;
@@ -34,9 +34,9 @@
   private boolean closed;
 
   /**
-   * Creates turns of which none is planned.
+   * Creates a scheduler without a scheduled request.
    *
-   * @param look asks for a listing and calls {@link #ended} once it is answered
+   * @param look requests a listing and calls {@link #ended} when the request completes
    */
   ListingTurns(LinkLoop loop, Runnable look) {
     this.loop = requireNonNull(loop, "loop");
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Asks now, unless a listing is under way, which plans the next one itself.
+   * Requests a listing now, unless one is in flight.
    *
-   * <p>Guards against a worker that is never asked again: where asking throws, no answer comes that
-   * would end the turn and plan the next one, and what ran then counts as at work for good. So the
-   * turn ends here, and the next one is planned.
+   * <p>If the request throws, no response arrives that would schedule the next request: the worker
+   * would never be polled again and its runs would count as active forever. The request then counts
+   * as completed, and a retry is scheduled.
    */
   void now() {
     if (closed || underWay) {
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Returns what the listing brings; its future never completes exceptionally.
+   * Returns the result of a listing request; the future never completes exceptionally.
    *
-   * <p>Guards against a listing whose exception nobody hears: the turn would never end, the worker
-   * would go on to get orders, and what it ran would count as at work also after its lease. A
-   * listing that throws or ends with an exception is one without an answer.
+   * <p>A request that throws or whose future fails counts as unanswered. An unhandled exception would
+   * leave the request in flight forever: the worker would still receive orders, and its runs would
+   * count as active even after its lease has expired.
    */
   static CompletableFuture<ListingResult> answer(
       String worker, Supplier<CompletableFuture<ListingResult>> listing) {
@@ -85,7 +85,7 @@
             });
   }
 
-  /** Plans the next listing, in place of what was planned. */
+  /** Schedules the next request and cancels the one scheduled before. */
   void after(long delayNanos) {
     if (closed) {
       return;
@@ -94,7 +94,7 @@
     planned = Optional.of(loop.schedule(this::now, delayNanos));
   }
 
-  /** Takes note that the listing under way was answered. */
+  /** Marks the request in flight as completed. */
   void ended() {
     underWay = false;
   }
@@ -105,7 +105,7 @@
   }
 
   private void cancelPlan() {
-    planned.ifPresent(plan -> plan.cancel(false));
+    planned.ifPresent(request -> request.cancel(false));
     planned = Optional.empty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
@@ -10,28 +10,30 @@
 /**
  * Decides when a side process reports a change to an entry.
  *
- * <p>Load pattern: under load a VM changes tens of times a second, and a report tells its whole
- * state. Reports of every change to every entry grow with entries times VMs: they fill the thin
- * link of an entry, and the configuration, answers of the store and leases come late behind them.
- * So a change of a run is told at once only to the entry that owns it. The others place new work by
- * the room that is left; they are told in turns, so that a side process sends as many reports a
- * second to ten entries as to two. That a VM takes nothing more, or takes work again, concerns all.
+ * <p>A change of a run is reported at once only to the entry that owns the run. The other entries
+ * need only the free resources, and are reported to at an interval that grows with the number of
+ * entries, so that a side process sends as many reports a second to ten entries as to two. A change
+ * of whether the VM accepts work is reported to all entries at once.
+ *
+ * <p>Under load a VM changes tens of times a second, and each report carries its whole state. If
+ * every change went to every entry, the traffic would grow with entries times VMs and saturate an
+ * entry's low-bandwidth link, which delays configuration, store responses and leases.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
 final class ReportPacer {
   /**
-   * Between two reports to an entry that no change concerned, for each entry that is reached, in
-   * nanoseconds.
+   * Minimum interval between two reports to an entry that the changes do not affect, per connected
+   * entry, in nanoseconds.
    */
   static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
-  /** The part of a turn for which those that fall due are gathered. */
+  /** Reports that become due within this fraction of the minimum interval are coalesced. */
   private static final int GATHERED_PART = 4;
 
   /**
-   * Between two regular reports to an entry that owns nothing on the VM, in regular turns: few
-   * enough for the VM not to count as silent there where a report comes late.
+   * Rounds between two periodic reports to an entry that owns nothing on the VM; low enough that the
+   * entry does not consider the VM unresponsive when a report is late.
    */
   static final int QUIET_TURNS = 2;
 
@@ -39,59 +41,59 @@
   private final Map<String, Long> regularIn = new HashMap<>();
   private long turn;
 
-  /** Notes that the member is sent a report now. */
+  /** Records that a report is sent to the member now. */
   void reported(String member, long now) {
     reportedAt.put(requireNonNull(member, "member"), now);
   }
 
-  /** Begins the next turn of regular reports. */
+  /** Begins the next round of periodic reports. */
   void nextTurn() {
     turn++;
   }
 
-  /** Notes that the member is sent a report now that asks for a lease. */
+  /** Records that a periodic report, which requests a lease, is sent to the member now. */
   void reportedRegularly(String member, long now) {
     reported(member, now);
     regularIn.put(member, turn);
   }
 
   /**
-   * Returns whether the member is sent a regular report in this turn.
+   * Returns whether a periodic report to the member is due in this round.
    *
-   * @param member of the entries
-   * @param owns whether it has runs or ends on the VM, or ordered some
+   * @param member the entry
+   * @param owns whether the entry owns runs or ends on the VM, or has ordered runs there
    */
   boolean isRegularDue(String member, boolean owns) {
     Long last = regularIn.get(member);
     return owns || last == null || turn - last >= QUIET_TURNS;
   }
 
-  /** Forgets a member that is not reached any more. */
+  /** Removes a member that is no longer connected. */
   void forget(String member) {
     reportedAt.remove(member);
     regularIn.remove(member);
   }
 
   /**
-   * Returns when the member is to be told of a change; now, or later.
+   * Returns when a change is to be reported to the member: now or later.
    *
-   * @param member of the entries
-   * @param concerned whether it owns a run that changed, or must know of the VM at once
-   * @param entries how many entries are reached
+   * @param member the entry
+   * @param affected whether the entry owns a changed run, or the change is urgent for all entries
+   * @param entries the number of connected entries; positive
+   * @throws IllegalArgumentException if {@code entries} is not positive
    */
-  long dueAt(String member, boolean concerned, int entries, long now) {
+  long dueAt(String member, boolean affected, int entries, long now) {
     checkArgument(entries > 0, "entries is not positive: %s", entries);
     Long last = reportedAt.get(member);
-    if (concerned || last == null) {
+    if (affected || last == null) {
       return now;
     }
     return Math.max(now, last + turnNanos(entries));
   }
 
   /**
-   * Returns how long after the first member fell due those are told that did so by then, in
-   * nanoseconds: one timer and one look at the room serve all of them, and the next time they fall
-   * due together.
+   * Returns for how long reports are coalesced after the first one is due, in nanoseconds. One timer
+   * and one snapshot of the VM's state then serve all of them, and they become due together again.
    */
   static long gatherNanos(int entries) {
     return turnNanos(entries) / GATHERED_PART;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunOverLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunOverLog.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells of the runs that end on one worker otherwise than done.
+ * Logs runs on one worker that end with an outcome other than {@link RunOutcome#DONE}.
  *
- * <p>Refusals with the same reason are folded: a full VM refuses many times a second, and each
- * refusal stands in its owner's log as {@code run-ended} with the reason. A run that may have
- * worked is always told by itself. Confined to the loop's thread.
+ * <p>Refusals with the same reason are aggregated, since a full VM refuses many times a second and
+ * the owner logs each refusal as {@code run-ended} with its reason. A run that may have executed is
+ * always logged individually. Confined to the loop's thread.
  */
 final class RunOverLog {
   private static final EventLog LOG = EventLog.of(RunOverLog.class);
 
-  /** How long refusals with the same reason are gathered, in nanoseconds. */
+  /** How long refusals with the same reason are aggregated, in nanoseconds. */
   private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final String worker;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunPacing.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunPacing.java
@@ -18,14 +18,17 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Carries out what {@link FillPacer} decides for one worker. Confined to the loop's thread. */
+/**
+ * Throttles the best-effort runs of one worker as {@link FillPacer} decides. Confined to the loop's
+ * thread.
+ */
 final class RunPacing {
   private static final EventLog LOG = EventLog.of(RunPacing.class);
 
-  /** Between two lines about the load of a worker, in nanoseconds. */
+  /** Interval between two log lines about the load of a worker, in nanoseconds. */
   private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** How long changes of the share are gathered before the last is told, in nanoseconds. */
+  /** How long changes of the CPU share are aggregated into one log line, in nanoseconds. */
   private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
@@ -46,16 +49,17 @@
     this.paces = new FoldedLog(LOG::info, loop::schedule, FOLD_NANOS);
   }
 
+  /** Returns the share of its speed at which an interfering run may work, 0 to 100. */
   int percent() {
     return pacer.percent();
   }
 
-  /** Returns whether tasks of the image may disturb tasks that serve. */
+  /** Returns whether the image is believed to interfere with service tasks. */
   boolean isSuspect(String image) {
     return ImageHarm.isSuspect(harm.belief(image));
   }
 
-  /** Returns what the suspects among the runs declare, in thousandths of a processor. */
+  /** Returns the declared processors of the interfering runs, in thousandths of a processor. */
   long suspectMilliProcessors(Collection<SideRun> runs) {
     return suspects(runs).stream().mapToLong(SideRun::milliProcessors).sum();
   }
@@ -65,23 +69,26 @@
   }
 
   /**
-   * Marks the runs that are too many beside tasks that serve, for their owners to move them.
+   * Marks the interfering runs beyond the limit beside service tasks, so that their owners move
+   * them.
    *
    * @param capacityMilli the processors of the VM, in thousandths
+   * @param hasServiceTasks whether service tasks run on the VM
    */
-  private void markCrowded(Collection<SideRun> runs, long capacityMilli, boolean serving) {
+  private void markCrowded(Collection<SideRun> runs, long capacityMilli, boolean hasServiceTasks) {
     runs.forEach(run -> run.crowded(false));
-    if (!serving) {
+    if (!hasServiceTasks) {
       return;
     }
-    List<SideRun> suspects = suspects(runs);
-    List<Long> declared = suspects.stream().map(SideRun::milliProcessors).toList();
+    List<SideRun> interfering = suspects(runs);
+    List<Long> declared = interfering.stream().map(SideRun::milliProcessors).toList();
     SuspectRoom.excess(capacityMilli, declared)
-        .forEach(position -> suspects.get(position).crowded(true));
+        .forEach(position -> interfering.get(position).crowded(true));
   }
 
   /**
-   * Decides anew by what the worker just told; returns whether the share changed.
+   * Applies the measurements of the newest listing; returns whether the CPU share of interfering runs
+   * changed.
    *
    * @param capacityMilli the processors of the VM, in thousandths
    */
@@ -92,12 +99,12 @@
         readings.add(new FillPacer.Reading(run.gauge(), run.latencyTargetMillis()));
       }
     }
-    List<ImageHarm.Filling> fillings = fillings(runs);
+    List<ImageHarm.Filling> use = fillings(runs);
     if (!readings.isEmpty()) {
-      harm.observe(fillings, FillPacer.worstPercent(readings));
+      harm.observe(use, FillPacer.worstPercent(readings));
     }
     observeAttained(runs, FillPacer.worstPercent(readings));
-    tellOfSuspects(fillings);
+    tellOfSuspects(use);
     int before = pacer.percent();
     int after = pacer.observe(readings, filling(runs, capacityMilli), loop.now());
     if (before != after) {
@@ -115,27 +122,27 @@
     return before != after;
   }
 
-  /** Compares what tasks that fill work on with what they would, given the processors for it. */
+  /** Compares the processors that best-effort tasks use with those that they were granted. */
   private void observeAttained(Collection<SideRun> runs, double worstPercent) {
-    double asked = 0;
+    double granted = 0;
     double used = 0;
     for (SideRun run : runs) {
       if (run.fills() && run.isListed() && run.gauge() > 0 && run.pacedTo() > 0) {
-        asked += run.milliProcessors() * run.pacedTo() / 100.0;
+        granted += run.milliProcessors() * run.pacedTo() / 100.0;
         used += run.gauge();
       }
     }
-    overcommit.observe(asked, used, worstPercent);
+    overcommit.observe(granted, used, worstPercent);
   }
 
-  /** Logs what images that are here have come to be believed to disturb, or not to. */
-  private void tellOfSuspects(List<ImageHarm.Filling> fillings) {
-    for (ImageHarm.Filling each : fillings) {
-      boolean suspect = isSuspect(each.image());
-      Boolean before = suspected.put(each.image(), suspect);
-      if (before != null && before != suspect) {
+  /** Logs the images on this VM that have become, or are no longer, classified as interfering. */
+  private void tellOfSuspects(List<ImageHarm.Filling> use) {
+    for (ImageHarm.Filling each : use) {
+      boolean interfering = isSuspect(each.image());
+      Boolean before = suspected.put(each.image(), interfering);
+      if (before != null && before != interfering) {
         LOG.info(
-            LogLine.of(suspect ? "image-suspected" : "image-cleared")
+            LogLine.of(interfering ? "image-suspected" : "image-cleared")
                 .with("worker", worker)
                 .with("image", each.image())
                 .with("harm", harm.belief(each.image()))
@@ -145,38 +152,38 @@
   }
 
   private FillPacer.Filling filling(Collection<SideRun> runs, long capacityMilli) {
-    long suspect = 0;
-    long harmless = 0;
+    long interferingMilli = 0;
+    long benignMilli = 0;
     for (SideRun run : runs) {
       if (run.fills() && run.isListed()) {
-        boolean suspected = isSuspect(run.image());
-        suspect += suspected ? run.milliProcessors() : 0;
-        harmless += suspected ? 0 : run.milliProcessors();
+        boolean interfering = isSuspect(run.image());
+        interferingMilli += interfering ? run.milliProcessors() : 0;
+        benignMilli += interfering ? 0 : run.milliProcessors();
       }
     }
-    return new FillPacer.Filling(suspect, harmless, capacityMilli);
+    return new FillPacer.Filling(interferingMilli, benignMilli, capacityMilli);
   }
 
   private static List<ImageHarm.Filling> fillings(Collection<SideRun> runs) {
-    Map<String, Double> worked = new HashMap<>();
+    Map<String, Double> used = new HashMap<>();
     for (SideRun run : runs) {
       if (run.fills() && run.isListed()) {
-        worked.merge(run.image(), (double) run.gauge(), Double::sum);
+        used.merge(run.image(), (double) run.gauge(), Double::sum);
       }
     }
-    List<ImageHarm.Filling> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageHarm.Filling(image, milli)));
-    return fillings;
+    List<ImageHarm.Filling> use = new ArrayList<>();
+    used.forEach((image, milli) -> use.add(new ImageHarm.Filling(image, milli)));
+    return use;
   }
 
-  /** Returns what was seen here of the harm that images do. */
+  /** Returns the observations of image interference made on this VM. */
   Map<String, ImageHarm.Seen> seen() {
     return harm.own();
   }
 
-  /** Takes what other VMs saw. */
-  void seenElsewhere(Map<String, ImageHarm.Seen> seen) {
-    harm.others(seen);
+  /** Replaces the observations of image interference made on other VMs. */
+  void seenElsewhere(Map<String, ImageHarm.Seen> observations) {
+    harm.others(observations);
   }
 
   private void tell(Collection<SideRun> runs, List<FillPacer.Reading> readings) {
@@ -184,12 +191,12 @@
       return;
     }
     toldAt = loop.now();
-    long fills = 0;
+    long bestEffort = 0;
     long declared = 0;
     long used = 0;
     for (SideRun run : runs) {
       if (run.fills() && run.isListed()) {
-        fills++;
+        bestEffort++;
         declared += run.milliProcessors();
         used += run.gauge();
       }
@@ -198,7 +205,7 @@
         LogLine.of("worker-load")
             .with("worker", worker)
             .with("runs", runs.size())
-            .with("filling", fills)
+            .with("filling", bestEffort)
             .with("fill_declared_milli", declared)
             .with("fill_used_milli", used)
             .with("fill_percent", pacer.percent())
@@ -207,7 +214,7 @@
             .with("tails_ms", readings.stream().map(FillPacer.Reading::tailMillis).toList()));
   }
 
-  /** Sets the speed of a run, if it fills and has another one. */
+  /** Throttles a best-effort run to the current CPU share, unless the worker already applies it. */
   void pace(SideRun run) {
     int percent = isSuspect(run.image()) ? pacer.percent() : pacer.harmlessPercent();
     if (!run.fills() || run.isPacedTo(percent) || run.isStopping() || !run.isConfirmed()) {
@@ -221,7 +228,7 @@
                 loop.run(
                     () -> {
                       if (!(result instanceof Accepted)) {
-                        // Tried again with the next listing.
+                        // Retried after the next listing.
                         run.speedBecameUnknown();
                       }
                     }));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideEntries.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideEntries.java
@@ -17,29 +17,29 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The entries as a side process knows them: who owns which partition, and a connection to each.
+ * The connections of a side process to the entries, and the owner of each partition.
  *
- * <p>The store is asked only while no entry is reached; entries tell changes. Confined to the
- * loop's thread.
+ * <p>Entries send changes of the owner map; the store is queried only while some entry is not
+ * connected. Confined to the loop's thread.
  */
 final class SideEntries {
   private static final EventLog LOG = EventLog.of(SideEntries.class);
 
-  /** Between two questions to the store, in nanoseconds. */
+  /** Interval between two queries to the store, in nanoseconds. */
   private static final long ASK_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** Told of connections and frames; runs on the loop. */
+  /** Receives connection events and frames; called on the loop. */
   interface Listener {
-    /** An entry is reached. */
+    /** An entry has connected. */
     void connected(EntryConnection connection);
 
-    /** An entry is not reached any more. */
+    /** An entry has disconnected. */
     void disconnected(EntryConnection connection);
 
-    /** An entry sent a frame that is not about owners. */
+    /** An entry sent a frame other than an owner map. */
     void received(EntryConnection connection, Frame frame);
 
-    /** Partitions have other owners. */
+    /** The owners of partitions have changed. */
     void ownersChanged();
   }
 
@@ -91,35 +91,38 @@
     return Set.copyOf(connections.values());
   }
 
-  /** Returns how many entries are reached. */
+  /** Returns the number of connected entries. */
   int reached() {
     return connections.size();
   }
 
   /**
-   * Returns the digest of the map in use, as entries make it; 0 while there is none.
+   * Returns the digest of the owner map in use, computed as the entries do; 0 without a map.
    *
-   * <p>Guards against reporting for good to a former owner: a late answer of the store can take the
-   * place of a newer map that an entry told, and entries tell theirs again only where digests
-   * differ.
+   * <p>A late response of the store can replace a newer map that an entry sent. Entries send their
+   * map again if the reported digest differs from theirs; without it the side process would report to
+   * a former owner forever.
    */
   int digest() {
     return owners.hashCode();
   }
 
-  /** Returns whether the member owns the partition, as far as is known here. */
+  /** Returns whether the member owns the partition according to the owner map in use. */
   boolean owns(String member, int partition) {
     return member.equals(owners.get(partition));
   }
 
-  /** Dials entries that are not reached, closes silent connections, asks the store if need be. */
+  /**
+   * Connects to entries that are not connected, closes unresponsive connections, and queries the
+   * store if an entry is missing.
+   */
   void tick() {
     long now = loop.now();
     links.closeSilent();
     Set<String> members = new HashSet<>(owners.values());
     links.keep(members);
-    boolean alone = links.size() == 0 || links.size() < members.size();
-    if (alone && (askedAt == Long.MIN_VALUE || now - askedAt > ASK_NANOS)) {
+    boolean incomplete = links.size() == 0 || links.size() < members.size();
+    if (incomplete && (askedAt == Long.MIN_VALUE || now - askedAt > ASK_NANOS)) {
       askedAt = now;
       store.owners().thenAccept(result -> loop.run(() -> ownersRead(result)));
     }
@@ -158,7 +161,7 @@
     listener.ownersChanged();
   }
 
-  /** What entries send. */
+  /** Passes link events on to the connections and to the listener. */
   private final class FromLinks implements MemberLinks.Listener {
     @Override
     public void opened(String member, LinkConnection link) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -5,15 +5,21 @@
 import io.marigoldsail.workflow.RunKey;
 import java.util.Optional;
 
-/** A run that is or may be on the worker of this VM; mutable, confined to the loop's thread. */
+/**
+ * A run that is active, or may become active, on the worker of this VM. Mutable; confined to the
+ * loop's thread.
+ */
 final class SideRun {
-  /** Listings, sent after an order was confirmed, that may lack a run before it counts as over. */
+  /**
+   * Listings, requested after the last order was confirmed, that may lack a run before the run counts
+   * as ended.
+   */
   private static final int MAX_MISSES = 2;
 
-  /** The speed at which a worker starts a run, in percent. */
+  /** The CPU share at which a worker starts a run, in percent. */
   private static final int FULL_SPEED = 100;
 
-  /** No speed: that of the run is not known here. */
+  /** Stands for a CPU share that is not known to the side process. */
   private static final int UNKNOWN_SPEED = -1;
 
   private final RunKey key;
@@ -36,7 +42,7 @@
     this.key = key;
     this.partition = partition;
     this.order = order;
-    // The process that started a run found here may have slowed it down, even to nothing.
+    // A run found on the worker may have been throttled, even to zero, before the restart.
     this.pacedTo = order.isPresent() ? FULL_SPEED : UNKNOWN_SPEED;
   }
 
@@ -48,7 +54,7 @@
     return partition;
   }
 
-  /** Returns the order, or empty for a run that was found on the worker after a restart. */
+  /** Returns the start order; empty for a run found on the worker after a restart. */
   Optional<StartRun> order() {
     return order;
   }
@@ -65,12 +71,12 @@
     program = text;
   }
 
-  /** Counts a try to start it; returns how many there were. */
+  /** Counts a try to start the run; returns the number of tries so far. */
   int tried() {
     return ++tries;
   }
 
-  /** Notes that an order without an answer may be carried out later. */
+  /** Records that an unanswered start order may still be executed later. */
   void becameUncertain() {
     uncertain = true;
   }
@@ -79,17 +85,18 @@
     return uncertain;
   }
 
-  /** Notes that the worker has taken the last order, so that listings made later must show it. */
+  /** Records that the worker executed the last order, so that later listings must reflect it. */
   void confirm() {
     confirmed = true;
     misses = 0;
   }
 
   /**
-   * Takes a listing that shows it.
+   * Applies a listing that contains the run, which also confirms its start.
    *
-   * <p>Guards against a run that is never over: a start without an answer is not sent again once
-   * the run is listed, so no answer would ever confirm it. Only a stop still needs its answer.
+   * <p>An unanswered start is not sent again once the run is listed. Without this rule the start would
+   * never be confirmed, and a run that later disappears from listings would never count as ended. A
+   * stop is confirmed only by its own response.
    */
   void listed(String newCheckpoint, int newPercent, long newGauge) {
     listed = true;
@@ -104,7 +111,7 @@
     return listed;
   }
 
-  /** Counts a listing without it; returns whether it is over. */
+  /** Counts a listing that lacks the run; returns whether the run counts as ended. */
   boolean missedTooOften() {
     if (!confirmed) {
       return false;
@@ -126,6 +133,7 @@
     return stopping;
   }
 
+  /** Returns the measurement of the last listing, see {@link WorkerGateway.Running}. */
   long gauge() {
     return gauge;
   }
@@ -146,12 +154,12 @@
     return order.map(StartRun::getFills).orElse(false);
   }
 
-  /** Returns whether the worker is known to run it at the speed, in percent. */
-  boolean isPacedTo(int speed) {
-    return pacedTo == speed;
+  /** Returns whether the worker is known to run it at the CPU share, in percent. */
+  boolean isPacedTo(int wantedPercent) {
+    return pacedTo == wantedPercent;
   }
 
-  /** Returns the speed that the worker was last told, in percent; negative if not known. */
+  /** Returns the CPU share last ordered, in percent; negative if unknown. */
   int pacedTo() {
     return pacedTo;
   }
@@ -160,13 +168,14 @@
     pacedTo = newPercent;
   }
 
-  /** Notes that an order for another speed was not answered: it may be carried out or not. */
+  /** Records that a throttle order was not answered, so that it may or may not be in effect. */
   void speedBecameUnknown() {
     pacedTo = UNKNOWN_SPEED;
   }
 
-  void crowded(boolean isCrowded) {
-    crowded = isCrowded;
+  /** Sets whether the run exceeds the limit of interfering runs beside service tasks. */
+  void crowded(boolean isExcess) {
+    crowded = isExcess;
   }
 
   RunReport report() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -11,8 +11,9 @@
 import java.util.Optional;
 
 /**
- * Decides whether one worker is given an order to start: the last word after owners that placed by
- * what they heard last, each without the others. Confined to the loop's thread.
+ * Decides whether a start order is passed to the worker. This is the final admission check: several
+ * owners place runs on the same VM independently, each from its last, possibly stale report.
+ * Confined to the loop's thread.
  */
 final class StartAdmission {
   private final WorkerTime time;
@@ -25,7 +26,7 @@
     this.pacing = requireNonNull(pacing, "pacing");
   }
 
-  /** Returns what the ordered run takes. */
+  /** Returns the resources that the ordered run declares. */
   static RoomLedger.Claim claim(StartRun order) {
     return new RoomLedger.Claim(
         WorkflowRecords.sizes(
@@ -34,38 +35,42 @@
         order.getStarved() ? Urgency.STARVED : Urgency.ORDINARY);
   }
 
-  /** Returns how many of the runs have a latency target. */
+  /** Returns the number of runs with a latency target. */
   static int serving(Collection<SideRun> runs) {
     return (int) runs.stream().filter(run -> run.latencyTargetMillis() > 0).count();
   }
 
-  /** Returns whether there are runs of which only their owners know what they take. */
+  /**
+   * Returns whether some runs have unknown resource sizes, as runs found on the worker after a
+   * restart have until their owner sends the order again.
+   */
   static boolean isAnyUnknown(Collection<SideRun> runs) {
     return runs.stream().anyMatch(run -> run.order().isEmpty());
   }
 
   /**
-   * Books room for the run, or returns why it must not start.
+   * Reserves resources for the run, or returns the reason why it must not start.
    *
-   * @param draining whether the worker takes nothing new
-   * @param runs all that is on the worker
+   * @param draining whether the worker accepts no new runs
+   * @param runs all runs on the worker
+   * @return the reason of the refusal; empty if the resources are reserved
    */
   Optional<String> refusal(
       RunKey key, int partition, StartRun order, boolean draining, Collection<SideRun> runs) {
     if (draining) {
-      return Optional.of("the worker leaves");
+      return Optional.of("the worker is draining");
     }
     if (!time.mayStart(partition)) {
-      return Optional.of("the evidence of its owner is too old");
+      return Optional.of("the owner's ownership evidence is too old");
     }
     if (isAnyUnknown(runs)) {
-      return Optional.of("what runs here is not known yet");
+      return Optional.of("the resource sizes of some runs on the worker are not known yet");
     }
     boolean bound = order.getFills() && !order.getStarved();
     if (bound && serving(runs) > 0 && isTooMuchBeside(order, runs)) {
-      return Optional.of("no room beside services");
+      return Optional.of("the limit of interfering tasks beside service tasks is reached");
     }
-    return room.tryBook(key, claim(order)) ? Optional.empty() : Optional.of("no room");
+    return room.tryBook(key, claim(order)) ? Optional.empty() : Optional.of("insufficient capacity");
   }
 
   private boolean isTooMuchBeside(StartRun order, Collection<SideRun> runs) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ToldStates.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ToldStates.java
@@ -7,26 +7,27 @@
 import java.util.Map;
 
 /**
- * What a side process told each entry last of its VM, as far as it tells all entries the same.
+ * The VM state that a side process last reported to each entry, without the parts that differ
+ * between entries.
  *
- * <p>Many changes leave that as it is, such as the first listing of a run whose room was booked
- * with its order: whoever does not own the run has nothing to learn from them. Confined to one
- * thread.
+ * <p>Many changes leave this state unchanged, such as the first listing of a run whose resources were
+ * reserved with its order; such a change need not be reported to entries that do not own the run.
+ * Confined to one thread.
  */
 final class ToldStates {
   private final Map<String, VmReport> states = new HashMap<>();
 
-  /** Notes that the member is told the state now. */
+  /** Records that the state is reported to the member now. */
   void told(String member, VmReport state) {
     states.put(requireNonNull(member, "member"), requireNonNull(state, "state"));
   }
 
-  /** Returns whether the member was told just this last. */
+  /** Returns whether the state is the one last reported to the member. */
   boolean knows(String member, VmReport state) {
     return state.equals(states.get(member));
   }
 
-  /** Forgets a member that is not reached any more. */
+  /** Removes a member that is no longer connected. */
   void forget(String member) {
     states.remove(member);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
@@ -9,20 +9,28 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The worker of a VM.
+ * Client of the worker on a VM.
  *
  * <p>Calls never block; futures complete on any thread and never exceptionally. Every call names
- * the worker's life that it is meant for; another life answers {@link OtherWorker} and does
- * nothing.
+ * the worker incarnation that it is meant for; another incarnation ignores the call and responds
+ * with {@link OtherWorker}.
  */
 public interface WorkerGateway {
-  /** How an order ended. */
+  /** The result of an order. */
   sealed interface OrderResult {}
 
-  /** Carried out, now or by an earlier copy of the same order. */
+  /**
+   * The order was executed, now or when an earlier copy of it arrived.
+   *
+   * @param workerClock the worker's clock in milliseconds when it responded
+   */
   record Accepted(long workerClock) implements OrderResult {}
 
-  /** Not carried out and never will be. */
+  /**
+   * The order was not executed and never will be.
+   *
+   * @param detail free text for logs
+   */
   record Refused(Refusal refusal, String detail) implements OrderResult {
     /** Checks the components. */
     public Refused {
@@ -30,91 +38,96 @@
     }
   }
 
-  /** It may have been carried out, or may be yet. */
+  /** The order may have been executed, or may still be. */
   record OrderUnknown(String reason) implements OrderResult {}
 
-  /** The worker's life that the order was for is over. */
+  /** The worker incarnation that the call was meant for has ended. */
   record OtherWorker() implements OrderResult, ListingResult {}
 
-  /** Why an order was refused. */
+  /** The reason why an order was refused. */
   enum Refusal {
-    /** The attempt, or a later one, has ended here. */
+    /** This attempt, or a later one, has already ended on the worker. */
     OLD_ATTEMPT,
-    /** The worker has no room. */
+    /** The worker has insufficient free capacity. */
     NO_ROOM,
     /** The deadline has passed. */
     LATE,
-    /** The worker is unhealthy, or takes nothing now. */
+    /** The worker is unhealthy or currently accepts no orders. */
     BUSY,
-    /** The order itself is wrong. */
+    /** The order is malformed. */
     INVALID
   }
 
-  /** What a worker says of itself. */
+  /** The result of a listing request. */
   sealed interface ListingResult {}
 
-  /** The most ends that one listing holds; the others come once these are noted. */
+  /** Maximum number of ends in one listing; more are listed once these are acknowledged. */
   int MAX_LISTED_ENDS = 500;
 
   /**
-   * All that runs, and the oldest {@link #MAX_LISTED_ENDS} ends that were not yet noted.
+   * All active runs, and the oldest {@link #MAX_LISTED_ENDS} unacknowledged ends.
    *
-   * @param workerClock the worker's clock in milliseconds when it answered
+   * @param workerClock the worker's clock in milliseconds when it responded
    */
   record Listing(long workerClock, ImmutableList<Running> running, ImmutableList<Ended> ended)
       implements ListingResult {
-    /** Returns whether the worker may have ends that the listing does not hold. */
+    /** Returns whether the worker may have ends that the listing lacks. */
     public boolean isCut() {
       return ended.size() >= MAX_LISTED_ENDS;
     }
   }
 
-  /** The worker did not answer. */
+  /** The worker did not respond to a listing request. */
   record NoListing(String reason) implements ListingResult {}
 
   /**
-   * A run.
+   * An active run.
    *
-   * @param checkpoint the newest progress saved; empty for none
-   * @param percent how far it is
-   * @param gauge tail latency in milliseconds of a task that serves; else processors in use, in
-   *     thousandths
+   * @param checkpoint the newest checkpoint; empty for none
+   * @param percent progress in percent
+   * @param gauge tail latency in milliseconds of a service task; for others the processors
+   *     in use, in thousandths
    */
   record Running(RunKey run, String checkpoint, int percent, long gauge) {}
 
   /**
-   * The end of a run.
+   * A run that has ended.
    *
-   * @param sequence counts the ends of a worker's life, from 1
+   * @param sequence numbers the ends of a worker incarnation, from 1
+   * @param checkpoint the newest checkpoint; empty for none
    */
   record Ended(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {}
 
   /**
-   * A start.
+   * An order to start a run.
    *
-   * @param program opaque text
-   * @param deadline until when everything on the worker may run, on its clock
-   * @param checkpoint where to resume; empty for the beginning
-   * @param ticket of the placement adviser; empty where none is needed
+   * @param program opaque to the scheduler
+   * @param deadline the lease deadline of all runs on the worker, in milliseconds of its clock
+   * @param checkpoint where to resume; empty to start from the beginning
+   * @param ticket issued by the placement adviser; empty if none is needed
    */
   record Start(RunKey run, String program, long deadline, String checkpoint, String ticket) {}
 
   /** Starts a run. */
   CompletableFuture<OrderResult> start(String worker, Start start);
 
-  /** Stops a run; once accepted, neither this attempt nor an earlier one starts there any more. */
+  /**
+   * Stops a run. Once accepted, neither this attempt nor an earlier one of the task starts on the
+   * worker again.
+   */
   CompletableFuture<OrderResult> stop(String worker, RunKey run);
 
-  /** Sets the share of its speed at which a run may work, 0 to 100. */
+  /** Limits a run to a share of its full speed, 0 to 100 percent. */
   CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent);
 
   /**
-   * Lists what runs, lets it run on until the deadline, and forgets noted ends.
+   * Lists the runs, extends their lease to the deadline, and discards acknowledged ends.
    *
-   * @param deadline on the worker's clock; empty leaves it as it is
-   * @param noted ends up to this one are durable elsewhere
-   * @param waitMillis how long to wait for an end; 0 for none
+   * @param deadline the lease deadline in milliseconds of the worker's clock; empty leaves it
+   *     unchanged
+   * @param acknowledged sequence number up to which the owners have made ends durable
+   * @param waitMillis how long the worker waits for a run to end before it responds; 0 for no wait
    */
   CompletableFuture<ListingResult> list(
-      String worker, OptionalLong deadline, long noted, long waitMillis);
+      String worker, OptionalLong deadline, long acknowledged, long waitMillis);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether a worker is given nothing, since it refused or left unanswered what it was asked, and
- * whether what entries were last told of that still holds. Confined to the loop's thread.
+ * The health of a worker: it is unhealthy, and gets no new work, while it leaves listings unanswered
+ * and for a back-off time after it refused an order or left one unanswered. Also stores the value
+ * last reported to the entries. Confined to the loop's thread.
  */
 final class WorkerHealth {
-  /** How long a worker that refuses or does not answer gets no new work, in nanoseconds. */
+  /** How long a worker gets no new work after a refused or unanswered order, in nanoseconds. */
   private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final WorkerSilence silence;
@@ -20,36 +21,36 @@
     this.silence = new WorkerSilence(worker);
   }
 
-  /** Notes that the worker refused an order, or did not answer it. */
+  /** Records that the worker refused an order or did not answer it. */
   void failed(long now) {
     restsUntil = now + REST_NANOS;
   }
 
-  /** Takes a listing without an answer; returns the line that is due, if one is. */
+  /** Records an unanswered listing; returns the log line to write, if any. */
   Optional<LogLine> unanswered(String reason, long now) {
     failed(now);
     return silence.failed(reason, now);
   }
 
-  /** Takes a listing; returns the line that is due if it ends a silence. */
+  /** Records an answered listing; returns a log line if this ends an outage. */
   Optional<LogLine> answered(long now) {
     return silence.answered(now);
   }
 
-  /** Returns whether the last listing was not answered. */
+  /** Returns whether the last listing went unanswered. */
   boolean isSilent() {
     return silence.lasts();
   }
 
-  /** Returns whether the worker is given nothing for now. */
+  /** Returns whether the worker gets no new work now. */
   boolean isBad(long now) {
     return isSilent() || now < restsUntil;
   }
 
-  /** Takes whether the VM takes nothing now; returns whether that is other than the last time. */
+  /** Stores whether the VM is reported as unhealthy; returns whether the value has changed. */
   boolean changes(boolean unhealthy) {
-    boolean changes = told != unhealthy;
+    boolean changed = told != unhealthy;
     told = unhealthy;
-    return changes;
+    return changed;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
@@ -7,18 +7,18 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * What a worker tells the side process of its VM about itself.
+ * A worker's description of itself, sent periodically to the side process of its VM.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param worker names this life of the worker
- * @param service whose tasks it runs
+ * @param worker identifies this incarnation of the worker; not empty
+ * @param service the service whose tasks the worker runs
  * @param zone the availability zone of the VM
- * @param labels its kind and its rack
- * @param rack the rack that its VM stands in; empty if not told
- * @param capacity all that it has
- * @param draining whether it is about to leave
- * @param sequence rises with each heartbeat, by which a late one is told
+ * @param labels the kind and the rack of the VM
+ * @param rack the rack of the VM; empty if unknown
+ * @param capacity the total resources of the worker
+ * @param draining whether the worker is about to shut down and accepts no new runs
+ * @param sequence increases with each heartbeat, so that stale ones are recognized
  */
 public record WorkerHeartbeat(
     String worker,
@@ -31,7 +31,7 @@
     long sequence) {
   /** Checks the components. */
   public WorkerHeartbeat {
-    checkArgument(!worker.isEmpty(), "a heartbeat names no worker");
+    checkArgument(!worker.isEmpty(), "heartbeat has an empty worker id");
     requireNonNull(service, "service");
     requireNonNull(zone, "zone");
     requireNonNull(labels, "labels");
@@ -39,7 +39,7 @@
     requireNonNull(capacity, "capacity");
   }
 
-  /** Returns whether both tell the same, whenever they were sent. */
+  /** Returns whether both are equal except for the sequence number. */
   boolean saysTheSameAs(WorkerHeartbeat other) {
     return equals(
         new WorkerHeartbeat(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerListener.java
@@ -1,16 +1,16 @@
 package io.marigoldsail.daemon.workflow;
 
-/** Told what changes in one life of the VM's worker; called on the loop. */
+/** Receives changes of one {@link WorkerSession}; called on the loop. */
 interface WorkerListener {
-  /** Whether the VM may be given work has changed: all entries are to hear at once. */
+  /** The VM started or stopped accepting work; to be reported to all entries at once. */
   void standingChanged();
 
-  /** What is left of the VM has changed; entries hear in turns. */
+  /** The capacity or the free resources of the VM have changed; not urgent. */
   void roomChanged();
 
-  /** A run of the partition has changed, and with it what is left of the VM. */
+  /** A run of the partition has changed, and possibly the free resources of the VM. */
   void runChanged(int partition);
 
-  /** This life of the worker is over. */
+  /** The worker incarnation of the session has ended. */
   void gone(WorkerSession session);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -35,25 +35,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One life of the VM's worker: carries out orders, renews its lease, and keeps its ends until an
- * owner has noted them.
+ * The session of one worker incarnation: sends orders to the worker, renews its lease, and keeps the
+ * ends of its runs until their owners have acknowledged them.
  *
- * <p>A run is in here from before its order leaves until the worker has listed its end, refused it,
- * or shown several listings without it after it took the last order. So what may still be carried
- * out late keeps its room, and is never called over. Confined to the loop's thread.
+ * <p>A run is kept from before its start order is sent until the worker lists its end, refuses it, or
+ * omits it from several listings after it executed the last order. A run whose order may still be
+ * executed late therefore keeps its resources and is not reported as ended. Confined to the loop's
+ * thread.
  */
 final class WorkerSession {
   private static final EventLog LOG = EventLog.of(WorkerSession.class);
 
-  /** How long a listing waits for an end, in milliseconds. */
+  /** How long a listing request waits at the worker for a run to end, in milliseconds. */
   private static final long WAIT_MILLIS = 900;
 
-  /** The same while tasks with a latency target run: their tails are measured each half second. */
+  /**
+   * The same while service tasks run, in milliseconds: their tail latencies are measured
+   * every half second.
+   */
   private static final long WAIT_SERVING_MILLIS = 450;
 
-  /** The most that the next listing waits for owners to note ends, in nanoseconds. */
+  /** Maximum delay of the next listing to await acknowledgements of ends, in nanoseconds. */
   private static final long NOTE_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
+  /** Delay before an order or a listing request is retried, in nanoseconds. */
   private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final int MAX_START_TRIES = 3;
 
@@ -125,16 +130,17 @@
     }
   }
 
-  /** Returns a time that the worker's clock has surely reached, in milliseconds. */
+  /** Returns a time that the worker's clock has certainly reached, in milliseconds. */
   long workerClock() {
     return time.reached();
   }
 
   /**
-   * Returns whether the worker is given nothing now.
+   * Returns whether the worker must not get new work now.
    *
-   * <p>Guards against orders in vain: owners that do not own what is unknown here would take the VM
-   * for empty and send it all that waits, while others have room.
+   * <p>This includes a worker with runs of unknown resource sizes. Entries that do not own these runs
+   * would otherwise take the VM for empty and send it all waiting tasks, only to be refused, while
+   * other VMs have free resources.
    */
   boolean isUnhealthy() {
     return health.isBad(loop.now()) || StartAdmission.isAnyUnknown(runs.values());
@@ -156,11 +162,15 @@
     return pacing;
   }
 
+  /** Returns the number of runs with a latency target. */
   int serving() {
     return StartAdmission.serving(runs.values());
   }
 
-  /** Takes evidence that an owner held its partition at a time on the worker's clock. */
+  /**
+   * Records evidence that an owner held the partition at a time on the worker's clock, in
+   * milliseconds; returns whether its epoch is the highest so far.
+   */
   boolean evidence(int partition, long epoch, long workerClock) {
     return time.evidence(partition, epoch, workerClock);
   }
@@ -169,7 +179,10 @@
     return WorkflowIds.partition(key.task().workflow(), partitions);
   }
 
-  /** Carries out an order to start, or refuses it at once. */
+  /**
+   * Sends a start order to the worker, or refuses it at once. An order for a known run is not sent
+   * again; for a run of unknown sizes it supplies them.
+   */
   void start(RunKey key, StartRun order, String program) {
     SideRun known = runs.get(key);
     if (known != null) {
@@ -186,7 +199,7 @@
     int partition = partitionOf(key);
     Optional<String> refusal =
         health.isSilent()
-            ? Optional.of("the worker is silent")
+            ? Optional.of("the worker is not responding")
             : admission.refusal(key, partition, order, heartbeat.draining(), runs.values());
     if (refusal.isPresent()) {
       finish(key, RunOutcome.REFUSED, "", 0, refusal.get());
@@ -225,7 +238,7 @@
       pacing.pace(run);
       listener.runChanged(run.partition());
     } else if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+      gone("another incarnation of the worker responded");
     } else if (result instanceof Refused refused) {
       startRefused(run, refused);
     } else {
@@ -252,7 +265,7 @@
       return;
     }
     if (heartbeat.draining()) {
-      // The worker would end a moment later what it takes now; the stop forbids the first order.
+      // A draining worker would end the run shortly; the stop invalidates the first start order.
       stop(run.key());
       return;
     }
@@ -264,12 +277,12 @@
       unhealthy();
     }
     if (refused.refusal() == Refusal.OLD_ATTEMPT) {
-      // It ended or was stopped here: listings show its end, or it is noted already.
+      // The attempt ended or was stopped; its end is listed or already acknowledged.
       run.confirm();
       return;
     }
     if (run.isUncertain()) {
-      // An earlier copy of the order may be carried out yet; the stop forbids that.
+      // An earlier copy of the order may still be executed; the stop prevents that.
       stop(run.key());
       return;
     }
@@ -287,7 +300,10 @@
     tellStanding();
   }
 
-  /** Stops a run, also one that is not known here: a late order for it must not be carried out. */
+  /**
+   * Stops a run. An unknown run is stopped as well, so that the worker does not execute a delayed
+   * start order for it.
+   */
   void stop(RunKey key) {
     if (ends.has(key)) {
       return;
@@ -313,7 +329,7 @@
       return;
     }
     if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+      gone("another incarnation of the worker responded");
     } else if (result instanceof Accepted accepted) {
       time.read(accepted.workerClock());
       run.confirm();
@@ -331,7 +347,7 @@
     }
   }
 
-  /** Forgets an end that its owner has made durable. */
+  /** Drops an end that its owner has made durable. */
   void noted(RunKey key) {
     if (ends.note(key) && ends.isAllNoted() && !health.isSilent()) {
       turns.now();
@@ -348,19 +364,19 @@
   }
 
   private Set<Integer> held() {
-    Set<Integer> held = new HashSet<>();
-    runs.values().forEach(run -> held.add(run.partition()));
-    return held;
+    Set<Integer> active = new HashSet<>();
+    runs.values().forEach(run -> active.add(run.partition()));
+    return active;
   }
 
   private void look() {
-    // A worker that did not answer may have taken the last deadline; it must be able to pass.
+    // An unresponsive worker may still receive the last deadline; its lease must be able to expire.
     OptionalLong until = health.isSilent() ? OptionalLong.empty() : time.extend(held());
-    long wait = serving() > 0 ? WAIT_SERVING_MILLIS : WAIT_MILLIS;
+    long maxWait = serving() > 0 ? WAIT_SERVING_MILLIS : WAIT_MILLIS;
     Set<RunKey> confirmed = new HashSet<>();
     runs.values().stream().filter(SideRun::isConfirmed).forEach(run -> confirmed.add(run.key()));
-    long waits = ends.isAllNoted() ? wait : 0;
-    ListingTurns.answer(worker, () -> gateway.list(worker, until, ends.noted(), waits))
+    long wait = ends.isAllNoted() ? maxWait : 0;
+    ListingTurns.answer(worker, () -> gateway.list(worker, until, ends.noted(), wait))
         .thenAccept(result -> loop.run(() -> listed(result, confirmed)));
   }
 
@@ -370,10 +386,11 @@
       return;
     }
     if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+      gone("another incarnation of the worker responded");
       return;
     }
-    // Planned first: without a next listing owners would believe for good that all this runs.
+    // Scheduled first, so that an exception below cannot end the polling of the worker: owners would
+    // then consider its runs active forever.
     turns.after(RETRY_NANOS);
     if (result instanceof NoListing failed) {
       health.unanswered(failed.reason(), loop.now()).ifPresent(LOG::info);
@@ -384,9 +401,9 @@
       return;
     }
     health.answered(loop.now()).ifPresent(LOG::info);
-    Listing shown = (Listing) result;
-    time.read(shown.workerClock());
-    takeListing(shown, confirmed);
+    Listing listing = (Listing) result;
+    time.read(listing.workerClock());
+    takeListing(listing, confirmed);
     tellStanding();
     stopOverdue();
     if (pacing.observe(runs.values(), room.capacity().milliProcessors())) {
@@ -400,35 +417,35 @@
   }
 
   /**
-   * Counts everything as over on a worker that has been silent past every deadline it was given.
+   * Records all runs as lapsed once the lease of an unresponsive worker has expired.
    *
-   * <p>Guards against tasks that are nowhere: a worker that is gone for good and that no other one
-   * replaces answers nothing, so nobody ever tells the end of what it ran. A worker that is only
-   * cut off has ended it by itself by then, and takes no order that was sent before.
+   * <p>A worker that has failed permanently and is not replaced never lists the ends of its runs, so
+   * their tasks would count as active forever. A worker that is only disconnected has ended its runs
+   * by then, and refuses start orders whose deadline has passed.
    */
   private void leaseIsOver() {
     for (SideRun run : List.copyOf(runs.values())) {
-      finish(run.key(), RunOutcome.LAPSED, "", 0, "the worker is silent and its lease over");
+      finish(run.key(), RunOutcome.LAPSED, "", 0, "the worker is not responding and its lease has expired");
     }
   }
 
-  private void takeListing(Listing shown, Set<RunKey> confirmed) {
+  private void takeListing(Listing listing, Set<RunKey> confirmed) {
     Set<RunKey> mentioned = new HashSet<>();
-    for (Ended end : shown.ended()) {
+    for (Ended end : listing.ended()) {
       mentioned.add(end.run());
       takeEnd(end);
     }
-    for (Running row : shown.running()) {
+    for (Running row : listing.running()) {
       mentioned.add(row.run());
       takeRunning(row);
     }
-    if (shown.isCut()) {
+    if (listing.isCut()) {
       return;
     }
     for (SideRun run : List.copyOf(runs.values())) {
       boolean missing = !mentioned.contains(run.key()) && confirmed.contains(run.key());
       if (missing && run.missedTooOften()) {
-        finish(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker lists it no more");
+        finish(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker no longer lists the run");
       }
     }
   }
@@ -460,7 +477,10 @@
     }
   }
 
-  /** Stops what belongs to owners that are silent for long, so that it does not end the others. */
+  /**
+   * Stops the runs of owners without recent evidence. The worker has one lease deadline for all its
+   * runs, so these would otherwise hold it back until it ends the other runs, too.
+   */
   private void stopOverdue() {
     Set<Integer> overdue = time.overdue(held());
     for (SideRun run : new ArrayList<>(runs.values())) {
@@ -469,13 +489,13 @@
             LogLine.of("run-overdue")
                 .with("run", run.key())
                 .with("partition", run.partition())
-                .with("reason", "its owner is silent"));
+                .with("reason", "no recent ownership evidence for the partition"));
         stop(run.key());
       }
     }
   }
 
-  /** Ends this life: what ran is over, since the worker that ran it is. */
+  /** Ends the session: the worker incarnation has ended, and all its runs with it. */
   void gone(String reason) {
     if (closed) {
       return;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSilence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSilence.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether a worker leaves listings unanswered, and what is logged of it: the beginning, from then
- * on at most one line in five seconds, and the end. Confined to the loop's thread.
+ * Tracks consecutive unanswered listings of a worker and produces their log lines: one at the start
+ * of an outage, then at most one in five seconds, and one at its end. Confined to the loop's thread.
  */
 final class WorkerSilence {
-  /** Between two lines about the same silence, in nanoseconds. */
+  /** Minimum interval between two log lines about the same outage, in nanoseconds. */
   private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final String worker;
@@ -23,12 +23,12 @@
     this.worker = requireNonNull(worker, "worker");
   }
 
-  /** Returns whether the last listing was not answered. */
+  /** Returns whether the last listing went unanswered. */
   boolean lasts() {
     return failures > 0;
   }
 
-  /** Takes a listing without an answer; returns the line that is due, if one is. */
+  /** Records an unanswered listing; returns the log line to write, if any. */
   Optional<LogLine> failed(String reason, long now) {
     failures++;
     if (failures == 1) {
@@ -40,7 +40,7 @@
     return Optional.of(line("worker-silent", now).with("reason", reason));
   }
 
-  /** Takes an answer; returns the line that is due if it ends a silence. */
+  /** Records an answered listing; returns a log line if this ends an outage. */
   Optional<LogLine> answered(long now) {
     if (failures == 0) {
       return Optional.empty();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerTime.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerTime.java
@@ -13,14 +13,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clock and the deadline of one worker's life. All times are milliseconds of the worker's
- * clock. Confined to the loop's thread.
+ * The lease of one worker incarnation: a lower bound of the worker's clock, and the deadline until
+ * which its runs may execute. All times are milliseconds of the worker's clock. Confined to the
+ * loop's thread.
  */
 final class WorkerTime {
-  /** How long after a restart owners may be silent before their runs are stopped, in millis. */
+  /**
+   * Time after a restart within which an owner must send evidence, or else its runs are stopped, in
+   * milliseconds.
+   */
   private static final long ADOPTED_MILLIS = 3_000;
 
-  /** A worker's clock may run this much slower than ours, in percent. */
+  /** Assumed maximum by which a worker's clock runs slower than the local one, in percent. */
   private static final long DRIFT_PERCENT = 3;
 
   private final LinkLoop loop;
@@ -35,42 +39,50 @@
     this.lease = new LeaseLedger(terms);
     this.first = firstReading;
     read(firstReading);
-    // An earlier life of this process may have extended it up to now.
+    // An earlier incarnation of this process may have extended the lease just before it ended.
     this.deadline = firstReading + terms.leaseMillis();
   }
 
-  /** Takes what the worker's clock showed in an answer. */
-  void read(long shown) {
-    clock = shown;
+  /** Records the worker's clock as read from a response. */
+  void read(long reading) {
+    clock = reading;
     readAt = loop.now();
   }
 
-  /** Returns a time that the worker's clock has surely reached. */
+  /** Returns a time that the worker's clock has certainly reached. */
   long reached() {
     long elapsed = TimeUnit.NANOSECONDS.toMillis(loop.now() - readAt);
     return clock + elapsed * (100 - DRIFT_PERCENT) / 100;
   }
 
-  /** Takes evidence that an owner held its partition; returns whether its epoch is the highest. */
+  /**
+   * Records evidence that an owner held the partition at a time on the worker's clock; returns whether
+   * its epoch is the highest so far.
+   */
   boolean evidence(int partition, long epoch, long at) {
     return lease.observe(partition, epoch, at);
   }
 
+  /** Returns whether the evidence for the partition allows a run to start under the deadline. */
   boolean mayStart(int partition) {
     return lease.mayStart(partition, deadline, reached());
   }
 
-  /** Returns the deadline that the worker was last given, or may have been. */
+  /** Returns the latest deadline that the worker may have received. */
   long deadline() {
     return deadline;
   }
 
-  /** Returns whether the worker's clock has surely passed the last deadline it may have. */
+  /** Returns whether the worker's clock has certainly passed the latest deadline. */
   boolean isOver() {
     return reached() > deadline;
   }
 
-  /** Moves the deadline as far as the partitions' evidence allows; empty if it stays. */
+  /**
+   * Extends the deadline as far as the evidence for the partitions allows.
+   *
+   * @return the new deadline; empty if it is unchanged
+   */
   OptionalLong extend(Set<Integer> partitions) {
     OptionalLong until = lease.deadline(partitions);
     if (until.isEmpty() || until.getAsLong() <= deadline) {
@@ -80,13 +92,13 @@
     return until;
   }
 
-  /** Returns the partitions whose runs must be stopped, since their owners are silent. */
+  /** Returns the partitions whose runs must be stopped because their evidence is too old or missing. */
   Set<Integer> overdue(Collection<Integer> partitions) {
     long now = reached();
     Set<Integer> overdue = new HashSet<>(lease.overdue(partitions, now));
     if (now > first + ADOPTED_MILLIS) {
-      List<Integer> unheard = partitions.stream().filter(lease::isUnknown).toList();
-      overdue.addAll(unheard);
+      List<Integer> withoutEvidence = partitions.stream().filter(lease::isUnknown).toList();
+      overdue.addAll(withoutEvidence);
     }
     return overdue;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
@@ -28,16 +28,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A side process's part in workflows: carries out owners' orders on the worker of its VM and tells
- * them what becomes of it.
+ * The workflow component of a side process: executes the orders of owners on the worker of its VM and
+ * reports the state of the VM and its runs to the entries.
  *
- * <p>Keeps nothing: after a restart it finds what runs by asking the worker, and owners tell it the
- * rest. The public methods may be called from any thread; everything else runs on the loop.
+ * <p>Stores nothing durably: after a restart the worker lists its runs, and the owners send their
+ * orders again. The public methods may be called from any thread; everything else runs on the loop.
  */
 public final class WorkflowSide {
   private static final EventLog LOG = EventLog.of(WorkflowSide.class);
 
-  /** Between two reports that ask for a lease, to an entry that owns runs here, in nanoseconds. */
+  /**
+   * Interval of the periodic reports, which request a lease, to an entry that owns runs on the VM, in
+   * nanoseconds.
+   */
   static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -55,7 +58,7 @@
   private final Set<Integer> changedPartitions = new HashSet<>();
   private final Set<EntryConnection> owed = new HashSet<>();
 
-  /** Those that ordered something since their last regular report. */
+  /** Connections that sent start or stop orders since the last periodic report to them. */
   private final Set<EntryConnection> ordered = new HashSet<>();
 
   private boolean probing;
@@ -64,13 +67,13 @@
   private boolean standingChanged;
 
   /**
-   * Creates a side process that does nothing yet.
+   * Creates an inactive instance; {@link #start} activates it.
    *
-   * @param loop the process's loop
-   * @param store asked for the owners
-   * @param gateway the worker
-   * @param vm the VM's name
-   * @param terms the lengths of leases
+   * @param loop the event loop of the process
+   * @param store queried for the owners of partitions
+   * @param gateway the client of the worker
+   * @param vm the name of the VM
+   * @param terms the durations of leases
    */
   public WorkflowSide(
       LinkLoop loop,
@@ -86,7 +89,7 @@
     this.entries = new SideEntries(loop, store, new FromEntries());
   }
 
-  /** Begins to look for entries. */
+  /** Starts connecting to the entries and sending them periodic reports. */
   public void start() {
     loop.run(entries::tick);
     loop.repeat(entries::tick, TICK_NANOS);
@@ -94,37 +97,38 @@
   }
 
   /**
-   * Takes a heartbeat of the worker.
+   * Handles a heartbeat of the worker.
    *
-   * @return completes on the loop with whether it was taken, and what it says is in force
+   * @return completes on the loop with whether the heartbeat was accepted, so that its content is in
+   *     effect
    */
   public CompletableFuture<Boolean> heartbeat(WorkerHeartbeat heartbeat) {
-    CompletableFuture<Boolean> taken = new CompletableFuture<>();
-    loop.run(() -> take(heartbeat, taken));
-    return taken;
+    CompletableFuture<Boolean> accepted = new CompletableFuture<>();
+    loop.run(() -> take(heartbeat, accepted));
+    return accepted;
   }
 
-  private void take(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> taken) {
+  private void take(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> accepted) {
     if (session != null && session.worker().equals(heartbeat.worker())) {
       if (heartbeat.sequence() >= session.heartbeat().sequence()) {
         session.heartbeat(heartbeat);
       }
-      taken.complete(true);
+      accepted.complete(true);
       return;
     }
     if (heartbeat.worker().equals(goneWorker) || probing) {
-      // A heartbeat may arrive long after its sender ended; one of a living worker is repeated.
-      taken.complete(false);
+      // A heartbeat may arrive long after its sender has ended; a live worker sends another one.
+      accepted.complete(false);
       return;
     }
     probing = true;
     gateway
         .list(heartbeat.worker(), OptionalLong.empty(), 0, 0)
-        .thenAccept(result -> loop.run(() -> probed(heartbeat, result, taken)));
+        .thenAccept(result -> loop.run(() -> probed(heartbeat, result, accepted)));
   }
 
   private void probed(
-      WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> taken) {
+      WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> accepted) {
     probing = false;
     if (!(result instanceof Listing listing)) {
       LOG.info(
@@ -132,11 +136,11 @@
               .with("worker", heartbeat.worker())
               .with("sequence", heartbeat.sequence())
               .with("reason", result));
-      taken.complete(false);
+      accepted.complete(false);
       return;
     }
     if (session != null) {
-      session.gone("another one took its place");
+      session.gone("another incarnation of the worker replaced it");
     }
     session =
         new WorkerSession(loop, gateway, heartbeat, listing, partitions, terms, new FromWorker());
@@ -149,20 +153,20 @@
             .with("draining", heartbeat.draining()));
     session.start();
     report(true);
-    taken.complete(true);
+    accepted.complete(true);
   }
 
-  /** Takes the leave of a worker; completes on the loop. */
+  /** Handles the deregistration of a worker; the result completes on the loop with {@code true}. */
   public CompletableFuture<Boolean> left(String worker) {
-    CompletableFuture<Boolean> taken = new CompletableFuture<>();
+    CompletableFuture<Boolean> handled = new CompletableFuture<>();
     loop.run(
         () -> {
           if (session != null && session.worker().equals(worker)) {
-            session.gone("it left");
+            session.gone("the worker deregistered");
           }
-          taken.complete(true);
+          handled.complete(true);
         });
-    return taken;
+    return handled;
   }
 
   private void reportSoon() {
@@ -179,10 +183,10 @@
   private void reportChanges() {
     VmReport state = state();
     for (EntryConnection connection : entries.connections()) {
-      boolean concerned = isConcerned(connection);
-      if (!concerned && told.knows(connection.member(), state)) {
+      boolean affected = isConcerned(connection);
+      if (!affected && told.knows(connection.member(), state)) {
         owed.remove(connection);
-      } else if (isDue(connection, concerned)) {
+      } else if (isDue(connection, affected)) {
         report(connection, state, false);
       } else {
         owed.add(connection);
@@ -199,12 +203,12 @@
             .anyMatch(partition -> entries.owns(connection.member(), partition));
   }
 
-  private boolean isDue(EntryConnection connection, boolean concerned) {
-    return dueAt(connection, concerned) <= loop.now();
+  private boolean isDue(EntryConnection connection, boolean affected) {
+    return dueAt(connection, affected) <= loop.now();
   }
 
-  private long dueAt(EntryConnection connection, boolean concerned) {
-    return pacer.dueAt(connection.member(), concerned, entries.reached(), loop.now());
+  private long dueAt(EntryConnection connection, boolean affected) {
+    return pacer.dueAt(connection.member(), affected, entries.reached(), loop.now());
   }
 
   private void scheduleOwed() {
@@ -213,8 +217,8 @@
     }
     owedScheduled = true;
     long next = owed.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
-    long gathered = ReportPacer.gatherNanos(entries.reached());
-    loop.schedule(this::reportOwed, next + gathered - loop.now());
+    long coalescing = ReportPacer.gatherNanos(entries.reached());
+    loop.schedule(this::reportOwed, next + coalescing - loop.now());
   }
 
   private void reportOwed() {
@@ -304,7 +308,7 @@
     }
   }
 
-  /** Returns what reports say to all entries alike, but for the worker's clock and the images. */
+  /** Returns the part of a report that is the same for all entries, without clock and images. */
   private VmReport state() {
     VmReport.Builder state = VmReport.newBuilder().setVm(vm).setGoneWorker(goneWorker);
     if (session != null) {
@@ -339,16 +343,16 @@
   }
 
   /**
-   * Takes a lease and orders, all for one life of the worker.
+   * Handles a lease and orders, which are valid for one worker incarnation only.
    *
-   * <p>Guards against evidence from the future: a lease that was on its way while the worker
-   * changed is by the clock of the one before. Where that clock was ahead, the lease of this one
-   * would never be over, and what it ran would count as at work for good once it is silent.
+   * <p>A lease in transit while the worker restarts refers to the clock of the previous incarnation.
+   * If that clock was ahead, the lease of the new incarnation would never expire, and its runs would
+   * count as active forever once it stops responding. So frames for another incarnation are ignored.
    */
   private void obey(EntryConnection connection, RunOrders orders) {
     connection.sawOrders(orders.getNumber());
     if (session == null) {
-      // The next report names the worker that there is then; owners order anew what it lacks.
+      // The next report names the worker at that time, and owners then send missing orders again.
       return;
     }
     if (!orders.getWorker().equals(session.worker())) {
@@ -360,7 +364,7 @@
       report(connection, false);
       return;
     }
-    Map<Integer, Boolean> current = observe(orders.getLease());
+    Map<Integer, Boolean> fromOwner = observe(orders.getLease());
     if (orders.getLease().getImagesCount() > 0) {
       session.pacing().seenElsewhere(ImageRecords.decode(orders.getLease().getImagesList()));
     }
@@ -370,46 +374,47 @@
       if (!start.getSameProgram()) {
         programs.put(key.task().workflow(), start.getProgram());
       }
-      if (isCurrent(current, key)) {
+      if (isCurrent(fromOwner, key)) {
         session.start(key, start, programs.getOrDefault(key.task().workflow(), ""));
       }
     }
     for (WorkflowTaskId stop : orders.getStopsList()) {
       RunKey key = WorkflowRecords.decode(stop);
-      if (isCurrent(current, key)) {
+      if (isCurrent(fromOwner, key)) {
         session.stop(key);
       }
     }
-    for (WorkflowTaskId noted : orders.getNotedEndsList()) {
-      RunKey key = WorkflowRecords.decode(noted);
-      if (isCurrent(current, key)) {
+    for (WorkflowTaskId acknowledged : orders.getNotedEndsList()) {
+      RunKey key = WorkflowRecords.decode(acknowledged);
+      if (isCurrent(fromOwner, key)) {
         session.noted(key);
       }
     }
   }
 
-  private boolean isCurrent(Map<Integer, Boolean> current, RunKey key) {
-    boolean taken = current.getOrDefault(session.partitionOf(key), false);
-    if (!taken) {
+  private boolean isCurrent(Map<Integer, Boolean> fromOwner, RunKey key) {
+    boolean valid = fromOwner.getOrDefault(session.partitionOf(key), false);
+    if (!valid) {
       LOG.info(
           LogLine.of("order-passed-over")
               .with("run", key)
               .with("reason", "its sender does not own the partition"));
     }
-    return taken;
+    return valid;
   }
 
+  /** Records the evidence; returns for each partition whether it has the highest epoch so far. */
   private Map<Integer, Boolean> observe(LeaseGrant grant) {
-    Map<Integer, Boolean> current = new HashMap<>();
+    Map<Integer, Boolean> fromOwner = new HashMap<>();
     for (PartitionEvidence evidence : grant.getEvidenceList()) {
       long at = grant.getWorkerClock() + evidence.getAfterReportMillis();
       boolean newest = session.evidence(evidence.getPartition(), evidence.getEpoch(), at);
-      current.put(evidence.getPartition(), newest);
+      fromOwner.put(evidence.getPartition(), newest);
     }
-    return current;
+    return fromOwner;
   }
 
-  /** What entries send. */
+  /** Handles connections and orders of entries. */
   private final class FromEntries implements SideEntries.Listener {
     @Override
     public void connected(EntryConnection connection) {
@@ -441,7 +446,7 @@
     }
   }
 
-  /** What the worker does. */
+  /** Reports changes of the current worker session. */
   private final class FromWorker implements WorkerListener {
     @Override
     public void standingChanged() {
@@ -461,9 +466,9 @@
     }
 
     @Override
-    public void gone(WorkerSession over) {
-      if (session == over) {
-        goneWorker = over.worker();
+    public void gone(WorkerSession ended) {
+      if (session == ended) {
+        goneWorker = ended.worker();
         session = null;
         report(true);
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker in memory that keeps the contract of the platform's: a lease on its own clock for all
- * that runs, ends listed until they are noted, and no attempt that is not higher than one that
- * ended or was stopped. Fails as it is told. Safe for any thread.
+ * An in-memory worker that keeps the contract of the platform's worker: one lease on its own clock
+ * for all runs, ends listed until they are acknowledged, and no start of an attempt that is not
+ * higher than one that ended or was stopped. Tests can inject faults. Safe for any thread.
  */
 final class FakeWorkerGateway implements WorkerGateway {
   private static final int CLOCK_START = 100_000;
@@ -59,27 +59,27 @@
     return life;
   }
 
-  /** Returns the tickets of all starts that were carried out; empty texts for none. */
+  /** Returns the tickets of all executed starts; an empty string for a start without one. */
   synchronized List<String> tickets() {
     return List.copyOf(tickets);
   }
 
-  /** Returns for how long what runs may go on, in milliseconds. */
+  /** Returns the remaining time of the lease, in milliseconds. */
   synchronized long leaseLeftMillis() {
     return deadline - clock();
   }
 
-  /** Ends everything at once; the worker is back as another life. */
-  synchronized void crash(String newLife) {
+  /** Ends all runs at once; the worker continues as a new incarnation. */
+  synchronized void crash(String newIncarnation) {
     running.keySet().forEach(history::ended);
     running.clear();
     ended.clear();
     over.clear();
     sequence = 0;
-    life = newLife;
+    life = newIncarnation;
   }
 
-  /** Answers nothing from now on; what runs ends with the lease, as it does on a worker cut off. */
+  /** Stops answering; the runs end with the lease, as on a disconnected worker. */
   synchronized void fallSilent() {
     silent = true;
     timer.scheduleAtFixedRate(this::lapse, 0, 5, TimeUnit.MILLISECONDS);
@@ -89,23 +89,23 @@
     return silent;
   }
 
-  /** Leaves the next starts unanswered and carries them out later. */
+  /** Leaves the next starts unanswered and executes them after the delay. */
   synchronized void answerLate(int starts, long millis) {
     startsToLose = starts;
     lateMillis = millis;
   }
 
-  /** Leaves the next starts unanswered and never carries them out. */
+  /** Leaves the next starts unanswered and never executes them. */
   synchronized void dropStarts(int starts) {
     startsToDrop = starts;
   }
 
-  /** Returns all starts that it was asked for, in order, also those that it did not answer. */
+  /** Returns all requested starts in order, including the unanswered ones. */
   synchronized List<RunKey> askedToStart() {
     return List.copyOf(askedToStart);
   }
 
-  /** Says from now on that it leaves, and goes on with what it runs. */
+  /** Announces from now on that it drains; active runs continue. */
   synchronized void leave() {
     leaving = true;
   }
@@ -114,27 +114,27 @@
     return leaving;
   }
 
-  /** Has all runs end so once they have worked for their time. */
+  /** Sets the outcome with which all runs end after their run time. */
   synchronized void endAllAs(RunOutcome outcome) {
     ending = outcome;
   }
 
-  /** Lists the figure with all that runs: a tail in milliseconds, or processors in use. */
-  synchronized void measure(long figure) {
-    gauge = figure;
+  /** Sets the measurement listed for all runs, see {@link WorkerGateway.Running}. */
+  synchronized void measure(long newMeasurement) {
+    gauge = newMeasurement;
   }
 
-  /** Returns how many listings it was asked for and answers. */
+  /** Returns the number of listing requests that it answered or will answer. */
   synchronized int listings() {
     return listings;
   }
 
-  /** Returns what is at work. */
+  /** Returns the active runs. */
   synchronized List<RunKey> atWork() {
     return List.copyOf(running.keySet());
   }
 
-  /** Returns the ends that nobody has noted. */
+  /** Returns the number of unacknowledged ends. */
   synchronized int endsNotNoted() {
     return ended.size();
   }
@@ -157,13 +157,13 @@
     }
     if (startsToDrop > 0) {
       startsToDrop--;
-      return soon(new OrderUnknown("told to drop it"));
+      return soon(new OrderUnknown("injected: start dropped"));
     }
     if (startsToLose > 0) {
       startsToLose--;
       late++;
       timer.schedule(() -> carryOutLate(worker, start), lateMillis, TimeUnit.MILLISECONDS);
-      return soon(new OrderUnknown("told to leave it unanswered"));
+      return soon(new OrderUnknown("injected: start delayed"));
     }
     return soon(carryOut(worker, start));
   }
@@ -173,7 +173,7 @@
     carryOut(worker, start);
   }
 
-  /** Returns whether every start that it left unanswered was carried out by now. */
+  /** Returns whether every delayed start has been executed. */
   synchronized boolean isNothingLate() {
     return late == 0;
   }
@@ -199,21 +199,21 @@
     return new Accepted(clock());
   }
 
-  /** Ends the run when it has worked for its time; one that is slowed to nothing gets no nearer. */
-  private void workOn(String of, RunKey run) {
-    timer.schedule(() -> worked(of, run), runMillis, TimeUnit.MILLISECONDS);
+  /** Ends the run after its run time; a run that is throttled to zero then starts over. */
+  private void workOn(String startedOn, RunKey run) {
+    timer.schedule(() -> worked(startedOn, run), runMillis, TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void worked(String of, RunKey run) {
+  private synchronized void worked(String startedOn, RunKey run) {
     if (speeds.getOrDefault(run, 100) == 0) {
-      workOn(of, run);
+      workOn(startedOn, run);
     } else {
-      finish(of, run, ending);
+      finish(startedOn, run, ending);
     }
   }
 
-  private synchronized void finish(String of, RunKey run, RunOutcome outcome) {
-    if (life.equals(of) && running.remove(run) != null) {
+  private synchronized void finish(String startedOn, RunKey run, RunOutcome outcome) {
+    if (life.equals(startedOn) && running.remove(run) != null) {
       history.ended(run);
       if (outcome == RunOutcome.DONE) {
         history.done(run);
@@ -244,7 +244,7 @@
 
   @Override
   public CompletableFuture<ListingResult> list(
-      String worker, OptionalLong until, long noted, long waitMillis) {
+      String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     synchronized (this) {
       if (silent) {
         return soon(new NoListing("silent"));
@@ -253,8 +253,8 @@
         return soon(new OtherWorker());
       }
       listings++;
-      until.ifPresent(wanted -> deadline = Math.max(deadline, wanted));
-      note(noted);
+      newDeadline.ifPresent(wanted -> deadline = Math.max(deadline, wanted));
+      note(acknowledged);
       lapse();
     }
     CompletableFuture<ListingResult> future = new CompletableFuture<>();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ListingTurnsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ListingTurnsTest.java
@@ -12,13 +12,13 @@
   private void throwOnFirst() {
     asked++;
     if (asked == 1) {
-      throw new IllegalStateException("told to throw");
+      throw new IllegalStateException("injected failure");
     }
   }
 
   /**
-   * A worker was to be asked for what it runs, and making the question threw. The listing counted
-   * as under way for good, and the worker was never asked again.
+   * Guards against a listing request that throws before it is sent and then counts as in flight
+   * forever, so that the worker is never polled again.
    */
   @Test
   void aQuestionThatThrowsIsAskedAgain() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -12,7 +12,7 @@
 
   private final ReportPacer pacer = new ReportPacer();
 
-  /** Returns how many reports go out in ten seconds in which a VM changes 25 times a second. */
+  /** Returns the number of reports sent in ten seconds while a VM changes 25 times a second. */
   private int reportsOfBusyVm(int entries) {
     int sent = 0;
     for (long now = 0; now < 10 * SECOND_NANOS; now += CHANGE_NANOS) {
@@ -29,14 +29,14 @@
   }
 
   /**
-   * Under load a VM changes 25 times a second. Told to all of twelve entries at once that were
-   * 3,000 reports in ten seconds from each VM, and an entry with a thin link read little else.
+   * Under load a VM changes 25 times a second. Reporting each change to all of twelve entries at once
+   * takes 3,000 reports in ten seconds from each VM, which fills an entry's low-bandwidth link.
    */
   @Test
   void aBusyVmSendsNoMoreToManyEntriesThanToFew() {
     int toThree = reportsOfBusyVm(3);
     int toTwelve = new ReportPacerTest().reportsOfBusyVm(12);
-    assertTrue(toTwelve <= toThree * 1.25, toTwelve + " to twelve, " + toThree + " to three");
+    assertTrue(toTwelve <= toThree * 1.25, toTwelve + " reports to twelve entries, " + toThree + " to three");
   }
 
   @Test
@@ -54,29 +54,29 @@
   }
 
   /**
-   * Every VM sent every entry its whole state in each regular turn and was sent a lease for it,
-   * also where the entry had nothing at work there: in a large fleet that was most of what entries
-   * read and wrote. But one that is told too seldom gives the VM no work, as if it were cut off.
+   * In a large fleet, periodic reports from every VM to every entry, and the leases sent in response,
+   * are most of the entries' traffic, though most entries own no run on the VM. An entry that is
+   * reported to too rarely, however, considers the VM disconnected and places no work there.
    */
   @Test
   void whoOwnsNothingIsToldInEachSecondTurnAndLongBeforeTheVmCountsAsSilent() {
     int owner = 0;
     int other = 0;
-    for (int turn = 0; turn < 20; turn++) {
+    for (int round = 0; round < 20; round++) {
       pacer.nextTurn();
       if (pacer.isRegularDue("owner", true)) {
-        pacer.reportedRegularly("owner", turn);
+        pacer.reportedRegularly("owner", round);
         owner++;
       }
       if (pacer.isRegularDue("other", false)) {
-        pacer.reportedRegularly("other", turn);
+        pacer.reportedRegularly("other", round);
         other++;
       }
     }
     assertEquals(20, owner);
     assertEquals(10, other);
-    long between = ReportPacer.QUIET_TURNS * WorkflowSide.REPORT_NANOS;
-    assertTrue(between < VmStanding.SILENT_NANOS * 2 / 3, between + " ns");
+    long interval = ReportPacer.QUIET_TURNS * WorkflowSide.REPORT_NANOS;
+    assertTrue(interval < VmStanding.SILENT_NANOS * 2 / 3, interval + " ns");
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunHistory.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunHistory.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * What all workers ran, and whether a task was ever in two places or begun after it was done. Safe
- * for any thread.
+ * Records the runs of all workers, and the violations: tasks that ran in two places at once, or that
+ * were started again after an owner acknowledged them as done. Safe for any thread.
  */
 final class RunHistory {
   private final Map<TaskKey, Set<RunKey>> active = new HashMap<>();
@@ -25,7 +25,7 @@
   synchronized void began(RunKey run) {
     Set<RunKey> now = active.computeIfAbsent(run.task(), unused -> new HashSet<>());
     if (!now.add(run) || now.size() > 1) {
-      broken.add("in two places: " + run + " beside " + now);
+      broken.add("task runs in two places: " + run + " among " + now);
     }
     for (RunKey earlier : done) {
       if (earlier.task().equals(run.task())) {
@@ -45,7 +45,10 @@
     done.add(run);
   }
 
-  /** An owner has noted the end as done: what it does not know of may well run again. */
+  /**
+   * Records that an owner has acknowledged the run as done. A run whose end was never acknowledged may
+   * legitimately be repeated.
+   */
   synchronized void noted(RunKey run) {
     noted.add(run);
     judge(run);
@@ -53,7 +56,7 @@
 
   private void judge(RunKey run) {
     if (followed.contains(run) && noted.contains(run)) {
-      broken.add("again after it was done: " + run);
+      broken.add("task started again after it was done: " + run);
     }
   }
 
@@ -66,7 +69,7 @@
             .count();
   }
 
-  /** Returns how many tasks of the step before were done when the task was first at work. */
+  /** Returns how many tasks of the preceding step were done when the task was first started. */
   synchronized int doneBefore(TaskKey task) {
     return doneBefore.getOrDefault(task, 0);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** An entry of which a test plays the part: it hears reports and sends what it is told. */
+/** An entry that a test controls: it collects reports and sends the frames that the test gives it. */
 final class ScriptedEntry implements AutoCloseable {
   private final LinkLoop loop = new LinkLoop("scripted-entry", MonotonicClock.system());
   private final LinkServer server;
@@ -24,7 +24,7 @@
     server.start();
   }
 
-  /** Returns its name as a member of the owners. */
+  /** Returns the entry's member name, as used in owner maps. */
   String member() {
     return new EntryMember("127.0.0.1", server.port(), 1).toString();
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker on virtual time that answers as it is told; it starts and ends nothing by itself. One
- * thread.
+ * A worker on virtual time whose responses a test controls; it starts and ends no run on its own. Confined
+ * to one thread.
  */
 final class ScriptedWorker implements WorkerGateway {
   private static final long CLOCK_START = 50_000;
@@ -40,7 +40,7 @@
     this.time = time;
   }
 
-  /** Returns the first heartbeat of a worker with room for many runs. */
+  /** Returns the first heartbeat of a worker with capacity for many runs. */
   static WorkerHeartbeat heartbeat(String worker) {
     return new WorkerHeartbeat(
         worker,
@@ -53,18 +53,18 @@
         1);
   }
 
-  /** Answers nothing from now on; each listing fails after the time. */
+  /** Stops answering; each listing request fails after the given time. */
   void fallSilent(long millis) {
     silent = true;
     failsAfterMillis = millis;
   }
 
-  /** Throws when it is asked for a listing from now on. */
+  /** Makes each listing call throw from now on. */
   void throwOnListings() {
     listingsThrow = true;
   }
 
-  /** Ends each listing with an exception from now on. */
+  /** Makes the future of each listing fail from now on. */
   void breakListings() {
     listingsBreak = true;
   }
@@ -75,43 +75,43 @@
     listingsBreak = false;
   }
 
-  /** Leaves starts without an answer; those that it carries out are listed all the same. */
-  void leaveStartsUnanswered(boolean carriesOut) {
+  /** Leaves starts unanswered; the ones that it executes are listed nevertheless. */
+  void leaveStartsUnanswered(boolean executes) {
     answersStarts = false;
-    loses = !carriesOut;
+    loses = !executes;
   }
 
   void leaveStopsUnanswered() {
     answersStops = false;
   }
 
-  /** Lists the run, which another life of the side process started. */
+  /** Adds an active run that an earlier incarnation of the side process started. */
   void run(RunKey run) {
     running.add(run);
   }
 
-  /** Lists the run no more, and no end of it. */
+  /** Removes the run from listings without listing its end. */
   void forget(RunKey run) {
     running.remove(run);
   }
 
-  /** Ends the run as done; listed until it is noted, with the oldest ends first. */
+  /** Ends the run as done; the end is listed until it is acknowledged, oldest ends first. */
   void end(RunKey run) {
     running.remove(run);
     ended.add(new Ended(++sequence, run, RunOutcome.DONE, ""));
   }
 
-  /** Returns the runs that it was told to stop. */
+  /** Returns the runs for which a stop was ordered. */
   List<RunKey> stopped() {
     return List.copyOf(stopped);
   }
 
-  /** Returns the number up to which its ends were noted. */
+  /** Returns the sequence number up to which ends were acknowledged. */
   long noted() {
     return noted;
   }
 
-  /** Returns whether it was given a later deadline only after the one before had passed. */
+  /** Returns whether the deadline was ever extended only after it had passed. */
   boolean isLapsed() {
     return lapsed;
   }
@@ -155,7 +155,7 @@
       running.add(start.run());
     }
     return after(
-        1, () -> answersStarts ? new Accepted(clock()) : new OrderUnknown("told to be silent"));
+        1, () -> answersStarts ? new Accepted(clock()) : new OrderUnknown("injected: no answer"));
   }
 
   @Override
@@ -165,7 +165,7 @@
         1,
         () ->
             silent || !answersStops
-                ? new OrderUnknown("told to be silent")
+                ? new OrderUnknown("injected: no answer")
                 : new Accepted(clock()));
   }
 
@@ -176,19 +176,19 @@
 
   @Override
   public CompletableFuture<ListingResult> list(
-      String worker, OptionalLong until, long notedUpTo, long waitMillis) {
+      String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     listings++;
     if (listingsThrow) {
-      throw new IllegalStateException("told to throw");
+      throw new IllegalStateException("injected failure");
     }
     if (listingsBreak) {
-      return CompletableFuture.failedFuture(new IllegalStateException("told to break"));
+      return CompletableFuture.failedFuture(new IllegalStateException("injected failure"));
     }
     if (silent) {
       return after(failsAfterMillis, () -> new NoListing("silent"));
     }
-    until.ifPresent(this::extend);
-    noted = notedUpTo;
+    newDeadline.ifPresent(this::extend);
+    noted = acknowledged;
     ended.removeIf(end -> end.sequence() <= noted);
     return after(Math.max(1, waitMillis), this::listing);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a side process sends to an entry that none of its runs belongs to. */
+/** Tests the reports of a side process to an entry that owns none of the runs on the VM. */
 class SideReportsTest {
   private static final int TASKS = 120;
   private static final int ROUNDS = 6;
 
-  /** Between two reports of room to an entry that owns nothing here, at the least. */
+  /** Minimum interval between two reports of changes to an entry that owns no runs on the VM. */
   private static final long ROOM_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Reports that a side process sends of its own accord, whatever changes, in nanoseconds. */
+  /** Interval of the periodic reports of a side process, in nanoseconds. */
   private static final long REGULAR_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private final WorkflowWorld world = new WorkflowWorld();
-  private final LinkLoop loop = new LinkLoop("bystander", MonotonicClock.system());
+  private final LinkLoop loop = new LinkLoop("non-owner", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
   private final AtomicInteger repeated = new AtomicInteger();
   private LinkServer server;
@@ -50,8 +50,8 @@
     bystander = new EntryMember("127.0.0.1", server.port(), 1).toString();
     world.store().join(bystander, Long.MAX_VALUE);
     world.await(
-        "the bystander owns a part", () -> ownedByBystander() == WorkflowWorld.PARTITIONS / 2);
-    world.await("the side process reaches it", () -> reports.get() > 0);
+        "the second entry owns half of the partitions", () -> ownedByBystander() == WorkflowWorld.PARTITIONS / 2);
+    world.await("the side process reports to the second entry", () -> reports.get() > 0);
   }
 
   @AfterEach
@@ -83,10 +83,9 @@
   }
 
   /**
-   * Lasting tasks and new configuration came seconds late, and only where entries had thin links.
-   * Each start and end on any VM was reported to every entry at once, also to those that had
-   * nothing to do with it, and such a link was full of these reports. An entry that owns none of
-   * what runs must hear of room at a bounded pace, however many tasks begin and end.
+   * Guards against reports of every start and end to entries that do not own the run: they saturate
+   * an entry's low-bandwidth link and delay long-running tasks and new configuration by seconds. The
+   * rate of reports to such an entry is bounded, however many tasks start and end.
    */
   @Test
   void anEntryThatOwnsNothingOnTheVmHearsOfItAtABoundedPace() {
@@ -96,18 +95,18 @@
     assertInstanceOf(
         WorkflowStore.Appended.class,
         world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
-    world.await("all are done", () -> world.status(0, id) == QueryResult.DONE);
+    world.await("all tasks are done", () -> world.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
-    int heard = reports.get() - before;
-    // Two reports may cross the ends.
+    int received = reports.get() - before;
+    // Two more reports may fall on the boundaries of the interval.
     long bound = lasted / ROOM_NANOS + lasted / REGULAR_NANOS + 2;
-    assertTrue(heard <= bound, heard + " reports, " + bound + " at most");
+    assertTrue(received <= bound, received + " reports, " + bound + " at most");
   }
 
   /**
-   * Most of what entries read were reports that said of a VM what they had been told last, since a
-   * run that was listed or paced changed nothing for them: reading these took the processor time of
-   * large fleets.
+   * Guards against reports that repeat the state last reported to an entry. A run that is listed or
+   * throttled changes nothing for entries that do not own it, and in large fleets such redundant
+   * reports took most of the entries' processor time.
    */
   @Test
   void anEntryThatOwnsNothingOnTheVmIsNotToldTheSameAgain() {
@@ -118,9 +117,9 @@
       assertInstanceOf(
           WorkflowStore.Appended.class,
           world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
-      world.await("all are done", () -> world.status(0, submitted) == QueryResult.DONE);
+      world.await("all tasks are done", () -> world.status(0, submitted) == QueryResult.DONE);
     }
-    assertEquals(0, repeated.get(), "reports of changes that told none");
+    assertEquals(0, repeated.get(), "change reports without a change");
   }
 
   private final class CountsReports implements LinkListener {
@@ -128,7 +127,7 @@
 
     @Override
     public void opened(LinkConnection connection) {
-      // Has nothing to say.
+      // Sends nothing.
     }
 
     @Override
@@ -143,7 +142,7 @@
       }
     }
 
-    /** Returns what the report says of the VM, without what belongs to the moment or the link. */
+    /** Returns the report without the fields that vary by time or connection. */
     private VmReport state(VmReport report) {
       return report.toBuilder()
           .clearWorkerClock()
@@ -156,7 +155,7 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      // The test ends.
+      // Closed at the end of the test.
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The last word on a VM. */
+/** Tests the final admission check for runs on a VM. */
 class StartAdmissionTest {
   private static final int PARTITION = 3;
   private static final RunKey FIRST = new RunKey(new TaskKey(1, 0, 0, 0), 1);
@@ -38,8 +38,8 @@
           room,
           new RunPacing(
               loop,
-              new FakeWorkerGateway("life", timer, new RunHistory(), 1_000),
-              "life",
+              new FakeWorkerGateway("worker-1", timer, new RunHistory(), 1_000),
+              "worker-1",
               overcommit));
 
   @BeforeEach
@@ -63,38 +63,39 @@
   }
 
   /**
-   * A worker says that it leaves while an order is on its way from an entry that does not know yet.
-   * The task would be ended with the worker a moment later.
+   * A worker starts to drain while an order from an entry that does not know it yet is in transit.
+   * The run would end with the worker shortly after its start.
    */
   @Test
   void aWorkerThatLeavesStartsNothing() {
-    assertEquals(Optional.of("the worker leaves"), ask(FIRST, 500, true));
+    assertEquals(Optional.of("the worker is draining"), ask(FIRST, 500, true));
     assertEquals(Optional.empty(), ask(FIRST, 500, false));
   }
 
-  /** Two owners each see room for one more and order at once: the second is refused. */
+  /** Two owners see free resources for one more run and send orders at once: one is refused. */
   @Test
   void theSecondOfTwoOwnersIsRefused() {
     assertEquals(Optional.empty(), ask(FIRST, 600, false));
-    assertEquals(Optional.of("no room"), ask(SECOND, 600, false));
+    assertEquals(Optional.of("insufficient capacity"), ask(SECOND, 600, false));
   }
 
-  /** An order comes from an owner of which nothing was ever heard that proves it to be one. */
+  /** An order arrives for a partition without any ownership evidence. */
   @Test
   void anOwnerWithoutEvidenceStartsNothing() {
     assertEquals(
-        Optional.of("the evidence of its owner is too old"),
+        Optional.of("the owner's ownership evidence is too old"),
         admission.refusal(FIRST, PARTITION + 1, order(1), false, List.of()));
   }
 
   /**
-   * A restarted side process finds a run whose size only its owner knows, and books nothing yet.
+   * A restarted side process finds a run whose resource sizes only its owner knows, so that it cannot
+   * reserve resources for it yet.
    */
   @Test
   void nothingStartsBesideWhatIsNotKnownYet() {
     SideRun found = new SideRun(SECOND, PARTITION, Optional.empty());
     assertEquals(
-        Optional.of("what runs here is not known yet"),
+        Optional.of("the resource sizes of some runs on the worker are not known yet"),
         admission.refusal(FIRST, PARTITION, order(1), false, List.of(found)));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** A worker that runs tasks of two owners, on virtual time. */
+/** Tests a session whose worker runs tasks of two owners, on virtual time. */
 class WorkerSessionOwnersTest {
   private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
   private static final int PARTITIONS = 2;
@@ -26,7 +26,7 @@
         new WorkerSession(
             time.loop(),
             worker,
-            ScriptedWorker.heartbeat("life-1"),
+            ScriptedWorker.heartbeat("worker-1"),
             worker.listing(),
             PARTITIONS,
             TERMS,
@@ -55,7 +55,10 @@
         "program");
   }
 
-  /** Guards against a task that runs again beside an end that is noted once its owner is back. */
+  /**
+   * An owner that cannot reach the VM may order the task elsewhere after the takeover time. The end
+   * of the first attempt must not be acknowledged after that, or the task runs twice.
+   */
   @Test
   void anEndIsNotNotedOnceItsOwnerMayHaveOrderedAnotherAttempt() {
     WorkerSession session = session();
@@ -66,17 +69,20 @@
     time.advance(500);
     hear(session, 0);
     worker.end(runOf(0));
-    for (long silent = 0; silent < TERMS.takeoverMillis() + 1_000; silent += STEP_MILLIS) {
+    for (long passed = 0; passed < TERMS.takeoverMillis() + 1_000; passed += STEP_MILLIS) {
       hear(session, 1);
       time.advance(STEP_MILLIS);
     }
     hear(session, 0);
     session.noted(runOf(0));
     time.advance(1_000);
-    assertTrue(worker.isLapsed() || worker.noted() == 0, "noted " + worker.noted());
+    assertTrue(worker.isLapsed() || worker.noted() == 0, "acknowledged up to " + worker.noted());
   }
 
-  /** Guards against a task in two places: an order of the life before is carried out late. */
+  /**
+   * A refused run must also be stopped on the worker: a start order sent before the restart of the
+   * side process may be executed late, and the task would run in two places.
+   */
   @Test
   void aRunThatIsRefusedAfterARestartIsForbiddenToTheWorker() {
     worker.run(runOf(1));
@@ -87,7 +93,7 @@
     assertEquals(List.of(runOf(0)), worker.stopped());
   }
 
-  /** What changes does not matter here. */
+  /** Ignores all changes. */
   private static final class IgnoringListener implements WorkerListener {
     @Override
     public void standingChanged() {}
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class WorkerSessionTest {
-  private static final String WORKER = "life-1";
+  private static final String WORKER = "worker-1";
   private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
 
   private final VirtualLoop time = new VirtualLoop();
@@ -55,7 +55,7 @@
         "program");
   }
 
-  /** Has time pass with an owner that is heard all the while. */
+  /** Advances the time while the owner keeps sending evidence. */
   private void pass(long millis) {
     for (long passed = 0; passed < millis; passed += 100) {
       hearOwner();
@@ -75,9 +75,9 @@
   }
 
   /**
-   * A worker goes for good while it runs five tasks. Their owner notes the five ends one by one,
-   * and from then on the side process asked in vain five times as often as before, for the rest of
-   * the day.
+   * A worker fails permanently while it runs five tasks, and their owner acknowledges the five ends
+   * one by one. Each acknowledgement must not start another chain of listing requests, or the
+   * unresponsive worker is polled five times as often from then on.
    */
   @Test
   void aSilentWorkerIsAskedByOneChainOfListings() {
@@ -92,13 +92,13 @@
     noteAllEnds();
     int before = worker.listings();
     pass(3_000);
-    int asked = worker.listings() - before;
-    assertTrue(9 <= asked && asked <= 11, "asked " + asked + " times in three seconds");
+    int requests = worker.listings() - before;
+    assertTrue(9 <= requests && requests <= 11, requests + " listing requests in three seconds");
   }
 
   /**
-   * A worker hangs, so that each listing fails only after its whole time. Between two of them the
-   * VM looked sound, was given tasks, and held each up for seconds, again and again.
+   * A worker hangs, so that each listing fails only after its timeout. If the VM counted as healthy
+   * between two listings, it would repeatedly get tasks and delay each of them by seconds.
    */
   @Test
   void aSilentWorkerIsGivenNothingUntilItAnswers() {
@@ -108,7 +108,7 @@
     worker.fallSilent(2_000);
     pass(4_000);
     for (int i = 0; i < 60; i++) {
-      assertTrue(session.isUnhealthy(), "sound at " + time.millis() + " ms");
+      assertTrue(session.isUnhealthy(), "healthy at " + time.millis() + " ms");
       pass(100);
     }
     worker.answerAgain();
@@ -116,7 +116,10 @@
     assertFalse(session.isUnhealthy());
   }
 
-  /** An order that was on its way when the worker fell silent was held up for seconds. */
+  /**
+   * A start order that is in transit when the worker stops responding must not wait for the worker,
+   * which would delay the task by seconds.
+   */
   @Test
   void anOrderForASilentWorkerIsRefusedAtOnce() {
     session.start();
@@ -128,9 +131,9 @@
   }
 
   /**
-   * A side process was restarted, and the owner of what its worker ran was out of reach. To the
-   * other owners the VM looked empty: all that waited was sent there and refused, again and again,
-   * though other VMs had room.
+   * A side process restarts while the owner of its runs is unreachable. If the VM looked empty to the
+   * other owners, they would send it all waiting tasks and be refused, again and again, although
+   * other VMs have free resources.
    */
   @Test
   void aVmIsOfferedNothingWhileItsRunsAreNotKnown() {
@@ -144,8 +147,9 @@
   }
 
   /**
-   * A start was left without an answer, and a listing showed the run before the next try. Later the
-   * worker listed it no more, nor an end of it: the owner took it for running for good.
+   * A start is not answered, and a listing contains the run before the start is retried. If the worker
+   * later lists neither the run nor its end, the run must count as ended, or its owner considers it
+   * active forever.
    */
   @Test
   void aRunThatIsListedNoMoreIsOverThoughNoOrderWasAnswered() {
@@ -162,8 +166,8 @@
   }
 
   /**
-   * An answer of the worker could not be taken in, by a fault of ours. The side process never asked
-   * again, and went on to report what ran then.
+   * An exception while a listing is processed must not end the polling of the worker. Otherwise the
+   * side process reports the same runs forever.
    */
   @Test
   void anAnswerThatCannotBeTakenInIsNotTheLast() {
@@ -173,16 +177,16 @@
     pass(100);
     listener.throwOnce();
     pass(3_000);
-    assertFalse(listener.throwing, "nothing was thrown");
+    assertFalse(listener.throwing, "the listener did not throw");
     int before = worker.listings();
     pass(3_000);
-    assertTrue(worker.listings() > before, "asked no more");
+    assertTrue(worker.listings() > before, "no more listing requests");
   }
 
   /**
-   * A worker fell silent, and entries that owned nothing on its VM went on to order work there
-   * until their turn to be told came. That a VM takes nothing, and that it takes work again, goes
-   * to all entries at once, each time once.
+   * When a worker stops or resumes responding, the listener is notified once, so that all entries are
+   * reported to at once. Otherwise entries that own no runs on the VM keep placing work there until
+   * their next report is due.
    */
   @Test
   void allHearAtOnceThatAVmTakesNothingAndThatItDoesAgain() {
@@ -198,8 +202,8 @@
   }
 
   /**
-   * Asking a worker for what it runs threw. It was never asked again: what it ran then counted as
-   * at work for the rest of the day, also after the worker was gone.
+   * A listing call that throws must not end the polling of the worker. Otherwise its runs count as
+   * active forever, even after the worker has failed.
    */
   @Test
   void aListingThatThrowsIsNotTheLast() {
@@ -215,8 +219,8 @@
   }
 
   /**
-   * The connection to a worker broke in a way that nobody had thought of, and a listing ended with
-   * an exception. The worker was never asked again, and its task never found over.
+   * A listing whose future fails with an unexpected exception must not end the polling of the worker.
+   * Otherwise its runs never count as ended.
    */
   @Test
   void aListingThatEndsWithAnExceptionIsOneWithoutAnAnswer() {
@@ -231,7 +235,7 @@
     assertFalse(session.isUnhealthy());
   }
 
-  /** Guards against a task that runs again, since its end is beyond what one listing holds. */
+  /** An end beyond the limit of one listing must not be lost, or its task runs again. */
   @Test
   void anEndThatTheListingHasNoPlaceForIsNotForgotten() {
     int runs = WorkerGateway.MAX_LISTED_ENDS + 2;
@@ -250,7 +254,7 @@
     assertEquals(List.of(RunOutcome.DONE, RunOutcome.DONE), outcomes());
   }
 
-  /** What changes does not matter here; can be told to throw. */
+  /** Counts availability changes; throws on request in the other callbacks. */
   private static final class ThrowingListener implements WorkerListener {
     private boolean throwing;
     private int standings;
@@ -277,7 +281,7 @@
     private void throwIfTold() {
       if (throwing) {
         throwing = false;
-        throw new IllegalStateException("told to throw");
+        throw new IllegalStateException("injected failure");
       }
     }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSilenceTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSilenceTest.java
@@ -9,37 +9,36 @@
 import org.junit.jupiter.api.Test;
 
 class WorkerSilenceTest {
-  private final WorkerSilence silence = new WorkerSilence("life-1");
+  private final WorkerSilence silence = new WorkerSilence("worker-1");
 
   private static long at(long millis) {
     return TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  private static Optional<String> line(Optional<?> told) {
-    return told.map(Object::toString);
+  private static Optional<String> line(Optional<?> logged) {
+    return logged.map(Object::toString);
   }
 
   /**
-   * A worker that was gone for a day filled the log with a line for each listing in vain, and none
-   * told how long it had been silent. Operators see the beginning, a line each five seconds, and
-   * the end.
+   * Guards against a log line for each failed listing of a worker that is gone for a day, without the
+   * duration of the outage. The start, at most one line every five seconds, and the end are logged.
    */
   @Test
   void tellsTheBeginningThenSeldomAndTheEnd() {
     assertFalse(silence.lasts());
     assertEquals(Optional.empty(), line(silence.answered(at(0))));
     assertEquals(
-        Optional.of("event=worker-silent worker=life-1 failures=1 silent_ms=0 reason=refused"),
+        Optional.of("event=worker-silent worker=worker-1 failures=1 silent_ms=0 reason=refused"),
         line(silence.failed("refused", at(1_000))));
     assertTrue(silence.lasts());
     assertEquals(Optional.empty(), line(silence.failed("refused", at(1_300))));
     assertEquals(Optional.empty(), line(silence.failed("refused", at(5_999))));
     assertEquals(
-        Optional.of("event=worker-silent worker=life-1 failures=4 silent_ms=5000 reason=reset"),
+        Optional.of("event=worker-silent worker=worker-1 failures=4 silent_ms=5000 reason=reset"),
         line(silence.failed("reset", at(6_000))));
     assertEquals(Optional.empty(), line(silence.failed("reset", at(10_999))));
     assertEquals(
-        Optional.of("event=worker-answers-again worker=life-1 failures=5 silent_ms=10500"),
+        Optional.of("event=worker-answers-again worker=worker-1 failures=5 silent_ms=10500"),
         line(silence.answered(at(11_500))));
     assertFalse(silence.lasts());
     assertEquals(Optional.empty(), line(silence.answered(at(11_600))));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
@@ -28,28 +28,30 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * When a side process reports changes to two entries.
+ * Tests when a side process reports changes to two entries.
  *
- * <p>The clock by which turns are counted stands still but where a test moves it, so nobody's turn
- * comes by itself. A regular report asks for a lease and one of a change does not, which tells them
- * apart.
+ * <p>The clock that determines when reports are due stands still unless a test advances it. A
+ * periodic report requests a lease and a report of a change does not, which distinguishes them.
  */
 @Timeout(40)
 class WorkflowSideReportsTest {
   private static final int PARTITIONS = 2;
   private static final int ENTRIES = 2;
 
-  /** After which an entry that owns nothing on the VM must hear of a change, in nanoseconds. */
+  /**
+   * Minimum interval between reports of changes to an entry that owns no runs on the VM, in
+   * nanoseconds.
+   */
   private static final long TURN_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
 
   private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
-  private static final String WORKER = "life-1";
+  private static final String WORKER = "worker-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final int OWNED = WorkflowIds.partition(RUN.task().workflow(), PARTITIONS);
 
   private static final int ROUNDS = 7;
 
-  /** How many regular reports an entry hears before a change counts as told by none of its own. */
+  /** Number of periodic reports after which a change counts as not reported separately. */
   private static final int REGULAR_REPORTS = 5;
 
   private final AtomicLong clock = new AtomicLong();
@@ -101,15 +103,16 @@
   }
 
   /**
-   * Has the room change twice in one turn of both entries; then the next turn of each comes. Both
-   * are told of the first change at once, so the second one has to wait for its turn.
+   * Changes the capacity twice within one interval, then advances the clock by an interval. The first
+   * change is reported to both entries at once, so the second one must wait until the interval has
+   * passed.
    */
   private void changeRoomTwiceInOneTurn(int last) {
     loop.runLater(
         () -> {
           clock.addAndGet(TURN_NANOS);
           side.heartbeat(heartbeat(1_000));
-          // Reports are sent by what the heartbeat has put before this.
+          // Runs after the task, scheduled by the heartbeat, that sends the reports.
           loop.runLater(
               () -> {
                 side.heartbeat(heartbeat(last));
@@ -118,15 +121,16 @@
         });
   }
 
-  /** Returns whether a report of a change tells it, before some regular ones went by. */
-  private static boolean isToldBetweenRegularReports(ScriptedEntry entry, Predicate<VmReport> tells)
+  /** Returns whether a non-periodic report matches before the limit of periodic ones is reached. */
+  private static boolean isToldBetweenRegularReports(
+      ScriptedEntry entry, Predicate<VmReport> matches)
       throws InterruptedException {
-    int regular = 0;
-    while (regular < REGULAR_REPORTS) {
+    int periodic = 0;
+    while (periodic < REGULAR_REPORTS) {
       VmReport report = entry.report();
       if (report.getWantsLease()) {
-        regular++;
-      } else if (tells.test(report)) {
+        periodic++;
+      } else if (matches.test(report)) {
         return true;
       }
     }
@@ -134,14 +138,15 @@
   }
 
   /**
-   * A task of one entry ended on a VM right after another entry had heard of that VM. Its turn
-   * came, but nobody told it of the room that was left, and it learned it from the regular report
-   * most of a second later. Its waiting tasks stood still for as long beside an empty VM.
+   * A run ends right after a report was sent to an entry that does not own it. The freed resources
+   * must be reported to that entry once the minimum interval has passed. If it learned of them only
+   * from the next periodic report, its waiting tasks would be delayed for most of a second while the
+   * VM is idle.
    */
   @Test
   void whoOwnsNothingThatChangedHearsOfRoomWhenItsTurnComes() throws Exception {
     start();
-    int inTurn = 0;
+    int afterInterval = 0;
     for (int i = 1; i <= ROUNDS; i++) {
       awaitRegularReport(bystander);
       int capacity = 1_000 + i;
@@ -151,23 +156,24 @@
         report = bystander.report();
       }
       if (!report.getWantsLease()) {
-        inTurn++;
+        afterInterval++;
       }
     }
-    // A regular report, or another change of the VM, may tell one of them before its turn comes.
-    assertTrue(inTurn > ROUNDS / 2, "told in turn " + inTurn + " times of " + ROUNDS);
+    // A periodic report, or another change of the VM, may report a change before the interval ends.
+    assertTrue(afterInterval > ROUNDS / 2, afterInterval + " change reports of " + ROUNDS);
   }
 
   private static void awaitRegularReport(ScriptedEntry entry) throws InterruptedException {
     while (!entry.report().getWantsLease()) {
-      // The next one is.
+      // Keeps waiting.
     }
   }
 
   /**
-   * An entry had a task started on a VM of which it had just heard. If it waited for its turn like
-   * all others it would hear of the start, and of the end of a short task, only after a time that
-   * grows with the number of entries, and so would whatever waits for that task.
+   * An entry starts a task on a VM right after it received a report from it. If the owner had to wait
+   * for the minimum interval like other entries, it would learn of the start, and of the end of a
+   * short task, after a delay that grows with the number of entries. Dependent tasks would be delayed
+   * as well.
    */
   @Test
   void theOwnerHearsOfItsRunWithoutWaitingForItsTurn() throws Exception {
@@ -199,7 +205,7 @@
             .build());
     assertTrue(
         isToldBetweenRegularReports(
-            owner, told -> told.getRunsList().stream().anyMatch(run -> run.getStarted())),
-        "the start is told by regular reports only");
+            owner, change -> change.getRunsList().stream().anyMatch(run -> run.getStarted())),
+        "the start is reported by periodic reports only");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Waits for reports; where one never comes, the limit ends the test. */
+/** Waits for reports without a limit of its own; the timeout ends the test if one never arrives. */
 @Timeout(40)
 class WorkflowSideTest {
   private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
-  private static final String WORKER = "life-1";
+  private static final String WORKER = "worker-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
 
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
@@ -84,9 +84,9 @@
   }
 
   /**
-   * A VM's worker crashed and was back at once, while leases for the life before were on their way,
-   * by a clock that was ahead. The new worker's lease was never over then: once it was silent, its
-   * tasks stayed at work for good, and no other owner's task could start there.
+   * A worker restarts while leases for the previous incarnation, whose clock was ahead, are in
+   * transit. Applied to the new incarnation they would keep its lease from ever expiring: once it
+   * stops responding, its runs would count as active forever and block the VM for other owners.
    */
   @Test
   void aLeaseForAnotherLifeOfTheWorkerCountsForNothing() throws Exception {
@@ -102,7 +102,7 @@
     entry.send(
         connection,
         Frame.newBuilder()
-            .setRunOrders(RunOrders.newBuilder().setNumber(1).setWorker("life-0").setLease(ahead))
+            .setRunOrders(RunOrders.newBuilder().setNumber(1).setWorker("worker-0").setLease(ahead))
             .build());
     StartRun start =
         StartRun.newBuilder()
@@ -121,7 +121,7 @@
                     .addStarts(start))
             .build());
     while (reportOfWorker().getRunsList().stream().noneMatch(run -> run.getStarted())) {
-      // The next one tells.
+      // Keeps waiting.
     }
     assertTrue(worker.leaseLeftMillis() <= TERMS.boundMillis(), "" + worker.leaseLeftMillis());
   }
@@ -136,9 +136,10 @@
   }
 
   /**
-   * An entry died, and another one told a side process that it owns everything now. Then an answer
-   * of the store arrived that was from before. The side process went on to report to the dead entry
-   * for good, and told the living one that it had its map: the ends of its tasks were never heard.
+   * An entry dies, and another one sends its owner map, in which it owns all partitions. Then a
+   * response of the store with the old owners arrives and replaces that map. The side process must
+   * report the digest of the old map, so that the live entry sends its map again. Otherwise it
+   * reports to the dead entry forever, and the ends of runs never reach their owner.
    */
   @Test
   void aLateAnswerOfTheStoreIsCorrectedByTheEntries() throws Exception {
@@ -150,15 +151,15 @@
     LinkConnection connection = entry.connection();
     died.connection();
     died.close();
-    // Asked since the dead entry is not reached; the answer is on its way for long.
+    // The store is queried because the dead entry is not connected; the response arrives late.
     var late = store.asked();
     entry.send(connection, map(5, after));
     while (entry.report().getOwnersDigest() != after.hashCode()) {
-      // The next one tells.
+      // Keeps waiting.
     }
     late.complete(ScriptedOwnersStore.owners(before));
     while (entry.report().getOwnersDigest() == after.hashCode()) {
-      // The entry hears that it has to tell its map again.
+      // Waits for the report with the old digest, which makes the entry send its map again.
     }
     entry.send(connection, map(5, after));
     int digest = entry.report().getOwnersDigest();
@@ -169,7 +170,10 @@
     assertNotEquals(before.hashCode(), digest);
   }
 
-  /** Guards against ends that are told to an entry that has lost the store and its partitions. */
+  /**
+   * Guards against reports to an entry that has lost its partitions, and that sends an outdated map
+   * because it is disconnected from the store.
+   */
   @Test
   void aMapOfALowerGenerationIsPassedOver() throws Exception {
     ScriptedEntry former = new ScriptedEntry();
@@ -181,13 +185,13 @@
     former.connection();
     entry.send(connection, map(6, after));
     while (entry.report().getOwnersDigest() != after.hashCode()) {
-      // The next one tells.
+      // Keeps waiting.
     }
     beat();
     reportOfWorker();
     entry.send(connection, map(5, before));
-    // Orders for another life of the worker are answered by a report.
-    RunOrders orders = RunOrders.newBuilder().setNumber(1).setWorker("life-0").build();
+    // Orders for another incarnation of the worker are answered by a report.
+    RunOrders orders = RunOrders.newBuilder().setNumber(1).setWorker("worker-0").build();
     entry.send(connection, Frame.newBuilder().setRunOrders(orders).build());
     VmReport report = entry.report();
     while (report.getOrdersSeen() != 1) {
