--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/BodyReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/BodyReader.java
@@ -14,35 +14,35 @@
  * budget of all.
  */
 final class BodyReader implements Runnable {
-  private static final long COME_BACK_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final Request request;
   private final ByteBudget budget;
-  private final Consumer<Result<ByteString>> whole;
+  private final Consumer<Result<ByteString>> onComplete;
   private ByteString body = ByteString.EMPTY;
-  private long reserved;
+  private long reservedBytes;
 
   /**
    * Creates a reader.
    *
    * @param request the request, its head read
    * @param budget what all bodies may hold; the reader gives back what it reserved if it fails
-   * @param whole told once; after a success {@link #reserved} bytes are to be given back later
+   * @param whole told once; after a success {@link #reservedBytes} bytes are to be given back later
    */
   BodyReader(Request request, ByteBudget budget, Consumer<Result<ByteString>> whole) {
     this.request = request;
     this.budget = budget;
-    this.whole = whole;
+    this.onComplete = whole;
   }
 
-  long reserved() {
-    return reserved;
+  long reservedBytes() {
+    return reservedBytes;
   }
 
   /** Reads what is there and asks to be called again for the rest. */
   @Override
   public void run() {
-    if (request.getLength() > Bodies.MAX_BYTES) {
+    if (request.getLength() > BodyLimits.MAX_BYTES) {
       fail(tooLarge());
       return;
     }
@@ -57,45 +57,45 @@
         return;
       }
       boolean last = chunk.isLast();
-      Failure failure = take(chunk);
+      Failure failure = append(chunk);
       chunk.release();
       if (failure != null) {
         fail(failure);
         return;
       }
       if (last) {
-        whole.accept(Result.ok(body));
+        onComplete.accept(Result.ok(body));
         return;
       }
     }
   }
 
-  private Failure take(Content.Chunk chunk) {
+  private Failure append(Content.Chunk chunk) {
     int length = chunk.remaining();
     if (length == 0) {
       return null;
     }
     // A body without Content-Length shows its length only as it comes.
-    if (body.size() + length > Bodies.MAX_BYTES) {
+    if (body.size() + length > BodyLimits.MAX_BYTES) {
       return tooLarge();
     }
     if (!budget.tryReserve(length)) {
-      return new Failure(ErrorKind.OVERLOADED, "no room for the body", COME_BACK_MILLIS);
+      return new Failure(ErrorKind.OVERLOADED, "no room for the body", RETRY_AFTER_MILLIS);
     }
-    reserved += length;
+    reservedBytes += length;
     ByteString part = ByteString.copyFrom(chunk.getByteBuffer());
     body = body.isEmpty() ? part : body.concat(part);
     return null;
   }
 
   private static Failure tooLarge() {
-    return Failure.of(ErrorKind.BODY_TOO_LARGE, "the limit is " + Bodies.MAX_BYTES + " bytes");
+    return Failure.of(ErrorKind.BODY_TOO_LARGE, "the limit is " + BodyLimits.MAX_BYTES + " bytes");
   }
 
   private void fail(Failure failure) {
-    budget.release(reserved);
-    reserved = 0;
+    budget.release(reservedBytes);
+    reservedBytes = 0;
     body = ByteString.EMPTY;
-    whole.accept(Result.failed(failure));
+    onComplete.accept(Result.failed(failure));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
@@ -6,9 +6,9 @@
  * Bounds of an entry towards callers.
  *
  * @param maxConnections how many connections callers may have open at once
- * @param bodyBytes what bodies of requests may hold together, in bytes
+ * @param bodyBudgetBytes what bodies of requests may hold together, in bytes
  */
-public record CallerLimits(int maxConnections, long bodyBytes) {
+public record CallerLimits(int maxConnections, long bodyBudgetBytes) {
   /** The longest time left that a caller may name, in milliseconds. */
   public static final long MAX_DEADLINE_MILLIS = 10 * 60 * 1_000L;
 
@@ -21,12 +21,15 @@
   /** Checks the components. */
   public CallerLimits {
     checkArgument(maxConnections > 0, "maxConnections is not positive: %s", maxConnections);
-    checkArgument(bodyBytes >= Bodies.MAX_BYTES, "bodyBytes is less than one body: %s", bodyBytes);
+    checkArgument(
+        bodyBudgetBytes >= BodyLimits.MAX_BYTES,
+        "bodyBytes is less than one body: %s",
+        bodyBudgetBytes);
   }
 
   /** Returns the bounds that fit the heap of this Java virtual machine. */
-  public static CallerLimits ofHeap() {
+  public static CallerLimits forHeap() {
     long quarter = Runtime.getRuntime().maxMemory() / 4;
-    return new CallerLimits(4_096, Math.max(2L * Bodies.MAX_BYTES, quarter));
+    return new CallerLimits(4_096, Math.max(2L * BodyLimits.MAX_BYTES, quarter));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerResponseWriter.java
@@ -13,11 +13,11 @@
 import org.eclipse.jetty.util.Callback;
 
 /** Writes the one answer to a caller's request. */
-final class AnswerWriter implements AnswerSink {
+final class CallerResponseWriter implements ResponseSink {
   private final Response response;
   private final Callback callback;
-  private final Runnable ended;
-  private final Executor writes;
+  private final Runnable onEnded;
+  private final Executor writeExecutor;
 
   /**
    * Creates a writer.
@@ -27,20 +27,20 @@
    * @param ended told first that the request has ended
    * @param writes where the answer is written
    */
-  AnswerWriter(Response response, Callback callback, Runnable ended, Executor writes) {
+  CallerResponseWriter(Response response, Callback callback, Runnable ended, Executor writes) {
     this.response = response;
     this.callback = callback;
-    this.ended = ended;
-    this.writes = writes;
+    this.onEnded = ended;
+    this.writeExecutor = writes;
   }
 
   @Override
-  public void answered(String requestId, CallerAnswer answer) {
-    ended.run();
-    writes.execute(() -> write(requestId, answer));
+  public void succeeded(String requestId, CallerResponse answer) {
+    onEnded.run();
+    writeExecutor.execute(() -> write(requestId, answer));
   }
 
-  private void write(String requestId, CallerAnswer answer) {
+  private void write(String requestId, CallerResponse answer) {
     response.setStatus(answer.status());
     HttpFields.Mutable fields = response.getHeaders();
     for (Header header : answer.headers()) {
@@ -58,8 +58,8 @@
 
   @Override
   public void failed(String requestId, Failure failure) {
-    ended.run();
-    writes.execute(() -> write(response, callback, failure, requestId));
+    onEnded.run();
+    writeExecutor.execute(() -> write(response, callback, failure, requestId));
   }
 
   /** Writes a failure as problem details. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -41,33 +41,33 @@
 
   private static final int MAX_THREADS = 32;
   private static final int MIN_THREADS = 8;
-  private static final long IDLE_MILLIS = 30_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
   /** Connections that wait to be accepted; beyond it the kernel resets or drops them. */
-  private static final int ACCEPT_QUEUE = 1_024;
+  private static final int ACCEPT_QUEUE_LENGTH = 1_024;
 
-  private static final long WRITE_LIMIT_MILLIS = 10_000;
-  private static final int MAX_ANSWER_HEADER_BYTES = 48 * 1024;
+  private static final long WRITE_DRAIN_TIMEOUT_MILLIS = 10_000;
+  private static final int MAX_RESPONSE_HEADER_BYTES = 48 * 1024;
 
   /**
    * What is allotted for an answer's head at first. Buffers are not pooled, so that it is cleared
    * for each answer, on the loop: with room for the longest head that was a third of its time.
    */
-  private static final int ANSWER_HEADER_BYTES = 2 * 1024;
+  private static final int RESPONSE_HEADER_BUFFER_BYTES = 2 * 1024;
 
   /** What is allotted for reading from a caller at a time; longer heads and bodies take several. */
-  private static final int INPUT_BYTES = 4 * 1024;
+  private static final int INPUT_BUFFER_BYTES = 4 * 1024;
 
   private final MonotonicClock clock;
   private final InetSocketAddress address;
   private final EntryDispatcher dispatcher;
   private final BooleanSupplier ready;
-  private final RequestReader reader;
+  private final RequestHeadReader reader;
   private final ByteBudget bodyBudget;
   private final Server server;
   private final ServerConnector connector;
-  private final OpenRequests open = new OpenRequests();
-  private final WriteThread writes = new WriteThread("caller-writes");
+  private final OpenRequests openRequests = new OpenRequests();
+  private final WriteThread writeThread = new WriteThread("caller-writes");
 
   /**
    * Creates a server that does not listen yet.
@@ -90,8 +90,8 @@
     this.address = requireNonNull(address, "address");
     this.dispatcher = requireNonNull(dispatcher, "dispatcher");
     this.ready = requireNonNull(ready, "ready");
-    this.reader = new RequestReader(deadlines);
-    this.bodyBudget = new ByteBudget(limits.bodyBytes());
+    this.reader = new RequestHeadReader(deadlines);
+    this.bodyBudget = new ByteBudget(limits.bodyBudgetBytes());
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
     threads.setName("callers");
     // Jetty 12.1.13 hands one pooled buffer to two connections after it was sent what is no HTTP: a
@@ -101,16 +101,16 @@
     this.connector = newConnector();
     server.addConnector(connector);
     server.addBean(new NetworkConnectionLimit(limits.maxConnections(), connector));
-    server.setHandler(new Callers());
-    server.setErrorHandler(CallerServer::jettyError);
+    server.setHandler(new CallerHandler());
+    server.setErrorHandler(CallerServer::handleJettyError);
   }
 
   private ServerConnector newConnector() {
     HttpConfiguration http = new HttpConfiguration();
     http.setRequestHeaderSize(CallerLimits.MAX_HEADER_BYTES);
-    http.setInputBufferSize(INPUT_BYTES);
-    http.setResponseHeaderSize(ANSWER_HEADER_BYTES);
-    http.setMaxResponseHeaderSize(MAX_ANSWER_HEADER_BYTES);
+    http.setInputBufferSize(INPUT_BUFFER_BYTES);
+    http.setResponseHeaderSize(RESPONSE_HEADER_BUFFER_BYTES);
+    http.setMaxResponseHeaderSize(MAX_RESPONSE_HEADER_BYTES);
     http.setUseInputDirectByteBuffers(false);
     http.setUseOutputDirectByteBuffers(false);
     http.setSendServerVersion(false);
@@ -118,8 +118,8 @@
     ServerConnector made = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
     made.setHost(address.getHostString());
     made.setPort(address.getPort());
-    made.setIdleTimeout(IDLE_MILLIS);
-    made.setAcceptQueueSize(ACCEPT_QUEUE);
+    made.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    made.setAcceptQueueSize(ACCEPT_QUEUE_LENGTH);
     return made;
   }
 
@@ -152,49 +152,49 @@
   public void close() {
     try {
       connector.shutdown();
-      open.awaitNone(WRITE_LIMIT_MILLIS);
+      openRequests.awaitNone(WRITE_DRAIN_TIMEOUT_MILLIS);
       server.stop();
-      writes.close();
+      writeThread.close();
     } catch (Exception e) {
       System.getLogger(CallerServer.class.getName())
           .log(System.Logger.Level.WARNING, "event=caller-server-stop reason=\"{0}\"", e);
     }
   }
 
-  private static boolean jettyError(Request request, Response response, Callback callback) {
+  private static boolean handleJettyError(Request request, Response response, Callback callback) {
     int status = response.getStatus();
     boolean ownFault =
         status >= HttpStatus.INTERNAL_SERVER_ERROR_500
             && status != HttpStatus.HTTP_VERSION_NOT_SUPPORTED_505;
     ErrorKind kind = ownFault ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
     Failure failure = Failure.of(kind, HttpStatus.getMessage(status));
-    AnswerWriter.write(response, callback, failure, "");
+    CallerResponseWriter.write(response, callback, failure, "");
     return true;
   }
 
   /** Serves callers and health. */
-  private final class Callers extends Handler.Abstract.NonBlocking {
+  private final class CallerHandler extends Handler.Abstract.NonBlocking {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
       String path = request.getHttpURI().getPath();
       if (LIVE_PATH.equals(path)) {
-        health(response, callback, true);
+        writeHealth(response, callback, true);
         return true;
       }
       if (READY_PATH.equals(path)) {
-        health(response, callback, dispatcher.isReady() && ready.getAsBoolean());
+        writeHealth(response, callback, dispatcher.isReady() && ready.getAsBoolean());
         return true;
       }
       Result<CallerRequest> head = reader.read(request, clock.nanos());
       if (head instanceof Result.Failed<CallerRequest> failed) {
-        AnswerWriter.write(response, callback, failed.failure(), "");
+        CallerResponseWriter.write(response, callback, failed.failure(), "");
         return true;
       }
       if (!dispatcher.isReady()) {
         // The balancer is to take this connection's next request elsewhere.
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
       }
-      readBody(request, response, open.counted(callback), head.value());
+      readBody(request, response, openRequests.track(callback), head.value());
       return true;
     }
   }
@@ -208,18 +208,19 @@
             body -> {
               if (body instanceof Result.Failed<ByteString> failed) {
                 Callback afterRest = RestOfBody.thenComplete(request, callback);
-                AnswerWriter.write(response, afterRest, failed.failure(), "");
+                CallerResponseWriter.write(response, afterRest, failed.failure(), "");
                 return;
               }
-              long reserved = holder[0].reserved();
-              AnswerWriter writer =
-                  new AnswerWriter(response, callback, () -> bodyBudget.release(reserved), writes);
+              long reserved = holder[0].reservedBytes();
+              CallerResponseWriter writer =
+                  new CallerResponseWriter(
+                      response, callback, () -> bodyBudget.release(reserved), writeThread);
               dispatcher.submit(head.withBody(body.value()), writer);
             });
     holder[0].run();
   }
 
-  private static void health(Response response, Callback callback, boolean good) {
+  private static void writeHealth(Response response, Callback callback, boolean good) {
     response.setStatus(good ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
     byte[] text = (good ? "ok\n" : "stopping\n").getBytes(StandardCharsets.UTF_8);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/GoAwayFence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
@@ -19,21 +19,21 @@
  * acknowledgement proves both that nothing more comes and that all that was sent before has
  * arrived. A round in which something else crossed proves nothing and is done again.
  *
- * <p>Confined to the loop's thread, but for {@link #passed}.
+ * <p>Confined to the loop's thread, but for {@link #drained}.
  */
-final class GoAwayFence {
+final class ConnectionDrain {
   /** A connection that takes or acknowledges nothing for this long after all has ended is lost. */
-  private static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long DRAIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static final long CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private final LinkLoop loop;
-  private final BooleanSupplier flushed;
-  private final Set<LinkConnection> open = new HashSet<>();
+  private final BooleanSupplier allFlushed;
+  private final Set<LinkConnection> openConnections = new HashSet<>();
   private final Set<LinkConnection> unacknowledged = new HashSet<>();
-  private final CompletableFuture<Void> passed = new CompletableFuture<>();
+  private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private boolean begun;
-  private boolean crossed;
+  private boolean recordActivity;
   private long giveUpAt;
 
   /**
@@ -42,34 +42,34 @@
    * @param loop the thread
    * @param flushed whether all that was sent has been handed to the operating system
    */
-  GoAwayFence(LinkLoop loop, BooleanSupplier flushed) {
+  ConnectionDrain(LinkLoop loop, BooleanSupplier flushed) {
     this.loop = loop;
-    this.flushed = flushed;
+    this.allFlushed = flushed;
   }
 
   /** Takes a new connection. */
   void opened(LinkConnection connection) {
-    open.add(connection);
+    openConnections.add(connection);
     if (begun) {
-      ask(connection);
+      sendGoAway(connection);
     }
   }
 
   /** Forgets a connection that has ended. */
   void closed(LinkConnection connection) {
-    open.remove(connection);
+    openConnections.remove(connection);
     unacknowledged.remove(connection);
   }
 
   /** Tells all entries of the stop. */
   void begin() {
     begun = true;
-    open.forEach(this::ask);
+    openConnections.forEach(this::sendGoAway);
     // What was sent before may still wait in the process behind this first word of the stop.
-    crossed();
+    recordActivity();
   }
 
-  private void ask(LinkConnection connection) {
+  private void sendGoAway(LinkConnection connection) {
     unacknowledged.add(connection);
     connection.send(SideFrames.goAway());
   }
@@ -80,38 +80,38 @@
   }
 
   /** Notes that a request, a question or an answer crossed the connections. */
-  void crossed() {
-    crossed = true;
+  void recordActivity() {
+    recordActivity = true;
   }
 
   /** Begins to wait, once nothing is in progress; later calls have no effect. */
-  void settle() {
+  void completeWhenDrained() {
     if (giveUpAt == 0) {
-      giveUpAt = loop.now() + LIMIT_NANOS;
-      awaitPassed();
+      giveUpAt = loop.now() + DRAIN_TIMEOUT_NANOS;
+      pollDrained();
     }
   }
 
   /** Returns what is completed when the connections may be closed. */
-  CompletableFuture<Void> passed() {
-    return passed;
+  CompletableFuture<Void> drained() {
+    return drained;
   }
 
-  private void awaitPassed() {
-    if (isSettled() || giveUpAt - loop.now() <= 0) {
-      passed.complete(null);
+  private void pollDrained() {
+    if (isDrained() || giveUpAt - loop.now() <= 0) {
+      drained.complete(null);
       return;
     }
-    loop.schedule(this::awaitPassed, CHECK_NANOS);
+    loop.schedule(this::pollDrained, POLL_INTERVAL_NANOS);
   }
 
-  private boolean isSettled() {
-    if (!unacknowledged.isEmpty() || !flushed.getAsBoolean()) {
+  private boolean isDrained() {
+    if (!unacknowledged.isEmpty() || !allFlushed.getAsBoolean()) {
       return false;
     }
-    if (crossed) {
-      crossed = false;
-      open.forEach(this::ask);
+    if (recordActivity) {
+      recordActivity = false;
+      openConnections.forEach(this::sendGoAway);
     }
     return unacknowledged.isEmpty();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -13,9 +13,9 @@
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
 import io.marigoldsail.idempotency.KeyShards;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.membership.EntryIdentity;
 import io.marigoldsail.membership.MemberTable;
@@ -41,28 +41,28 @@
  */
 public final class EntryDispatcher implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(EntryDispatcher.class.getName());
-  private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
-  private static final long NO_HOME_MILLIS = 1_000;
+  private static final long PROCESS_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long NO_OWNER_RETRY_AFTER_MILLIS = 1_000;
 
   /** What a request waits after its home was full for the first time, in nanoseconds. */
-  private static final long HOME_BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long OWNER_RETRY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-  private static final int MAX_HOME_DOUBLINGS = 8;
+  private static final int MAX_OWNER_BACKOFF_DOUBLINGS = 8;
   private static final long NEVER = Long.MAX_VALUE;
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
   private final RequestPolicy policy;
-  private final LinkTimes times;
+  private final LinkSettings times;
   private final EventRecorder events;
-  private final Attempts attempts;
-  private final Optional<KeyShardTable> keys;
+  private final AttemptTracker attempts;
+  private final Optional<KeyShardTable> shardTable;
   private final Predicate<String> detectsRepeats;
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private volatile boolean stopping;
   private boolean refusing;
-  private long lastNumber;
+  private long lastRequestNumber;
   private long lastTick;
   private long wakeAt = NEVER;
   private Future<?> wake;
@@ -85,7 +85,7 @@
       LinkLoop loop,
       EntryIdentity identity,
       RequestPolicy policy,
-      LinkTimes times,
+      LinkSettings times,
       ByteBudget answerBudget,
       Optional<KeyShardTable> keys,
       Predicate<String> detectsRepeats,
@@ -95,31 +95,32 @@
     this.identity = requireNonNull(identity, "identity");
     this.policy = requireNonNull(policy, "policy");
     this.times = requireNonNull(times, "times");
-    this.keys = requireNonNull(keys, "keys");
+    this.shardTable = requireNonNull(keys, "keys");
     this.detectsRepeats = requireNonNull(detectsRepeats, "detectsRepeats");
     this.events = requireNonNull(events, "events");
     this.attempts =
-        new Attempts(loop, identity, times, answerBudget, events, random, new FromAttempts());
+        new AttemptTracker(
+            loop, identity, times, answerBudget, events, random, new AttemptListener());
   }
 
   /** Begins to serve. */
   public void start() {
     lastTick = loop.now();
-    tick = loop.repeat(this::tick, times.tickNanos());
+    tick = loop.repeat(this::tick, times.checkIntervalNanos());
   }
 
   /** Returns the listener through which this dispatcher learns of targets. */
   public MemberListener memberListener() {
-    return new FromMembers();
+    return new TargetMemberListener();
   }
 
   /** Takes a request; its sink is called exactly once. */
-  public void submit(CallerRequest request, AnswerSink sink) {
-    loop.run(() -> arrived(request, sink));
+  public void submit(CallerRequest request, ResponseSink sink) {
+    loop.run(() -> requestArrived(request, sink));
   }
 
   /** Returns how many targets there are connections to; to be called on the loop's thread. */
-  int reachableTargets() {
+  int reachableTargetCount() {
     return attempts.pools().targets().size();
   }
 
@@ -153,8 +154,8 @@
     loop.run(attempts.pools()::close);
   }
 
-  private void arrived(CallerRequest request, AnswerSink sink) {
-    long number = ++lastNumber;
+  private void requestArrived(CallerRequest request, ResponseSink sink) {
+    long number = ++lastRequestNumber;
     String label = Long.toHexString(identity.incarnation()) + "-" + number;
     if (refusing) {
       sink.failed(label, new Failure(ErrorKind.SHUTTING_DOWN, identity.name() + " stops", 1_000));
@@ -167,14 +168,14 @@
             .withDetail(request.service()));
     PendingRequest arrived = new PendingRequest(number, label, request, sink);
     pending.put(number, arrived);
-    if (request.isKeyed() && keys.isPresent()) {
-      sendHome(arrived, keys.get());
+    if (request.isKeyed() && shardTable.isPresent()) {
+      sendToOwner(arrived, shardTable.get());
       return;
     }
-    schedule(arrived);
+    submitToPolicy(arrived);
   }
 
-  private void schedule(PendingRequest arrived) {
+  private void submitToPolicy(PendingRequest arrived) {
     CallerRequest request = arrived.request();
     long number = arrived.number();
     long now = loop.now();
@@ -187,7 +188,7 @@
             request.idempotent(),
             request.arrivedAt(),
             Math.max(request.arrivedAt(), request.deadline()));
-    carryOut(policy.arrived(arrival, now));
+    applyDecisions(policy.requestArrived(arrival, now));
     PendingRequest waits = pending.get(number);
     if (waits != null && waits.attempt() == null) {
       events.record(Event.of(EventKind.REQUEST_QUEUED).withRequest(arrived.label()));
@@ -202,41 +203,41 @@
    * outcome the caller may, with the same key. Where its home is not reached but the target tells
    * repeats apart by itself, any target takes it.
    */
-  private void sendHome(PendingRequest request, KeyShardTable table) {
+  private void sendToOwner(PendingRequest request, KeyShardTable table) {
     String service = request.request().service();
     boolean detects = detectsRepeats.test(service);
     int shard = KeyShards.of(request.request().idempotencyKey());
-    KeyHome home = table.home(service, shard).orElse(null);
+    ShardOwner home = table.owner(service, shard).orElse(null);
     // A home that leaves refuses all; what is sent to it as it exits would be of unknown outcome.
-    if (home == null || !attempts.pools().takesNew(home.vm(), home.incarnation())) {
+    if (home == null || !attempts.pools().acceptsRequests(home.vm(), home.incarnation())) {
       if (detects) {
-        schedule(request);
+        submitToPolicy(request);
         return;
       }
       String detail = "this attempt was not run; its Idempotency-Key has no home that is reached";
-      fail(request, new Failure(ErrorKind.KEY_STATE_UNKNOWN, detail, NO_HOME_MILLIS));
+      fail(request, new Failure(ErrorKind.KEY_STATE_UNKNOWN, detail, NO_OWNER_RETRY_AFTER_MILLIS));
       return;
     }
-    request.sentHome(KeyHomes.claim(shard, home), detects);
+    request.sentToOwner(KeyShardCoordinator.claim(shard, home), detects);
     request.vm(home.vm());
     attempts.start(request, new Decision.Send(request.number(), home.vm(), 1, "home of its key"));
   }
 
-  private void carryOut(List<Decision> decisions) {
+  private void applyDecisions(List<Decision> decisions) {
     for (Decision decision : decisions) {
       PendingRequest request = pending.get(decision.request());
       checkState(request != null, "decision on request %s that is not here", decision.request());
       if (decision instanceof Decision.Send send) {
         request.vm(send.vm());
-        send(request, send);
+        startAttempt(request, send);
       } else if (decision instanceof Decision.Refuse refuse) {
         refuse(request, refuse.failure());
       }
     }
-    armWake();
+    scheduleWake();
   }
 
-  private void armWake() {
+  private void scheduleWake() {
     long next = policy.nextWake();
     if (next == NEVER || (wakeAt != NEVER && wakeAt - next <= 0)) {
       return;
@@ -251,52 +252,52 @@
   private void wake() {
     wakeAt = NEVER;
     wake = null;
-    carryOut(policy.wake(loop.now()));
+    applyDecisions(policy.wake(loop.now()));
   }
 
   private void refuse(PendingRequest request, Failure failure) {
     // The policy knows outcomes by their kind alone; a refusal after an attempt that may have run
     // must not read as "not run" to the caller, who would safely ask again and run it twice.
     if (request.mayHaveRun() && failure.kind().execution() == ErrorKind.Execution.NOT_RUN) {
-      answer(request);
+      completeWithLastOutcome(request);
       return;
     }
     fail(request, failure);
   }
 
-  private void send(PendingRequest request, Decision.Send send) {
+  private void startAttempt(PendingRequest request, Decision.Send send) {
     // Whatever the policy makes of outcomes: what may have run and is not idempotent is never sent
     // again.
     if (request.mayHaveRun() && !request.request().idempotent()) {
       LOG.log(System.Logger.Level.ERROR, "event=second-run-prevented request={0}", request.label());
-      answer(request);
+      completeWithLastOutcome(request);
       return;
     }
     attempts.start(request, send);
   }
 
-  private void ended(
+  private void attemptEnded(
       PendingRequest request,
       String vm,
       AttemptOutcome outcome,
-      CallerAnswer answer,
+      CallerResponse answer,
       Failure failure) {
-    request.ended(outcome, answer, failure);
-    if (request.isAtHome()) {
-      if (!isFull(outcome, failure) || !sendHomeLater(request)) {
-        answer(request);
+    request.attemptEnded(outcome, answer, failure);
+    if (request.isRoutedToOwner()) {
+      if (!isOverloaded(outcome, failure) || !scheduleOwnerRetry(request)) {
+        completeWithLastOutcome(request);
       }
       return;
     }
-    carryOut(policy.attemptEnded(request.number(), vm, outcome, loop.now()));
+    applyDecisions(policy.attemptEnded(request.number(), vm, outcome, loop.now()));
     if (pending.containsKey(request.number())
         && request.attempt() == null
         && !policy.isPending(request.number())) {
-      answer(request);
+      completeWithLastOutcome(request);
     }
   }
 
-  private static boolean isFull(AttemptOutcome outcome, Failure failure) {
+  private static boolean isOverloaded(AttemptOutcome outcome, Failure failure) {
     return outcome == AttemptOutcome.NOT_RUN && failure.kind() == ErrorKind.OVERLOADED;
   }
 
@@ -307,27 +308,27 @@
    * <p>Guards against refusals by a nearly idle fleet: a key has one home, and one that has just
    * started stands still for a moment, while four of 1,000 callers were told that it is full.
    */
-  private boolean sendHomeLater(PendingRequest request) {
-    int doublings = Math.min(request.triesAtHome() - 1, MAX_HOME_DOUBLINGS);
-    long due = loop.now() + (HOME_BACK_OFF_NANOS << doublings);
+  private boolean scheduleOwnerRetry(PendingRequest request) {
+    int doublings = Math.min(request.ownerAttempts() - 1, MAX_OWNER_BACKOFF_DOUBLINGS);
+    long due = loop.now() + (OWNER_RETRY_BACKOFF_NANOS << doublings);
     if (due >= request.request().deadline()) {
       return false;
     }
-    loop.schedule(() -> sendHomeAgain(request), due - loop.now());
+    loop.schedule(() -> retryOwner(request), due - loop.now());
     return true;
   }
 
-  private void sendHomeAgain(PendingRequest request) {
+  private void retryOwner(PendingRequest request) {
     if (pending.get(request.number()) == request) {
-      sendHome(request, keys.orElseThrow());
+      sendToOwner(request, shardTable.orElseThrow());
     }
   }
 
   /** Hands the outcome of the last attempt on. */
-  private void answer(PendingRequest request) {
-    if (request.lastAnswer() != null) {
-      forget(request);
-      request.sink().answered(request.label(), request.lastAnswer());
+  private void completeWithLastOutcome(PendingRequest request) {
+    if (request.lastResponse() != null) {
+      removePending(request);
+      request.sink().succeeded(request.label(), request.lastResponse());
       return;
     }
     Failure failure = request.lastFailure();
@@ -340,7 +341,7 @@
   }
 
   private void fail(PendingRequest request, Failure failure) {
-    forget(request);
+    removePending(request);
     boolean refused = failure.kind().execution() == ErrorKind.Execution.NOT_RUN;
     events.record(
         Event.of(refused ? EventKind.REQUEST_REFUSED : EventKind.REQUEST_FAILED)
@@ -350,7 +351,7 @@
     request.sink().failed(request.label(), failure);
   }
 
-  private void forget(PendingRequest request) {
+  private void removePending(PendingRequest request) {
     pending.remove(request.number());
     checkDrained();
   }
@@ -363,27 +364,27 @@
 
   private void tick() {
     long now = loop.now();
-    if (now - lastTick > FROZEN_NANOS) {
+    if (now - lastTick > PROCESS_PAUSE_NANOS) {
       // This process was frozen; its peers' frames wait in its sockets.
-      attempts.pools().excuseSilence(now);
+      attempts.pools().resetSilenceTimers(now);
     }
     lastTick = now;
     attempts.tick(now);
   }
 
   private void targetsChanged() {
-    carryOut(policy.targetsChanged(attempts.pools().targets(), loop.now()));
+    applyDecisions(policy.targetsChanged(attempts.pools().targets(), loop.now()));
   }
 
   /** What members announce. */
-  private final class FromMembers implements MemberListener {
+  private final class TargetMemberListener implements MemberListener {
     @Override
     public void announced(Announcement announcement, MemberTable.Change change) {
-      if (attempts.pools().announced(announcement)) {
+      if (attempts.pools().update(announcement)) {
         targetsChanged();
       }
       if (attempts.pools().isUsable(announcement.vm())) {
-        carryOut(policy.reported(announcement.vm(), announcement.load(), loop.now()));
+        applyDecisions(policy.loadReported(announcement.vm(), announcement.load(), loop.now()));
       }
     }
 
@@ -396,16 +397,16 @@
   }
 
   /** What comes of attempts. */
-  private final class FromAttempts implements Attempts.Listener {
+  private final class AttemptListener implements AttemptTracker.Listener {
     @Override
-    public void ended(
-        PendingRequest request, AttemptOutcome outcome, CallerAnswer answer, Failure failure) {
-      EntryDispatcher.this.ended(request, request.vm(), outcome, answer, failure);
+    public void attemptEnded(
+        PendingRequest request, AttemptOutcome outcome, CallerResponse answer, Failure failure) {
+      EntryDispatcher.this.attemptEnded(request, request.vm(), outcome, answer, failure);
     }
 
     @Override
-    public void reported(String vm, TargetLoad load) {
-      carryOut(policy.reported(vm, load, loop.now()));
+    public void loadReported(String vm, TargetLoad load) {
+      applyDecisions(policy.loadReported(vm, load, loop.now()));
     }
 
     @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
@@ -29,8 +29,8 @@
             .setIdempotencyKey(request.idempotencyKey())
             .setLabel(pending.label())
             .setSentAt(now);
-    if (pending.isAtHome()) {
-      start.setKeyClaim(pending.home());
+    if (pending.isRoutedToOwner()) {
+      start.setKeyClaim(pending.ownerClaim());
       start.setTargetDetectsRepeats(pending.targetDetectsRepeats());
     }
     return new RequestFrames(start, request.body());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -7,10 +7,10 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.dispatch.TargetState;
 import io.marigoldsail.error.Result;
-import io.marigoldsail.idempotency.HomePlan;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
+import io.marigoldsail.idempotency.ShardAssignment;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.Frame;
@@ -35,7 +35,7 @@
  *
  * <p>Every entry does so by itself; the log decides between them. Runs on the loop.
  */
-public final class KeyHomes implements AutoCloseable {
+public final class KeyShardCoordinator implements AutoCloseable {
   /** Appends to the stream {@code keys}; completes once the record was read back. */
   @FunctionalInterface
   public interface KeyLog {
@@ -46,24 +46,24 @@
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** How often homes get evidence, besides at once when they change; a third of the lease. */
-  private static final long VOUCH_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long CONFIRM_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** How long a change of homes waits for more of them before homes get evidence of it. */
-  private static final long SOON_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  private static final long CHANGE_BATCH_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  private static final int MAX_APPENDS = 32;
+  private static final int MAX_PENDING_APPENDS = 32;
 
-  private record Member(String vm, long incarnation) {}
+  private record OwnerProcess(String vm, long incarnation) {}
 
   private final LinkLoop loop;
   private final KeyShardTable table;
   private final KeyLog log;
   private final EntryLinks links;
-  private final Map<Member, Long> missingSince = new HashMap<>();
-  private final AtomicInteger appends = new AtomicInteger();
-  private Map<String, Map<Integer, KeyHome>> vouchedFor = Map.of();
-  private long vouchAt;
-  private boolean tendingSoon;
+  private final Map<OwnerProcess, Long> unreachableSince = new HashMap<>();
+  private final AtomicInteger pendingAppends = new AtomicInteger();
+  private Map<String, Map<Integer, ShardOwner>> confirmedOwners = Map.of();
+  private long confirmDueAt;
+  private boolean reconcileScheduled;
   private Future<?> tick;
 
   /**
@@ -74,17 +74,17 @@
    * @param log appends to the stream
    * @param links who is heard, and the way to them
    */
-  public KeyHomes(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
+  public KeyShardCoordinator(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
     this.loop = requireNonNull(loop, "loop");
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.links = requireNonNull(links, "links");
-    links.addKeyListener(new HandoverRelay(loop, table, log, links, this::tendSoon)::received);
+    links.addKeyListener(new HandoverRelay(loop, table, log, links, this::reconcileSoon)::received);
   }
 
   /** Begins to claim, to revoke and to vouch. */
   public void start() {
-    tick = loop.repeat(this::tend, TICK_NANOS);
+    tick = loop.repeat(this::reconcile, TICK_NANOS);
   }
 
   @Override
@@ -93,45 +93,45 @@
   }
 
   /** Brings a successor its evidence at once: until then keys of its shards are refused. */
-  private void tendSoon() {
-    if (!tendingSoon) {
-      tendingSoon = true;
+  private void reconcileSoon() {
+    if (!reconcileScheduled) {
+      reconcileScheduled = true;
       loop.schedule(
           () -> {
-            tendingSoon = false;
-            tend();
+            reconcileScheduled = false;
+            reconcile();
           },
-          SOON_NANOS);
+          CHANGE_BATCH_NANOS);
     }
   }
 
-  private void tend() {
+  private void reconcile() {
     // While the log is away appends pile up unanswered; there is nothing to tend then.
-    if (appends.get() > MAX_APPENDS) {
+    if (pendingAppends.get() > MAX_PENDING_APPENDS) {
       return;
     }
     List<TargetState> targets = links.members().targets();
     Set<String> services = new HashSet<>(table.services());
     targets.forEach(target -> services.add(target.service()));
-    Set<Member> homes = new HashSet<>();
-    Map<String, Map<Integer, KeyHome>> all = new HashMap<>();
+    Set<OwnerProcess> homes = new HashSet<>();
+    Map<String, Map<Integer, ShardOwner>> all = new HashMap<>();
     for (String service : services) {
-      Map<Integer, KeyHome> held = table.homes(service);
+      Map<Integer, ShardOwner> held = table.owners(service);
       all.put(service, held);
-      held.values().forEach(home -> homes.add(new Member(home.vm(), home.incarnation())));
+      held.values().forEach(home -> homes.add(new OwnerProcess(home.vm(), home.incarnation())));
       claim(service, held.keySet(), targets);
     }
     revoke(homes);
     long now = loop.now();
-    if (!homes.isEmpty() && (!all.equals(vouchedFor) || vouchAt - now <= 0)) {
-      vouchedFor = all;
-      vouchAt = now + VOUCH_NANOS;
-      vouch();
+    if (!homes.isEmpty() && (!all.equals(confirmedOwners) || confirmDueAt - now <= 0)) {
+      confirmedOwners = all;
+      confirmDueAt = now + CONFIRM_INTERVAL_NANOS;
+      confirmLeases();
     }
   }
 
   private void claim(String service, Set<Integer> held, List<TargetState> targets) {
-    Map<String, List<Integer>> claims = HomePlan.claims(service, held, targets);
+    Map<String, List<Integer>> claims = ShardAssignment.proposeClaims(service, held, targets);
     for (TargetState target : targets) {
       List<Integer> shards = claims.get(target.vm());
       if (shards != null) {
@@ -142,26 +142,26 @@
     }
   }
 
-  private void revoke(Set<Member> homes) {
+  private void revoke(Set<OwnerProcess> homes) {
     long now = loop.now();
-    missingSince.keySet().retainAll(homes);
-    int missing = (int) homes.stream().filter(home -> !isHeard(home)).count();
-    boolean trusted = HomePlan.mayRevoke(missing, links.members().members().size());
-    for (Member home : homes) {
+    unreachableSince.keySet().retainAll(homes);
+    int missing = (int) homes.stream().filter(home -> !isReachable(home)).count();
+    boolean trusted = ShardAssignment.mayRevoke(missing, links.members().members().size());
+    for (OwnerProcess home : homes) {
       Optional<Announcement> heard = links.members().member(home.vm());
-      if (isHeard(home)) {
-        missingSince.remove(home);
+      if (isReachable(home)) {
+        unreachableSince.remove(home);
         continue;
       }
-      long since = missingSince.computeIfAbsent(home, silent -> now);
+      long since = unreachableSince.computeIfAbsent(home, silent -> now);
       boolean replaced = heard.isPresent() && heard.get().processIncarnation() > home.incarnation();
-      if (replaced || (trusted && now - since > KeyTerms.REVOKE_AFTER_NANOS)) {
+      if (replaced || (trusted && now - since > KeyTimeouts.REVOKE_AFTER_NANOS)) {
         append(KeyShardTable.REVOKE, KeyShardTable.revocation(home.vm(), home.incarnation()));
       }
     }
   }
 
-  private boolean isHeard(Member home) {
+  private boolean isReachable(OwnerProcess home) {
     return links
         .members()
         .member(home.vm())
@@ -170,28 +170,28 @@
   }
 
   /** Reads the log up to an own record and vouches as of the moment before it was sent. */
-  private void vouch() {
+  private void confirmLeases() {
     long sentAt = loop.now();
     append(KeyShardTable.HEARTBEAT, KeyShardTable.heartbeat())
         .thenAccept(
             result -> {
               if (result.isOk()) {
-                loop.run(() -> vouchAsOf(sentAt));
+                loop.run(() -> sendConfirmations(sentAt));
               }
             });
   }
 
-  private void vouchAsOf(long sentAt) {
+  private void sendConfirmations(long sentAt) {
     long now = loop.now();
-    Map<Member, KeyLeases.Builder> leases = new HashMap<>();
+    Map<OwnerProcess, KeyLeases.Builder> leases = new HashMap<>();
     for (String service : table.services()) {
       table
-          .homes(service)
+          .owners(service)
           .forEach(
               (shard, home) ->
                   leases
                       .computeIfAbsent(
-                          new Member(home.vm(), home.incarnation()),
+                          new OwnerProcess(home.vm(), home.incarnation()),
                           member -> KeyLeases.newBuilder())
                       .addLeases(lease(shard, home, now)));
     }
@@ -206,15 +206,15 @@
                     .build()));
   }
 
-  private static KeyLease lease(int shard, KeyHome home, long now) {
-    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.quietUntil() - now));
+  private static KeyLease lease(int shard, ShardOwner home, long now) {
+    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.servesFrom() - now));
     return KeyLease.newBuilder()
         .setClaim(claim(shard, home))
         .setQuietMillis(quietMillis == 0 ? 0 : quietMillis + 1)
         .build();
   }
 
-  static KeyClaim claim(int shard, KeyHome home) {
+  static KeyClaim claim(int shard, ShardOwner home) {
     return KeyClaim.newBuilder()
         .setShard(shard)
         .setOffset(home.claim().offset())
@@ -223,8 +223,8 @@
   }
 
   private CompletableFuture<Result<Position>> append(String type, JsonNode body) {
-    appends.incrementAndGet();
+    pendingAppends.incrementAndGet();
     return log.append(type, body, loop.now() + TICK_NANOS)
-        .whenComplete((result, failure) -> appends.decrementAndGet());
+        .whenComplete((result, failure) -> pendingAppends.decrementAndGet());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -2,11 +2,11 @@
 
 import com.google.common.hash.Hasher;
 import com.google.common.hash.Hashing;
-import io.marigoldsail.daemon.dispatch.SideAnswers.Refusal;
+import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.error.ErrorKind;
-import io.marigoldsail.idempotency.KeyStore;
-import io.marigoldsail.idempotency.KeyStore.Admission;
+import io.marigoldsail.idempotency.IdempotencyKeyStore;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.Admission;
 import io.marigoldsail.idempotency.ShardLeases;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.protocol.HandedShard;
@@ -28,9 +28,9 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class SideKeys {
+final class KeyedRequests {
   /** What came of a request that asked to run. */
-  enum Turn {
+  enum AdmissionResult {
     /** It is to be run. */
     RUN,
     /** It waits for the answer of the one that runs; it takes no slot. */
@@ -41,17 +41,17 @@
 
   private static final int MAX_KEYS = 20_000;
   private static final long MAX_OUTCOME_BYTES = 3L * 1024 * 1024;
-  private static final long SOON_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final LinkLoop loop;
   private final long processIncarnation;
-  private final SideAnswers answers;
+  private final ResponseSender answers;
   private final ShardLeases leases = new ShardLeases();
-  private final KeyTaker taker = new KeyTaker();
-  private final KeyStore<SideRequest, TargetOutcome> store =
-      new KeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
+  private final ShardHandoverReceiver handoverReceiver = new ShardHandoverReceiver();
+  private final IdempotencyKeyStore<SideRequest, TargetOutcome> store =
+      new IdempotencyKeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
 
-  SideKeys(LinkLoop loop, long processIncarnation, SideAnswers answers) {
+  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender answers) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
     this.answers = answers;
@@ -62,7 +62,7 @@
   }
 
   /** Takes an entry's evidence that this process holds shards. */
-  void vouched(KeyLeases evidence) {
+  void leasesConfirmed(KeyLeases evidence) {
     if (evidence.getProcessIncarnation() != processIncarnation) {
       return;
     }
@@ -70,42 +70,43 @@
     long vouchedAt = now - TimeUnit.MILLISECONDS.toNanos(evidence.getAgeMillis());
     for (KeyLease lease : evidence.getLeasesList()) {
       long quietUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
-      leases.vouched(
+      leases.confirmed(
           lease.getClaim().getShard(), position(lease.getClaim()), vouchedAt, quietUntil);
     }
   }
 
   /** Decides about a keyed request whose body is whole; a joined one counts as started. */
-  Turn admit(SideRequest request, Runnable joining) {
-    Refusal unheld = unheld(request);
+  AdmissionResult admit(SideRequest request, Runnable joining) {
+    Rejection unheld = leaseRejection(request);
     if (unheld != null) {
-      refuse(request, unheld);
-      return Turn.ANSWERED;
+      reject(request, unheld);
+      return AdmissionResult.ANSWERED;
     }
     String key = request.start().getIdempotencyKey();
     Admission<TargetOutcome> admission =
         store.admit(key, fingerprint(request), request, loop.now());
     if (admission instanceof Admission.Run) {
-      return Turn.RUN;
+      return AdmissionResult.RUN;
     }
     if (admission instanceof Admission.Join) {
       joining.run();
-      return Turn.JOINED;
+      return AdmissionResult.JOINED;
     }
-    if (admission instanceof Admission.Ran<TargetOutcome> ran) {
+    if (admission instanceof Admission.Completed<TargetOutcome> ran) {
       joining.run();
-      answers.give(
+      answers.sendOutcome(
           request,
           ran.outcome()
-              .orElse(new TargetOutcome.Lost("it ran before; its answer is not kept any more")));
+              .orElse(
+                  new TargetOutcome.NoResponse("it ran before; its answer is not kept any more")));
     } else if (admission instanceof Admission.Conflict) {
       String detail = "the Idempotency-Key was used for another request";
-      refuse(request, new Refusal(ErrorKind.CONFLICT, detail, 0));
+      reject(request, new Rejection(ErrorKind.CONFLICT, detail, 0));
     } else {
       String detail = "no room for another Idempotency-Key";
-      refuse(request, new Refusal(ErrorKind.OVERLOADED, detail, SOON_MILLIS));
+      reject(request, new Rejection(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS));
     }
-    return Turn.ANSWERED;
+    return AdmissionResult.ANSWERED;
   }
 
   /**
@@ -115,16 +116,16 @@
    * frozen, may have outlived its lease, and the successor may already run the same key. A target
    * that tells repeats apart by itself does not mind.
    */
-  Refusal unheld(SideRequest request) {
+  Rejection leaseRejection(SideRequest request) {
     if (request.start().getTargetDetectsRepeats()) {
       return null;
     }
     KeyClaim claim = request.start().getKeyClaim();
     long now = loop.now();
-    OptionalLong runsFrom = leases.runsFrom(claim.getShard(), position(claim), now);
+    OptionalLong runsFrom = leases.servesFrom(claim.getShard(), position(claim), now);
     if (runsFrom.isEmpty()) {
       String detail = "this attempt was not run; the home of its Idempotency-Key is being changed";
-      return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, SOON_MILLIS);
+      return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, RETRY_AFTER_MILLIS);
     }
     long quiet = runsFrom.getAsLong() - now;
     if (quiet <= 0) {
@@ -132,21 +133,21 @@
     }
     String detail = "this attempt was not run; an earlier one may have been, at a former home";
     long retryAfter = TimeUnit.NANOSECONDS.toMillis(quiet) + 1;
-    return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
+    return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
   }
 
   /** Notes the outcome of a request that ran; returns those who get it, too. */
-  List<SideRequest> ran(SideRequest request, TargetOutcome outcome) {
+  List<SideRequest> requestRan(SideRequest request, TargetOutcome outcome) {
     String key = request.start().getIdempotencyKey();
-    if (outcome instanceof TargetOutcome.NeverSent) {
-      return store.notRun(key);
+    if (outcome instanceof TargetOutcome.NotSent) {
+      return store.abort(key);
     }
-    return store.ran(key, kept(outcome), bytes(outcome), loop.now());
+    return store.complete(key, detachedFromBudget(outcome), bodyBytes(outcome), loop.now());
   }
 
   /** Notes that a request that was to run did not; returns those who waited for it. */
-  List<SideRequest> notRun(SideRequest request) {
-    return store.notRun(request.start().getIdempotencyKey());
+  List<SideRequest> requestNotRun(SideRequest request) {
+    return store.abort(request.start().getIdempotencyKey());
   }
 
   /**
@@ -155,7 +156,7 @@
    * <p>To be asked only when nothing with a key runs here or will again: else a key that runs later
    * is unknown to whom the shards are given.
    */
-  List<HandoverFrames.Shard> shardsToGive() {
+  List<HandoverFrames.Shard> shardsToHandOver() {
     long now = loop.now();
     List<HandoverFrames.Shard> shards = new ArrayList<>();
     leases
@@ -171,7 +172,7 @@
                               .setOffset(claim.offset())
                               .setIndex(claim.index()))
                       .build();
-              shards.add(new HandoverFrames.Shard(handed, store.endedOf(shard, now)));
+              shards.add(new HandoverFrames.Shard(handed, store.completedKeys(shard, now)));
             });
     return shards;
   }
@@ -183,38 +184,38 @@
    * @param frame some of a shard's keys
    * @param leaving whether this process is about to give its own away
    */
-  Optional<Boolean> take(KeyHandover frame, boolean leaving) {
+  Optional<Boolean> acceptHandover(KeyHandover frame, boolean leaving) {
     HandedShard shard = frame.getShard();
     // A frame so late that this process has got the shard meanwhile tells of older runs than it
     // knows itself.
-    boolean late = leases.heldAfter(shard.getClaim().getShard(), position(shard.getClaim()));
-    if (leaving || late || taker.isFull()) {
-      taker.drop(shard);
+    boolean late = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
+    if (leaving || late || handoverReceiver.isFull()) {
+      handoverReceiver.discard(shard);
       return Optional.of(false);
     }
-    return taker.add(frame, loop.now()).map(keys -> store.takeOver(keys, loop.now()));
+    return handoverReceiver.add(frame, loop.now()).map(keys -> store.importKeys(keys, loop.now()));
   }
 
   /** Drops parts of shards whose rest never came. */
   void expire() {
-    taker.expire(loop.now());
+    handoverReceiver.expire(loop.now());
   }
 
   /** Returns the outcome as it is given again: it holds nothing of the budget of bodies. */
-  static TargetOutcome kept(TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Answered answered) {
-      return new TargetOutcome.Answered(
+  static TargetOutcome detachedFromBudget(TargetOutcome outcome) {
+    if (outcome instanceof TargetOutcome.Responded answered) {
+      return new TargetOutcome.Responded(
           answered.status(), answered.headers(), answered.body(), () -> {});
     }
     return outcome;
   }
 
-  private void refuse(SideRequest request, Refusal refusal) {
-    answers.refuse(request.answerTo(), request.id(), request.start().getLabel(), refusal);
+  private void reject(SideRequest request, Rejection refusal) {
+    answers.reject(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
   }
 
-  private static long bytes(TargetOutcome outcome) {
-    return outcome instanceof TargetOutcome.Answered answered ? answered.body().size() : 0;
+  private static long bodyBytes(TargetOutcome outcome) {
+    return outcome instanceof TargetOutcome.Responded answered ? answered.body().size() : 0;
   }
 
   static Position position(KeyClaim claim) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
@@ -12,19 +12,19 @@
   private final long number;
   private final String label;
   private final CallerRequest request;
-  private final AnswerSink sink;
+  private final ResponseSink sink;
   private Attempt attempt;
-  private KeyClaim home;
+  private KeyClaim ownerClaim;
   private boolean targetDetectsRepeats;
-  private int triesAtHome;
+  private int ownerAttempts;
   private String vm = "";
   private boolean mayHaveRun;
   private AttemptOutcome lastOutcome = AttemptOutcome.NOT_RUN;
-  private CallerAnswer lastAnswer;
+  private CallerResponse lastResponse;
   private Failure lastFailure =
       Failure.of(ErrorKind.INTERNAL, "the request ended without any outcome");
 
-  PendingRequest(long number, String label, CallerRequest request, AnswerSink sink) {
+  PendingRequest(long number, String label, CallerRequest request, ResponseSink sink) {
     this.number = number;
     this.label = label;
     this.request = request;
@@ -36,9 +36,9 @@
     private final long sequence;
     private final TargetPool pool;
     private LinkConnection connection;
-    private AnswerAssembly assembly;
+    private ResponseAssembly assembly;
     private Future<?> timer;
-    private long resolveUntil = Long.MAX_VALUE;
+    private long resolveDeadline = Long.MAX_VALUE;
 
     Attempt(long sequence, TargetPool pool, LinkConnection connection) {
       this.sequence = sequence;
@@ -65,11 +65,11 @@
       dropAssembly();
     }
 
-    AnswerAssembly assembly() {
+    ResponseAssembly assembly() {
       return assembly;
     }
 
-    void assembly(AnswerAssembly newAssembly) {
+    void assembly(ResponseAssembly newAssembly) {
       dropAssembly();
       assembly = newAssembly;
     }
@@ -78,12 +78,12 @@
       timer = newTimer;
     }
 
-    long resolveUntil() {
-      return resolveUntil;
+    long resolveDeadline() {
+      return resolveDeadline;
     }
 
-    void resolveUntil(long deadline) {
-      resolveUntil = deadline;
+    void resolveDeadline(long deadline) {
+      resolveDeadline = deadline;
     }
 
     void end() {
@@ -112,7 +112,7 @@
     return request;
   }
 
-  AnswerSink sink() {
+  ResponseSink sink() {
     return sink;
   }
 
@@ -126,15 +126,15 @@
   }
 
   /** Notes that the request goes to the home of its key, which holds it by the claim. */
-  void sentHome(KeyClaim claim, boolean detectsRepeats) {
-    home = claim;
+  void sentToOwner(KeyClaim claim, boolean detectsRepeats) {
+    ownerClaim = claim;
     targetDetectsRepeats = detectsRepeats;
-    triesAtHome++;
+    ownerAttempts++;
   }
 
   /** Returns how often it was sent to the home of its key. */
-  int triesAtHome() {
-    return triesAtHome;
+  int ownerAttempts() {
+    return ownerAttempts;
   }
 
   /** Returns whether its home may run it without knowing what a former home ran. */
@@ -142,13 +142,13 @@
     return targetDetectsRepeats;
   }
 
-  boolean isAtHome() {
-    return home != null;
+  boolean isRoutedToOwner() {
+    return ownerClaim != null;
   }
 
   /** Returns the claim of the home that the request goes to, or null where it goes anywhere. */
-  KeyClaim home() {
-    return home;
+  KeyClaim ownerClaim() {
+    return ownerClaim;
   }
 
   Attempt attempt() {
@@ -169,8 +169,8 @@
   }
 
   /** Returns the answer of the last attempt, or null where it brought none. */
-  CallerAnswer lastAnswer() {
-    return lastAnswer;
+  CallerResponse lastResponse() {
+    return lastResponse;
   }
 
   Failure lastFailure() {
@@ -178,14 +178,14 @@
   }
 
   /** Notes how an attempt ended; exactly one of answer and failure is not null. */
-  void ended(AttemptOutcome outcome, CallerAnswer answer, Failure failure) {
+  void attemptEnded(AttemptOutcome outcome, CallerResponse answer, Failure failure) {
     if (attempt != null) {
       attempt.end();
       attempt = null;
     }
     mayHaveRun |= outcome.mayHaveRun();
     lastOutcome = outcome;
-    lastAnswer = answer;
+    lastResponse = answer;
     if (failure != null) {
       lastFailure = failure;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestHeadReader.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.server.Request;
 
 /** Checks the head of a caller's request and makes a {@link CallerRequest} of it. */
-final class RequestReader {
+final class RequestHeadReader {
   private static final ImmutableSet<String> IDEMPOTENT_METHODS =
       ImmutableSet.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
 
@@ -23,7 +23,7 @@
 
   private final ServiceDeadlines deadlines;
 
-  RequestReader(ServiceDeadlines deadlines) {
+  RequestHeadReader(ServiceDeadlines deadlines) {
     this.deadlines = deadlines;
   }
 
@@ -38,7 +38,7 @@
     } catch (URISyntaxException e) {
       return Result.failed(ErrorKind.BAD_REQUEST, "the path is no URI: " + e.getReason());
     }
-    String service = service(path);
+    String service = serviceName(path);
     OptionalLong defaultMillis = deadlines.defaultDeadlineMillis(service);
     if (defaultMillis.isEmpty()) {
       return Result.failed(ErrorKind.NOT_FOUND, "no service is named '" + service + "'");
@@ -62,7 +62,7 @@
       }
     }
     List<Header> headers = new ArrayList<>();
-    HopHeaders.copy(fields, headers);
+    HopByHopHeaders.copyEndToEnd(fields, headers);
     // Only the entry names requests; a name that a caller made up would mislead the time line.
     headers.removeIf(header -> header.getName().equalsIgnoreCase(CallerHeaders.REQUEST_ID));
     return Result.ok(
@@ -74,21 +74,21 @@
             ByteString.EMPTY,
             caller == null || caller.isEmpty() ? Request.getRemoteAddr(request) : caller,
             key == null ? "" : key,
-            scoped(caller, idempotencyKey),
+            scopedKey(caller, idempotencyKey),
             IDEMPOTENT_METHODS.contains(request.getMethod()),
             now,
             now + TimeUnit.MILLISECONDS.toNanos(leftMillis)));
   }
 
   /** Keys of callers that name themselves are apart from each other's. */
-  private static String scoped(String caller, String idempotencyKey) {
+  private static String scopedKey(String caller, String idempotencyKey) {
     if (idempotencyKey == null || idempotencyKey.isEmpty()) {
       return "";
     }
     return (caller == null ? "" : caller) + '\n' + idempotencyKey;
   }
 
-  private static String service(String path) {
+  private static String serviceName(String path) {
     int end = 1;
     while (end < path.length() && path.charAt(end) != '/' && path.charAt(end) != '?') {
       end++;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerAssembly.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseAssembly.java
@@ -7,30 +7,30 @@
 import java.util.Optional;
 
 /** Puts an answer together from its frames; only a whole one comes out. */
-final class AnswerAssembly {
+final class ResponseAssembly {
   private final AnswerStart start;
   private final ByteBudget budget;
-  private final long reserved;
+  private final long reservedBytes;
   private ByteString body;
-  private boolean whole;
+  private boolean complete;
 
-  private AnswerAssembly(AnswerStart start, ByteBudget budget, long reserved) {
+  private ResponseAssembly(AnswerStart start, ByteBudget budget, long reserved) {
     this.start = start;
     this.budget = budget;
-    this.reserved = reserved;
+    this.reservedBytes = reserved;
     this.body = ByteString.EMPTY;
   }
 
   /** Returns an assembly that has taken the first frame, or empty where memory is short. */
-  static Optional<AnswerAssembly> begin(AnswerStart start, ByteBudget budget)
+  static Optional<ResponseAssembly> begin(AnswerStart start, ByteBudget budget)
       throws BrokenFrameException {
-    if (start.getBodyLength() > Bodies.MAX_BYTES) {
+    if (start.getBodyLength() > BodyLimits.MAX_BYTES) {
       throw new BrokenFrameException("answer of " + start.getBodyLength() + " bytes");
     }
     if (!budget.tryReserve(start.getBodyLength())) {
       return Optional.empty();
     }
-    AnswerAssembly assembly = new AnswerAssembly(start, budget, start.getBodyLength());
+    ResponseAssembly assembly = new ResponseAssembly(start, budget, start.getBodyLength());
     assembly.add(start.getData(), start.getLast());
     return Optional.of(assembly);
   }
@@ -42,19 +42,19 @@
     if (body.size() > length || (last && body.size() != length)) {
       throw new BrokenFrameException("answer has " + body.size() + " bytes, not " + length);
     }
-    whole = last;
+    complete = last;
   }
 
-  boolean isWhole() {
-    return whole;
+  boolean isComplete() {
+    return complete;
   }
 
-  CallerAnswer answer() {
-    return new CallerAnswer(start.getStatus(), start.getHeadersList(), body);
+  CallerResponse response() {
+    return new CallerResponse(start.getStatus(), start.getHeadersList(), body);
   }
 
   /** Gives back what the answer holds of the budget; to be called once. */
   void release() {
-    budget.release(reserved);
+    budget.release(reservedBytes);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyTaker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverReceiver.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.daemon.dispatch;
 
-import io.marigoldsail.idempotency.KeyStore.Ended;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.CompletedKey;
 import io.marigoldsail.protocol.HandedKey;
 import io.marigoldsail.protocol.HandedShard;
 import io.marigoldsail.protocol.KeyHandover;
@@ -17,58 +17,60 @@
  * lost, doubled or out of order neither make it look whole nor spoil it. Confined to the loop's
  * thread; times are nanoseconds of one monotonic clock.
  */
-final class KeyTaker {
+final class ShardHandoverReceiver {
   /** What waits for the rest of its shard longer than this never gets it: its giver has ended. */
-  private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long PARTIAL_SHARD_TTL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   /** What may wait for the rest of its shard, in keys and in bytes of them, all together. */
-  private static final int MAX_KEYS = 20_000;
+  private static final int MAX_PENDING_KEYS = 20_000;
 
-  private static final long MAX_BYTES = 8L * 1024 * 1024;
+  private static final long MAX_PENDING_BYTES = 8L * 1024 * 1024;
 
-  private static final class Part {
-    private final long dropAt;
-    private final Map<String, Ended<TargetOutcome>> keys = new HashMap<>();
+  private static final class PartialShard {
+    private final long expiresAt;
+    private final Map<String, CompletedKey<TargetOutcome>> keys = new HashMap<>();
     private long bytes;
 
-    Part(long dropAt) {
-      this.dropAt = dropAt;
+    PartialShard(long dropAt) {
+      this.expiresAt = dropAt;
     }
   }
 
-  private final Map<HandedShard, Part> parts = new HashMap<>();
+  private final Map<HandedShard, PartialShard> partialShards = new HashMap<>();
 
-  KeyTaker() {}
+  ShardHandoverReceiver() {}
 
   /** Returns all keys of the frame's shard if it is whole now, or empty while some are missing. */
-  Optional<List<Ended<TargetOutcome>>> add(KeyHandover frame, long now) {
-    Part part = parts.computeIfAbsent(frame.getShard(), shard -> new Part(now + KEEP_NANOS));
+  Optional<List<CompletedKey<TargetOutcome>>> add(KeyHandover frame, long now) {
+    PartialShard part =
+        partialShards.computeIfAbsent(
+            frame.getShard(), shard -> new PartialShard(now + PARTIAL_SHARD_TTL_NANOS));
     for (HandedKey key : frame.getKeysList()) {
-      if (part.keys.put(key.getKey(), HandoverFrames.read(key, now)) == null) {
+      if (part.keys.put(key.getKey(), HandoverFrames.decode(key, now)) == null) {
         part.bytes += key.getSerializedSize();
       }
     }
     if (part.keys.size() < frame.getTotal()) {
       return Optional.empty();
     }
-    parts.remove(frame.getShard());
+    partialShards.remove(frame.getShard());
     return Optional.of(List.copyOf(part.keys.values()));
   }
 
   /** Drops what waits for the rest of the shard. */
-  void drop(HandedShard shard) {
-    parts.remove(shard);
+  void discard(HandedShard shard) {
+    partialShards.remove(shard);
   }
 
   /** Returns whether more waits for the rest of its shard than there is room for. */
   boolean isFull() {
-    long keys = parts.values().stream().mapToLong(part -> part.keys.size()).sum();
-    long bytes = parts.values().stream().mapToLong(part -> part.bytes).sum();
-    return keys > MAX_KEYS || bytes > MAX_BYTES;
+    long keys = partialShards.values().stream().mapToLong(part -> part.keys.size()).sum();
+    long bytes = partialShards.values().stream().mapToLong(part -> part.bytes).sum();
+    return keys > MAX_PENDING_KEYS || bytes > MAX_PENDING_BYTES;
   }
 
   /** Drops what has waited too long. */
   void expire(long now) {
-    parts.values().removeIf(part -> part.dropAt - now <= 0);
+    partialShards.values().removeIf(part -> part.expiresAt - now <= 0);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyGiver.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverSender.java
@@ -22,80 +22,80 @@
  * it does not matter which of several successors the log names. What is not moved in time is left
  * to the quiet time after this process's end. Confined to the loop's thread.
  */
-final class KeyGiver {
-  private static final System.Logger LOG = System.getLogger(KeyGiver.class.getName());
+final class ShardHandoverSender {
+  private static final System.Logger LOG = System.getLogger(ShardHandoverSender.class.getName());
 
   /** How long the hand-over may lengthen a planned stop. */
-  static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  static final long HANDOVER_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   /** How long one entry may take: more than an append, little enough for two to be asked. */
-  static final long ENTRY_NANOS = TimeUnit.SECONDS.toNanos(2);
+  static final long ENTRY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final LinkLoop loop;
   private final EntryChannel entries;
   private final CompletableFuture<Void> done = new CompletableFuture<>();
-  private final Map<HandedShard, HandoverFrames.Shard> left = new HashMap<>();
-  private final Set<HandedShard> awaited = new HashSet<>();
-  private final int total;
-  private Iterator<String> next;
-  private String asked = "";
+  private final Map<HandedShard, HandoverFrames.Shard> remaining = new HashMap<>();
+  private final Set<HandedShard> awaitingResult = new HashSet<>();
+  private final int totalShards;
+  private Iterator<String> entriesToTry;
+  private String currentEntry = "";
   private int round;
-  private long giveUpAt;
+  private long deadline;
 
-  KeyGiver(LinkLoop loop, EntryChannel entries, List<HandoverFrames.Shard> shards) {
+  ShardHandoverSender(LinkLoop loop, EntryChannel entries, List<HandoverFrames.Shard> shards) {
     this.loop = loop;
     this.entries = entries;
-    shards.forEach(shard -> left.put(shard.handed(), shard));
-    this.total = shards.size();
+    shards.forEach(shard -> remaining.put(shard.shardId(), shard));
+    this.totalShards = shards.size();
   }
 
   /** Begins; completed when all shards are moved, or nothing more can be done for those left. */
   CompletableFuture<Void> start() {
-    giveUpAt = loop.now() + LIMIT_NANOS;
-    next = entries.peers().iterator();
-    askNext();
+    deadline = loop.now() + HANDOVER_TIMEOUT_NANOS;
+    entriesToTry = entries.peers().iterator();
+    sendToNextEntry();
     return done;
   }
 
   /** Takes an entry's word about a shard. */
-  void result(String entry, KeyHandoverResult result) {
+  void resultReceived(String entry, KeyHandoverResult result) {
     if (result.getMoved()) {
-      left.remove(result.getShard());
+      remaining.remove(result.getShard());
     }
-    boolean heard = result.getMoved() || entry.equals(asked);
-    if (heard && awaited.remove(result.getShard()) && awaited.isEmpty()) {
-      askNext();
+    boolean heard = result.getMoved() || entry.equals(currentEntry);
+    if (heard && awaitingResult.remove(result.getShard()) && awaitingResult.isEmpty()) {
+      sendToNextEntry();
     }
   }
 
-  private void askNext() {
+  private void sendToNextEntry() {
     round++;
-    awaited.clear();
+    awaitingResult.clear();
     long now = loop.now();
-    if (left.isEmpty() || !next.hasNext() || giveUpAt - now <= 0) {
-      end();
+    if (remaining.isEmpty() || !entriesToTry.hasNext() || deadline - now <= 0) {
+      finish();
       return;
     }
-    asked = next.next();
-    awaited.addAll(left.keySet());
-    entries.sendAllTo(asked, new HandoverFrames(List.copyOf(left.values()), now));
+    currentEntry = entriesToTry.next();
+    awaitingResult.addAll(remaining.keySet());
+    entries.sendAllTo(currentEntry, new HandoverFrames(List.copyOf(remaining.values()), now));
     int thisRound = round;
     loop.schedule(
         () -> {
           if (round == thisRound) {
-            askNext();
+            sendToNextEntry();
           }
         },
-        Math.min(ENTRY_NANOS, giveUpAt - now));
+        Math.min(ENTRY_TIMEOUT_NANOS, deadline - now));
   }
 
-  private void end() {
-    if (total > 0 && !done.isDone()) {
+  private void finish() {
+    if (totalShards > 0 && !done.isDone()) {
       LOG.log(
           System.Logger.Level.INFO,
           "event=keys-handed-over shards={0} left={1}",
-          total - left.size(),
-          left.size());
+          totalShards - remaining.size(),
+          remaining.size());
     }
     done.complete(null);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
@@ -38,14 +38,14 @@
    * have, so that a request is rarely written to a connection that its target is just closing; such
    * a request may have run, for all that can be known here.
    */
-  private static final long IDLE_MILLIS = 10_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
   private final LinkLoop loop;
   private final URI address;
   private final String probePath;
   private final ByteBudget budget;
   private final HttpClient client;
-  private final WriteThread writes = new WriteThread("target-writes");
+  private final WriteThread writeThread = new WriteThread("target-writes");
 
   /**
    * Creates a client that is not started.
@@ -79,7 +79,7 @@
     client.setMaxConnectionsPerDestination(maxConnections);
     client.setMaxResponseHeadersSize(MAX_HEADER_BYTES);
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
-    client.setIdleTimeout(IDLE_MILLIS);
+    client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
     client.setFollowRedirects(false);
     client.setUserAgentField(null);
     return client;
@@ -102,7 +102,7 @@
 
   @Override
   public void send(TargetRequest request, Consumer<TargetOutcome> ended) {
-    writes.execute(() -> write(request, ended));
+    writeThread.execute(() -> write(request, ended));
   }
 
   private void write(TargetRequest request, Consumer<TargetOutcome> ended) {
@@ -111,17 +111,17 @@
       sent = newRequest(request);
     } catch (IllegalArgumentException e) {
       // Nobody else would ever give its slot back.
-      ended.accept(new TargetOutcome.NeverSent("cannot be sent: " + e.getMessage()));
+      ended.accept(new TargetOutcome.NotSent("cannot be sent: " + e.getMessage()));
       return;
     }
     TargetExchange exchange =
         new TargetExchange(loop, budget, HttpMethod.HEAD.is(request.method()), ended);
-    sent.onRequestBegin(begun -> exchange.begun());
+    sent.onRequestBegin(begun -> exchange.requestBegun());
     sent.send(exchange);
   }
 
   private Request newRequest(TargetRequest request) {
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.giveUpAt() - loop.now());
+    long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.deadline() - loop.now());
     Request sent =
         client
             .newRequest(address.resolve(request.path()))
@@ -167,12 +167,12 @@
     // A full target may be too busy to answer; only that nobody listens is a clear no.
     return result.getFailure() instanceof ConnectException
         ? TargetHealth.LEAVING
-        : TargetHealth.UNCLEAR;
+        : TargetHealth.UNKNOWN;
   }
 
   @Override
   public void close() {
-    writes.close();
+    writeThread.close();
     try {
       client.stop();
     } catch (Exception e) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
@@ -7,5 +7,5 @@
   /** It takes nothing new: it says so, or nobody listens at its address. */
   LEAVING,
   /** The probe got no clear answer, such as from a full target; what was known before holds. */
-  UNCLEAR
+  UNKNOWN
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealthMonitor.java
@@ -5,15 +5,15 @@
 /**
  * Probes a target again and again to know whether it takes work.
  *
- * <p>Confined to the loop's thread, but for {@link #takesWork}.
+ * <p>Confined to the loop's thread, but for {@link #acceptsWork}.
  */
-final class TargetWatch {
-  private static final System.Logger LOG = System.getLogger(TargetWatch.class.getName());
+final class TargetHealthMonitor {
+  private static final System.Logger LOG = System.getLogger(TargetHealthMonitor.class.getName());
 
   private final LinkLoop loop;
   private final Target target;
-  private final Runnable changed;
-  private volatile boolean takesWork;
+  private final Runnable onChanged;
+  private volatile boolean acceptsWork;
   private boolean probing;
 
   /**
@@ -21,17 +21,17 @@
    *
    * @param loop the thread
    * @param target the target
-   * @param changed told on the loop when {@link #takesWork} changed
+   * @param changed told on the loop when {@link #acceptsWork} changed
    */
-  TargetWatch(LinkLoop loop, Target target, Runnable changed) {
+  TargetHealthMonitor(LinkLoop loop, Target target, Runnable changed) {
     this.loop = loop;
     this.target = target;
-    this.changed = changed;
+    this.onChanged = changed;
   }
 
   /** Returns whether the target took work when it was last clearly heard. */
-  boolean takesWork() {
-    return takesWork;
+  boolean acceptsWork() {
+    return acceptsWork;
   }
 
   /** Probes the target unless a probe is still under way. */
@@ -40,16 +40,16 @@
       return;
     }
     probing = true;
-    target.probe(health -> loop.run(() -> heard(health)));
+    target.probe(health -> loop.run(() -> probeCompleted(health)));
   }
 
-  private void heard(TargetHealth health) {
+  private void probeCompleted(TargetHealth health) {
     probing = false;
-    if (health == TargetHealth.UNCLEAR || (health == TargetHealth.SERVING) == takesWork) {
+    if (health == TargetHealth.UNKNOWN || (health == TargetHealth.SERVING) == acceptsWork) {
       return;
     }
-    takesWork = health == TargetHealth.SERVING;
+    acceptsWork = health == TargetHealth.SERVING;
     LOG.log(System.Logger.Level.INFO, "event=target-changed health={0}", health);
-    changed.run();
+    onChanged.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
@@ -18,10 +18,10 @@
    * @param release gives back what the body holds of the process's memory budget; the receiver runs
    *     it once, when it holds the body no more
    */
-  record Answered(int status, List<Header> headers, ByteString body, Runnable release)
+  record Responded(int status, List<Header> headers, ByteString body, Runnable release)
       implements TargetOutcome {
     /** Checks the components. */
-    public Answered {
+    public Responded {
       headers = ImmutableList.copyOf(headers);
       requireNonNull(body, "body");
       requireNonNull(release, "release");
@@ -29,25 +29,25 @@
   }
 
   /** Nothing of the request was sent: there was no connection to send it on. */
-  record NeverSent(String detail) implements TargetOutcome {
+  record NotSent(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public NeverSent {
+    public NotSent {
       requireNonNull(detail, "detail");
     }
   }
 
   /** The request was sent, at least in part, and no answer came. */
-  record Lost(String detail) implements TargetOutcome {
+  record NoResponse(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public Lost {
+    public NoResponse {
       requireNonNull(detail, "detail");
     }
   }
 
   /** An answer began and was cut short, or was too long or no valid answer. */
-  record BrokenAnswer(String detail) implements TargetOutcome {
+  record InvalidResponse(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public BrokenAnswer {
+    public InvalidResponse {
       requireNonNull(detail, "detail");
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
@@ -14,10 +14,10 @@
  * @param path the raw path with the query
  * @param headers the headers that travel with the message
  * @param body the whole body
- * @param giveUpAt when the target is given up, in nanoseconds of the process's monotonic clock
+ * @param deadline when the target is given up, in nanoseconds of the process's monotonic clock
  */
 public record TargetRequest(
-    String method, String path, List<Header> headers, ByteString body, long giveUpAt) {
+    String method, String path, List<Header> headers, ByteString body, long deadline) {
   /** Checks the components. */
   public TargetRequest {
     requireNonNull(method, "method");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnacknowledgedResponses.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import io.marigoldsail.daemon.link.BrokenFrameException;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
@@ -10,19 +10,19 @@
  *
  * <p>They come in the order in which they were sent, so that a count tells which were read.
  */
-final class UnreadAnswers {
+final class UnacknowledgedResponses {
   /** Beyond it the oldest are not waited for: an entry of an older version never tells. */
-  private static final int MAX_UNREAD = 4_096;
+  private static final int MAX_TRACKED = 4_096;
 
-  private final ArrayDeque<WireId> ids = new ArrayDeque<>();
-  private long passed;
+  private final ArrayDeque<AttemptId> ids = new ArrayDeque<>();
+  private long removedCount;
 
   /** Notes an answer that was sent. */
-  void sent(WireId id) {
+  void sent(AttemptId id) {
     ids.add(id);
-    if (ids.size() > MAX_UNREAD) {
+    if (ids.size() > MAX_TRACKED) {
       ids.remove();
-      passed++;
+      removedCount++;
     }
   }
 
@@ -32,12 +32,12 @@
    * @param count how many were read on the connection so far
    * @throws BrokenFrameException if that is more than were sent
    */
-  void read(long count, Consumer<WireId> has) throws BrokenFrameException {
-    if (count > passed + ids.size()) {
+  void acknowledge(long count, Consumer<AttemptId> has) throws BrokenFrameException {
+    if (count > removedCount + ids.size()) {
       throw new BrokenFrameException(count + " answers read, fewer sent");
     }
-    while (passed < count) {
-      passed++;
+    while (removedCount < count) {
+      removedCount++;
       has.accept(ids.remove());
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSilence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingOutage.java
@@ -8,40 +8,41 @@
 
 /**
  * Tracks consecutive unanswered listings of a worker and produces their log lines: one at the start
- * of an outage, then at most one in five seconds, and one at its end. Confined to the loop's thread.
+ * of an outage, then at most one in five seconds, and one at its end. Confined to the loop's
+ * thread.
  */
-final class WorkerSilence {
+final class ListingOutage {
   /** Minimum interval between two log lines about the same outage, in nanoseconds. */
-  private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final String worker;
   private int failures;
   private long since;
-  private long tellAgainAt;
+  private long nextLogAt;
 
-  WorkerSilence(String worker) {
+  ListingOutage(String worker) {
     this.worker = requireNonNull(worker, "worker");
   }
 
   /** Returns whether the last listing went unanswered. */
-  boolean lasts() {
+  boolean isOngoing() {
     return failures > 0;
   }
 
   /** Records an unanswered listing; returns the log line to write, if any. */
-  Optional<LogLine> failed(String reason, long now) {
+  Optional<LogLine> recordFailure(String reason, long now) {
     failures++;
     if (failures == 1) {
       since = now;
-    } else if (now < tellAgainAt) {
+    } else if (now < nextLogAt) {
       return Optional.empty();
     }
-    tellAgainAt = now + TELL_NANOS;
+    nextLogAt = now + LOG_INTERVAL_NANOS;
     return Optional.of(line("worker-silent", now).with("reason", reason));
   }
 
   /** Records an answered listing; returns a log line if this ends an outage. */
-  Optional<LogLine> answered(long now) {
+  Optional<LogLine> recordSuccess(long now) {
     if (failures == 0) {
       return Optional.empty();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingTurns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
@@ -5,8 +5,8 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
+import io.marigoldsail.daemon.workflow.WorkerGateway.ListingFailed;
 import io.marigoldsail.daemon.workflow.WorkerGateway.ListingResult;
-import io.marigoldsail.daemon.workflow.WorkerGateway.NoListing;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
@@ -21,26 +21,26 @@
  * scheduled, would start a second chain of requests that lasts as long as the worker. Scheduling a
  * request therefore replaces the one scheduled before. Confined to the loop's thread.
  */
-final class ListingTurns {
-  private static final EventLog LOG = EventLog.of(ListingTurns.class);
+final class ListingScheduler {
+  private static final EventLog LOG = EventLog.of(ListingScheduler.class);
 
   /** Delay before the next request after one that threw, in nanoseconds. */
-  private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final LinkLoop loop;
-  private final Runnable look;
-  private Optional<Future<?>> planned = Optional.empty();
-  private boolean underWay;
+  private final Runnable requestListing;
+  private Optional<Future<?>> scheduled = Optional.empty();
+  private boolean inFlight;
   private boolean closed;
 
   /**
    * Creates a scheduler without a scheduled request.
    *
-   * @param look requests a listing and calls {@link #ended} when the request completes
+   * @param look requests a listing and calls {@link #completed} when the request completes
    */
-  ListingTurns(LinkLoop loop, Runnable look) {
+  ListingScheduler(LinkLoop loop, Runnable look) {
     this.loop = requireNonNull(loop, "loop");
-    this.look = requireNonNull(look, "look");
+    this.requestListing = requireNonNull(look, "look");
   }
 
   /**
@@ -50,29 +50,29 @@
    * would never be polled again and its runs would count as active forever. The request then counts
    * as completed, and a retry is scheduled.
    */
-  void now() {
-    if (closed || underWay) {
+  void requestNow() {
+    if (closed || inFlight) {
       return;
     }
-    cancelPlan();
-    underWay = true;
+    cancelScheduled();
+    inFlight = true;
     try {
-      look.run();
+      requestListing.run();
     } catch (RuntimeException e) {
       LOG.error(LogLine.of("listing-not-asked-for").withError(e));
-      ended();
-      after(AGAIN_NANOS);
+      completed();
+      scheduleAfter(RETRY_DELAY_NANOS);
     }
   }
 
   /**
    * Returns the result of a listing request; the future never completes exceptionally.
    *
-   * <p>A request that throws or whose future fails counts as unanswered. An unhandled exception would
-   * leave the request in flight forever: the worker would still receive orders, and its runs would
-   * count as active even after its lease has expired.
+   * <p>A request that throws or whose future fails counts as unanswered. An unhandled exception
+   * would leave the request in flight forever: the worker would still receive orders, and its runs
+   * would count as active even after its lease has expired.
    */
-  static CompletableFuture<ListingResult> answer(
+  static CompletableFuture<ListingResult> resultOf(
       String worker, Supplier<CompletableFuture<ListingResult>> listing) {
     return CompletableFuture.completedFuture(worker)
         .thenCompose(unused -> listing.get())
@@ -81,31 +81,31 @@
               boolean wrapped = error instanceof CompletionException && error.getCause() != null;
               Throwable cause = wrapped ? error.getCause() : error;
               LOG.error(LogLine.of("listing-broke").with("worker", worker).withError(cause));
-              return new NoListing(cause.toString());
+              return new ListingFailed(cause.toString());
             });
   }
 
   /** Schedules the next request and cancels the one scheduled before. */
-  void after(long delayNanos) {
+  void scheduleAfter(long delayNanos) {
     if (closed) {
       return;
     }
-    cancelPlan();
-    planned = Optional.of(loop.schedule(this::now, delayNanos));
+    cancelScheduled();
+    scheduled = Optional.of(loop.schedule(this::requestNow, delayNanos));
   }
 
   /** Marks the request in flight as completed. */
-  void ended() {
-    underWay = false;
+  void completed() {
+    inFlight = false;
   }
 
   void close() {
     closed = true;
-    cancelPlan();
+    cancelScheduled();
   }
 
-  private void cancelPlan() {
-    planned.ifPresent(request -> request.cancel(false));
-    planned = Optional.empty();
+  private void cancelScheduled() {
+    scheduled.ifPresent(request -> request.cancel(false));
+    scheduled = Optional.empty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
@@ -29,32 +29,32 @@
   static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /** Reports that become due within this fraction of the minimum interval are coalesced. */
-  private static final int GATHERED_PART = 4;
+  private static final int COALESCING_DIVISOR = 4;
 
   /**
-   * Rounds between two periodic reports to an entry that owns nothing on the VM; low enough that the
-   * entry does not consider the VM unresponsive when a report is late.
+   * Rounds between two periodic reports to an entry that owns nothing on the VM; low enough that
+   * the entry does not consider the VM unresponsive when a report is late.
    */
-  static final int QUIET_TURNS = 2;
+  static final int NON_OWNER_ROUNDS = 2;
 
-  private final Map<String, Long> reportedAt = new HashMap<>();
-  private final Map<String, Long> regularIn = new HashMap<>();
-  private long turn;
+  private final Map<String, Long> lastSentAt = new HashMap<>();
+  private final Map<String, Long> lastPeriodicRound = new HashMap<>();
+  private long round;
 
   /** Records that a report is sent to the member now. */
-  void reported(String member, long now) {
-    reportedAt.put(requireNonNull(member, "member"), now);
+  void reportSent(String member, long now) {
+    lastSentAt.put(requireNonNull(member, "member"), now);
   }
 
   /** Begins the next round of periodic reports. */
-  void nextTurn() {
-    turn++;
+  void beginRound() {
+    round++;
   }
 
   /** Records that a periodic report, which requests a lease, is sent to the member now. */
-  void reportedRegularly(String member, long now) {
-    reported(member, now);
-    regularIn.put(member, turn);
+  void periodicReportSent(String member, long now) {
+    reportSent(member, now);
+    lastPeriodicRound.put(member, round);
   }
 
   /**
@@ -63,15 +63,15 @@
    * @param member the entry
    * @param owns whether the entry owns runs or ends on the VM, or has ordered runs there
    */
-  boolean isRegularDue(String member, boolean owns) {
-    Long last = regularIn.get(member);
-    return owns || last == null || turn - last >= QUIET_TURNS;
+  boolean isPeriodicReportDue(String member, boolean owns) {
+    Long last = lastPeriodicRound.get(member);
+    return owns || last == null || round - last >= NON_OWNER_ROUNDS;
   }
 
   /** Removes a member that is no longer connected. */
-  void forget(String member) {
-    reportedAt.remove(member);
-    regularIn.remove(member);
+  void remove(String member) {
+    lastSentAt.remove(member);
+    lastPeriodicRound.remove(member);
   }
 
   /**
@@ -84,22 +84,23 @@
    */
   long dueAt(String member, boolean affected, int entries, long now) {
     checkArgument(entries > 0, "entries is not positive: %s", entries);
-    Long last = reportedAt.get(member);
+    Long last = lastSentAt.get(member);
     if (affected || last == null) {
       return now;
     }
-    return Math.max(now, last + turnNanos(entries));
+    return Math.max(now, last + minIntervalNanos(entries));
   }
 
   /**
-   * Returns for how long reports are coalesced after the first one is due, in nanoseconds. One timer
-   * and one snapshot of the VM's state then serve all of them, and they become due together again.
+   * Returns for how long reports are coalesced after the first one is due, in nanoseconds. One
+   * timer and one snapshot of the VM's state then serve all of them, and they become due together
+   * again.
    */
-  static long gatherNanos(int entries) {
-    return turnNanos(entries) / GATHERED_PART;
+  static long coalescingNanos(int entries) {
+    return minIntervalNanos(entries) / COALESCING_DIVISOR;
   }
 
-  private static long turnNanos(int entries) {
+  private static long minIntervalNanos(int entries) {
     return SPACING_NANOS * entries;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -11,16 +11,16 @@
  */
 final class SideRun {
   /**
-   * Listings, requested after the last order was confirmed, that may lack a run before the run counts
-   * as ended.
+   * Listings, requested after the last order was confirmed, that may lack a run before the run
+   * counts as ended.
    */
-  private static final int MAX_MISSES = 2;
+  private static final int MAX_MISSED_LISTINGS = 2;
 
   /** The CPU share at which a worker starts a run, in percent. */
-  private static final int FULL_SPEED = 100;
+  private static final int FULL_PERCENT = 100;
 
   /** Stands for a CPU share that is not known to the side process. */
-  private static final int UNKNOWN_SPEED = -1;
+  private static final int UNKNOWN_PERCENT = -1;
 
   private final RunKey key;
   private final int partition;
@@ -28,22 +28,22 @@
   private String program = "";
   private boolean listed;
   private boolean confirmed;
-  private boolean uncertain;
+  private boolean startOutcomeUnknown;
   private boolean stopping;
-  private int tries;
-  private int misses;
+  private int startTries;
+  private int missedListings;
   private String checkpoint = "";
-  private int percent;
-  private long gauge;
-  private int pacedTo;
-  private boolean crowded;
+  private int progressPercent;
+  private long measurement;
+  private int throttlePercent;
+  private boolean excess;
 
   SideRun(RunKey key, int partition, Optional<StartRun> order) {
     this.key = key;
     this.partition = partition;
     this.order = order;
     // A run found on the worker may have been throttled, even to zero, before the restart.
-    this.pacedTo = order.isPresent() ? FULL_SPEED : UNKNOWN_SPEED;
+    this.throttlePercent = order.isPresent() ? FULL_PERCENT : UNKNOWN_PERCENT;
   }
 
   RunKey key() {
@@ -72,39 +72,39 @@
   }
 
   /** Counts a try to start the run; returns the number of tries so far. */
-  int tried() {
-    return ++tries;
+  int countStartTry() {
+    return ++startTries;
   }
 
   /** Records that an unanswered start order may still be executed later. */
-  void becameUncertain() {
-    uncertain = true;
+  void markStartOutcomeUnknown() {
+    startOutcomeUnknown = true;
   }
 
-  boolean isUncertain() {
-    return uncertain;
+  boolean isStartOutcomeUnknown() {
+    return startOutcomeUnknown;
   }
 
   /** Records that the worker executed the last order, so that later listings must reflect it. */
   void confirm() {
     confirmed = true;
-    misses = 0;
+    missedListings = 0;
   }
 
   /**
    * Applies a listing that contains the run, which also confirms its start.
    *
-   * <p>An unanswered start is not sent again once the run is listed. Without this rule the start would
-   * never be confirmed, and a run that later disappears from listings would never count as ended. A
-   * stop is confirmed only by its own response.
+   * <p>An unanswered start is not sent again once the run is listed. Without this rule the start
+   * would never be confirmed, and a run that later disappears from listings would never count as
+   * ended. A stop is confirmed only by its own response.
    */
   void listed(String newCheckpoint, int newPercent, long newGauge) {
     listed = true;
     confirmed |= !stopping;
-    misses = 0;
+    missedListings = 0;
     checkpoint = newCheckpoint;
-    percent = newPercent;
-    gauge = newGauge;
+    progressPercent = newPercent;
+    measurement = newGauge;
   }
 
   boolean isListed() {
@@ -112,19 +112,19 @@
   }
 
   /** Counts a listing that lacks the run; returns whether the run counts as ended. */
-  boolean missedTooOften() {
+  boolean countMissedListing() {
     if (!confirmed) {
       return false;
     }
-    misses++;
-    return misses > MAX_MISSES;
+    missedListings++;
+    return missedListings > MAX_MISSED_LISTINGS;
   }
 
   boolean isConfirmed() {
     return confirmed;
   }
 
-  void stop() {
+  void markStopping() {
     stopping = true;
     confirmed = false;
   }
@@ -133,9 +133,9 @@
     return stopping;
   }
 
-  /** Returns the measurement of the last listing, see {@link WorkerGateway.Running}. */
-  long gauge() {
-    return gauge;
+  /** Returns the measurement of the last listing, see {@link WorkerGateway.ActiveRun}. */
+  long measurement() {
+    return measurement;
   }
 
   long latencyTargetMillis() {
@@ -150,43 +150,43 @@
     return order.map(StartRun::getMilliProcessors).orElse(0);
   }
 
-  boolean fills() {
+  boolean isBestEffort() {
     return order.map(StartRun::getFills).orElse(false);
   }
 
   /** Returns whether the worker is known to run it at the CPU share, in percent. */
-  boolean isPacedTo(int wantedPercent) {
-    return pacedTo == wantedPercent;
+  boolean isThrottledTo(int wantedPercent) {
+    return throttlePercent == wantedPercent;
   }
 
   /** Returns the CPU share last ordered, in percent; negative if unknown. */
-  int pacedTo() {
-    return pacedTo;
+  int throttlePercent() {
+    return throttlePercent;
   }
 
-  void pacedTo(int newPercent) {
-    pacedTo = newPercent;
+  void throttlePercent(int newPercent) {
+    throttlePercent = newPercent;
   }
 
   /** Records that a throttle order was not answered, so that it may or may not be in effect. */
-  void speedBecameUnknown() {
-    pacedTo = UNKNOWN_SPEED;
+  void markThrottleUnknown() {
+    throttlePercent = UNKNOWN_PERCENT;
   }
 
   /** Sets whether the run exceeds the limit of interfering runs beside service tasks. */
-  void crowded(boolean isExcess) {
-    crowded = isExcess;
+  void excess(boolean isExcess) {
+    excess = isExcess;
   }
 
   RunReport report() {
     return RunReport.newBuilder()
-        .setTask(WorkflowRecords.encode(key))
+        .setTask(WorkflowCodec.encode(key))
         .setStarted(listed)
         .setCheckpoint(checkpoint)
-        .setPercent(percent)
+        .setPercent(progressPercent)
         .setStopping(stopping)
         .setSizeUnknown(order.isEmpty() && !stopping)
-        .setCrowded(crowded)
+        .setCrowded(excess)
         .build();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/UnacknowledgedEnds.java
@@ -11,22 +11,23 @@
 import java.util.TreeMap;
 
 /**
- * The ends of runs on one worker incarnation that their owners have not yet acknowledged as durable.
+ * The ends of runs on one worker incarnation that their owners have not yet acknowledged as
+ * durable.
  *
- * <p>A worker discards ends in the order of their sequence numbers, so the acknowledged number stays
- * below the oldest unacknowledged end. Confined to one thread.
+ * <p>A worker discards ends in the order of their sequence numbers, so the acknowledged number
+ * stays below the oldest unacknowledged end. Confined to one thread.
  */
-final class EndLedger {
+final class UnacknowledgedEnds {
   private final Map<RunKey, EndReport> ends = new LinkedHashMap<>();
-  private final TreeMap<Long, RunKey> unnoted = new TreeMap<>();
-  private final Set<Long> taken = new HashSet<>();
-  private long noted;
-  private long highest;
+  private final TreeMap<Long, RunKey> unacknowledged = new TreeMap<>();
+  private final Set<Long> seenSequences = new HashSet<>();
+  private long acknowledgedUpTo;
+  private long highestSequence;
 
   /** Records the sequence number of a listed end and returns whether it is new. */
-  boolean isNew(long sequence) {
-    highest = Math.max(highest, sequence);
-    return sequence > noted && taken.add(sequence);
+  boolean recordSequence(long sequence) {
+    highestSequence = Math.max(highestSequence, sequence);
+    return sequence > acknowledgedUpTo && seenSequences.add(sequence);
   }
 
   /**
@@ -38,30 +39,30 @@
     ends.put(
         run,
         EndReport.newBuilder()
-            .setTask(WorkflowRecords.encode(run))
+            .setTask(WorkflowCodec.encode(run))
             .setOutcome(outcome.number())
             .setCheckpoint(checkpoint)
             .setSequence(sequence)
             .setReason(reason)
             .build());
     if (sequence > 0) {
-      unnoted.put(sequence, run);
+      unacknowledged.put(sequence, run);
     }
   }
 
   /** Removes an end that its owner has made durable; returns whether it was present. */
-  boolean note(RunKey run) {
+  boolean acknowledge(RunKey run) {
     EndReport end = ends.remove(run);
     if (end == null) {
       return false;
     }
-    unnoted.remove(end.getSequence());
-    noted = unnoted.isEmpty() ? highest : unnoted.firstKey() - 1;
-    taken.removeIf(sequence -> sequence <= noted);
+    unacknowledged.remove(end.getSequence());
+    acknowledgedUpTo = unacknowledged.isEmpty() ? highestSequence : unacknowledged.firstKey() - 1;
+    seenSequences.removeIf(sequence -> sequence <= acknowledgedUpTo);
     return true;
   }
 
-  boolean has(RunKey run) {
+  boolean contains(RunKey run) {
     return ends.containsKey(run);
   }
 
@@ -70,12 +71,12 @@
   }
 
   /** Returns the sequence number up to which the worker may discard ends. */
-  long noted() {
-    return noted;
+  long acknowledgedUpTo() {
+    return acknowledgedUpTo;
   }
 
   /** Returns whether the owners have acknowledged every end that the worker lists. */
-  boolean isAllNoted() {
-    return unnoted.isEmpty();
+  boolean isAllAcknowledged() {
+    return unacknowledged.isEmpty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
@@ -13,7 +13,7 @@
  *
  * <p>Calls never block; futures complete on any thread and never exceptionally. Every call names
  * the worker incarnation that it is meant for; another incarnation ignores the call and responds
- * with {@link OtherWorker}.
+ * with {@link IncarnationMismatch}.
  */
 public interface WorkerGateway {
   /** The result of an order. */
@@ -39,21 +39,21 @@
   }
 
   /** The order may have been executed, or may still be. */
-  record OrderUnknown(String reason) implements OrderResult {}
+  record OrderOutcomeUnknown(String reason) implements OrderResult {}
 
   /** The worker incarnation that the call was meant for has ended. */
-  record OtherWorker() implements OrderResult, ListingResult {}
+  record IncarnationMismatch() implements OrderResult, ListingResult {}
 
   /** The reason why an order was refused. */
   enum Refusal {
     /** This attempt, or a later one, has already ended on the worker. */
-    OLD_ATTEMPT,
+    STALE_ATTEMPT,
     /** The worker has insufficient free capacity. */
-    NO_ROOM,
+    INSUFFICIENT_CAPACITY,
     /** The deadline has passed. */
-    LATE,
+    DEADLINE_PASSED,
     /** The worker is unhealthy or currently accepts no orders. */
-    BUSY,
+    UNAVAILABLE,
     /** The order is malformed. */
     INVALID
   }
@@ -69,26 +69,26 @@
    *
    * @param workerClock the worker's clock in milliseconds when it responded
    */
-  record Listing(long workerClock, ImmutableList<Running> running, ImmutableList<Ended> ended)
+  record Listing(long workerClock, ImmutableList<ActiveRun> running, ImmutableList<EndedRun> ended)
       implements ListingResult {
     /** Returns whether the worker may have ends that the listing lacks. */
-    public boolean isCut() {
+    public boolean isTruncated() {
       return ended.size() >= MAX_LISTED_ENDS;
     }
   }
 
   /** The worker did not respond to a listing request. */
-  record NoListing(String reason) implements ListingResult {}
+  record ListingFailed(String reason) implements ListingResult {}
 
   /**
    * An active run.
    *
    * @param checkpoint the newest checkpoint; empty for none
    * @param percent progress in percent
-   * @param gauge tail latency in milliseconds of a service task; for others the processors
-   *     in use, in thousandths
+   * @param measurement tail latency in milliseconds of a service task; for others the processors in
+   *     use, in thousandths
    */
-  record Running(RunKey run, String checkpoint, int percent, long gauge) {}
+  record ActiveRun(RunKey run, String checkpoint, int percent, long measurement) {}
 
   /**
    * A run that has ended.
@@ -96,7 +96,7 @@
    * @param sequence numbers the ends of a worker incarnation, from 1
    * @param checkpoint the newest checkpoint; empty for none
    */
-  record Ended(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {}
+  record EndedRun(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {}
 
   /**
    * An order to start a run.
@@ -106,10 +106,10 @@
    * @param checkpoint where to resume; empty to start from the beginning
    * @param ticket issued by the placement adviser; empty if none is needed
    */
-  record Start(RunKey run, String program, long deadline, String checkpoint, String ticket) {}
+  record StartOrder(RunKey run, String program, long deadline, String checkpoint, String ticket) {}
 
   /** Starts a run. */
-  CompletableFuture<OrderResult> start(String worker, Start start);
+  CompletableFuture<OrderResult> start(String worker, StartOrder start);
 
   /**
    * Stops a run. Once accepted, neither this attempt nor an earlier one of the task starts on the
@@ -118,7 +118,7 @@
   CompletableFuture<OrderResult> stop(String worker, RunKey run);
 
   /** Limits a run to a share of its full speed, 0 to 100 percent. */
-  CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent);
+  CompletableFuture<OrderResult> throttle(String worker, RunKey run, int percent);
 
   /**
    * Lists the runs, extends their lease to the deadline, and discards acknowledged ends.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns whether both are equal except for the sequence number. */
-  boolean saysTheSameAs(WorkerHeartbeat other) {
+  boolean equalsIgnoringSequence(WorkerHeartbeat other) {
     return equals(
         new WorkerHeartbeat(
             other.worker,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerTime.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerLease.java
@@ -4,7 +4,7 @@
 
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.workflow.LeaseLedger;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
@@ -17,55 +17,55 @@
  * which its runs may execute. All times are milliseconds of the worker's clock. Confined to the
  * loop's thread.
  */
-final class WorkerTime {
+final class WorkerLease {
   /**
    * Time after a restart within which an owner must send evidence, or else its runs are stopped, in
    * milliseconds.
    */
-  private static final long ADOPTED_MILLIS = 3_000;
+  private static final long OWNER_GRACE_MILLIS = 3_000;
 
   /** Assumed maximum by which a worker's clock runs slower than the local one, in percent. */
   private static final long DRIFT_PERCENT = 3;
 
   private final LinkLoop loop;
-  private final LeaseLedger lease;
-  private final long first;
+  private final LeaseLedger evidenceLedger;
+  private final long firstReading;
   private long clock;
   private long readAt;
   private long deadline;
 
-  WorkerTime(LinkLoop loop, LeaseTermsOfWorker terms, long firstReading) {
+  WorkerLease(LinkLoop loop, WorkerLeaseTerms terms, long firstReading) {
     this.loop = requireNonNull(loop, "loop");
-    this.lease = new LeaseLedger(terms);
-    this.first = firstReading;
-    read(firstReading);
+    this.evidenceLedger = new LeaseLedger(terms);
+    this.firstReading = firstReading;
+    recordClock(firstReading);
     // An earlier incarnation of this process may have extended the lease just before it ended.
     this.deadline = firstReading + terms.leaseMillis();
   }
 
   /** Records the worker's clock as read from a response. */
-  void read(long reading) {
+  void recordClock(long reading) {
     clock = reading;
     readAt = loop.now();
   }
 
   /** Returns a time that the worker's clock has certainly reached. */
-  long reached() {
+  long clockLowerBound() {
     long elapsed = TimeUnit.NANOSECONDS.toMillis(loop.now() - readAt);
     return clock + elapsed * (100 - DRIFT_PERCENT) / 100;
   }
 
   /**
-   * Records evidence that an owner held the partition at a time on the worker's clock; returns whether
-   * its epoch is the highest so far.
+   * Records evidence that an owner held the partition at a time on the worker's clock; returns
+   * whether its epoch is the highest so far.
    */
-  boolean evidence(int partition, long epoch, long at) {
-    return lease.observe(partition, epoch, at);
+  boolean recordEvidence(int partition, long epoch, long at) {
+    return evidenceLedger.observe(partition, epoch, at);
   }
 
   /** Returns whether the evidence for the partition allows a run to start under the deadline. */
   boolean mayStart(int partition) {
-    return lease.mayStart(partition, deadline, reached());
+    return evidenceLedger.mayStart(partition, deadline, clockLowerBound());
   }
 
   /** Returns the latest deadline that the worker may have received. */
@@ -74,8 +74,8 @@
   }
 
   /** Returns whether the worker's clock has certainly passed the latest deadline. */
-  boolean isOver() {
-    return reached() > deadline;
+  boolean isExpired() {
+    return clockLowerBound() > deadline;
   }
 
   /**
@@ -84,7 +84,7 @@
    * @return the new deadline; empty if it is unchanged
    */
   OptionalLong extend(Set<Integer> partitions) {
-    OptionalLong until = lease.deadline(partitions);
+    OptionalLong until = evidenceLedger.deadline(partitions);
     if (until.isEmpty() || until.getAsLong() <= deadline) {
       return OptionalLong.empty();
     }
@@ -92,12 +92,15 @@
     return until;
   }
 
-  /** Returns the partitions whose runs must be stopped because their evidence is too old or missing. */
-  Set<Integer> overdue(Collection<Integer> partitions) {
-    long now = reached();
-    Set<Integer> overdue = new HashSet<>(lease.overdue(partitions, now));
-    if (now > first + ADOPTED_MILLIS) {
-      List<Integer> withoutEvidence = partitions.stream().filter(lease::isUnknown).toList();
+  /**
+   * Returns the partitions whose runs must be stopped because their evidence is too old or missing.
+   */
+  Set<Integer> overduePartitions(Collection<Integer> partitions) {
+    long now = clockLowerBound();
+    Set<Integer> overdue = new HashSet<>(evidenceLedger.overdue(partitions, now));
+    if (now > firstReading + OWNER_GRACE_MILLIS) {
+      List<Integer> withoutEvidence =
+          partitions.stream().filter(evidenceLedger::hasNoEvidence).toList();
       overdue.addAll(withoutEvidence);
     }
     return overdue;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSessionListener.java
@@ -1,16 +1,16 @@
 package io.marigoldsail.daemon.workflow;
 
 /** Receives changes of one {@link WorkerSession}; called on the loop. */
-interface WorkerListener {
+interface WorkerSessionListener {
   /** The VM started or stopped accepting work; to be reported to all entries at once. */
-  void standingChanged();
+  void availabilityChanged();
 
   /** The capacity or the free resources of the VM have changed; not urgent. */
-  void roomChanged();
+  void capacityChanged();
 
   /** A run of the partition has changed, and possibly the free resources of the VM. */
   void runChanged(int partition);
 
   /** The worker incarnation of the session has ended. */
-  void gone(WorkerSession session);
+  void sessionEnded(WorkerSession session);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
-import io.marigoldsail.daemon.workflow.SideEntries.EntryConnection;
+import io.marigoldsail.daemon.workflow.EntryConnections.EntryConnection;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Listing;
 import io.marigoldsail.daemon.workflow.WorkerGateway.ListingResult;
 import io.marigoldsail.job.Sizes;
@@ -17,8 +17,8 @@
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
 import io.marigoldsail.protocol.WorkflowTaskId;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -28,43 +28,43 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The workflow component of a side process: executes the orders of owners on the worker of its VM and
- * reports the state of the VM and its runs to the entries.
+ * The workflow component of a side process: executes the orders of owners on the worker of its VM
+ * and reports the state of the VM and its runs to the entries.
  *
  * <p>Stores nothing durably: after a restart the worker lists its runs, and the owners send their
  * orders again. The public methods may be called from any thread; everything else runs on the loop.
  */
-public final class WorkflowSide {
-  private static final EventLog LOG = EventLog.of(WorkflowSide.class);
+public final class WorkflowSideProcess {
+  private static final EventLog LOG = EventLog.of(WorkflowSideProcess.class);
 
   /**
-   * Interval of the periodic reports, which request a lease, to an entry that owns runs on the VM, in
-   * nanoseconds.
+   * Interval of the periodic reports, which request a lease, to an entry that owns runs on the VM,
+   * in nanoseconds.
    */
-  static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  static final long REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long TICK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private final LinkLoop loop;
   private final WorkerGateway gateway;
   private final String vm;
   private final int partitions;
-  private final LeaseTermsOfWorker terms;
-  private final SideEntries entries;
+  private final WorkerLeaseTerms terms;
+  private final EntryConnections entries;
   private WorkerSession session;
   private String goneWorker = "";
   private final ReportPacer pacer = new ReportPacer();
-  private final ToldStates told = new ToldStates();
+  private final ReportedStates reportedStates = new ReportedStates();
   private final Set<Integer> changedPartitions = new HashSet<>();
-  private final Set<EntryConnection> owed = new HashSet<>();
+  private final Set<EntryConnection> pendingReports = new HashSet<>();
 
   /** Connections that sent start or stop orders since the last periodic report to them. */
-  private final Set<EntryConnection> ordered = new HashSet<>();
+  private final Set<EntryConnection> orderedSinceReport = new HashSet<>();
 
-  private boolean probing;
+  private boolean probeInFlight;
   private boolean reportScheduled;
-  private boolean owedScheduled;
-  private boolean standingChanged;
+  private boolean pendingScheduled;
+  private boolean availabilityChanged;
 
   /**
    * Creates an inactive instance; {@link #start} activates it.
@@ -75,40 +75,40 @@
    * @param vm the name of the VM
    * @param terms the durations of leases
    */
-  public WorkflowSide(
+  public WorkflowSideProcess(
       LinkLoop loop,
       WorkflowStore store,
       WorkerGateway gateway,
       String vm,
-      LeaseTermsOfWorker terms) {
+      WorkerLeaseTerms terms) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
     this.vm = requireNonNull(vm, "vm");
     this.partitions = store.partitions();
     this.terms = requireNonNull(terms, "terms");
-    this.entries = new SideEntries(loop, store, new FromEntries());
+    this.entries = new EntryConnections(loop, store, new EntryListener());
   }
 
   /** Starts connecting to the entries and sending them periodic reports. */
   public void start() {
-    loop.run(entries::tick);
-    loop.repeat(entries::tick, TICK_NANOS);
-    loop.repeat(this::reportRegularly, REPORT_NANOS);
+    loop.run(entries::maintain);
+    loop.repeat(entries::maintain, TICK_INTERVAL_NANOS);
+    loop.repeat(this::reportPeriodically, REPORT_INTERVAL_NANOS);
   }
 
   /**
    * Handles a heartbeat of the worker.
    *
-   * @return completes on the loop with whether the heartbeat was accepted, so that its content is in
-   *     effect
+   * @return completes on the loop with whether the heartbeat was accepted, so that its content is
+   *     in effect
    */
   public CompletableFuture<Boolean> heartbeat(WorkerHeartbeat heartbeat) {
     CompletableFuture<Boolean> accepted = new CompletableFuture<>();
-    loop.run(() -> take(heartbeat, accepted));
+    loop.run(() -> handleHeartbeat(heartbeat, accepted));
     return accepted;
   }
 
-  private void take(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> accepted) {
+  private void handleHeartbeat(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> accepted) {
     if (session != null && session.worker().equals(heartbeat.worker())) {
       if (heartbeat.sequence() >= session.heartbeat().sequence()) {
         session.heartbeat(heartbeat);
@@ -116,20 +116,20 @@
       accepted.complete(true);
       return;
     }
-    if (heartbeat.worker().equals(goneWorker) || probing) {
+    if (heartbeat.worker().equals(goneWorker) || probeInFlight) {
       // A heartbeat may arrive long after its sender has ended; a live worker sends another one.
       accepted.complete(false);
       return;
     }
-    probing = true;
+    probeInFlight = true;
     gateway
         .list(heartbeat.worker(), OptionalLong.empty(), 0, 0)
-        .thenAccept(result -> loop.run(() -> probed(heartbeat, result, accepted)));
+        .thenAccept(result -> loop.run(() -> handleProbeResult(heartbeat, result, accepted)));
   }
 
-  private void probed(
+  private void handleProbeResult(
       WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> accepted) {
-    probing = false;
+    probeInFlight = false;
     if (!(result instanceof Listing listing)) {
       LOG.info(
           LogLine.of("heartbeat-passed-over")
@@ -140,10 +140,11 @@
       return;
     }
     if (session != null) {
-      session.gone("another incarnation of the worker replaced it");
+      session.end("another incarnation of the worker replaced it");
     }
     session =
-        new WorkerSession(loop, gateway, heartbeat, listing, partitions, terms, new FromWorker());
+        new WorkerSession(
+            loop, gateway, heartbeat, listing, partitions, terms, new SessionListener());
     LOG.info(
         LogLine.of("worker-found")
             .with("worker", heartbeat.worker())
@@ -157,19 +158,19 @@
   }
 
   /** Handles the deregistration of a worker; the result completes on the loop with {@code true}. */
-  public CompletableFuture<Boolean> left(String worker) {
+  public CompletableFuture<Boolean> workerDeregistered(String worker) {
     CompletableFuture<Boolean> handled = new CompletableFuture<>();
     loop.run(
         () -> {
           if (session != null && session.worker().equals(worker)) {
-            session.gone("the worker deregistered");
+            session.end("the worker deregistered");
           }
           handled.complete(true);
         });
     return handled;
   }
 
-  private void reportSoon() {
+  private void scheduleReport() {
     if (!reportScheduled) {
       reportScheduled = true;
       loop.runLater(
@@ -181,24 +182,24 @@
   }
 
   private void reportChanges() {
-    VmReport state = state();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
-      boolean affected = isConcerned(connection);
-      if (!affected && told.knows(connection.member(), state)) {
-        owed.remove(connection);
+      boolean affected = isAffected(connection);
+      if (!affected && reportedStates.isUpToDate(connection.member(), state)) {
+        pendingReports.remove(connection);
       } else if (isDue(connection, affected)) {
         report(connection, state, false);
       } else {
-        owed.add(connection);
+        pendingReports.add(connection);
       }
     }
     changedPartitions.clear();
-    standingChanged = false;
-    scheduleOwed();
+    availabilityChanged = false;
+    schedulePending();
   }
 
-  private boolean isConcerned(EntryConnection connection) {
-    return standingChanged
+  private boolean isAffected(EntryConnection connection) {
+    return availabilityChanged
         || changedPartitions.stream()
             .anyMatch(partition -> entries.owns(connection.member(), partition));
   }
@@ -208,38 +209,38 @@
   }
 
   private long dueAt(EntryConnection connection, boolean affected) {
-    return pacer.dueAt(connection.member(), affected, entries.reached(), loop.now());
+    return pacer.dueAt(connection.member(), affected, entries.connectedCount(), loop.now());
   }
 
-  private void scheduleOwed() {
-    if (owedScheduled || owed.isEmpty()) {
+  private void schedulePending() {
+    if (pendingScheduled || pendingReports.isEmpty()) {
       return;
     }
-    owedScheduled = true;
-    long next = owed.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
-    long coalescing = ReportPacer.gatherNanos(entries.reached());
-    loop.schedule(this::reportOwed, next + coalescing - loop.now());
+    pendingScheduled = true;
+    long next = pendingReports.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
+    long coalescing = ReportPacer.coalescingNanos(entries.connectedCount());
+    loop.schedule(this::reportPending, next + coalescing - loop.now());
   }
 
-  private void reportOwed() {
-    owedScheduled = false;
-    VmReport state = state();
-    for (EntryConnection connection : Set.copyOf(owed)) {
-      if (told.knows(connection.member(), state)) {
-        owed.remove(connection);
+  private void reportPending() {
+    pendingScheduled = false;
+    VmReport state = vmState();
+    for (EntryConnection connection : Set.copyOf(pendingReports)) {
+      if (reportedStates.isUpToDate(connection.member(), state)) {
+        pendingReports.remove(connection);
       } else if (isDue(connection, false)) {
         report(connection, state, false);
       }
     }
-    scheduleOwed();
+    schedulePending();
   }
 
-  private void reportRegularly() {
-    pacer.nextTurn();
-    VmReport state = state();
+  private void reportPeriodically() {
+    pacer.beginRound();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
-      boolean owns = ordered.contains(connection) || ownsAny(connection);
-      if (pacer.isRegularDue(connection.member(), owns)) {
+      boolean owns = orderedSinceReport.contains(connection) || ownsAny(connection);
+      if (pacer.isPeriodicReportDue(connection.member(), owns)) {
         report(connection, state, true);
       }
     }
@@ -256,38 +257,38 @@
   }
 
   private int partitionOf(EndReport end) {
-    return session.partitionOf(WorkflowRecords.decode(end.getTask()));
+    return session.partitionOf(WorkflowCodec.decode(end.getTask()));
   }
 
   private void report(boolean wantsLease) {
-    VmReport state = state();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
       report(connection, state, wantsLease);
     }
   }
 
   private void report(EntryConnection connection, boolean wantsLease) {
-    report(connection, state(), wantsLease);
+    report(connection, vmState(), wantsLease);
   }
 
   private void report(EntryConnection connection, VmReport state, boolean wantsLease) {
     if (wantsLease) {
-      pacer.reportedRegularly(connection.member(), loop.now());
-      ordered.remove(connection);
+      pacer.periodicReportSent(connection.member(), loop.now());
+      orderedSinceReport.remove(connection);
     } else {
-      pacer.reported(connection.member(), loop.now());
+      pacer.reportSent(connection.member(), loop.now());
     }
-    told.told(connection.member(), state);
-    owed.remove(connection);
+    reportedStates.record(connection.member(), state);
+    pendingReports.remove(connection);
     VmReport.Builder report =
         state.toBuilder()
             .setOrdersSeen(connection.ordersSeen())
-            .setOwnersDigest(entries.digest())
+            .setOwnersDigest(entries.ownersDigest())
             .setWantsLease(wantsLease);
     if (session != null) {
-      report.setWorkerClock(session.workerClock());
+      report.setWorkerClock(session.workerClockLowerBound());
       if (wantsLease) {
-        report.addAllImages(ImageRecords.encode(session.pacing().seen()));
+        report.addAllImages(ImageObservationCodec.encode(session.throttler().localObservations()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -309,7 +310,7 @@
   }
 
   /** Returns the part of a report that is the same for all entries, without clock and images. */
-  private VmReport state() {
+  private VmReport vmState() {
     VmReport.Builder state = VmReport.newBuilder().setVm(vm).setGoneWorker(goneWorker);
     if (session != null) {
       describe(state);
@@ -320,7 +321,7 @@
   private void describe(VmReport.Builder state) {
     WorkerHeartbeat heartbeat = session.heartbeat();
     Sizes capacity = heartbeat.capacity();
-    Sizes free = session.room().free();
+    Sizes free = session.resources().free();
     state
         .setWorker(session.worker())
         .setService(heartbeat.service())
@@ -330,27 +331,29 @@
         .setDraining(heartbeat.draining())
         .setUnhealthy(session.isUnhealthy())
         .setMilliProcessors((int) capacity.milliProcessors())
-        .setMemoryMebibytes(WorkflowRecords.mebibytes(capacity))
+        .setMemoryMebibytes(WorkflowCodec.mebibytes(capacity))
         .setAccelerators((int) capacity.accelerators())
         .setFreeMilliProcessors((int) free.milliProcessors())
-        .setFreeMemoryMebibytes(WorkflowRecords.mebibytes(free))
+        .setFreeMemoryMebibytes(WorkflowCodec.mebibytes(free))
         .setFreeAccelerators((int) free.accelerators())
-        .setFillMilliProcessors((int) session.room().fillMilliProcessors())
-        .setSuspectMilliProcessors((int) session.pacing().suspectMilliProcessors(session.runs()))
-        .setOvercommitMilliProcessors((int) session.room().overcommitMilliProcessors())
-        .setFillPercent(session.pacing().percent())
-        .setServing(session.serving());
+        .setFillMilliProcessors((int) session.resources().bestEffortMilliProcessors())
+        .setSuspectMilliProcessors(
+            (int) session.throttler().interferingMilliProcessors(session.runs()))
+        .setOvercommitMilliProcessors((int) session.resources().overcommitMilliProcessors())
+        .setFillPercent(session.throttler().interferingPercent())
+        .setServing(session.serviceTaskCount());
   }
 
   /**
    * Handles a lease and orders, which are valid for one worker incarnation only.
    *
-   * <p>A lease in transit while the worker restarts refers to the clock of the previous incarnation.
-   * If that clock was ahead, the lease of the new incarnation would never expire, and its runs would
-   * count as active forever once it stops responding. So frames for another incarnation are ignored.
+   * <p>A lease in transit while the worker restarts refers to the clock of the previous
+   * incarnation. If that clock was ahead, the lease of the new incarnation would never expire, and
+   * its runs would count as active forever once it stops responding. So frames for another
+   * incarnation are ignored.
    */
-  private void obey(EntryConnection connection, RunOrders orders) {
-    connection.sawOrders(orders.getNumber());
+  private void handleOrders(EntryConnection connection, RunOrders orders) {
+    connection.recordOrders(orders.getNumber());
     if (session == null) {
       // The next report names the worker at that time, and owners then send missing orders again.
       return;
@@ -364,35 +367,37 @@
       report(connection, false);
       return;
     }
-    Map<Integer, Boolean> fromOwner = observe(orders.getLease());
+    Map<Integer, Boolean> fromOwner = recordEvidence(orders.getLease());
     if (orders.getLease().getImagesCount() > 0) {
-      session.pacing().seenElsewhere(ImageRecords.decode(orders.getLease().getImagesList()));
+      session
+          .throttler()
+          .remoteObservations(ImageObservationCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
-      RunKey key = WorkflowRecords.decode(start.getTask());
+      RunKey key = WorkflowCodec.decode(start.getTask());
       if (!start.getSameProgram()) {
         programs.put(key.task().workflow(), start.getProgram());
       }
-      if (isCurrent(fromOwner, key)) {
+      if (isFromOwner(fromOwner, key)) {
         session.start(key, start, programs.getOrDefault(key.task().workflow(), ""));
       }
     }
     for (WorkflowTaskId stop : orders.getStopsList()) {
-      RunKey key = WorkflowRecords.decode(stop);
-      if (isCurrent(fromOwner, key)) {
+      RunKey key = WorkflowCodec.decode(stop);
+      if (isFromOwner(fromOwner, key)) {
         session.stop(key);
       }
     }
     for (WorkflowTaskId acknowledged : orders.getNotedEndsList()) {
-      RunKey key = WorkflowRecords.decode(acknowledged);
-      if (isCurrent(fromOwner, key)) {
-        session.noted(key);
+      RunKey key = WorkflowCodec.decode(acknowledged);
+      if (isFromOwner(fromOwner, key)) {
+        session.acknowledgeEnd(key);
       }
     }
   }
 
-  private boolean isCurrent(Map<Integer, Boolean> fromOwner, RunKey key) {
+  private boolean isFromOwner(Map<Integer, Boolean> fromOwner, RunKey key) {
     boolean valid = fromOwner.getOrDefault(session.partitionOf(key), false);
     if (!valid) {
       LOG.info(
@@ -404,18 +409,18 @@
   }
 
   /** Records the evidence; returns for each partition whether it has the highest epoch so far. */
-  private Map<Integer, Boolean> observe(LeaseGrant grant) {
+  private Map<Integer, Boolean> recordEvidence(LeaseGrant grant) {
     Map<Integer, Boolean> fromOwner = new HashMap<>();
     for (PartitionEvidence evidence : grant.getEvidenceList()) {
       long at = grant.getWorkerClock() + evidence.getAfterReportMillis();
-      boolean newest = session.evidence(evidence.getPartition(), evidence.getEpoch(), at);
+      boolean newest = session.recordEvidence(evidence.getPartition(), evidence.getEpoch(), at);
       fromOwner.put(evidence.getPartition(), newest);
     }
     return fromOwner;
   }
 
   /** Handles connections and orders of entries. */
-  private final class FromEntries implements SideEntries.Listener {
+  private final class EntryListener implements EntryConnections.Listener {
     @Override
     public void connected(EntryConnection connection) {
       report(connection, true);
@@ -423,10 +428,10 @@
 
     @Override
     public void disconnected(EntryConnection connection) {
-      pacer.forget(connection.member());
-      told.forget(connection.member());
-      owed.remove(connection);
-      ordered.remove(connection);
+      pacer.remove(connection.member());
+      reportedStates.remove(connection.member());
+      pendingReports.remove(connection);
+      orderedSinceReport.remove(connection);
     }
 
     @Override
@@ -434,9 +439,9 @@
       if (frame.hasRunOrders()) {
         RunOrders orders = frame.getRunOrders();
         if (orders.getStartsCount() + orders.getStopsCount() > 0) {
-          ordered.add(connection);
+          orderedSinceReport.add(connection);
         }
-        obey(connection, orders);
+        handleOrders(connection, orders);
       }
     }
 
@@ -447,26 +452,26 @@
   }
 
   /** Reports changes of the current worker session. */
-  private final class FromWorker implements WorkerListener {
+  private final class SessionListener implements WorkerSessionListener {
     @Override
-    public void standingChanged() {
-      standingChanged = true;
-      reportSoon();
+    public void availabilityChanged() {
+      availabilityChanged = true;
+      scheduleReport();
     }
 
     @Override
-    public void roomChanged() {
-      reportSoon();
+    public void capacityChanged() {
+      scheduleReport();
     }
 
     @Override
     public void runChanged(int partition) {
       changedPartitions.add(partition);
-      reportSoon();
+      scheduleReport();
     }
 
     @Override
-    public void gone(WorkerSession ended) {
+    public void sessionEnded(WorkerSession ended) {
       if (session == ended) {
         goneWorker = ended.worker();
         session = null;
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
@@ -29,18 +29,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Keyed requests through two entries that agree on homes by a log. */
-class KeyHomesTest {
+class KeyShardCoordinatorTest {
   private static final int VMS = 3;
 
   /** An entry with its part of the stream of keys. */
-  private final class KeyedEntry implements AutoCloseable {
+  private final class EntryWithKeys implements AutoCloseable {
     private final KeyShardTable table = new KeyShardTable(MonotonicClock.system());
     private final StreamFollower follower;
     private final LogAppender appender;
     private final EntryUnderTest entry;
-    private final KeyHomes homes;
+    private final KeyShardCoordinator coordinator;
 
-    KeyedEntry(FakeLogService log, int number) throws Exception {
+    EntryWithKeys(FakeLogService log, int number) throws Exception {
       MonotonicClock clock = MonotonicClock.system();
       SplittableRandom random = new SplittableRandom(number);
       follower =
@@ -58,14 +58,14 @@
           new EntryUnderTest(
               "entry-" + number,
               number,
-              LinkTimes.DEFAULT,
+              LinkSettings.DEFAULT,
               EventRecorder.none(),
               Optional.of(table),
               service -> detectsRepeats);
-      homes = new KeyHomes(entry.loop(), table, appender::append, entry.links());
+      coordinator = new KeyShardCoordinator(entry.loop(), table, appender::append, entry.links());
       follower.start();
       appender.start();
-      homes.start();
+      coordinator.start();
     }
 
     CompletableFuture<HttpResponse<byte[]>> charge(String key, String query) {
@@ -86,7 +86,7 @@
 
     @Override
     public void close() {
-      homes.close();
+      coordinator.close();
       entry.close();
       appender.close();
       follower.close();
@@ -97,17 +97,17 @@
   private final List<StandInTarget> targets = new ArrayList<>();
   private final List<SideUnderTest> sides = new ArrayList<>();
   private volatile boolean detectsRepeats;
-  private KeyedEntry first;
-  private KeyedEntry second;
+  private EntryWithKeys first;
+  private EntryWithKeys second;
 
   @BeforeEach
   void start() throws Exception {
-    first = new KeyedEntry(log, 1);
-    second = new KeyedEntry(log, 2);
+    first = new EntryWithKeys(log, 1);
+    second = new EntryWithKeys(log, 2);
     List<InetSocketAddress> entries = List.of(first.entry.address(), second.entry.address());
     for (int i = 0; i < VMS; i++) {
       StandInTarget target = new StandInTarget("target-" + i, "127.0.0.1", 0, 8, 64).start();
-      SideUnderTest side = SideUnderTest.onHttp("vm-" + i, 1, target.address());
+      SideUnderTest side = SideUnderTest.withHttpTarget("vm-" + i, 1, target.address());
       side.announceTo(entries);
       targets.add(target);
       sides.add(side);
@@ -117,8 +117,8 @@
     Await.until(
         "both know all homes",
         () ->
-            first.table.homes("parking").size() == KeyShards.COUNT
-                && second.table.homes("parking").size() == KeyShards.COUNT);
+            first.table.owners("parking").size() == KeyShards.COUNT
+                && second.table.owners("parking").size() == KeyShards.COUNT);
     first.awaitServed("warm-1-");
     second.awaitServed("warm-2-");
   }
@@ -131,7 +131,7 @@
     targets.forEach(StandInTarget::close);
   }
 
-  private List<TargetRun> charges() {
+  private List<TargetRun> chargeRuns() {
     List<TargetRun> runs = new ArrayList<>();
     targets.forEach(target -> runs.addAll(target.runs()));
     runs.removeIf(run -> run.path().contains("?warm"));
@@ -147,7 +147,7 @@
    * once more when it has ended. Each key's charge must run once, at one target.
    */
   @Test
-  void repeatsThroughAnotherEntryRunNoSecondTime() {
+  void repeatsThroughOtherEntryRunOnce() {
     int keys = 20;
     List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
     for (int i = 0; i < keys; i++) {
@@ -160,14 +160,14 @@
       served += answer.join().statusCode() == 200 ? 1 : 0;
     }
     assertTrue(served > keys, "served " + served);
-    int ran = charges().size();
+    int ran = chargeRuns().size();
     assertTrue(ran <= keys, "ran " + ran);
 
     for (int i = 0; i < keys; i++) {
-      Await.until("key " + i + " served", servedAtLast("pay-" + i));
+      Await.until("key " + i + " served", chargeIsServed("pay-" + i));
     }
-    assertEquals(keys, charges().size());
-    assertEquals(keys, charges().stream().map(TargetRun::idempotencyKey).distinct().count());
+    assertEquals(keys, chargeRuns().size());
+    assertEquals(keys, chargeRuns().stream().map(TargetRun::idempotencyKey).distinct().count());
   }
 
   /**
@@ -176,21 +176,21 @@
    * be served late and once, not be told that the service is full.
    */
   @Test
-  void aHomeThatIsFullForAMomentServesItsKeysLate() {
-    int home = homeOf("pay-0");
+  void requestsToBrieflyFullOwnerAreRetried() {
+    int home = ownerOf("pay-0");
     List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
     for (int i = 0; answers.size() < 30; i++) {
-      if (homeOf("pay-" + i) == home) {
+      if (ownerOf("pay-" + i) == home) {
         answers.add(first.charge("pay-" + i, "?serviceMillis=100"));
       }
     }
     for (CompletableFuture<HttpResponse<byte[]>> answer : answers) {
       assertEquals(200, answer.join().statusCode(), () -> text(answer.join()));
     }
-    assertEquals(answers.size(), charges().size());
+    assertEquals(answers.size(), chargeRuns().size());
   }
 
-  private java.util.function.BooleanSupplier servedAtLast(String key) {
+  private java.util.function.BooleanSupplier chargeIsServed(String key) {
     return () -> second.charge(key, "?serviceMillis=100").join().statusCode() == 200;
   }
 
@@ -200,27 +200,28 @@
    * told that the state of its key is unknown, whichever entry it asks.
    */
   @Test
-  void killedHomeRunsNothingAgain() throws Exception {
+  void keysOfKilledOwnerAreNotRunAgain() throws Exception {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    int home = homeOf("pay");
+    int home = ownerOf("pay");
     sides.get(home).close();
-    SideUnderTest successor = SideUnderTest.onHttp("vm-" + home, 2, targets.get(home).address());
+    SideUnderTest successor =
+        SideUnderTest.withHttpTarget("vm-" + home, 2, targets.get(home).address());
     sides.set(home, successor);
     successor.announceTo(List.of(first.entry.address(), second.entry.address()));
     int shard = KeyShards.of("driver\npay");
     Await.until(
         "another home claimed",
         () ->
-            second.table.home("parking", shard).isPresent()
-                && second.table.home("parking", shard).orElseThrow().quietUntil()
+            second.table.owner("parking", shard).isPresent()
+                && second.table.owner("parking", shard).orElseThrow().servesFrom()
                     > System.nanoTime());
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       HttpResponse<byte[]> answer = entry.charge("pay", "").join();
       assertTrue(text(answer).contains("key-state-unknown"), () -> text(answer));
       assertTrue(text(answer).contains("this attempt was not run"), () -> text(answer));
     }
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
@@ -229,17 +230,17 @@
    * outcome, though nothing had run. The log is down, or a successor would soon serve the key.
    */
   @Test
-  void leavingHomeIsSentNothing() {
+  void drainingOwnerGetsNoRequests() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
     log.setFaults(log.faults().withDown(true));
-    sides.get(homeOf("pay")).dispatcher().beginStop();
+    sides.get(ownerOf("pay")).dispatcher().beginStop();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until(
           "refused in the entry",
           () -> text(entry.charge("pay", "").join()).contains("has no home that is reached"));
     }
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
@@ -248,14 +249,14 @@
    * Now another home has them: the repeat gets the receipt, and a new key runs.
    */
   @Test
-  void plannedStopHandsKeysToAnotherHome() {
+  void plannedStopHandsKeysOverToAnotherOwner() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
     assertEquals(200, receipt.statusCode());
-    SideUnderTest home = sides.remove(homeOf("pay"));
+    SideUnderTest home = sides.remove(ownerOf("pay"));
     home.dispatcher().beginStop().join();
     home.close();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until(
           "the kept answer",
           () -> text(entry.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
@@ -264,15 +265,16 @@
         Await.until("new key", () -> entry.charge(key, "").join().statusCode() == 200);
       }
     }
-    assertEquals(41, charges().size());
-    assertEquals(1, charges().stream().filter(run -> run.idempotencyKey().endsWith("pay")).count());
+    assertEquals(41, chargeRuns().size());
+    assertEquals(
+        1, chargeRuns().stream().filter(run -> run.idempotencyKey().endsWith("pay")).count());
   }
 
   /** The same, and the entry that carries the keys is killed as the stop begins. */
   @Test
-  void handOverOutlivesItsEntry() {
+  void handoverSurvivesDeathOfItsEntry() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
-    SideUnderTest home = sides.remove(homeOf("pay"));
+    SideUnderTest home = sides.remove(ownerOf("pay"));
     CompletableFuture<Void> stopped = home.dispatcher().beginStop();
     first.close();
     stopped.join();
@@ -281,7 +283,7 @@
     Await.until(
         "the kept answer",
         () -> text(second.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
@@ -290,13 +292,13 @@
    * not when the log is back.
    */
   @Test
-  void stopDuringALogOutageLeavesItsShardsToTheQuietTime() {
+  void shardsWaitForTheTakeoverDelayAfterStopDuringLogOutage() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    SideUnderTest home = sides.remove(homeOf("pay"));
+    SideUnderTest home = sides.remove(ownerOf("pay"));
     log.setFaults(log.faults().withDown(true));
     home.dispatcher().beginStop().join();
     home.close();
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       assertTrue(text(entry.charge("pay", "").join()).contains("key-state-unknown"));
     }
     log.setFaults(log.faults().withDown(false));
@@ -304,7 +306,7 @@
     Await.until(
         "another home claimed",
         () -> text(second.charge("pay", "").join()).contains("an earlier one may have been"));
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
@@ -313,11 +315,11 @@
    * is back; the killed one's keys stay unknown. No charge runs twice.
    */
   @Test
-  void logOutageAndKilledHomeRunNothingAgain() {
+  void logOutageAndKilledOwnerRunNothingTwice() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    int killed = homeOf("pay");
+    int killed = ownerOf("pay");
     int number = 0;
-    while (homeOf("other-" + number) == killed) {
+    while (ownerOf("other-" + number) == killed) {
       number++;
     }
     String other = "other-" + number;
@@ -333,7 +335,7 @@
     Await.until(
         "another home claimed",
         () -> text(second.charge("pay", "").join()).contains("an earlier one may have been"));
-    assertEquals(2, charges().size());
+    assertEquals(2, chargeRuns().size());
   }
 
   /**
@@ -341,19 +343,19 @@
    * for 71 s, they run, and the target sees the same key.
    */
   @Test
-  void keysOfUnknownStateRunWhereTheTargetDetectsRepeats() {
+  void keysOfUnknownStateRunWhereTargetDetectsRepeats() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
     detectsRepeats = true;
-    sides.remove(homeOf("pay")).close();
+    sides.remove(ownerOf("pay")).close();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until("served", () -> entry.charge("pay", "").join().statusCode() == 200);
     }
-    assertTrue(charges().stream().allMatch(run -> run.idempotencyKey().endsWith("pay")));
+    assertTrue(chargeRuns().stream().allMatch(run -> run.idempotencyKey().endsWith("pay")));
   }
 
-  private int homeOf(String key) {
-    String vm = first.table.home("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
+  private int ownerOf(String key) {
+    String vm = first.table.owner("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
     return Integer.parseInt(vm.substring("vm-".length()));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
@@ -6,10 +6,10 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.idempotency.KeyShards;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
 import io.marigoldsail.protocol.Cancel;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.HandedKey;
@@ -31,21 +31,21 @@
 import org.junit.jupiter.api.Test;
 
 /** A side process as the home of idempotency keys. */
-class SideKeysTest {
+class KeyedRequestsTest {
   private static final long INCARNATION = 42;
   private static final KeyClaim CLAIM = KeyClaim.newBuilder().setShard(3).setOffset(7).build();
 
   private final FakeTarget target = new FakeTarget();
   private final LinkLoop testLoop = new LinkLoop("test", MonotonicClock.system());
-  private final AtomicLong ahead = new AtomicLong();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
   private SideUnderTest side;
   private FakePeer entry;
   private FakePeer otherEntry;
 
   @BeforeEach
   void start() throws Exception {
-    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + ahead.get());
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + clockOffsetNanos.get());
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", INCARNATION, 0, target, loop, budget);
     Await.until("target probed", () -> !side.dispatcher().isLeaving());
     entry = FakePeer.dial(testLoop, side.port());
@@ -58,7 +58,7 @@
     testLoop.close();
   }
 
-  private void vouch(long incarnation, long quietMillis) {
+  private void confirmLease(long incarnation, long quietMillis) {
     KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(quietMillis);
     KeyLeases.Builder evidence =
         KeyLeases.newBuilder().setProcessIncarnation(incarnation).addLeases(lease);
@@ -72,7 +72,7 @@
   private Frame charge(long incarnation, long sequence, String key, String body) {
     RequestStart.Builder start =
         RequestStart.newBuilder()
-            .setId(SideFrames.message(new WireId(incarnation, sequence)))
+            .setId(SideFrames.toMessage(new AttemptId(incarnation, sequence)))
             .setMethod("POST")
             .setPath("/parking/charge")
             .setRemainingMillis(60_000)
@@ -90,47 +90,47 @@
    * and both presses must see its receipt, also a third after it ended.
    */
   @Test
-  void oneChargeForAllWhoAskWithItsKey() throws Exception {
-    vouch(INCARNATION, 0);
+  void requestsWithOneKeyRunOnceAndShareTheResponse() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
     otherEntry.send(charge(2, 2, "other", "5 dollars"));
-    target.next().answer("other receipt");
+    target.awaitNext().respond("other receipt");
     assertEquals(2, otherEntry.next().getAnswerStart().getId().getSequence());
 
-    run.answer("receipt");
+    run.respond("receipt");
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
     Frame joined = otherEntry.next();
     assertEquals("receipt", joined.getAnswerStart().getData().toStringUtf8());
     assertEquals(1, joined.getAnswerStart().getId().getSequence());
     entry.send(charge(1, 2, "pay", "5 dollars"));
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
-    assertEquals(2, target.started());
+    assertEquals(2, target.startedCount());
   }
 
   @Test
-  void sameKeyForAnotherChargeIsAConflict() throws Exception {
-    vouch(INCARNATION, 0);
+  void keyReusedForAnotherRequestIsAConflict() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    target.next();
+    target.awaitNext();
     entry.send(charge(1, 2, "pay", "6 dollars"));
 
     assertEquals("conflict", entry.next().getNotRun().getErrorKind());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /** The charge's outcome is lost at the target: whoever asks again hears just that. */
   @Test
-  void unknownOutcomeStaysUnknownAndRunsNoSecondTime() throws Exception {
-    vouch(INCARNATION, 0);
+  void requestOfUnknownOutcomeIsNotRunAgain() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    target.next().ended().accept(new TargetOutcome.Lost("reset"));
+    target.awaitNext().ended().accept(new TargetOutcome.NoResponse("reset"));
     assertEquals("outcome-unknown", entry.next().getFailed().getErrorKind());
     entry.send(charge(1, 2, "pay", "5 dollars"));
 
     assertEquals("outcome-unknown", entry.next().getFailed().getErrorKind());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /**
@@ -138,49 +138,49 @@
    * went to another one. What still reaches it must not run here, too.
    */
   @Test
-  void lapsedLeaseRunsNothing() throws Exception {
-    vouch(INCARNATION, 0);
-    ahead.set(KeyTerms.LEASE_NANOS);
+  void nothingRunsUnderExpiredLease() throws Exception {
+    confirmLease(INCARNATION, 0);
+    clockOffsetNanos.set(KeyTimeouts.LEASE_NANOS);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   /** The same, with the lease lapsing while the charge waits for a slot. */
   @Test
-  void leaseIsLookedAtAgainWhenASlotFallsFree() throws Exception {
-    vouch(INCARNATION, 0);
+  void leaseIsCheckedAgainWhenSlotBecomesFree() throws Exception {
+    confirmLease(INCARNATION, 0);
     List<FakeTarget.Run> runs = new ArrayList<>();
     for (int i = 1; i <= 8; i++) {
       entry.send(charge(1, i, "key-" + i, "5 dollars"));
-      runs.add(target.next());
+      runs.add(target.awaitNext());
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
-    ahead.set(KeyTerms.LEASE_NANOS);
-    runs.get(0).answer("receipt");
+    clockOffsetNanos.set(KeyTimeouts.LEASE_NANOS);
+    runs.get(0).respond("receipt");
 
     assertTrue(entry.next().hasAnswerStart());
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
-    assertEquals(8, target.started());
+    assertEquals(8, target.startedCount());
   }
 
   /** A home after a death does not know what its predecessor ran, and says so. */
   @Test
-  void quietHomeRefusesWithTheTimeToComeBack() throws Exception {
-    vouch(INCARNATION, 5_000);
+  void shardInTakeoverDelayIsRejectedWithRetryAfter() throws Exception {
+    confirmLease(INCARNATION, 5_000);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     Frame refused = entry.next();
     assertEquals("key-state-unknown", refused.getNotRun().getErrorKind());
     assertTrue(refused.getNotRun().getRetryAfterMillis() > 0);
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   @Test
-  void evidenceForAPredecessorCountsForNothing() throws Exception {
-    vouch(INCARNATION - 1, 0);
+  void confirmationForPredecessorIsIgnored() throws Exception {
+    confirmLease(INCARNATION - 1, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
@@ -188,26 +188,26 @@
 
   /** The first press is given up while it waits; the second, which waited for it, did not run. */
   @Test
-  void whoWaitedForAChargeThatWasGivenUpHearsNotRun() throws Exception {
-    vouch(INCARNATION, 0);
+  void joinedRequestOfCancelledRequestIsRejectedAsNotRun() throws Exception {
+    confirmLease(INCARNATION, 0);
     for (int i = 1; i <= 8; i++) {
       entry.send(charge(1, i, "key-" + i, "5 dollars"));
-      target.next();
+      target.awaitNext();
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
-    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, 9)));
+    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.toMessage(new AttemptId(1, 9)));
     Frame cancelFrame = Frame.newBuilder().setCancel(cancel).build();
     otherEntry.send(charge(2, 2, "key-1", "6 dollars"));
     assertEquals("conflict", otherEntry.next().getNotRun().getErrorKind());
     entry.send(cancelFrame);
 
     assertEquals("overloaded", otherEntry.next().getNotRun().getErrorKind());
-    assertEquals(8, target.started());
+    assertEquals(8, target.startedCount());
   }
 
-  private static HandedShard handed(long offset) {
+  private static HandedShard shardId(long offset) {
     return HandedShard.newBuilder()
         .setVm("vm-2")
         .setService("parking")
@@ -236,27 +236,27 @@
    * Had the successor taken the shard by then, the charges of the second frame could run again.
    */
   @Test
-  void shardIsTakenOnlyWhenAllItsKeysHaveCome() throws Exception {
-    handOver(handed(5), 2, key("a"));
-    handOver(handed(5), 2, key("a"));
-    handOver(handed(6), 0);
-    assertEquals(handed(6), side.nextToEntry().getKeyHandoverTaken().getShard());
-    handOver(handed(5), 2, key("b"));
-
-    KeyHandoverTaken taken = side.nextToEntry().getKeyHandoverTaken();
-    assertEquals(handed(5), taken.getShard());
+  void shardIsTakenOnlyWhenAllKeysAreReceived() throws Exception {
+    handOver(shardId(5), 2, key("a"));
+    handOver(shardId(5), 2, key("a"));
+    handOver(shardId(6), 0);
+    assertEquals(shardId(6), side.awaitNextFrameToEntry().getKeyHandoverTaken().getShard());
+    handOver(shardId(5), 2, key("b"));
+
+    KeyHandoverTaken taken = side.awaitNextFrameToEntry().getKeyHandoverTaken();
+    assertEquals(shardId(5), taken.getShard());
     assertTrue(taken.getTaken());
   }
 
   /** A copy of the frames comes when this process has long got the shard and run more there. */
   @Test
-  void lateKeysOfAnEarlierHomeAreNotTaken() throws Exception {
-    vouch(INCARNATION, 0);
-    handOver(handed(5), 1, key("pay"));
-    assertFalse(side.nextToEntry().getKeyHandoverTaken().getTaken());
+  void staleHandoverIsNotTaken() throws Exception {
+    confirmLease(INCARNATION, 0);
+    handOver(shardId(5), 1, key("pay"));
+    assertFalse(side.awaitNextFrameToEntry().getKeyHandoverTaken().getTaken());
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
-    target.next().answer("receipt");
+    target.awaitNext().respond("receipt");
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
   }
 
@@ -265,25 +265,25 @@
    * leave this one out, and the driver's repeat would run at the successor.
    */
   @Test
-  void stoppingHomeGivesItsKeysOnceNoneRuns() throws Exception {
-    vouch(INCARNATION, 0);
+  void stoppingOwnerHandsKeysOverOnceNoneRuns() throws Exception {
+    confirmLease(INCARNATION, 0);
     String ofShard = "pay";
     while (KeyShards.of(ofShard) != CLAIM.getShard()) {
       ofShard += "-again";
     }
     entry.send(charge(1, 1, ofShard, "5 dollars"));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
     otherEntry.send(charge(2, 1, "late", "5 dollars"));
     assertEquals("shutting-down", otherEntry.next().getNotRun().getErrorKind());
-    assertTrue(side.hasSentEntriesNothing());
-    run.answer("receipt");
+    assertTrue(side.sentNothingToEntries());
+    run.respond("receipt");
 
-    KeyHandover given = side.nextToEntry().getKeyHandover();
+    KeyHandover given = side.awaitNextFrameToEntry().getKeyHandover();
     assertEquals(1, given.getTotal());
     assertEquals("receipt", given.getKeys(0).getAnswered().getBody().toStringUtf8());
     assertFalse(stopped.isDone());
-    result("entry-1", given, true);
+    receiveResult("entry-1", given, true);
     stopped.join();
   }
 
@@ -292,20 +292,20 @@
    * at the first refusal, its keys would be refused for 71 s.
    */
   @Test
-  void refusedHandOverGoesByTheNextEntry() throws Exception {
-    vouch(INCARNATION, 0);
+  void refusedHandoverIsRetriedThroughNextEntry() throws Exception {
+    confirmLease(INCARNATION, 0);
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
-    KeyHandover given = side.nextToEntry().getKeyHandover();
-    result("entry-1", given, false);
-    assertEquals(given, side.nextToEntry().getKeyHandover());
-    result("entry-1", given, false);
+    KeyHandover given = side.awaitNextFrameToEntry().getKeyHandover();
+    receiveResult("entry-1", given, false);
+    assertEquals(given, side.awaitNextFrameToEntry().getKeyHandover());
+    receiveResult("entry-1", given, false);
     assertFalse(stopped.isDone());
-    result("entry-2", given, true);
+    receiveResult("entry-2", given, true);
 
     stopped.join();
   }
 
-  private void result(String from, KeyHandover given, boolean moved) {
+  private void receiveResult(String from, KeyHandover given, boolean moved) {
     KeyHandoverResult.Builder result =
         KeyHandoverResult.newBuilder().setShard(given.getShard()).setMoved(moved);
     Frame frame = Frame.newBuilder().setKeyHandoverResult(result).build();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
@@ -26,7 +26,7 @@
 class RequestFaultsTest {
   private static final int VMS = 3;
   private static final int CALLERS = 24;
-  private static final int STEP = 300;
+  private static final int REQUESTS_PER_STEP = 300;
 
   private final List<StandInTarget> targets = new ArrayList<>();
   private final List<SideUnderTest> sides = new ArrayList<>();
@@ -61,20 +61,21 @@
 
   /** A busy machine may take long to resolve; the product's two seconds are not tested here. */
   private EntryUnderTest newEntry(String name) throws Exception {
-    LinkTimes usual = LinkTimes.DEFAULT;
-    LinkTimes patient =
-        new LinkTimes(
-            usual.connections(),
-            usual.tickNanos(),
+    LinkSettings usual = LinkSettings.DEFAULT;
+    LinkSettings patient =
+        new LinkSettings(
+            usual.connectionsPerTarget(),
+            usual.checkIntervalNanos(),
             usual.pingAfterNanos(),
             usual.idlePingNanos(),
-            usual.silenceNanos(),
+            usual.silenceTimeoutNanos(),
             TimeUnit.SECONDS.toNanos(10));
     return new EntryUnderTest(name, incarnation++, patient, EventRecorder.none());
   }
 
   private void startSide(int i) throws Exception {
-    SideUnderTest side = SideUnderTest.onHttp("vm-" + i, incarnation++, targets.get(i).address());
+    SideUnderTest side =
+        SideUnderTest.withHttpTarget("vm-" + i, incarnation++, targets.get(i).address());
     TcpFaultProxy proxy = new TcpFaultProxy(side.port());
     side.announceAddress("127.0.0.1:" + proxy.port());
     List<InetSocketAddress> addresses = new ArrayList<>();
@@ -98,7 +99,7 @@
     return runs;
   }
 
-  private void assertNothingViolated(Workload workload) throws InterruptedException {
+  private void assertNoViolations(Workload workload) throws InterruptedException {
     workload.awaitAll();
     Await.until("targets idle", () -> runs().stream().allMatch(run -> run.endMillis() > 0));
     assertEquals(List.of(), workload.history().violations(runs()));
@@ -110,14 +111,14 @@
    * or did not, nobody knows by the connection alone, and a blind retry charges twice.
    */
   @Test
-  void cutConnections() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 8 * STEP);
+  void closedConnections() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 8 * REQUESTS_PER_STEP);
     workload.start();
     for (int step = 1; step < 8; step++) {
-      workload.awaitEnded(step * STEP);
+      workload.awaitEnded(step * REQUESTS_PER_STEP);
       proxies.get(step % VMS).cutOpen();
     }
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
   /**
@@ -125,18 +126,18 @@
    * requests vanish in them, or ran with their answers lost.
    */
   @Test
-  void silentConnections() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 5 * STEP);
+  void unresponsiveConnections() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 5 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     proxies.get(0).silenceOpen(Direction.TO_SERVER);
-    workload.awaitEnded(2 * STEP);
+    workload.awaitEnded(2 * REQUESTS_PER_STEP);
     proxies.get(1).silenceOpen(Direction.TO_CLIENT);
-    workload.awaitEnded(3 * STEP);
+    workload.awaitEnded(3 * REQUESTS_PER_STEP);
     proxies.get(2).silenceOpen(Direction.TO_SERVER);
     proxies.get(2).silenceOpen(Direction.TO_CLIENT);
     proxies.get(0).cutOpen();
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
     assertEquals(0, workload.history().count(Told.UNKNOWN), "all outcomes were found out");
   }
 
@@ -146,21 +147,21 @@
    * middle.
    */
   @Test
-  void killedSideProcessAndEntry() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 6 * STEP);
+  void killedSideProcessesAndEntry() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 6 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     proxies.get(1).silenceOpen(Direction.TO_CLIENT);
     replaceSide(0);
-    workload.awaitEnded(2 * STEP);
+    workload.awaitEnded(2 * REQUESTS_PER_STEP);
     EntryUnderTest killed = entries.get(0);
     entries.set(0, newEntry("entry-0"));
     killed.close();
     replaceSide(1);
     replaceSide(2);
-    workload.awaitEnded(4 * STEP);
+    workload.awaitEnded(4 * REQUESTS_PER_STEP);
     replaceSide(0);
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
   /**
@@ -169,20 +170,20 @@
    * was said not to run, and no charge that was sent elsewhere.
    */
   @Test
-  void frozenAndWokenSideProcess() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 5 * STEP);
+  void pausedAndResumedSideProcess() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 5 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     CountDownLatch wake = new CountDownLatch(1);
-    sides.get(0).loop().run(() -> awaitQuietly(wake));
-    workload.awaitEnded(4 * STEP);
+    sides.get(0).loop().run(() -> awaitLatch(wake));
+    workload.awaitEnded(4 * REQUESTS_PER_STEP);
     entries.get(0).awaitTargets(VMS - 1);
     wake.countDown();
     entries.get(0).awaitTargets(VMS);
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
-  private static void awaitQuietly(CountDownLatch latch) {
+  private static void awaitLatch(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
@@ -192,13 +193,13 @@
 
   /** Planned stops of a side process and of an entry under full load: nobody is cut off. */
   @Test
-  void plannedStopsCutOffNobody() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 6 * STEP);
+  void plannedStopsLoseNoRequests() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 6 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     sides.get(0).dispatcher().beginStop().orTimeout(30, TimeUnit.SECONDS).join();
     replaceSide(0);
-    workload.awaitEnded(3 * STEP);
+    workload.awaitEnded(3 * REQUESTS_PER_STEP);
     EntryUnderTest stopped = entries.get(0);
     entries.set(0, entries.get(1));
     stopped
@@ -207,7 +208,7 @@
         .orTimeout(30, TimeUnit.SECONDS)
         .join();
     stopped.close();
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
     assertEquals(0, workload.history().count(Told.UNKNOWN), "nobody was cut off");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -20,7 +20,7 @@
       for (int entry = 0; entry < entries; entry++) {
         String member = "entry-" + entry;
         if (pacer.dueAt(member, entry == owner, entries, now) <= now) {
-          pacer.reported(member, now);
+          pacer.reportSent(member, now);
           sent++;
         }
       }
@@ -29,61 +29,65 @@
   }
 
   /**
-   * Under load a VM changes 25 times a second. Reporting each change to all of twelve entries at once
-   * takes 3,000 reports in ten seconds from each VM, which fills an entry's low-bandwidth link.
+   * Under load a VM changes 25 times a second. Reporting each change to all of twelve entries at
+   * once takes 3,000 reports in ten seconds from each VM, which fills an entry's low-bandwidth
+   * link.
    */
   @Test
-  void aBusyVmSendsNoMoreToManyEntriesThanToFew() {
+  void reportRateDoesNotGrowWithTheNumberOfEntries() {
     int toThree = reportsOfBusyVm(3);
     int toTwelve = new ReportPacerTest().reportsOfBusyVm(12);
-    assertTrue(toTwelve <= toThree * 1.25, toTwelve + " reports to twelve entries, " + toThree + " to three");
+    assertTrue(
+        toTwelve <= toThree * 1.25,
+        toTwelve + " reports to twelve entries, " + toThree + " to three");
   }
 
   @Test
-  void whomAChangeConcernsIsToldAtOnce() {
-    pacer.reported("owner", 100);
+  void affectedEntryIsReportedToAtOnce() {
+    pacer.reportSent("owner", 100);
     assertEquals(101, pacer.dueAt("owner", true, 12, 101));
   }
 
   @Test
-  void othersAreToldInTurns() {
-    pacer.reported("other", 100);
+  void otherEntriesAreReportedToAtTheMinimumInterval() {
+    pacer.reportSent("other", 100);
     assertEquals(100 + 12 * ReportPacer.SPACING_NANOS, pacer.dueAt("other", false, 12, 101));
     long late = 100 + 20 * ReportPacer.SPACING_NANOS;
     assertEquals(late, pacer.dueAt("other", false, 12, late));
   }
 
   /**
-   * In a large fleet, periodic reports from every VM to every entry, and the leases sent in response,
-   * are most of the entries' traffic, though most entries own no run on the VM. An entry that is
-   * reported to too rarely, however, considers the VM disconnected and places no work there.
+   * In a large fleet, periodic reports from every VM to every entry, and the leases sent in
+   * response, are most of the entries' traffic, though most entries own no run on the VM. An entry
+   * that is reported to too rarely, however, considers the VM disconnected and places no work
+   * there.
    */
   @Test
-  void whoOwnsNothingIsToldInEachSecondTurnAndLongBeforeTheVmCountsAsSilent() {
+  void nonOwnerGetsEverySecondPeriodicReportBeforeTheVmCountsAsUnresponsive() {
     int owner = 0;
     int other = 0;
     for (int round = 0; round < 20; round++) {
-      pacer.nextTurn();
-      if (pacer.isRegularDue("owner", true)) {
-        pacer.reportedRegularly("owner", round);
+      pacer.beginRound();
+      if (pacer.isPeriodicReportDue("owner", true)) {
+        pacer.periodicReportSent("owner", round);
         owner++;
       }
-      if (pacer.isRegularDue("other", false)) {
-        pacer.reportedRegularly("other", round);
+      if (pacer.isPeriodicReportDue("other", false)) {
+        pacer.periodicReportSent("other", round);
         other++;
       }
     }
     assertEquals(20, owner);
     assertEquals(10, other);
-    long interval = ReportPacer.QUIET_TURNS * WorkflowSide.REPORT_NANOS;
-    assertTrue(interval < VmStanding.SILENT_NANOS * 2 / 3, interval + " ns");
+    long interval = ReportPacer.NON_OWNER_ROUNDS * WorkflowSideProcess.REPORT_INTERVAL_NANOS;
+    assertTrue(interval < VmAvailability.SILENT_NANOS * 2 / 3, interval + " ns");
   }
 
   @Test
-  void whoIsNewOrWasForgottenIsToldAtOnce() {
+  void newOrRemovedEntryIsReportedToAtOnce() {
     assertEquals(7, pacer.dueAt("new", false, 3, 7));
-    pacer.reported("back", 7);
-    pacer.forget("back");
+    pacer.reportSent("back", 7);
+    pacer.remove("back");
     assertEquals(8, pacer.dueAt("back", false, 3, 8));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
@@ -12,7 +12,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** An entry that a test controls: it collects reports and sends the frames that the test gives it. */
+/**
+ * An entry that a test controls: it collects reports and sends the frames that the test gives it.
+ */
 final class ScriptedEntry implements AutoCloseable {
   private final LinkLoop loop = new LinkLoop("scripted-entry", MonotonicClock.system());
   private final LinkServer server;
@@ -30,12 +32,12 @@
   }
 
   /** Waits for the next connection. */
-  LinkConnection connection() throws InterruptedException {
+  LinkConnection awaitConnection() throws InterruptedException {
     return connections.take();
   }
 
   /** Waits for the next report. */
-  VmReport report() throws InterruptedException {
+  VmReport awaitReport() throws InterruptedException {
     return reports.take();
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
@@ -13,27 +13,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker on virtual time whose responses a test controls; it starts and ends no run on its own. Confined
- * to one thread.
+ * A worker on virtual time whose responses a test controls; it starts and ends no run on its own.
+ * Confined to one thread.
  */
 final class ScriptedWorker implements WorkerGateway {
   private static final long CLOCK_START = 50_000;
 
   private final VirtualLoop time;
   private final Set<RunKey> running = new LinkedHashSet<>();
-  private final List<Ended> ended = new ArrayList<>();
+  private final List<EndedRun> ended = new ArrayList<>();
   private final List<RunKey> stopped = new ArrayList<>();
   private long sequence;
-  private long noted;
+  private long acknowledgedUpTo;
   private long deadline = Long.MAX_VALUE;
-  private boolean lapsed;
-  private boolean silent;
-  private long failsAfterMillis = 1;
-  private boolean loses;
+  private boolean extendedAfterExpiry;
+  private boolean unresponsive;
+  private long failureDelayMillis = 1;
+  private boolean dropsStarts;
   private boolean answersStarts = true;
   private boolean answersStops = true;
-  private boolean listingsThrow;
-  private boolean listingsBreak;
+  private boolean listingCallThrows;
+  private boolean listingFutureFails;
   private int listings;
 
   ScriptedWorker(VirtualLoop time) {
@@ -54,31 +54,31 @@
   }
 
   /** Stops answering; each listing request fails after the given time. */
-  void fallSilent(long millis) {
-    silent = true;
-    failsAfterMillis = millis;
+  void becomeUnresponsive(long millis) {
+    unresponsive = true;
+    failureDelayMillis = millis;
   }
 
   /** Makes each listing call throw from now on. */
-  void throwOnListings() {
-    listingsThrow = true;
+  void throwOnListingCall() {
+    listingCallThrows = true;
   }
 
   /** Makes the future of each listing fail from now on. */
-  void breakListings() {
-    listingsBreak = true;
+  void failListingFuture() {
+    listingFutureFails = true;
   }
 
-  void answerAgain() {
-    silent = false;
-    listingsThrow = false;
-    listingsBreak = false;
+  void recover() {
+    unresponsive = false;
+    listingCallThrows = false;
+    listingFutureFails = false;
   }
 
   /** Leaves starts unanswered; the ones that it executes are listed nevertheless. */
   void leaveStartsUnanswered(boolean executes) {
     answersStarts = false;
-    loses = !executes;
+    dropsStarts = !executes;
   }
 
   void leaveStopsUnanswered() {
@@ -86,19 +86,19 @@
   }
 
   /** Adds an active run that an earlier incarnation of the side process started. */
-  void run(RunKey run) {
+  void addActiveRun(RunKey run) {
     running.add(run);
   }
 
   /** Removes the run from listings without listing its end. */
-  void forget(RunKey run) {
+  void removeActiveRun(RunKey run) {
     running.remove(run);
   }
 
   /** Ends the run as done; the end is listed until it is acknowledged, oldest ends first. */
-  void end(RunKey run) {
+  void endRun(RunKey run) {
     running.remove(run);
-    ended.add(new Ended(++sequence, run, RunOutcome.DONE, ""));
+    ended.add(new EndedRun(++sequence, run, RunOutcome.DONE, ""));
   }
 
   /** Returns the runs for which a stop was ordered. */
@@ -107,17 +107,17 @@
   }
 
   /** Returns the sequence number up to which ends were acknowledged. */
-  long noted() {
-    return noted;
+  long acknowledgedUpTo() {
+    return acknowledgedUpTo;
   }
 
   /** Returns whether the deadline was ever extended only after it had passed. */
-  boolean isLapsed() {
-    return lapsed;
+  boolean isExtendedAfterExpiry() {
+    return extendedAfterExpiry;
   }
 
   private void extend(long until) {
-    lapsed |= clock() > deadline;
+    extendedAfterExpiry |= clock() > deadline;
     deadline = deadline == Long.MAX_VALUE ? until : Math.max(deadline, until);
   }
 
@@ -130,8 +130,8 @@
   }
 
   Listing listing() {
-    ImmutableList.Builder<Running> rows = ImmutableList.builder();
-    running.forEach(run -> rows.add(new Running(run, "", 10, 0)));
+    ImmutableList.Builder<ActiveRun> rows = ImmutableList.builder();
+    running.forEach(run -> rows.add(new ActiveRun(run, "", 10, 0)));
     return new Listing(
         clock(),
         rows.build(),
@@ -146,16 +146,18 @@
   }
 
   @Override
-  public CompletableFuture<OrderResult> start(String worker, Start start) {
-    if (silent) {
-      return after(1, () -> new OrderUnknown("silent"));
+  public CompletableFuture<OrderResult> start(String worker, StartOrder start) {
+    if (unresponsive) {
+      return after(1, () -> new OrderOutcomeUnknown("silent"));
     }
-    if (!loses) {
+    if (!dropsStarts) {
       extend(start.deadline());
       running.add(start.run());
     }
     return after(
-        1, () -> answersStarts ? new Accepted(clock()) : new OrderUnknown("injected: no answer"));
+        1,
+        () ->
+            answersStarts ? new Accepted(clock()) : new OrderOutcomeUnknown("injected: no answer"));
   }
 
   @Override
@@ -164,13 +166,13 @@
     return after(
         1,
         () ->
-            silent || !answersStops
-                ? new OrderUnknown("injected: no answer")
+            unresponsive || !answersStops
+                ? new OrderOutcomeUnknown("injected: no answer")
                 : new Accepted(clock()));
   }
 
   @Override
-  public CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent) {
+  public CompletableFuture<OrderResult> throttle(String worker, RunKey run, int percent) {
     return after(1, () -> new Accepted(clock()));
   }
 
@@ -178,18 +180,18 @@
   public CompletableFuture<ListingResult> list(
       String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     listings++;
-    if (listingsThrow) {
+    if (listingCallThrows) {
       throw new IllegalStateException("injected failure");
     }
-    if (listingsBreak) {
+    if (listingFutureFails) {
       return CompletableFuture.failedFuture(new IllegalStateException("injected failure"));
     }
-    if (silent) {
-      return after(failsAfterMillis, () -> new NoListing("silent"));
+    if (unresponsive) {
+      return after(failureDelayMillis, () -> new ListingFailed("silent"));
     }
     newDeadline.ifPresent(this::extend);
-    noted = acknowledged;
-    ended.removeIf(end -> end.sequence() <= noted);
+    acknowledgedUpTo = acknowledged;
+    ended.removeIf(end -> end.sequence() <= acknowledgedUpTo);
     return after(Math.max(1, waitMillis), this::listing);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -28,29 +28,30 @@
   private static final int ROUNDS = 6;
 
   /** Minimum interval between two reports of changes to an entry that owns no runs on the VM. */
-  private static final long ROOM_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long CHANGE_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** Interval of the periodic reports of a side process, in nanoseconds. */
-  private static final long REGULAR_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long PERIODIC_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("non-owner", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
-  private final AtomicInteger repeated = new AtomicInteger();
+  private final AtomicInteger redundantReports = new AtomicInteger();
   private LinkServer server;
-  private String bystander;
+  private String nonOwner;
 
   @BeforeEach
   void start() throws IOException {
     world.addEntry();
     world.addSide("vm-0", 5);
     world.awaitReady();
-    server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new CountsReports());
+    server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new ReportCounter());
     server.start();
-    bystander = new EntryMember("127.0.0.1", server.port(), 1).toString();
-    world.store().join(bystander, Long.MAX_VALUE);
+    nonOwner = new EntryMember("127.0.0.1", server.port(), 1).toString();
+    world.store().join(nonOwner, Long.MAX_VALUE);
     world.await(
-        "the second entry owns half of the partitions", () -> ownedByBystander() == WorkflowWorld.PARTITIONS / 2);
+        "the second entry owns half of the partitions",
+        () -> partitionsOfNonOwner() == WorkflowTestCluster.PARTITIONS / 2);
     world.await("the side process reports to the second entry", () -> reports.get() > 0);
   }
 
@@ -63,9 +64,9 @@
     world.close();
   }
 
-  private long ownedByBystander() {
-    return LongStream.range(0, WorkflowWorld.PARTITIONS)
-        .filter(partition -> bystander.equals(owner((int) partition)))
+  private long partitionsOfNonOwner() {
+    return LongStream.range(0, WorkflowTestCluster.PARTITIONS)
+        .filter(partition -> nonOwner.equals(owner((int) partition)))
         .count();
   }
 
@@ -75,31 +76,33 @@
     return owners.byPartition().getOrDefault(partition, "");
   }
 
-  private long idOfTheOther(long from) {
+  private long workflowIdOfOtherEntry(long from) {
     return LongStream.iterate(from, id -> id + 1)
-        .filter(id -> !bystander.equals(owner(WorkflowIds.partition(id, WorkflowWorld.PARTITIONS))))
+        .filter(
+            id ->
+                !nonOwner.equals(owner(WorkflowIds.partition(id, WorkflowTestCluster.PARTITIONS))))
         .findFirst()
         .orElseThrow();
   }
 
   /**
    * Guards against reports of every start and end to entries that do not own the run: they saturate
-   * an entry's low-bandwidth link and delay long-running tasks and new configuration by seconds. The
-   * rate of reports to such an entry is bounded, however many tasks start and end.
+   * an entry's low-bandwidth link and delay long-running tasks and new configuration by seconds.
+   * The rate of reports to such an entry is bounded, however many tasks start and end.
    */
   @Test
-  void anEntryThatOwnsNothingOnTheVmHearsOfItAtABoundedPace() {
-    long id = idOfTheOther(1);
+  void reportRateToANonOwnerIsBounded() {
+    long id = workflowIdOfOtherEntry(1);
     int before = reports.get();
     long began = System.nanoTime();
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
     world.await("all tasks are done", () -> world.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
     int received = reports.get() - before;
     // Two more reports may fall on the boundaries of the interval.
-    long bound = lasted / ROOM_NANOS + lasted / REGULAR_NANOS + 2;
+    long bound = lasted / CHANGE_REPORT_NANOS + lasted / PERIODIC_REPORT_NANOS + 2;
     assertTrue(received <= bound, received + " reports, " + bound + " at most");
   }
 
@@ -109,20 +112,20 @@
    * reports took most of the entries' processor time.
    */
   @Test
-  void anEntryThatOwnsNothingOnTheVmIsNotToldTheSameAgain() {
+  void nonOwnerGetsNoReportOfAnUnchangedState() {
     long id = 0;
     for (int i = 0; i < ROUNDS; i++) {
-      id = idOfTheOther(id + 1);
+      id = workflowIdOfOtherEntry(id + 1);
       long submitted = id;
       assertInstanceOf(
           WorkflowStore.Appended.class,
-          world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+          world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
       world.await("all tasks are done", () -> world.status(0, submitted) == QueryResult.DONE);
     }
-    assertEquals(0, repeated.get(), "change reports without a change");
+    assertEquals(0, redundantReports.get(), "change reports without a change");
   }
 
-  private final class CountsReports implements LinkListener {
+  private final class ReportCounter implements LinkListener {
     private VmReport last = VmReport.getDefaultInstance();
 
     @Override
@@ -136,7 +139,7 @@
         reports.incrementAndGet();
         VmReport state = state(frame.getVmReport());
         if (!frame.getVmReport().getWantsLease() && state.equals(last)) {
-          repeated.incrementAndGet();
+          redundantReports.incrementAndGet();
         }
         last = state;
       }
