--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -6,17 +6,17 @@
 
 import io.marigoldsail.protocol.EndReport;
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class WorkerSessionTest {
   private static final String WORKER = "worker-1";
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
 
   private final VirtualLoop time = new VirtualLoop();
   private final ScriptedWorker worker = new ScriptedWorker(time);
@@ -35,8 +35,8 @@
     return new RunKey(new TaskKey(7, 0, 0, index), 1);
   }
 
-  private void hearOwner() {
-    session.evidence(0, 1, session.workerClock());
+  private void recordEvidence() {
+    session.recordEvidence(0, 1, session.workerClockLowerBound());
   }
 
   private void start(int index) {
@@ -44,21 +44,21 @@
   }
 
   private void start(int index, int milliProcessors) {
-    hearOwner();
+    recordEvidence();
     RunKey key = run(index);
     session.start(
         key,
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(key))
+            .setTask(WorkflowCodec.encode(key))
             .setMilliProcessors(milliProcessors)
             .build(),
         "program");
   }
 
   /** Advances the time while the owner keeps sending evidence. */
-  private void pass(long millis) {
+  private void advanceWithEvidence(long millis) {
     for (long passed = 0; passed < millis; passed += 100) {
-      hearOwner();
+      recordEvidence();
       time.advance(100);
     }
   }
@@ -67,9 +67,9 @@
     return session.ends().stream().map(end -> RunOutcome.forNumber(end.getOutcome())).toList();
   }
 
-  private void noteAllEnds() {
+  private void acknowledgeAllEnds() {
     for (EndReport end : List.copyOf(session.ends())) {
-      session.noted(WorkflowRecords.decode(end.getTask()));
+      session.acknowledgeEnd(WorkflowCodec.decode(end.getTask()));
       time.advance(20);
     }
   }
@@ -80,18 +80,18 @@
    * unresponsive worker is polled five times as often from then on.
    */
   @Test
-  void aSilentWorkerIsAskedByOneChainOfListings() {
+  void unresponsiveWorkerIsPolledByOneChainOfListings() {
     session.start();
     for (int index = 0; index < 5; index++) {
       start(index);
     }
-    pass(2_000);
-    worker.fallSilent(1);
-    pass(10_000);
+    advanceWithEvidence(2_000);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(10_000);
     assertEquals(5, outcomes().size());
-    noteAllEnds();
+    acknowledgeAllEnds();
     int before = worker.listings();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     int requests = worker.listings() - before;
     assertTrue(9 <= requests && requests <= 11, requests + " listing requests in three seconds");
   }
@@ -101,18 +101,18 @@
    * between two listings, it would repeatedly get tasks and delay each of them by seconds.
    */
   @Test
-  void aSilentWorkerIsGivenNothingUntilItAnswers() {
+  void unresponsiveWorkerStaysUnhealthyUntilItAnswers() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     assertFalse(session.isUnhealthy());
-    worker.fallSilent(2_000);
-    pass(4_000);
+    worker.becomeUnresponsive(2_000);
+    advanceWithEvidence(4_000);
     for (int i = 0; i < 60; i++) {
       assertTrue(session.isUnhealthy(), "healthy at " + time.millis() + " ms");
-      pass(100);
+      advanceWithEvidence(100);
     }
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
@@ -121,47 +121,47 @@
    * which would delay the task by seconds.
    */
   @Test
-  void anOrderForASilentWorkerIsRefusedAtOnce() {
+  void startOnAnUnresponsiveWorkerIsRefusedAtOnce() {
     session.start();
-    pass(1_000);
-    worker.fallSilent(1);
-    pass(2_000);
+    advanceWithEvidence(1_000);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(2_000);
     start(0);
     assertEquals(List.of(RunOutcome.REFUSED), outcomes());
   }
 
   /**
-   * A side process restarts while the owner of its runs is unreachable. If the VM looked empty to the
-   * other owners, they would send it all waiting tasks and be refused, again and again, although
-   * other VMs have free resources.
+   * A side process restarts while the owner of its runs is unreachable. If the VM looked empty to
+   * the other owners, they would send it all waiting tasks and be refused, again and again,
+   * although other VMs have free resources.
    */
   @Test
-  void aVmIsOfferedNothingWhileItsRunsAreNotKnown() {
-    worker.run(run(0));
+  void vmIsUnhealthyWhileTheSizesOfItsRunsAreUnknown() {
+    worker.addActiveRun(run(0));
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     assertTrue(session.isUnhealthy());
     start(0);
-    pass(100);
+    advanceWithEvidence(100);
     assertFalse(session.isUnhealthy());
   }
 
   /**
-   * A start is not answered, and a listing contains the run before the start is retried. If the worker
-   * later lists neither the run nor its end, the run must count as ended, or its owner considers it
-   * active forever.
+   * A start is not answered, and a listing contains the run before the start is retried. If the
+   * worker later lists neither the run nor its end, the run must count as ended, or its owner
+   * considers it active forever.
    */
   @Test
-  void aRunThatIsListedNoMoreIsOverThoughNoOrderWasAnswered() {
+  void runMissingFromListingsEndsThoughItsStartWasNotAnswered() {
     session.start();
-    pass(700);
+    advanceWithEvidence(700);
     worker.leaveStartsUnanswered(true);
     start(0);
-    pass(2_000);
+    advanceWithEvidence(2_000);
     assertTrue(session.runs().iterator().next().isListed());
     assertEquals(List.of(), outcomes());
-    worker.forget(run(0));
-    pass(6_000);
+    worker.removeActiveRun(run(0));
+    advanceWithEvidence(6_000);
     assertEquals(List.of(RunOutcome.FORGOTTEN), outcomes());
   }
 
@@ -170,35 +170,35 @@
    * side process reports the same runs forever.
    */
   @Test
-  void anAnswerThatCannotBeTakenInIsNotTheLast() {
+  void listingContinuesAfterAnAnswerCannotBeProcessed() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    pass(100);
+    advanceWithEvidence(100);
     listener.throwOnce();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertFalse(listener.throwing, "the listener did not throw");
     int before = worker.listings();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertTrue(worker.listings() > before, "no more listing requests");
   }
 
   /**
-   * When a worker stops or resumes responding, the listener is notified once, so that all entries are
-   * reported to at once. Otherwise entries that own no runs on the VM keep placing work there until
-   * their next report is due.
+   * When a worker stops or resumes responding, the listener is notified once, so that all entries
+   * are reported to at once. Otherwise entries that own no runs on the VM keep placing work there
+   * until their next report is due.
    */
   @Test
-  void allHearAtOnceThatAVmTakesNothingAndThatItDoesAgain() {
+  void listenerIsNotifiedOncePerAvailabilityChange() {
     session.start();
-    pass(1_000);
-    assertEquals(0, listener.standings);
-    worker.fallSilent(1);
-    pass(4_000);
-    assertEquals(1, listener.standings);
-    worker.answerAgain();
-    pass(6_000);
-    assertEquals(2, listener.standings);
+    advanceWithEvidence(1_000);
+    assertEquals(0, listener.availabilityChanges);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(4_000);
+    assertEquals(1, listener.availabilityChanges);
+    worker.recover();
+    advanceWithEvidence(6_000);
+    assertEquals(2, listener.availabilityChanges);
   }
 
   /**
@@ -206,79 +206,79 @@
    * active forever, even after the worker has failed.
    */
   @Test
-  void aListingThatThrowsIsNotTheLast() {
+  void listingContinuesAfterTheCallThrows() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    worker.throwOnListings();
-    pass(20_000);
+    worker.throwOnListingCall();
+    advanceWithEvidence(20_000);
     assertEquals(List.of(RunOutcome.LAPSED), outcomes());
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
   /**
-   * A listing whose future fails with an unexpected exception must not end the polling of the worker.
-   * Otherwise its runs never count as ended.
+   * A listing whose future fails with an unexpected exception must not end the polling of the
+   * worker. Otherwise its runs never count as ended.
    */
   @Test
-  void aListingThatEndsWithAnExceptionIsOneWithoutAnAnswer() {
+  void failedListingFutureCountsAsNoAnswer() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    worker.breakListings();
-    pass(20_000);
+    worker.failListingFuture();
+    advanceWithEvidence(20_000);
     assertEquals(List.of(RunOutcome.LAPSED), outcomes());
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
   /** An end beyond the limit of one listing must not be lost, or its task runs again. */
   @Test
-  void anEndThatTheListingHasNoPlaceForIsNotForgotten() {
+  void endsBeyondTheListingLimitAreKept() {
     int runs = WorkerGateway.MAX_LISTED_ENDS + 2;
     session.start();
     for (int index = 0; index < runs; index++) {
       start(index, 1);
     }
-    pass(1_000);
+    advanceWithEvidence(1_000);
     for (int index = 0; index < runs; index++) {
-      worker.end(run(index));
+      worker.endRun(run(index));
     }
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertEquals(Collections.nCopies(WorkerGateway.MAX_LISTED_ENDS, RunOutcome.DONE), outcomes());
-    noteAllEnds();
-    pass(1_000);
+    acknowledgeAllEnds();
+    advanceWithEvidence(1_000);
     assertEquals(List.of(RunOutcome.DONE, RunOutcome.DONE), outcomes());
   }
 
   /** Counts availability changes; throws on request in the other callbacks. */
-  private static final class ThrowingListener implements WorkerListener {
+  private static final class ThrowingListener implements WorkerSessionListener {
     private boolean throwing;
-    private int standings;
+    private int availabilityChanges;
 
     void throwOnce() {
       throwing = true;
     }
 
     @Override
-    public void standingChanged() {
-      standings++;
+    public void availabilityChanged() {
+      availabilityChanges++;
     }
 
     @Override
-    public void roomChanged() {
-      throwIfTold();
+    public void capacityChanged() {
+      throwIfRequested();
     }
 
     @Override
     public void runChanged(int partition) {
-      throwIfTold();
+      throwIfRequested();
     }
 
-    private void throwIfTold() {
+    private void throwIfRequested() {
       if (throwing) {
         throwing = false;
         throw new IllegalStateException("injected failure");
@@ -286,6 +286,6 @@
     }
 
     @Override
-    public void gone(WorkerSession session) {}
+    public void sessionEnded(WorkerSession session) {}
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideProcessReportsTest.java
@@ -12,9 +12,9 @@
 import io.marigoldsail.protocol.RunOrders;
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.io.IOException;
 import java.util.Map;
@@ -34,7 +34,7 @@
  * periodic report requests a lease and a report of a change does not, which distinguishes them.
  */
 @Timeout(40)
-class WorkflowSideReportsTest {
+class WorkflowSideProcessReportsTest {
   private static final int PARTITIONS = 2;
   private static final int ENTRIES = 2;
 
@@ -42,9 +42,9 @@
    * Minimum interval between reports of changes to an entry that owns no runs on the VM, in
    * nanoseconds.
    */
-  private static final long TURN_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
+  private static final long MIN_INTERVAL_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
 
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final String WORKER = "worker-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final int OWNED = WorkflowIds.partition(RUN.task().workflow(), PARTITIONS);
@@ -52,7 +52,7 @@
   private static final int ROUNDS = 7;
 
   /** Number of periodic reports after which a change counts as not reported separately. */
-  private static final int REGULAR_REPORTS = 5;
+  private static final int PERIODIC_REPORTS = 5;
 
   private final AtomicLong clock = new AtomicLong();
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
@@ -60,25 +60,26 @@
   private final ScriptedOwnersStore store = new ScriptedOwnersStore(PARTITIONS);
   private final FakeWorkerGateway worker =
       new FakeWorkerGateway(WORKER, timer, new RunHistory(), 60_000);
-  private final WorkflowSide side = new WorkflowSide(loop, store, worker, "vm-0", TERMS);
+  private final WorkflowSideProcess side =
+      new WorkflowSideProcess(loop, store, worker, "vm-0", TERMS);
   private final ScriptedEntry owner;
-  private final ScriptedEntry bystander;
+  private final ScriptedEntry nonOwner;
   private LinkConnection ownerLink;
 
-  WorkflowSideReportsTest() throws IOException {
+  WorkflowSideProcessReportsTest() throws IOException {
     owner = new ScriptedEntry();
-    bystander = new ScriptedEntry();
+    nonOwner = new ScriptedEntry();
   }
 
   private void start() throws InterruptedException {
     side.start();
     store
-        .asked()
+        .nextRequest()
         .complete(
             ScriptedOwnersStore.owners(
-                Map.of(OWNED, owner.member(), 1 - OWNED, bystander.member())));
-    ownerLink = owner.connection();
-    bystander.connection();
+                Map.of(OWNED, owner.member(), 1 - OWNED, nonOwner.member())));
+    ownerLink = owner.awaitConnection();
+    nonOwner.awaitConnection();
     assertTrue(side.heartbeat(heartbeat(1_000)).join());
   }
 
@@ -86,7 +87,7 @@
   void stop() {
     loop.close();
     owner.close();
-    bystander.close();
+    nonOwner.close();
     timer.shutdownNow();
   }
 
@@ -103,31 +104,30 @@
   }
 
   /**
-   * Changes the capacity twice within one interval, then advances the clock by an interval. The first
-   * change is reported to both entries at once, so the second one must wait until the interval has
-   * passed.
+   * Changes the capacity twice within one interval, then advances the clock by an interval. The
+   * first change is reported to both entries at once, so the second one must wait until the
+   * interval has passed.
    */
-  private void changeRoomTwiceInOneTurn(int last) {
+  private void changeCapacityTwiceInOneInterval(int last) {
     loop.runLater(
         () -> {
-          clock.addAndGet(TURN_NANOS);
+          clock.addAndGet(MIN_INTERVAL_NANOS);
           side.heartbeat(heartbeat(1_000));
           // Runs after the task, scheduled by the heartbeat, that sends the reports.
           loop.runLater(
               () -> {
                 side.heartbeat(heartbeat(last));
-                loop.runLater(() -> clock.addAndGet(TURN_NANOS));
+                loop.runLater(() -> clock.addAndGet(MIN_INTERVAL_NANOS));
               });
         });
   }
 
   /** Returns whether a non-periodic report matches before the limit of periodic ones is reached. */
-  private static boolean isToldBetweenRegularReports(
-      ScriptedEntry entry, Predicate<VmReport> matches)
-      throws InterruptedException {
+  private static boolean isReportedBetweenPeriodicReports(
+      ScriptedEntry entry, Predicate<VmReport> matches) throws InterruptedException {
     int periodic = 0;
-    while (periodic < REGULAR_REPORTS) {
-      VmReport report = entry.report();
+    while (periodic < PERIODIC_REPORTS) {
+      VmReport report = entry.awaitReport();
       if (report.getWantsLease()) {
         periodic++;
       } else if (matches.test(report)) {
@@ -140,20 +140,20 @@
   /**
    * A run ends right after a report was sent to an entry that does not own it. The freed resources
    * must be reported to that entry once the minimum interval has passed. If it learned of them only
-   * from the next periodic report, its waiting tasks would be delayed for most of a second while the
-   * VM is idle.
+   * from the next periodic report, its waiting tasks would be delayed for most of a second while
+   * the VM is idle.
    */
   @Test
-  void whoOwnsNothingThatChangedHearsOfRoomWhenItsTurnComes() throws Exception {
+  void nonOwnerIsReportedFreeResourcesAfterTheMinimumInterval() throws Exception {
     start();
     int afterInterval = 0;
     for (int i = 1; i <= ROUNDS; i++) {
-      awaitRegularReport(bystander);
+      awaitPeriodicReport(nonOwner);
       int capacity = 1_000 + i;
-      changeRoomTwiceInOneTurn(capacity);
-      VmReport report = bystander.report();
+      changeCapacityTwiceInOneInterval(capacity);
+      VmReport report = nonOwner.awaitReport();
       while (report.getMilliProcessors() != capacity) {
-        report = bystander.report();
+        report = nonOwner.awaitReport();
       }
       if (!report.getWantsLease()) {
         afterInterval++;
@@ -163,24 +163,24 @@
     assertTrue(afterInterval > ROUNDS / 2, afterInterval + " change reports of " + ROUNDS);
   }
 
-  private static void awaitRegularReport(ScriptedEntry entry) throws InterruptedException {
-    while (!entry.report().getWantsLease()) {
+  private static void awaitPeriodicReport(ScriptedEntry entry) throws InterruptedException {
+    while (!entry.awaitReport().getWantsLease()) {
       // Keeps waiting.
     }
   }
 
   /**
-   * An entry starts a task on a VM right after it received a report from it. If the owner had to wait
-   * for the minimum interval like other entries, it would learn of the start, and of the end of a
-   * short task, after a delay that grows with the number of entries. Dependent tasks would be delayed
-   * as well.
+   * An entry starts a task on a VM right after it received a report from it. If the owner had to
+   * wait for the minimum interval like other entries, it would learn of the start, and of the end
+   * of a short task, after a delay that grows with the number of entries. Dependent tasks would be
+   * delayed as well.
    */
   @Test
-  void theOwnerHearsOfItsRunWithoutWaitingForItsTurn() throws Exception {
+  void ownerIsReportedItsRunWithoutWaiting() throws Exception {
     start();
-    VmReport report = owner.report();
+    VmReport report = owner.awaitReport();
     while (!report.getWorker().equals(WORKER)) {
-      report = owner.report();
+      report = owner.awaitReport();
     }
     LeaseGrant lease =
         LeaseGrant.newBuilder()
@@ -189,7 +189,7 @@
             .build();
     StartRun start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(RUN))
+            .setTask(WorkflowCodec.encode(RUN))
             .setProgram("program")
             .setMilliProcessors(500)
             .build();
@@ -204,7 +204,7 @@
                     .addStarts(start))
             .build());
     assertTrue(
-        isToldBetweenRegularReports(
+        isReportedBetweenPeriodicReports(
             owner, change -> change.getRunsList().stream().anyMatch(run -> run.getStarted())),
         "the start is reported by periodic reports only");
   }
