--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
@@ -36,11 +36,11 @@
   /**
    * Creates a scheduler without a scheduled request.
    *
-   * @param look requests a listing and calls {@link #completed} when the request completes
+   * @param requestListing requests a listing and calls {@link #completed} when the request completes
    */
-  ListingScheduler(LinkLoop loop, Runnable look) {
+  ListingScheduler(LinkLoop loop, Runnable requestListing) {
     this.loop = requireNonNull(loop, "loop");
-    this.requestListing = requireNonNull(look, "look");
+    this.requestListing = requireNonNull(requestListing, "requestListing");
   }
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
@@ -11,7 +11,7 @@
  * Decides when a side process reports a change to an entry.
  *
  * <p>A change of a run is reported at once only to the entry that owns the run. The other entries
- * need only the free resources, and are reported to at an interval that grows with the number of
+ * need only the free capacity, and are reported to at an interval that grows with the number of
  * entries, so that a side process sends as many reports a second to ten entries as to two. A change
  * of whether the VM accepts work is reported to all entries at once.
  *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -35,7 +35,7 @@
   private final WorkerGateway gateway;
   private final String worker;
   private final Overcommit overcommit;
-  private final BestEffortThrottler pacer = new BestEffortThrottler();
+  private final BestEffortThrottler bestEffortThrottler = new BestEffortThrottler();
   private final ImageInterference interference = new ImageInterference();
   private final Map<String, Boolean> loggedAsInterfering = new HashMap<>();
   private final FoldedLog throttleLog;
@@ -49,9 +49,9 @@
     this.throttleLog = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
-  /** Returns the share of its speed at which an interfering run may work, 0 to 100. */
+  /** Returns the CPU share that an interfering run gets, 0 to 100 percent. */
   int interferingPercent() {
-    return pacer.interferingPercent();
+    return bestEffortThrottler.interferingPercent();
   }
 
   /** Returns whether the image is believed to interfere with service tasks. */
@@ -101,14 +101,14 @@
             new BestEffortThrottler.TailReading(run.measurement(), run.latencyTargetMillis()));
       }
     }
-    List<ImageInterference.ImageLoad> use = bestEffortUse(runs);
+    List<ImageInterference.ImageLoad> loads = imageLoads(runs);
     if (!readings.isEmpty()) {
-      interference.observe(use, BestEffortThrottler.worstPercent(readings));
+      interference.observe(loads, BestEffortThrottler.worstPercent(readings));
     }
     observeCpuUse(runs, BestEffortThrottler.worstPercent(readings));
-    logClassificationChanges(use);
-    int before = pacer.interferingPercent();
-    int after = pacer.observe(readings, bestEffortRequests(runs, capacityMilli), loop.now());
+    logClassificationChanges(loads);
+    int before = bestEffortThrottler.interferingPercent();
+    int after = bestEffortThrottler.observe(readings, bestEffortLoad(runs, capacityMilli), loop.now());
     if (before != after) {
       throttleLog.tell(
           "fill-paced",
@@ -141,8 +141,8 @@
   }
 
   /** Logs the images on this VM that have become, or are no longer, classified as interfering. */
-  private void logClassificationChanges(List<ImageInterference.ImageLoad> use) {
-    for (ImageInterference.ImageLoad each : use) {
+  private void logClassificationChanges(List<ImageInterference.ImageLoad> loads) {
+    for (ImageInterference.ImageLoad each : loads) {
       boolean interfering = isInterfering(each.image());
       Boolean before = loggedAsInterfering.put(each.image(), interfering);
       if (before != null && before != interfering) {
@@ -156,7 +156,7 @@
     }
   }
 
-  private BestEffortThrottler.BestEffortLoad bestEffortRequests(
+  private BestEffortThrottler.BestEffortLoad bestEffortLoad(
       Collection<SideRun> runs, long capacityMilli) {
     long interferingMilli = 0;
     long benignMilli = 0;
@@ -170,26 +170,26 @@
     return new BestEffortThrottler.BestEffortLoad(interferingMilli, benignMilli, capacityMilli);
   }
 
-  private static List<ImageInterference.ImageLoad> bestEffortUse(Collection<SideRun> runs) {
+  private static List<ImageInterference.ImageLoad> imageLoads(Collection<SideRun> runs) {
     Map<String, Double> used = new HashMap<>();
     for (SideRun run : runs) {
       if (run.isBestEffort() && run.isListed()) {
         used.merge(run.image(), (double) run.measurement(), Double::sum);
       }
     }
-    List<ImageInterference.ImageLoad> use = new ArrayList<>();
-    used.forEach((image, milli) -> use.add(new ImageInterference.ImageLoad(image, milli)));
-    return use;
+    List<ImageInterference.ImageLoad> loads = new ArrayList<>();
+    used.forEach((image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
+    return loads;
   }
 
-  /** Returns the observations of image interference made on this VM. */
-  Map<String, ImageInterference.Evidence> localObservations() {
+  /** Returns the evidence of image interference observed on this VM. */
+  Map<String, ImageInterference.Evidence> localEvidence() {
     return interference.localEvidence();
   }
 
-  /** Replaces the observations of image interference made on other VMs. */
-  void remoteObservations(Map<String, ImageInterference.Evidence> observations) {
-    interference.setRemoteEvidence(observations);
+  /** Replaces the evidence of image interference observed on other VMs. */
+  void setRemoteEvidence(Map<String, ImageInterference.Evidence> evidence) {
+    interference.setRemoteEvidence(evidence);
   }
 
   private void logLoad(Collection<SideRun> runs, List<BestEffortThrottler.TailReading> readings) {
@@ -215,8 +215,8 @@
             .with("filling", bestEffort)
             .with("fill_declared_milli", declared)
             .with("fill_used_milli", used)
-            .with("fill_percent", pacer.interferingPercent())
-            .with("harmless_percent", pacer.benignPercent())
+            .with("fill_percent", bestEffortThrottler.interferingPercent())
+            .with("harmless_percent", bestEffortThrottler.benignPercent())
             .with("serving", readings.size())
             .with(
                 "tails_ms",
@@ -225,7 +225,7 @@
 
   /** Throttles a best-effort run to the current CPU share, unless the worker already applies it. */
   void throttle(SideRun run) {
-    int percent = isInterfering(run.image()) ? pacer.interferingPercent() : pacer.benignPercent();
+    int percent = isInterfering(run.image()) ? bestEffortThrottler.interferingPercent() : bestEffortThrottler.benignPercent();
     if (!run.isBestEffort()
         || run.isThrottledTo(percent)
         || run.isStopping()
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -98,13 +98,13 @@
    * would never be confirmed, and a run that later disappears from listings would never count as
    * ended. A stop is confirmed only by its own response.
    */
-  void listed(String newCheckpoint, int newPercent, long newGauge) {
+  void applyListing(String newCheckpoint, int newPercent, long newMeasurement) {
     listed = true;
     confirmed |= !stopping;
     missedListings = 0;
     checkpoint = newCheckpoint;
     progressPercent = newPercent;
-    measurement = newGauge;
+    measurement = newMeasurement;
   }
 
   boolean isListed() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -20,10 +20,10 @@
   private final ResourceLedger resources;
   private final RunThrottler throttler;
 
-  StartAdmission(WorkerLease time, ResourceLedger room, RunThrottler pacing) {
-    this.workerLease = requireNonNull(time, "time");
-    this.resources = requireNonNull(room, "room");
-    this.throttler = requireNonNull(pacing, "pacing");
+  StartAdmission(WorkerLease workerLease, ResourceLedger resources, RunThrottler throttler) {
+    this.workerLease = requireNonNull(workerLease, "workerLease");
+    this.resources = requireNonNull(resources, "resources");
+    this.throttler = requireNonNull(throttler, "throttler");
   }
 
   /** Returns the resources that the ordered run declares. */
@@ -61,13 +61,13 @@
       return Optional.of("the worker is draining");
     }
     if (!workerLease.mayStart(partition)) {
-      return Optional.of("the owner's ownership evidence is too old");
+      return Optional.of("the ownership evidence for the partition is missing or too old");
     }
     if (hasUnknownSizes(runs)) {
       return Optional.of("the resource sizes of some runs on the worker are not known yet");
     }
-    boolean bound = order.getFills() && !order.getStarved();
-    if (bound && serviceTaskCount(runs) > 0 && exceedsInterferingLimit(order, runs)) {
+    boolean limited = order.getFills() && !order.getStarved();
+    if (limited && serviceTaskCount(runs) > 0 && exceedsInterferingLimit(order, runs)) {
       return Optional.of("the limit of interfering tasks beside service tasks is reached");
     }
     return resources.tryBook(key, claim(order))
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
@@ -6,7 +6,7 @@
 
 /**
  * The health of a worker: it is unhealthy, and gets no new work, while it leaves listings
- * unanswered and for a back-off time after it refused an order or left one unanswered. Also stores
+ * unanswered and for a backoff time after it refused an order or left one unanswered. Also stores
  * the value last reported to the entries. Confined to the loop's thread.
  */
 final class WorkerHealth {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerLease.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerLease.java
@@ -59,8 +59,8 @@
    * Records evidence that an owner held the partition at a time on the worker's clock; returns
    * whether its epoch is the highest so far.
    */
-  boolean recordEvidence(int partition, long epoch, long at) {
-    return evidenceLedger.observe(partition, epoch, at);
+  boolean recordEvidence(int partition, long epoch, long workerClock) {
+    return evidenceLedger.observe(partition, epoch, workerClock);
   }
 
   /** Returns whether the evidence for the partition allows a run to start under the deadline. */
@@ -84,12 +84,12 @@
    * @return the new deadline; empty if it is unchanged
    */
   OptionalLong extend(Set<Integer> partitions) {
-    OptionalLong until = evidenceLedger.deadline(partitions);
-    if (until.isEmpty() || until.getAsLong() <= deadline) {
+    OptionalLong newDeadline = evidenceLedger.deadline(partitions);
+    if (newDeadline.isEmpty() || newDeadline.getAsLong() <= deadline) {
       return OptionalLong.empty();
     }
-    deadline = until.getAsLong();
-    return until;
+    deadline = newDeadline.getAsLong();
+    return newDeadline;
   }
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -107,6 +107,7 @@
     initialized = true;
   }
 
+  /** Starts polling the worker. */
   void start() {
     listings.requestNow();
   }
@@ -141,7 +142,7 @@
    *
    * <p>This includes a worker with runs of unknown resource sizes. Entries that do not own these
    * runs would otherwise take the VM for empty and send it all waiting tasks, only to be refused,
-   * while other VMs have free resources.
+   * while other VMs have free capacity.
    */
   boolean isUnhealthy() {
     return health.isUnhealthy(loop.now()) || StartAdmission.hasUnknownSizes(runs.values());
@@ -374,14 +375,14 @@
 
   private void requestListing() {
     // An unresponsive worker may still receive the last deadline; its lease must be able to expire.
-    OptionalLong until =
+    OptionalLong newDeadline =
         health.isUnresponsive() ? OptionalLong.empty() : lease.extend(activePartitions());
     long maxWait = serviceTaskCount() > 0 ? SERVICE_LISTING_WAIT_MILLIS : LISTING_WAIT_MILLIS;
     Set<RunKey> confirmed = new HashSet<>();
     runs.values().stream().filter(SideRun::isConfirmed).forEach(run -> confirmed.add(run.key()));
     long wait = ends.isAllAcknowledged() ? maxWait : 0;
     ListingScheduler.resultOf(
-            worker, () -> gateway.list(worker, until, ends.acknowledgedUpTo(), wait))
+            worker, () -> gateway.list(worker, newDeadline, ends.acknowledgedUpTo(), wait))
         .thenAccept(result -> loop.run(() -> handleListingResult(result, confirmed)));
   }
 
@@ -394,9 +395,8 @@
       end("another incarnation of the worker responded");
       return;
     }
-    // Scheduled first, so that an exception below cannot end the polling of the worker: owners
-    // would
-    // then consider its runs active forever.
+    // Scheduled first, so that an exception below cannot end the polling of the worker. Owners
+    // would then consider its runs active forever.
     listings.scheduleAfter(RETRY_DELAY_NANOS);
     if (result instanceof ListingFailed failed) {
       health.recordListingFailure(failed.reason(), loop.now()).ifPresent(LOG::info);
@@ -441,20 +441,20 @@
   }
 
   private void applyListing(Listing listing, Set<RunKey> confirmed) {
-    Set<RunKey> mentioned = new HashSet<>();
+    Set<RunKey> listed = new HashSet<>();
     for (EndedRun end : listing.ended()) {
-      mentioned.add(end.run());
+      listed.add(end.run());
       applyEnd(end);
     }
-    for (ActiveRun row : listing.running()) {
-      mentioned.add(row.run());
-      applyActiveRun(row);
+    for (ActiveRun active : listing.running()) {
+      listed.add(active.run());
+      applyActiveRun(active);
     }
     if (listing.isTruncated()) {
       return;
     }
     for (SideRun run : List.copyOf(runs.values())) {
-      boolean missing = !mentioned.contains(run.key()) && confirmed.contains(run.key());
+      boolean missing = !listed.contains(run.key()) && confirmed.contains(run.key());
       if (missing && run.countMissedListing()) {
         recordEnd(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker no longer lists the run");
       }
@@ -468,29 +468,29 @@
     recordEnd(end.run(), end.outcome(), end.checkpoint(), end.sequence(), "listed by the worker");
   }
 
-  private void applyActiveRun(ActiveRun row) {
-    SideRun run = runs.get(row.run());
+  private void applyActiveRun(ActiveRun active) {
+    SideRun run = runs.get(active.run());
     if (run == null) {
-      if (ends.contains(row.run())) {
+      if (ends.contains(active.run())) {
         return;
       }
       LOG.info(
           LogLine.of(initialized ? "run-appeared" : "run-adopted")
-              .with("run", row.run())
+              .with("run", active.run())
               .with("worker", worker));
-      run = new SideRun(row.run(), partitionOf(row.run()), Optional.empty());
-      runs.put(row.run(), run);
+      run = new SideRun(active.run(), partitionOf(active.run()), Optional.empty());
+      runs.put(active.run(), run);
     }
     boolean first = !run.isListed();
-    run.listed(row.checkpoint(), row.percent(), row.measurement());
+    run.applyListing(active.checkpoint(), active.percent(), active.measurement());
     if (first) {
       listener.runChanged(run.partition());
     }
   }
 
   /**
-   * Stops the runs of owners without recent evidence. The worker has one lease deadline for all its
-   * runs, so these would otherwise hold it back until it ends the other runs, too.
+   * Stops the runs of owners without recent evidence. The oldest evidence bounds the worker's only
+   * lease deadline, which would otherwise pass and end the runs of the other owners as well.
    */
   private void stopRunsOfUnresponsiveOwners() {
     Set<Integer> overdue = lease.overduePartitions(activePartitions());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSessionListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSessionListener.java
@@ -5,10 +5,10 @@
   /** The VM started or stopped accepting work; to be reported to all entries at once. */
   void availabilityChanged();
 
-  /** The capacity or the free resources of the VM have changed; not urgent. */
+  /** The total or the free capacity of the VM have changed; not urgent. */
   void capacityChanged();
 
-  /** A run of the partition has changed, and possibly the free resources of the VM. */
+  /** A run of the partition has changed, and possibly the free capacity of the VM. */
   void runChanged(int partition);
 
   /** The worker incarnation of the session has ended. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
@@ -48,8 +48,8 @@
   private int listings;
 
   FakeWorkerGateway(
-      String life, ScheduledExecutorService timer, RunHistory history, long runMillis) {
-    this.incarnation = life;
+      String incarnation, ScheduledExecutorService timer, RunHistory history, long runMillis) {
+    this.incarnation = incarnation;
     this.timer = timer;
     this.history = history;
     this.runMillis = runMillis;
@@ -153,7 +153,7 @@
   public synchronized CompletableFuture<OrderResult> start(String worker, StartOrder start) {
     startRequests.add(start.run());
     if (unresponsive) {
-      return completeSoon(new OrderOutcomeUnknown("silent"));
+      return completeSoon(new OrderOutcomeUnknown("injected: no answer"));
     }
     if (startsToDrop > 0) {
       startsToDrop--;
@@ -227,7 +227,7 @@
   @Override
   public synchronized CompletableFuture<OrderResult> stop(String worker, RunKey run) {
     if (unresponsive) {
-      return completeSoon(new OrderOutcomeUnknown("silent"));
+      return completeSoon(new OrderOutcomeUnknown("injected: no answer"));
     }
     if (!worker.equals(incarnation)) {
       return completeSoon(new IncarnationMismatch());
@@ -249,7 +249,7 @@
       String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     synchronized (this) {
       if (unresponsive) {
-        return completeSoon(new ListingFailed("silent"));
+        return completeSoon(new ListingFailed("injected: no answer"));
       }
       if (!worker.equals(incarnation)) {
         return completeSoon(new IncarnationMismatch());
@@ -283,15 +283,15 @@
     }
   }
 
-  private void poll(long until, CompletableFuture<ListingResult> future) {
+  private void poll(long respondBy, CompletableFuture<ListingResult> future) {
     synchronized (this) {
-      if (!ended.isEmpty() || System.nanoTime() - until >= 0) {
+      if (!ended.isEmpty() || System.nanoTime() - respondBy >= 0) {
         ImmutableList.Builder<ActiveRun> rows = ImmutableList.builder();
         running.keySet().forEach(run -> rows.add(new ActiveRun(run, "", 10, measurement)));
         future.complete(new Listing(clock(), rows.build(), ImmutableList.copyOf(ended)));
         return;
       }
     }
-    timer.schedule(() -> poll(until, future), 2, TimeUnit.MILLISECONDS);
+    timer.schedule(() -> poll(respondBy, future), 2, TimeUnit.MILLISECONDS);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -86,8 +86,8 @@
   @Test
   void newOrRemovedEntryIsReportedToAtOnce() {
     assertEquals(7, pacer.dueAt("new", false, 3, 7));
-    pacer.reportSent("back", 7);
-    pacer.remove("back");
-    assertEquals(8, pacer.dueAt("back", false, 3, 8));
+    pacer.reportSent("returning", 7);
+    pacer.remove("returning");
+    assertEquals(8, pacer.dueAt("returning", false, 3, 8));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
@@ -116,9 +116,9 @@
     return extendedAfterExpiry;
   }
 
-  private void extend(long until) {
+  private void extend(long newDeadline) {
     extendedAfterExpiry |= clock() > deadline;
-    deadline = deadline == Long.MAX_VALUE ? until : Math.max(deadline, until);
+    deadline = deadline == Long.MAX_VALUE ? newDeadline : Math.max(deadline, newDeadline);
   }
 
   int listings() {
@@ -148,7 +148,7 @@
   @Override
   public CompletableFuture<OrderResult> start(String worker, StartOrder start) {
     if (unresponsive) {
-      return after(1, () -> new OrderOutcomeUnknown("silent"));
+      return after(1, () -> new OrderOutcomeUnknown("injected: no answer"));
     }
     if (!dropsStarts) {
       extend(start.deadline());
@@ -187,7 +187,7 @@
       return CompletableFuture.failedFuture(new IllegalStateException("injected failure"));
     }
     if (unresponsive) {
-      return after(failureDelayMillis, () -> new ListingFailed("silent"));
+      return after(failureDelayMillis, () -> new ListingFailed("injected: no answer"));
     }
     newDeadline.ifPresent(this::extend);
     acknowledgedUpTo = acknowledged;
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -27,13 +27,13 @@
   private static final int TASKS = 120;
   private static final int ROUNDS = 6;
 
-  /** Minimum interval between two reports of changes to an entry that owns no runs on the VM. */
+  /** Minimum interval of change reports to an entry that owns no runs, in nanoseconds. */
   private static final long CHANGE_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** Interval of the periodic reports of a side process, in nanoseconds. */
   private static final long PERIODIC_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("non-owner", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
   private final AtomicInteger redundantReports = new AtomicInteger();
@@ -42,17 +42,17 @@
 
   @BeforeEach
   void start() throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", 5);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", 5);
+    cluster.awaitReady();
     server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new ReportCounter());
     server.start();
     nonOwner = new EntryMember("127.0.0.1", server.port(), 1).toString();
-    world.store().join(nonOwner, Long.MAX_VALUE);
-    world.await(
+    cluster.store().join(nonOwner, Long.MAX_VALUE);
+    cluster.await(
         "the second entry owns half of the partitions",
         () -> partitionsOfNonOwner() == WorkflowTestCluster.PARTITIONS / 2);
-    world.await("the side process reports to the second entry", () -> reports.get() > 0);
+    cluster.await("the side process reports to the second entry", () -> reports.get() > 0);
   }
 
   @AfterEach
@@ -61,7 +61,7 @@
       server.close();
     }
     loop.close();
-    world.close();
+    cluster.close();
   }
 
   private long partitionsOfNonOwner() {
@@ -72,7 +72,7 @@
 
   private String owner(int partition) {
     WorkflowStore.Owners owners =
-        assertInstanceOf(WorkflowStore.Owners.class, world.store().owners().join());
+        assertInstanceOf(WorkflowStore.Owners.class, cluster.store().owners().join());
     return owners.byPartition().getOrDefault(partition, "");
   }
 
@@ -97,8 +97,8 @@
     long began = System.nanoTime();
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
-    world.await("all tasks are done", () -> world.status(0, id) == QueryResult.DONE);
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
+    cluster.await("all tasks are done", () -> cluster.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
     int received = reports.get() - before;
     // Two more reports may fall on the boundaries of the interval.
@@ -119,8 +119,8 @@
       long submitted = id;
       assertInstanceOf(
           WorkflowStore.Appended.class,
-          world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
-      world.await("all tasks are done", () -> world.status(0, submitted) == QueryResult.DONE);
+          cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
+      cluster.await("all tasks are done", () -> cluster.status(0, submitted) == QueryResult.DONE);
     }
     assertEquals(0, redundantReports.get(), "change reports without a change");
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
@@ -72,7 +72,7 @@
     assertEquals(Optional.empty(), reserveOrRefuse(FIRST, 500, false));
   }
 
-  /** Two owners see free resources for one more run and send orders at once: one is refused. */
+  /** Two owners see free capacity for one more run and send orders at once: one is refused. */
   @Test
   void secondOfTwoOwnersIsRefusedWhenResourcesAreInsufficient() {
     assertEquals(Optional.empty(), reserveOrRefuse(FIRST, 600, false));
@@ -83,7 +83,7 @@
   @Test
   void ownerWithoutEvidenceIsRefused() {
     assertEquals(
-        Optional.of("the owner's ownership evidence is too old"),
+        Optional.of("the ownership evidence for the partition is missing or too old"),
         admission.reserveOrRefuse(FIRST, PARTITION + 1, order(1), false, List.of()));
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -133,7 +133,7 @@
   /**
    * A side process restarts while the owner of its runs is unreachable. If the VM looked empty to
    * the other owners, they would send it all waiting tasks and be refused, again and again,
-   * although other VMs have free resources.
+   * although other VMs have free capacity.
    */
   @Test
   void vmIsUnhealthyWhileTheSizesOfItsRunsAreUnknown() {
