--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -49,18 +49,13 @@
   /** How long a listing request waits at the worker for a run to end, in milliseconds. */
   private static final long LISTING_WAIT_MILLIS = 900;
 
-  /**
-   * The same while service tasks run, in milliseconds: their tail latencies are measured every half
-   * second.
-   */
+  /** The same while service tasks run: their tail latency is measured every half second. */
   private static final long SERVICE_LISTING_WAIT_MILLIS = 450;
 
   /** Maximum delay of the next listing to await acknowledgements of ends, in nanoseconds. */
   private static final long ACKNOWLEDGEMENT_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** Delay before an order or a listing request is retried, in nanoseconds. */
   private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
-
   private static final int MAX_START_TRIES = 3;
 
   private final LinkLoop loop;
@@ -107,7 +102,6 @@
     initialized = true;
   }
 
-  /** Starts polling the worker. */
   void start() {
     listings.requestNow();
   }
@@ -164,15 +158,11 @@
     return throttler;
   }
 
-  /** Returns the number of runs with a latency target. */
   int serviceTaskCount() {
     return StartAdmission.serviceTaskCount(runs.values());
   }
 
-  /**
-   * Records evidence that an owner held the partition at a time on the worker's clock, in
-   * milliseconds; returns whether its epoch is the highest so far.
-   */
+  /** Records ownership evidence, see {@link WorkerLease#recordEvidence}. */
   boolean recordEvidence(int partition, long epoch, long workerClock) {
     return lease.recordEvidence(partition, epoch, workerClock);
   }
@@ -181,10 +171,7 @@
     return WorkflowIds.partition(key.task().workflow(), partitions);
   }
 
-  /**
-   * Sends a start order to the worker, or refuses it at once. An order for a known run is not sent
-   * again; for a run of unknown sizes it supplies them.
-   */
+  /** Sends a start order to the worker, or refuses it; orders for known runs are not repeated. */
   void start(RunKey key, StartRun order, String program) {
     SideRun known = runs.get(key);
     if (known != null) {
@@ -227,10 +214,10 @@
             run.order().orElseThrow().getTicket());
     gateway
         .start(worker, start)
-        .thenAccept(result -> loop.run(() -> handleStartResult(run, tries, result)));
+        .thenAccept(result -> loop.run(() -> onStartResult(run, tries, result)));
   }
 
-  private void handleStartResult(SideRun run, int tries, OrderResult result) {
+  private void onStartResult(SideRun run, int tries, OrderResult result) {
     if (closed || runs.get(run.key()) != run || run.isStopping()) {
       return;
     }
@@ -302,10 +289,7 @@
     notifyAvailability();
   }
 
-  /**
-   * Stops a run. An unknown run is stopped as well, so that the worker does not execute a delayed
-   * start order for it.
-   */
+  /** Stops a run, even an unknown one: a delayed start order for it must not be executed. */
   void stop(RunKey key) {
     if (ends.contains(key)) {
       return;
@@ -323,12 +307,10 @@
   }
 
   private void sendStop(SideRun run) {
-    gateway
-        .stop(worker, run.key())
-        .thenAccept(result -> loop.run(() -> handleStopResult(run, result)));
+    gateway.stop(worker, run.key()).thenAccept(result -> loop.run(() -> onStopResult(run, result)));
   }
 
-  private void handleStopResult(SideRun run, OrderResult result) {
+  private void onStopResult(SideRun run, OrderResult result) {
     if (closed || runs.get(run.key()) != run) {
       return;
     }
@@ -383,10 +365,10 @@
     long wait = ends.isAllAcknowledged() ? maxWait : 0;
     ListingScheduler.resultOf(
             worker, () -> gateway.list(worker, newDeadline, ends.acknowledgedUpTo(), wait))
-        .thenAccept(result -> loop.run(() -> handleListingResult(result, confirmed)));
+        .thenAccept(result -> loop.run(() -> onListingResult(result, confirmed)));
   }
 
-  private void handleListingResult(ListingResult result, Set<RunKey> confirmed) {
+  private void onListingResult(ListingResult result, Set<RunKey> confirmed) {
     listings.completed();
     if (closed) {
       return;
@@ -395,8 +377,7 @@
       end("another incarnation of the worker responded");
       return;
     }
-    // Scheduled first, so that an exception below cannot end the polling of the worker. Owners
-    // would then consider its runs active forever.
+    // Scheduled first: without another listing, owners would consider the runs active forever.
     listings.scheduleAfter(RETRY_DELAY_NANOS);
     if (result instanceof ListingFailed failed) {
       health.recordListingFailure(failed.reason(), loop.now()).ifPresent(LOG::info);
@@ -431,12 +412,7 @@
    */
   private void recordLapsedRuns() {
     for (SideRun run : List.copyOf(runs.values())) {
-      recordEnd(
-          run.key(),
-          RunOutcome.LAPSED,
-          "",
-          0,
-          "the worker is not responding and its lease has expired");
+      recordEnd(run.key(), RunOutcome.LAPSED, "", 0, "the unresponsive worker's lease expired");
     }
   }
 
@@ -488,10 +464,7 @@
     }
   }
 
-  /**
-   * Stops the runs of owners without recent evidence. The oldest evidence bounds the worker's only
-   * lease deadline, which would otherwise pass and end the runs of the other owners as well.
-   */
+  /** Stops runs whose outdated evidence would let the worker's lease expire for all its runs. */
   private void stopRunsOfUnresponsiveOwners() {
     Set<Integer> overdue = lease.overduePartitions(activePartitions());
     for (SideRun run : new ArrayList<>(runs.values())) {
