--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
@@ -36,7 +36,8 @@
   /**
    * Creates a scheduler without a scheduled request.
    *
-   * @param requestListing requests a listing and calls {@link #completed} when the request completes
+   * @param requestListing requests a listing and calls {@link #completed} when the request
+   *     completes
    */
   ListingScheduler(LinkLoop loop, Runnable requestListing) {
     this.loop = requireNonNull(loop, "loop");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -108,7 +108,8 @@
     observeCpuUse(runs, BestEffortThrottler.worstPercent(readings));
     logClassificationChanges(loads);
     int before = bestEffortThrottler.interferingPercent();
-    int after = bestEffortThrottler.observe(readings, bestEffortLoad(runs, capacityMilli), loop.now());
+    int after =
+        bestEffortThrottler.observe(readings, bestEffortLoad(runs, capacityMilli), loop.now());
     if (before != after) {
       throttleLog.tell(
           "fill-paced",
@@ -225,7 +226,10 @@
 
   /** Throttles a best-effort run to the current CPU share, unless the worker already applies it. */
   void throttle(SideRun run) {
-    int percent = isInterfering(run.image()) ? bestEffortThrottler.interferingPercent() : bestEffortThrottler.benignPercent();
+    int percent =
+        isInterfering(run.image())
+            ? bestEffortThrottler.interferingPercent()
+            : bestEffortThrottler.benignPercent();
     if (!run.isBestEffort()
         || run.isThrottledTo(percent)
         || run.isStopping()
