--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
@@ -15,16 +15,16 @@
 import java.util.function.Supplier;
 
 /**
- * When a worker is asked for its next listing: one is under way or one is planned, never two.
+ * Schedules the listing requests to a worker: one is either in flight or scheduled, never both.
  *
- * <p>Guards against listings that multiply: asked for early while one is planned, a second chain of
- * them would begin, and each chain asks for as long as the worker lives. A plan takes the place of
- * the one before. Confined to the loop's thread.
+ * <p>Each listing schedules the next one. Without this rule a request made early, while another is
+ * scheduled, would start a second chain of requests that lasts as long as the worker. Scheduling a
+ * request therefore replaces the one scheduled before. Confined to the loop's thread.
  */
 final class ListingScheduler {
   private static final EventLog LOG = EventLog.of(ListingScheduler.class);
 
-  /** Until the next try where asking threw, in nanoseconds. */
+  /** Delay before the next request after one that threw, in nanoseconds. */
   private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final LinkLoop loop;
@@ -34,21 +34,22 @@
   private boolean closed;
 
   /**
-   * Creates turns of which none is planned.
+   * Creates a scheduler without a scheduled request.
    *
-   * @param look asks for a listing and calls {@link #completed} once it is answered
+   * @param requestListing requests a listing and calls {@link #completed} when the request
+   *     completes
    */
-  ListingScheduler(LinkLoop loop, Runnable look) {
+  ListingScheduler(LinkLoop loop, Runnable requestListing) {
     this.loop = requireNonNull(loop, "loop");
-    this.requestListing = requireNonNull(look, "look");
+    this.requestListing = requireNonNull(requestListing, "requestListing");
   }
 
   /**
-   * Asks now, unless a listing is under way, which plans the next one itself.
+   * Requests a listing now, unless one is in flight.
    *
-   * <p>Guards against a worker that is never asked again: where asking throws, no answer comes that
-   * would end the turn and plan the next one, and what ran then counts as at work for good. So the
-   * turn ends here, and the next one is planned.
+   * <p>If the request throws, no response arrives that would schedule the next request: the worker
+   * would never be polled again and its runs would count as active forever. The request then counts
+   * as completed, and a retry is scheduled.
    */
   void requestNow() {
     if (closed || inFlight) {
@@ -66,11 +67,11 @@
   }
 
   /**
-   * Returns what the listing brings; its future never completes exceptionally.
+   * Returns the result of a listing request; the future never completes exceptionally.
    *
-   * <p>Guards against a listing whose exception nobody hears: the turn would never end, the worker
-   * would go on to get orders, and what it ran would count as at work also after its lease. A
-   * listing that throws or ends with an exception is one without an answer.
+   * <p>A request that throws or whose future fails counts as unanswered. An unhandled exception
+   * would leave the request in flight forever: the worker would still receive orders, and its runs
+   * would count as active even after its lease has expired.
    */
   static CompletableFuture<ListingResult> resultOf(
       String worker, Supplier<CompletableFuture<ListingResult>> listing) {
@@ -85,7 +86,7 @@
             });
   }
 
-  /** Plans the next listing, in place of what was planned. */
+  /** Schedules the next request and cancels the one scheduled before. */
   void scheduleAfter(long delayNanos) {
     if (closed) {
       return;
@@ -94,7 +95,7 @@
     scheduled = Optional.of(loop.schedule(this::requestNow, delayNanos));
   }
 
-  /** Takes note that the listing under way was answered. */
+  /** Marks the request in flight as completed. */
   void completed() {
     inFlight = false;
   }
@@ -105,7 +106,7 @@
   }
 
   private void cancelScheduled() {
-    scheduled.ifPresent(plan -> plan.cancel(false));
+    scheduled.ifPresent(request -> request.cancel(false));
     scheduled = Optional.empty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -19,23 +19,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Carries out what {@link BestEffortThrottler} decides for one worker. Confined to the loop's
- * thread.
+ * Throttles the best-effort runs of one worker as {@link BestEffortThrottler} decides. Confined to
+ * the loop's thread.
  */
 final class RunThrottler {
   private static final EventLog LOG = EventLog.of(RunThrottler.class);
 
-  /** Between two lines about the load of a worker, in nanoseconds. */
+  /** Interval between two log lines about the load of a worker, in nanoseconds. */
   private static final long LOAD_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** How long changes of the share are gathered before the last is told, in nanoseconds. */
+  /** How long changes of the CPU share are aggregated into one log line, in nanoseconds. */
   private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
   private final WorkerGateway gateway;
   private final String worker;
   private final Overcommit overcommit;
-  private final BestEffortThrottler pacer = new BestEffortThrottler();
+  private final BestEffortThrottler bestEffortThrottler = new BestEffortThrottler();
   private final ImageInterference interference = new ImageInterference();
   private final Map<String, Boolean> loggedAsInterfering = new HashMap<>();
   private final FoldedLog throttleLog;
@@ -49,16 +49,17 @@
     this.throttleLog = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
+  /** Returns the CPU share that an interfering run gets, 0 to 100 percent. */
   int interferingPercent() {
-    return pacer.interferingPercent();
+    return bestEffortThrottler.interferingPercent();
   }
 
-  /** Returns whether tasks of the image may disturb tasks that serve. */
+  /** Returns whether the image is believed to interfere with service tasks. */
   boolean isInterfering(String image) {
     return ImageInterference.isInterfering(interference.belief(image));
   }
 
-  /** Returns what the suspects among the runs declare, in thousandths of a processor. */
+  /** Returns the declared processors of the interfering runs, in thousandths of a processor. */
   long interferingMilliProcessors(Collection<SideRun> runs) {
     return interferingRuns(runs).stream().mapToLong(SideRun::milliProcessors).sum();
   }
@@ -68,23 +69,27 @@
   }
 
   /**
-   * Marks the runs that are too many beside tasks that serve, for their owners to move them.
+   * Marks the interfering runs beyond the limit beside service tasks, so that their owners move
+   * them.
    *
    * @param capacityMilli the processors of the VM, in thousandths
+   * @param hasServiceTasks whether service tasks run on the VM
    */
-  private void markExcessRuns(Collection<SideRun> runs, long capacityMilli, boolean serving) {
+  private void markExcessRuns(
+      Collection<SideRun> runs, long capacityMilli, boolean hasServiceTasks) {
     runs.forEach(run -> run.excess(false));
-    if (!serving) {
+    if (!hasServiceTasks) {
       return;
     }
-    List<SideRun> suspects = interferingRuns(runs);
-    List<Long> declared = suspects.stream().map(SideRun::milliProcessors).toList();
+    List<SideRun> interfering = interferingRuns(runs);
+    List<Long> declared = interfering.stream().map(SideRun::milliProcessors).toList();
     InterferenceBudget.excess(capacityMilli, declared)
-        .forEach(position -> suspects.get(position).excess(true));
+        .forEach(position -> interfering.get(position).excess(true));
   }
 
   /**
-   * Decides anew by what the worker just told; returns whether the share changed.
+   * Applies the measurements of the newest listing; returns whether the CPU share of interfering
+   * runs changed.
    *
    * @param capacityMilli the processors of the VM, in thousandths
    */
@@ -96,14 +101,15 @@
             new BestEffortThrottler.TailReading(run.measurement(), run.latencyTargetMillis()));
       }
     }
-    List<ImageInterference.ImageLoad> fillings = bestEffortUse(runs);
+    List<ImageInterference.ImageLoad> loads = imageLoads(runs);
     if (!readings.isEmpty()) {
-      interference.observe(fillings, BestEffortThrottler.worstPercent(readings));
+      interference.observe(loads, BestEffortThrottler.worstPercent(readings));
     }
     observeCpuUse(runs, BestEffortThrottler.worstPercent(readings));
-    logClassificationChanges(fillings);
-    int before = pacer.interferingPercent();
-    int after = pacer.observe(readings, bestEffortRequests(runs, capacityMilli), loop.now());
+    logClassificationChanges(loads);
+    int before = bestEffortThrottler.interferingPercent();
+    int after =
+        bestEffortThrottler.observe(readings, bestEffortLoad(runs, capacityMilli), loop.now());
     if (before != after) {
       throttleLog.tell(
           "fill-paced",
@@ -119,30 +125,30 @@
     return before != after;
   }
 
-  /** Compares what tasks that fill work on with what they would, given the processors for it. */
+  /** Compares the processors that best-effort tasks use with those that they were granted. */
   private void observeCpuUse(Collection<SideRun> runs, double worstPercent) {
-    double asked = 0;
+    double granted = 0;
     double used = 0;
     for (SideRun run : runs) {
       if (run.isBestEffort()
           && run.isListed()
           && run.measurement() > 0
           && run.throttlePercent() > 0) {
-        asked += run.milliProcessors() * run.throttlePercent() / 100.0;
+        granted += run.milliProcessors() * run.throttlePercent() / 100.0;
         used += run.measurement();
       }
     }
-    overcommit.observe(asked, used, worstPercent);
+    overcommit.observe(granted, used, worstPercent);
   }
 
-  /** Logs what images that are here have come to be believed to disturb, or not to. */
-  private void logClassificationChanges(List<ImageInterference.ImageLoad> fillings) {
-    for (ImageInterference.ImageLoad each : fillings) {
-      boolean suspect = isInterfering(each.image());
-      Boolean before = loggedAsInterfering.put(each.image(), suspect);
-      if (before != null && before != suspect) {
+  /** Logs the images on this VM that have become, or are no longer, classified as interfering. */
+  private void logClassificationChanges(List<ImageInterference.ImageLoad> loads) {
+    for (ImageInterference.ImageLoad each : loads) {
+      boolean interfering = isInterfering(each.image());
+      Boolean before = loggedAsInterfering.put(each.image(), interfering);
+      if (before != null && before != interfering) {
         LOG.info(
-            LogLine.of(suspect ? "image-suspected" : "image-cleared")
+            LogLine.of(interfering ? "image-suspected" : "image-cleared")
                 .with("worker", worker)
                 .with("image", each.image())
                 .with("harm", interference.belief(each.image()))
@@ -151,40 +157,40 @@
     }
   }
 
-  private BestEffortThrottler.BestEffortLoad bestEffortRequests(
+  private BestEffortThrottler.BestEffortLoad bestEffortLoad(
       Collection<SideRun> runs, long capacityMilli) {
-    long suspect = 0;
-    long harmless = 0;
+    long interferingMilli = 0;
+    long benignMilli = 0;
     for (SideRun run : runs) {
       if (run.isBestEffort() && run.isListed()) {
-        boolean suspected = isInterfering(run.image());
-        suspect += suspected ? run.milliProcessors() : 0;
-        harmless += suspected ? 0 : run.milliProcessors();
+        boolean interfering = isInterfering(run.image());
+        interferingMilli += interfering ? run.milliProcessors() : 0;
+        benignMilli += interfering ? 0 : run.milliProcessors();
       }
     }
-    return new BestEffortThrottler.BestEffortLoad(suspect, harmless, capacityMilli);
+    return new BestEffortThrottler.BestEffortLoad(interferingMilli, benignMilli, capacityMilli);
   }
 
-  private static List<ImageInterference.ImageLoad> bestEffortUse(Collection<SideRun> runs) {
-    Map<String, Double> worked = new HashMap<>();
+  private static List<ImageInterference.ImageLoad> imageLoads(Collection<SideRun> runs) {
+    Map<String, Double> used = new HashMap<>();
     for (SideRun run : runs) {
       if (run.isBestEffort() && run.isListed()) {
-        worked.merge(run.image(), (double) run.measurement(), Double::sum);
+        used.merge(run.image(), (double) run.measurement(), Double::sum);
       }
     }
-    List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
-    return fillings;
+    List<ImageInterference.ImageLoad> loads = new ArrayList<>();
+    used.forEach((image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
+    return loads;
   }
 
-  /** Returns what was seen here of the harm that images do. */
-  Map<String, ImageInterference.Evidence> localObservations() {
+  /** Returns the evidence of image interference observed on this VM. */
+  Map<String, ImageInterference.Evidence> localEvidence() {
     return interference.localEvidence();
   }
 
-  /** Takes what other VMs saw. */
-  void remoteObservations(Map<String, ImageInterference.Evidence> seen) {
-    interference.setRemoteEvidence(seen);
+  /** Replaces the evidence of image interference observed on other VMs. */
+  void setRemoteEvidence(Map<String, ImageInterference.Evidence> evidence) {
+    interference.setRemoteEvidence(evidence);
   }
 
   private void logLoad(Collection<SideRun> runs, List<BestEffortThrottler.TailReading> readings) {
@@ -193,12 +199,12 @@
       return;
     }
     loggedAt = loop.now();
-    long fills = 0;
+    long bestEffort = 0;
     long declared = 0;
     long used = 0;
     for (SideRun run : runs) {
       if (run.isBestEffort() && run.isListed()) {
-        fills++;
+        bestEffort++;
         declared += run.milliProcessors();
         used += run.measurement();
       }
@@ -207,20 +213,23 @@
         LogLine.of("worker-load")
             .with("worker", worker)
             .with("runs", runs.size())
-            .with("filling", fills)
+            .with("filling", bestEffort)
             .with("fill_declared_milli", declared)
             .with("fill_used_milli", used)
-            .with("fill_percent", pacer.interferingPercent())
-            .with("harmless_percent", pacer.benignPercent())
+            .with("fill_percent", bestEffortThrottler.interferingPercent())
+            .with("harmless_percent", bestEffortThrottler.benignPercent())
             .with("serving", readings.size())
             .with(
                 "tails_ms",
                 readings.stream().map(BestEffortThrottler.TailReading::tailMillis).toList()));
   }
 
-  /** Sets the speed of a run, if it fills and has another one. */
+  /** Throttles a best-effort run to the current CPU share, unless the worker already applies it. */
   void throttle(SideRun run) {
-    int percent = isInterfering(run.image()) ? pacer.interferingPercent() : pacer.benignPercent();
+    int percent =
+        isInterfering(run.image())
+            ? bestEffortThrottler.interferingPercent()
+            : bestEffortThrottler.benignPercent();
     if (!run.isBestEffort()
         || run.isThrottledTo(percent)
         || run.isStopping()
@@ -235,7 +244,7 @@
                 loop.run(
                     () -> {
                       if (!(result instanceof Accepted)) {
-                        // Tried again with the next listing.
+                        // Retried after the next listing.
                         run.markThrottleUnknown();
                       }
                     }));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -11,21 +11,22 @@
 import java.util.Optional;
 
 /**
- * Decides whether one worker is given an order to start: the last word after owners that placed by
- * what they heard last, each without the others. Confined to the loop's thread.
+ * Decides whether a start order is passed to the worker. This is the final admission check: several
+ * owners place runs on the same VM independently, each from its last, possibly stale report.
+ * Confined to the loop's thread.
  */
 final class StartAdmission {
   private final WorkerLease workerLease;
   private final ResourceLedger resources;
   private final RunThrottler throttler;
 
-  StartAdmission(WorkerLease time, ResourceLedger room, RunThrottler pacing) {
-    this.workerLease = requireNonNull(time, "time");
-    this.resources = requireNonNull(room, "room");
-    this.throttler = requireNonNull(pacing, "pacing");
+  StartAdmission(WorkerLease workerLease, ResourceLedger resources, RunThrottler throttler) {
+    this.workerLease = requireNonNull(workerLease, "workerLease");
+    this.resources = requireNonNull(resources, "resources");
+    this.throttler = requireNonNull(throttler, "throttler");
   }
 
-  /** Returns what the ordered run takes. */
+  /** Returns the resources that the ordered run declares. */
   static ResourceLedger.Claim claim(StartRun order) {
     return new ResourceLedger.Claim(
         WorkflowCodec.sizes(
@@ -34,38 +35,44 @@
         order.getStarved() ? Urgency.STARVED : Urgency.ORDINARY);
   }
 
-  /** Returns how many of the runs have a latency target. */
+  /** Returns the number of runs with a latency target. */
   static int serviceTaskCount(Collection<SideRun> runs) {
     return (int) runs.stream().filter(run -> run.latencyTargetMillis() > 0).count();
   }
 
-  /** Returns whether there are runs of which only their owners know what they take. */
+  /**
+   * Returns whether some runs have unknown resource sizes, as runs found on the worker after a
+   * restart have until their owner sends the order again.
+   */
   static boolean hasUnknownSizes(Collection<SideRun> runs) {
     return runs.stream().anyMatch(run -> run.order().isEmpty());
   }
 
   /**
-   * Books room for the run, or returns why it must not start.
+   * Reserves resources for the run, or returns the reason why it must not start.
    *
-   * @param draining whether the worker takes nothing new
-   * @param runs all that is on the worker
+   * @param draining whether the worker accepts no new runs
+   * @param runs all runs on the worker
+   * @return the reason of the refusal; empty if the resources are reserved
    */
   Optional<String> reserveOrRefuse(
       RunKey key, int partition, StartRun order, boolean draining, Collection<SideRun> runs) {
     if (draining) {
-      return Optional.of("the worker leaves");
+      return Optional.of("the worker is draining");
     }
     if (!workerLease.mayStart(partition)) {
-      return Optional.of("the evidence of its owner is too old");
+      return Optional.of("the ownership evidence for the partition is missing or too old");
     }
     if (hasUnknownSizes(runs)) {
-      return Optional.of("what runs here is not known yet");
+      return Optional.of("the resource sizes of some runs on the worker are not known yet");
     }
-    boolean bound = order.getFills() && !order.getStarved();
-    if (bound && serviceTaskCount(runs) > 0 && exceedsInterferingLimit(order, runs)) {
-      return Optional.of("no room beside services");
+    boolean limited = order.getFills() && !order.getStarved();
+    if (limited && serviceTaskCount(runs) > 0 && exceedsInterferingLimit(order, runs)) {
+      return Optional.of("the limit of interfering tasks beside service tasks is reached");
     }
-    return resources.tryBook(key, claim(order)) ? Optional.empty() : Optional.of("no room");
+    return resources.tryBook(key, claim(order))
+        ? Optional.empty()
+        : Optional.of("insufficient capacity");
   }
 
   private boolean exceedsInterferingLimit(StartRun order, Collection<SideRun> runs) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/UnacknowledgedEnds.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/UnacknowledgedEnds.java
@@ -11,10 +11,11 @@
 import java.util.TreeMap;
 
 /**
- * The ends of runs of one worker's life that no owner has made durable yet.
+ * The ends of runs on one worker incarnation that their owners have not yet acknowledged as
+ * durable.
  *
- * <p>A worker forgets ends in the order of their numbers, so the number that may be forgotten stays
- * below the oldest end that nobody has noted. Confined to one thread.
+ * <p>A worker discards ends in the order of their sequence numbers, so the acknowledged number
+ * stays below the oldest unacknowledged end. Confined to one thread.
  */
 final class UnacknowledgedEnds {
   private final Map<RunKey, EndReport> ends = new LinkedHashMap<>();
@@ -23,13 +24,17 @@
   private long acknowledgedUpTo;
   private long highestSequence;
 
-  /** Returns whether the end is listed for the first time. */
+  /** Records the sequence number of a listed end and returns whether it is new. */
   boolean recordSequence(long sequence) {
     highestSequence = Math.max(highestSequence, sequence);
     return sequence > acknowledgedUpTo && seenSequences.add(sequence);
   }
 
-  /** Keeps an end; of one that the worker does not list the sequence is 0. */
+  /**
+   * Adds an end.
+   *
+   * @param sequence the worker's sequence number of the end; 0 if the worker does not list it
+   */
   void add(RunKey run, RunOutcome outcome, String checkpoint, long sequence, String reason) {
     ends.put(
         run,
@@ -45,7 +50,7 @@
     }
   }
 
-  /** Forgets an end that is durable; returns whether it was kept. */
+  /** Removes an end that its owner has made durable; returns whether it was present. */
   boolean acknowledge(RunKey run) {
     EndReport end = ends.remove(run);
     if (end == null) {
@@ -65,12 +70,12 @@
     return ends.values();
   }
 
-  /** Returns the number up to which the worker may forget. */
+  /** Returns the sequence number up to which the worker may discard ends. */
   long acknowledgedUpTo() {
     return acknowledgedUpTo;
   }
 
-  /** Returns whether every end that the worker lists is durable. */
+  /** Returns whether the owners have acknowledged every end that the worker lists. */
   boolean isAllAcknowledged() {
     return unacknowledged.isEmpty();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
@@ -5,11 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether a worker is given nothing, since it refused or left unanswered what it was asked, and
- * whether what entries were last told of that still holds. Confined to the loop's thread.
+ * The health of a worker: it is unhealthy, and gets no new work, while it leaves listings
+ * unanswered and for a backoff time after it refused an order or left one unanswered. Also stores
+ * the value last reported to the entries. Confined to the loop's thread.
  */
 final class WorkerHealth {
-  /** How long a worker that refuses or does not answer gets no new work, in nanoseconds. */
+  /** How long a worker gets no new work after a refused or unanswered order, in nanoseconds. */
   private static final long BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final ListingOutage outage;
@@ -20,36 +21,36 @@
     this.outage = new ListingOutage(worker);
   }
 
-  /** Notes that the worker refused an order, or did not answer it. */
+  /** Records that the worker refused an order or did not answer it. */
   void recordFailure(long now) {
     backoffUntil = now + BACKOFF_NANOS;
   }
 
-  /** Takes a listing without an answer; returns the line that is due, if one is. */
+  /** Records an unanswered listing; returns the log line to write, if any. */
   Optional<LogLine> recordListingFailure(String reason, long now) {
     recordFailure(now);
     return outage.recordFailure(reason, now);
   }
 
-  /** Takes a listing; returns the line that is due if it ends a silence. */
+  /** Records an answered listing; returns a log line if this ends an outage. */
   Optional<LogLine> recordListing(long now) {
     return outage.recordSuccess(now);
   }
 
-  /** Returns whether the last listing was not answered. */
+  /** Returns whether the last listing went unanswered. */
   boolean isUnresponsive() {
     return outage.isOngoing();
   }
 
-  /** Returns whether the worker is given nothing for now. */
+  /** Returns whether the worker gets no new work now. */
   boolean isUnhealthy(long now) {
     return isUnresponsive() || now < backoffUntil;
   }
 
-  /** Takes whether the VM takes nothing now; returns whether that is other than the last time. */
+  /** Stores whether the VM is reported as unhealthy; returns whether the value has changed. */
   boolean updateReported(boolean unhealthy) {
-    boolean changes = reportedUnhealthy != unhealthy;
+    boolean changed = reportedUnhealthy != unhealthy;
     reportedUnhealthy = unhealthy;
-    return changes;
+    return changed;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -35,23 +35,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One life of the VM's worker: carries out orders, renews its lease, and keeps its ends until an
- * owner has noted them.
+ * The session of one worker incarnation: sends orders to the worker, renews its lease, and keeps
+ * the ends of its runs until their owners have acknowledged them.
  *
- * <p>A run is in here from before its order leaves until the worker has listed its end, refused it,
- * or shown several listings without it after it took the last order. So what may still be carried
- * out late keeps its room, and is never called over. Confined to the loop's thread.
+ * <p>A run is kept from before its start order is sent until the worker lists its end, refuses it,
+ * or omits it from several listings after it executed the last order. A run whose order may still
+ * be executed late therefore keeps its resources and is not reported as ended. Confined to the
+ * loop's thread.
  */
 final class WorkerSession {
   private static final EventLog LOG = EventLog.of(WorkerSession.class);
 
-  /** How long a listing waits for an end, in milliseconds. */
+  /** How long a listing request waits at the worker for a run to end, in milliseconds. */
   private static final long LISTING_WAIT_MILLIS = 900;
 
-  /** The same while tasks with a latency target run: their tails are measured each half second. */
+  /** The same while service tasks run: their tail latency is measured every half second. */
   private static final long SERVICE_LISTING_WAIT_MILLIS = 450;
 
-  /** The most that the next listing waits for owners to note ends, in nanoseconds. */
+  /** Maximum delay of the next listing to await acknowledgements of ends, in nanoseconds. */
   private static final long ACKNOWLEDGEMENT_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
@@ -125,16 +126,17 @@
     }
   }
 
-  /** Returns a time that the worker's clock has surely reached, in milliseconds. */
+  /** Returns a time that the worker's clock has certainly reached, in milliseconds. */
   long workerClockLowerBound() {
     return lease.clockLowerBound();
   }
 
   /**
-   * Returns whether the worker is given nothing now.
+   * Returns whether the worker must not get new work now.
    *
-   * <p>Guards against orders in vain: owners that do not own what is unknown here would take the VM
-   * for empty and send it all that waits, while others have room.
+   * <p>This includes a worker with runs of unknown resource sizes. Entries that do not own these
+   * runs would otherwise take the VM for empty and send it all waiting tasks, only to be refused,
+   * while other VMs have free capacity.
    */
   boolean isUnhealthy() {
     return health.isUnhealthy(loop.now()) || StartAdmission.hasUnknownSizes(runs.values());
@@ -160,7 +162,7 @@
     return StartAdmission.serviceTaskCount(runs.values());
   }
 
-  /** Takes evidence that an owner held its partition at a time on the worker's clock. */
+  /** Records ownership evidence, see {@link WorkerLease#recordEvidence}. */
   boolean recordEvidence(int partition, long epoch, long workerClock) {
     return lease.recordEvidence(partition, epoch, workerClock);
   }
@@ -169,7 +171,7 @@
     return WorkflowIds.partition(key.task().workflow(), partitions);
   }
 
-  /** Carries out an order to start, or refuses it at once. */
+  /** Sends a start order to the worker, or refuses it; orders for known runs are not repeated. */
   void start(RunKey key, StartRun order, String program) {
     SideRun known = runs.get(key);
     if (known != null) {
@@ -186,7 +188,7 @@
     int partition = partitionOf(key);
     Optional<String> refusal =
         health.isUnresponsive()
-            ? Optional.of("the worker is silent")
+            ? Optional.of("the worker is not responding")
             : admission.reserveOrRefuse(key, partition, order, heartbeat.draining(), runs.values());
     if (refusal.isPresent()) {
       recordEnd(key, RunOutcome.REFUSED, "", 0, refusal.get());
@@ -212,10 +214,10 @@
             run.order().orElseThrow().getTicket());
     gateway
         .start(worker, start)
-        .thenAccept(result -> loop.run(() -> handleStartResult(run, tries, result)));
+        .thenAccept(result -> loop.run(() -> onStartResult(run, tries, result)));
   }
 
-  private void handleStartResult(SideRun run, int tries, OrderResult result) {
+  private void onStartResult(SideRun run, int tries, OrderResult result) {
     if (closed || runs.get(run.key()) != run || run.isStopping()) {
       return;
     }
@@ -225,7 +227,7 @@
       throttler.throttle(run);
       listener.runChanged(run.partition());
     } else if (result instanceof IncarnationMismatch) {
-      end("it answered as another one");
+      end("another incarnation of the worker responded");
     } else if (result instanceof Refused refused) {
       startRefused(run, refused);
     } else {
@@ -252,7 +254,7 @@
       return;
     }
     if (heartbeat.draining()) {
-      // The worker would end a moment later what it takes now; the stop forbids the first order.
+      // A draining worker would end the run shortly; the stop invalidates the first start order.
       stop(run.key());
       return;
     }
@@ -264,12 +266,12 @@
       recordFailure();
     }
     if (refused.refusal() == Refusal.STALE_ATTEMPT) {
-      // It ended or was stopped here: listings show its end, or it is noted already.
+      // The attempt ended or was stopped; its end is listed or already acknowledged.
       run.confirm();
       return;
     }
     if (run.isStartOutcomeUnknown()) {
-      // An earlier copy of the order may be carried out yet; the stop forbids that.
+      // An earlier copy of the order may still be executed; the stop prevents that.
       stop(run.key());
       return;
     }
@@ -287,7 +289,7 @@
     notifyAvailability();
   }
 
-  /** Stops a run, also one that is not known here: a late order for it must not be carried out. */
+  /** Stops a run, even an unknown one: a delayed start order for it must not be executed. */
   void stop(RunKey key) {
     if (ends.contains(key)) {
       return;
@@ -305,17 +307,15 @@
   }
 
   private void sendStop(SideRun run) {
-    gateway
-        .stop(worker, run.key())
-        .thenAccept(result -> loop.run(() -> handleStopResult(run, result)));
+    gateway.stop(worker, run.key()).thenAccept(result -> loop.run(() -> onStopResult(run, result)));
   }
 
-  private void handleStopResult(SideRun run, OrderResult result) {
+  private void onStopResult(SideRun run, OrderResult result) {
     if (closed || runs.get(run.key()) != run) {
       return;
     }
     if (result instanceof IncarnationMismatch) {
-      end("it answered as another one");
+      end("another incarnation of the worker responded");
     } else if (result instanceof Accepted accepted) {
       lease.recordClock(accepted.workerClock());
       run.confirm();
@@ -333,7 +333,7 @@
     }
   }
 
-  /** Forgets an end that its owner has made durable. */
+  /** Drops an end that its owner has made durable. */
   void acknowledgeEnd(RunKey key) {
     if (ends.acknowledge(key) && ends.isAllAcknowledged() && !health.isUnresponsive()) {
       listings.requestNow();
@@ -350,34 +350,34 @@
   }
 
   private Set<Integer> activePartitions() {
-    Set<Integer> held = new HashSet<>();
-    runs.values().forEach(run -> held.add(run.partition()));
-    return held;
+    Set<Integer> active = new HashSet<>();
+    runs.values().forEach(run -> active.add(run.partition()));
+    return active;
   }
 
   private void requestListing() {
-    // A worker that did not answer may have taken the last deadline; it must be able to pass.
-    OptionalLong until =
+    // An unresponsive worker may still receive the last deadline; its lease must be able to expire.
+    OptionalLong newDeadline =
         health.isUnresponsive() ? OptionalLong.empty() : lease.extend(activePartitions());
-    long wait = serviceTaskCount() > 0 ? SERVICE_LISTING_WAIT_MILLIS : LISTING_WAIT_MILLIS;
+    long maxWait = serviceTaskCount() > 0 ? SERVICE_LISTING_WAIT_MILLIS : LISTING_WAIT_MILLIS;
     Set<RunKey> confirmed = new HashSet<>();
     runs.values().stream().filter(SideRun::isConfirmed).forEach(run -> confirmed.add(run.key()));
-    long waits = ends.isAllAcknowledged() ? wait : 0;
+    long wait = ends.isAllAcknowledged() ? maxWait : 0;
     ListingScheduler.resultOf(
-            worker, () -> gateway.list(worker, until, ends.acknowledgedUpTo(), waits))
-        .thenAccept(result -> loop.run(() -> handleListingResult(result, confirmed)));
+            worker, () -> gateway.list(worker, newDeadline, ends.acknowledgedUpTo(), wait))
+        .thenAccept(result -> loop.run(() -> onListingResult(result, confirmed)));
   }
 
-  private void handleListingResult(ListingResult result, Set<RunKey> confirmed) {
+  private void onListingResult(ListingResult result, Set<RunKey> confirmed) {
     listings.completed();
     if (closed) {
       return;
     }
     if (result instanceof IncarnationMismatch) {
-      end("it answered as another one");
+      end("another incarnation of the worker responded");
       return;
     }
-    // Planned first: without a next listing owners would believe for good that all this runs.
+    // Scheduled first: without another listing, owners would consider the runs active forever.
     listings.scheduleAfter(RETRY_DELAY_NANOS);
     if (result instanceof ListingFailed failed) {
       health.recordListingFailure(failed.reason(), loop.now()).ifPresent(LOG::info);
@@ -388,9 +388,9 @@
       return;
     }
     health.recordListing(loop.now()).ifPresent(LOG::info);
-    Listing shown = (Listing) result;
-    lease.recordClock(shown.workerClock());
-    applyListing(shown, confirmed);
+    Listing listing = (Listing) result;
+    lease.recordClock(listing.workerClock());
+    applyListing(listing, confirmed);
     notifyAvailability();
     stopRunsOfUnresponsiveOwners();
     if (throttler.observe(runs.values(), resources.capacity().milliProcessors())) {
@@ -404,35 +404,35 @@
   }
 
   /**
-   * Counts everything as over on a worker that has been silent past every deadline it was given.
+   * Records all runs as lapsed once the lease of an unresponsive worker has expired.
    *
-   * <p>Guards against tasks that are nowhere: a worker that is gone for good and that no other one
-   * replaces answers nothing, so nobody ever tells the end of what it ran. A worker that is only
-   * cut off has ended it by itself by then, and takes no order that was sent before.
+   * <p>A worker that has failed permanently and is not replaced never lists the ends of its runs,
+   * so their tasks would count as active forever. A worker that is only disconnected has ended its
+   * runs by then, and refuses start orders whose deadline has passed.
    */
   private void recordLapsedRuns() {
     for (SideRun run : List.copyOf(runs.values())) {
-      recordEnd(run.key(), RunOutcome.LAPSED, "", 0, "the worker is silent and its lease over");
+      recordEnd(run.key(), RunOutcome.LAPSED, "", 0, "the unresponsive worker's lease expired");
     }
   }
 
-  private void applyListing(Listing shown, Set<RunKey> confirmed) {
-    Set<RunKey> mentioned = new HashSet<>();
-    for (EndedRun end : shown.ended()) {
-      mentioned.add(end.run());
+  private void applyListing(Listing listing, Set<RunKey> confirmed) {
+    Set<RunKey> listed = new HashSet<>();
+    for (EndedRun end : listing.ended()) {
+      listed.add(end.run());
       applyEnd(end);
     }
-    for (ActiveRun row : shown.running()) {
-      mentioned.add(row.run());
-      applyActiveRun(row);
+    for (ActiveRun active : listing.running()) {
+      listed.add(active.run());
+      applyActiveRun(active);
     }
-    if (shown.isTruncated()) {
+    if (listing.isTruncated()) {
       return;
     }
     for (SideRun run : List.copyOf(runs.values())) {
-      boolean missing = !mentioned.contains(run.key()) && confirmed.contains(run.key());
+      boolean missing = !listed.contains(run.key()) && confirmed.contains(run.key());
       if (missing && run.countMissedListing()) {
-        recordEnd(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker lists it no more");
+        recordEnd(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker no longer lists the run");
       }
     }
   }
@@ -444,27 +444,27 @@
     recordEnd(end.run(), end.outcome(), end.checkpoint(), end.sequence(), "listed by the worker");
   }
 
-  private void applyActiveRun(ActiveRun row) {
-    SideRun run = runs.get(row.run());
+  private void applyActiveRun(ActiveRun active) {
+    SideRun run = runs.get(active.run());
     if (run == null) {
-      if (ends.contains(row.run())) {
+      if (ends.contains(active.run())) {
         return;
       }
       LOG.info(
           LogLine.of(initialized ? "run-appeared" : "run-adopted")
-              .with("run", row.run())
+              .with("run", active.run())
               .with("worker", worker));
-      run = new SideRun(row.run(), partitionOf(row.run()), Optional.empty());
-      runs.put(row.run(), run);
+      run = new SideRun(active.run(), partitionOf(active.run()), Optional.empty());
+      runs.put(active.run(), run);
     }
     boolean first = !run.isListed();
-    run.listed(row.checkpoint(), row.percent(), row.measurement());
+    run.applyListing(active.checkpoint(), active.percent(), active.measurement());
     if (first) {
       listener.runChanged(run.partition());
     }
   }
 
-  /** Stops what belongs to owners that are silent for long, so that it does not end the others. */
+  /** Stops runs whose outdated evidence would let the worker's lease expire for all its runs. */
   private void stopRunsOfUnresponsiveOwners() {
     Set<Integer> overdue = lease.overduePartitions(activePartitions());
     for (SideRun run : new ArrayList<>(runs.values())) {
@@ -473,13 +473,13 @@
             LogLine.of("run-overdue")
                 .with("run", run.key())
                 .with("partition", run.partition())
-                .with("reason", "its owner is silent"));
+                .with("reason", "no recent ownership evidence for the partition"));
         stop(run.key());
       }
     }
   }
 
-  /** Ends this life: what ran is over, since the worker that ran it is. */
+  /** Ends the session: the worker incarnation has ended, and all its runs with it. */
   void end(String reason) {
     if (closed) {
       return;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -28,16 +28,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A side process's part in workflows: carries out owners' orders on the worker of its VM and tells
- * them what becomes of it.
+ * The workflow component of a side process: executes the orders of owners on the worker of its VM
+ * and reports the state of the VM and its runs to the entries.
  *
- * <p>Keeps nothing: after a restart it finds what runs by asking the worker, and owners tell it the
- * rest. The public methods may be called from any thread; everything else runs on the loop.
+ * <p>Stores nothing durably: after a restart the worker lists its runs, and the owners send their
+ * orders again. The public methods may be called from any thread; everything else runs on the loop.
  */
 public final class WorkflowSideProcess {
   private static final EventLog LOG = EventLog.of(WorkflowSideProcess.class);
 
-  /** Between two reports that ask for a lease, to an entry that owns runs here, in nanoseconds. */
+  /**
+   * Interval of the periodic reports, which request a lease, to an entry that owns runs on the VM,
+   * in nanoseconds.
+   */
   static final long REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   private static final long TICK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -55,7 +58,7 @@
   private final Set<Integer> changedPartitions = new HashSet<>();
   private final Set<EntryConnection> pendingReports = new HashSet<>();
 
-  /** Those that ordered something since their last regular report. */
+  /** Connections that sent start or stop orders since the last periodic report to them. */
   private final Set<EntryConnection> orderedSinceReport = new HashSet<>();
 
   private boolean probeInFlight;
@@ -64,13 +67,13 @@
   private boolean availabilityChanged;
 
   /**
-   * Creates a side process that does nothing yet.
+   * Creates an inactive instance; {@link #start} activates it.
    *
-   * @param loop the process's loop
-   * @param store asked for the owners
-   * @param gateway the worker
-   * @param vm the VM's name
-   * @param terms the lengths of leases
+   * @param loop the event loop of the process
+   * @param store queried for the owners of partitions
+   * @param gateway the client of the worker
+   * @param vm the name of the VM
+   * @param terms the durations of leases
    */
   public WorkflowSideProcess(
       LinkLoop loop,
@@ -86,7 +89,7 @@
     this.entries = new EntryConnections(loop, store, new EntryListener());
   }
 
-  /** Begins to look for entries. */
+  /** Starts connecting to the entries and sending them periodic reports. */
   public void start() {
     loop.run(entries::maintain);
     loop.repeat(entries::maintain, TICK_INTERVAL_NANOS);
@@ -94,37 +97,38 @@
   }
 
   /**
-   * Takes a heartbeat of the worker.
+   * Handles a heartbeat of the worker.
    *
-   * @return completes on the loop with whether it was taken, and what it says is in force
+   * @return completes on the loop with whether the heartbeat was accepted, so that its content is
+   *     in effect
    */
   public CompletableFuture<Boolean> heartbeat(WorkerHeartbeat heartbeat) {
-    CompletableFuture<Boolean> taken = new CompletableFuture<>();
-    loop.run(() -> handleHeartbeat(heartbeat, taken));
-    return taken;
+    CompletableFuture<Boolean> accepted = new CompletableFuture<>();
+    loop.run(() -> handleHeartbeat(heartbeat, accepted));
+    return accepted;
   }
 
-  private void handleHeartbeat(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> taken) {
+  private void handleHeartbeat(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> accepted) {
     if (session != null && session.worker().equals(heartbeat.worker())) {
       if (heartbeat.sequence() >= session.heartbeat().sequence()) {
         session.heartbeat(heartbeat);
       }
-      taken.complete(true);
+      accepted.complete(true);
       return;
     }
     if (heartbeat.worker().equals(goneWorker) || probeInFlight) {
-      // A heartbeat may arrive long after its sender ended; one of a living worker is repeated.
-      taken.complete(false);
+      // A heartbeat may arrive long after its sender has ended; a live worker sends another one.
+      accepted.complete(false);
       return;
     }
     probeInFlight = true;
     gateway
         .list(heartbeat.worker(), OptionalLong.empty(), 0, 0)
-        .thenAccept(result -> loop.run(() -> handleProbeResult(heartbeat, result, taken)));
+        .thenAccept(result -> loop.run(() -> handleProbeResult(heartbeat, result, accepted)));
   }
 
   private void handleProbeResult(
-      WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> taken) {
+      WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> accepted) {
     probeInFlight = false;
     if (!(result instanceof Listing listing)) {
       LOG.info(
@@ -132,11 +136,11 @@
               .with("worker", heartbeat.worker())
               .with("sequence", heartbeat.sequence())
               .with("reason", result));
-      taken.complete(false);
+      accepted.complete(false);
       return;
     }
     if (session != null) {
-      session.end("another one took its place");
+      session.end("another incarnation of the worker replaced it");
     }
     session =
         new WorkerSession(
@@ -150,20 +154,20 @@
             .with("draining", heartbeat.draining()));
     session.start();
     report(true);
-    taken.complete(true);
+    accepted.complete(true);
   }
 
-  /** Takes the leave of a worker; completes on the loop. */
+  /** Handles the deregistration of a worker; the result completes on the loop with {@code true}. */
   public CompletableFuture<Boolean> workerDeregistered(String worker) {
-    CompletableFuture<Boolean> taken = new CompletableFuture<>();
+    CompletableFuture<Boolean> handled = new CompletableFuture<>();
     loop.run(
         () -> {
           if (session != null && session.worker().equals(worker)) {
-            session.end("it left");
+            session.end("the worker deregistered");
           }
-          taken.complete(true);
+          handled.complete(true);
         });
-    return taken;
+    return handled;
   }
 
   private void scheduleReport() {
@@ -180,10 +184,10 @@
   private void reportChanges() {
     VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
-      boolean concerned = isAffected(connection);
-      if (!concerned && reportedStates.isUpToDate(connection.member(), state)) {
+      boolean affected = isAffected(connection);
+      if (!affected && reportedStates.isUpToDate(connection.member(), state)) {
         pendingReports.remove(connection);
-      } else if (isDue(connection, concerned)) {
+      } else if (isDue(connection, affected)) {
         report(connection, state, false);
       } else {
         pendingReports.add(connection);
@@ -200,12 +204,12 @@
             .anyMatch(partition -> entries.owns(connection.member(), partition));
   }
 
-  private boolean isDue(EntryConnection connection, boolean concerned) {
-    return dueAt(connection, concerned) <= loop.now();
+  private boolean isDue(EntryConnection connection, boolean affected) {
+    return dueAt(connection, affected) <= loop.now();
   }
 
-  private long dueAt(EntryConnection connection, boolean concerned) {
-    return pacer.dueAt(connection.member(), concerned, entries.connectedCount(), loop.now());
+  private long dueAt(EntryConnection connection, boolean affected) {
+    return pacer.dueAt(connection.member(), affected, entries.connectedCount(), loop.now());
   }
 
   private void schedulePending() {
@@ -214,8 +218,8 @@
     }
     pendingScheduled = true;
     long next = pendingReports.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
-    long gathered = ReportPacer.coalescingNanos(entries.connectedCount());
-    loop.schedule(this::reportPending, next + gathered - loop.now());
+    long coalescing = ReportPacer.coalescingNanos(entries.connectedCount());
+    loop.schedule(this::reportPending, next + coalescing - loop.now());
   }
 
   private void reportPending() {
@@ -284,7 +288,7 @@
     if (session != null) {
       report.setWorkerClock(session.workerClockLowerBound());
       if (wantsLease) {
-        report.addAllImages(ImageObservationCodec.encode(session.throttler().localObservations()));
+        report.addAllImages(ImageObservationCodec.encode(session.throttler().localEvidence()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -305,7 +309,7 @@
     }
   }
 
-  /** Returns what reports say to all entries alike, but for the worker's clock and the images. */
+  /** Returns the part of a report that is the same for all entries, without clock and images. */
   private VmReport vmState() {
     VmReport.Builder state = VmReport.newBuilder().setVm(vm).setGoneWorker(goneWorker);
     if (session != null) {
@@ -341,16 +345,17 @@
   }
 
   /**
-   * Takes a lease and orders, all for one life of the worker.
+   * Handles a lease and orders, which are valid for one worker incarnation only.
    *
-   * <p>Guards against evidence from the future: a lease that was on its way while the worker
-   * changed is by the clock of the one before. Where that clock was ahead, the lease of this one
-   * would never be over, and what it ran would count as at work for good once it is silent.
+   * <p>A lease in transit while the worker restarts refers to the clock of the previous
+   * incarnation. If that clock was ahead, the lease of the new incarnation would never expire, and
+   * its runs would count as active forever once it stops responding. So frames for another
+   * incarnation are ignored.
    */
   private void handleOrders(EntryConnection connection, RunOrders orders) {
     connection.recordOrders(orders.getNumber());
     if (session == null) {
-      // The next report names the worker that there is then; owners order anew what it lacks.
+      // The next report names the worker at that time, and owners then send missing orders again.
       return;
     }
     if (!orders.getWorker().equals(session.worker())) {
@@ -362,11 +367,11 @@
       report(connection, false);
       return;
     }
-    Map<Integer, Boolean> current = recordEvidence(orders.getLease());
+    Map<Integer, Boolean> fromOwner = recordEvidence(orders.getLease());
     if (orders.getLease().getImagesCount() > 0) {
       session
           .throttler()
-          .remoteObservations(ImageObservationCodec.decode(orders.getLease().getImagesList()));
+          .setRemoteEvidence(ImageObservationCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
@@ -374,46 +379,47 @@
       if (!start.getSameProgram()) {
         programs.put(key.task().workflow(), start.getProgram());
       }
-      if (isFromOwner(current, key)) {
+      if (isFromOwner(fromOwner, key)) {
         session.start(key, start, programs.getOrDefault(key.task().workflow(), ""));
       }
     }
     for (WorkflowTaskId stop : orders.getStopsList()) {
       RunKey key = WorkflowCodec.decode(stop);
-      if (isFromOwner(current, key)) {
+      if (isFromOwner(fromOwner, key)) {
         session.stop(key);
       }
     }
-    for (WorkflowTaskId noted : orders.getNotedEndsList()) {
-      RunKey key = WorkflowCodec.decode(noted);
-      if (isFromOwner(current, key)) {
+    for (WorkflowTaskId acknowledged : orders.getNotedEndsList()) {
+      RunKey key = WorkflowCodec.decode(acknowledged);
+      if (isFromOwner(fromOwner, key)) {
         session.acknowledgeEnd(key);
       }
     }
   }
 
-  private boolean isFromOwner(Map<Integer, Boolean> current, RunKey key) {
-    boolean taken = current.getOrDefault(session.partitionOf(key), false);
-    if (!taken) {
+  private boolean isFromOwner(Map<Integer, Boolean> fromOwner, RunKey key) {
+    boolean valid = fromOwner.getOrDefault(session.partitionOf(key), false);
+    if (!valid) {
       LOG.info(
           LogLine.of("order-passed-over")
               .with("run", key)
               .with("reason", "its sender does not own the partition"));
     }
-    return taken;
+    return valid;
   }
 
+  /** Records the evidence; returns for each partition whether it has the highest epoch so far. */
   private Map<Integer, Boolean> recordEvidence(LeaseGrant grant) {
-    Map<Integer, Boolean> current = new HashMap<>();
+    Map<Integer, Boolean> fromOwner = new HashMap<>();
     for (PartitionEvidence evidence : grant.getEvidenceList()) {
       long at = grant.getWorkerClock() + evidence.getAfterReportMillis();
       boolean newest = session.recordEvidence(evidence.getPartition(), evidence.getEpoch(), at);
-      current.put(evidence.getPartition(), newest);
+      fromOwner.put(evidence.getPartition(), newest);
     }
-    return current;
+    return fromOwner;
   }
 
-  /** What entries send. */
+  /** Handles connections and orders of entries. */
   private final class EntryListener implements EntryConnections.Listener {
     @Override
     public void connected(EntryConnection connection) {
@@ -445,7 +451,7 @@
     }
   }
 
-  /** What the worker does. */
+  /** Reports changes of the current worker session. */
   private final class SessionListener implements WorkerSessionListener {
     @Override
     public void availabilityChanged() {
@@ -465,9 +471,9 @@
     }
 
     @Override
-    public void sessionEnded(WorkerSession over) {
-      if (session == over) {
-        goneWorker = over.worker();
+    public void sessionEnded(WorkerSession ended) {
+      if (session == ended) {
+        goneWorker = ended.worker();
         session = null;
         report(true);
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
@@ -15,9 +15,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker in memory that keeps the contract of the platform's: a lease on its own clock for all
- * that runs, ends listed until they are noted, and no attempt that is not higher than one that
- * ended or was stopped. Fails as it is told. Safe for any thread.
+ * An in-memory worker that keeps the contract of the platform's worker: one lease on its own clock
+ * for all runs, ends listed until they are acknowledged, and no start of an attempt that is not
+ * higher than one that ended or was stopped. Tests can inject faults. Safe for any thread.
  */
 final class FakeWorkerGateway implements WorkerGateway {
   private static final int CLOCK_START = 100_000;
@@ -48,8 +48,8 @@
   private int listings;
 
   FakeWorkerGateway(
-      String life, ScheduledExecutorService timer, RunHistory history, long runMillis) {
-    this.incarnation = life;
+      String incarnation, ScheduledExecutorService timer, RunHistory history, long runMillis) {
+    this.incarnation = incarnation;
     this.timer = timer;
     this.history = history;
     this.runMillis = runMillis;
@@ -59,27 +59,27 @@
     return incarnation;
   }
 
-  /** Returns the tickets of all starts that were carried out; empty texts for none. */
+  /** Returns the tickets of all executed starts; an empty string for a start without one. */
   synchronized List<String> tickets() {
     return List.copyOf(tickets);
   }
 
-  /** Returns for how long what runs may go on, in milliseconds. */
+  /** Returns the remaining time of the lease, in milliseconds. */
   synchronized long remainingLeaseMillis() {
     return deadline - clock();
   }
 
-  /** Ends everything at once; the worker is back as another life. */
-  synchronized void crash(String newLife) {
+  /** Ends all runs at once; the worker continues as a new incarnation. */
+  synchronized void crash(String newIncarnation) {
     running.keySet().forEach(history::runEnded);
     running.clear();
     ended.clear();
     endedAttempts.clear();
     sequence = 0;
-    incarnation = newLife;
+    incarnation = newIncarnation;
   }
 
-  /** Answers nothing from now on; what runs ends with the lease, as it does on a worker cut off. */
+  /** Stops answering; the runs end with the lease, as on a disconnected worker. */
   synchronized void becomeUnresponsive() {
     unresponsive = true;
     timer.scheduleAtFixedRate(this::endIfLeaseExpired, 0, 5, TimeUnit.MILLISECONDS);
@@ -89,23 +89,23 @@
     return unresponsive;
   }
 
-  /** Leaves the next starts unanswered and carries them out later. */
+  /** Leaves the next starts unanswered and executes them after the delay. */
   synchronized void delayStarts(int starts, long millis) {
     startsToDelay = starts;
     startDelayMillis = millis;
   }
 
-  /** Leaves the next starts unanswered and never carries them out. */
+  /** Leaves the next starts unanswered and never executes them. */
   synchronized void dropStarts(int starts) {
     startsToDrop = starts;
   }
 
-  /** Returns all starts that it was asked for, in order, also those that it did not answer. */
+  /** Returns all requested starts in order, including the unanswered ones. */
   synchronized List<RunKey> startRequests() {
     return List.copyOf(startRequests);
   }
 
-  /** Says from now on that it leaves, and goes on with what it runs. */
+  /** Announces from now on that it drains; active runs continue. */
   synchronized void drain() {
     draining = true;
   }
@@ -114,27 +114,27 @@
     return draining;
   }
 
-  /** Has all runs end so once they have worked for their time. */
+  /** Sets the outcome with which all runs end after their run time. */
   synchronized void outcomeOfRuns(RunOutcome outcome) {
     outcomeOfRuns = outcome;
   }
 
-  /** Lists the figure with all that runs: a tail in milliseconds, or processors in use. */
-  synchronized void measurement(long figure) {
-    measurement = figure;
+  /** Sets the measurement listed for all runs, see {@link WorkerGateway.ActiveRun}. */
+  synchronized void measurement(long newMeasurement) {
+    measurement = newMeasurement;
   }
 
-  /** Returns how many listings it was asked for and answers. */
+  /** Returns the number of listing requests that it answered or will answer. */
   synchronized int listings() {
     return listings;
   }
 
-  /** Returns what is at work. */
+  /** Returns the active runs. */
   synchronized List<RunKey> activeRuns() {
     return List.copyOf(running.keySet());
   }
 
-  /** Returns the ends that nobody has noted. */
+  /** Returns the number of unacknowledged ends. */
   synchronized int unacknowledgedEnds() {
     return ended.size();
   }
@@ -153,17 +153,17 @@
   public synchronized CompletableFuture<OrderResult> start(String worker, StartOrder start) {
     startRequests.add(start.run());
     if (unresponsive) {
-      return completeSoon(new OrderOutcomeUnknown("silent"));
+      return completeSoon(new OrderOutcomeUnknown("injected: no answer"));
     }
     if (startsToDrop > 0) {
       startsToDrop--;
-      return completeSoon(new OrderOutcomeUnknown("told to drop it"));
+      return completeSoon(new OrderOutcomeUnknown("injected: start dropped"));
     }
     if (startsToDelay > 0) {
       startsToDelay--;
       delayedStarts++;
       timer.schedule(() -> executeDelayed(worker, start), startDelayMillis, TimeUnit.MILLISECONDS);
-      return completeSoon(new OrderOutcomeUnknown("told to leave it unanswered"));
+      return completeSoon(new OrderOutcomeUnknown("injected: start delayed"));
     }
     return completeSoon(execute(worker, start));
   }
@@ -173,7 +173,7 @@
     execute(worker, start);
   }
 
-  /** Returns whether every start that it left unanswered was carried out by now. */
+  /** Returns whether every delayed start has been executed. */
   synchronized boolean hasExecutedDelayedStarts() {
     return delayedStarts == 0;
   }
@@ -199,21 +199,22 @@
     return new Accepted(clock());
   }
 
-  /** Ends the run when it has worked for its time; one that is slowed to nothing gets no nearer. */
-  private void scheduleEnd(String of, RunKey run) {
-    timer.schedule(() -> endUnlessThrottledToZero(of, run), runMillis, TimeUnit.MILLISECONDS);
+  /** Ends the run after its run time; a run that is throttled to zero then starts over. */
+  private void scheduleEnd(String startedOn, RunKey run) {
+    timer.schedule(
+        () -> endUnlessThrottledToZero(startedOn, run), runMillis, TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void endUnlessThrottledToZero(String of, RunKey run) {
+  private synchronized void endUnlessThrottledToZero(String startedOn, RunKey run) {
     if (throttlePercents.getOrDefault(run, 100) == 0) {
-      scheduleEnd(of, run);
+      scheduleEnd(startedOn, run);
     } else {
-      finish(of, run, outcomeOfRuns);
+      finish(startedOn, run, outcomeOfRuns);
     }
   }
 
-  private synchronized void finish(String of, RunKey run, RunOutcome outcome) {
-    if (incarnation.equals(of) && running.remove(run) != null) {
+  private synchronized void finish(String startedOn, RunKey run, RunOutcome outcome) {
+    if (incarnation.equals(startedOn) && running.remove(run) != null) {
       history.runEnded(run);
       if (outcome == RunOutcome.DONE) {
         history.done(run);
@@ -226,7 +227,7 @@
   @Override
   public synchronized CompletableFuture<OrderResult> stop(String worker, RunKey run) {
     if (unresponsive) {
-      return completeSoon(new OrderOutcomeUnknown("silent"));
+      return completeSoon(new OrderOutcomeUnknown("injected: no answer"));
     }
     if (!worker.equals(incarnation)) {
       return completeSoon(new IncarnationMismatch());
@@ -245,17 +246,17 @@
 
   @Override
   public CompletableFuture<ListingResult> list(
-      String worker, OptionalLong until, long noted, long waitMillis) {
+      String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     synchronized (this) {
       if (unresponsive) {
-        return completeSoon(new ListingFailed("silent"));
+        return completeSoon(new ListingFailed("injected: no answer"));
       }
       if (!worker.equals(incarnation)) {
         return completeSoon(new IncarnationMismatch());
       }
       listings++;
-      until.ifPresent(wanted -> deadline = Math.max(deadline, wanted));
-      acknowledge(noted);
+      newDeadline.ifPresent(wanted -> deadline = Math.max(deadline, wanted));
+      acknowledge(acknowledged);
       endIfLeaseExpired();
     }
     CompletableFuture<ListingResult> future = new CompletableFuture<>();
@@ -282,15 +283,15 @@
     }
   }
 
-  private void poll(long until, CompletableFuture<ListingResult> future) {
+  private void poll(long respondBy, CompletableFuture<ListingResult> future) {
     synchronized (this) {
-      if (!ended.isEmpty() || System.nanoTime() - until >= 0) {
+      if (!ended.isEmpty() || System.nanoTime() - respondBy >= 0) {
         ImmutableList.Builder<ActiveRun> rows = ImmutableList.builder();
         running.keySet().forEach(run -> rows.add(new ActiveRun(run, "", 10, measurement)));
         future.complete(new Listing(clock(), rows.build(), ImmutableList.copyOf(ended)));
         return;
       }
     }
-    timer.schedule(() -> poll(until, future), 2, TimeUnit.MILLISECONDS);
+    timer.schedule(() -> poll(respondBy, future), 2, TimeUnit.MILLISECONDS);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A worker on virtual time that answers as it is told; it starts and ends nothing by itself. One
- * thread.
+ * A worker on virtual time whose responses a test controls; it starts and ends no run on its own.
+ * Confined to one thread.
  */
 final class ScriptedWorker implements WorkerGateway {
   private static final long CLOCK_START = 50_000;
@@ -40,7 +40,7 @@
     this.time = time;
   }
 
-  /** Returns the first heartbeat of a worker with room for many runs. */
+  /** Returns the first heartbeat of a worker with capacity for many runs. */
   static WorkerHeartbeat heartbeat(String worker) {
     return new WorkerHeartbeat(
         worker,
@@ -53,18 +53,18 @@
         1);
   }
 
-  /** Answers nothing from now on; each listing fails after the time. */
+  /** Stops answering; each listing request fails after the given time. */
   void becomeUnresponsive(long millis) {
     unresponsive = true;
     failureDelayMillis = millis;
   }
 
-  /** Throws when it is asked for a listing from now on. */
+  /** Makes each listing call throw from now on. */
   void throwOnListingCall() {
     listingCallThrows = true;
   }
 
-  /** Ends each listing with an exception from now on. */
+  /** Makes the future of each listing fail from now on. */
   void failListingFuture() {
     listingFutureFails = true;
   }
@@ -75,50 +75,50 @@
     listingFutureFails = false;
   }
 
-  /** Leaves starts without an answer; those that it carries out are listed all the same. */
-  void leaveStartsUnanswered(boolean carriesOut) {
+  /** Leaves starts unanswered; the ones that it executes are listed nevertheless. */
+  void leaveStartsUnanswered(boolean executes) {
     answersStarts = false;
-    dropsStarts = !carriesOut;
+    dropsStarts = !executes;
   }
 
   void leaveStopsUnanswered() {
     answersStops = false;
   }
 
-  /** Lists the run, which another life of the side process started. */
+  /** Adds an active run that an earlier incarnation of the side process started. */
   void addActiveRun(RunKey run) {
     running.add(run);
   }
 
-  /** Lists the run no more, and no end of it. */
+  /** Removes the run from listings without listing its end. */
   void removeActiveRun(RunKey run) {
     running.remove(run);
   }
 
-  /** Ends the run as done; listed until it is noted, with the oldest ends first. */
+  /** Ends the run as done; the end is listed until it is acknowledged, oldest ends first. */
   void endRun(RunKey run) {
     running.remove(run);
     ended.add(new EndedRun(++sequence, run, RunOutcome.DONE, ""));
   }
 
-  /** Returns the runs that it was told to stop. */
+  /** Returns the runs for which a stop was ordered. */
   List<RunKey> stopped() {
     return List.copyOf(stopped);
   }
 
-  /** Returns the number up to which its ends were noted. */
+  /** Returns the sequence number up to which ends were acknowledged. */
   long acknowledgedUpTo() {
     return acknowledgedUpTo;
   }
 
-  /** Returns whether it was given a later deadline only after the one before had passed. */
+  /** Returns whether the deadline was ever extended only after it had passed. */
   boolean isExtendedAfterExpiry() {
     return extendedAfterExpiry;
   }
 
-  private void extend(long until) {
+  private void extend(long newDeadline) {
     extendedAfterExpiry |= clock() > deadline;
-    deadline = deadline == Long.MAX_VALUE ? until : Math.max(deadline, until);
+    deadline = deadline == Long.MAX_VALUE ? newDeadline : Math.max(deadline, newDeadline);
   }
 
   int listings() {
@@ -148,7 +148,7 @@
   @Override
   public CompletableFuture<OrderResult> start(String worker, StartOrder start) {
     if (unresponsive) {
-      return after(1, () -> new OrderOutcomeUnknown("silent"));
+      return after(1, () -> new OrderOutcomeUnknown("injected: no answer"));
     }
     if (!dropsStarts) {
       extend(start.deadline());
@@ -156,7 +156,8 @@
     }
     return after(
         1,
-        () -> answersStarts ? new Accepted(clock()) : new OrderOutcomeUnknown("told to be silent"));
+        () ->
+            answersStarts ? new Accepted(clock()) : new OrderOutcomeUnknown("injected: no answer"));
   }
 
   @Override
@@ -166,7 +167,7 @@
         1,
         () ->
             unresponsive || !answersStops
-                ? new OrderOutcomeUnknown("told to be silent")
+                ? new OrderOutcomeUnknown("injected: no answer")
                 : new Accepted(clock()));
   }
 
@@ -177,19 +178,19 @@
 
   @Override
   public CompletableFuture<ListingResult> list(
-      String worker, OptionalLong until, long notedUpTo, long waitMillis) {
+      String worker, OptionalLong newDeadline, long acknowledged, long waitMillis) {
     listings++;
     if (listingCallThrows) {
-      throw new IllegalStateException("told to throw");
+      throw new IllegalStateException("injected failure");
     }
     if (listingFutureFails) {
-      return CompletableFuture.failedFuture(new IllegalStateException("told to break"));
+      return CompletableFuture.failedFuture(new IllegalStateException("injected failure"));
     }
     if (unresponsive) {
-      return after(failureDelayMillis, () -> new ListingFailed("silent"));
+      return after(failureDelayMillis, () -> new ListingFailed("injected: no answer"));
     }
-    until.ifPresent(this::extend);
-    acknowledgedUpTo = notedUpTo;
+    newDeadline.ifPresent(this::extend);
+    acknowledgedUpTo = acknowledged;
     ended.removeIf(end -> end.sequence() <= acknowledgedUpTo);
     return after(Math.max(1, waitMillis), this::listing);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a side process sends to an entry that none of its runs belongs to. */
+/** Tests the reports of a side process to an entry that owns none of the runs on the VM. */
 class SideReportsTest {
   private static final int TASKS = 120;
   private static final int ROUNDS = 6;
 
-  /** Between two reports of room to an entry that owns nothing here, at the least. */
+  /** Minimum interval of change reports to an entry that owns no runs, in nanoseconds. */
   private static final long CHANGE_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Reports that a side process sends of its own accord, whatever changes, in nanoseconds. */
+  /** Interval of the periodic reports of a side process, in nanoseconds. */
   private static final long PERIODIC_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private final WorkflowTestCluster world = new WorkflowTestCluster();
-  private final LinkLoop loop = new LinkLoop("bystander", MonotonicClock.system());
+  private final WorkflowTestCluster cluster = new WorkflowTestCluster();
+  private final LinkLoop loop = new LinkLoop("non-owner", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
   private final AtomicInteger redundantReports = new AtomicInteger();
   private LinkServer server;
@@ -42,17 +42,17 @@
 
   @BeforeEach
   void start() throws IOException {
-    world.addEntry();
-    world.addSide("vm-0", 5);
-    world.awaitReady();
+    cluster.addEntry();
+    cluster.addSide("vm-0", 5);
+    cluster.awaitReady();
     server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new ReportCounter());
     server.start();
     nonOwner = new EntryMember("127.0.0.1", server.port(), 1).toString();
-    world.store().join(nonOwner, Long.MAX_VALUE);
-    world.await(
-        "the bystander owns a part",
+    cluster.store().join(nonOwner, Long.MAX_VALUE);
+    cluster.await(
+        "the second entry owns half of the partitions",
         () -> partitionsOfNonOwner() == WorkflowTestCluster.PARTITIONS / 2);
-    world.await("the side process reaches it", () -> reports.get() > 0);
+    cluster.await("the side process reports to the second entry", () -> reports.get() > 0);
   }
 
   @AfterEach
@@ -61,7 +61,7 @@
       server.close();
     }
     loop.close();
-    world.close();
+    cluster.close();
   }
 
   private long partitionsOfNonOwner() {
@@ -72,7 +72,7 @@
 
   private String owner(int partition) {
     WorkflowStore.Owners owners =
-        assertInstanceOf(WorkflowStore.Owners.class, world.store().owners().join());
+        assertInstanceOf(WorkflowStore.Owners.class, cluster.store().owners().join());
     return owners.byPartition().getOrDefault(partition, "");
   }
 
@@ -86,10 +86,9 @@
   }
 
   /**
-   * Lasting tasks and new configuration came seconds late, and only where entries had thin links.
-   * Each start and end on any VM was reported to every entry at once, also to those that had
-   * nothing to do with it, and such a link was full of these reports. An entry that owns none of
-   * what runs must hear of room at a bounded pace, however many tasks begin and end.
+   * Guards against reports of every start and end to entries that do not own the run: they saturate
+   * an entry's low-bandwidth link and delay long-running tasks and new configuration by seconds.
+   * The rate of reports to such an entry is bounded, however many tasks start and end.
    */
   @Test
   void reportRateToANonOwnerIsBounded() {
@@ -98,19 +97,19 @@
     long began = System.nanoTime();
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
-    world.await("all are done", () -> world.status(0, id) == QueryResult.DONE);
+        cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
+    cluster.await("all tasks are done", () -> cluster.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
-    int heard = reports.get() - before;
-    // Two reports may cross the ends.
+    int received = reports.get() - before;
+    // Two more reports may fall on the boundaries of the interval.
     long bound = lasted / CHANGE_REPORT_NANOS + lasted / PERIODIC_REPORT_NANOS + 2;
-    assertTrue(heard <= bound, heard + " reports, " + bound + " at most");
+    assertTrue(received <= bound, received + " reports, " + bound + " at most");
   }
 
   /**
-   * Most of what entries read were reports that said of a VM what they had been told last, since a
-   * run that was listed or paced changed nothing for them: reading these took the processor time of
-   * large fleets.
+   * Guards against reports that repeat the state last reported to an entry. A run that is listed or
+   * throttled changes nothing for entries that do not own it, and in large fleets such redundant
+   * reports took most of the entries' processor time.
    */
   @Test
   void nonOwnerGetsNoReportOfAnUnchangedState() {
@@ -120,10 +119,10 @@
       long submitted = id;
       assertInstanceOf(
           WorkflowStore.Appended.class,
-          world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
-      world.await("all are done", () -> world.status(0, submitted) == QueryResult.DONE);
+          cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
+      cluster.await("all tasks are done", () -> cluster.status(0, submitted) == QueryResult.DONE);
     }
-    assertEquals(0, redundantReports.get(), "reports of changes that told none");
+    assertEquals(0, redundantReports.get(), "change reports without a change");
   }
 
   private final class ReportCounter implements LinkListener {
@@ -131,7 +130,7 @@
 
     @Override
     public void opened(LinkConnection connection) {
-      // Has nothing to say.
+      // Sends nothing.
     }
 
     @Override
@@ -146,7 +145,7 @@
       }
     }
 
-    /** Returns what the report says of the VM, without what belongs to the moment or the link. */
+    /** Returns the report without the fields that vary by time or connection. */
     private VmReport state(VmReport report) {
       return report.toBuilder()
           .clearWorkerClock()
@@ -159,7 +158,7 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      // The test ends.
+      // Closed at the end of the test.
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideProcessTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideProcessTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Waits for reports; where one never comes, the limit ends the test. */
+/** Waits for reports without a limit of its own; the timeout ends the test if one never arrives. */
 @Timeout(40)
 class WorkflowSideProcessTest {
   private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
-  private static final String WORKER = "life-1";
+  private static final String WORKER = "worker-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
 
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
@@ -85,9 +85,9 @@
   }
 
   /**
-   * A VM's worker crashed and was back at once, while leases for the life before were on their way,
-   * by a clock that was ahead. The new worker's lease was never over then: once it was silent, its
-   * tasks stayed at work for good, and no other owner's task could start there.
+   * A worker restarts while leases for the previous incarnation, whose clock was ahead, are in
+   * transit. Applied to the new incarnation they would keep its lease from ever expiring: once it
+   * stops responding, its runs would count as active forever and block the VM for other owners.
    */
   @Test
   void leaseForAnotherIncarnationIsIgnored() throws Exception {
@@ -103,7 +103,7 @@
     entry.send(
         connection,
         Frame.newBuilder()
-            .setRunOrders(RunOrders.newBuilder().setNumber(1).setWorker("life-0").setLease(ahead))
+            .setRunOrders(RunOrders.newBuilder().setNumber(1).setWorker("worker-0").setLease(ahead))
             .build());
     StartRun start =
         StartRun.newBuilder()
@@ -122,7 +122,7 @@
                     .addStarts(start))
             .build());
     while (awaitReportOfWorker().getRunsList().stream().noneMatch(run -> run.getStarted())) {
-      // The next one tells.
+      // Keeps waiting.
     }
     assertTrue(
         worker.remainingLeaseMillis() <= TERMS.boundMillis(), "" + worker.remainingLeaseMillis());
@@ -138,9 +138,10 @@
   }
 
   /**
-   * An entry died, and another one told a side process that it owns everything now. Then an answer
-   * of the store arrived that was from before. The side process went on to report to the dead entry
-   * for good, and told the living one that it had its map: the ends of its tasks were never heard.
+   * An entry dies, and another one sends its owner map, in which it owns all partitions. Then a
+   * response of the store with the old owners arrives and replaces that map. The side process must
+   * report the digest of the old map, so that the live entry sends its map again. Otherwise it
+   * reports to the dead entry forever, and the ends of runs never reach their owner.
    */
   @Test
   void staleOwnersFromTheStoreAreCorrectedByEntries() throws Exception {
@@ -152,15 +153,15 @@
     LinkConnection connection = entry.awaitConnection();
     died.awaitConnection();
     died.close();
-    // Asked since the dead entry is not reached; the answer is on its way for long.
+    // The store is queried because the dead entry is not connected; the response arrives late.
     var late = store.nextRequest();
     entry.send(connection, ownerMapFrame(5, after));
     while (entry.awaitReport().getOwnersDigest() != after.hashCode()) {
-      // The next one tells.
+      // Keeps waiting.
     }
     late.complete(ScriptedOwnersStore.owners(before));
     while (entry.awaitReport().getOwnersDigest() == after.hashCode()) {
-      // The entry hears that it has to tell its map again.
+      // Waits for the report with the old digest, which makes the entry send its map again.
     }
     entry.send(connection, ownerMapFrame(5, after));
     int digest = entry.awaitReport().getOwnersDigest();
@@ -171,7 +172,10 @@
     assertNotEquals(before.hashCode(), digest);
   }
 
-  /** Guards against ends that are told to an entry that has lost the store and its partitions. */
+  /**
+   * Guards against reports to an entry that has lost its partitions, and that sends an outdated map
+   * because it is disconnected from the store.
+   */
   @Test
   void ownerMapOfALowerGenerationIsIgnored() throws Exception {
     ScriptedEntry former = new ScriptedEntry();
@@ -183,13 +187,13 @@
     former.awaitConnection();
     entry.send(connection, ownerMapFrame(6, after));
     while (entry.awaitReport().getOwnersDigest() != after.hashCode()) {
-      // The next one tells.
+      // Keeps waiting.
     }
     sendHeartbeat();
     awaitReportOfWorker();
     entry.send(connection, ownerMapFrame(5, before));
-    // Orders for another life of the worker are answered by a report.
-    RunOrders orders = RunOrders.newBuilder().setNumber(1).setWorker("life-0").build();
+    // Orders for another incarnation of the worker are answered by a report.
+    RunOrders orders = RunOrders.newBuilder().setNumber(1).setWorker("worker-0").build();
     entry.send(connection, Frame.newBuilder().setRunOrders(orders).build());
     VmReport report = entry.awaitReport();
     while (report.getOrdersSeen() != 1) {
