--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerAssembly.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerAssembly.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.protocol.AnswerStart;
 import java.util.Optional;
 
-/** Puts an answer together from its frames; only a whole one comes out. */
+/** Assembles a response from its frames. */
 final class AnswerAssembly {
   private final AnswerStart start;
   private final ByteBudget budget;
@@ -21,11 +21,11 @@
     this.body = ByteString.EMPTY;
   }
 
-  /** Returns an assembly that has taken the first frame, or empty where memory is short. */
+  /** Returns an assembly with the first frame added, or empty if the budget is exhausted. */
   static Optional<AnswerAssembly> begin(AnswerStart start, ByteBudget budget)
       throws BrokenFrameException {
     if (start.getBodyLength() > Bodies.MAX_BYTES) {
-      throw new BrokenFrameException("answer of " + start.getBodyLength() + " bytes");
+      throw new BrokenFrameException("response body has " + start.getBodyLength() + " bytes, limit is " + Bodies.MAX_BYTES);
     }
     if (!budget.tryReserve(start.getBodyLength())) {
       return Optional.empty();
@@ -38,9 +38,9 @@
   void add(ByteString data, boolean last) throws BrokenFrameException {
     body = body.isEmpty() ? data : body.concat(data);
     long length = start.getBodyLength();
-    // A shorter body with the mark of the last chunk would reach the caller as a whole answer.
+    // A truncated body whose last chunk is marked would reach the caller as a complete response.
     if (body.size() > length || (last && body.size() != length)) {
-      throw new BrokenFrameException("answer has " + body.size() + " bytes, not " + length);
+      throw new BrokenFrameException("response body has " + body.size() + " bytes, announced were " + length);
     }
     whole = last;
   }
@@ -53,7 +53,7 @@
     return new CallerAnswer(start.getStatus(), start.getHeadersList(), body);
   }
 
-  /** Gives back what the answer holds of the budget; to be called once. */
+  /** Returns the reserved bytes to the budget; to be called once. */
   void release() {
     budget.release(reserved);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerFrames.java
@@ -6,22 +6,22 @@
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.RequestId;
 
-/** The frames of a long answer. */
+/** The frames of a long response. */
 final class AnswerFrames extends ChunkedFrames {
   private final RequestId id;
-  private final Runnable ended;
+  private final Runnable onEnded;
 
   /**
    * Creates the frames.
    *
    * @param start the first frame's message, without data
-   * @param body the whole body
-   * @param ended told when no more is sent
+   * @param body the complete body
+   * @param onEnded called when no more frames are sent
    */
-  AnswerFrames(AnswerStart start, ByteString body, Runnable ended) {
+  AnswerFrames(AnswerStart start, ByteString body, Runnable onEnded) {
     super(first(start, body), body);
     this.id = start.getId();
-    this.ended = ended;
+    this.onEnded = onEnded;
   }
 
   private static Frame first(AnswerStart start, ByteString body) {
@@ -39,6 +39,6 @@
   @Override
   public void ended() {
     super.ended();
-    ended.run();
+    onEnded.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerSink.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerSink.java
@@ -2,21 +2,21 @@
 
 import io.marigoldsail.error.Failure;
 
-/** Where the one answer to a caller's request goes; called on the loop's thread. */
+/** Receives the single response to a caller's request; called on the loop's thread. */
 public interface AnswerSink {
   /**
-   * The target's answer.
+   * The target sent a response.
    *
-   * @param requestId the id that the caller is shown
-   * @param answer the whole answer
+   * @param requestId the request id that the caller receives
+   * @param response the complete response
    */
-  void answered(String requestId, CallerAnswer answer);
+  void answered(String requestId, CallerAnswer response);
 
   /**
-   * There is no answer of a target.
+   * The request ended without a response of a target.
    *
-   * @param requestId the id that the caller is shown
-   * @param failure why
+   * @param requestId the request id that the caller receives
+   * @param failure the reason
    */
   void failed(String requestId, Failure failure);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerWriter.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Writes the one answer to a caller's request. */
+/** Writes the response to a caller's request. */
 final class AnswerWriter implements AnswerSink {
   private final Response response;
   private final Callback callback;
@@ -22,38 +22,38 @@
   /**
    * Creates a writer.
    *
-   * @param response where to write
-   * @param callback to be completed after writing
-   * @param ended told first that the request has ended
-   * @param writes where the answer is written
+   * @param response the HTTP response to write
+   * @param callback completed after writing
+   * @param onEnded run when the request has ended, before the response is written
+   * @param writeExecutor runs the writes
    */
-  AnswerWriter(Response response, Callback callback, Runnable ended, Executor writes) {
+  AnswerWriter(Response response, Callback callback, Runnable onEnded, Executor writeExecutor) {
     this.response = response;
     this.callback = callback;
-    this.ended = ended;
-    this.writes = writes;
+    this.ended = onEnded;
+    this.writes = writeExecutor;
   }
 
   @Override
-  public void answered(String requestId, CallerAnswer answer) {
+  public void answered(String requestId, CallerAnswer callerResponse) {
     ended.run();
-    writes.execute(() -> write(requestId, answer));
+    writes.execute(() -> write(requestId, callerResponse));
   }
 
-  private void write(String requestId, CallerAnswer answer) {
-    response.setStatus(answer.status());
+  private void write(String requestId, CallerAnswer callerResponse) {
+    response.setStatus(callerResponse.status());
     HttpFields.Mutable fields = response.getHeaders();
-    for (Header header : answer.headers()) {
+    for (Header header : callerResponse.headers()) {
       fields.add(header.getName(), header.getValue());
     }
     fields.put(CallerHeaders.REQUEST_ID, requestId);
     boolean mayHaveBody =
-        answer.status() != HttpStatus.NO_CONTENT_204
-            && answer.status() != HttpStatus.NOT_MODIFIED_304;
+        callerResponse.status() != HttpStatus.NO_CONTENT_204
+            && callerResponse.status() != HttpStatus.NOT_MODIFIED_304;
     if (mayHaveBody && !fields.contains(HttpHeader.CONTENT_LENGTH)) {
-      fields.put(HttpHeader.CONTENT_LENGTH, answer.body().size());
+      fields.put(HttpHeader.CONTENT_LENGTH, callerResponse.body().size());
     }
-    response.write(true, answer.body().asReadOnlyByteBuffer(), callback);
+    response.write(true, callerResponse.body().asReadOnlyByteBuffer(), callback);
   }
 
   @Override
@@ -62,7 +62,7 @@
     writes.execute(() -> write(response, callback, failure, requestId));
   }
 
-  /** Writes a failure as problem details. */
+  /** Writes a failure as problem details (RFC 9457); an empty request id is left out. */
   static void write(Response response, Callback callback, Failure failure, String requestId) {
     byte[] body =
         Json.bytes(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Attempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Attempts.java
@@ -28,22 +28,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The attempts of an entry that are on their way: sent, answered by id, and resolved over a new
- * connection where the one they were sent on was lost.
+ * The attempts of an entry that are in flight. Sends them, matches responses by id, and resolves
+ * their outcome over a new connection if the one that they were sent on is lost.
  *
  * <p>Confined to the loop's thread.
  */
 final class Attempts {
-  /** Told what comes of attempts and of the connections they travel on. */
+  /** Is notified of the outcomes of attempts and of changes of the targets. */
   interface Listener {
-    /** An attempt has ended; exactly one of answer and failure is not null. */
+    /** An attempt has ended; exactly one of response and failure is not null. */
     void ended(
-        PendingRequest request, AttemptOutcome outcome, CallerAnswer answer, Failure failure);
+        PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure);
 
-    /** A target's load was reported. */
+    /** A target reported its load. */
     void reported(String vm, TargetLoad load);
 
-    /** The list of targets that can be reached changed. */
+    /** The list of reachable targets changed. */
     void targetsChanged();
   }
 
@@ -52,8 +52,8 @@
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
-  private final LinkTimes times;
-  private final ByteBudget answerBudget;
+  private final LinkTimes settings;
+  private final ByteBudget responseBudget;
   private final EventRecorder events;
   private final Listener listener;
   private final TargetPools pools;
@@ -63,45 +63,46 @@
   Attempts(
       LinkLoop loop,
       EntryIdentity identity,
-      LinkTimes times,
-      ByteBudget answerBudget,
+      LinkTimes settings,
+      ByteBudget responseBudget,
       EventRecorder events,
       RandomGenerator random,
       Listener listener) {
     this.loop = loop;
     this.identity = identity;
-    this.times = times;
-    this.answerBudget = answerBudget;
+    this.settings = settings;
+    this.responseBudget = responseBudget;
     this.events = events;
     this.listener = listener;
-    this.pools = new TargetPools(loop, times, random, new FromTargets());
+    this.pools = new TargetPools(loop, settings, random, new FromTargets());
   }
 
   TargetPools pools() {
     return pools;
   }
 
-  /** Sends the request; its attempt may end before this returns. */
+  /** Sends the request; the attempt may end before this returns. */
   void start(PendingRequest request, Decision.Send send) {
     TargetPool pool = pools.byVm(send.vm());
     if (pool != null && pool.isGoingAway()) {
-      // A request sent after the acknowledgement would find the process gone and be of unknown
-      // outcome. Reports that were overtaken on another connection may still speak for the target.
-      String detail = send.vm() + " stops";
+      // A request sent after the GOAWAY was acknowledged has an unknown outcome, because the process
+      // may have exited. The policy may still choose the target by an older report that was received
+      // late on another connection.
+      String detail = "side process of " + send.vm() + " is shutting down";
       Failure failure = new Failure(ErrorKind.SHUTTING_DOWN, detail, 1_000);
       listener.ended(request, AttemptOutcome.NOT_RUN, null, failure);
       return;
     }
     LinkConnection connection = pool == null ? null : pool.pick();
     if (connection == null) {
-      Failure failure = new Failure(ErrorKind.TARGET_UNREACHABLE, "no link to " + send.vm(), 1_000);
+      Failure failure = new Failure(ErrorKind.TARGET_UNREACHABLE, "no usable connection to " + send.vm(), 1_000);
       listener.ended(request, AttemptOutcome.NOT_RUN, null, failure);
       return;
     }
     long now = loop.now();
-    long left = request.request().deadline() - now;
+    long remainingNanos = request.request().deadline() - now;
     Attempt attempt = new Attempt(++lastSequence, pool, connection);
-    attempt.timer(loop.schedule(() -> timedOut(request, attempt), Math.max(0, left)));
+    attempt.timer(loop.schedule(() -> timedOut(request, attempt), Math.max(0, remainingNanos)));
     request.attempt(attempt);
     bySequence.put(attempt.sequence(), request);
     events.record(
@@ -109,21 +110,21 @@
             .withRequest(request.label())
             .withVm(send.vm())
             .withDetail(send.reason()));
-    connection.sendAll(EntryFrames.request(identity, attempt.sequence(), request, left, now));
+    connection.sendAll(EntryFrames.request(identity, attempt.sequence(), request, remainingNanos, now));
   }
 
-  /** Gives up what could not be resolved in time. */
+  /** Ends attempts whose outcome was not resolved in time. */
   void tick(long now) {
     pools.tick(now);
     for (PendingRequest request : new ArrayList<>(bySequence.values())) {
       Attempt attempt = request.attempt();
       if (attempt.resolveUntil() != NEVER && attempt.resolveUntil() - now <= 0) {
-        lost(request, "its outcome could not be found out");
+        lost(request, "outcome not resolved in time after the connection was lost");
       }
     }
   }
 
-  /** Tells the side process that nobody waits for the attempt any more. */
+  /** Notifies the side process that the attempt's response is no longer needed. */
   void cancel(PendingRequest request) {
     Attempt attempt = request.attempt();
     if (attempt.connection() != null) {
@@ -135,30 +136,30 @@
     if (request.attempt() != attempt) {
       return;
     }
-    // Where it has not started yet it need not run any more.
+    // If it has not started yet, it does not run any more.
     cancel(request);
     Failure failure =
         Failure.of(
-            ErrorKind.DEADLINE_WHILE_RUNNING, "no answer from " + attempt.pool().vm() + " in time");
+            ErrorKind.DEADLINE_WHILE_RUNNING, "no response from " + attempt.pool().vm() + " within the deadline");
     ended(request, AttemptOutcome.TIMED_OUT, null, failure);
   }
 
   private void ended(
-      PendingRequest request, AttemptOutcome outcome, CallerAnswer answer, Failure failure) {
+      PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure) {
     bySequence.remove(request.attempt().sequence());
-    listener.ended(request, outcome, answer, failure);
+    listener.ended(request, outcome, response, failure);
   }
 
-  private void lost(PendingRequest request, String why) {
-    String detail = request.attempt().pool().vm() + ": " + why;
+  private void lost(PendingRequest request, String reason) {
+    String detail = request.attempt().pool().vm() + ": " + reason;
     ended(request, AttemptOutcome.LOST, null, Failure.of(ErrorKind.OUTCOME_UNKNOWN, detail));
   }
 
-  /** Returns the request that a frame on the connection is about, or null where it came late. */
+  /** Returns the request that awaits a frame on this connection, or null if the frame is stale. */
   private PendingRequest expected(LinkConnection connection, long sequence) {
     PendingRequest request = bySequence.get(sequence);
-    // Copies of an answer may come on a connection that was given up; the one that is awaited on
-    // the present connection is whole by itself, and chunks of the two must not mix.
+    // A copy of the response may arrive on a connection that was abandoned. The one on the current
+    // connection is complete by itself, and chunks of the two must not be mixed.
     return request != null && request.attempt().connection() == connection ? request : null;
   }
 
@@ -172,9 +173,9 @@
     if (request == null) {
       return;
     }
-    AnswerAssembly assembly = AnswerAssembly.begin(start, answerBudget).orElse(null);
+    AnswerAssembly assembly = AnswerAssembly.begin(start, responseBudget).orElse(null);
     if (assembly == null) {
-      Failure failure = Failure.of(ErrorKind.OUTCOME_UNKNOWN, "no memory for the whole answer");
+      Failure failure = Failure.of(ErrorKind.OUTCOME_UNKNOWN, "response exceeds the free memory budget of the entry");
       ended(request, AttemptOutcome.LOST, null, failure);
       return;
     }
@@ -189,7 +190,7 @@
     }
     AnswerAssembly assembly = request.attempt().assembly();
     if (assembly == null) {
-      throw new BrokenFrameException("a chunk of an answer that has not begun");
+      throw new BrokenFrameException("AnswerBody before AnswerStart");
     }
     assembly.add(body.getData(), body.getLast());
     endIfWhole(request);
@@ -200,10 +201,10 @@
     if (!assembly.isWhole()) {
       return;
     }
-    CallerAnswer answer = assembly.answer();
-    boolean targetError = answer.status() >= 500;
+    CallerAnswer response = assembly.answer();
+    boolean targetError = response.status() >= 500;
     ended(
-        request, targetError ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, answer, null);
+        request, targetError ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, response, null);
   }
 
   private void notRun(TargetPool pool, LinkConnection connection, NotRun notRun)
@@ -222,7 +223,7 @@
     ended(request, AttemptOutcome.NOT_RUN, null, new Failure(kind, detail, retryAfter));
   }
 
-  /** A refusal for its key's sake says nothing of earlier tries, but this one did not run. */
+  /** KEY_STATE_UNKNOWN says nothing of earlier attempts, but proves that this one did not run. */
   private static boolean saysNotRun(ErrorKind kind) {
     return kind.execution() == ErrorKind.Execution.NOT_RUN || kind == ErrorKind.KEY_STATE_UNKNOWN;
   }
@@ -257,12 +258,12 @@
     switch (resolution.getState()) {
       case RUNNING -> request.attempt().resolveUntil(NEVER);
       case NOT_RUN -> {
-        String detail = "lost on the way to " + request.attempt().pool().vm();
+        String detail = "not received by " + request.attempt().pool().vm() + ": connection lost";
         Failure failure = new Failure(ErrorKind.TARGET_UNREACHABLE, detail, 1_000);
         ended(request, AttemptOutcome.NOT_RUN, null, failure);
       }
-      case FORGOTTEN -> lost(request, "it knows nothing of the request any more");
-      default -> throw new BrokenFrameException("resolution without a state");
+      case FORGOTTEN -> lost(request, "side process no longer knows the request");
+      default -> throw new BrokenFrameException("Resolution has no known state: " + resolution.getState());
     }
   }
 
@@ -280,7 +281,7 @@
     }
   }
 
-  /** What side processes send. */
+  /** Handles frames and connection changes of side processes. */
   private final class FromTargets implements TargetPool.Listener {
     @Override
     public void usable(TargetPool pool, LinkConnection connection) {
@@ -301,7 +302,7 @@
       for (PendingRequest request : new ArrayList<>(bySequence.values())) {
         Attempt attempt = request.attempt();
         if (attempt.pool() == pool && attempt.connection() == null) {
-          Attempts.this.lost(request, "its side process is gone");
+          Attempts.this.lost(request, "nothing listens at the address of the side process");
         }
       }
     }
@@ -331,7 +332,7 @@
       if (!pool.isUsable()) {
         listener.targetsChanged();
       }
-      long resolveUntil = loop.now() + times.resolveNanos();
+      long resolveUntil = loop.now() + settings.resolveNanos();
       for (PendingRequest request : new ArrayList<>(bySequence.values())) {
         Attempt attempt = request.attempt();
         if (attempt.connection() != connection) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Bodies.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Bodies.java
@@ -1,11 +1,11 @@
 package io.marigoldsail.daemon.dispatch;
 
-/** Limits on bodies, the same in every process. */
+/** Limits on request and response bodies, the same in every process. */
 public final class Bodies {
-  /** The longest body of a request and of an answer, in bytes. */
+  /** The maximum length of a request or response body, in bytes. */
   public static final int MAX_BYTES = 8 * 1024 * 1024;
 
-  /** The longest piece of a body in one frame, in bytes; shorter bodies travel in one frame. */
+  /** The maximum length of a body chunk in one frame, in bytes; shorter bodies take one frame. */
   static final int CHUNK_BYTES = 64 * 1024;
 
   private Bodies() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/BodyReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/BodyReader.java
@@ -10,8 +10,8 @@
 import org.eclipse.jetty.server.Request;
 
 /**
- * Reads the whole body of a caller's request without blocking, within the limit of one body and the
- * budget of all.
+ * Reads the body of a caller's request without blocking, within the limit of one body and the budget
+ * of all bodies.
  */
 final class BodyReader implements Runnable {
   private static final long COME_BACK_MILLIS = 1_000;
@@ -25,21 +25,22 @@
   /**
    * Creates a reader.
    *
-   * @param request the request, its head read
-   * @param budget what all bodies may hold; the reader gives back what it reserved if it fails
-   * @param whole told once; after a success {@link #reserved} bytes are to be given back later
+   * @param request the request, its head already read
+   * @param budget the bytes that all bodies may hold; a failed read returns its bytes by itself
+   * @param onComplete called once; after a success the receiver must later return {@link #reserved}
+   *     bytes to the budget
    */
-  BodyReader(Request request, ByteBudget budget, Consumer<Result<ByteString>> whole) {
+  BodyReader(Request request, ByteBudget budget, Consumer<Result<ByteString>> onComplete) {
     this.request = request;
     this.budget = budget;
-    this.whole = whole;
+    this.whole = onComplete;
   }
 
   long reserved() {
     return reserved;
   }
 
-  /** Reads what is there and asks to be called again for the rest. */
+  /** Reads the available content and demands a further call for the rest. */
   @Override
   public void run() {
     if (request.getLength() > Bodies.MAX_BYTES) {
@@ -53,7 +54,7 @@
         return;
       }
       if (Content.Chunk.isFailure(chunk)) {
-        fail(Failure.of(ErrorKind.BAD_REQUEST, "the body was cut short"));
+        fail(Failure.of(ErrorKind.BAD_REQUEST, "the body could not be read completely"));
         return;
       }
       boolean last = chunk.isLast();
@@ -75,21 +76,21 @@
     if (length == 0) {
       return null;
     }
-    // A body without Content-Length shows its length only as it comes.
+    // The length of a body without Content-Length is known only as it is read.
     if (body.size() + length > Bodies.MAX_BYTES) {
       return tooLarge();
     }
     if (!budget.tryReserve(length)) {
-      return new Failure(ErrorKind.OVERLOADED, "no room for the body", COME_BACK_MILLIS);
+      return new Failure(ErrorKind.OVERLOADED, "the body exceeds the free memory budget of the entry", COME_BACK_MILLIS);
     }
     reserved += length;
-    ByteString part = ByteString.copyFrom(chunk.getByteBuffer());
-    body = body.isEmpty() ? part : body.concat(part);
+    ByteString content = ByteString.copyFrom(chunk.getByteBuffer());
+    body = body.isEmpty() ? content : body.concat(content);
     return null;
   }
 
   private static Failure tooLarge() {
-    return Failure.of(ErrorKind.BODY_TOO_LARGE, "the limit is " + Bodies.MAX_BYTES + " bytes");
+    return Failure.of(ErrorKind.BODY_TOO_LARGE, "the body limit is " + Bodies.MAX_BYTES + " bytes");
   }
 
   private void fail(Failure failure) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerAnswer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerAnswer.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * A target's whole answer. Immutable. Rejects nulls.
+ * A target's complete response to a caller. Immutable. Rejects nulls.
  *
  * @param status the HTTP status
- * @param headers the headers that travel with the message
- * @param body the whole body
+ * @param headers the end-to-end headers
+ * @param body the complete body
  */
 public record CallerAnswer(int status, List<Header> headers, ByteString body) {
   /** Checks the components. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerHeaders.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerHeaders.java
@@ -1,20 +1,20 @@
 package io.marigoldsail.daemon.dispatch;
 
-/** Headers between callers and an entry. */
+/** HTTP headers between callers and an entry. */
 public final class CallerHeaders {
-  /** Who asks; where it is missing, the caller's IP number stands for it. */
+  /** The name of the caller; defaults to the caller's IP address. */
   public static final String CALLER = "Marigoldsail-Caller";
 
-  /** How many milliseconds the caller still waits. */
+  /** How long the caller waits for the response, in milliseconds. */
   public static final String DEADLINE_MILLIS = "Marigoldsail-Deadline-Millis";
 
-  /** What the request is about, such as a lot's name. */
+  /** The key of the request's subject, such as a lot's name. */
   public static final String KEY = "Marigoldsail-Key";
 
-  /** Names one intended effect over several tries. */
+  /** Identifies one intended effect across several attempts of the caller. */
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-  /** In answers, and in requests to targets: the request's id on the time line. */
+  /** The request's id on the time line, in responses and in requests to targets. */
   public static final String REQUEST_ID = "Marigoldsail-Request-Id";
 
   private CallerHeaders() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
@@ -3,19 +3,19 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Bounds of an entry towards callers.
+ * Limits of an entry for callers.
  *
- * @param maxConnections how many connections callers may have open at once
- * @param bodyBytes what bodies of requests may hold together, in bytes
+ * @param maxConnections the number of connections that callers may have open at once
+ * @param bodyBytes the total bytes of request bodies
  */
 public record CallerLimits(int maxConnections, long bodyBytes) {
-  /** The longest time left that a caller may name, in milliseconds. */
+  /** The longest deadline that a caller may set, in milliseconds. */
   public static final long MAX_DEADLINE_MILLIS = 10 * 60 * 1_000L;
 
-  /** The longest name of a caller, key or idempotency key, in characters. */
+  /** The maximum length of the name of a caller, key or idempotency key, in characters. */
   public static final int MAX_NAME_LENGTH = 200;
 
-  /** The longest head of a request, in bytes. */
+  /** The maximum length of a request head, in bytes. */
   public static final int MAX_HEADER_BYTES = 16 * 1024;
 
   /** Checks the components. */
@@ -24,7 +24,7 @@
     checkArgument(bodyBytes >= Bodies.MAX_BYTES, "bodyBytes is less than one body: %s", bodyBytes);
   }
 
-  /** Returns the bounds that fit the heap of this Java virtual machine. */
+  /** Returns the limits for the heap of this Java virtual machine. */
   public static CallerLimits ofHeap() {
     long quarter = Runtime.getRuntime().maxMemory() / 4;
     return new CallerLimits(4_096, Math.max(2L * Bodies.MAX_BYTES, quarter));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerRequest.java
@@ -8,20 +8,19 @@
 import java.util.List;
 
 /**
- * A whole request of a caller. Immutable. Rejects nulls.
+ * A complete request of a caller. Immutable. Rejects nulls.
  *
- * @param service the service asked for
+ * @param service the requested service
  * @param method the HTTP method
  * @param path the raw path with the query
- * @param headers the headers that travel with the message
- * @param body the whole body
- * @param caller who asks
- * @param key what the request is about, or empty
- * @param idempotencyKey the idempotency key within the service, apart from that of other callers,
- *     or empty
- * @param idempotent whether running it twice does no harm
- * @param arrivedAt when it arrived, in nanoseconds of the process's monotonic clock
- * @param deadline when its answer is of no more use, on the same clock
+ * @param headers the end-to-end headers
+ * @param body the complete body
+ * @param caller the name or IP address of the caller
+ * @param key the key of the request's subject, or empty
+ * @param idempotencyKey the idempotency key within the service, scoped to the caller, or empty
+ * @param idempotent whether running the request twice has the same effect as running it once
+ * @param arrivedAt the arrival time, in nanoseconds of the process's monotonic clock
+ * @param deadline when the response is no longer needed, on the same clock
  */
 public record CallerRequest(
     String service,
@@ -47,7 +46,7 @@
     requireNonNull(idempotencyKey, "idempotencyKey");
   }
 
-  /** Returns whether the request must run once for all tries with its key. */
+  /** Returns whether the request must run only once for all requests with its idempotency key. */
   public boolean isKeyed() {
     return !idempotent && !idempotencyKey.isEmpty();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -29,33 +29,34 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * The HTTP server of an entry for its callers: {@code /SERVICE/...} with any method, and the health
- * endpoints of the platform's balancer. Safe for any thread.
+ * The HTTP server of an entry for its callers. Serves {@code /SERVICE/...} with any method, and the
+ * health endpoints for the platform's load balancer. Safe for any thread.
  */
 public final class CallerServer implements AutoCloseable {
-  /** The health endpoint that is good as long as the process serves at all. */
+  /** The liveness endpoint: 200 as long as the process serves HTTP. */
   public static final String LIVE_PATH = "/health/live";
 
-  /** The health endpoint that tells whether the balancer may send callers here. */
+  /** The readiness endpoint: 200 while the load balancer may route callers to this entry. */
   public static final String READY_PATH = "/health/ready";
 
   private static final int MAX_THREADS = 32;
   private static final int MIN_THREADS = 8;
   private static final long IDLE_MILLIS = 30_000;
 
-  /** Connections that wait to be accepted; beyond it the kernel resets or drops them. */
+  /** Connections that wait to be accepted; the kernel resets or drops more. */
   private static final int ACCEPT_QUEUE = 1_024;
 
   private static final long WRITE_LIMIT_MILLIS = 10_000;
   private static final int MAX_ANSWER_HEADER_BYTES = 48 * 1024;
 
   /**
-   * What is allotted for an answer's head at first. Buffers are not pooled, so that it is cleared
-   * for each answer, on the loop: with room for the longest head that was a third of its time.
+   * The initial buffer for the head of a response. Buffers are not pooled, so the buffer is cleared
+   * for every response, on the loop: with the size of the longest head, this took a third of the
+   * loop's time.
    */
   private static final int ANSWER_HEADER_BYTES = 2 * 1024;
 
-  /** What is allotted for reading from a caller at a time; longer heads and bodies take several. */
+  /** The buffer for one read from a caller; longer heads and bodies take several reads. */
   private static final int INPUT_BYTES = 4 * 1024;
 
   private final MonotonicClock clock;
@@ -73,11 +74,12 @@
    * Creates a server that does not listen yet.
    *
    * @param clock the process's monotonic clock
-   * @param address where to listen; port 0 takes any
-   * @param limits the bounds
-   * @param deadlines which services there are, and how long their requests may take
-   * @param dispatcher takes the requests
-   * @param ready whether the balancer may send callers here, besides the dispatcher's own view
+   * @param address the address to listen on; port 0 selects any free port
+   * @param limits the limits of connections and memory
+   * @param deadlines the configured services and their default deadlines
+   * @param dispatcher handles the requests
+   * @param ready further condition, besides the dispatcher's, for the load balancer to route callers
+   *     to this entry
    */
   public CallerServer(
       MonotonicClock clock,
@@ -94,9 +96,9 @@
     this.bodyBudget = new ByteBudget(limits.bodyBytes());
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
     threads.setName("callers");
-    // Jetty 12.1.13 hands one pooled buffer to two connections after it was sent what is no HTTP: a
-    // good request beside it is then answered 400, or worse read as another's. Buffers that are not
-    // pooled cannot be mixed up; they are on the heap, where giving them up costs least.
+    // After malformed HTTP, Jetty 12.1.13 gives one pooled buffer to two connections: a valid request
+    // on another connection is then answered with 400, or even read as another caller's. Buffers that
+    // are not pooled are not shared; on the heap they are cheap to discard.
     this.server = new Server(threads, null, new ByteBufferPool.NonPooling());
     this.connector = newConnector();
     server.addConnector(connector);
@@ -115,18 +117,18 @@
     http.setUseOutputDirectByteBuffers(false);
     http.setSendServerVersion(false);
     http.setSendDateHeader(false);
-    ServerConnector made = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
-    made.setHost(address.getHostString());
-    made.setPort(address.getPort());
-    made.setIdleTimeout(IDLE_MILLIS);
-    made.setAcceptQueueSize(ACCEPT_QUEUE);
-    return made;
+    ServerConnector newConnector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
+    newConnector.setHost(address.getHostString());
+    newConnector.setPort(address.getPort());
+    newConnector.setIdleTimeout(IDLE_MILLIS);
+    newConnector.setAcceptQueueSize(ACCEPT_QUEUE);
+    return newConnector;
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     try {
@@ -138,15 +140,15 @@
     }
   }
 
-  /** Returns the port that is listened on. */
+  /** Returns the local port. */
   public int port() {
     return connector.getLocalPort();
   }
 
   /**
-   * Stops listening and ends all connections; the dispatcher is stopped first.
+   * Stops listening and closes all connections. To be called after the dispatcher has stopped.
    *
-   * <p>Waits a bounded time until callers have taken the answers that are being written.
+   * <p>Waits up to 10 s for responses that are being written.
    */
   @Override
   public void close() {
@@ -163,16 +165,16 @@
 
   private static boolean jettyError(Request request, Response response, Callback callback) {
     int status = response.getStatus();
-    boolean ownFault =
+    boolean serverFault =
         status >= HttpStatus.INTERNAL_SERVER_ERROR_500
             && status != HttpStatus.HTTP_VERSION_NOT_SUPPORTED_505;
-    ErrorKind kind = ownFault ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
+    ErrorKind kind = serverFault ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
     Failure failure = Failure.of(kind, HttpStatus.getMessage(status));
     AnswerWriter.write(response, callback, failure, "");
     return true;
   }
 
-  /** Serves callers and health. */
+  /** Handles requests of callers and health checks. */
   private final class Callers extends Handler.Abstract.NonBlocking {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
@@ -191,7 +193,7 @@
         return true;
       }
       if (!dispatcher.isReady()) {
-        // The balancer is to take this connection's next request elsewhere.
+        // Makes the load balancer send the next request of this connection to another entry.
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
       }
       readBody(request, response, open.counted(callback), head.value());
@@ -207,8 +209,8 @@
             bodyBudget,
             body -> {
               if (body instanceof Result.Failed<ByteString> failed) {
-                Callback afterRest = RestOfBody.thenComplete(request, callback);
-                AnswerWriter.write(response, afterRest, failed.failure(), "");
+                Callback afterBodyRead = RestOfBody.thenComplete(request, callback);
+                AnswerWriter.write(response, afterBodyRead, failed.failure(), "");
                 return;
               }
               long reserved = holder[0].reserved();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ChunkedFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ChunkedFrames.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.protocol.Frame;
 import java.util.NoSuchElementException;
 
-/** A body as frames: the first starts the message, the others carry one chunk each. */
+/** The frames of a message with a body: the first starts it, the others carry one chunk each. */
 abstract class ChunkedFrames implements FrameStream {
   private Frame first;
   private ByteString rest;
@@ -14,24 +14,24 @@
    * Creates the frames.
    *
    * @param first the first frame, with the first chunk
-   * @param body the whole body
+   * @param body the complete body
    */
   ChunkedFrames(Frame first, ByteString body) {
     this.first = first;
     this.rest = body.substring(head(body).size());
   }
 
-  /** Returns the chunk that goes into the first frame. */
+  /** Returns the first chunk of the body. */
   static ByteString head(ByteString body) {
     return body.substring(0, Math.min(Bodies.CHUNK_BYTES, body.size()));
   }
 
-  /** Returns whether the whole body goes into the first frame. */
+  /** Returns whether the complete body fits the first frame. */
   static boolean fitsFirst(ByteString body) {
     return body.size() <= Bodies.CHUNK_BYTES;
   }
 
-  /** Returns the frame of a further chunk. */
+  /** Returns the frame of a chunk after the first. */
   abstract Frame chunk(ByteString data, boolean last);
 
   @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -33,18 +33,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Carries out what an entry's {@link RequestPolicy} decides, and tells it what came of it.
+ * Executes the decisions of an entry's {@link RequestPolicy} and reports the outcomes to it.
  *
- * <p>Keeps every request until its one answer, matches answers by id, and finds out over a new
- * connection what became of requests whose connection was lost. All state is confined to the loop's
+ * <p>Holds every request until its single response, matches responses by id, and resolves the
+ * outcome of requests on a lost connection over a new one. All state is confined to the loop's
  * thread; the public methods may be called from any thread.
  */
 public final class EntryDispatcher implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(EntryDispatcher.class.getName());
+
+  /** A tick that is later than this shows that the process was paused. */
   private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+
   private static final long NO_HOME_MILLIS = 1_000;
 
-  /** What a request waits after its home was full for the first time, in nanoseconds. */
+  /** Back-off after the first time that the owner of a key has no free slot. */
   private static final long HOME_BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private static final int MAX_HOME_DOUBLINGS = 8;
@@ -53,7 +56,7 @@
   private final LinkLoop loop;
   private final EntryIdentity identity;
   private final RequestPolicy policy;
-  private final LinkTimes times;
+  private final LinkTimes settings;
   private final EventRecorder events;
   private final Attempts attempts;
   private final Optional<KeyShardTable> keys;
@@ -71,69 +74,71 @@
   /**
    * Creates a dispatcher that is not started.
    *
-   * @param loop the thread
-   * @param identity who this entry is
-   * @param policy decides; owned by this dispatcher from now on
-   * @param times how connections are watched
-   * @param answerBudget what answers may hold while they are put together
-   * @param keys the homes of idempotency keys; without them keys go to targets unused
-   * @param detectsRepeats whether the targets of a service tell repeats of a key apart themselves
-   * @param events the time line
-   * @param random for the back-off's jitter
+   * @param loop the loop that all state is confined to
+   * @param identity the identity of this entry
+   * @param policy decides on requests; owned by this dispatcher from now on
+   * @param settings the settings of connections to side processes
+   * @param responseBudget the bytes that responses may hold while they are assembled
+   * @param shardTable the owners of idempotency keys; if empty, keys are passed to targets and not
+   *     used here
+   * @param detectsRepeats whether the targets of a service detect repeated idempotency keys
+   * @param events records the request's events
+   * @param random jitter of the connection back-off
    */
   public EntryDispatcher(
       LinkLoop loop,
       EntryIdentity identity,
       RequestPolicy policy,
-      LinkTimes times,
-      ByteBudget answerBudget,
-      Optional<KeyShardTable> keys,
+      LinkTimes settings,
+      ByteBudget responseBudget,
+      Optional<KeyShardTable> shardTable,
       Predicate<String> detectsRepeats,
       EventRecorder events,
       RandomGenerator random) {
     this.loop = requireNonNull(loop, "loop");
     this.identity = requireNonNull(identity, "identity");
     this.policy = requireNonNull(policy, "policy");
-    this.times = requireNonNull(times, "times");
-    this.keys = requireNonNull(keys, "keys");
+    this.settings = requireNonNull(settings, "settings");
+    this.keys = requireNonNull(shardTable, "shardTable");
     this.detectsRepeats = requireNonNull(detectsRepeats, "detectsRepeats");
     this.events = requireNonNull(events, "events");
     this.attempts =
-        new Attempts(loop, identity, times, answerBudget, events, random, new FromAttempts());
+        new Attempts(loop, identity, settings, responseBudget, events, random, new FromAttempts());
   }
 
-  /** Begins to serve. */
+  /** Starts the periodic checks. */
   public void start() {
     lastTick = loop.now();
-    tick = loop.repeat(this::tick, times.tickNanos());
+    tick = loop.repeat(this::tick, settings.tickNanos());
   }
 
-  /** Returns the listener through which this dispatcher learns of targets. */
+  /** Returns the listener that receives the announcements of targets. */
   public MemberListener memberListener() {
     return new FromMembers();
   }
 
-  /** Takes a request; its sink is called exactly once. */
+  /** Accepts a request; calls its sink exactly once, on the loop's thread. */
   public void submit(CallerRequest request, AnswerSink sink) {
     loop.run(() -> arrived(request, sink));
   }
 
-  /** Returns how many targets there are connections to; to be called on the loop's thread. */
+  /** Returns the number of targets with a usable connection; call on the loop's thread only. */
   int reachableTargets() {
     return attempts.pools().targets().size();
   }
 
-  /** Returns whether the platform's balancer may send callers here. */
+  /** Returns whether the platform's load balancer may route callers to this entry. */
   public boolean isReady() {
     return !stopping;
   }
 
   /**
-   * Begins a planned stop: health turns bad at once, arrivals are served for the grace time, what
-   * is in progress ends.
+   * Begins a planned stop: {@link #isReady} turns false at once, new requests are served for the
+   * grace time, and pending requests are completed.
    *
-   * @param graceNanos how long the platform's balancer may take to notice the bad health
-   * @return completed when every request taken has been answered
+   * @param graceNanos how long the platform's load balancer may take to notice the failed health
+   *     check
+   * @return completed when every accepted request has its response
    */
   public CompletableFuture<Void> beginStop(long graceNanos) {
     stopping = true;
@@ -146,7 +151,7 @@
     return drained;
   }
 
-  /** Ends all connections; what is pending gets no answer, so {@link #beginStop} goes first. */
+  /** Closes all connections; pending requests get no response, so {@link #beginStop} first. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -157,7 +162,7 @@
     long number = ++lastNumber;
     String label = Long.toHexString(identity.incarnation()) + "-" + number;
     if (refusing) {
-      sink.failed(label, new Failure(ErrorKind.SHUTTING_DOWN, identity.name() + " stops", 1_000));
+      sink.failed(label, new Failure(ErrorKind.SHUTTING_DOWN, identity.name() + " is shutting down", 1_000));
       return;
     }
     events.record(
@@ -165,18 +170,18 @@
             .withRequest(label)
             .withCaller(request.caller())
             .withDetail(request.service()));
-    PendingRequest arrived = new PendingRequest(number, label, request, sink);
-    pending.put(number, arrived);
+    PendingRequest pendingRequest = new PendingRequest(number, label, request, sink);
+    pending.put(number, pendingRequest);
     if (request.isKeyed() && keys.isPresent()) {
-      sendHome(arrived, keys.get());
+      sendHome(pendingRequest, keys.get());
       return;
     }
-    schedule(arrived);
+    schedule(pendingRequest);
   }
 
-  private void schedule(PendingRequest arrived) {
-    CallerRequest request = arrived.request();
-    long number = arrived.number();
+  private void schedule(PendingRequest pendingRequest) {
+    CallerRequest request = pendingRequest.request();
+    long number = pendingRequest.number();
     long now = loop.now();
     Arrival arrival =
         new Arrival(
@@ -188,44 +193,44 @@
             request.arrivedAt(),
             Math.max(request.arrivedAt(), request.deadline()));
     carryOut(policy.arrived(arrival, now));
-    PendingRequest waits = pending.get(number);
-    if (waits != null && waits.attempt() == null) {
-      events.record(Event.of(EventKind.REQUEST_QUEUED).withRequest(arrived.label()));
+    PendingRequest queued = pending.get(number);
+    if (queued != null && queued.attempt() == null) {
+      events.record(Event.of(EventKind.REQUEST_QUEUED).withRequest(pendingRequest.label()));
     }
   }
 
   /**
-   * Sends a request to the home of its idempotency key.
+   * Sends a request to the owner of its idempotency key.
    *
-   * <p>There is no choice of target and so no waiting here: the home's waiting room takes it, or it
-   * refuses it. A refusal for want of room is tried again here while there is time; after any other
-   * outcome the caller may, with the same key. Where its home is not reached but the target tells
-   * repeats apart by itself, any target takes it.
+   * <p>Only the owner may run it, so it does not wait in this entry: the owner queues or rejects
+   * it. Overload rejections are retried here until the deadline; after any other outcome the caller
+   * may retry with the same key. If the owner is not reachable and the target targetDetectsRepeats repeats, the
+   * request may go to any target.
    */
   private void sendHome(PendingRequest request, KeyShardTable table) {
     String service = request.request().service();
-    boolean detects = detectsRepeats.test(service);
+    boolean targetDetectsRepeats = detectsRepeats.test(service);
     int shard = KeyShards.of(request.request().idempotencyKey());
-    KeyHome home = table.home(service, shard).orElse(null);
-    // A home that leaves refuses all; what is sent to it as it exits would be of unknown outcome.
-    if (home == null || !attempts.pools().takesNew(home.vm(), home.incarnation())) {
-      if (detects) {
+    KeyHome owner = table.home(service, shard).orElse(null);
+    // A leaving owner rejects everything, and a request sent as it exits has an unknown outcome.
+    if (owner == null || !attempts.pools().takesNew(owner.vm(), owner.incarnation())) {
+      if (targetDetectsRepeats) {
         schedule(request);
         return;
       }
-      String detail = "this attempt was not run; its Idempotency-Key has no home that is reached";
+      String detail = "this attempt was not run; the owner of its Idempotency-Key is not reachable";
       fail(request, new Failure(ErrorKind.KEY_STATE_UNKNOWN, detail, NO_HOME_MILLIS));
       return;
     }
-    request.sentHome(KeyHomes.claim(shard, home), detects);
-    request.vm(home.vm());
-    attempts.start(request, new Decision.Send(request.number(), home.vm(), 1, "home of its key"));
+    request.sentHome(KeyHomes.claim(shard, owner), targetDetectsRepeats);
+    request.vm(owner.vm());
+    attempts.start(request, new Decision.Send(request.number(), owner.vm(), 1, "owner of its key"));
   }
 
   private void carryOut(List<Decision> decisions) {
     for (Decision decision : decisions) {
       PendingRequest request = pending.get(decision.request());
-      checkState(request != null, "decision on request %s that is not here", decision.request());
+      checkState(request != null, "decision on request %s, which is not pending", decision.request());
       if (decision instanceof Decision.Send send) {
         request.vm(send.vm());
         send(request, send);
@@ -255,8 +260,8 @@
   }
 
   private void refuse(PendingRequest request, Failure failure) {
-    // The policy knows outcomes by their kind alone; a refusal after an attempt that may have run
-    // must not read as "not run" to the caller, who would safely ask again and run it twice.
+    // The policy sees only kinds of outcomes. After an attempt that may have run, the caller must
+    // not receive "not run": it would retry and run the request twice.
     if (request.mayHaveRun() && failure.kind().execution() == ErrorKind.Execution.NOT_RUN) {
       answer(request);
       return;
@@ -265,8 +270,7 @@
   }
 
   private void send(PendingRequest request, Decision.Send send) {
-    // Whatever the policy makes of outcomes: what may have run and is not idempotent is never sent
-    // again.
+    // Whatever the policy decides, a non-idempotent request that may have run is not sent again.
     if (request.mayHaveRun() && !request.request().idempotent()) {
       LOG.log(System.Logger.Level.ERROR, "event=second-run-prevented request={0}", request.label());
       answer(request);
@@ -279,9 +283,9 @@
       PendingRequest request,
       String vm,
       AttemptOutcome outcome,
-      CallerAnswer answer,
+      CallerAnswer response,
       Failure failure) {
-    request.ended(outcome, answer, failure);
+    request.ended(outcome, response, failure);
     if (request.isAtHome()) {
       if (!isFull(outcome, failure) || !sendHomeLater(request)) {
         answer(request);
@@ -301,19 +305,19 @@
   }
 
   /**
-   * Sends the request to its home again after a back-off that doubles; returns false if its
-   * deadline passes before.
+   * Schedules another attempt at the owner with exponential back-off; returns false if the deadline
+   * is earlier.
    *
-   * <p>Guards against refusals by a nearly idle fleet: a key has one home, and one that has just
-   * started stands still for a moment, while four of 1,000 callers were told that it is full.
+   * <p>A key has a single owner, and one that has just started stalls briefly: without the retry 4
+   * of 1,000 callers were refused as overloaded by a nearly idle fleet.
    */
   private boolean sendHomeLater(PendingRequest request) {
     int doublings = Math.min(request.triesAtHome() - 1, MAX_HOME_DOUBLINGS);
-    long due = loop.now() + (HOME_BACK_OFF_NANOS << doublings);
-    if (due >= request.request().deadline()) {
+    long retryAt = loop.now() + (HOME_BACK_OFF_NANOS << doublings);
+    if (retryAt >= request.request().deadline()) {
       return false;
     }
-    loop.schedule(() -> sendHomeAgain(request), due - loop.now());
+    loop.schedule(() -> sendHomeAgain(request), retryAt - loop.now());
     return true;
   }
 
@@ -323,7 +327,7 @@
     }
   }
 
-  /** Hands the outcome of the last attempt on. */
+  /** Completes the request with the outcome of its last attempt. */
   private void answer(PendingRequest request) {
     if (request.lastAnswer() != null) {
       forget(request);
@@ -364,7 +368,7 @@
   private void tick() {
     long now = loop.now();
     if (now - lastTick > FROZEN_NANOS) {
-      // This process was frozen; its peers' frames wait in its sockets.
+      // This process was paused; frames of its peers are still unread in the sockets.
       attempts.pools().excuseSilence(now);
     }
     lastTick = now;
@@ -375,7 +379,7 @@
     carryOut(policy.targetsChanged(attempts.pools().targets(), loop.now()));
   }
 
-  /** What members announce. */
+  /** Applies announcements and losses of members. */
   private final class FromMembers implements MemberListener {
     @Override
     public void announced(Announcement announcement, MemberTable.Change change) {
@@ -395,12 +399,12 @@
     }
   }
 
-  /** What comes of attempts. */
+  /** Passes outcomes of attempts and reports of targets to the policy. */
   private final class FromAttempts implements Attempts.Listener {
     @Override
     public void ended(
-        PendingRequest request, AttemptOutcome outcome, CallerAnswer answer, Failure failure) {
-      EntryDispatcher.this.ended(request, request.vm(), outcome, answer, failure);
+        PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure) {
+      EntryDispatcher.this.ended(request, request.vm(), outcome, response, failure);
     }
 
     @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
@@ -10,12 +10,12 @@
 import io.marigoldsail.protocol.Resolve;
 import java.util.concurrent.TimeUnit;
 
-/** Makes the frames that an entry sends on connections of requests. */
+/** Creates the frames that an entry sends on request connections. */
 final class EntryFrames {
   private EntryFrames() {}
 
   static FrameStream request(
-      EntryIdentity identity, long sequence, PendingRequest pending, long leftNanos, long now) {
+      EntryIdentity identity, long sequence, PendingRequest pending, long remainingNanos, long now) {
     CallerRequest request = pending.request();
     RequestStart.Builder start =
         RequestStart.newBuilder()
@@ -23,7 +23,7 @@
             .setMethod(request.method())
             .setPath(request.path())
             .addAllHeaders(request.headers())
-            .setRemainingMillis(Math.max(1, TimeUnit.NANOSECONDS.toMillis(leftNanos)))
+            .setRemainingMillis(Math.max(1, TimeUnit.NANOSECONDS.toMillis(remainingNanos)))
             .setIdempotent(request.idempotent())
             .setCaller(request.caller())
             .setIdempotencyKey(request.idempotencyKey())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/GoAwayFence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/GoAwayFence.java
@@ -9,20 +9,21 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Tells, in a planned stop of a side process, when its connections may be closed.
+ * Drains the connections of a side process in a planned stop, and determines when they may be
+ * closed.
  *
- * <p>Two things are lost if the process exits as soon as its last request has ended, and each makes
- * a caller read that the outcome is unknown. A request that an entry sent just before it heard of
- * the stop is still on its way; and answers that the operating system has not delivered yet are
- * thrown away when a connection is closed with something unread in it, such as a ping. Entries
- * acknowledge a {@code GoAway} on its own connection and send no new request behind that, so the
- * acknowledgement proves both that nothing more comes and that all that was sent before has
- * arrived. A round in which something else crossed proves nothing and is done again.
+ * <p>If the process exited right after its last request, two kinds of messages would be lost, and
+ * callers would get an unknown outcome: requests in transit that an entry sent before it was
+ * notified of the stop, and responses that the operating system has not delivered, which it discards
+ * when a connection is closed with unread data such as a ping. Entries acknowledge a {@code GoAway}
+ * on the same connection and send no new request after that. The acknowledgement therefore proves
+ * that no more requests follow and that everything sent before was received. A round with other
+ * traffic in between proves neither and is repeated.
  *
  * <p>Confined to the loop's thread, but for {@link #passed}.
  */
 final class GoAwayFence {
-  /** A connection that takes or acknowledges nothing for this long after all has ended is lost. */
+  /** A connection that is not acknowledged this long after the last request counts as lost. */
   private static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private static final long CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
@@ -33,21 +34,21 @@
   private final Set<LinkConnection> unacknowledged = new HashSet<>();
   private final CompletableFuture<Void> passed = new CompletableFuture<>();
   private boolean begun;
-  private boolean crossed;
+  private boolean activity;
   private long giveUpAt;
 
   /**
-   * Creates a fence for a process that is not stopping yet.
+   * Creates a drain for a process that is not stopping yet.
    *
-   * @param loop the thread
-   * @param flushed whether all that was sent has been handed to the operating system
+   * @param loop the loop that all state is confined to
+   * @param allFlushed whether all sent frames have been handed to the operating system
    */
-  GoAwayFence(LinkLoop loop, BooleanSupplier flushed) {
+  GoAwayFence(LinkLoop loop, BooleanSupplier allFlushed) {
     this.loop = loop;
-    this.flushed = flushed;
+    this.flushed = allFlushed;
   }
 
-  /** Takes a new connection. */
+  /** Adds a new connection. */
   void opened(LinkConnection connection) {
     open.add(connection);
     if (begun) {
@@ -55,17 +56,17 @@
     }
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a closed connection. */
   void closed(LinkConnection connection) {
     open.remove(connection);
     unacknowledged.remove(connection);
   }
 
-  /** Tells all entries of the stop. */
+  /** Sends GOAWAY to all entries. */
   void begin() {
     begun = true;
     open.forEach(this::ask);
-    // What was sent before may still wait in the process behind this first word of the stop.
+    // Frames sent before may still be queued in the process, so the first round proves nothing.
     crossed();
   }
 
@@ -74,17 +75,17 @@
     connection.send(SideFrames.goAway());
   }
 
-  /** Notes an acknowledgement. */
+  /** Records the acknowledgement of a GOAWAY. */
   void acknowledged(LinkConnection connection) {
     unacknowledged.remove(connection);
   }
 
-  /** Notes that a request, a question or an answer crossed the connections. */
+  /** Records that a request, a resolve or a response was sent or received. */
   void crossed() {
-    crossed = true;
+    activity = true;
   }
 
-  /** Begins to wait, once nothing is in progress; later calls have no effect. */
+  /** Starts to wait for the drain, once no request is pending; later calls have no effect. */
   void settle() {
     if (giveUpAt == 0) {
       giveUpAt = loop.now() + LIMIT_NANOS;
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Returns what is completed when the connections may be closed. */
+  /** Returns a future that is completed when the connections may be closed. */
   CompletableFuture<Void> passed() {
     return passed;
   }
@@ -109,8 +110,8 @@
     if (!unacknowledged.isEmpty() || !flushed.getAsBoolean()) {
       return false;
     }
-    if (crossed) {
-      crossed = false;
+    if (activity) {
+      activity = false;
       open.forEach(this::ask);
     }
     return unacknowledged.isEmpty();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Shards of keys as frames, a chunk of a shard in each; a shard without keys is one frame, too. */
+/** The frames of shards that are handed over: chunks of one shard each, at least one a shard. */
 final class HandoverFrames implements FrameStream {
-  /** A shard with its keys, which change no more. */
+  /** A shard with its final keys. */
   record Shard(HandedShard handed, List<Ended<TargetOutcome>> keys) {}
 
   private final ArrayDeque<Shard> rest;
@@ -31,7 +31,7 @@
    * Creates the frames.
    *
    * @param shards the shards, at least one
-   * @param now the time, on the clock by which keys are forgotten
+   * @param now the time on the clock by which keys expire
    */
   HandoverFrames(List<Shard> shards, long now) {
     checkArgument(!shards.isEmpty(), "no shards");
@@ -79,27 +79,27 @@
             .setRemainingMillis(
                 TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.forgetAt() - now)) + 1);
     TargetOutcome outcome = ended.outcome().orElse(null);
-    if (outcome instanceof TargetOutcome.Lost lost) {
-      key.setLost(lost.detail());
-    } else if (outcome instanceof TargetOutcome.BrokenAnswer broken) {
-      key.setBroken(broken.detail());
-    } else if (outcome instanceof TargetOutcome.Answered answered) {
-      KeptAnswer answer =
+    if (outcome instanceof TargetOutcome.Lost missing) {
+      key.setLost(missing.detail());
+    } else if (outcome instanceof TargetOutcome.BrokenAnswer invalid) {
+      key.setBroken(invalid.detail());
+    } else if (outcome instanceof TargetOutcome.Answered responded) {
+      KeptAnswer response =
           KeptAnswer.newBuilder()
-              .setStatus(answered.status())
-              .addAllHeaders(answered.headers())
-              .setBody(answered.body())
+              .setStatus(responded.status())
+              .addAllHeaders(responded.headers())
+              .setBody(responded.body())
               .build();
-      // A longer one would outgrow a frame; its key says that its request ran, which is enough for
-      // it not to run again.
-      if (answer.getSerializedSize() <= Bodies.CHUNK_BYTES) {
-        key.setAnswered(answer);
+      // A longer response would exceed the frame limit. The key alone says that its request ran,
+      // which prevents another run.
+      if (response.getSerializedSize() <= Bodies.CHUNK_BYTES) {
+        key.setAnswered(response);
       }
     }
     return key.build();
   }
 
-  /** Returns a key as it was handed over; the time that it was on its way lengthens its memory. */
+  /** Decodes a key; its time in transit extends the time until it expires. */
   static Ended<TargetOutcome> read(HandedKey key, long now) {
     long remaining = TimeUnit.MILLISECONDS.toNanos(key.getRemainingMillis());
     long forgetAt = now + Math.min(remaining, KeyTerms.WINDOW_NANOS);
@@ -114,8 +114,8 @@
     return new Ended<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
   }
 
-  private static TargetOutcome answer(KeptAnswer kept) {
+  private static TargetOutcome answer(KeptAnswer retained) {
     return new TargetOutcome.Answered(
-        kept.getStatus(), kept.getHeadersList(), kept.getBody(), () -> {});
+        retained.getStatus(), retained.getHeadersList(), retained.getBody(), () -> {});
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An entry's part in handing keys over: it passes a shard's keys on to the successor, and once that
- * one has them all lets the log move the shard.
+ * Relays the handover of key shards in an entry: forwards a shard's keys to the successor and, once
+ * the successor has all of them, appends the move of the shard to the log.
  *
- * <p>Keeps nothing, so an entry killed in the middle leaves nothing behind: either the record
- * stands in the log, or the giver asks another entry. Runs on the loop.
+ * <p>Stateless, so an entry that is killed in between leaves nothing to clean up: either the record
+ * is in the log, or the sender tries another entry. Runs on the loop.
  */
 final class HandoverRelay {
   private static final long APPEND_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -32,7 +32,7 @@
   private final KeyShardTable table;
   private final KeyHomes.KeyLog log;
   private final EntryLinks links;
-  private final Runnable moved;
+  private final Runnable onMoved;
 
   HandoverRelay(
       LinkLoop loop, KeyShardTable table, KeyHomes.KeyLog log, EntryLinks links, Runnable moved) {
@@ -40,27 +40,27 @@
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.links = requireNonNull(links, "links");
-    this.moved = requireNonNull(moved, "moved");
+    this.onMoved = requireNonNull(moved, "moved");
   }
 
-  /** Takes a frame of a side process. */
+  /** Handles a frame of a side process. */
   void received(String vm, Frame frame) {
     switch (frame.getBodyCase()) {
       case KEY_HANDOVER -> passOn(vm, frame.getKeyHandover());
       case KEY_HANDOVER_TAKEN -> taken(vm, frame.getKeyHandoverTaken());
       default -> {
-        // Side processes send nothing else about keys.
+        // Side processes send no other frames about keys.
       }
     }
   }
 
   private void passOn(String vm, KeyHandover frame) {
-    HandedShard given = frame.getShard();
-    Optional<Announcement> giver = links.members().member(vm);
-    if (giver.isEmpty() || giver.get().processIncarnation() != given.getProcessIncarnation()) {
+    HandedShard received = frame.getShard();
+    Optional<Announcement> sender = links.members().member(vm);
+    if (sender.isEmpty() || sender.get().processIncarnation() != received.getProcessIncarnation()) {
       return;
     }
-    HandedShard shard = given.toBuilder().setVm(vm).setService(giver.get().service()).build();
+    HandedShard shard = received.toBuilder().setVm(vm).setService(sender.get().service()).build();
     if (!isHome(shard)) {
       answer(shard, hasMoved(shard));
       return;
@@ -72,12 +72,12 @@
       answer(shard, false);
       return;
     }
-    KeyHandover passed =
+    KeyHandover forwarded =
         frame.toBuilder()
             .setShard(shard)
             .setSuccessorIncarnation(successor.get().incarnation())
             .build();
-    links.sendTo(successor.get().vm(), Frame.newBuilder().setKeyHandover(passed).build());
+    links.sendTo(successor.get().vm(), Frame.newBuilder().setKeyHandover(forwarded).build());
   }
 
   private void taken(String successor, KeyHandoverTaken taken) {
@@ -102,7 +102,7 @@
             result ->
                 loop.run(
                     () -> {
-                      moved.run();
+                      onMoved.run();
                       answer(shard, hasMoved(shard));
                     }));
   }
@@ -110,21 +110,21 @@
   private boolean isHome(HandedShard shard) {
     return table
         .home(shard.getService(), shard.getClaim().getShard())
-        .filter(home -> home.vm().equals(shard.getVm()))
-        .filter(home -> home.incarnation() == shard.getProcessIncarnation())
-        .filter(home -> home.claim().equals(SideKeys.position(shard.getClaim())))
+        .filter(owner -> owner.vm().equals(shard.getVm()))
+        .filter(owner -> owner.incarnation() == shard.getProcessIncarnation())
+        .filter(owner -> owner.claim().equals(SideKeys.position(shard.getClaim())))
         .isPresent();
   }
 
   private boolean hasMoved(HandedShard shard) {
-    Position given = SideKeys.position(shard.getClaim());
+    Position formerClaim = SideKeys.position(shard.getClaim());
     return table
         .home(shard.getService(), shard.getClaim().getShard())
-        .filter(home -> home.claim().compareTo(given) > 0)
+        .filter(owner -> owner.claim().compareTo(formerClaim) > 0)
         .isPresent();
   }
 
-  /** Tells the giver, in the words in which it named the shard. */
+  /** Sends the result to the sender of the shard, with the shard id that the sender used. */
   private void answer(HandedShard shard, boolean hasMoved) {
     KeyHandoverResult result =
         KeyHandoverResult.newBuilder()
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HopHeaders.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HopHeaders.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Tells headers that belong to one connection from those that travel with the message. */
+/** Separates hop-by-hop headers from end-to-end headers. */
 final class HopHeaders {
   private static final ImmutableSet<String> OF_ONE_HOP =
       ImmutableSet.of(
@@ -32,7 +32,7 @@
 
   private HopHeaders() {}
 
-  /** Adds the headers that travel on to the list. */
+  /** Adds the end-to-end headers to the list. */
   static void copy(HttpFields fields, List<Header> into) {
     Set<String> named = namedByConnection(fields);
     for (HttpField field : fields) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyExchange.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyExchange.java
@@ -10,8 +10,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What a side process and entries tell each other about keys: evidence that it holds shards, keys
- * that it takes over, and keys that it gives away at its planned stop.
+ * Handles the frames that a side process exchanges with entries about idempotency keys: lease
+ * confirmations, shards that are handed over to it, and its own shards, which it hands over at its
+ * planned stop.
  *
  * <p>Confined to the loop's thread, but for {@link #received}.
  */
@@ -37,7 +38,7 @@
     this.leaving = leaving;
   }
 
-  /** Takes a frame of an entry; may be called from any thread. */
+  /** Handles a frame of an entry; may be called from any thread. */
   @Override
   public void received(String entry, Frame frame) {
     loop.run(
@@ -47,16 +48,16 @@
             case KEY_HANDOVER -> take(entry, frame.getKeyHandover());
             case KEY_HANDOVER_RESULT -> result(entry, frame.getKeyHandoverResult());
             default -> {
-              // Entries send nothing else about keys.
+              // Entries send no other frames about keys.
             }
           }
         });
   }
 
   /**
-   * Begins to give all keys away, the first time only.
+   * Starts to hand over all shards; later calls have no effect.
    *
-   * <p>To be called once nothing with a key runs here or will again.
+   * <p>To be called once no keyed request runs here or will run again.
    *
    * @param done run when {@link #isGiven} has become true
    */
@@ -74,7 +75,7 @@
             });
   }
 
-  /** Returns whether the keys were given away, as far as that could be done. */
+  /** Returns whether the handover has ended; shards that could not be moved in time are skipped. */
   boolean isGiven() {
     return given;
   }
@@ -88,12 +89,12 @@
   }
 
   private Frame answer(KeyHandover frame, boolean taken) {
-    KeyHandoverTaken.Builder answer =
+    KeyHandoverTaken.Builder result =
         KeyHandoverTaken.newBuilder()
             .setShard(frame.getShard())
             .setSuccessorIncarnation(processIncarnation)
             .setTaken(taken);
-    return Frame.newBuilder().setKeyHandoverTaken(answer).build();
+    return Frame.newBuilder().setKeyHandoverTaken(result).build();
   }
 
   private void result(String entry, KeyHandoverResult result) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyGiver.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyGiver.java
@@ -14,21 +14,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Gives the keys of a stopping side process to other homes, by way of one entry after another until
- * the log has moved every shard.
+ * Hands the shards of a stopping side process over to other owners, through one entry after another
+ * until the log has moved every shard.
  *
- * <p>Begun only when this process runs nothing with a key any more and never will again. So however
- * often and by whichever entries a shard's keys are sent, they are the same and all there are, and
- * it does not matter which of several successors the log names. What is not moved in time is left
- * to the quiet time after this process's end. Confined to the loop's thread.
+ * <p>Started only when this process runs no keyed request and never will again. The keys of a shard
+ * are therefore complete and the same however often and through whichever entries they are sent, and
+ * any successor that the log names is correct. Shards that are not moved in time are quarantined
+ * after this process has ended. Confined to the loop's thread.
  */
 final class KeyGiver {
   private static final System.Logger LOG = System.getLogger(KeyGiver.class.getName());
 
-  /** How long the hand-over may lengthen a planned stop. */
+  /** How long the handover may delay a planned stop. */
   static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** How long one entry may take: more than an append, little enough for two to be asked. */
+  /** Time limit for one entry: longer than an append, and short enough to try two entries. */
   static final long ENTRY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private final LinkLoop loop;
@@ -49,7 +49,7 @@
     this.total = shards.size();
   }
 
-  /** Begins; completed when all shards are moved, or nothing more can be done for those left. */
+  /** Starts the handover; completed when all shards are moved, entries run out or time is up. */
   CompletableFuture<Void> start() {
     giveUpAt = loop.now() + LIMIT_NANOS;
     next = entries.peers().iterator();
@@ -57,13 +57,13 @@
     return done;
   }
 
-  /** Takes an entry's word about a shard. */
+  /** Handles an entry's result for a shard. */
   void result(String entry, KeyHandoverResult result) {
     if (result.getMoved()) {
       left.remove(result.getShard());
     }
-    boolean heard = result.getMoved() || entry.equals(asked);
-    if (heard && awaited.remove(result.getShard()) && awaited.isEmpty()) {
+    boolean conclusive = result.getMoved() || entry.equals(asked);
+    if (conclusive && awaited.remove(result.getShard()) && awaited.isEmpty()) {
       askNext();
     }
   }
@@ -79,10 +79,10 @@
     asked = next.next();
     awaited.addAll(left.keySet());
     entries.sendAllTo(asked, new HandoverFrames(List.copyOf(left.values()), now));
-    int thisRound = round;
+    int currentRound = round;
     loop.schedule(
         () -> {
-          if (round == thisRound) {
+          if (round == currentRound) {
             askNext();
           }
         },
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
@@ -29,26 +29,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An entry's part in giving every shard of idempotency keys a home: it claims shards that nobody
- * holds for targets that it hears, revokes homes that are gone, and brings homes the evidence that
- * they still are.
+ * Coordinates in an entry which side process owns each shard of idempotency keys: claims shards
+ * without an owner for reachable targets, revokes owners that are gone, and confirms the leases of
+ * current owners.
  *
- * <p>Every entry does so by itself; the log decides between them. Runs on the loop.
+ * <p>Every entry does this independently; the order of their records in the log decides. Runs on the
+ * loop.
  */
 public final class KeyHomes implements AutoCloseable {
-  /** Appends to the stream {@code keys}; completes once the record was read back. */
+  /** Appends to the stream {@code keys}; completes once the record has been read back. */
   @FunctionalInterface
   public interface KeyLog {
-    /** Appends a record unless the deadline, on the process's monotonic clock, passes first. */
+    /**
+     * Appends a record.
+     *
+     * @param type the type of the record
+     * @param body the content of the record
+     * @param deadline when the append is abandoned, in nanoseconds of the process's monotonic clock
+     */
     CompletableFuture<Result<Position>> append(String type, JsonNode body, long deadline);
   }
 
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How often homes get evidence, besides at once when they change; a third of the lease. */
+  /** Period of lease confirmations, a third of the lease; changes of owners are confirmed sooner. */
   private static final long VOUCH_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** How long a change of homes waits for more of them before homes get evidence of it. */
+  /** How long changes of owners are batched before their leases are confirmed. */
   private static final long SOON_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private static final int MAX_APPENDS = 32;
@@ -67,12 +74,12 @@
   private Future<?> tick;
 
   /**
-   * Creates homes that are not tended yet.
+   * Creates a coordinator that is not started.
    *
-   * @param loop the thread
-   * @param table the fold of the stream
+   * @param loop the loop that all state is confined to
+   * @param table the owners of shards according to the stream
    * @param log appends to the stream
-   * @param links who is heard, and the way to them
+   * @param links the live members and the connections to them
    */
   public KeyHomes(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
     this.loop = requireNonNull(loop, "loop");
@@ -82,7 +89,7 @@
     links.addKeyListener(new HandoverRelay(loop, table, log, links, this::tendSoon)::received);
   }
 
-  /** Begins to claim, to revoke and to vouch. */
+  /** Starts to claim, revoke and confirm periodically. */
   public void start() {
     tick = loop.repeat(this::tend, TICK_NANOS);
   }
@@ -92,7 +99,7 @@
     tick.cancel(false);
   }
 
-  /** Brings a successor its evidence at once: until then keys of its shards are refused. */
+  /** Confirms a successor's leases soon: until then it rejects the keys of its new shards. */
   private void tendSoon() {
     if (!tendingSoon) {
       tendingSoon = true;
@@ -106,32 +113,32 @@
   }
 
   private void tend() {
-    // While the log is away appends pile up unanswered; there is nothing to tend then.
+    // During an outage of the log, appends stay pending, and no further ones could succeed.
     if (appends.get() > MAX_APPENDS) {
       return;
     }
     List<TargetState> targets = links.members().targets();
     Set<String> services = new HashSet<>(table.services());
     targets.forEach(target -> services.add(target.service()));
-    Set<Member> homes = new HashSet<>();
-    Map<String, Map<Integer, KeyHome>> all = new HashMap<>();
+    Set<Member> owners = new HashSet<>();
+    Map<String, Map<Integer, KeyHome>> allOwners = new HashMap<>();
     for (String service : services) {
-      Map<Integer, KeyHome> held = table.homes(service);
-      all.put(service, held);
-      held.values().forEach(home -> homes.add(new Member(home.vm(), home.incarnation())));
-      claim(service, held.keySet(), targets);
+      Map<Integer, KeyHome> owned = table.homes(service);
+      allOwners.put(service, owned);
+      owned.values().forEach(owner -> owners.add(new Member(owner.vm(), owner.incarnation())));
+      claim(service, owned.keySet(), targets);
     }
-    revoke(homes);
+    revoke(owners);
     long now = loop.now();
-    if (!homes.isEmpty() && (!all.equals(vouchedFor) || vouchAt - now <= 0)) {
-      vouchedFor = all;
+    if (!owners.isEmpty() && (!allOwners.equals(vouchedFor) || vouchAt - now <= 0)) {
+      vouchedFor = allOwners;
       vouchAt = now + VOUCH_NANOS;
       vouch();
     }
   }
 
-  private void claim(String service, Set<Integer> held, List<TargetState> targets) {
-    Map<String, List<Integer>> claims = HomePlan.claims(service, held, targets);
+  private void claim(String service, Set<Integer> owned, List<TargetState> targets) {
+    Map<String, List<Integer>> claims = HomePlan.claims(service, owned, targets);
     for (TargetState target : targets) {
       List<Integer> shards = claims.get(target.vm());
       if (shards != null) {
@@ -142,34 +149,37 @@
     }
   }
 
-  private void revoke(Set<Member> homes) {
+  private void revoke(Set<Member> owners) {
     long now = loop.now();
-    missingSince.keySet().retainAll(homes);
-    int missing = (int) homes.stream().filter(home -> !isHeard(home)).count();
-    boolean trusted = HomePlan.mayRevoke(missing, links.members().members().size());
-    for (Member home : homes) {
-      Optional<Announcement> heard = links.members().member(home.vm());
-      if (isHeard(home)) {
-        missingSince.remove(home);
+    missingSince.keySet().retainAll(owners);
+    int missing = (int) owners.stream().filter(owner -> !isHeard(owner)).count();
+    boolean mayRevoke = HomePlan.mayRevoke(missing, links.members().members().size());
+    for (Member owner : owners) {
+      Optional<Announcement> current = links.members().member(owner.vm());
+      if (isHeard(owner)) {
+        missingSince.remove(owner);
         continue;
       }
-      long since = missingSince.computeIfAbsent(home, silent -> now);
-      boolean replaced = heard.isPresent() && heard.get().processIncarnation() > home.incarnation();
-      if (replaced || (trusted && now - since > KeyTerms.REVOKE_AFTER_NANOS)) {
-        append(KeyShardTable.REVOKE, KeyShardTable.revocation(home.vm(), home.incarnation()));
+      long since = missingSince.computeIfAbsent(owner, unreachable -> now);
+      boolean replaced = current.isPresent() && current.get().processIncarnation() > owner.incarnation();
+      if (replaced || (mayRevoke && now - since > KeyTerms.REVOKE_AFTER_NANOS)) {
+        append(KeyShardTable.REVOKE, KeyShardTable.revocation(owner.vm(), owner.incarnation()));
       }
     }
   }
 
-  private boolean isHeard(Member home) {
+  private boolean isHeard(Member owner) {
     return links
         .members()
-        .member(home.vm())
-        .filter(heard -> heard.processIncarnation() == home.incarnation())
+        .member(owner.vm())
+        .filter(announced -> announced.processIncarnation() == owner.incarnation())
         .isPresent();
   }
 
-  /** Reads the log up to an own record and vouches as of the moment before it was sent. */
+  /**
+   * Reads the log up to an own record, then confirms leases as of the moment before the record was
+   * sent.
+   */
   private void vouch() {
     long sentAt = loop.now();
     append(KeyShardTable.HEARTBEAT, KeyShardTable.heartbeat())
@@ -188,37 +198,37 @@
       table
           .homes(service)
           .forEach(
-              (shard, home) ->
+              (shard, owner) ->
                   leases
                       .computeIfAbsent(
-                          new Member(home.vm(), home.incarnation()),
+                          new Member(owner.vm(), owner.incarnation()),
                           member -> KeyLeases.newBuilder())
-                      .addLeases(lease(shard, home, now)));
+                      .addLeases(lease(shard, owner, now)));
     }
-    long age = TimeUnit.NANOSECONDS.toMillis(now - sentAt) + 1;
+    long ageMillis = TimeUnit.NANOSECONDS.toMillis(now - sentAt) + 1;
     leases.forEach(
-        (member, evidence) ->
+        (member, confirmation) ->
             links.sendTo(
                 member.vm(),
                 Frame.newBuilder()
                     .setKeyLeases(
-                        evidence.setProcessIncarnation(member.incarnation()).setAgeMillis(age))
+                        confirmation.setProcessIncarnation(member.incarnation()).setAgeMillis(ageMillis))
                     .build()));
   }
 
-  private static KeyLease lease(int shard, KeyHome home, long now) {
-    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.quietUntil() - now));
+  private static KeyLease lease(int shard, KeyHome owner, long now) {
+    long quarantineMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.quietUntil() - now));
     return KeyLease.newBuilder()
-        .setClaim(claim(shard, home))
-        .setQuietMillis(quietMillis == 0 ? 0 : quietMillis + 1)
+        .setClaim(claim(shard, owner))
+        .setQuietMillis(quarantineMillis == 0 ? 0 : quarantineMillis + 1)
         .build();
   }
 
-  static KeyClaim claim(int shard, KeyHome home) {
+  static KeyClaim claim(int shard, KeyHome owner) {
     return KeyClaim.newBuilder()
         .setShard(shard)
-        .setOffset(home.claim().offset())
-        .setIndex(home.claim().index())
+        .setOffset(owner.claim().offset())
+        .setIndex(owner.claim().index())
         .build();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyTaker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyTaker.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Puts the keys of a shard together that another side process gives away.
+ * Collects the keys of shards that other side processes hand over.
  *
- * <p>A shard is whole once as many different keys have come as it has, so that frames which are
- * lost, doubled or out of order neither make it look whole nor spoil it. Confined to the loop's
+ * <p>A shard is complete once as many distinct keys as it has were received. Lost, duplicate or
+ * reordered frames therefore neither make it appear complete nor corrupt it. Confined to the loop's
  * thread; times are nanoseconds of one monotonic clock.
  */
 final class KeyTaker {
-  /** What waits for the rest of its shard longer than this never gets it: its giver has ended. */
+  /** After this time the sender has exited, and the missing keys are not sent any more. */
   private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** What may wait for the rest of its shard, in keys and in bytes of them, all together. */
+  /** Limits of all incomplete shards together. */
   private static final int MAX_KEYS = 20_000;
 
   private static final long MAX_BYTES = 8L * 1024 * 1024;
@@ -40,35 +40,35 @@
 
   KeyTaker() {}
 
-  /** Returns all keys of the frame's shard if it is whole now, or empty while some are missing. */
+  /** Adds a frame; returns all keys of its shard, or empty while some are missing. */
   Optional<List<Ended<TargetOutcome>>> add(KeyHandover frame, long now) {
-    Part part = parts.computeIfAbsent(frame.getShard(), shard -> new Part(now + KEEP_NANOS));
+    Part partialShard = parts.computeIfAbsent(frame.getShard(), shard -> new Part(now + KEEP_NANOS));
     for (HandedKey key : frame.getKeysList()) {
-      if (part.keys.put(key.getKey(), HandoverFrames.read(key, now)) == null) {
-        part.bytes += key.getSerializedSize();
+      if (partialShard.keys.put(key.getKey(), HandoverFrames.read(key, now)) == null) {
+        partialShard.bytes += key.getSerializedSize();
       }
     }
-    if (part.keys.size() < frame.getTotal()) {
+    if (partialShard.keys.size() < frame.getTotal()) {
       return Optional.empty();
     }
     parts.remove(frame.getShard());
-    return Optional.of(List.copyOf(part.keys.values()));
+    return Optional.of(List.copyOf(partialShard.keys.values()));
   }
 
-  /** Drops what waits for the rest of the shard. */
+  /** Drops the keys received of the shard. */
   void drop(HandedShard shard) {
     parts.remove(shard);
   }
 
-  /** Returns whether more waits for the rest of its shard than there is room for. */
+  /** Returns whether the incomplete shards exceed the limits. */
   boolean isFull() {
-    long keys = parts.values().stream().mapToLong(part -> part.keys.size()).sum();
-    long bytes = parts.values().stream().mapToLong(part -> part.bytes).sum();
+    long keys = parts.values().stream().mapToLong(partialShard -> partialShard.keys.size()).sum();
+    long bytes = parts.values().stream().mapToLong(partialShard -> partialShard.bytes).sum();
     return keys > MAX_KEYS || bytes > MAX_BYTES;
   }
 
-  /** Drops what has waited too long. */
+  /** Drops incomplete shards that have expired. */
   void expire(long now) {
-    parts.values().removeIf(part -> part.dropAt - now <= 0);
+    parts.values().removeIf(partialShard -> partialShard.dropAt - now <= 0);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkTimes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkTimes.java
@@ -5,15 +5,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How an entry watches its connections to side processes.
+ * Settings of an entry's connections to side processes.
  *
- * @param connections how many connections to each side process
- * @param tickNanos how often connections are looked at
- * @param pingAfterNanos how long after something was sent a quiet connection is pinged
- * @param idlePingNanos how long a connection may be quiet at all before it is pinged
- * @param silenceNanos how long nothing may come after something was sent, before the connection is
- *     given up
- * @param resolveNanos how long the outcome of a request is asked for after its connection was lost
+ * @param connections the number of connections to each side process
+ * @param tickNanos the period of connection checks
+ * @param pingAfterNanos how long a sent frame may stay unanswered before the connection is pinged
+ * @param idlePingNanos how long no frame may be received before the connection is pinged
+ * @param silenceNanos how long a sent frame may stay unanswered before the connection is closed
+ * @param resolveNanos how long to try to resolve the outcome of a request whose connection was lost
  */
 public record LinkTimes(
     int connections,
@@ -23,9 +22,9 @@
     long silenceNanos,
     long resolveNanos) {
   /**
-   * Two connections, silence noticed within two seconds, resolved within two more. A second is a
-   * thousand round trips between availability zones, and longer than the pauses that the collector
-   * makes in a heap of 40 MB.
+   * Two connections, unresponsive ones detected within two seconds, outcomes resolved within two
+   * more. A second is a thousand round trips between availability zones, and longer than the garbage
+   * collection pauses of a 40 MB heap.
    */
   public static final LinkTimes DEFAULT =
       new LinkTimes(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
@@ -6,17 +6,17 @@
 import io.marigoldsail.time.MonotonicClock;
 import java.util.function.Consumer;
 
-/** A {@link Target} whose answers are timed for the VM's guard. */
+/** A {@link Target} that records response times for the guard of the VM's tail latency. */
 public final class MeasuredTarget implements Target {
   private final Target target;
   private final TailWindow window;
   private final MonotonicClock clock;
 
   /**
-   * Creates a measured view of a target.
+   * Creates a target that delegates to another one.
    *
-   * @param target the target
-   * @param window where the time of each whole answer goes
+   * @param target the target to measure
+   * @param window records the time of each complete response
    * @param clock the clock of the window
    */
   public MeasuredTarget(Target target, TailWindow window, MonotonicClock clock) {
@@ -26,7 +26,7 @@
   }
 
   @Override
-  public void send(TargetRequest request, Consumer<TargetOutcome> ended) {
+  public void send(TargetRequest request, Consumer<TargetOutcome> onEnded) {
     long sentAt = clock.nanos();
     target.send(
         request,
@@ -35,13 +35,13 @@
             long now = clock.nanos();
             window.add(now - sentAt, now);
           }
-          ended.accept(outcome);
+          onEnded.accept(outcome);
         });
   }
 
   @Override
-  public void probe(Consumer<TargetHealth> heard) {
-    target.probe(heard);
+  public void probe(Consumer<TargetHealth> onResult) {
+    target.probe(onResult);
   }
 
   @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/OpenRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/OpenRequests.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.util.Callback;
 
-/** Counts requests from their head until their answer is written. Safe for any thread. */
+/** Counts requests from their head until their response is written. Safe for any thread. */
 final class OpenRequests {
   private int count;
 
@@ -18,15 +18,15 @@
     notifyAll();
   }
 
-  /** Waits until no request is open, at most the given time. */
-  synchronized void awaitNone(long limitMillis) throws InterruptedException {
-    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limitMillis);
+  /** Waits until no request is open or the time limit has passed. */
+  synchronized void awaitNone(long timeoutMillis) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     while (count > 0) {
-      long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-      if (left <= 0) {
+      long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+      if (remainingMillis <= 0) {
         return;
       }
-      wait(left);
+      wait(remainingMillis);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.protocol.KeyClaim;
 import java.util.concurrent.Future;
 
-/** A caller's request in an entry until it is answered. Confined to the loop's thread. */
+/** A caller's request in an entry that has no response yet. Confined to the loop's thread. */
 final class PendingRequest {
   private final long number;
   private final String label;
@@ -22,7 +22,7 @@
   private AttemptOutcome lastOutcome = AttemptOutcome.NOT_RUN;
   private CallerAnswer lastAnswer;
   private Failure lastFailure =
-      Failure.of(ErrorKind.INTERNAL, "the request ended without any outcome");
+      Failure.of(ErrorKind.INTERNAL, "the request ended without the outcome of any attempt");
 
   PendingRequest(long number, String label, CallerRequest request, AnswerSink sink) {
     this.number = number;
@@ -31,7 +31,7 @@
     this.sink = sink;
   }
 
-  /** One attempt: sent to one side process under one wire id. */
+  /** One attempt, sent to one side process under one attempt id. */
   static final class Attempt {
     private final long sequence;
     private final TargetPool pool;
@@ -55,7 +55,7 @@
       return pool;
     }
 
-    /** Returns the connection that the answer is awaited on, or null while there is none. */
+    /** Returns the connection that the response is expected on, or null if it was lost. */
     LinkConnection connection() {
       return connection;
     }
@@ -116,7 +116,7 @@
     return sink;
   }
 
-  /** Returns the VM of the present or last attempt, or empty before the first. */
+  /** Returns the VM of the current or last attempt, or empty before the first. */
   String vm() {
     return vm;
   }
@@ -125,19 +125,19 @@
     vm = newVm;
   }
 
-  /** Notes that the request goes to the home of its key, which holds it by the claim. */
+  /** Records that the request is sent to the owner of its key, which holds the shard by the claim. */
   void sentHome(KeyClaim claim, boolean detectsRepeats) {
     home = claim;
     targetDetectsRepeats = detectsRepeats;
     triesAtHome++;
   }
 
-  /** Returns how often it was sent to the home of its key. */
+  /** Returns how often the request was sent to the owner of its key. */
   int triesAtHome() {
     return triesAtHome;
   }
 
-  /** Returns whether its home may run it without knowing what a former home ran. */
+  /** Returns whether the owner may run it without knowing which requests a former owner ran. */
   boolean targetDetectsRepeats() {
     return targetDetectsRepeats;
   }
@@ -146,7 +146,7 @@
     return home != null;
   }
 
-  /** Returns the claim of the home that the request goes to, or null where it goes anywhere. */
+  /** Returns the claim of the owner that the request is sent to, or null if any target may run it. */
   KeyClaim home() {
     return home;
   }
@@ -168,7 +168,7 @@
     return lastOutcome;
   }
 
-  /** Returns the answer of the last attempt, or null where it brought none. */
+  /** Returns the response of the last attempt, or null if it had none. */
   CallerAnswer lastAnswer() {
     return lastAnswer;
   }
@@ -177,15 +177,15 @@
     return lastFailure;
   }
 
-  /** Notes how an attempt ended; exactly one of answer and failure is not null. */
-  void ended(AttemptOutcome outcome, CallerAnswer answer, Failure failure) {
+  /** Records the outcome of an attempt; exactly one of response and failure is not null. */
+  void ended(AttemptOutcome outcome, CallerAnswer response, Failure failure) {
     if (attempt != null) {
       attempt.end();
       attempt = null;
     }
     mayHaveRun |= outcome.mayHaveRun();
     lastOutcome = outcome;
-    lastAnswer = answer;
+    lastAnswer = response;
     if (failure != null) {
       lastFailure = failure;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestFrames.java
@@ -14,7 +14,7 @@
    * Creates the frames.
    *
    * @param start the first frame's message, without data
-   * @param body the whole body
+   * @param body the complete body
    */
   RequestFrames(RequestStart.Builder start, ByteString body) {
     super(first(start, body), body);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestReader.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.server.Request;
 
-/** Checks the head of a caller's request and makes a {@link CallerRequest} of it. */
+/** Validates the head of a caller's request and converts it to a {@link CallerRequest}. */
 final class RequestReader {
   private static final ImmutableSet<String> IDEMPOTENT_METHODS =
       ImmutableSet.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
@@ -27,29 +27,29 @@
     this.deadlines = deadlines;
   }
 
-  /** Returns the request without its body, or what is wrong with its head. */
+  /** Returns the request without its body, or a failure that names the invalid part of the head. */
   Result<CallerRequest> read(Request request, long now) {
     String path = request.getHttpURI().getPathQuery();
     if (path == null || !path.startsWith("/") || path.length() > MAX_PATH_LENGTH) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "the path is missing or too long");
+      return Result.failed(ErrorKind.BAD_REQUEST, "the path is missing, does not begin with '/', or is longer than " + MAX_PATH_LENGTH + " characters");
     }
     try {
       new URI("http://target" + path);
     } catch (URISyntaxException e) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "the path is no URI: " + e.getReason());
+      return Result.failed(ErrorKind.BAD_REQUEST, "the path is not a valid URI: " + e.getReason());
     }
     String service = service(path);
     OptionalLong defaultMillis = deadlines.defaultDeadlineMillis(service);
     if (defaultMillis.isEmpty()) {
-      return Result.failed(ErrorKind.NOT_FOUND, "no service is named '" + service + "'");
+      return Result.failed(ErrorKind.NOT_FOUND, "no service '" + service + "' is configured");
     }
     HttpFields fields = request.getHeaders();
     Result<Long> millis = deadlineMillis(fields, defaultMillis.getAsLong());
-    return millis.then(left -> read(request, service, path, now, left));
+    return millis.then(remaining -> read(request, service, path, now, remaining));
   }
 
   private static Result<CallerRequest> read(
-      Request request, String service, String path, long now, long leftMillis) {
+      Request request, String service, String path, long now, long remainingMillis) {
     HttpFields fields = request.getHeaders();
     String caller = fields.get(CallerHeaders.CALLER);
     String key = fields.get(CallerHeaders.KEY);
@@ -58,12 +58,19 @@
       if (name != null && name.length() > CallerLimits.MAX_NAME_LENGTH) {
         return Result.failed(
             ErrorKind.BAD_REQUEST,
-            "a name in the headers is longer than " + CallerLimits.MAX_NAME_LENGTH);
+            CallerHeaders.CALLER
+                + ", "
+                + CallerHeaders.KEY
+                + " or "
+                + CallerHeaders.IDEMPOTENCY_KEY
+                + " is longer than "
+                + CallerLimits.MAX_NAME_LENGTH
+                + " characters");
       }
     }
     List<Header> headers = new ArrayList<>();
     HopHeaders.copy(fields, headers);
-    // Only the entry names requests; a name that a caller made up would mislead the time line.
+    // Only the entry assigns request ids; an id set by a caller would corrupt the time line.
     headers.removeIf(header -> header.getName().equalsIgnoreCase(CallerHeaders.REQUEST_ID));
     return Result.ok(
         new CallerRequest(
@@ -77,10 +84,10 @@
             scoped(caller, idempotencyKey),
             IDEMPOTENT_METHODS.contains(request.getMethod()),
             now,
-            now + TimeUnit.MILLISECONDS.toNanos(leftMillis)));
+            now + TimeUnit.MILLISECONDS.toNanos(remainingMillis)));
   }
 
-  /** Keys of callers that name themselves are apart from each other's. */
+  /** Scopes the idempotency key to the caller, if the caller has a name. */
   private static String scoped(String caller, String idempotencyKey) {
     if (idempotencyKey == null || idempotencyKey.isEmpty()) {
       return "";
@@ -97,17 +104,17 @@
   }
 
   private static Result<Long> deadlineMillis(HttpFields fields, long defaultMillis) {
-    String named = fields.get(CallerHeaders.DEADLINE_MILLIS);
-    if (named == null) {
+    String value = fields.get(CallerHeaders.DEADLINE_MILLIS);
+    if (value == null) {
       return Result.ok(defaultMillis);
     }
     try {
-      long millis = Long.parseLong(named);
+      long millis = Long.parseLong(value);
       if (millis > 0 && millis <= CallerLimits.MAX_DEADLINE_MILLIS) {
         return Result.ok(millis);
       }
     } catch (NumberFormatException e) {
-      // Answered below like a number out of range.
+      // Handled below like a number out of range.
     }
     return Result.failed(
         ErrorKind.BAD_REQUEST,
@@ -115,7 +122,7 @@
             + " is not a whole number from 1 to "
             + CallerLimits.MAX_DEADLINE_MILLIS
             + ": '"
-            + named
+            + value
             + "'");
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ServiceDeadlines.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ServiceDeadlines.java
@@ -2,14 +2,14 @@
 
 import java.util.OptionalLong;
 
-/** What the configuration says of deadlines. Safe for any thread. */
+/** The configured default deadlines of services. Safe for any thread. */
 @FunctionalInterface
 public interface ServiceDeadlines {
   /**
-   * Returns how long a request of the service may take where its caller names no deadline.
+   * Returns the deadline of requests whose caller sets none.
    *
    * @param service the service's name
-   * @return milliseconds, or empty for a service that the configuration does not have
+   * @return milliseconds from arrival, or empty for a service that is not configured
    */
   OptionalLong defaultDeadlineMillis(String service);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideAnswers.java
@@ -17,15 +17,15 @@
 import java.util.function.Supplier;
 
 /**
- * Gives entries their answers, and notes in the ledger what was said before it is sent.
+ * Sends responses and rejections to entries, and records each in the ledger before it is sent.
  *
  * <p>Confined to the loop's thread.
  */
 final class SideAnswers {
   /**
-   * What a kept answer holds besides its bytes: the objects of the frame and its headers. Without
-   * it 20,000 short answers filled the old generation of a 40 MB heap, and two full collections a
-   * second held up one request in a hundred for 45 ms.
+   * The memory of a retained response besides its bytes: the objects of the frame and its headers.
+   * When these were not counted, 20,000 short responses filled the old generation of a 40 MB heap,
+   * and two full collections a second delayed one request in a hundred by 45 ms.
    */
   private static final int KEPT_OVERHEAD_BYTES = 1_024;
 
@@ -48,10 +48,10 @@
     this.events = events;
   }
 
-  /** Why a request is not run. */
+  /** The reason why a request is not run. */
   record Refusal(ErrorKind kind, String detail, long retryAfterMillis) {}
 
-  /** Refuses a request that has not started, with a tombstone on its id. */
+  /** Rejects a request that has not started and writes a tombstone for its id. */
   void refuse(LinkConnection connection, WireId id, String label, Refusal refusal) {
     if (!ledger.bury(id, loop.now())) {
       sayForgotten(connection, id);
@@ -60,60 +60,61 @@
     sayNotRun(connection, id, label, refusal);
   }
 
-  /** Refuses a request that was started, on proof that its target saw no byte of it. */
+  /** Rejects a started request of which provably no byte was sent to the target. */
   void neverReached(SideRequest request, Refusal refusal) {
     ledger.neverReached(request.id(), loop.now());
     sayNotRun(request.answerTo(), request.id(), request.start().getLabel(), refusal);
   }
 
-  /** Answers a copy of a request that was refused before. */
+  /** Rejects a copy of a request that was rejected or cancelled before. */
   void repeatRefusal(LinkConnection connection, WireId id) {
     connection.send(
-        SideFrames.notRun(id, ErrorKind.OVERLOADED, "given up before", 0, report.get()));
+        SideFrames.notRun(id, ErrorKind.OVERLOADED, "rejected or cancelled before", 0, report.get()));
   }
 
-  /** Answers a copy of a request that may have run. */
+  /** Reports the outcome as unknown for a copy of a request that may have run. */
   void sayForgotten(LinkConnection connection, WireId id) {
-    connection.send(SideFrames.failed(id, ErrorKind.OUTCOME_UNKNOWN, "seen before", report.get()));
+    connection.send(SideFrames.failed(id, ErrorKind.OUTCOME_UNKNOWN, "received before and may have run", report.get()));
   }
 
-  /** Sends a kept answer anew, to the connection on which it was asked for. */
-  void repeat(LinkConnection connection, WireId id, Frame answer) {
-    send(connection, id, answer);
+  /** Sends a retained response again, on the connection that requested it. */
+  void repeat(LinkConnection connection, WireId id, Frame response) {
+    send(connection, id, response);
   }
 
   /**
-   * Drops the answers that the entry at the other end has, by how many it read on the connection.
+   * Drops the responses that the entry has acknowledged.
    *
-   * @throws BrokenFrameException if it claims more than were sent
+   * @param read the number of responses that the entry has read on the connection so far
+   * @throws BrokenFrameException if it is more than were sent
    */
   void acknowledged(LinkConnection connection, long read) throws BrokenFrameException {
     UnreadAnswers sent = unread.get(connection);
     if (sent == null) {
       if (read != 0) {
-        throw new BrokenFrameException(read + " answers read, none sent");
+        throw new BrokenFrameException(read + " responses acknowledged, none sent");
       }
       return;
     }
     sent.read(read, id -> ledger.acknowledged(id, loop.now()));
   }
 
-  /** Forgets what was sent on the connection; it may yet be asked for on another one. */
+  /** Drops the state of a connection; its responses may still be requested on another one. */
   void closed(LinkConnection connection) {
     unread.remove(connection);
   }
 
-  /** Passes on what came of a started request. */
+  /** Sends the outcome of a started request. */
   void give(SideRequest request, TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Answered answered) {
-      answer(request, answered);
-    } else if (outcome instanceof TargetOutcome.NeverSent never) {
+    if (outcome instanceof TargetOutcome.Answered responded) {
+      answer(request, responded);
+    } else if (outcome instanceof TargetOutcome.NeverSent notSent) {
       neverReached(
-          request, new Refusal(ErrorKind.TARGET_UNREACHABLE, never.detail(), UNREACHABLE_MILLIS));
-    } else if (outcome instanceof TargetOutcome.Lost lost) {
-      fail(request, ErrorKind.OUTCOME_UNKNOWN, lost.detail());
-    } else if (outcome instanceof TargetOutcome.BrokenAnswer broken) {
-      fail(request, ErrorKind.TARGET_BROKEN_ANSWER, broken.detail());
+          request, new Refusal(ErrorKind.TARGET_UNREACHABLE, notSent.detail(), UNREACHABLE_MILLIS));
+    } else if (outcome instanceof TargetOutcome.Lost missing) {
+      fail(request, ErrorKind.OUTCOME_UNKNOWN, missing.detail());
+    } else if (outcome instanceof TargetOutcome.BrokenAnswer invalid) {
+      fail(request, ErrorKind.TARGET_BROKEN_ANSWER, invalid.detail());
     }
   }
 
@@ -137,22 +138,22 @@
     send(request.answerTo(), request.id(), frame);
   }
 
-  private void answer(SideRequest request, TargetOutcome.Answered answered) {
+  private void answer(SideRequest request, TargetOutcome.Answered responded) {
     events.record(
         Event.of(EventKind.REQUEST_ANSWERED)
             .withRequest(request.start().getLabel())
-            .withDetail("status " + answered.status()));
-    AnswerStart start = SideFrames.answerStart(request.id(), answered, report.get());
-    if (answered.body().size() > Bodies.CHUNK_BYTES) {
+            .withDetail("status " + responded.status()));
+    AnswerStart start = SideFrames.answerStart(request.id(), responded, report.get());
+    if (responded.body().size() > Bodies.CHUNK_BYTES) {
       ledger.doneUnkept(request.id(), loop.now());
-      request.answerTo().sendAll(new AnswerFrames(start, answered.body(), answered.release()));
+      request.answerTo().sendAll(new AnswerFrames(start, responded.body(), responded.release()));
       return;
     }
-    answered.release().run();
-    AnswerStart whole = start.toBuilder().setData(answered.body()).setLast(true).build();
-    Frame frame = Frame.newBuilder().setAnswerStart(whole).build();
-    long held = frame.getSerializedSize() + KEPT_OVERHEAD_BYTES;
-    ledger.done(request.id(), frame, held, loop.now());
+    responded.release().run();
+    AnswerStart complete = start.toBuilder().setData(responded.body()).setLast(true).build();
+    Frame frame = Frame.newBuilder().setAnswerStart(complete).build();
+    long retainedBytes = frame.getSerializedSize() + KEPT_OVERHEAD_BYTES;
+    ledger.done(request.id(), frame, retainedBytes, loop.now());
     send(request.answerTo(), request.id(), frame);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -38,24 +38,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the requests of all entries on the target beside it, each at most once.
+ * Runs the requests of all entries on the target of this VM, each at most once.
  *
  * <p>All state is confined to the loop's thread; the public methods may be called from any thread.
- * Every refusal first puts a tombstone on the request's id in the {@link RequestLedger}.
+ * Every rejection first writes a tombstone for the request's id to the {@link RequestLedger}, so
+ * that a late copy of the request does not run.
  */
 public final class SideDispatcher implements AutoCloseable {
-  /** Ended ids kept: the load of several seconds of a fast target, in a few megabytes. */
+  /** Holds several seconds of a fast target's requests in a few megabytes. */
   private static final int MAX_ENDED = 20_000;
 
   private static final long LEDGER_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** How often the target is probed: it is to get nothing new within 2 s of its leaving. */
+  /** Period of health probes. A leaving target must get no new requests after at most 2 s. */
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How long past its deadline a request may still hold its slot, because its target does. */
+  /** How long a request keeps its slot past its deadline, as the target may still be running it. */
   private static final long LINGER_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** A refusal for want of a slot asks the entry to wait about a round trip. */
+  /** Retry-after of rejections for lack of a slot: about a round trip to the entry. */
   private static final long SOON_MILLIS = 5;
 
   private static final long LATER_MILLIS = 1_000;
@@ -87,14 +88,14 @@
   /**
    * Creates a dispatcher that does not listen yet.
    *
-   * @param loop the thread
-   * @param address where entries dial in
-   * @param target the target
-   * @param limits the bounds
-   * @param processIncarnation this process's incarnation, as announced
-   * @param entries the way to the entries that hear this process
-   * @param budget what bodies of requests hold; the same as that of the target's client
-   * @param events the time line
+   * @param loop the loop that all state is confined to
+   * @param address the address that entries connect to
+   * @param target the target that runs the requests
+   * @param limits the limits of slots, queue, connections and memory
+   * @param processIncarnation the incarnation that this process announces
+   * @param entries sends frames to the entries that this process announces itself to
+   * @param budget the bytes that request bodies may hold; shared with the target's client
+   * @param events records the request's events
    */
   public SideDispatcher(
       LinkLoop loop,
@@ -121,20 +122,20 @@
     this.exchange = new KeyExchange(loop, processIncarnation, entries, keys, this::isLeaving);
   }
 
-  /** Returns who takes what entries say about idempotency keys. */
+  /** Returns the listener for frames of entries about idempotency keys. */
   public KeyListener keyListener() {
     return exchange;
   }
 
-  /** Sets who is told when {@link #isLeaving} changes; to be called before {@link #start}. */
+  /** Sets the listener for changes of {@link #isLeaving}; to be called before {@link #start}. */
   public void onLeavingChanged(Runnable listener) {
     leavingListener = requireNonNull(listener, "listener");
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     server.start();
@@ -142,25 +143,26 @@
     loop.runLater(this::tick);
   }
 
-  /** Returns the port that is listened on. */
+  /** Returns the local port. */
   public int port() {
     return server.port();
   }
 
-  /** Returns what the target has to do now. */
+  /** Returns the current load of the target. */
   public TargetLoad load() {
     return new TargetLoad(running, waitingCount, entries.entryCount(), isLeaving());
   }
 
-  /** Returns whether nothing new is taken: this process or its target is stopping. */
+  /** Returns whether new requests are rejected because this process or its target is stopping. */
   public boolean isLeaving() {
     return stopping || !watch.takesWork();
   }
 
   /**
-   * Begins a planned stop: nothing new is taken, what is in progress ends.
+   * Begins a planned stop: new requests are rejected, pending ones are completed.
    *
-   * @return completed when entries have the last answer and nothing of theirs is on its way here
+   * @return completed when the entries have received the last response and no request of theirs is
+   *     in transit to this process
    */
   public CompletableFuture<Void> beginStop() {
     stopping = true;
@@ -178,7 +180,7 @@
     checkDrained();
   }
 
-  /** Ends all connections; what is in progress is lost, so {@link #beginStop} goes first. */
+  /** Closes all connections; pending requests are lost, so call {@link #beginStop} first. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -192,7 +194,7 @@
   }
 
   private void checkDrained() {
-    // Newcomers are refused by now: once nothing with a key is in progress none will run here.
+    // New requests are rejected by now: once no keyed request is pending, none will run here.
     if (stopping && requests.values().stream().noneMatch(SideKeys::isKeyed)) {
       exchange.give(this::checkDrained);
     }
@@ -207,16 +209,16 @@
     switch (ledger.state(id)) {
       case UNSEEN -> admit(connection, id, start, loop.now());
       case TOMBSTONE -> answers.repeatRefusal(connection, id);
-      case WAITING, RUNNING -> throw new BrokenFrameException("second start of " + id);
-      // A copy that comes so late that its id is forgotten must not run: it may have run.
+      case WAITING, RUNNING -> throw new BrokenFrameException("second RequestStart of " + id);
+      // A copy of an id whose outcome was dropped must not run: the request may have run before.
       case DONE, FORGOTTEN -> answers.sayForgotten(connection, id);
     }
   }
 
   private void admit(LinkConnection connection, WireId id, RequestStart start, long now)
       throws BrokenFrameException {
-    // Time that the frame spent in buffers while this process was frozen counts, too: without it a
-    // woken process would start requests whose callers were answered long ago.
+    // The time that the frame spent in buffers while this process was paused counts against the
+    // deadline. Otherwise a resumed process would run requests whose callers have timed out.
     long delay = delays.get(connection).excess(start.getSentAt(), now);
     long deadline = now + TimeUnit.MILLISECONDS.toNanos(start.getRemainingMillis()) - delay;
     Refusal refusal = refusal(start, deadline, now);
@@ -238,22 +240,22 @@
     }
   }
 
-  /** Returns why the request is not taken, or null after reserving room for its body. */
+  /** Returns why the request is rejected, or null after reserving the bytes of its body. */
   private Refusal refusal(RequestStart start, long deadline, long now) {
     if (isLeaving()) {
-      return new Refusal(ErrorKind.SHUTTING_DOWN, "the target is leaving", LATER_MILLIS);
+      return new Refusal(ErrorKind.SHUTTING_DOWN, "the target or its side process is stopping", LATER_MILLIS);
     }
     if (deadline - now <= 0) {
-      return new Refusal(ErrorKind.DEADLINE_BEFORE_START, "came after its deadline", 0);
+      return new Refusal(ErrorKind.DEADLINE_BEFORE_START, "received after the deadline", 0);
     }
     if (start.getBodyLength() > Bodies.MAX_BYTES) {
-      return new Refusal(ErrorKind.BODY_TOO_LARGE, "limit is " + Bodies.MAX_BYTES, 0);
+      return new Refusal(ErrorKind.BODY_TOO_LARGE, "body limit is " + Bodies.MAX_BYTES + " bytes", 0);
     }
     if (isFull()) {
-      return new Refusal(ErrorKind.OVERLOADED, "all slots and the waiting room", SOON_MILLIS);
+      return new Refusal(ErrorKind.OVERLOADED, "all slots and the queue are full", SOON_MILLIS);
     }
     if (!budget.tryReserve(start.getBodyLength())) {
-      return new Refusal(ErrorKind.OVERLOADED, "no room for the body", SOON_MILLIS);
+      return new Refusal(ErrorKind.OVERLOADED, "body exceeds the free memory budget of the side process", SOON_MILLIS);
     }
     return null;
   }
@@ -264,7 +266,7 @@
 
   private void body(LinkConnection connection, RequestBody body) throws BrokenFrameException {
     SideRequest request = requests.get(SideFrames.id(body.getId()));
-    // Chunks of a request that was refused, or given up, are still on their way; they are dropped.
+    // Chunks of a request that was rejected or cancelled may still arrive; they are dropped.
     if (request == null || request.isWhole() || request.answerTo() != connection) {
       return;
     }
@@ -276,11 +278,11 @@
 
   private void ready(SideRequest request) {
     if (SideKeys.isKeyed(request)) {
-      SideKeys.Turn turn = keys.admit(request, () -> join(request));
-      if (turn == SideKeys.Turn.ANSWERED) {
+      SideKeys.Turn admission = keys.admit(request, () -> join(request));
+      if (admission == SideKeys.Turn.ANSWERED) {
         finish(request);
       }
-      if (turn != SideKeys.Turn.RUN) {
+      if (admission != SideKeys.Turn.RUN) {
         return;
       }
     }
@@ -289,14 +291,14 @@
       return;
     }
     if (isFull()) {
-      giveUp(request, new Refusal(ErrorKind.OVERLOADED, "the waiting room is full", SOON_MILLIS));
+      giveUp(request, new Refusal(ErrorKind.OVERLOADED, "all slots and the queue are full", SOON_MILLIS));
       return;
     }
     waiting.add(request);
     waitingCount = waiting.size();
   }
 
-  /** Lets a request have the outcome of another one with the same key; it takes no slot. */
+  /** Lets a request share the outcome of a running one with the same key; it takes no slot. */
   private void join(SideRequest request) {
     ledger.started(request.id());
     request.dropBody();
@@ -308,7 +310,7 @@
     checkDrained();
   }
 
-  /** Takes a request that has not started out of everything but the ledger. */
+  /** Removes a request that has not started, but for its entry in the ledger. */
   private void discard(SideRequest request) {
     finish(request);
     if (waiting.remove(request)) {
@@ -316,7 +318,7 @@
     }
     if (SideKeys.isKeyed(request) && request.isWhole()) {
       Refusal refusal =
-          new Refusal(ErrorKind.OVERLOADED, "the first try was given up", SOON_MILLIS);
+          new Refusal(ErrorKind.OVERLOADED, "the request with the same Idempotency-Key did not run", SOON_MILLIS);
       for (SideRequest joined : keys.notRun(request)) {
         answers.neverReached(joined, refusal);
         finish(joined);
@@ -332,12 +334,12 @@
 
   private void run(SideRequest request) {
     if (request.deadline() - loop.now() <= 0) {
-      giveUp(request, new Refusal(ErrorKind.DEADLINE_BEFORE_START, "waited too long", 0));
+      giveUp(request, new Refusal(ErrorKind.DEADLINE_BEFORE_START, "deadline passed while queued", 0));
       return;
     }
-    Refusal unheld = SideKeys.isKeyed(request) ? keys.unheld(request) : null;
-    if (unheld != null) {
-      giveUp(request, unheld);
+    Refusal noLease = SideKeys.isKeyed(request) ? keys.unheld(request) : null;
+    if (noLease != null) {
+      giveUp(request, noLease);
       return;
     }
     RequestStart start = request.start();
@@ -347,9 +349,9 @@
         Event.of(EventKind.REQUEST_STARTED)
             .withRequest(start.getLabel())
             .withCaller(start.getCaller()));
-    TargetRequest toTarget =
+    TargetRequest targetRequest =
         SideFrames.toTarget(start, request.body(), request.deadline() + LINGER_NANOS);
-    target.send(toTarget, outcome -> loop.run(() -> ended(request, outcome)));
+    target.send(targetRequest, outcome -> loop.run(() -> ended(request, outcome)));
     request.dropBody();
   }
 
@@ -381,8 +383,8 @@
       ledger.bury(id, loop.now());
       return;
     }
-    // A running request goes on: its target cannot be made to undo it, and a slot counted as free
-    // while the target still works in it would overload the target.
+    // A running request is not cancelled: the target cannot undo it, and a slot that is freed while
+    // the target still works on the request would overload the target.
     if (ledger.bury(id, loop.now())) {
       discard(request);
       checkDrained();
@@ -393,12 +395,12 @@
     fence.crossed();
     WireId id = SideFrames.id(resolve.getId());
     Resolution.State state = Resolution.State.FORGOTTEN;
-    // A process started anew on this address has seen none of its predecessor's requests; for it
-    // "never seen" proves nothing.
+    // A restarted process does not know its predecessor's requests, so that an unseen id does not
+    // prove that the request did not run.
     if (resolve.getProcessIncarnation() == processIncarnation) {
       SideRequest request = requests.get(id);
       if (request != null && !request.isWhole()) {
-        // The rest of the body was lost with its connection.
+        // The rest of the body was lost with the connection.
         discard(request);
         ledger.bury(id, loop.now());
       }
@@ -435,7 +437,7 @@
     return Announcements.write(load(), limits.slots());
   }
 
-  /** Frames of entries. */
+  /** Handles frames and connection changes of entries. */
   private final class Incoming implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
@@ -446,7 +448,7 @@
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (stopping) {
-        // A frame that was read before the loop came to the stop: entries hear of it first.
+        // This frame is handled before the task that announces the stop; entries are notified first.
         tellOfStop();
       }
       answers.acknowledged(connection, frame.getAnswersRead());
@@ -470,13 +472,13 @@
       delays.remove(connection);
       answers.closed(connection);
       fence.closed(connection);
-      List<SideRequest> cutShort = new ArrayList<>();
+      List<SideRequest> incomplete = new ArrayList<>();
       for (SideRequest request : requests.values()) {
         if (request.answerTo() == connection && !request.isWhole()) {
-          cutShort.add(request);
+          incomplete.add(request);
         }
       }
-      for (SideRequest request : cutShort) {
+      for (SideRequest request : incomplete) {
         discard(request);
         ledger.bury(request.id(), loop.now());
       }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
@@ -17,7 +17,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Makes the frames that a side process sends on connections of requests. */
+/** Creates the frames that a side process sends on request connections. */
 final class SideFrames {
   private SideFrames() {}
 
@@ -54,12 +54,12 @@
     return Frame.newBuilder().setFailed(failed).build();
   }
 
-  static AnswerStart answerStart(WireId id, TargetOutcome.Answered answered, TargetReport report) {
+  static AnswerStart answerStart(WireId id, TargetOutcome.Answered responded, TargetReport report) {
     return AnswerStart.newBuilder()
         .setId(message(id))
-        .setStatus(answered.status())
-        .addAllHeaders(answered.headers())
-        .setBodyLength(answered.body().size())
+        .setStatus(responded.status())
+        .addAllHeaders(responded.headers())
+        .setBodyLength(responded.body().size())
         .setReport(report)
         .build();
   }
@@ -78,12 +78,12 @@
     return Frame.newBuilder().setGoAway(GoAway.getDefaultInstance()).build();
   }
 
-  /** Returns the request as its target gets it, with the id by which the time line knows it. */
-  static TargetRequest toTarget(RequestStart start, ByteString body, long giveUpAt) {
+  /** Returns the request for the target, with the request id of the time line as a header. */
+  static TargetRequest toTarget(RequestStart start, ByteString body, long deadline) {
     Header id =
         Header.newBuilder().setName(CallerHeaders.REQUEST_ID).setValue(start.getLabel()).build();
     List<Header> headers = new ArrayList<>(start.getHeadersList());
     headers.add(id);
-    return new TargetRequest(start.getMethod(), start.getPath(), headers, body, giveUpAt);
+    return new TargetRequest(start.getMethod(), start.getPath(), headers, body, deadline);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
@@ -23,19 +23,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The part of a side process that makes it the home of idempotency keys: it runs each key once and
- * gives its outcome to all who ask.
+ * Admits requests with idempotency keys in a side process that owns key shards: each key runs once,
+ * and all requests with the key share its outcome.
  *
  * <p>Confined to the loop's thread.
  */
 final class SideKeys {
-  /** What came of a request that asked to run. */
+  /** The result of {@link #admit}. */
   enum Turn {
-    /** It is to be run. */
+    /** The request is to be run. */
     RUN,
-    /** It waits for the answer of the one that runs; it takes no slot. */
+    /** The request waits for the response of the one that runs; it takes no slot. */
     JOINED,
-    /** It has been answered. */
+    /** The request has been answered or rejected. */
     ANSWERED
   }
 
@@ -61,25 +61,30 @@
     return request.start().hasKeyClaim() && !request.start().getIdempotencyKey().isEmpty();
   }
 
-  /** Takes an entry's evidence that this process holds shards. */
-  void vouched(KeyLeases evidence) {
-    if (evidence.getProcessIncarnation() != processIncarnation) {
+  /** Applies an entry's confirmation that this process holds the leases of shards. */
+  void vouched(KeyLeases confirmation) {
+    if (confirmation.getProcessIncarnation() != processIncarnation) {
       return;
     }
     long now = loop.now();
-    long vouchedAt = now - TimeUnit.MILLISECONDS.toNanos(evidence.getAgeMillis());
-    for (KeyLease lease : evidence.getLeasesList()) {
-      long quietUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
+    long confirmedAt = now - TimeUnit.MILLISECONDS.toNanos(confirmation.getAgeMillis());
+    for (KeyLease lease : confirmation.getLeasesList()) {
+      long quarantinedUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
       leases.vouched(
-          lease.getClaim().getShard(), position(lease.getClaim()), vouchedAt, quietUntil);
+          lease.getClaim().getShard(), position(lease.getClaim()), confirmedAt, quarantinedUntil);
     }
   }
 
-  /** Decides about a keyed request whose body is whole; a joined one counts as started. */
+  /**
+   * Admits a keyed request whose body is complete.
+   *
+   * @param joining run before a request joins a running one or shares a retained outcome; marks it
+   *     as started
+   */
   Turn admit(SideRequest request, Runnable joining) {
-    Refusal unheld = unheld(request);
-    if (unheld != null) {
-      refuse(request, unheld);
+    Refusal rejection = unheld(request);
+    if (rejection != null) {
+      refuse(request, rejection);
       return Turn.ANSWERED;
     }
     String key = request.start().getIdempotencyKey();
@@ -97,23 +102,23 @@
       answers.give(
           request,
           ran.outcome()
-              .orElse(new TargetOutcome.Lost("it ran before; its answer is not kept any more")));
+              .orElse(new TargetOutcome.Lost("the request ran before; its response is no longer retained")));
     } else if (admission instanceof Admission.Conflict) {
       String detail = "the Idempotency-Key was used for another request";
       refuse(request, new Refusal(ErrorKind.CONFLICT, detail, 0));
     } else {
-      String detail = "no room for another Idempotency-Key";
+      String detail = "the side process has no capacity for another Idempotency-Key";
       refuse(request, new Refusal(ErrorKind.OVERLOADED, detail, SOON_MILLIS));
     }
     return Turn.ANSWERED;
   }
 
   /**
-   * Returns why the request may not start here now, or null where it may.
+   * Returns why the lease does not allow the request to start now, or null if it does.
    *
-   * <p>Asked again right before the start: a request that waited for a slot, or a process that was
-   * frozen, may have outlived its lease, and the successor may already run the same key. A target
-   * that tells repeats apart by itself does not mind.
+   * <p>Checked again right before the start: while the request was queued or the process paused, the
+   * lease may have expired, and the successor may already run the same key. Not needed for targets
+   * that detect repeats.
    */
   Refusal unheld(SideRequest request) {
     if (request.start().getTargetDetectsRepeats()) {
@@ -123,19 +128,19 @@
     long now = loop.now();
     OptionalLong runsFrom = leases.runsFrom(claim.getShard(), position(claim), now);
     if (runsFrom.isEmpty()) {
-      String detail = "this attempt was not run; the home of its Idempotency-Key is being changed";
+      String detail = "this attempt was not run; the owner of its Idempotency-Key is changing";
       return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, SOON_MILLIS);
     }
-    long quiet = runsFrom.getAsLong() - now;
-    if (quiet <= 0) {
+    long quarantineNanos = runsFrom.getAsLong() - now;
+    if (quarantineNanos <= 0) {
       return null;
     }
-    String detail = "this attempt was not run; an earlier one may have been, at a former home";
-    long retryAfter = TimeUnit.NANOSECONDS.toMillis(quiet) + 1;
+    String detail = "this attempt was not run; a former owner of its key may have run an earlier one";
+    long retryAfter = TimeUnit.NANOSECONDS.toMillis(quarantineNanos) + 1;
     return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
   }
 
-  /** Notes the outcome of a request that ran; returns those who get it, too. */
+  /** Records the outcome of a request that ran; returns the requests that share it. */
   List<SideRequest> ran(SideRequest request, TargetOutcome outcome) {
     String key = request.start().getIdempotencyKey();
     if (outcome instanceof TargetOutcome.NeverSent) {
@@ -144,16 +149,16 @@
     return store.ran(key, kept(outcome), bytes(outcome), loop.now());
   }
 
-  /** Notes that a request that was to run did not; returns those who waited for it. */
+  /** Records that an admitted request did not run; returns the requests that waited for it. */
   List<SideRequest> notRun(SideRequest request) {
     return store.notRun(request.start().getIdempotencyKey());
   }
 
   /**
-   * Returns the shards that this process holds, for all it knows, with their keys.
+   * Returns the shards that this process holds as far as it knows, with their keys.
    *
-   * <p>To be asked only when nothing with a key runs here or will again: else a key that runs later
-   * is unknown to whom the shards are given.
+   * <p>To be called only when no keyed request runs here or will run again. The new owner would not
+   * know a key that runs later.
    */
   List<HandoverFrames.Shard> shardsToGive() {
     long now = loop.now();
@@ -177,34 +182,34 @@
   }
 
   /**
-   * Takes keys that a stopping home gives to this process; returns whether it has the whole shard
-   * or cannot take it, or empty while some of its keys are missing.
+   * Accepts keys that a stopping owner hands over to this process.
    *
    * @param frame some of a shard's keys
-   * @param leaving whether this process is about to give its own away
+   * @param leaving whether this process is stopping itself
+   * @return true if all keys of the shard are accepted, false if the shard is rejected, or empty
+   *     while keys are missing
    */
   Optional<Boolean> take(KeyHandover frame, boolean leaving) {
     HandedShard shard = frame.getShard();
-    // A frame so late that this process has got the shard meanwhile tells of older runs than it
-    // knows itself.
-    boolean late = leases.heldAfter(shard.getClaim().getShard(), position(shard.getClaim()));
-    if (leaving || late || taker.isFull()) {
+    // A stale frame of a shard that this process has owned since has older runs than its own.
+    boolean stale = leases.heldAfter(shard.getClaim().getShard(), position(shard.getClaim()));
+    if (leaving || stale || taker.isFull()) {
       taker.drop(shard);
       return Optional.of(false);
     }
     return taker.add(frame, loop.now()).map(keys -> store.takeOver(keys, loop.now()));
   }
 
-  /** Drops parts of shards whose rest never came. */
+  /** Drops incomplete shards whose remaining keys were not received in time. */
   void expire() {
     taker.expire(loop.now());
   }
 
-  /** Returns the outcome as it is given again: it holds nothing of the budget of bodies. */
+  /** Returns a copy of the outcome that holds no bytes of the budget of bodies. */
   static TargetOutcome kept(TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Answered answered) {
+    if (outcome instanceof TargetOutcome.Answered responded) {
       return new TargetOutcome.Answered(
-          answered.status(), answered.headers(), answered.body(), () -> {});
+          responded.status(), responded.headers(), responded.body(), () -> {});
     }
     return outcome;
   }
@@ -214,7 +219,7 @@
   }
 
   private static long bytes(TargetOutcome outcome) {
-    return outcome instanceof TargetOutcome.Answered answered ? answered.body().size() : 0;
+    return outcome instanceof TargetOutcome.Answered responded ? responded.body().size() : 0;
   }
 
   static Position position(KeyClaim claim) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
@@ -5,14 +5,15 @@
 import io.marigoldsail.dispatch.WaitingRoom;
 
 /**
- * Bounds of a side process.
+ * Limits of a side process.
  *
- * @param slots how many requests its target runs at once
- * @param waitingRoom how many more are held for a free slot; covers a round trip to the entries, so
- *     that a slot that falls free is filled at once, and no more, for fairness is only seen there
- * @param maxConnections how many connections entries may have open at once
- * @param bodyBytes what bodies of requests and long answers may hold together, in bytes
- * @param keptAnswerBytes what answers kept for entries that lost a connection may hold, in bytes
+ * @param slots the number of requests that its target runs at once
+ * @param waitingRoom the number of requests that are queued for a free slot. Covers a round trip to
+ *     the entries, so that a free slot is filled at once, and no more than that, because only
+ *     entries schedule fairly
+ * @param maxConnections the number of connections that entries may have open at once
+ * @param bodyBytes the total bytes of request bodies and long responses
+ * @param keptAnswerBytes the total bytes of responses retained for entries that lost a connection
  */
 public record SideLimits(
     int slots, int waitingRoom, int maxConnections, long bodyBytes, long keptAnswerBytes) {
@@ -29,7 +30,7 @@
     checkArgument(keptAnswerBytes >= 0, "keptAnswerBytes is negative: %s", keptAnswerBytes);
   }
 
-  /** Returns the bounds that fit a heap of 40 MB. */
+  /** Returns the limits for a heap of 40 MB. */
   public static SideLimits ofSlots(int slots) {
     return new SideLimits(
         slots,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.protocol.RequestStart;
 
-/** One request in a side process, until it has ended. Confined to the loop's thread. */
+/** A pending request in a side process. Confined to the loop's thread. */
 final class SideRequest {
   private final WireId id;
   private final RequestStart start;
@@ -33,7 +33,7 @@
     return start;
   }
 
-  /** Returns when the answer is of no more use, on this process's monotonic clock. */
+  /** Returns the deadline of the response in nanoseconds of this process's monotonic clock. */
   long deadline() {
     return deadline;
   }
@@ -50,7 +50,7 @@
     return answerTo;
   }
 
-  /** Lets the answer go to the connection on which it was asked for last. */
+  /** Sets the connection for the response: the one that requested it last. */
   void answerTo(LinkConnection connection) {
     answerTo = connection;
   }
@@ -60,12 +60,12 @@
     long length = start.getBodyLength();
     if (body.size() > length || (last && body.size() != length)) {
       throw new BrokenFrameException(
-          "body of " + id + " has " + body.size() + " bytes, not " + length);
+          "body of " + id + " has " + body.size() + " bytes, announced were " + length);
     }
     whole = last;
   }
 
-  /** Lets go of the body once the target has it. */
+  /** Drops the body once the target has received it or it is no longer needed. */
   void dropBody() {
     body = ByteString.EMPTY;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Target.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Target.java
@@ -3,27 +3,27 @@
 import java.util.function.Consumer;
 
 /**
- * The target beside a side process.
+ * The target that a side process sends requests to.
  *
- * <p>Narrow, so that another way to reach targets, or a fake, can stand in. Safe for any thread.
+ * <p>Implemented for HTTP by {@link TargetClient} and by a fake in tests. Safe for any thread.
  */
 public interface Target extends AutoCloseable {
   /**
-   * Hands the request to the target.
+   * Sends a request to the target.
    *
    * @param request the request
-   * @param ended told exactly once, on any thread, what came of it
+   * @param onEnded called exactly once, on any thread, with the outcome
    */
-  void send(TargetRequest request, Consumer<TargetOutcome> ended);
+  void send(TargetRequest request, Consumer<TargetOutcome> onEnded);
 
   /**
-   * Asks whether the target takes work.
+   * Probes whether the target accepts work.
    *
-   * @param heard told exactly once, on any thread
+   * @param onResult called exactly once, on any thread
    */
-  void probe(Consumer<TargetHealth> heard);
+  void probe(Consumer<TargetHealth> onResult);
 
-  /** Gives up all connections. */
+  /** Closes all connections. */
   @Override
   void close();
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
@@ -25,7 +25,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** A {@link Target} reached over HTTP by Jetty's client. */
+/** A {@link Target} that is reached over HTTP with Jetty's client. */
 public final class TargetClient implements Target {
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 3;
@@ -34,9 +34,9 @@
   private static final long PROBE_TIMEOUT_MILLIS = 2_000;
 
   /**
-   * How long an unused connection is kept. Shorter than the idle timeouts that servers usually
-   * have, so that a request is rarely written to a connection that its target is just closing; such
-   * a request may have run, for all that can be known here.
+   * How long an unused connection is kept. Shorter than the usual idle timeouts of servers, so that
+   * a request is rarely written to a connection that the target is closing. The outcome of such a
+   * request is unknown.
    */
   private static final long IDLE_MILLIS = 10_000;
 
@@ -50,12 +50,13 @@
   /**
    * Creates a client that is not started.
    *
-   * @param loop for time and for answers that wait for memory
+   * @param loop provides the time and retries responses that wait for memory
    * @param address the target's base address, such as {@code http://127.0.0.1:9001}
-   * @param maxConnections how many connections the target takes
-   * @param probePath the path that tells whether the target takes work: a status of 503 says no,
-   *     any other answer yes; empty where it is enough that somebody listens at the address
-   * @param budget what long answers may hold in this process
+   * @param maxConnections the maximum number of connections to the target
+   * @param probePath the path of the health probe: status 503 means that the target accepts no work,
+   *     any other status that it does; if empty, the target accepts work while its port accepts
+   *     connections
+   * @param budget the bytes that long responses may hold in this process
    */
   public TargetClient(
       LinkLoop loop, URI address, int maxConnections, String probePath, ByteBudget budget) {
@@ -88,7 +89,7 @@
   /**
    * Starts the client's threads.
    *
-   * @throws IOException if it cannot be started
+   * @throws IOException if the client cannot be started
    */
   public void start() throws IOException {
     try {
@@ -101,43 +102,43 @@
   }
 
   @Override
-  public void send(TargetRequest request, Consumer<TargetOutcome> ended) {
-    writes.execute(() -> write(request, ended));
+  public void send(TargetRequest request, Consumer<TargetOutcome> onEnded) {
+    writes.execute(() -> write(request, onEnded));
   }
 
-  private void write(TargetRequest request, Consumer<TargetOutcome> ended) {
-    Request sent;
+  private void write(TargetRequest request, Consumer<TargetOutcome> onEnded) {
+    Request httpRequest;
     try {
-      sent = newRequest(request);
+      httpRequest = newRequest(request);
     } catch (IllegalArgumentException e) {
-      // Nobody else would ever give its slot back.
-      ended.accept(new TargetOutcome.NeverSent("cannot be sent: " + e.getMessage()));
+      // Without an outcome the slot of the request would never be released.
+      onEnded.accept(new TargetOutcome.NeverSent("request cannot be sent: " + e.getMessage()));
       return;
     }
     TargetExchange exchange =
-        new TargetExchange(loop, budget, HttpMethod.HEAD.is(request.method()), ended);
-    sent.onRequestBegin(begun -> exchange.begun());
-    sent.send(exchange);
+        new TargetExchange(loop, budget, HttpMethod.HEAD.is(request.method()), onEnded);
+    httpRequest.onRequestBegin(begun -> exchange.begun());
+    httpRequest.send(exchange);
   }
 
   private Request newRequest(TargetRequest request) {
-    long leftMillis = TimeUnit.NANOSECONDS.toMillis(request.giveUpAt() - loop.now());
-    Request sent =
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(request.giveUpAt() - loop.now());
+    Request httpRequest =
         client
             .newRequest(address.resolve(request.path()))
             .method(request.method())
-            .idleTimeout(Math.max(1, leftMillis), TimeUnit.MILLISECONDS)
-            .timeout(Math.max(1, leftMillis), TimeUnit.MILLISECONDS)
+            .idleTimeout(Math.max(1, remainingMillis), TimeUnit.MILLISECONDS)
+            .timeout(Math.max(1, remainingMillis), TimeUnit.MILLISECONDS)
             .headers(fields -> copyHeaders(request, fields));
     if (!request.body().isEmpty()) {
       ByteBuffer[] parts = request.body().asReadOnlyByteBufferList().toArray(new ByteBuffer[0]);
-      sent.body(new ByteBufferRequestContent(null, parts));
+      httpRequest.body(new ByteBufferRequestContent(null, parts));
     }
-    return sent;
+    return httpRequest;
   }
 
   private static void copyHeaders(TargetRequest request, HttpFields.Mutable fields) {
-    // What Jetty would add by itself is not the caller's; only the caller's travels on.
+    // Only headers of the caller are forwarded; Jetty would add this one.
     fields.remove(HttpHeader.ACCEPT_ENCODING);
     for (Header header : request.headers()) {
       fields.add(header.getName(), header.getValue());
@@ -145,17 +146,17 @@
   }
 
   @Override
-  public void probe(Consumer<TargetHealth> heard) {
+  public void probe(Consumer<TargetHealth> onResult) {
     if (probePath.isEmpty()) {
       loop.probe(
           new InetSocketAddress(address.getHost(), address.getPort()),
-          accepted -> heard.accept(accepted ? TargetHealth.SERVING : TargetHealth.LEAVING));
+          accepted -> onResult.accept(accepted ? TargetHealth.SERVING : TargetHealth.LEAVING));
       return;
     }
     client
         .newRequest(address.resolve(probePath))
         .timeout(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-        .send(result -> heard.accept(health(result)));
+        .send(result -> onResult.accept(health(result)));
   }
 
   private static TargetHealth health(Result result) {
@@ -164,7 +165,7 @@
           ? TargetHealth.LEAVING
           : TargetHealth.SERVING;
     }
-    // A full target may be too busy to answer; only that nobody listens is a clear no.
+    // An overloaded target may not respond in time; only a refused connection is conclusive.
     return result.getFailure() instanceof ConnectException
         ? TargetHealth.LEAVING
         : TargetHealth.UNCLEAR;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetExchange.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetExchange.java
@@ -14,11 +14,11 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * One request at the target: gathers its answer and says at the end what came of it.
+ * One HTTP exchange with the target: collects the response and reports the outcome.
  *
- * <p>An answer that outgrows one chunk waits, unread, until the process has room for the longest
- * answer there may be. Reserving chunk by chunk could leave several answers half read, each waiting
- * for room that another holds, for ever.
+ * <p>A response longer than one chunk is not read further until the budget has the bytes of the
+ * longest allowed response. Reserving chunk by chunk could deadlock: several responses could be half
+ * read, each waiting for bytes that another holds.
  */
 final class TargetExchange implements Response.Listener {
   private static final long RETRY_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
@@ -35,14 +35,14 @@
   private boolean completed;
 
   TargetExchange(
-      LinkLoop loop, ByteBudget budget, boolean bodiless, Consumer<TargetOutcome> ended) {
+      LinkLoop loop, ByteBudget budget, boolean headRequest, Consumer<TargetOutcome> onEnded) {
     this.loop = loop;
-    this.bodiless = bodiless;
+    this.bodiless = headRequest;
     this.budget = budget;
-    this.ended = ended;
+    this.ended = onEnded;
   }
 
-  /** Told before the first byte of the request is written. */
+  /** Records that the first byte of the request is about to be written. */
   void begun() {
     begun = true;
   }
@@ -75,7 +75,7 @@
       body = body.concat(ByteString.copyFrom(chunk.getByteBuffer()));
       chunk.release();
       if (body.size() > Bodies.MAX_BYTES) {
-        broken = "the answer is longer than " + Bodies.MAX_BYTES + " bytes";
+        broken = "response body is longer than " + Bodies.MAX_BYTES + " bytes";
         response.abort(new IllegalStateException(broken));
         return;
       }
@@ -86,7 +86,7 @@
   }
 
   private synchronized boolean reserve() {
-    // An answer given up while it waited for room must not take room that nobody gives back.
+    // A response abandoned while it waited must not reserve bytes that would not be released.
     if (completed) {
       return true;
     }
@@ -130,7 +130,7 @@
     return answerBegun ? new TargetOutcome.BrokenAnswer(detail) : new TargetOutcome.Lost(detail);
   }
 
-  /** The answer to HEAD tells the length that the body would have. */
+  /** A response to HEAD has the length that the body would have. */
   private static void copyLength(Response response, List<Header> into) {
     String length = response.getHeaders().get(HttpHeader.CONTENT_LENGTH);
     if (length != null) {
@@ -142,7 +142,7 @@
     }
   }
 
-  /** A target may answer, whole, before it has read the whole request, such as with a 413. */
+  /** A target may respond before it has read the complete request, such as with a 413. */
   private boolean answeredEarly(Result result) {
     return answerBegun && result.getResponseFailure() == null && broken == null;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
@@ -1,11 +1,11 @@
 package io.marigoldsail.daemon.dispatch;
 
-/** What a probe of a target tells. */
+/** The result of a health probe of a target. */
 public enum TargetHealth {
-  /** It takes work. */
+  /** The target accepts work. */
   SERVING,
-  /** It takes nothing new: it says so, or nobody listens at its address. */
+  /** The target accepts no new work: it says so, or nothing listens at its address. */
   LEAVING,
-  /** The probe got no clear answer, such as from a full target; what was known before holds. */
+  /** The probe was inconclusive, such as at an overloaded target; the last result still holds. */
   UNCLEAR
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
@@ -7,16 +7,16 @@
 import io.marigoldsail.protocol.Header;
 import java.util.List;
 
-/** What came of a request handed to a {@link Target}. Immutable. Rejects nulls. */
+/** The outcome of a request sent to a {@link Target}. Immutable. Rejects nulls. */
 public sealed interface TargetOutcome {
   /**
-   * The target answered, and the answer is whole.
+   * The target sent a complete response.
    *
    * @param status the HTTP status
-   * @param headers the headers that travel with the message
-   * @param body the whole body
-   * @param release gives back what the body holds of the process's memory budget; the receiver runs
-   *     it once, when it holds the body no more
+   * @param headers the end-to-end headers
+   * @param body the complete body
+   * @param release returns the bytes of the body to the process's memory budget; the receiver runs
+   *     it once, when it no longer holds the body
    */
   record Answered(int status, List<Header> headers, ByteString body, Runnable release)
       implements TargetOutcome {
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Nothing of the request was sent: there was no connection to send it on. */
+  /** No byte of the request was sent, such as for lack of a connection. */
   record NeverSent(String detail) implements TargetOutcome {
     /** Checks the component. */
     public NeverSent {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The request was sent, at least in part, and no answer came. */
+  /** The request was sent, at least in part, and no response was received. */
   record Lost(String detail) implements TargetOutcome {
     /** Checks the component. */
     public Lost {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** An answer began and was cut short, or was too long or no valid answer. */
+  /** The response was truncated, too long or invalid. */
   record BrokenAnswer(String detail) implements TargetOutcome {
     /** Checks the component. */
     public BrokenAnswer {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -16,26 +16,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An entry's connections to one side process: a few, watched for silence and dialled again.
+ * An entry's connections to one side process. Monitors them for unresponsiveness and reconnects.
  *
- * <p>A connection counts only after its first ping was answered: a frozen process's kernel accepts
- * connections that nobody serves, and the stamps of the first frames tell the side process how long
- * the way usually takes. Confined to the loop's thread.
+ * <p>A connection is usable only after its first ping was answered: the kernel of a paused process
+ * still accepts connections, and the timestamps of the first frames let the side process estimate
+ * the usual transit delay. Confined to the loop's thread.
  */
 final class TargetPool {
-  /** Told of what the connections bring. */
+  /** Is notified of frames and changes of connections. */
   interface Listener {
-    /** A connection can be used. */
+    /** A connection became usable. */
     void usable(TargetPool pool, LinkConnection connection);
 
-    /** A frame other than a pong came. */
+    /** A frame other than a pong was received. */
     void received(TargetPool pool, LinkConnection connection, Frame frame)
         throws BrokenFrameException;
 
-    /** Nobody listens where the side process was. */
+    /** A connection was refused while none is usable: nothing listens at the address. */
     void refused(TargetPool pool);
 
-    /** A connection has ended. */
+    /** A usable connection was closed. */
     void lost(TargetPool pool, LinkConnection connection, String reason);
   }
 
@@ -91,22 +91,22 @@
   }
 
   /**
-   * Returns the target as the policy is to see it; leaving for good once the side process goes
-   * away, whatever an announcement says that was overtaken.
+   * Returns the state of the target for the policy. Once the side process has sent GOAWAY, the target
+   * stays leaving, even if a stale announcement is received later.
    */
   TargetState targetState() {
     TargetState announced = announcement.targetState();
     return goingAway ? announced.asLeaving() : announced;
   }
 
-  /** Takes the side process's word that it takes nothing new; returns whether that is news. */
+  /** Records that the side process sent GOAWAY; returns whether this is the first time. */
   boolean goesAway() {
-    boolean news = !goingAway;
+    boolean first = !goingAway;
     goingAway = true;
-    return news;
+    return first;
   }
 
-  /** Returns whether the side process will take nothing new any more. */
+  /** Returns whether the side process has sent GOAWAY and rejects new requests. */
   boolean isGoingAway() {
     return goingAway;
   }
@@ -133,12 +133,11 @@
   }
 
   /**
-   * Returns the connection that answers best, in turn where several do, or null where none is
-   * usable.
+   * Returns the usable connection whose oldest unanswered frame is the most recent, round-robin
+   * among equals, or null if none is usable.
    *
-   * <p>A connection that went silent is noticed after {@link LinkTimes#silenceNanos}; taken in turn
-   * it would hold up every second request of that time. Whatever was sent on it is unanswered
-   * longer than on the others, so that those are taken.
+   * <p>An unresponsive connection is detected only after {@link LinkTimes#silenceNanos}; plain
+   * round-robin would delay every second request in that time.
    */
   LinkConnection pick() {
     long now = loop.now();
@@ -153,7 +152,7 @@
     return best;
   }
 
-  /** Dials what is missing, pings what was quiet, and gives up what stayed silent. */
+  /** Opens missing connections, pings quiet ones, and closes unresponsive ones. */
   void tick(long now) {
     while (!closed
         && usable.size() + fresh.size() + dialling < times.connections()
@@ -164,9 +163,9 @@
     for (LinkConnection connection : allConnections()) {
       long unanswered = connection.unansweredNanos(now);
       boolean idle = now - connection.lastReceived() > times.idlePingNanos();
-      // A connection that something between the two ends lost track of accepts bytes and brings
-      // nothing, for good, and no error ever comes of it. Every peer answers a ping at once, so
-      // silence in spite of pings tells it from a peer that only works long.
+      // A connection whose state was lost in the network accepts bytes but delivers nothing, and
+      // never reports an error. Peers answer pings at once, so unanswered pings distinguish it from
+      // a peer with a long-running request.
       if (unanswered > times.silenceNanos()) {
         connection.close("silent");
       } else if (unanswered > times.pingAfterNanos() || idle) {
@@ -207,7 +206,7 @@
     backOffNanos = Math.min(MAX_BACK_OFF_NANOS, backOffNanos * 2);
   }
 
-  /** Frames of the side process. */
+  /** Handles frames and connection changes of the side process. */
   private final class Incoming implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
@@ -13,7 +13,7 @@
 /**
  * An entry's connections to all side processes that announced a target.
  *
- * <p>A target is offered to the policy only while there is a usable connection to it. Confined to
+ * <p>A target is visible to the policy only while there is a usable connection to it. Confined to
  * the loop's thread.
  */
 final class TargetPools {
@@ -43,7 +43,7 @@
     return pool != null && pool.isUsable();
   }
 
-  /** Returns whether exactly this side process can be reached and takes something new. */
+  /** Returns whether the side process of this incarnation is reachable and accepts requests. */
   boolean takesNew(String vm, long incarnation) {
     TargetPool pool = pools.get(vm);
     return pool != null
@@ -52,7 +52,7 @@
         && !pool.targetState().leaving();
   }
 
-  /** Takes an announcement; returns whether the list of targets changed by it. */
+  /** Applies an announcement; returns whether it changed the list of targets. */
   boolean announced(Announcement announcement) {
     TargetPool known = pools.get(announcement.vm());
     if (!announcement.hasTarget()) {
@@ -85,10 +85,10 @@
   }
 
   /**
-   * Takes a VM out of the list; returns whether it was a target until now.
+   * Removes a VM from the list of targets; returns whether it was listed.
    *
-   * <p>Its connections stay until the attempts on them have ended: a VM whose announcements stopped
-   * may still answer what it was sent.
+   * <p>Its connections stay open until the attempts on them have ended: a VM that stopped to
+   * announce itself may still respond to earlier requests.
    */
   boolean retire(String vm) {
     TargetPool pool = pools.remove(vm);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
@@ -8,13 +8,14 @@
 import java.util.List;
 
 /**
- * A request as a target gets it. Immutable. Rejects nulls.
+ * A request that is sent to a target. Immutable. Rejects nulls.
  *
  * @param method the HTTP method
  * @param path the raw path with the query
- * @param headers the headers that travel with the message
- * @param body the whole body
- * @param giveUpAt when the target is given up, in nanoseconds of the process's monotonic clock
+ * @param headers the end-to-end headers
+ * @param body the complete body
+ * @param giveUpAt when to stop waiting for the response, in nanoseconds of the process's monotonic
+ *     clock
  */
 public record TargetRequest(
     String method, String path, List<Header> headers, ByteString body, long giveUpAt) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetWatch.java
@@ -3,7 +3,7 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 
 /**
- * Probes a target again and again to know whether it takes work.
+ * Monitors by health probes whether a target accepts work.
  *
  * <p>Confined to the loop's thread, but for {@link #takesWork}.
  */
@@ -17,24 +17,24 @@
   private boolean probing;
 
   /**
-   * Creates a watch of a target that is not known to take work yet.
+   * Creates a monitor of a target that is not known to accept work yet.
    *
-   * @param loop the thread
+   * @param loop the loop that all state is confined to
    * @param target the target
-   * @param changed told on the loop when {@link #takesWork} changed
+   * @param onChanged run on the loop when {@link #takesWork} has changed
    */
-  TargetWatch(LinkLoop loop, Target target, Runnable changed) {
+  TargetWatch(LinkLoop loop, Target target, Runnable onChanged) {
     this.loop = loop;
     this.target = target;
-    this.changed = changed;
+    this.changed = onChanged;
   }
 
-  /** Returns whether the target took work when it was last clearly heard. */
+  /** Returns whether the target accepted work at its last conclusive probe. */
   boolean takesWork() {
     return takesWork;
   }
 
-  /** Probes the target unless a probe is still under way. */
+  /** Probes the target unless a probe is in progress. */
   void probe() {
     if (probing) {
       return;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
@@ -6,18 +6,19 @@
 import java.util.function.Consumer;
 
 /**
- * The whole answers sent on one connection of which its entry has not said yet that it read them.
+ * The responses sent on one connection that its entry has not acknowledged yet.
  *
- * <p>They come in the order in which they were sent, so that a count tells which were read.
+ * <p>An entry reads them in the order in which they were sent, so a count identifies the
+ * acknowledged ones.
  */
 final class UnreadAnswers {
-  /** Beyond it the oldest are not waited for: an entry of an older version never tells. */
+  /** Beyond this the oldest are dropped: entries of older versions never acknowledge. */
   private static final int MAX_UNREAD = 4_096;
 
   private final ArrayDeque<WireId> ids = new ArrayDeque<>();
   private long passed;
 
-  /** Notes an answer that was sent. */
+  /** Adds a response that was sent. */
   void sent(WireId id) {
     ids.add(id);
     if (ids.size() > MAX_UNREAD) {
@@ -27,18 +28,19 @@
   }
 
   /**
-   * Hands on the ids of the answers that were read since the last time.
+   * Passes the ids of newly acknowledged responses to the consumer.
    *
-   * @param count how many were read on the connection so far
-   * @throws BrokenFrameException if that is more than were sent
+   * @param count the number of responses that the entry has read on the connection so far
+   * @param onAcknowledged receives each id
+   * @throws BrokenFrameException if the count is more than were sent
    */
-  void read(long count, Consumer<WireId> has) throws BrokenFrameException {
+  void read(long count, Consumer<WireId> onAcknowledged) throws BrokenFrameException {
     if (count > passed + ids.size()) {
-      throw new BrokenFrameException(count + " answers read, fewer sent");
+      throw new BrokenFrameException(count + " responses acknowledged, only " + (passed + ids.size()) + " sent");
     }
     while (passed < count) {
       passed++;
-      has.accept(ids.remove());
+      onAcknowledged.accept(ids.remove());
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/WriteThread.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/WriteThread.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One thread that writes HTTP for a loop, in the order in which it is told to.
+ * A single thread that writes HTTP messages for a loop, in submission order.
  *
- * <p>Making and writing an HTTP message took half of the loop's time, and the loop decides on every
- * request of its process. A thread that is busy anyway is not woken for each message, so that the
- * hand-over costs least when there is most to do. Tasks must not block. Safe for any thread.
+ * <p>Creating and writing HTTP messages took half of the time of the loop, which decides on every
+ * request of its process. A busy thread needs no wake-up per message, so the cost of a submission is
+ * lowest under high load. Tasks must not block. Safe for any thread.
  */
 final class WriteThread implements Executor, AutoCloseable {
   private final ThreadPoolExecutor executor;
@@ -29,7 +29,7 @@
               thread.setDaemon(true);
               return thread;
             },
-            // Once closed, what is in progress is lost with its connections.
+            // After close, pending messages are lost with their connections.
             new ThreadPoolExecutor.DiscardPolicy());
   }
 
@@ -38,7 +38,7 @@
     executor.execute(task);
   }
 
-  /** Ends the thread after what it was told so far. */
+  /** Stops the thread after the tasks submitted so far. */
   @Override
   public void close() {
     executor.shutdown();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Requests on their way from a caller through an entry and a side process to a target and back.
+ * The request path from callers through an entry and a side process to a target.
  *
- * <p>In an entry {@link io.marigoldsail.daemon.dispatch.CallerServer} speaks HTTP with callers and
- * {@link io.marigoldsail.daemon.dispatch.EntryDispatcher} carries out what a {@link
- * io.marigoldsail.dispatch.RequestPolicy} decides. In a side process {@link
+ * <p>In an entry, {@link io.marigoldsail.daemon.dispatch.CallerServer} serves HTTP to callers and
+ * {@link io.marigoldsail.daemon.dispatch.EntryDispatcher} executes the decisions of a {@link
+ * io.marigoldsail.dispatch.RequestPolicy}. In a side process, {@link
  * io.marigoldsail.daemon.dispatch.SideDispatcher} runs requests on its {@link
  * io.marigoldsail.daemon.dispatch.Target}.
  */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Await.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Await.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.BooleanSupplier;
 
-/** Waits for conditions; the bound only keeps a failing test from hanging. */
+/** Waits for conditions; the timeout only keeps a failing test from hanging. */
 final class Await {
   private static final long CHECK_MILLIS = 5;
   private static final long BOUND_SECONDS = 60;
@@ -23,26 +23,26 @@
 
   private Await() {}
 
-  static void until(String what, BooleanSupplier condition) {
-    CompletableFuture<Void> holds = new CompletableFuture<>();
+  static void until(String description, BooleanSupplier condition) {
+    CompletableFuture<Void> met = new CompletableFuture<>();
     Runnable check =
         () -> {
           try {
             if (condition.getAsBoolean()) {
-              holds.complete(null);
+              met.complete(null);
             }
           } catch (RuntimeException e) {
-            holds.completeExceptionally(e);
+            met.completeExceptionally(e);
           }
         };
     ScheduledFuture<?> checks =
         CHECKS.scheduleWithFixedDelay(check, 0, CHECK_MILLIS, TimeUnit.MILLISECONDS);
     try {
-      holds.get(BOUND_SECONDS, TimeUnit.SECONDS);
+      met.get(BOUND_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException e) {
-      throw new AssertionError("never: " + what, e);
+      throw new AssertionError("condition not met: " + description, e);
     } catch (InterruptedException | ExecutionException e) {
-      throw new AssertionError("while waiting for: " + what, e);
+      throw new AssertionError("failed while waiting for: " + description, e);
     } finally {
       checks.cancel(false);
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
@@ -31,7 +31,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** What is sent to the doors of a side process and an entry that should not be. */
+/** Sends invalid input to the ports of a side process and an entry. */
 class BadInputTest {
   private static final int TOO_LONG = 10_000_000;
 
@@ -72,17 +72,17 @@
     try {
       socket.getOutputStream().write(bytes);
     } catch (IOException e) {
-      // The other end may have closed on the first of them.
+      // The other end may have closed the connection already.
     }
   }
 
-  /** The other connections of the side process, and callers, are served as ever. */
+  /** Asserts that other connections of the side process, and callers, are still served. */
   private static void assertOthersAreServed() throws Exception {
     bystander.send(Frame.newBuilder().setPing(Ping.newBuilder().setNonce(7)).build());
     assertTrue(bystander.next().hasPong());
     HttpResponse<byte[]> live = entry.get(CallerServer.LIVE_PATH);
-    String said = new String(live.body(), StandardCharsets.UTF_8);
-    assertEquals(200, live.statusCode(), said);
+    String body = new String(live.body(), StandardCharsets.UTF_8);
+    assertEquals(200, live.statusCode(), body);
     assertEquals(1, entry.links().peers().size());
   }
 
@@ -109,7 +109,7 @@
     assertEquals(0, target.started());
   }
 
-  /** A length of ten megabytes, with nothing behind it, must not be waited for in memory. */
+  /** An announced length of ten megabytes must not be buffered. */
   @Property(tries = 1)
   void frameLongerThanTheLimitEndsItsConnection() throws Exception {
     for (int port : new int[] {side.port(), entry.address().getPort()}) {
@@ -182,10 +182,10 @@
   }
 
   /**
-   * A lot owner uploads a file that is too large and gets a broken connection, not the refusal: the
-   * entry answered and closed while the rest was on its way, and the reset overtook the answer. The
-   * refusal comes while the body is still being sent, the rest is taken, and the connection goes
-   * on.
+   * Guards against a caller with a too large body getting a connection reset instead of the refusal.
+   * The entry responded and closed the connection while the rest of the body was in transit, and the
+   * reset discarded the response. The refusal must be received while the body is still being sent,
+   * and the connection must stay usable after the rest.
    */
   @Property(tries = 1)
   void aRefusedBodyMayBeSentToItsEnd() throws Exception {
@@ -209,23 +209,23 @@
     assertOthersAreServed();
   }
 
-  /** Hundreds of connections that say nothing must not lock out our own processes' connections. */
+  /** Hundreds of idle connections must not lock out the connections of entries. */
   @Property(tries = 1)
   void floodOfConnectionsIsBounded() throws Exception {
-    List<Socket> flood = new ArrayList<>();
+    List<Socket> connections = new ArrayList<>();
     try {
       for (int i = 0; i < 300; i++) {
-        flood.add(connect(side.port()));
+        connections.add(connect(side.port()));
       }
-      for (Socket socket : flood) {
+      for (Socket socket : connections) {
         socket.setSoTimeout(1);
       }
       Await.until(
-          "the rest is refused",
-          () -> flood.stream().filter(BadInputTest::isEnded).count() >= 300 - 256);
+          "excess connections are closed",
+          () -> connections.stream().filter(BadInputTest::isEnded).count() >= 300 - 256);
       assertOthersAreServed();
     } finally {
-      for (Socket socket : flood) {
+      for (Socket socket : connections) {
         socket.close();
       }
     }
@@ -240,14 +240,14 @@
   }
 
   /**
-   * A motorist's good request is answered 400, or its connection cut, because another connection
-   * sent bytes that are no HTTP: the server's pool gave one buffer to both. Seen with Jetty 12.1.13
-   * once in two thousand good requests; with buffers that are not pooled, never.
+   * Guards against a valid request being answered with 400, or its connection closed, because another
+   * connection sent malformed HTTP and the server's pool gave one buffer to both. Jetty 12.1.13 did so
+   * once in two thousand valid requests; with buffers that are not pooled it does not happen.
    */
   @Property(tries = 1)
   void garbageOnOneConnectionDoesNotSpoilTheRequestsOfAnother() throws Exception {
     Random random = new Random(5);
-    byte[] good = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8);
+    byte[] validRequest = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8);
     byte[] answer = new byte[1_000];
     try (Socket caller = connect(entry.callersPort())) {
       for (int round = 0; round < 8_000; round++) {
@@ -259,7 +259,7 @@
         try (Socket socket = connect(entry.callersPort())) {
           writeQuietly(socket, garbage);
         }
-        caller.getOutputStream().write(good);
+        caller.getOutputStream().write(validRequest);
         int length = caller.getInputStream().read(answer);
         String head = new String(answer, 0, Math.max(0, length), StandardCharsets.UTF_8);
         assertTrue(head.startsWith("HTTP/1.1 200"), "round " + round + " got '" + head + "'");
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An entry against a side process that says what the test tells it to. */
+/** An entry with a side process that is controlled by the test. */
 class EntryDispatcherTest {
   private static final long INCARNATION = 42;
 
@@ -51,23 +51,23 @@
     return entry.sendAsync(entry.request("/parking/spaces").GET());
   }
 
-  private static String text(HttpResponse<byte[]> answer) {
-    return new String(answer.body(), StandardCharsets.UTF_8);
+  private static String text(HttpResponse<byte[]> response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 
-  /** Lets the request's connection go silent and returns the Resolve that comes on a new one. */
+  /** Makes the request's connection unresponsive; returns the Resolve received on a new one. */
   private FakeSide.Heard silenceAndAwaitResolve(FakeSide.Heard request) throws Exception {
     side.fallSilent(request.connection());
     FakeSide.Heard resolve = side.next();
-    assertTrue(resolve.frame().hasResolve(), () -> "not a resolve: " + resolve.frame());
+    assertTrue(resolve.frame().hasResolve(), () -> "not a Resolve: " + resolve.frame());
     assertNotSame(request.connection(), resolve.connection());
     return resolve;
   }
 
   /**
-   * Something between entry and side process loses track of a connection: bytes go in, nothing
-   * comes out, no error is ever seen. The motorist's request must not hang on it; asked over a new
-   * connection, the side process says that it runs, and the answer comes there.
+   * Guards against a request hanging on a connection that the network silently stops to deliver,
+   * without an error at either end. Over a new connection the side process reports that the request
+   * runs, and the response is received there.
    */
   @Test
   void requestOnASilentConnectionIsResolvedOverANewOne() throws Exception {
@@ -85,7 +85,7 @@
     assertEquals(0, side.unread());
   }
 
-  /** While one connection is silent, requests on the others are answered as ever. */
+  /** While one connection is unresponsive, requests on the others must still be answered. */
   @Test
   void othersDoNotNoticeASilentConnection() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> stuck = charge();
@@ -108,26 +108,26 @@
     assertEquals("late", text(stuck.join()));
   }
 
-  /** Buffers for heads are small at first; a long head must grow them, not be refused. */
+  /** Initial buffers for heads are small; a long head must enlarge them and not be refused. */
   @Test
   void longHeadsOfRequestsAndAnswersPassWhole() throws Exception {
-    String asked = "a".repeat(12 * 1024);
-    String told = "t".repeat(30 * 1024);
+    String requestHeader = "a".repeat(12 * 1024);
+    String responseHeader = "t".repeat(30 * 1024);
     CompletableFuture<HttpResponse<byte[]>> lookup =
-        entry.sendAsync(entry.request("/parking/spaces").header("Trip", asked).GET());
+        entry.sendAsync(entry.request("/parking/spaces").header("Trip", requestHeader).GET());
     FakeSide.Heard request = side.next();
     assertTrue(
         request.frame().getRequestStart().getHeadersList().stream()
-            .anyMatch(header -> header.getValue().equals(asked)));
-    Frame.Builder answer = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free").toBuilder();
-    answer.getAnswerStartBuilder().addHeadersBuilder().setName("Trip").setValue(told);
-    side.send(request.connection(), answer.build());
+            .anyMatch(header -> header.getValue().equals(requestHeader)));
+    Frame.Builder response = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free").toBuilder();
+    response.getAnswerStartBuilder().addHeadersBuilder().setName("Trip").setValue(responseHeader);
+    side.send(request.connection(), response.build());
 
-    assertEquals(told, lookup.join().headers().firstValue("Trip").orElse(""));
+    assertEquals(responseHeader, lookup.join().headers().firstValue("Trip").orElse(""));
     assertEquals("free", text(lookup.join()));
   }
 
-  /** Proven not to have run, a charge may be sent once more, under a new id. */
+  /** A charge that provably did not run may be sent again, under a new id. */
   @Test
   void chargeProvenNotRunIsTriedAgainUnderANewId() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
@@ -144,8 +144,8 @@
   }
 
   /**
-   * The side process has forgotten, or is another one now: nobody can tell whether the charge was
-   * made. Trying again may charge twice; the caller is told that the outcome is unknown.
+   * The side process no longer knows the request, or was replaced, so whether the charge ran is
+   * unknown. A retry may charge twice; the caller must receive an unknown outcome.
    */
   @Test
   void chargeOfUnknownOutcomeIsNeverTriedAgain() throws Exception {
@@ -156,14 +156,14 @@
         resolve.connection(),
         FakeSide.resolution(FakeSide.idOf(request.frame()), Resolution.State.FORGOTTEN));
 
-    HttpResponse<byte[]> answer = charge.join();
-    assertEquals(502, answer.statusCode());
-    assertTrue(text(answer).contains("\"kind\":\"outcome-unknown\""), () -> text(answer));
-    assertTrue(text(answer).contains("\"execution\":\"unknown\""), () -> text(answer));
+    HttpResponse<byte[]> response = charge.join();
+    assertEquals(502, response.statusCode());
+    assertTrue(text(response).contains("\"kind\":\"outcome-unknown\""), () -> text(response));
+    assertTrue(text(response).contains("\"execution\":\"unknown\""), () -> text(response));
     assertEquals(0, side.unread());
   }
 
-  /** A lookup does no harm twice, so the motorist gets an answer all the same. */
+  /** An idempotent request may run twice, so it is retried. */
   @Test
   void lookupOfUnknownOutcomeIsTriedAgain() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> lookup = lookup();
@@ -178,21 +178,21 @@
     assertEquals("free", text(lookup.join()));
   }
 
-  /** The side process is killed: its charge ends as unknown at once, not at its deadline. */
+  /** After a side process is killed, its charges fail as unknown at once, not at their deadline. */
   @Test
   void chargeAtAKilledSideProcessIsAnsweredAsUnknown() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     side.next();
     side.close();
 
-    HttpResponse<byte[]> answer = charge.join();
-    assertEquals(502, answer.statusCode());
-    assertTrue(text(answer).contains("outcome-unknown"), () -> text(answer));
+    HttpResponse<byte[]> response = charge.join();
+    assertEquals(502, response.statusCode());
+    assertTrue(text(response).contains("outcome-unknown"), () -> text(response));
   }
 
   /**
-   * An answer ends before its announced length. Handed on, a payout statement would lack its last
-   * lines and look whole. It is a broken frame: the connection ends and the outcome is resolved.
+   * Guards against forwarding a truncated response as complete. A body shorter than its announced
+   * length is a protocol error: the connection is closed and the outcome is resolved.
    */
   @Test
   void answerShorterThanItsLengthIsNeverHandedOn() throws Exception {
@@ -207,7 +207,7 @@
     assertEquals("half and", text(charge.join()));
   }
 
-  /** Answers to ids that nobody waits for, such as doubled ones, touch nobody. */
+  /** Responses to unknown ids, such as duplicates, must not affect other requests. */
   @Test
   void doubledAndForeignAnswersAreDropped() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> first = lookup();
@@ -224,7 +224,7 @@
     assertEquals("next", text(second.join()));
   }
 
-  /** Nobody waits any more: the side process is told, so that it need not start it. */
+  /** After the deadline the side process is notified, so that it does not start the request. */
   @Test
   void requestPastItsDeadlineIsAnsweredAndCancelled() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge =
@@ -239,12 +239,12 @@
     FakeSide.Heard cancel = side.next();
 
     assertEquals(request.frame().getRequestStart().getId(), cancel.frame().getCancel().getId());
-    HttpResponse<byte[]> answer = charge.join();
-    assertEquals(504, answer.statusCode());
-    assertTrue(text(answer).contains("deadline-while-running"), () -> text(answer));
+    HttpResponse<byte[]> response = charge.join();
+    assertEquals(504, response.statusCode());
+    assertTrue(text(response).contains("deadline-while-running"), () -> text(response));
   }
 
-  /** A refusal of the side process reaches the caller as such where no other target is left. */
+  /** The rejection of a side process reaches the caller if no other target is left. */
   @Test
   void refusalNamesItsKindAndWhenToComeBack() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
@@ -252,18 +252,18 @@
       FakeSide.Heard request = side.next();
       WireId id = FakeSide.idOf(request.frame());
       side.send(request.connection(), FakeSide.notRun(id, ErrorKind.OVERLOADED));
-      Await.until("tried again or answered", () -> charge.isDone() || side.unread() > 0);
+      Await.until("retried or answered", () -> charge.isDone() || side.unread() > 0);
     }
 
-    HttpResponse<byte[]> answer = charge.join();
-    assertEquals(503, answer.statusCode());
-    assertTrue(text(answer).contains("\"execution\":\"not_run\""), () -> text(answer));
-    assertTrue(answer.headers().firstValue("Retry-After").isPresent());
+    HttpResponse<byte[]> response = charge.join();
+    assertEquals(503, response.statusCode());
+    assertTrue(text(response).contains("\"execution\":\"not_run\""), () -> text(response));
+    assertTrue(response.headers().firstValue("Retry-After").isPresent());
   }
 
   /**
-   * A planned stop under way: the balancer reads "not ready" at once, callers it still sends are
-   * served for the grace time, and what is in progress is answered before the process may exit.
+   * In a planned stop the readiness check fails at once, new requests are served for the grace time,
+   * and pending requests are completed before the process may exit.
    */
   @Test
   void plannedStopServesItsGraceTimeAndEndsWhatIsInProgress() throws Exception {
@@ -305,9 +305,9 @@
   }
 
   /**
-   * A side process goes away; an announcement that it sent before is overtaken on its way and says
-   * that it takes work. A charge sent there on that word finds the process gone, and its caller is
-   * told that the outcome is unknown.
+   * A side process sends GOAWAY, and an older announcement is received after it and says that the
+   * target accepts work. A charge sent because of that would find the process gone and have an
+   * unknown outcome.
    */
   @Test
   void targetThatGoesAwayIsPassedOverWhateverAnOvertakenAnnouncementSays() throws Exception {
@@ -318,7 +318,7 @@
     assertTrue(acknowledged.frame().hasGoAwayAck());
     assertSame(request.connection(), acknowledged.connection());
     side.send(request.connection(), FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free"));
-    assertEquals("free", text(lookup.join()), "what is in progress ends");
+    assertEquals("free", text(lookup.join()), "pending requests are completed");
 
     side.announce(entry, false);
 
@@ -332,9 +332,9 @@
       for (int i = 0; i < 20; i++) {
         CompletableFuture<HttpResponse<byte[]>> lookup = lookup();
         FakeSide.Heard request = other.next();
-        Frame answer = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free");
+        Frame response = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free");
         LinkConnection connection = request.connection();
-        other.send(connection, answer);
+        other.send(connection, response);
         assertEquals(200, lookup.join().statusCode());
       }
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryUnderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryUnderTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Predicate;
 
-/** The request half of an entry, wired as the process wires it, with an HTTP client for it. */
+/** The request path of an entry, wired as in the process, with an HTTP client for it. */
 final class EntryUnderTest implements AutoCloseable {
   private static final long DEFAULT_DEADLINE_MILLIS = 20_000;
 
@@ -43,15 +43,15 @@
     this(name, incarnation, LinkTimes.DEFAULT, EventRecorder.none());
   }
 
-  EntryUnderTest(String name, long incarnation, LinkTimes times, EventRecorder events)
+  EntryUnderTest(String name, long incarnation, LinkTimes settings, EventRecorder events)
       throws IOException {
-    this(name, incarnation, times, events, Optional.empty(), service -> false);
+    this(name, incarnation, settings, events, Optional.empty(), service -> false);
   }
 
   EntryUnderTest(
       String name,
       long incarnation,
-      LinkTimes times,
+      LinkTimes settings,
       EventRecorder events,
       Optional<KeyShardTable> keys,
       Predicate<String> detectsRepeats)
@@ -59,15 +59,15 @@
     RequestPolicy policy =
         new RequestScheduler(SchedulerSettings.of("suva"), new SplittableRandom(11));
     EntryIdentity identity = new EntryIdentity(name, incarnation);
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
+    InetSocketAddress anyPort = new InetSocketAddress("127.0.0.1", 0);
     loop = new LinkLoop(name, MonotonicClock.system());
-    links = new EntryLinks(loop, any, 1_000, identity, () -> 0, List::of, events);
+    links = new EntryLinks(loop, anyPort, 1_000, identity, () -> 0, List::of, events);
     dispatcher =
         new EntryDispatcher(
             loop,
             identity,
             policy,
-            times,
+            settings,
             new ByteBudget(64L << 20),
             keys,
             detectsRepeats,
@@ -77,7 +77,7 @@
     callers =
         new CallerServer(
             MonotonicClock.system(),
-            any,
+            anyPort,
             CallerLimits.ofHeap(),
             service ->
                 service.equals("parking")
@@ -131,18 +131,18 @@
     return client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray());
   }
 
-  /** Waits until so many targets can be reached. */
+  /** Waits until exactly this many targets are reachable. */
   void awaitTargets(int count) {
     Await.until("targets known", () -> onLoop(() -> dispatcher.reachableTargets() == count));
   }
 
-  private boolean onLoop(java.util.function.BooleanSupplier question) {
-    CompletableFuture<Boolean> answer = new CompletableFuture<>();
-    loop.run(() -> answer.complete(question.getAsBoolean()));
-    return answer.join();
+  private boolean onLoop(java.util.function.BooleanSupplier condition) {
+    CompletableFuture<Boolean> result = new CompletableFuture<>();
+    loop.run(() -> result.complete(condition.getAsBoolean()));
+    return result.join();
   }
 
-  /** Ends at once, as when the process is killed. */
+  /** Stops at once, like a killed process. */
   @Override
   public void close() {
     if (closed) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One end of a connection, dialled by the test, which reads and sends frames one by one. Like an
- * entry it acknowledges by itself that the side process goes away, unless it is told not to.
+ * The test's end of a connection; sends and receives single frames. Acknowledges GOAWAY like an
+ * entry, unless {@link #holdGoAwayAck} was called.
  */
 final class FakePeer implements LinkListener {
   private final LinkLoop loop;
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Leaves it to the test to read that the side process goes away, and to acknowledge it. */
+  /** Makes GOAWAY frames visible to the test, which acknowledges them itself. */
   void holdGoAwayAck() {
     holdsGoAwayAck = true;
   }
@@ -61,7 +61,7 @@
     loop.run(() -> connection.join().send(frame));
   }
 
-  /** Tells the other end with the next frame that one more whole answer was read. */
+  /** Acknowledges one more complete response with the next frame sent. */
   void answerRead() {
     loop.run(connection.join()::answerRead);
   }
@@ -70,7 +70,7 @@
   Frame next() throws InterruptedException {
     Frame frame = frames.poll(30, TimeUnit.SECONDS);
     if (frame == null) {
-      throw new AssertionError("no frame came");
+      throw new AssertionError("no frame received");
     }
     return frame;
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A side process that says what the test tells it to; it answers pings by itself. */
+/** A side process that is controlled by the test; it answers pings by itself. */
 final class FakeSide implements AutoCloseable {
-  /** A frame and the connection it came on. */
+  /** A frame and the connection that it was received on. */
   record Heard(LinkConnection connection, Frame frame) {}
 
   private final String vm;
@@ -49,7 +49,7 @@
     return server.port();
   }
 
-  /** Announces the target to the entry, now and again and again. */
+  /** Announces the target to the entry, now and periodically from then on. */
   void announce(EntryUnderTest entry, boolean newLeaving) {
     leaving = newLeaving;
     if (control == null) {
@@ -76,7 +76,7 @@
     control.send(Frame.newBuilder().setAnnounce(Announcements.write(announcement)).build());
   }
 
-  /** Reads on but answers nothing on this connection any more, not even pings. */
+  /** Ignores all further frames on this connection, also pings. */
   void fallSilent(LinkConnection connection) {
     silent = connection;
   }
@@ -85,7 +85,7 @@
   Heard next() throws InterruptedException {
     Heard next = heard.poll(30, TimeUnit.SECONDS);
     if (next == null) {
-      throw new AssertionError("no frame came");
+      throw new AssertionError("no frame received");
     }
     return next;
   }
@@ -111,7 +111,7 @@
   }
 
   static Frame answer(WireId id, int status, String body, int length) {
-    AnswerStart.Builder answer =
+    AnswerStart.Builder start =
         AnswerStart.newBuilder()
             .setId(SideFrames.message(id))
             .setStatus(status)
@@ -119,7 +119,7 @@
             .setBodyLength(length)
             .setLast(true)
             .setReport(TargetReport.newBuilder().setSlots(8).setEntries(1));
-    return Frame.newBuilder().setAnswerStart(answer).build();
+    return Frame.newBuilder().setAnswerStart(start).build();
   }
 
   static Frame notRun(WireId id, ErrorKind kind) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeTarget.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeTarget.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 
-/** A target whose every request ends when the test says so. */
+/** A target whose requests are completed by the test. */
 final class FakeTarget implements Target {
-  /** One request at the target. */
+  /** A request at the target. */
   record Run(TargetRequest request, Consumer<TargetOutcome> ended) {
     void answer(String body) {
       ended.accept(
@@ -23,14 +23,14 @@
   private volatile TargetHealth health = TargetHealth.SERVING;
 
   @Override
-  public void send(TargetRequest request, Consumer<TargetOutcome> ended) {
+  public void send(TargetRequest request, Consumer<TargetOutcome> onEnded) {
     started.incrementAndGet();
-    runs.add(new Run(request, ended));
+    runs.add(new Run(request, onEnded));
   }
 
   @Override
-  public void probe(Consumer<TargetHealth> heard) {
-    heard.accept(health);
+  public void probe(Consumer<TargetHealth> onResult) {
+    onResult.accept(health);
   }
 
   @Override
@@ -40,7 +40,7 @@
     health = newHealth;
   }
 
-  /** Returns how many requests were ever handed over. */
+  /** Returns the number of requests received so far. */
   int started() {
     return started.get();
   }
