--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Keyed requests through two entries that agree on homes by a log. */
+/** Requests with idempotency keys through two entries that agree on shard owners by a log. */
 class KeyHomesTest {
   private static final int VMS = 3;
 
-  /** An entry with its part of the stream of keys. */
+  /** An entry that follows the stream of keys. */
   private final class KeyedEntry implements AutoCloseable {
     private final KeyShardTable table = new KeyShardTable(MonotonicClock.system());
     private final StreamFollower follower;
@@ -77,7 +77,7 @@
               .POST(HttpRequest.BodyPublishers.ofString("5 dollars")));
     }
 
-    /** Waits until charges are served, that is until homes are claimed and vouched for. */
+    /** Waits until charges are served, that is until shards are claimed and leases confirmed. */
     void awaitServed(String prefix) {
       int[] tries = new int[1];
       Await.until(
@@ -115,7 +115,7 @@
     first.entry.awaitTargets(VMS);
     second.entry.awaitTargets(VMS);
     Await.until(
-        "both know all homes",
+        "both entries know all shard owners",
         () ->
             first.table.homes("parking").size() == KeyShards.COUNT
                 && second.table.homes("parking").size() == KeyShards.COUNT);
@@ -138,13 +138,13 @@
     return runs;
   }
 
-  private static String text(HttpResponse<byte[]> answer) {
-    return new String(answer.body(), StandardCharsets.UTF_8);
+  private static String text(HttpResponse<byte[]> response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 
   /**
-   * Drivers lose patience and ask again through the other entry while their charge still runs, and
-   * once more when it has ended. Each key's charge must run once, at one target.
+   * Callers repeat a charge through the other entry while it still runs, and again when it has ended.
+   * The charge of each key must run once, at one target.
    */
   @Test
   void repeatsThroughAnotherEntryRunNoSecondTime() {
@@ -171,16 +171,16 @@
   }
 
   /**
-   * Drivers pay with keys that have one home while its slots are taken for a moment, as when it has
-   * just started. The rest of the fleet is idle, and the drivers have seconds to spare: they must
-   * be served late and once, not be told that the service is full.
+   * Charges arrive while all slots of their keys' owner are briefly taken, such as after its start. The
+   * rest of the fleet is idle and the deadlines are seconds away, so they must be served late and
+   * once, not refused as overloaded.
    */
   @Test
   void aHomeThatIsFullForAMomentServesItsKeysLate() {
-    int home = homeOf("pay-0");
+    int owner = homeOf("pay-0");
     List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
     for (int i = 0; answers.size() < 30; i++) {
-      if (homeOf("pay-" + i) == home) {
+      if (homeOf("pay-" + i) == owner) {
         answers.add(first.charge("pay-" + i, "?serviceMillis=100"));
       }
     }
@@ -195,38 +195,38 @@
   }
 
   /**
-   * The side process that is a key's home is killed and started anew, empty, while its target goes
-   * on. It cannot know whether the charge ran; running it may be the second time. The caller is
-   * told that the state of its key is unknown, whichever entry it asks.
+   * The side process that owns a key is killed and restarted without its state, while its target runs
+   * on. It cannot know whether the charge ran, so running it could charge twice. The caller must
+   * receive key-state-unknown from both entries.
    */
   @Test
   void killedHomeRunsNothingAgain() throws Exception {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    int home = homeOf("pay");
-    sides.get(home).close();
-    SideUnderTest successor = SideUnderTest.onHttp("vm-" + home, 2, targets.get(home).address());
-    sides.set(home, successor);
+    int owner = homeOf("pay");
+    sides.get(owner).close();
+    SideUnderTest successor = SideUnderTest.onHttp("vm-" + owner, 2, targets.get(owner).address());
+    sides.set(owner, successor);
     successor.announceTo(List.of(first.entry.address(), second.entry.address()));
     int shard = KeyShards.of("driver\npay");
     Await.until(
-        "another home claimed",
+        "another owner has claimed the shard",
         () ->
             second.table.home("parking", shard).isPresent()
                 && second.table.home("parking", shard).orElseThrow().quietUntil()
                     > System.nanoTime());
 
     for (KeyedEntry entry : List.of(first, second)) {
-      HttpResponse<byte[]> answer = entry.charge("pay", "").join();
-      assertTrue(text(answer).contains("key-state-unknown"), () -> text(answer));
-      assertTrue(text(answer).contains("this attempt was not run"), () -> text(answer));
+      HttpResponse<byte[]> response = entry.charge("pay", "").join();
+      assertTrue(text(response).contains("key-state-unknown"), () -> text(response));
+      assertTrue(text(response).contains("this attempt was not run"), () -> text(response));
     }
     assertEquals(1, charges().size());
   }
 
   /**
-   * A VM is drained while charges with keys go on. The entries went on sending them to the leaving
-   * home, which turned them away, until it exited: whatever was on its way then had an unknown
-   * outcome, though nothing had run. The log is down, or a successor would soon serve the key.
+   * Guards against entries sending charges to a leaving owner: it rejected them, and those in transit
+   * when it exited had an unknown outcome, though none had run. The log is down, as otherwise a
+   * successor would soon serve the key.
    */
   @Test
   void leavingHomeIsSentNothing() {
@@ -236,81 +236,81 @@
 
     for (KeyedEntry entry : List.of(first, second)) {
       Await.until(
-          "refused in the entry",
-          () -> text(entry.charge("pay", "").join()).contains("has no home that is reached"));
+          "refused by the entry",
+          () -> text(entry.charge("pay", "").join()).contains("the owner of its Idempotency-Key is not reachable"));
     }
     assertEquals(1, charges().size());
   }
 
   /**
-   * A home is stopped as planned, as happens 70 times a day, and drivers repeat charges that ran
-   * there. For 71 s they heard that the state of their key is unknown, for its keys went with it.
-   * Now another home has them: the repeat gets the receipt, and a new key runs.
+   * Guards against losing the keys of an owner in a planned stop, which happens 70 times a day: for
+   * 71 s repeats of its charges got key-state-unknown. Another owner must take the keys over: a repeat
+   * gets the retained response, and a new key runs.
    */
   @Test
   void plannedStopHandsKeysToAnotherHome() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
     assertEquals(200, receipt.statusCode());
-    SideUnderTest home = sides.remove(homeOf("pay"));
-    home.dispatcher().beginStop().join();
-    home.close();
+    SideUnderTest owner = sides.remove(homeOf("pay"));
+    owner.dispatcher().beginStop().join();
+    owner.close();
 
     for (KeyedEntry entry : List.of(first, second)) {
       Await.until(
-          "the kept answer",
+          "retained response",
           () -> text(entry.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
       for (int i = 0; i < 40; i++) {
         String key = "after-" + i;
-        Await.until("new key", () -> entry.charge(key, "").join().statusCode() == 200);
+        Await.until("new key served", () -> entry.charge(key, "").join().statusCode() == 200);
       }
     }
     assertEquals(41, charges().size());
     assertEquals(1, charges().stream().filter(run -> run.idempotencyKey().endsWith("pay")).count());
   }
 
-  /** The same, and the entry that carries the keys is killed as the stop begins. */
+  /** The same, with the entry that relays the keys killed as the stop begins. */
   @Test
   void handOverOutlivesItsEntry() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
-    SideUnderTest home = sides.remove(homeOf("pay"));
-    CompletableFuture<Void> stopped = home.dispatcher().beginStop();
+    SideUnderTest owner = sides.remove(homeOf("pay"));
+    CompletableFuture<Void> stopped = owner.dispatcher().beginStop();
     first.close();
     stopped.join();
-    home.close();
+    owner.close();
 
     Await.until(
-        "the kept answer",
+        "retained response",
         () -> text(second.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
     assertEquals(1, charges().size());
   }
 
   /**
-   * The log is down while a home is stopped as planned: nobody can be named its successor. The stop
-   * ends all the same, and the shards wait out the quiet time; the charge does not run again, also
-   * not when the log is back.
+   * The log is down during a planned stop of an owner, so no successor can be recorded. The stop must
+   * end all the same, and the shards are quarantined; the charge must not run again, also not when the
+   * log is back.
    */
   @Test
   void stopDuringALogOutageLeavesItsShardsToTheQuietTime() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    SideUnderTest home = sides.remove(homeOf("pay"));
+    SideUnderTest owner = sides.remove(homeOf("pay"));
     log.setFaults(log.faults().withDown(true));
-    home.dispatcher().beginStop().join();
-    home.close();
+    owner.dispatcher().beginStop().join();
+    owner.close();
     for (KeyedEntry entry : List.of(first, second)) {
       assertTrue(text(entry.charge("pay", "").join()).contains("key-state-unknown"));
     }
     log.setFaults(log.faults().withDown(false));
 
     Await.until(
-        "another home claimed",
-        () -> text(second.charge("pay", "").join()).contains("an earlier one may have been"));
+        "another owner has claimed the shard",
+        () -> text(second.charge("pay", "").join()).contains("a former owner of its key may have run"));
     assertEquals(1, charges().size());
   }
 
   /**
-   * Two faults at once: the log is down for longer than a lease, and one home is killed in it. The
-   * other homes refuse once their evidence has lapsed and give the kept answer again when the log
-   * is back; the killed one's keys stay unknown. No charge runs twice.
+   * The log is down for longer than a lease, and one owner is killed meanwhile. The other owners reject
+   * keys once their leases have expired, and send the retained responses when the log is back; the
+   * keys of the killed one stay unknown. No charge may run twice.
    */
   @Test
   void logOutageAndKilledHomeRunNothingAgain() {
@@ -325,20 +325,20 @@
     log.setFaults(log.faults().withDown(true));
     sides.remove(killed).close();
     Await.until(
-        "evidence lapsed",
-        () -> text(second.charge(other, "").join()).contains("is being changed"));
+        "lease expired",
+        () -> text(second.charge(other, "").join()).contains("the owner of its Idempotency-Key is changing"));
     log.setFaults(log.faults().withDown(false));
 
-    Await.until("kept answer", () -> second.charge(other, "").join().statusCode() == 200);
+    Await.until("retained response", () -> second.charge(other, "").join().statusCode() == 200);
     Await.until(
-        "another home claimed",
-        () -> text(second.charge("pay", "").join()).contains("an earlier one may have been"));
+        "another owner has claimed the shard",
+        () -> text(second.charge("pay", "").join()).contains("a former owner of its key may have run"));
     assertEquals(2, charges().size());
   }
 
   /**
-   * The killed home's service says that its target tells repeats apart: its keys are not refused
-   * for 71 s, they run, and the target sees the same key.
+   * If the target is configured to detect repeats, keys of a killed owner are not quarantined for 71 s:
+   * they run, and the target receives the same key.
    */
   @Test
   void keysOfUnknownStateRunWhereTheTargetDetectsRepeats() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Callers at two entries and three targets while faults strike; afterwards what callers were told
- * is held against what the targets themselves noted to have run.
+ * Sends requests through two entries to three targets while faults are injected, then compares the
+ * outcomes that callers received with the runs that the targets recorded.
  */
 class RequestFaultsTest {
   private static final int VMS = 3;
@@ -59,18 +59,18 @@
     targets.forEach(StandInTarget::close);
   }
 
-  /** A busy machine may take long to resolve; the product's two seconds are not tested here. */
+  /** Resolves for 10 s instead of 2 s, so that a busy test machine does not cause failures. */
   private EntryUnderTest newEntry(String name) throws Exception {
-    LinkTimes usual = LinkTimes.DEFAULT;
-    LinkTimes patient =
+    LinkTimes defaults = LinkTimes.DEFAULT;
+    LinkTimes longResolve =
         new LinkTimes(
-            usual.connections(),
-            usual.tickNanos(),
-            usual.pingAfterNanos(),
-            usual.idlePingNanos(),
-            usual.silenceNanos(),
+            defaults.connections(),
+            defaults.tickNanos(),
+            defaults.pingAfterNanos(),
+            defaults.idlePingNanos(),
+            defaults.silenceNanos(),
             TimeUnit.SECONDS.toNanos(10));
-    return new EntryUnderTest(name, incarnation++, patient, EventRecorder.none());
+    return new EntryUnderTest(name, incarnation++, longResolve, EventRecorder.none());
   }
 
   private void startSide(int i) throws Exception {
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Connections are cut in the middle of requests, again and again: charges that were on them ran
-   * or did not, nobody knows by the connection alone, and a blind retry charges twice.
+   * Closes connections repeatedly in the middle of requests. A lost connection does not show whether
+   * its charges ran, so a retry without resolving the outcome charges twice.
    */
   @Test
   void cutConnections() throws Exception {
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Connections go silent for good in one direction, the other, or both, while new ones work:
-   * requests vanish in them, or ran with their answers lost.
+   * Existing connections stop delivering in one direction, the other, or both, while new ones work.
+   * Requests are lost in them, or ran and their responses are lost.
    */
   @Test
   void silentConnections() throws Exception {
@@ -137,13 +137,12 @@
     proxies.get(2).silenceOpen(Direction.TO_CLIENT);
     proxies.get(0).cutOpen();
     assertNothingViolated(workload);
-    assertEquals(0, workload.history().count(Told.UNKNOWN), "all outcomes were found out");
+    assertEquals(0, workload.history().count(Told.UNKNOWN), "all outcomes were resolved");
   }
 
   /**
-   * A side process is killed under load and started anew, knowing nothing; another one's
-   * connections go silent at the same moment; then an entry is killed and started anew in the
-   * middle.
+   * Kills and restarts a side process under load, without its state, while the connections of
+   * another one become unresponsive; then kills and restarts an entry.
    */
   @Test
   void killedSideProcessAndEntry() throws Exception {
@@ -164,20 +163,20 @@
   }
 
   /**
-   * A side process freezes with requests unread in its sockets and wakes after its entries have
-   * given it up and sent the requests elsewhere, or told their callers. It must run nothing that
-   * was said not to run, and no charge that was sent elsewhere.
+   * Pauses a side process with unread requests in its sockets and resumes it after its entries have
+   * closed the connections and retried the requests elsewhere or failed them. It must not run a
+   * request that was reported as not run, nor a charge that was sent elsewhere.
    */
   @Test
   void frozenAndWokenSideProcess() throws Exception {
     Workload workload = new Workload(entries, CALLERS, 5 * STEP);
     workload.start();
     workload.awaitEnded(STEP);
-    CountDownLatch wake = new CountDownLatch(1);
-    sides.get(0).loop().run(() -> awaitQuietly(wake));
+    CountDownLatch resume = new CountDownLatch(1);
+    sides.get(0).loop().run(() -> awaitQuietly(resume));
     workload.awaitEnded(4 * STEP);
     entries.get(0).awaitTargets(VMS - 1);
-    wake.countDown();
+    resume.countDown();
     entries.get(0).awaitTargets(VMS);
     assertNothingViolated(workload);
   }
@@ -190,7 +189,7 @@
     }
   }
 
-  /** Planned stops of a side process and of an entry under full load: nobody is cut off. */
+  /** Stops a side process and an entry as planned under full load; no outcome may be unknown. */
   @Test
   void plannedStopsCutOffNobody() throws Exception {
     Workload workload = new Workload(entries, CALLERS, 6 * STEP);
@@ -208,6 +207,6 @@
         .join();
     stopped.close();
     assertNothingViolated(workload);
-    assertEquals(0, workload.history().count(Told.UNKNOWN), "nobody was cut off");
+    assertEquals(0, workload.history().count(Told.UNKNOWN), "no request was lost");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestPathTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestPathTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole request path in one Java virtual machine: caller, entry, side process, target. */
+/** The complete request path in one Java virtual machine: caller, entry, side process, target. */
 class RequestPathTest {
   private StandInTarget target;
   private SideUnderTest side;
@@ -47,11 +47,11 @@
     byte[] body = new byte[length];
     new SplittableRandom(length).nextBytes(body);
 
-    HttpResponse<byte[]> answer = entry.post("/parking/echo?lot=3", body);
+    HttpResponse<byte[]> response = entry.post("/parking/echo?lot=3", body);
 
-    assertEquals(200, answer.statusCode(), () -> new String(answer.body(), StandardCharsets.UTF_8));
-    assertArrayEquals(body, answer.body());
-    assertTrue(answer.headers().firstValue(CallerHeaders.REQUEST_ID).isPresent());
+    assertEquals(200, response.statusCode(), () -> new String(response.body(), StandardCharsets.UTF_8));
+    assertArrayEquals(body, response.body());
+    assertTrue(response.headers().firstValue(CallerHeaders.REQUEST_ID).isPresent());
   }
 
   @Test
@@ -62,12 +62,12 @@
             .request("/parking/echo")
             .POST(HttpRequest.BodyPublishers.ofInputStream(() -> new ByteArrayInputStream(body)));
 
-    HttpResponse<byte[]> answer = entry.send(chunked);
+    HttpResponse<byte[]> response = entry.send(chunked);
 
-    assertEquals(413, answer.statusCode());
-    assertTrue(text(answer).contains("body-too-large"), () -> text(answer));
-    // Refused while it was read, before it held more than one body: it never became a request.
-    assertTrue(answer.headers().firstValue(CallerHeaders.REQUEST_ID).isEmpty());
+    assertEquals(413, response.statusCode());
+    assertTrue(text(response).contains("body-too-large"), () -> text(response));
+    // Refused while it was read, before a request id was assigned.
+    assertTrue(response.headers().firstValue(CallerHeaders.REQUEST_ID).isEmpty());
     assertEquals(List.of(), target.runs());
   }
 
@@ -91,37 +91,36 @@
 
   @Test
   void targetsStatusAndHeadersReachTheCaller() throws Exception {
-    HttpResponse<byte[]> answer = entry.get("/parking/spaces?status=418");
+    HttpResponse<byte[]> response = entry.get("/parking/spaces?status=418");
 
-    assertEquals(418, answer.statusCode());
-    assertEquals("target-1", answer.headers().firstValue("Stand-In-Target").orElse(""));
+    assertEquals(418, response.statusCode());
+    assertEquals("target-1", response.headers().firstValue("Stand-In-Target").orElse(""));
   }
 
   @Test
   void targetKnowsTheRequestByTheIdThatTheCallerIsShown() throws Exception {
-    HttpRequest.Builder asked =
+    HttpRequest.Builder request =
         entry.request("/parking/spaces").header(CallerHeaders.REQUEST_ID, "made-up").GET();
 
-    String shown = entry.send(asked).headers().firstValue(CallerHeaders.REQUEST_ID).orElseThrow();
+    String receivedId = entry.send(request).headers().firstValue(CallerHeaders.REQUEST_ID).orElseThrow();
 
-    assertEquals(shown, target.runs().get(0).requestId());
+    assertEquals(receivedId, target.runs().get(0).requestId());
   }
 
   /**
-   * A caller would see another caller's booking: thousands of requests share two connections, their
-   * answers come back in another order than they were asked for, and whoever matches answers by
-   * their place in the row hands them to the wrong ones.
+   * Guards against a caller receiving another caller's response. Thousands of requests share two
+   * connections and their responses are reordered, so matching them by position would mix them up.
    */
   @Test
   void eachOfThousandsGetsItsOwnAnswerWhateverTheirOrder() throws Exception {
     SplittableRandom random = new SplittableRandom(4);
     List<byte[]> bodies = new ArrayList<>();
-    List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
+    List<CompletableFuture<HttpResponse<byte[]>>> responses = new ArrayList<>();
     for (int i = 0; i < 2_000; i++) {
       byte[] body =
           ("caller " + i + " ").repeat(random.nextInt(1, 40)).getBytes(StandardCharsets.UTF_8);
       bodies.add(body);
-      answers.add(
+      responses.add(
           entry.sendAsync(
               entry
                   .request("/parking/book?serviceMillis=" + random.nextInt(6))
@@ -130,19 +129,19 @@
     }
 
     int served = 0;
-    for (int i = 0; i < answers.size(); i++) {
-      HttpResponse<byte[]> answer = answers.get(i).join();
-      if (answer.statusCode() == 200) {
-        assertArrayEquals(bodies.get(i), answer.body());
+    for (int i = 0; i < responses.size(); i++) {
+      HttpResponse<byte[]> response = responses.get(i).join();
+      if (response.statusCode() == 200) {
+        assertArrayEquals(bodies.get(i), response.body());
         served++;
       } else {
-        assertTrue(text(answer).contains("\"execution\":\"not_run\""), () -> text(answer));
+        assertTrue(text(response).contains("\"execution\":\"not_run\""), () -> text(response));
       }
     }
     assertEquals(served, target.runs().size());
   }
 
-  private static String text(HttpResponse<byte[]> answer) {
-    return new String(answer.body(), StandardCharsets.UTF_8);
+  private static String text(HttpResponse<byte[]> response) {
+    return new String(response.body(), StandardCharsets.UTF_8);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -94,7 +94,7 @@
     for (int i = 0; i < SLOTS; i++) {
       runs.add(target.next());
     }
-    Await.until("the rest waits", () -> side.dispatcher().load().waiting() == WAITING_ROOM);
+    Await.until("the others are queued", () -> side.dispatcher().load().waiting() == WAITING_ROOM);
     return runs;
   }
 
@@ -117,8 +117,8 @@
   }
 
   /**
-   * A full side process turns a booking away and the caller reads "not run"; whoever still runs it
-   * later books twice. The target's own record must not show it, also when a copy comes later.
+   * A full side process rejects a booking and the caller receives "not run". The booking must not run
+   * later, also not if a copy is received, or the retry books twice.
    */
   @Test
   void whatIsRefusedForWantOfASlotNeverRuns() throws Exception {
@@ -141,15 +141,15 @@
   }
 
   /**
-   * A connection goes silent with a booking in it. The entry asks over a new one, hears "not run",
-   * and tells its caller so. Then the old connection delivers after all: without a tombstone on the
-   * id the booking runs though it was said not to have run.
+   * A connection with a booking becomes unresponsive. The entry resolves the booking over a new one
+   * as "not run" and reports that to its caller. Then the old connection delivers it after all:
+   * without a tombstone for the id the booking would run.
    */
   @Test
   void copyThatComesAfterItsResolutionDoesNotRun() throws Exception {
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.NOT_RUN, fresh.next().getResolution().getState());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
 
     entry.send(frame(request(1)));
 
@@ -158,9 +158,8 @@
   }
 
   /**
-   * A side process is killed while its target works on a charge, and started anew on the same
-   * address. The new one has never seen the id; if it took that for "did not run", the charge would
-   * be made a second time.
+   * A side process is killed while its target runs a charge, and restarted on the same address. The
+   * new process does not know the id; if it reported "not run", the charge would run twice.
    */
   @Test
   void successorDoesNotSpeakForItsPredecessor() throws Exception {
@@ -170,8 +169,8 @@
   }
 
   /**
-   * The connection is lost while the target works. Asked over a new one, the side process says
-   * "running", and the answer comes there; the target ran the charge once.
+   * The connection is lost while the target runs a charge. Over a new one the side process resolves
+   * it as running and sends the response there; the charge runs once.
    */
   @Test
   void answerOfARunningRequestGoesToWhereItWasAskedForLast() throws Exception {
@@ -179,16 +178,16 @@
     FakeTarget.Run run = target.next();
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.RUNNING, fresh.next().getResolution().getState());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.RUNNING, newConnection.next().getResolution().getState());
     run.answer("charged");
 
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
     assertEquals(1, target.started());
   }
 
-  /** The answer was lost with its connection; the kept one comes whole over the new one. */
+  /** A response that was lost with its connection is sent again over a new one. */
   @Test
   void keptAnswerOfAnEndedRequestIsSentAgain() throws Exception {
     entry.send(frame(request(1)));
@@ -196,17 +195,17 @@
     assertTrue(entry.next().hasAnswerStart());
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
 
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
     assertEquals(1, target.started());
   }
 
   /**
-   * Each answer was kept for 60 s although its entry had read it; at 16,000 a second collecting
-   * them held up one request in a hundred for 85 ms. What the entry has read is let go, what it has
-   * not read is kept, and neither can run again.
+   * Guards against retaining each response for 60 s although its entry had read it: at 16,000 a second
+   * their garbage collection delayed one request in a hundred by 85 ms. Acknowledged responses are
+   * dropped, others are retained, and neither request can run again.
    */
   @Test
   void onlyAnswersThatTheEntryHasNotReadAreKept() throws Exception {
@@ -220,17 +219,17 @@
     assertTrue(entry.next().hasPong());
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.FORGOTTEN, fresh.next().getResolution().getState());
-    fresh.send(resolve(2, INCARNATION));
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
-    fresh.send(frame(request(1)));
-    assertEquals("outcome-unknown", fresh.next().getFailed().getErrorKind());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.FORGOTTEN, newConnection.next().getResolution().getState());
+    newConnection.send(resolve(2, INCARNATION));
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
+    newConnection.send(frame(request(1)));
+    assertEquals("outcome-unknown", newConnection.next().getFailed().getErrorKind());
     assertEquals(2, target.started());
   }
 
-  /** An entry that claims answers it was never sent would have others' answers dropped unread. */
+  /** Otherwise an entry could make the side process drop responses that it has not read. */
   @Test
   void claimOfMoreAnswersThanWereSentEndsItsConnection() throws Exception {
     entry.answerRead();
@@ -241,9 +240,9 @@
   }
 
   /**
-   * The VM freezes for ten seconds with a booking unread in its socket, whose caller waits five.
-   * Counting the five from when it is read, the woken process runs a booking that its caller was
-   * told had timed out.
+   * The VM pauses for ten seconds with an unread booking in its socket, whose deadline is five seconds
+   * away. If the five seconds counted from when it is read, the resumed process would run a booking
+   * whose caller has timed out.
    */
   @Test
   void wokenProcessDoesNotStartWhatIsPastItsDeadline() throws Exception {
@@ -255,7 +254,7 @@
     assertEquals(0, target.started());
   }
 
-  /** A request whose deadline passes while it waits for a slot is given up, not run late. */
+  /** A request whose deadline passes while it is queued is rejected, not run late. */
   @Test
   void whatWaitedTooLongDoesNotRun() throws Exception {
     List<FakeTarget.Run> runs = new ArrayList<>();
@@ -265,7 +264,7 @@
     }
     entry.send(frame(request(100).setRemainingMillis(LONG_MILLIS / 2)));
     entry.send(frame(request(101)));
-    Await.until("both wait", () -> side.dispatcher().load().waiting() == 2);
+    Await.until("both are queued", () -> side.dispatcher().load().waiting() == 2);
     ahead.set(TimeUnit.MILLISECONDS.toNanos(LONG_MILLIS / 2));
     runs.get(0).answer("done");
 
@@ -275,17 +274,17 @@
     assertEquals(SLOTS + 1, target.started());
   }
 
-  /** Half of a body must never reach a target as a whole one. */
+  /** A truncated body must never reach a target as a complete one. */
   @Test
   void requestCutShortNeverRuns() throws Exception {
     ByteString half = ByteString.copyFromUtf8("half");
     entry.send(frame(request(1).setBodyLength(8).setData(half).setLast(false)));
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
 
-    assertEquals(Resolution.State.NOT_RUN, fresh.next().getResolution().getState());
+    assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
     assertEquals(0, target.started());
   }
 
@@ -323,7 +322,7 @@
     List<FakeTarget.Run> runs = fillSlotsAndWaitingRoom();
     entry.send(cancel(SLOTS + 1));
     entry.send(cancel(1));
-    Await.until("given up", () -> side.dispatcher().load().waiting() == WAITING_ROOM - 1);
+    Await.until("queued request cancelled", () -> side.dispatcher().load().waiting() == WAITING_ROOM - 1);
     assertEquals(SLOTS, side.dispatcher().load().inFlight());
 
     runs.forEach(run -> run.answer("done"));
@@ -337,8 +336,8 @@
   }
 
   /**
-   * A planned stop cuts off nobody: what runs and what waits inside is answered, what comes after
-   * reads "not run", and only then does the process say that it may exit.
+   * In a planned stop running and queued requests are completed, new ones are rejected as not run, and
+   * only then may the process exit.
    */
   @Test
   void plannedStopEndsWhatIsInProgressAndTakesNothingNew() throws Exception {
@@ -359,9 +358,8 @@
   }
 
   /**
-   * A side process stops while it is idle. A charge that its entry sent a moment before it heard of
-   * that is still on its way; the process exits, and the caller is told that the outcome is unknown
-   * though a planned stop cuts off nobody.
+   * Guards against an unknown outcome in a planned stop. A charge that the entry sent just before it
+   * was notified of the stop is still in transit when the idle process exits.
    */
   @Test
   void plannedStopWaitsForWhatIsStillOnItsWay() throws Exception {
@@ -370,10 +368,10 @@
     entry.send(frame(request(1)));
     assertTrue(entry.next().hasGoAway());
     assertEquals("shutting-down", entry.next().getNotRun().getErrorKind());
-    assertFalse(drained.isDone(), "more may come before the acknowledgement");
+    assertFalse(drained.isDone(), "more requests may arrive before the acknowledgement");
     entry.send(EntryFrames.goAwayAck());
     assertTrue(entry.next().hasGoAway());
-    assertFalse(drained.isDone(), "the refusal may not have arrived");
+    assertFalse(drained.isDone(), "the rejection may not have been received");
     entry.send(EntryFrames.goAwayAck());
 
     drained.orTimeout(30, TimeUnit.SECONDS).join();
@@ -381,9 +379,9 @@
   }
 
   /**
-   * The last charge ends during a stop and its answer is handed to the operating system, which has
-   * not delivered it when the process exits with a ping unread: the kernel resets the connection
-   * and throws the answer away, and a caller who was charged is told that the outcome is unknown.
+   * Guards against losing the last response in a planned stop. If the process exits with an unread
+   * ping before the operating system has delivered the response, the kernel resets the connection and
+   * discards it, and the caller gets an unknown outcome for a charge that ran.
    */
   @Test
   void plannedStopWaitsUntilItsLastAnswerHasArrived() throws Exception {
@@ -396,7 +394,7 @@
     run.answer("charged");
     assertTrue(entry.next().hasAnswerStart());
 
-    assertTrue(entry.next().hasGoAway(), "asked behind the answer");
+    assertTrue(entry.next().hasGoAway(), "GOAWAY is sent again after the response");
     assertFalse(drained.isDone());
     entry.send(EntryFrames.goAwayAck());
 
@@ -406,7 +404,7 @@
   @Test
   void leavingTargetGetsNothingNew() throws Exception {
     target.health(TargetHealth.LEAVING);
-    Await.until("noticed", () -> side.dispatcher().isLeaving());
+    Await.until("leaving target detected", () -> side.dispatcher().isLeaving());
 
     entry.send(frame(request(1)));
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A side process as the home of idempotency keys. */
+/** A side process that owns shards of idempotency keys. */
 class SideKeysTest {
   private static final long INCARNATION = 42;
   private static final KeyClaim CLAIM = KeyClaim.newBuilder().setShard(3).setOffset(7).build();
@@ -58,15 +58,15 @@
     testLoop.close();
   }
 
-  private void vouch(long incarnation, long quietMillis) {
-    KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(quietMillis);
-    KeyLeases.Builder evidence =
+  private void vouch(long incarnation, long quarantineMillis) {
+    KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(quarantineMillis);
+    KeyLeases.Builder confirmation =
         KeyLeases.newBuilder().setProcessIncarnation(incarnation).addLeases(lease);
-    Frame frame = Frame.newBuilder().setKeyLeases(evidence).build();
+    Frame frame = Frame.newBuilder().setKeyLeases(confirmation).build();
     side.dispatcher().keyListener().received("entry-1", frame);
-    CompletableFuture<Void> taken = new CompletableFuture<>();
-    side.loop().run(() -> taken.complete(null));
-    taken.join();
+    CompletableFuture<Void> applied = new CompletableFuture<>();
+    side.loop().run(() -> applied.complete(null));
+    applied.join();
   }
 
   private Frame charge(long incarnation, long sequence, String key, String body) {
@@ -86,8 +86,8 @@
   }
 
   /**
-   * A driver presses "pay" twice and the two presses reach two entries. The charge must run once,
-   * and both presses must see its receipt, also a third after it ended.
+   * Two requests with one key arrive through two entries. The charge must run once, and both requests,
+   * and a third one after it has ended, must receive its response.
    */
   @Test
   void oneChargeForAllWhoAskWithItsKey() throws Exception {
@@ -120,7 +120,7 @@
     assertEquals(1, target.started());
   }
 
-  /** The charge's outcome is lost at the target: whoever asks again hears just that. */
+  /** If the response of the target is lost, repeats of the key get the same unknown outcome. */
   @Test
   void unknownOutcomeStaysUnknownAndRunsNoSecondTime() throws Exception {
     vouch(INCARNATION, 0);
@@ -134,8 +134,8 @@
   }
 
   /**
-   * The home is cut off from all entries, or frozen, for longer than its lease; meanwhile its shard
-   * went to another one. What still reaches it must not run here, too.
+   * The owner is disconnected from all entries, or paused, for longer than its lease, and its shard has
+   * another owner. Requests that it still receives must not run there as well.
    */
   @Test
   void lapsedLeaseRunsNothing() throws Exception {
@@ -147,7 +147,7 @@
     assertEquals(0, target.started());
   }
 
-  /** The same, with the lease lapsing while the charge waits for a slot. */
+  /** The same, with the lease expiring while the charge is queued. */
   @Test
   void leaseIsLookedAtAgainWhenASlotFallsFree() throws Exception {
     vouch(INCARNATION, 0);
@@ -157,7 +157,7 @@
       runs.add(target.next());
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
-    Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
+    Await.until("charge queued", () -> side.dispatcher().load().waiting() == 1);
     ahead.set(KeyTerms.LEASE_NANOS);
     runs.get(0).answer("receipt");
 
@@ -166,7 +166,7 @@
     assertEquals(8, target.started());
   }
 
-  /** A home after a death does not know what its predecessor ran, and says so. */
+  /** The new owner after a crash does not know which requests its predecessor ran. */
   @Test
   void quietHomeRefusesWithTheTimeToComeBack() throws Exception {
     vouch(INCARNATION, 5_000);
@@ -186,7 +186,7 @@
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
   }
 
-  /** The first press is given up while it waits; the second, which waited for it, did not run. */
+  /** A queued request is cancelled; the second one with its key, which joined it, did not run. */
   @Test
   void whoWaitedForAChargeThatWasGivenUpHearsNotRun() throws Exception {
     vouch(INCARNATION, 0);
@@ -195,7 +195,7 @@
       target.next();
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
-    Await.until("it waits", () -> side.dispatcher().load().waiting() == 1);
+    Await.until("charge queued", () -> side.dispatcher().load().waiting() == 1);
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
     Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, 9)));
     Frame cancelFrame = Frame.newBuilder().setCancel(cancel).build();
@@ -232,8 +232,8 @@
   }
 
   /**
-   * A stopping home's keys come in two frames, and the first comes twice while the second is late.
-   * Had the successor taken the shard by then, the charges of the second frame could run again.
+   * The keys of a stopping owner arrive in two frames, the first of them twice and the second late. If
+   * the successor took the shard before the second, the charges in it could run again.
    */
   @Test
   void shardIsTakenOnlyWhenAllItsKeysHaveCome() throws Exception {
@@ -248,7 +248,7 @@
     assertTrue(taken.getTaken());
   }
 
-  /** A copy of the frames comes when this process has long got the shard and run more there. */
+  /** A copy of the frames arrives when this process owns the shard and has run requests of it. */
   @Test
   void lateKeysOfAnEarlierHomeAreNotTaken() throws Exception {
     vouch(INCARNATION, 0);
@@ -261,17 +261,17 @@
   }
 
   /**
-   * A home is stopped while a charge runs. Its keys given away before the charge has ended would
-   * leave this one out, and the driver's repeat would run at the successor.
+   * An owner is stopped while a charge runs. If its keys were handed over before the charge has ended,
+   * its key would be missing, and a repeat would run at the successor.
    */
   @Test
   void stoppingHomeGivesItsKeysOnceNoneRuns() throws Exception {
     vouch(INCARNATION, 0);
-    String ofShard = "pay";
-    while (KeyShards.of(ofShard) != CLAIM.getShard()) {
-      ofShard += "-again";
+    String keyOfShard = "pay";
+    while (KeyShards.of(keyOfShard) != CLAIM.getShard()) {
+      keyOfShard += "-again";
     }
-    entry.send(charge(1, 1, ofShard, "5 dollars"));
+    entry.send(charge(1, 1, keyOfShard, "5 dollars"));
     FakeTarget.Run run = target.next();
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
     otherEntry.send(charge(2, 1, "late", "5 dollars"));
@@ -279,35 +279,35 @@
     assertTrue(side.hasSentEntriesNothing());
     run.answer("receipt");
 
-    KeyHandover given = side.nextToEntry().getKeyHandover();
-    assertEquals(1, given.getTotal());
-    assertEquals("receipt", given.getKeys(0).getAnswered().getBody().toStringUtf8());
+    KeyHandover handover = side.nextToEntry().getKeyHandover();
+    assertEquals(1, handover.getTotal());
+    assertEquals("receipt", handover.getKeys(0).getAnswered().getBody().toStringUtf8());
     assertFalse(stopped.isDone());
-    result("entry-1", given, true);
+    result("entry-1", handover, true);
     stopped.join();
   }
 
   /**
-   * The first entry that is asked cannot reach the log; the next one can. Were the home to give up
-   * at the first refusal, its keys would be refused for 71 s.
+   * The first entry cannot reach the log, the next one can. If the owner stopped at the first refusal,
+   * its keys would be quarantined for 71 s.
    */
   @Test
   void refusedHandOverGoesByTheNextEntry() throws Exception {
     vouch(INCARNATION, 0);
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
-    KeyHandover given = side.nextToEntry().getKeyHandover();
-    result("entry-1", given, false);
-    assertEquals(given, side.nextToEntry().getKeyHandover());
-    result("entry-1", given, false);
+    KeyHandover handover = side.nextToEntry().getKeyHandover();
+    result("entry-1", handover, false);
+    assertEquals(handover, side.nextToEntry().getKeyHandover());
+    result("entry-1", handover, false);
     assertFalse(stopped.isDone());
-    result("entry-2", given, true);
+    result("entry-2", handover, true);
 
     stopped.join();
   }
 
-  private void result(String from, KeyHandover given, boolean moved) {
+  private void result(String from, KeyHandover handover, boolean moved) {
     KeyHandoverResult.Builder result =
-        KeyHandoverResult.newBuilder().setShard(given.getShard()).setMoved(moved);
+        KeyHandoverResult.newBuilder().setShard(handover.getShard()).setMoved(moved);
     Frame frame = Frame.newBuilder().setKeyHandoverResult(result).build();
     side.dispatcher().keyListener().received(from, frame);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The request half of a side process, wired as the process wires it. */
+/** The request path of a side process, wired as in the process. */
 final class SideUnderTest implements AutoCloseable {
   private static final int SLOTS = 8;
 
@@ -70,7 +70,7 @@
     return new SideUnderTest(vm, incarnation, 0, client, loop, budget);
   }
 
-  /** Announces the given address instead of its own, such as that of a proxy before it. */
+  /** Announces the given address instead of its own, such as that of a proxy. */
   void announceAddress(String newAddress) {
     address = newAddress;
   }
@@ -114,11 +114,14 @@
     return dispatcher.port();
   }
 
-  /** Waits for what is sent to entries that the test is, before this announces itself to others. */
+  /**
+   * Waits for the next frame to an entry. Only until {@link #announceTo} is called; from then on
+   * frames go to the real entries.
+   */
   Frame nextToEntry() throws InterruptedException {
     Frame frame = toEntry.poll(30, TimeUnit.SECONDS);
     if (frame == null) {
-      throw new AssertionError("nothing was sent to an entry");
+      throw new AssertionError("no frame was sent to an entry");
     }
     return frame;
   }
@@ -127,7 +130,7 @@
     return toEntry.isEmpty();
   }
 
-  /** The way to the entries that it announces itself to; before that, to two that the test is. */
+  /** Sends frames to the announced entries; before that, records frames to two simulated ones. */
   private final class Entries implements EntryChannel {
     @Override
     public int entryCount() {
@@ -158,7 +161,7 @@
     }
   }
 
-  /** Ends at once, as when the process is killed. */
+  /** Stops at once, like a killed process. */
   @Override
   public void close() {
     if (links != null) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/TargetClientTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/TargetClientTest.java
@@ -14,8 +14,9 @@
 
 class TargetClientTest {
   /**
-   * A frame names a path that makes no address. Thrown on the loop it cost the connection and for
-   * good the request's slot; after eight of them the VM would have served nobody.
+   * Guards against losing a slot to a request whose path is not a valid URI. When the exception was
+   * thrown on the loop, it closed the connection and the slot was never released; after eight such
+   * requests the VM would have served no more.
    */
   @Test
   void requestThatCannotBeSentEndsAsNeverSent() throws Exception {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
-/** Callers that ask again and again, half of it charges, and note what they were told. */
+/** Concurrent callers that send requests, half of them non-idempotent, and record the outcomes. */
 final class Workload {
   private static final String DEADLINE_MILLIS = "20000";
 
@@ -26,9 +26,9 @@
   /**
    * Creates a workload.
    *
-   * @param entries where callers may ask; may be replaced while they do
-   * @param callerCount how many ask at once
-   * @param total how many requests in all
+   * @param entries the entries that callers send requests to; may be replaced meanwhile
+   * @param callerCount the number of concurrent callers
+   * @param total the total number of requests
    */
   Workload(AtomicReferenceArray<EntryUnderTest> entries, int callerCount, int total) {
     this.entries = entries;
@@ -43,7 +43,7 @@
     callers.forEach(Thread::start);
   }
 
-  /** Waits until so many requests have ended. */
+  /** Waits until this many requests have ended. */
   void awaitEnded(int count) {
     Await.until(count + " requests ended", () -> ended.get() >= count);
   }
@@ -88,19 +88,19 @@
             .header(CallerHeaders.DEADLINE_MILLIS, DEADLINE_MILLIS)
             .method(idempotent ? "PUT" : "POST", HttpRequest.BodyPublishers.ofByteArray(body));
     try {
-      HttpResponse<byte[]> answer = entry.send(request);
-      boolean answered = answer.statusCode() == 200;
-      history.add(tag, idempotent, told(answer), !answered || Arrays.equals(body, answer.body()));
+      HttpResponse<byte[]> response = entry.send(request);
+      boolean answered = response.statusCode() == 200;
+      history.add(tag, idempotent, told(response), !answered || Arrays.equals(body, response.body()));
     } catch (IOException e) {
       history.add(tag, idempotent, RequestHistory.Told.UNKNOWN, true);
     }
   }
 
-  private static RequestHistory.Told told(HttpResponse<byte[]> answer) {
-    if (answer.statusCode() == 200) {
+  private static RequestHistory.Told told(HttpResponse<byte[]> response) {
+    if (response.statusCode() == 200) {
       return RequestHistory.Told.ANSWERED;
     }
-    String problem = new String(answer.body(), StandardCharsets.UTF_8);
+    String problem = new String(response.body(), StandardCharsets.UTF_8);
     return problem.contains("\"execution\":\"not_run\"")
         ? RequestHistory.Told.NOT_RUN
         : RequestHistory.Told.UNKNOWN;
