--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExitCode.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExitCode.java
@@ -49,9 +49,9 @@
       return OUTCOME_UNKNOWN;
     }
     return switch (failure.kind().advice()) {
-      case CORRECT -> REFUSED;
-      case COME_BACK -> TRY_LATER;
-      case ASK_AGAIN -> OUTCOME_UNKNOWN;
+      case CORRECT_REQUEST -> REFUSED;
+      case RETRY_LATER -> TRY_LATER;
+      case RETRY_IF_IDEMPOTENT -> OUTCOME_UNKNOWN;
     };
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
@@ -8,18 +8,18 @@
  * <p>Three load patterns. A burst of a second: what can be served before its deadline is let in,
  * for nothing is gained by refusing it; without this, a bound on the delay throws away what fits.
  * Overload that lasts: a queue that stays long serves nobody more, so once there was a queue longer
- * than the target delay for {@link #BURST_NANOS}, only as many wait as the target delay covers;
- * without this, everybody is served just before the deadline, or after it. The tighter bound holds
- * until nothing was refused for {@link #CALM_NANOS}, else the queue would grow long again every
- * time it dips under the target. A hot caller or key: what counts is not the length of the queue
- * but how many would be served before this request (see {@link FairQueue#aheadOf}); a hot caller
- * has its own requests before it, others pass them by. So nobody is refused for another's queue,
- * and nobody who was let in is thrown out later; without it, one caller fills the queue and the
- * rest are refused.
+ * than the target delay for {@link #OVERLOAD_ENTRY_NANOS}, only as many wait as the target delay
+ * covers; without this, everybody is served just before the deadline, or after it. The tighter
+ * bound holds until nothing was refused for {@link #OVERLOAD_EXIT_NANOS}, else the queue would grow
+ * long again every time it dips under the target. A hot caller or key: what counts is not the
+ * length of the queue but how many would be served before this request (see {@link
+ * FairQueue#countAhead}); a hot caller has its own requests before it, others pass them by. So
+ * nobody is refused for another's queue, and nobody who was let in is thrown out later; without it,
+ * one caller fills the queue and the rest are refused.
  *
  * <p>While overload lasts, who comes later with an earlier turn passes those who wait. So a request
  * is refused then also if its turn is far away at the pace of late ({@link
- * FairQueue#expectedAheadOf}); without it a hot caller's requests waited for up to 200 ms though
+ * FairQueue#expectedCountAhead}); without it a hot caller's requests waited for up to 200 ms though
  * the target delay is 20 ms. A burst is short, and its wait is bounded by the deadline alone.
  *
  * <p>A request within its caller's turn may wait twice the target delay. With one entry of nine, 20
@@ -33,21 +33,21 @@
  */
 public final class AdmissionPolicy {
   /** How long a queue may stay above the target delay before it counts as overload. */
-  static final long BURST_NANOS = 1_000_000_000L;
+  static final long OVERLOAD_ENTRY_NANOS = 1_000_000_000L;
 
   /** How long nothing may have been refused before overload counts as over. */
-  static final long CALM_NANOS = 1_000_000_000L;
+  static final long OVERLOAD_EXIT_NANOS = 1_000_000_000L;
 
   /** How many target delays a request may wait whose caller and key have not had their turn. */
-  static final int WITHIN_TURN_PATIENCE = 2;
+  static final int UNBACKLOGGED_TARGET_DELAYS = 2;
 
   /** How many target delays a request's turn may be away, those counted who will pass it. */
-  static final int PASSED_PATIENCE = 4;
+  static final int EXPECTED_WAIT_TARGET_DELAYS = 4;
 
-  private static final int MIN_PLACES = 4;
+  private static final int MIN_BOUNDED_LENGTH = 4;
   private static final long NEVER = Long.MIN_VALUE;
 
-  private long aboveSince = NEVER;
+  private long aboveTargetDelaySince = NEVER;
   private boolean overloaded;
   private long lastRefusal = NEVER;
 
@@ -67,38 +67,38 @@
    * @param waiting how many requests wait in all
    * @param ahead how many would be served before it
    * @param expectedAhead the same with those that come later and pass it, if the load lasts
-   * @param overShare whether its caller or key has more waiting than an even part
-   * @param excess whether its caller or key has had its turn
-   * @param perSecond how many are served a second
+   * @param overFairShare whether its caller or key has more waiting than an even part
+   * @param backlogged whether its caller or key has had its turn
+   * @param requestsPerSecond how many are served a second
    * @param targetDelayNanos the longest wait under lasting overload
    * @param maxWaiting the most that may wait whatever their delay
-   * @param spareNanos how long the request can wait and still be answered by its deadline
+   * @param slackNanos how long the request can wait and still be answered by its deadline
    */
-  public record Situation(
+  public record QueueState(
       int waiting,
       int ahead,
       int expectedAhead,
-      boolean overShare,
-      boolean excess,
-      double perSecond,
+      boolean overFairShare,
+      boolean backlogged,
+      double requestsPerSecond,
       long targetDelayNanos,
       int maxWaiting,
-      long spareNanos) {
+      long slackNanos) {
     /** Checks the components. */
-    public Situation {
-      checkArgument(perSecond > 0, "perSecond is not positive: %s", perSecond);
+    public QueueState {
+      checkArgument(requestsPerSecond > 0, "perSecond is not positive: %s", requestsPerSecond);
     }
 
     private double waitNanos(int requests) {
-      return requests / perSecond * 1e9;
+      return requests / requestsPerSecond * 1e9;
     }
 
-    private int patience() {
-      return excess ? 1 : WITHIN_TURN_PATIENCE;
+    private int targetDelayMultiple() {
+      return backlogged ? 1 : UNBACKLOGGED_TARGET_DELAYS;
     }
 
     private Verdict refusal() {
-      return overShare ? Verdict.OVER_SHARE : Verdict.FULL;
+      return overFairShare ? Verdict.OVER_SHARE : Verdict.FULL;
     }
   }
 
@@ -106,8 +106,8 @@
   public AdmissionPolicy() {}
 
   /** Decides on one request, and takes note of a refusal. */
-  public Verdict decide(Situation situation, long now) {
-    observe(situation, now);
+  public Verdict decide(QueueState situation, long now) {
+    updateOverload(situation, now);
     Verdict verdict = verdict(situation);
     if (verdict != Verdict.WAIT) {
       lastRefusal = now;
@@ -115,42 +115,43 @@
     return verdict;
   }
 
-  private Verdict verdict(Situation situation) {
+  private Verdict verdict(QueueState situation) {
     if (situation.waiting() >= situation.maxWaiting()) {
       return situation.refusal();
     }
-    if (situation.waitNanos(situation.ahead()) > situation.spareNanos()) {
+    if (situation.waitNanos(situation.ahead()) > situation.slackNanos()) {
       return situation.refusal();
     }
     return overloaded && isTooLong(situation) ? situation.refusal() : Verdict.WAIT;
   }
 
-  private static boolean isTooLong(Situation situation) {
-    if (situation.waiting() < MIN_PLACES || situation.expectedAhead() < MIN_PLACES) {
+  private static boolean isTooLong(QueueState situation) {
+    if (situation.waiting() < MIN_BOUNDED_LENGTH
+        || situation.expectedAhead() < MIN_BOUNDED_LENGTH) {
       return false;
     }
     double wait = situation.waitNanos(situation.ahead());
     double expected = situation.waitNanos(situation.expectedAhead());
-    return wait > situation.targetDelayNanos() * situation.patience()
-        || expected > situation.targetDelayNanos() * PASSED_PATIENCE;
+    return wait > situation.targetDelayNanos() * situation.targetDelayMultiple()
+        || expected > situation.targetDelayNanos() * EXPECTED_WAIT_TARGET_DELAYS;
   }
 
-  private void observe(Situation situation, long now) {
+  private void updateOverload(QueueState situation, long now) {
     if (overloaded) {
-      overloaded = lastRefusal != NEVER && now - lastRefusal < CALM_NANOS;
+      overloaded = lastRefusal != NEVER && now - lastRefusal < OVERLOAD_EXIT_NANOS;
       return;
     }
     if (situation.waitNanos(situation.waiting()) <= situation.targetDelayNanos()) {
-      aboveSince = NEVER;
+      aboveTargetDelaySince = NEVER;
       return;
     }
-    if (aboveSince == NEVER) {
-      aboveSince = now;
+    if (aboveTargetDelaySince == NEVER) {
+      aboveTargetDelaySince = now;
     }
-    if (now - aboveSince >= BURST_NANOS) {
+    if (now - aboveTargetDelaySince >= OVERLOAD_ENTRY_NANOS) {
       overloaded = true;
       lastRefusal = now;
-      aboveSince = NEVER;
+      aboveTargetDelaySince = NEVER;
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
@@ -16,32 +16,32 @@
  */
 public final class DrainRate {
   private static final int SAMPLES = 200;
-  private static final double INITIAL_MEAN_NANOS = 20e6;
+  private static final double INITIAL_MEAN_SERVICE_NANOS = 20e6;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private double meanNanos = INITIAL_MEAN_NANOS;
+  private double meanServiceNanos = INITIAL_MEAN_SERVICE_NANOS;
 
   /** Creates an estimate that assumes 20 ms a request until it learns better. */
   public DrainRate() {}
 
   /** Takes in how long one request took from sending to its answer, in nanoseconds. */
-  public void answered(long nanos) {
+  public void recordServiceTime(long nanos) {
     checkArgument(nanos >= 0, "nanos is negative: %s", nanos);
-    meanNanos += (nanos - meanNanos) / SAMPLES;
+    meanServiceNanos += (nanos - meanServiceNanos) / SAMPLES;
   }
 
   /** Returns the mean time of one request, in nanoseconds. */
-  public double meanNanos() {
-    return meanNanos;
+  public double meanServiceNanos() {
+    return meanServiceNanos;
   }
 
   /** Returns requests a second with the given number in flight; one in flight at least. */
-  public double perSecond(int inFlight) {
-    return Math.max(1, inFlight) * NANOS_PER_SECOND / meanNanos;
+  public double requestsPerSecond(int inFlight) {
+    return Math.max(1, inFlight) * NANOS_PER_SECOND / meanServiceNanos;
   }
 
   /** Returns how long the given number of waiting requests takes to be sent, in nanoseconds. */
   public double waitNanos(int waiting, int inFlight) {
-    return waiting * meanNanos / Math.max(1, inFlight);
+    return waiting * meanServiceNanos / Math.max(1, inFlight);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -19,9 +19,10 @@
  * a request is served in the order of the later of its two clocks. So a caller that asks about a
  * hot key waits for that request only, not for its others.
  *
- * <p>A flow may be {@link #AHEAD} requests ahead of its turn. Without that, of two requests that a
- * quiet caller happens to send together the second would wait for a whole round of the others; the
- * fewer requests an entry serves, the longer that takes. A hot caller gains four requests, once.
+ * <p>A flow may be {@link #BURST_ALLOWANCE} requests ahead of its turn. Without that, of two
+ * requests that a quiet caller happens to send together the second would wait for a whole round of
+ * the others; the fewer requests an entry serves, the longer that takes. A hot caller gains four
+ * requests, once.
  *
  * <p>Memory is bounded by {@link #MAX_FLOWS} clocks of each sort, beyond the requests that wait: a
  * clock that is dropped early makes its owner look new, which costs fairness for one request.
@@ -35,10 +36,10 @@
   static final int MAX_FLOWS = 4_096;
 
   /** How many requests a flow may be ahead of its turn without having to wait for it. */
-  private static final int AHEAD = 4;
+  private static final int BURST_ALLOWANCE = 4;
 
   /** Over how many served requests the pace of turns is taken: 0.4 s of one entry of nine. */
-  private static final int PACE_REQUESTS = 200;
+  private static final int RATE_WINDOW_REQUESTS = 200;
 
   /** How many times an even part of the queue one flow may hold before it is called hot. */
   private static final int OVER_SHARE_FACTOR = 2;
@@ -46,41 +47,41 @@
   private final TreeSet<Ticket<T>> waiting = new TreeSet<>(Ticket.ORDER);
   private final Map<String, Integer> waitingOfCaller = new HashMap<>();
   private final Map<String, Integer> waitingOfKey = new HashMap<>();
-  private final Map<String, Long> callerClocks = new BoundedClocks();
-  private final Map<String, Long> keyClocks = new BoundedClocks();
-  private final TurnCounts turns = new TurnCounts();
+  private final Map<String, Long> callerClocks = new BoundedClockMap();
+  private final Map<String, Long> keyClocks = new BoundedClockMap();
+  private final StartTimeCounts startTimeCounts = new StartTimeCounts();
   private long virtualTime;
   private long sequence;
-  private int served;
-  private long virtualTimeBefore;
-  private double turnsPerRequest = 1;
+  private int servedInWindow;
+  private long windowStartVirtualTime;
+  private double virtualTimePerRequest = 1;
 
   /** A place in the queue; hand it back to {@link #restore} or {@link #remove}. */
   public static final class Ticket<T> {
     private static final Comparator<Ticket<?>> ORDER =
-        Comparator.<Ticket<?>>comparingLong(ticket -> ticket.start)
+        Comparator.<Ticket<?>>comparingLong(ticket -> ticket.startTime)
             .thenComparingLong(ticket -> ticket.sequence);
 
     private final T item;
     private final String caller;
     private final String key;
-    private final long start;
+    private final long startTime;
     private final long sequence;
-    private final boolean excess;
-    private int place;
+    private final boolean backlogged;
+    private int countSlot;
 
     private Ticket(T item, String caller, String key, long start, long sequence, boolean excess) {
-      this.excess = excess;
+      this.backlogged = excess;
       this.item = item;
       this.caller = caller;
       this.key = key;
-      this.start = start;
+      this.startTime = start;
       this.sequence = sequence;
     }
 
     /** Returns whether its caller or key had had its turn already when it was added. */
-    public boolean isExcess() {
-      return excess;
+    public boolean isBacklogged() {
+      return backlogged;
     }
 
     /** Returns what waits. */
@@ -92,10 +93,10 @@
   /** Creates an empty queue. */
   public FairQueue() {}
 
-  private static final class BoundedClocks extends LinkedHashMap<String, Long> {
+  private static final class BoundedClockMap extends LinkedHashMap<String, Long> {
     private static final long serialVersionUID = 1;
 
-    private BoundedClocks() {
+    private BoundedClockMap() {
       super(16, 0.75f, true);
     }
 
@@ -112,40 +113,40 @@
    */
   public Ticket<T> add(T item, String caller, String key) {
     requireNonNull(item, "item");
-    long start = advance(callerClocks, caller);
+    long start = advanceClock(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, advance(keyClocks, key));
+      start = Math.max(start, advanceClock(keyClocks, key));
     }
     Ticket<T> ticket = new Ticket<>(item, caller, key, start, sequence++, start > virtualTime);
     insert(ticket);
     return ticket;
   }
 
-  private long advance(Map<String, Long> clocks, String flow) {
-    long start = startOf(clocks, flow);
+  private long advanceClock(Map<String, Long> clocks, String flow) {
+    long start = clockOf(clocks, flow);
     clocks.put(flow, start + 1);
-    return turnOf(start);
+    return startTimeAt(start);
   }
 
-  private long turnOf(long start) {
-    return Math.max(virtualTime, start - AHEAD);
+  private long startTimeAt(long start) {
+    return Math.max(virtualTime, start - BURST_ALLOWANCE);
   }
 
-  private long startOf(Map<String, Long> clocks, String flow) {
+  private long clockOf(Map<String, Long> clocks, String flow) {
     return Math.max(virtualTime, clocks.getOrDefault(flow, virtualTime));
   }
 
   /** Puts a request that was taken but not served back at its old place. */
   public void restore(Ticket<T> ticket) {
     checkArgument(!waiting.contains(ticket), "the ticket already waits");
-    served--;
+    servedInWindow--;
     insert(ticket);
   }
 
   private void insert(Ticket<T> ticket) {
     waiting.add(ticket);
-    ticket.place = TurnCounts.placeOf(ticket.start, virtualTime);
-    turns.add(ticket.place, 1);
+    ticket.countSlot = StartTimeCounts.slotOf(ticket.startTime, virtualTime);
+    startTimeCounts.add(ticket.countSlot, 1);
     waitingOfCaller.merge(ticket.caller, 1, Integer::sum);
     if (!ticket.key.isEmpty()) {
       waitingOfKey.merge(ticket.key, 1, Integer::sum);
@@ -158,18 +159,19 @@
     if (ticket == null) {
       return Optional.empty();
     }
-    virtualTime = Math.max(virtualTime, ticket.start);
-    forget(ticket);
-    notePace();
+    virtualTime = Math.max(virtualTime, ticket.startTime);
+    updateCountsOnRemoval(ticket);
+    updateVirtualTimeRate();
     return Optional.of(ticket);
   }
 
-  private void notePace() {
-    served++;
-    if (served >= PACE_REQUESTS) {
-      turnsPerRequest = Math.max(1, virtualTime - virtualTimeBefore) / (double) served;
-      served = 0;
-      virtualTimeBefore = virtualTime;
+  private void updateVirtualTimeRate() {
+    servedInWindow++;
+    if (servedInWindow >= RATE_WINDOW_REQUESTS) {
+      virtualTimePerRequest =
+          Math.max(1, virtualTime - windowStartVirtualTime) / (double) servedInWindow;
+      servedInWindow = 0;
+      windowStartVirtualTime = virtualTime;
     }
   }
 
@@ -177,13 +179,13 @@
   public boolean remove(Ticket<T> ticket) {
     boolean waited = waiting.remove(ticket);
     if (waited) {
-      forget(ticket);
+      updateCountsOnRemoval(ticket);
     }
     return waited;
   }
 
-  private void forget(Ticket<T> ticket) {
-    turns.add(ticket.place, -1);
+  private void updateCountsOnRemoval(Ticket<T> ticket) {
+    startTimeCounts.add(ticket.countSlot, -1);
     decrement(waitingOfCaller, ticket.caller);
     if (!ticket.key.isEmpty()) {
       decrement(waitingOfKey, ticket.key);
@@ -204,7 +206,7 @@
   }
 
   /** Returns how many clocks of callers are kept, at most {@link #MAX_FLOWS}. */
-  int clocks() {
+  int callerClockCount() {
     return callerClocks.size();
   }
 
@@ -214,34 +216,35 @@
   }
 
   /** Returns how many requests are served before one that the given caller would add now. */
-  public int aheadOf(String caller, String key) {
-    return turns.upTo(TurnCounts.placeOf(nextTurn(caller, key), virtualTime), virtualTime);
+  public int countAhead(String caller, String key) {
+    return startTimeCounts.countUpTo(
+        StartTimeCounts.slotOf(nextStartTime(caller, key), virtualTime), virtualTime);
   }
 
   /**
    * Returns how many requests are likely served before one that the given caller would add now,
    * those included that come later and pass it, if turns go on at the pace of late.
    */
-  public int expectedAheadOf(String caller, String key) {
-    double lead = (nextTurn(caller, key) - virtualTime) / turnsPerRequest;
-    return Math.max(aheadOf(caller, key), (int) Math.min(Integer.MAX_VALUE, lead));
+  public int expectedCountAhead(String caller, String key) {
+    double lead = (nextStartTime(caller, key) - virtualTime) / virtualTimePerRequest;
+    return Math.max(countAhead(caller, key), (int) Math.min(Integer.MAX_VALUE, lead));
   }
 
-  private long nextTurn(String caller, String key) {
-    long start = startOf(callerClocks, caller);
+  private long nextStartTime(String caller, String key) {
+    long start = clockOf(callerClocks, caller);
     if (!key.isEmpty()) {
-      start = Math.max(start, startOf(keyClocks, key));
+      start = Math.max(start, clockOf(keyClocks, key));
     }
-    return turnOf(start);
+    return startTimeAt(start);
   }
 
   /** Returns whether a request that the given caller would add now is beyond its turn. */
-  public boolean isExcess(String caller, String key) {
-    return nextTurn(caller, key) > virtualTime;
+  public boolean isBacklogged(String caller, String key) {
+    return nextStartTime(caller, key) > virtualTime;
   }
 
   /** Returns whether the given caller or key has more waiting than an even part of the queue. */
-  public boolean isOverShare(String caller, String key) {
+  public boolean isOverFairShare(String caller, String key) {
     long ofCaller = (long) waitingOfCaller.getOrDefault(caller, 0) * waitingOfCaller.size();
     long ofKey = key.isEmpty() ? 0 : (long) waitingOfKey.getOrDefault(key, 0) * waitingOfKey.size();
     return Math.max(ofCaller, ofKey) > OVER_SHARE_FACTOR * waiting.size();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/ComeBackTimes.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/RetryAfterEstimator.java
@@ -12,23 +12,23 @@
  * that spreads the refused over as long as it takes to serve them all, so that their return adds at
  * most what the service can take.
  *
- * <p>The refused of late are counted with a weight that halves every {@link #HALF_LIFE_NANOS}. The
- * spread is a second at least, for the header that carries it counts whole seconds, and {@link
- * #MAX_SPREAD_MILLIS} at most, because nobody should be sent away for minutes on an estimate. Not
- * safe for use by several threads.
+ * <p>The refused of late are counted with a weight that halves every {@link
+ * #REFUSAL_HALF_LIFE_NANOS}. The spread is a second at least, for the header that carries it counts
+ * whole seconds, and {@link #MAX_SPREAD_MILLIS} at most, because nobody should be sent away for
+ * minutes on an estimate. Not safe for use by several threads.
  */
-public final class ComeBackTimes {
-  static final long HALF_LIFE_NANOS = 2_000_000_000L;
+public final class RetryAfterEstimator {
+  static final long REFUSAL_HALF_LIFE_NANOS = 2_000_000_000L;
   static final long MAX_SPREAD_MILLIS = 30_000;
   private static final long MIN_SPREAD_MILLIS = 1_000;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final RandomGenerator random;
-  private double refused;
-  private long countedAt;
+  private double recentRefusals;
+  private long refusedUpdatedAt;
 
   /** Creates a chooser that has refused nobody yet. */
-  public ComeBackTimes(RandomGenerator random) {
+  public RetryAfterEstimator(RandomGenerator random) {
     this.random = requireNonNull(random, "random");
   }
 
@@ -38,11 +38,11 @@
    * @param waitNanos how long the last of the queue waits
    * @param perSecond how many requests are served a second
    */
-  public long next(double waitNanos, double perSecond, long now) {
-    double age = Math.max(0, now - countedAt);
-    refused = refused * Math.pow(0.5, age / HALF_LIFE_NANOS) + 1;
-    countedAt = now;
-    long spread = (long) (refused / perSecond * MILLIS_PER_SECOND);
+  public long retryAfterMillis(double waitNanos, double perSecond, long now) {
+    double age = Math.max(0, now - refusedUpdatedAt);
+    recentRefusals = recentRefusals * Math.pow(0.5, age / REFUSAL_HALF_LIFE_NANOS) + 1;
+    refusedUpdatedAt = now;
+    long spread = (long) (recentRefusals / perSecond * MILLIS_PER_SECOND);
     spread = Math.max(MIN_SPREAD_MILLIS, Math.min(MAX_SPREAD_MILLIS, spread));
     return (long) (waitNanos / 1e6) + 1 + random.nextLong(spread);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/WireId.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptId.java
@@ -6,7 +6,7 @@
  * @param entryIncarnation the entry's incarnation
  * @param sequence the attempt's number, given when it is sent and growing within the incarnation
  */
-public record WireId(long entryIncarnation, long sequence) {
+public record AttemptId(long entryIncarnation, long sequence) {
   @Override
   public String toString() {
     return Long.toHexString(entryIncarnation) + "-" + sequence;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
@@ -14,11 +14,11 @@
   TIMED_OUT(true, false);
 
   private final boolean mayHaveRun;
-  private final boolean refusedByTarget;
+  private final boolean rejectedBySideProcess;
 
   AttemptOutcome(boolean mayHaveRun, boolean refusedByTarget) {
     this.mayHaveRun = mayHaveRun;
-    this.refusedByTarget = refusedByTarget;
+    this.rejectedBySideProcess = refusedByTarget;
   }
 
   /** Returns whether the request may have taken effect. */
@@ -27,8 +27,8 @@
   }
 
   /** Returns whether the side process turned the request away before its target saw it. */
-  public boolean refusedByTarget() {
-    return refusedByTarget;
+  public boolean rejectedBySideProcess() {
+    return rejectedBySideProcess;
   }
 
   /** Returns whether another attempt can do no harm. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -30,7 +30,7 @@
  *
  * @param <A> the type of a kept answer
  */
-public final class RequestLedger<A> {
+public final class AttemptTable<A> {
   /** What is known of an attempt. */
   public enum State {
     /** Never seen. */
@@ -47,16 +47,16 @@
     FORGOTTEN
   }
 
-  private record Kept<A>(State state, Optional<A> answer, long bytes, long forgetAt) {}
+  private record EndedAttempt<A>(State state, Optional<A> answer, long bytes, long expiresAt) {}
 
   private final int maxEnded;
   private final long maxAnswerBytes;
-  private final long windowNanos;
-  private final Map<WireId, State> alive = new HashMap<>();
-  private final LinkedHashMap<WireId, Kept<A>> ended = new LinkedHashMap<>();
-  private final LinkedHashMap<WireId, Long> answerSizes = new LinkedHashMap<>();
-  private final Map<Long, SettledSequences> settled = new HashMap<>();
-  private final Map<Long, Long> forgottenUpTo = new HashMap<>();
+  private final long retentionNanos;
+  private final Map<AttemptId, State> active = new HashMap<>();
+  private final LinkedHashMap<AttemptId, EndedAttempt<A>> ended = new LinkedHashMap<>();
+  private final LinkedHashMap<AttemptId, Long> answerSizes = new LinkedHashMap<>();
+  private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
+  private final Map<Long, Long> highestForgotten = new HashMap<>();
   private long answerBytes;
 
   /**
@@ -66,36 +66,36 @@
    * @param maxAnswerBytes how many bytes of answers are kept at most, all together
    * @param windowNanos how long an ended attempt is kept
    */
-  public RequestLedger(int maxEnded, long maxAnswerBytes, long windowNanos) {
+  public AttemptTable(int maxEnded, long maxAnswerBytes, long windowNanos) {
     checkArgument(maxEnded > 0, "maxEnded is not positive: %s", maxEnded);
     checkArgument(maxAnswerBytes >= 0, "maxAnswerBytes is negative: %s", maxAnswerBytes);
     checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.maxEnded = maxEnded;
     this.maxAnswerBytes = maxAnswerBytes;
-    this.windowNanos = windowNanos;
+    this.retentionNanos = windowNanos;
   }
 
   /** Returns what is known of the attempt. */
-  public State state(WireId id) {
-    State living = alive.get(id);
+  public State state(AttemptId id) {
+    State living = active.get(id);
     if (living != null) {
       return living;
     }
-    Kept<A> kept = ended.get(id);
+    EndedAttempt<A> kept = ended.get(id);
     if (kept != null) {
       return kept.state();
     }
-    Long mark = forgottenUpTo.get(id.entryIncarnation());
+    Long mark = highestForgotten.get(id.entryIncarnation());
     if (mark != null && id.sequence() <= mark) {
       return State.FORGOTTEN;
     }
-    SettledSequences known = settled.get(id.entryIncarnation());
+    AcknowledgedSequences known = acknowledgedSequences.get(id.entryIncarnation());
     return known != null && known.contains(id.sequence()) ? State.FORGOTTEN : State.UNSEEN;
   }
 
   /** Returns the answer of an attempt that is done, if it is still kept. */
-  public Optional<A> answer(WireId id) {
-    Kept<A> kept = ended.get(id);
+  public Optional<A> answer(AttemptId id) {
+    EndedAttempt<A> kept = ended.get(id);
     return kept == null ? Optional.empty() : kept.answer();
   }
 
@@ -104,11 +104,11 @@
    *
    * @return whether it may run; false where its id was seen before
    */
-  public boolean admit(WireId id) {
+  public boolean admit(AttemptId id) {
     if (state(id) != State.UNSEEN) {
       return false;
     }
-    alive.put(id, State.WAITING);
+    active.put(id, State.WAITING);
     return true;
   }
 
@@ -117,9 +117,9 @@
    *
    * @throws IllegalStateException if it was not waiting
    */
-  public void started(WireId id) {
-    checkState(alive.get(id) == State.WAITING, "%s is %s", id, state(id));
-    alive.put(id, State.RUNNING);
+  public void started(AttemptId id) {
+    checkState(active.get(id) == State.WAITING, "%s is %s", id, state(id));
+    active.put(id, State.RUNNING);
   }
 
   /**
@@ -127,7 +127,7 @@
    *
    * @return whether that is proof that it never runs; false where it runs, ran or is forgotten
    */
-  public boolean bury(WireId id, long now) {
+  public boolean markNotRun(AttemptId id, long now) {
     State state = state(id);
     if (state == State.TOMBSTONE) {
       return true;
@@ -135,69 +135,71 @@
     if (state != State.UNSEEN && state != State.WAITING) {
       return false;
     }
-    alive.remove(id);
-    end(id, new Kept<>(State.TOMBSTONE, Optional.empty(), 0, now + windowNanos), now);
+    active.remove(id);
+    end(id, new EndedAttempt<>(State.TOMBSTONE, Optional.empty(), 0, now + retentionNanos), now);
     return true;
   }
 
   /** Puts a tombstone on an attempt that was started, on proof that its target saw no byte. */
-  public void neverReached(WireId id, long now) {
-    alive.remove(id);
-    end(id, new Kept<>(State.TOMBSTONE, Optional.empty(), 0, now + windowNanos), now);
+  public void markUndelivered(AttemptId id, long now) {
+    active.remove(id);
+    end(id, new EndedAttempt<>(State.TOMBSTONE, Optional.empty(), 0, now + retentionNanos), now);
   }
 
   /** Keeps the answer of an attempt that ended. */
-  public void done(WireId id, A answer, long bytes, long now) {
-    checkState(alive.remove(id) == State.RUNNING, "%s was not running", id);
-    end(id, new Kept<>(State.DONE, Optional.of(answer), bytes, now + windowNanos), now);
+  public void done(AttemptId id, A answer, long bytes, long now) {
+    checkState(active.remove(id) == State.RUNNING, "%s was not running", id);
+    end(id, new EndedAttempt<>(State.DONE, Optional.of(answer), bytes, now + retentionNanos), now);
   }
 
   /** Drops the answer of an attempt that is done, because its entry has it whole; not its id. */
-  public void acknowledged(WireId id, long now) {
-    Kept<A> kept = ended.get(id);
+  public void acknowledged(AttemptId id, long now) {
+    EndedAttempt<A> kept = ended.get(id);
     if (kept == null || kept.state() != State.DONE) {
       return;
     }
     ended.remove(id);
-    dropSize(id, kept);
-    SettledSequences known =
-        settled.computeIfAbsent(id.entryIncarnation(), entry -> new SettledSequences());
-    known.add(id.sequence(), now + windowNanos);
-    raiseMark(id.entryIncarnation(), known.passedUpTo());
+    removeResponseSize(id, kept);
+    AcknowledgedSequences known =
+        acknowledgedSequences.computeIfAbsent(
+            id.entryIncarnation(), entry -> new AcknowledgedSequences());
+    known.add(id.sequence(), now + retentionNanos);
+    raiseHighestForgotten(id.entryIncarnation(), known.evictedUpTo());
   }
 
   /** Notes that an attempt ended whose answer is too long to be kept. */
-  public void doneUnkept(WireId id, long now) {
-    checkState(alive.remove(id) == State.RUNNING, "%s was not running", id);
-    end(id, new Kept<>(State.FORGOTTEN, Optional.empty(), 0, now + windowNanos), now);
+  public void doneWithoutResponse(AttemptId id, long now) {
+    checkState(active.remove(id) == State.RUNNING, "%s was not running", id);
+    end(id, new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, now + retentionNanos), now);
   }
 
   /** Forgets what is older than the window. */
   public void expire(long now) {
     expireEnded(now);
-    expireSettled(now);
+    expireAcknowledged(now);
   }
 
   private void expireEnded(long now) {
-    Iterator<Map.Entry<WireId, Kept<A>>> oldest = ended.entrySet().iterator();
+    Iterator<Map.Entry<AttemptId, EndedAttempt<A>>> oldest = ended.entrySet().iterator();
     while (oldest.hasNext()) {
-      Map.Entry<WireId, Kept<A>> entry = oldest.next();
-      boolean due = entry.getValue().forgetAt() - now <= 0;
+      Map.Entry<AttemptId, EndedAttempt<A>> entry = oldest.next();
+      boolean due = entry.getValue().expiresAt() - now <= 0;
       if (!due && ended.size() <= maxEnded) {
         return;
       }
-      forget(entry.getKey(), entry.getValue());
+      evict(entry.getKey(), entry.getValue());
       oldest.remove();
     }
   }
 
   /** Lets go of entries that are gone; one of them costs a few kilobytes. */
-  private void expireSettled(long now) {
-    Iterator<Map.Entry<Long, SettledSequences>> each = settled.entrySet().iterator();
+  private void expireAcknowledged(long now) {
+    Iterator<Map.Entry<Long, AcknowledgedSequences>> each =
+        acknowledgedSequences.entrySet().iterator();
     while (each.hasNext()) {
-      Map.Entry<Long, SettledSequences> entry = each.next();
-      if (entry.getValue().forgetAt() - now <= 0) {
-        raiseMark(entry.getKey(), entry.getValue().highest());
+      Map.Entry<Long, AcknowledgedSequences> entry = each.next();
+      if (entry.getValue().expiresAt() - now <= 0) {
+        raiseHighestForgotten(entry.getKey(), entry.getValue().highest());
         each.remove();
       }
     }
@@ -208,41 +210,42 @@
     return answerBytes;
   }
 
-  private void end(WireId id, Kept<A> kept, long now) {
+  private void end(AttemptId id, EndedAttempt<A> kept, long now) {
     ended.put(id, kept);
     if (kept.bytes() > 0) {
       answerSizes.put(id, kept.bytes());
       answerBytes += kept.bytes();
-      dropAnswers();
+      evictResponses();
     }
     expireEnded(now);
   }
 
   /** Drops the oldest answers but not their ids: what they were about is known to have run. */
-  private void dropAnswers() {
-    Iterator<Map.Entry<WireId, Long>> oldest = answerSizes.entrySet().iterator();
+  private void evictResponses() {
+    Iterator<Map.Entry<AttemptId, Long>> oldest = answerSizes.entrySet().iterator();
     while (answerBytes > maxAnswerBytes && oldest.hasNext()) {
-      Map.Entry<WireId, Long> entry = oldest.next();
-      Kept<A> kept = ended.get(entry.getKey());
+      Map.Entry<AttemptId, Long> entry = oldest.next();
+      EndedAttempt<A> kept = ended.get(entry.getKey());
       ended.replace(
-          entry.getKey(), new Kept<>(State.FORGOTTEN, Optional.empty(), 0, kept.forgetAt()));
+          entry.getKey(),
+          new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, kept.expiresAt()));
       answerBytes -= entry.getValue();
       oldest.remove();
     }
   }
 
-  private void forget(WireId id, Kept<A> kept) {
-    raiseMark(id.entryIncarnation(), id.sequence());
-    dropSize(id, kept);
+  private void evict(AttemptId id, EndedAttempt<A> kept) {
+    raiseHighestForgotten(id.entryIncarnation(), id.sequence());
+    removeResponseSize(id, kept);
   }
 
-  private void dropSize(WireId id, Kept<A> kept) {
+  private void removeResponseSize(AttemptId id, EndedAttempt<A> kept) {
     if (answerSizes.remove(id) != null) {
       answerBytes -= kept.bytes();
     }
   }
 
-  private void raiseMark(long entryIncarnation, long sequence) {
-    forgottenUpTo.merge(entryIncarnation, sequence, Math::max);
+  private void raiseHighestForgotten(long entryIncarnation, long sequence) {
+    highestForgotten.merge(entryIncarnation, sequence, Math::max);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestPolicy.java
@@ -15,7 +15,7 @@
  */
 public interface RequestPolicy {
   /** Tells that a request arrived. */
-  List<Decision> arrived(Arrival arrival, long now);
+  List<Decision> requestArrived(Arrival arrival, long now);
 
   /** Tells which targets there are now; those missing from the list are gone. */
   List<Decision> targetsChanged(List<TargetState> targets, long now);
@@ -24,7 +24,7 @@
    * Tells what a target's side process last reported. Where the report rides on an answer, it may
    * be told before or after {@link #attemptEnded}.
    */
-  List<Decision> reported(String vm, TargetLoad load, long now);
+  List<Decision> loadReported(String vm, TargetLoad load, long now);
 
   /**
    * Tells how an attempt ended. Where the policy tries the request again, the decisions hold a new
@@ -33,7 +33,7 @@
   List<Decision> attemptEnded(long request, String vm, AttemptOutcome outcome, long now);
 
   /** Tells that the caller of a waiting or running request has gone. */
-  List<Decision> callerGone(long request, long now);
+  List<Decision> callerDisconnected(long request, long now);
 
   /** Returns whether the policy still holds the request, waiting or sent. */
   boolean isPending(long request);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestScheduler.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/RequestScheduler.java
@@ -37,13 +37,13 @@
   }
 
   @Override
-  public List<Decision> arrived(Arrival arrival, long now) {
+  public List<Decision> requestArrived(Arrival arrival, long now) {
     ServiceScheduler service = services.get(arrival.service());
     if (service == null) {
       return ImmutableList.of(ServiceScheduler.refusedWithoutTarget(arrival, random));
     }
     pending.put(arrival.request(), service);
-    return settled(service.arrived(arrival, now));
+    return removeRefused(service.requestArrived(arrival, now));
   }
 
   @Override
@@ -56,11 +56,11 @@
       serviceOfVm.put(target.vm(), target.service());
     }
     List<Decision> decisions = new ArrayList<>();
-    byService.forEach((name, list) -> decisions.addAll(change(name, list, now)));
-    return settled(decisions);
+    byService.forEach((name, list) -> decisions.addAll(updateService(name, list, now)));
+    return removeRefused(decisions);
   }
 
-  private List<Decision> change(String name, List<TargetState> targets, long now) {
+  private List<Decision> updateService(String name, List<TargetState> targets, long now) {
     ServiceScheduler service =
         services.computeIfAbsent(
             name, key -> new ServiceScheduler(settings.zone(), settings.limitsOf(key), random));
@@ -72,12 +72,12 @@
   }
 
   @Override
-  public List<Decision> reported(String vm, TargetLoad load, long now) {
+  public List<Decision> loadReported(String vm, TargetLoad load, long now) {
     String name = serviceOfVm.get(vm);
     if (name == null) {
       return ImmutableList.of();
     }
-    return settled(services.get(name).reported(vm, load, now));
+    return removeRefused(services.get(name).loadReported(vm, load, now));
   }
 
   @Override
@@ -87,19 +87,19 @@
       return ImmutableList.of();
     }
     List<Decision> decisions = service.attemptEnded(request, vm, outcome, now);
-    if (!service.holds(request)) {
+    if (!service.isPending(request)) {
       pending.remove(request);
     }
-    return settled(decisions);
+    return removeRefused(decisions);
   }
 
   @Override
-  public List<Decision> callerGone(long request, long now) {
+  public List<Decision> callerDisconnected(long request, long now) {
     ServiceScheduler service = pending.get(request);
     if (service == null) {
       return ImmutableList.of();
     }
-    service.callerGone(request);
+    service.callerDisconnected(request);
     pending.remove(request);
     return ImmutableList.of();
   }
@@ -113,7 +113,7 @@
   public List<Decision> wake(long now) {
     List<Decision> decisions = new ArrayList<>();
     services.values().forEach(service -> decisions.addAll(service.wake(now)));
-    return settled(decisions);
+    return removeRefused(decisions);
   }
 
   @Override
@@ -126,8 +126,8 @@
   }
 
   /** Returns the VMs whose targets are eased off now, over all services, for operators. */
-  public List<String> easedOff() {
-    return services.values().stream().flatMap(service -> service.easedOff().stream()).toList();
+  public List<String> ejectedVms() {
+    return services.values().stream().flatMap(service -> service.ejectedVms().stream()).toList();
   }
 
   /** Returns how many requests wait, by service, for operators. */
@@ -136,7 +136,7 @@
         .collect(ImmutableMap.toImmutableMap(Map.Entry::getKey, e -> e.getValue().waiting()));
   }
 
-  private List<Decision> settled(List<Decision> decisions) {
+  private List<Decision> removeRefused(List<Decision> decisions) {
     for (Decision decision : decisions) {
       if (decision instanceof Decision.Refuse refuse) {
         pending.remove(refuse.request());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/HeldRequest.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/ScheduledRequest.java
@@ -3,15 +3,15 @@
 import io.marigoldsail.admission.FairQueue;
 
 /** A request that an entry has taken and not yet answered. Confined to its scheduler's thread. */
-final class HeldRequest {
+final class ScheduledRequest {
   private final Arrival arrival;
-  private FairQueue.Ticket<HeldRequest> ticket;
-  private int tries;
+  private FairQueue.Ticket<ScheduledRequest> ticket;
+  private int attempts;
   private String vm = "";
   private String failedVm = "";
   private long sentAt;
 
-  HeldRequest(Arrival arrival) {
+  ScheduledRequest(Arrival arrival) {
     this.arrival = arrival;
   }
 
@@ -23,8 +23,8 @@
     return arrival.request();
   }
 
-  int tries() {
-    return tries;
+  int attempts() {
+    return attempts;
   }
 
   /** Returns the VM that has the request now, or an empty string. */
@@ -45,18 +45,18 @@
     return sentAt;
   }
 
-  FairQueue.Ticket<HeldRequest> ticket() {
+  FairQueue.Ticket<ScheduledRequest> ticket() {
     return ticket;
   }
 
-  void queued(FairQueue.Ticket<HeldRequest> newTicket) {
+  void setTicket(FairQueue.Ticket<ScheduledRequest> newTicket) {
     ticket = newTicket;
   }
 
   void sent(String toVm, long now) {
     vm = toVm;
     sentAt = now;
-    tries++;
+    attempts++;
   }
 
   void attemptEnded() {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/ServiceScheduler.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/ServiceScheduler.java
@@ -1,9 +1,9 @@
 package io.marigoldsail.dispatch;
 
 import io.marigoldsail.admission.AdmissionPolicy;
-import io.marigoldsail.admission.ComeBackTimes;
 import io.marigoldsail.admission.DrainRate;
 import io.marigoldsail.admission.FairQueue;
+import io.marigoldsail.admission.RetryAfterEstimator;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
 import io.marigoldsail.retry.RetryPolicy;
@@ -28,27 +28,27 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** A request is taken only if it can wait and then still run this many mean times. */
-  private static final int SPARE_MEANS = 3;
+  private static final int MIN_SLACK_SERVICE_TIMES = 3;
 
   private final RandomGenerator random;
   private final Router router;
   private final RetryPolicy retries;
-  private final ComeBackTimes comeBackTimes;
+  private final RetryAfterEstimator retryAfterEstimator;
   private final AdmissionPolicy admission = new AdmissionPolicy();
   private final DrainRate drainRate = new DrainRate();
-  private final FairQueue<HeldRequest> queue = new FairQueue<>();
-  private final TimedQueue deadlines = new TimedQueue();
-  private final TimedQueue dueRetries = new TimedQueue();
-  private final Map<Long, HeldRequest> held = new HashMap<>();
+  private final FairQueue<ScheduledRequest> queue = new FairQueue<>();
+  private final RequestTimers deadlines = new RequestTimers();
+  private final RequestTimers dueRetries = new RequestTimers();
+  private final Map<Long, ScheduledRequest> pending = new HashMap<>();
   private ServiceLimits limits;
-  private long nextRoom = Long.MAX_VALUE;
+  private long nextBackoffEnd = Long.MAX_VALUE;
 
   ServiceScheduler(String zone, ServiceLimits limits, RandomGenerator random) {
     this.limits = limits;
     this.random = random;
     this.router = new Router(zone, random);
     this.retries = new RetryPolicy(random);
-    this.comeBackTimes = new ComeBackTimes(random);
+    this.retryAfterEstimator = new RetryAfterEstimator(random);
   }
 
   /** Returns the refusal of a request for which there is no target at all. */
@@ -64,48 +64,49 @@
   }
 
   boolean isIdle() {
-    return router.isEmpty() && held.isEmpty();
+    return router.isEmpty() && pending.isEmpty();
   }
 
-  boolean holds(long request) {
-    return held.containsKey(request);
+  boolean isPending(long request) {
+    return pending.containsKey(request);
   }
 
-  List<String> easedOff() {
-    return router.easedOff();
+  List<String> ejectedVms() {
+    return router.ejectedVms();
   }
 
   int waiting() {
     return queue.size();
   }
 
-  List<Decision> arrived(Arrival arrival, long now) {
+  List<Decision> requestArrived(Arrival arrival, long now) {
     List<Decision> decisions = new ArrayList<>();
     if (router.isEmpty()) {
       decisions.add(refusedWithoutTarget(arrival, random));
       return decisions;
     }
-    AdmissionPolicy.Verdict verdict = admission.decide(situation(arrival, now), now);
+    AdmissionPolicy.Verdict verdict = admission.decide(queueState(arrival, now), now);
     if (verdict != AdmissionPolicy.Verdict.WAIT) {
       decisions.add(refuse(arrival, kindOf(verdict), now));
       return decisions;
     }
-    HeldRequest request = new HeldRequest(arrival);
-    held.put(arrival.request(), request);
+    ScheduledRequest request = new ScheduledRequest(arrival);
+    pending.put(arrival.request(), request);
     enqueue(request);
     dispatch(decisions, now);
     return decisions;
   }
 
-  private AdmissionPolicy.Situation situation(Arrival arrival, long now) {
-    long spare = arrival.deadline() - now - (long) (SPARE_MEANS * drainRate.meanNanos());
-    return new AdmissionPolicy.Situation(
+  private AdmissionPolicy.QueueState queueState(Arrival arrival, long now) {
+    long spare =
+        arrival.deadline() - now - (long) (MIN_SLACK_SERVICE_TIMES * drainRate.meanServiceNanos());
+    return new AdmissionPolicy.QueueState(
         queue.size(),
-        queue.aheadOf(arrival.caller(), arrival.key()),
-        queue.expectedAheadOf(arrival.caller(), arrival.key()),
-        queue.isOverShare(arrival.caller(), arrival.key()),
-        queue.isExcess(arrival.caller(), arrival.key()),
-        drainRate.perSecond(router.inFlight()),
+        queue.countAhead(arrival.caller(), arrival.key()),
+        queue.expectedCountAhead(arrival.caller(), arrival.key()),
+        queue.isOverFairShare(arrival.caller(), arrival.key()),
+        queue.isBacklogged(arrival.caller(), arrival.key()),
+        drainRate.requestsPerSecond(router.inFlight()),
         limits.targetDelayMillis() * NANOS_PER_MILLI,
         limits.maxWaiting(),
         spare);
@@ -120,14 +121,15 @@
   private Decision refuse(Arrival arrival, ErrorKind kind, long now) {
     int inFlight = router.inFlight();
     double wait = drainRate.waitNanos(queue.size(), inFlight);
-    long retry = comeBackTimes.next(wait, drainRate.perSecond(inFlight), now);
+    long retry =
+        retryAfterEstimator.retryAfterMillis(wait, drainRate.requestsPerSecond(inFlight), now);
     String detail = "service " + arrival.service() + ", " + queue.size() + " waiting here";
     return new Decision.Refuse(arrival.request(), new Failure(kind, detail, retry));
   }
 
-  private void enqueue(HeldRequest request) {
+  private void enqueue(ScheduledRequest request) {
     if (request.ticket() == null) {
-      request.queued(queue.add(request, request.arrival().caller(), request.arrival().key()));
+      request.setTicket(queue.add(request, request.arrival().caller(), request.arrival().key()));
     } else {
       queue.restore(request.ticket());
     }
@@ -135,7 +137,7 @@
   }
 
   List<Decision> targetsChanged(List<TargetState> states, long now) {
-    router.changed(states, now);
+    router.updateTargets(states, now);
     List<Decision> decisions = new ArrayList<>();
     if (router.isEmpty()) {
       refuseAllWaiting(decisions);
@@ -145,18 +147,18 @@
   }
 
   private void refuseAllWaiting(List<Decision> decisions) {
-    Optional<FairQueue.Ticket<HeldRequest>> next = queue.poll();
+    Optional<FairQueue.Ticket<ScheduledRequest>> next = queue.poll();
     while (next.isPresent()) {
-      HeldRequest request = next.get().item();
+      ScheduledRequest request = next.get().item();
       deadlines.remove(request.arrival().deadline(), request);
-      held.remove(request.number());
+      pending.remove(request.number());
       decisions.add(refusedWithoutTarget(request.arrival(), random));
       next = queue.poll();
     }
   }
 
-  List<Decision> reported(String vm, TargetLoad load, long now) {
-    router.reported(vm, load, now);
+  List<Decision> loadReported(String vm, TargetLoad load, long now) {
+    router.loadReported(vm, load, now);
     List<Decision> decisions = new ArrayList<>();
     dispatch(decisions, now);
     return decisions;
@@ -164,32 +166,32 @@
 
   List<Decision> attemptEnded(long number, String vm, AttemptOutcome outcome, long now) {
     List<Decision> decisions = new ArrayList<>();
-    HeldRequest request = held.get(number);
+    ScheduledRequest request = pending.get(number);
     if (request == null || !request.vm().equals(vm)) {
       return decisions;
     }
-    router.ended(vm, outcome, request.sentAt(), now);
+    router.attemptEnded(vm, outcome, request.sentAt(), now);
     if (outcome == AttemptOutcome.ANSWERED) {
-      drainRate.answered(now - request.sentAt());
+      drainRate.recordServiceTime(now - request.sentAt());
     }
     request.attemptEnded();
-    settleOrRetry(request, outcome, now);
+    completeOrRetry(request, outcome, now);
     dispatch(decisions, now);
     return decisions;
   }
 
-  private void settleOrRetry(HeldRequest request, AttemptOutcome outcome, long now) {
+  private void completeOrRetry(ScheduledRequest request, AttemptOutcome outcome, long now) {
     Arrival arrival = request.arrival();
     OptionalLong retryAt =
         retries.retryAt(
             outcome,
             arrival.idempotent(),
-            request.tries(),
+            request.attempts(),
             !queue.isEmpty(),
             arrival.deadline(),
             now);
     if (retryAt.isEmpty()) {
-      held.remove(request.number());
+      pending.remove(request.number());
     } else if (retryAt.getAsLong() <= now) {
       enqueue(request);
     } else {
@@ -197,13 +199,13 @@
     }
   }
 
-  void callerGone(long number) {
-    HeldRequest request = held.remove(number);
+  void callerDisconnected(long number) {
+    ScheduledRequest request = pending.remove(number);
     if (request == null) {
       return;
     }
     if (request.isSent()) {
-      router.abandoned(request.vm(), request.sentAt());
+      router.attemptAbandoned(request.vm(), request.sentAt());
       return;
     }
     queue.remove(request.ticket());
@@ -212,47 +214,47 @@
 
   List<Decision> wake(long now) {
     List<Decision> decisions = new ArrayList<>();
-    HeldRequest due = dueRetries.pollDue(now);
+    ScheduledRequest due = dueRetries.pollDue(now);
     while (due != null) {
-      if (held.containsKey(due.number())) {
+      if (pending.containsKey(due.number())) {
         enqueue(due);
       }
       due = dueRetries.pollDue(now);
     }
-    HeldRequest expired = deadlines.pollDue(now);
+    ScheduledRequest expired = deadlines.pollDue(now);
     while (expired != null) {
       queue.remove(expired.ticket());
-      giveUp(expired, decisions, now);
+      refuseExpired(expired, decisions, now);
       expired = deadlines.pollDue(now);
     }
     dispatch(decisions, now);
     return decisions;
   }
 
-  private void giveUp(HeldRequest request, List<Decision> decisions, long now) {
-    held.remove(request.number());
+  private void refuseExpired(ScheduledRequest request, List<Decision> decisions, long now) {
+    pending.remove(request.number());
     decisions.add(refuse(request.arrival(), ErrorKind.DEADLINE_BEFORE_START, now));
   }
 
   long nextWake() {
-    return Math.min(Math.min(deadlines.nextTime(), dueRetries.nextTime()), nextRoom);
+    return Math.min(Math.min(deadlines.nextTime(), dueRetries.nextTime()), nextBackoffEnd);
   }
 
   private void dispatch(List<Decision> decisions, long now) {
-    nextRoom = Long.MAX_VALUE;
-    Optional<FairQueue.Ticket<HeldRequest>> next = queue.poll();
+    nextBackoffEnd = Long.MAX_VALUE;
+    Optional<FairQueue.Ticket<ScheduledRequest>> next = queue.poll();
     while (next.isPresent()) {
-      HeldRequest request = next.get().item();
+      ScheduledRequest request = next.get().item();
       Optional<Route> route =
-          router.choose(request.failedVm(), next.get().isExcess(), mayProbe(request, now), now);
+          router.choose(request.failedVm(), next.get().isBacklogged(), mayProbe(request, now), now);
       if (route.isEmpty()) {
         queue.restore(next.get());
-        nextRoom = router.nextChange(now);
+        nextBackoffEnd = router.nextBackoffEnd(now);
         return;
       }
       deadlines.remove(request.arrival().deadline(), request);
-      if (isHopeless(request, now)) {
-        giveUp(request, decisions, now);
+      if (cannotMeetDeadline(request, now)) {
+        refuseExpired(request, decisions, now);
       } else {
         decisions.add(send(request, route.get(), now));
       }
@@ -264,23 +266,26 @@
    * A slot spent on an answer that comes too late is taken from one that would be in time, so what
    * has less than the mean time left is given up.
    */
-  private boolean isHopeless(HeldRequest request, long now) {
-    return request.arrival().deadline() - now < drainRate.meanNanos();
+  private boolean cannotMeetDeadline(ScheduledRequest request, long now) {
+    return request.arrival().deadline() - now < drainRate.meanServiceNanos();
   }
 
   /** A probe may be slow or fail: only first tries that can be repeated and have time for it. */
-  private boolean mayProbe(HeldRequest request, long now) {
+  private boolean mayProbe(ScheduledRequest request, long now) {
     Arrival arrival = request.arrival();
     double spare = arrival.deadline() - now;
-    return arrival.idempotent() && request.tries() == 0 && spare > 10 * drainRate.meanNanos();
+    return arrival.idempotent()
+        && request.attempts() == 0
+        && spare > 10 * drainRate.meanServiceNanos();
   }
 
-  private Decision send(HeldRequest request, Route route, long now) {
-    router.sent(route.vm(), now);
+  private Decision send(ScheduledRequest request, Route route, long now) {
+    router.attemptSent(route.vm(), now);
     request.sent(route.vm(), now);
-    if (request.tries() == 1) {
-      retries.requestSent();
+    if (request.attempts() == 1) {
+      retries.recordRequest();
     }
-    return new Decision.Send(request.number(), route.vm(), request.tries(), route.reason().text());
+    return new Decision.Send(
+        request.number(), route.vm(), request.attempts(), route.reason().text());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetLoad.java
@@ -8,9 +8,9 @@
  * @param inFlight requests that the target runs now, from all entries
  * @param waiting requests that the side process holds for a free slot
  * @param entries how many entries the side process heard of lately, so that each takes its share
- * @param leaving whether the target takes nothing new
+ * @param draining whether the target takes nothing new
  */
-public record TargetLoad(int inFlight, int waiting, int entries, boolean leaving) {
+public record TargetLoad(int inFlight, int waiting, int entries, boolean draining) {
   /** Checks the components. */
   public TargetLoad {
     checkArgument(inFlight >= 0, "inFlight is negative: %s", inFlight);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/WaitingRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetQueueLimit.java
@@ -12,14 +12,14 @@
  * is kept for requests of several entries that are under way at the same moment, which would be
  * turned away otherwise. What finds no place is answered "not run".
  */
-public final class WaitingRoom {
-  private static final int SLOTS_PER_PLACE = 2;
+public final class TargetQueueLimit {
+  private static final int SLOTS_PER_QUEUED_REQUEST = 2;
 
-  private WaitingRoom() {}
+  private TargetQueueLimit() {}
 
   /** Returns the places for a target with the given number of slots, at least one. */
-  public static int placesFor(int slots) {
+  public static int forSlots(int slots) {
     checkArgument(slots > 0, "slots is not positive: %s", slots);
-    return Math.max(1, slots / SLOTS_PER_PLACE);
+    return Math.max(1, slots / SLOTS_PER_QUEUED_REQUEST);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TargetState.java
@@ -13,10 +13,10 @@
  * @param service the service it serves
  * @param zone its availability zone
  * @param slots how many requests it runs at once
- * @param leaving whether it takes nothing new
+ * @param draining whether it takes nothing new
  */
 public record TargetState(
-    String vm, long incarnation, String service, String zone, int slots, boolean leaving) {
+    String vm, long incarnation, String service, String zone, int slots, boolean draining) {
   /** Checks the components. */
   public TargetState {
     requireNonNull(vm, "vm");
@@ -26,7 +26,7 @@
   }
 
   /** Returns this target as one that takes nothing new. */
-  public TargetState asLeaving() {
+  public TargetState asDraining() {
     return new TargetState(vm, incarnation, service, zone, slots, true);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TransitDelay.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TransitDelay.java
@@ -14,9 +14,9 @@
   private static final long PERIOD_NANOS = 60_000_000_000L;
 
   private long periodEnd;
-  private boolean begun;
-  private long currentSmallest;
-  private long formerSmallest;
+  private boolean initialized;
+  private long currentMinimum;
+  private long previousMinimum;
 
   /** Creates a judge that has seen no frame. */
   public TransitDelay() {}
@@ -27,24 +27,24 @@
    * @param sentAt the sender's clock when the frame was sent, in nanoseconds
    * @param receivedAt this process's clock when the frame was read, in nanoseconds
    */
-  public long excess(long sentAt, long receivedAt) {
+  public long excessNanos(long sentAt, long receivedAt) {
     long difference = receivedAt - sentAt;
-    if (!begun) {
-      begun = true;
-      currentSmallest = difference;
-      formerSmallest = difference;
+    if (!initialized) {
+      initialized = true;
+      currentMinimum = difference;
+      previousMinimum = difference;
       periodEnd = receivedAt + PERIOD_NANOS;
     }
     if (periodEnd - receivedAt <= 0) {
-      formerSmallest = currentSmallest;
-      currentSmallest = difference;
+      previousMinimum = currentMinimum;
+      currentMinimum = difference;
       periodEnd = receivedAt + PERIOD_NANOS;
     }
-    currentSmallest = smaller(currentSmallest, difference);
-    return difference - smaller(currentSmallest, formerSmallest);
+    currentMinimum = earlier(currentMinimum, difference);
+    return difference - earlier(currentMinimum, previousMinimum);
   }
 
-  private static long smaller(long left, long right) {
+  private static long earlier(long left, long right) {
     return left - right <= 0 ? left : right;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/EvictionBudget.java
@@ -11,38 +11,38 @@
   private static final double NANOS_PER_HOUR = 3_600e9;
 
   /** An empty VM may evict a few at once; a wave of noise comes with several tasks. */
-  private static final double BURST_PART = 0.25;
+  private static final double BURST_FRACTION = 0.25;
 
-  private double left;
-  private long filledNanos;
+  private double hasRemaining;
+  private long refilledNanos;
 
-  EvictionBudget(GuardTerms terms, long nowNanos) {
-    left = most(terms);
-    filledNanos = nowNanos;
+  EvictionBudget(GuardPolicy terms, long nowNanos) {
+    hasRemaining = capacity(terms);
+    refilledNanos = nowNanos;
   }
 
   /** Takes one eviction out of the budget, and returns whether there was one. */
-  boolean take(GuardTerms terms, long nowNanos) {
-    boolean any = left(terms, nowNanos);
-    left -= any ? 1 : 0;
+  boolean tryConsume(GuardPolicy terms, long nowNanos) {
+    boolean any = hasRemaining(terms, nowNanos);
+    hasRemaining -= any ? 1 : 0;
     return any;
   }
 
   /** Returns whether there is at least one eviction left. */
-  boolean left(GuardTerms terms, long nowNanos) {
-    double refill = (nowNanos - filledNanos) / NANOS_PER_HOUR * terms.evictionsPerHour();
-    left = Math.min(most(terms), left + refill);
-    filledNanos = nowNanos;
-    return left >= 1;
+  boolean hasRemaining(GuardPolicy terms, long nowNanos) {
+    double refill = (nowNanos - refilledNanos) / NANOS_PER_HOUR * terms.evictionsPerHour();
+    hasRemaining = Math.min(capacity(terms), hasRemaining + refill);
+    refilledNanos = nowNanos;
+    return hasRemaining >= 1;
   }
 
   /** Counts an eviction that somebody else decided; what that overdraws has to refill first. */
-  void spend(GuardTerms terms, long nowNanos) {
-    boolean unused = left(terms, nowNanos);
-    left = Math.max(-most(terms), left - 1);
+  void consume(GuardPolicy terms, long nowNanos) {
+    boolean unused = hasRemaining(terms, nowNanos);
+    hasRemaining = Math.max(-capacity(terms), hasRemaining - 1);
   }
 
-  private static double most(GuardTerms terms) {
-    return Math.max(1, terms.evictionsPerHour() * BURST_PART);
+  private static double capacity(GuardPolicy terms) {
+    return Math.max(1, terms.evictionsPerHour() * BURST_FRACTION);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
@@ -30,10 +30,10 @@
  */
 public final class Guard {
   /** The service is slow from here on; a little below its goal, as readings lag. */
-  static final double SLOW = 0.95;
+  static final double SLOW_PRESSURE = 0.95;
 
   /** The service is quiet up to here. */
-  static final double QUIET = 0.8;
+  static final double RECOVERED_PRESSURE = 0.8;
 
   /**
    * How long an action is given to show in the readings, in nanoseconds: as long as a reading lags.
@@ -48,39 +48,39 @@
   static final long STALE_NANOS = 10_000_000_000L;
 
   /** How much a task keeps at the least: enough to go on writing checkpoints, in percent. */
-  static final int LEAST_PERCENT = 10;
+  static final int MIN_PERCENT = 10;
 
-  private static final int LOOSE = 100;
+  private static final int UNTHROTTLED_PERCENT = 100;
 
   /** Expected noise that weighs as much as one confirmed suspicion here. */
-  private static final double NOISE_OF_A_SUSPECT = 0.2;
+  private static final double SLOWDOWN_PER_SCORE = 0.2;
 
   /** A suspect that was throttled to the least for so long goes, if it is not the only one. */
   private static final long STUCK_NANOS = 20_000_000_000L;
 
   /** A program confirmed again and again is tried about once a minute. */
-  private static final double MOST_DOUBLINGS = 5;
+  private static final double MAX_DOUBLINGS = 5;
 
   /** More tasks than a VM runs; keeps a service that is slow for a minute from overflowing. */
-  private static final int MAX_STEP = 1_024;
+  private static final int MAX_BATCH = 1_024;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Work lost weighs double where the task is due within this time, in milliseconds. */
   private static final long DUE_SOON_MILLIS = 600_000;
 
-  private final Suspicion suspicion = new Suspicion();
-  private final Map<Long, Hold> holds = new HashMap<>();
+  private final InterferenceScores scores = new InterferenceScores();
+  private final Map<Long, ThrottledTask> throttled = new HashMap<>();
   private final EvictionBudget budget;
-  private List<Hold> probing = List.of();
-  private long nextStep;
-  private long quietSince;
+  private List<ThrottledTask> probing = List.of();
+  private long nextActionNanos;
+  private long recoveredSince;
   private long allThrottledSince;
   private long stuckSince;
-  private boolean slowBefore;
+  private boolean wasSlow;
   private boolean allThrottled;
-  private int stepSize = 1;
-  private int probeSize = 1;
+  private int throttleBatch = 1;
+  private int probeBatch = 1;
 
   /**
    * A task that is throttled.
@@ -88,21 +88,21 @@
    * @param percent how much it may use
    * @param probeAt from when on it may be tried with more
    */
-  private record Hold(GuardedTask task, int percent, long probeAt) {
-    int tighter() {
-      return Math.max(LEAST_PERCENT, percent / 2);
+  private record ThrottledTask(GuardedTask task, int percent, long probeAt) {
+    int tightenedPercent() {
+      return Math.max(MIN_PERCENT, percent / 2);
     }
 
-    int looser() {
-      return Math.min(LOOSE, percent * 2);
+    int relaxedPercent() {
+      return Math.min(UNTHROTTLED_PERCENT, percent * 2);
     }
   }
 
   /** Creates a guard that throttles nothing. */
-  public Guard(GuardTerms terms, long nowNanos) {
+  public Guard(GuardPolicy terms, long nowNanos) {
     this.budget = new EvictionBudget(terms, nowNanos);
-    this.nextStep = nowNanos;
-    this.quietSince = nowNanos;
+    this.nextActionNanos = nowNanos;
+    this.recoveredSince = nowNanos;
     this.stuckSince = nowNanos;
   }
 
@@ -116,35 +116,35 @@
    * @param nowMillis this VM's clock, for the tasks' deadlines only
    */
   public List<GuardAction> decide(
-      GuardTerms terms,
+      GuardPolicy terms,
       Optional<ServiceReading> reading,
       List<GuardedTask> tasks,
       long nowNanos,
       long nowMillis) {
     forgetEnded(tasks);
     double pressure = pressure(reading, nowNanos);
-    if (pressure > QUIET) {
-      quietSince = nowNanos;
+    if (pressure > RECOVERED_PRESSURE) {
+      recoveredSince = nowNanos;
     }
-    if (nowNanos - nextStep < 0) {
+    if (nowNanos - nextActionNanos < 0) {
       return List.of();
     }
     List<GuardAction> stuck = evictStuck(terms, tasks, nowNanos, nowMillis);
     if (!stuck.isEmpty()) {
-      nextStep = nowNanos + SETTLE_NANOS;
+      nextActionNanos = nowNanos + SETTLE_NANOS;
       return stuck;
     }
-    if (pressure > SLOW) {
+    if (pressure > SLOW_PRESSURE) {
       return onSlow(terms, pressure, tasks, nowNanos, nowMillis);
     }
-    slowBefore = false;
-    stepSize = 1;
-    return letLoose(terms, nowNanos);
+    wasSlow = false;
+    throttleBatch = 1;
+    return relax(terms, nowNanos);
   }
 
   /** Counts an eviction for urgent work, which an entry decided, against this VM's budget. */
-  public void evictedForUrgent(GuardTerms terms, long nowNanos) {
-    budget.spend(terms, nowNanos);
+  public void recordPreemption(GuardPolicy terms, long nowNanos) {
+    budget.consume(terms, nowNanos);
   }
 
   private static double pressure(Optional<ServiceReading> reading, long nowNanos) {
@@ -153,9 +153,9 @@
   }
 
   private List<GuardAction> onSlow(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
-    nextStep = nowNanos + SETTLE_NANOS;
-    List<GuardAction> takenBack = takeBackProbe(terms, pressure, nowNanos);
+      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+    nextActionNanos = nowNanos + SETTLE_NANOS;
+    List<GuardAction> takenBack = revertProbes(terms, pressure, nowNanos);
     if (!takenBack.isEmpty()) {
       return takenBack;
     }
@@ -176,123 +176,129 @@
   }
 
   /** The service slowed after tasks were let loose: those go back, and wait longer. */
-  private List<GuardAction> takeBackProbe(GuardTerms terms, double pressure, long nowNanos) {
+  private List<GuardAction> revertProbes(GuardPolicy terms, double pressure, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (Hold hold : probing) {
+    for (ThrottledTask hold : probing) {
       GuardedTask task = hold.task();
-      suspicion.confirmed(task.program(), 1.0 / probing.size());
-      Hold before = new Hold(task, hold.percent(), probeAt(terms, task, nowNanos));
-      holds.put(task.token(), before);
-      actions.add(new GuardAction.Throttle(task.token(), before.percent(), slowness(pressure)));
+      scores.confirm(task.program(), 1.0 / probing.size());
+      ThrottledTask before =
+          new ThrottledTask(task, hold.percent(), probeAt(terms, task, nowNanos));
+      throttled.put(task.token(), before);
+      actions.add(
+          new GuardAction.Throttle(task.token(), before.percent(), describePressure(pressure)));
     }
     probing = List.of();
-    probeSize = 1;
+    probeBatch = 1;
     return actions;
   }
 
   private List<GuardAction> throttleMore(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos) {
+      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos) {
     List<GuardedTask> candidates = new ArrayList<>(tasks);
-    candidates.removeIf(task -> percent(task) <= LEAST_PERCENT);
+    candidates.removeIf(task -> percent(task) <= MIN_PERCENT);
     candidates.sort(
-        Comparator.comparingDouble((GuardedTask task) -> -suspected(task))
+        Comparator.comparingDouble((GuardedTask task) -> -interferenceScore(task))
             .thenComparingLong(task -> -task.startedNanos())
             .thenComparingLong(task -> -task.used().milliProcessors()));
-    stepSize = slowBefore ? Math.min(stepSize * 2, MAX_STEP) : 1;
-    slowBefore = true;
+    throttleBatch = wasSlow ? Math.min(throttleBatch * 2, MAX_BATCH) : 1;
+    wasSlow = true;
     List<GuardAction> actions = new ArrayList<>();
-    for (GuardedTask task : candidates.subList(0, Math.min(stepSize, candidates.size()))) {
-      Hold hold = new Hold(task, percent(task), probeAt(terms, task, nowNanos));
-      Hold tighter = new Hold(task, hold.tighter(), hold.probeAt());
-      holds.put(task.token(), tighter);
-      actions.add(new GuardAction.Throttle(task.token(), tighter.percent(), slowness(pressure)));
+    for (GuardedTask task : candidates.subList(0, Math.min(throttleBatch, candidates.size()))) {
+      ThrottledTask hold = new ThrottledTask(task, percent(task), probeAt(terms, task, nowNanos));
+      ThrottledTask tighter = new ThrottledTask(task, hold.tightenedPercent(), hold.probeAt());
+      throttled.put(task.token(), tighter);
+      actions.add(
+          new GuardAction.Throttle(task.token(), tighter.percent(), describePressure(pressure)));
     }
     return actions;
   }
 
   /** Returns how much the task is suspected, here and by what entries learned elsewhere. */
-  private double suspected(GuardedTask task) {
-    return suspicion.of(task.program()) + task.noise() / NOISE_OF_A_SUSPECT;
+  private double interferenceScore(GuardedTask task) {
+    return scores.score(task.program()) + task.expectedSlowdown() / SLOWDOWN_PER_SCORE;
   }
 
   private int percent(GuardedTask task) {
-    Hold hold = holds.get(task.token());
-    return hold == null ? LOOSE : hold.percent();
+    ThrottledTask hold = throttled.get(task.token());
+    return hold == null ? UNTHROTTLED_PERCENT : hold.percent();
   }
 
   /** Returns when a task may be tried with more: later, the more its program is suspected. */
-  private long probeAt(GuardTerms terms, GuardedTask task, long nowNanos) {
-    double doublings = Math.min(MOST_DOUBLINGS, suspected(task));
+  private long probeAt(GuardPolicy terms, GuardedTask task, long nowNanos) {
+    double doublings = Math.min(MAX_DOUBLINGS, interferenceScore(task));
     return nowNanos + (long) (terms.recoveryMillis() * NANOS_PER_MILLI * Math.pow(2, doublings));
   }
 
   private List<GuardAction> evictOne(
-      GuardTerms terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardPolicy terms, double pressure, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     Optional<GuardedTask> victim =
         tasks.stream()
             .filter(GuardedTask::evictable)
-            .max(Comparator.comparingDouble(task -> worth(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.take(terms, nowNanos)) {
+            .max(Comparator.comparingDouble(task -> evictionValue(task, nowNanos, nowMillis)));
+    if (victim.isEmpty() || !budget.tryConsume(terms, nowNanos)) {
       return List.of();
     }
     // The next one only after this one's leaving has had the time to show.
     allThrottledSince = nowNanos;
-    holds.remove(victim.get().token());
+    throttled.remove(victim.get().token());
     return List.of(
         new GuardAction.Evict(
-            victim.get().token(), slowness(pressure) + " with all batch tasks throttled"));
+            victim.get().token(), describePressure(pressure) + " with all batch tasks throttled"));
   }
 
   /** Returns how much evicting the task helps for what it loses. */
-  private double worth(GuardedTask task, long nowNanos, long nowMillis) {
-    double frees = (1 + suspected(task)) * (1 + task.used().milliProcessors());
+  private double evictionValue(GuardedTask task, long nowNanos, long nowMillis) {
+    double frees = (1 + interferenceScore(task)) * (1 + task.used().milliProcessors());
     double lostSeconds = (nowNanos - task.checkpointedNanos()) / 1e9;
     boolean dueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
     return frees / (1 + lostSeconds) / (dueSoon ? 2 : 1);
   }
 
-  private List<GuardAction> letLoose(GuardTerms terms, long nowNanos) {
+  private List<GuardAction> relax(GuardPolicy terms, long nowNanos) {
     allThrottled = false;
     long recoveryNanos = terms.recoveryMillis() * NANOS_PER_MILLI;
-    if (nowNanos - quietSince < recoveryNanos) {
+    if (nowNanos - recoveredSince < recoveryNanos) {
       return List.of();
     }
-    probing.forEach(hold -> suspicion.cleared(hold.task().program()));
-    probeSize = probing.isEmpty() ? probeSize : Math.min(MAX_STEP, probeSize * 2);
+    probing.forEach(hold -> scores.clear(hold.task().program()));
+    probeBatch = probing.isEmpty() ? probeBatch : Math.min(MAX_BATCH, probeBatch * 2);
     probing = List.of();
-    List<Hold> next =
-        holds.values().stream()
+    List<ThrottledTask> next =
+        throttled.values().stream()
             .filter(hold -> nowNanos - hold.probeAt() >= 0)
             .sorted(
-                Comparator.comparingDouble((Hold hold) -> suspected(hold.task()))
+                Comparator.comparingDouble((ThrottledTask hold) -> interferenceScore(hold.task()))
                     .thenComparingLong(hold -> hold.task().startedNanos()))
             .toList();
     if (next.isEmpty()) {
-      probeSize = 1;
+      probeBatch = 1;
       return List.of();
     }
-    return probe(terms, next.subList(0, Math.min(probeSize, next.size())), nowNanos);
+    return probe(terms, next.subList(0, Math.min(probeBatch, next.size())), nowNanos);
   }
 
   /**
    * Lets tasks have twice as much: one at first, so that a service that slows again tells which it
    * was, then more at a time as long as it stays quiet.
    */
-  private List<GuardAction> probe(GuardTerms terms, List<Hold> chosen, long nowNanos) {
+  private List<GuardAction> probe(GuardPolicy terms, List<ThrottledTask> chosen, long nowNanos) {
     List<GuardAction> actions = new ArrayList<>();
-    for (Hold hold : chosen) {
+    for (ThrottledTask hold : chosen) {
       GuardedTask task = hold.task();
-      if (hold.looser() == LOOSE) {
-        holds.remove(task.token());
+      if (hold.relaxedPercent() == UNTHROTTLED_PERCENT) {
+        throttled.remove(task.token());
       } else {
-        holds.put(task.token(), new Hold(task, hold.looser(), probeAt(terms, task, nowNanos)));
+        throttled.put(
+            task.token(),
+            new ThrottledTask(task, hold.relaxedPercent(), probeAt(terms, task, nowNanos)));
       }
-      actions.add(new GuardAction.Throttle(task.token(), hold.looser(), "the service is quiet"));
+      actions.add(
+          new GuardAction.Throttle(task.token(), hold.relaxedPercent(), "the service is quiet"));
     }
     probing = List.copyOf(chosen);
-    quietSince = nowNanos;
-    nextStep = nowNanos + SETTLE_NANOS;
+    recoveredSince = nowNanos;
+    nextActionNanos = nowNanos + SETTLE_NANOS;
     return actions;
   }
 
@@ -302,10 +308,10 @@
    * loose here; on another VM, or later, one alone can.
    */
   private List<GuardAction> evictStuck(
-      GuardTerms terms, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
+      GuardPolicy terms, List<GuardedTask> tasks, long nowNanos, long nowMillis) {
     List<GuardedTask> stuck =
         tasks.stream()
-            .filter(task -> percent(task) <= LEAST_PERCENT && suspected(task) >= 1)
+            .filter(task -> percent(task) <= MIN_PERCENT && interferenceScore(task) >= 1)
             .toList();
     if (stuck.size() < 2) {
       stuckSince = nowNanos;
@@ -317,11 +323,11 @@
     Optional<GuardedTask> victim =
         stuck.stream()
             .filter(GuardedTask::evictable)
-            .max(Comparator.comparingDouble(task -> worth(task, nowNanos, nowMillis)));
-    if (victim.isEmpty() || !budget.take(terms, nowNanos)) {
+            .max(Comparator.comparingDouble(task -> evictionValue(task, nowNanos, nowMillis)));
+    if (victim.isEmpty() || !budget.tryConsume(terms, nowNanos)) {
       return List.of();
     }
-    holds.remove(victim.get().token());
+    throttled.remove(victim.get().token());
     String why = "one of %d noisy tasks here that cannot be let loose together";
     return List.of(new GuardAction.Evict(victim.get().token(), why.formatted(stuck.size())));
   }
@@ -329,11 +335,11 @@
   private void forgetEnded(List<GuardedTask> tasks) {
     Set<Long> running = new HashSet<>();
     tasks.forEach(task -> running.add(task.token()));
-    holds.keySet().retainAll(running);
+    throttled.keySet().retainAll(running);
     probing = probing.stream().filter(h -> running.contains(h.task().token())).toList();
   }
 
-  private static String slowness(double pressure) {
+  private static String describePressure(double pressure) {
     return String.format(
         Locale.ROOT, "the service's tail latency is %.2f times its goal", pressure);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardAction.java
@@ -8,21 +8,21 @@
   long token();
 
   /** Returns the grounds, for people. */
-  String why();
+  String reason();
 
   /** Let the task use so much of its processors, 1 to 100 percent. */
-  record Throttle(long token, int percent, String why) implements GuardAction {
+  record Throttle(long token, int percent, String reason) implements GuardAction {
     /** Checks the components. */
     public Throttle {
-      requireNonNull(why, "why");
+      requireNonNull(reason, "why");
     }
   }
 
   /** Write a checkpoint, stop the task and release it. */
-  record Evict(long token, String why) implements GuardAction {
+  record Evict(long token, String reason) implements GuardAction {
     /** Checks the components. */
     public Evict {
-      requireNonNull(why, "why");
+      requireNonNull(reason, "why");
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardPolicy.java
@@ -12,25 +12,25 @@
  * @param throughputWeight how much slowed batch work weighs
  * @param evictionsPerHour how many evictions one VM may make in an hour
  */
-public record GuardTerms(
+public record GuardPolicy(
     double tailLatencyWeight,
     double evictionsWeight,
     double throughputWeight,
     double evictionsPerHour) {
   /** Tail latency first, evictions second: payouts may finish late. */
-  public static final GuardTerms VATULELE = new GuardTerms(1, 0.5, 0.2, 12);
+  public static final GuardPolicy VATULELE = new GuardPolicy(1, 0.5, 0.2, 12);
 
   /** Evictions nearly as much as tail latency: an evicted camera watch can miss the sky. */
-  public static final GuardTerms KITAMIZORA = new GuardTerms(1, 0.9, 0.2, 4);
+  public static final GuardPolicy KITAMIZORA = new GuardPolicy(1, 0.9, 0.2, 4);
 
   /** What holds where no configuration says otherwise. */
-  public static final GuardTerms DEFAULT = VATULELE;
+  public static final GuardPolicy DEFAULT = VATULELE;
 
   private static final double EVICTION_STEP = 0.5;
   private static final double MEAN_RECOVERY_MILLIS = 2_000;
 
   /** Checks the components. */
-  public GuardTerms {
+  public GuardPolicy {
     checkArgument(tailLatencyWeight > 0, "tailLatencyWeight is not positive");
     checkArgument(evictionsWeight >= 0, "evictionsWeight is negative: %s", evictionsWeight);
     checkArgument(throughputWeight >= 0, "throughputWeight is negative: %s", throughputWeight);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/GuardedTask.java
@@ -16,8 +16,8 @@
  * @param startedNanos when it started
  * @param checkpointedNanos when it last wrote a checkpoint, or started
  * @param finishByMillis when it should be done, in milliseconds since the Unix epoch; 0 for none
- * @param noise how much longer it is expected to make the service take, from what entries learned
- *     on other VMs: 0.5 for half as long again; 0 if nothing is known
+ * @param expectedSlowdown how much longer it is expected to make the service take, from what
+ *     entries learned on other VMs: 0.5 for half as long again; 0 if nothing is known
  * @param evictable whether evicting it loses at most work, not its outcome
  */
 public record GuardedTask(
@@ -28,7 +28,7 @@
     long startedNanos,
     long checkpointedNanos,
     long finishByMillis,
-    double noise,
+    double expectedSlowdown,
     boolean evictable) {
   /** Checks the components. */
   public GuardedTask {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Suspicion.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/InterferenceScores.java
@@ -9,9 +9,9 @@
  *
  * <p>Bounded; what was not seen for long is forgotten first. Not safe for use by several threads.
  */
-final class Suspicion {
+final class InterferenceScores {
   private static final int MAX_PROGRAMS = 256;
-  private static final double FADING = 0.7;
+  private static final double DECAY_FACTOR = 0.7;
 
   private final Map<String, Double> scores =
       new LinkedHashMap<>(16, 0.75f, true) {
@@ -21,17 +21,17 @@
         }
       };
 
-  double of(String program) {
+  double score(String program) {
     return scores.getOrDefault(program, 0.0);
   }
 
   /** The service slowed soon after tasks were let loose, of which this was the given part. */
-  void confirmed(String program, double part) {
+  void confirm(String program, double part) {
     scores.merge(program, part, Double::sum);
   }
 
   /** The service stayed quiet after a task of the program was let loose. */
-  void cleared(String program) {
-    scores.computeIfPresent(program, (name, score) -> score < 0.1 ? null : score * FADING);
+  void clear(String program) {
+    scores.computeIfPresent(program, (name, score) -> score < 0.1 ? null : score * DECAY_FACTOR);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/MemoryGuard.java
@@ -15,7 +15,7 @@
  */
 public final class MemoryGuard {
   /** Memory is nearly full from this part on; measurements lag, so not the last bit. */
-  private static final double NEARLY_FULL = 0.95;
+  private static final double MAX_USED_FRACTION = 0.95;
 
   private MemoryGuard() {}
 
@@ -33,7 +33,7 @@
     for (GuardedTask task : tasks) {
       used += task.used().memoryBytes();
     }
-    if (used <= capacityBytes * NEARLY_FULL) {
+    if (used <= capacityBytes * MAX_USED_FRACTION) {
       return Optional.empty();
     }
     return tasks.stream()
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
@@ -28,13 +28,13 @@
  */
 public final class Preemptor {
   /** More would empty a VM for one task. */
-  static final int MOST_VICTIMS = 4;
+  static final int MAX_VICTIMS = 4;
 
   /** A task that went so often stays: it must end some time. */
-  static final int MOST_EVICTIONS = 3;
+  static final int MAX_EVICTIONS = 3;
 
   /** So many seconds of lost work weigh, at equal weights, as much as an eviction. */
-  private static final double SECONDS_OF_AN_EVICTION = 10;
+  private static final double LOST_SECONDS_PER_EVICTION = 10;
 
   /** A task due within this time, in milliseconds, costs double. */
   private static final long DUE_SOON_MILLIS = 600_000;
@@ -62,8 +62,8 @@
   public Preemptor() {}
 
   /** Notes an eviction on a VM, for whatever reason. */
-  public void evicted(GuardTerms terms, String vm, long nowNanos) {
-    budget(terms, vm, nowNanos).spend(terms, nowNanos);
+  public void recordEviction(GuardPolicy terms, String vm, long nowNanos) {
+    budget(terms, vm, nowNanos).consume(terms, nowNanos);
   }
 
   /** Forgets VMs that are gone. */
@@ -81,10 +81,10 @@
    * @param nowMillis this VM's clock, for the tasks' deadlines only
    */
   public Optional<Choice> decide(
-      GuardTerms terms, Sizes wanted, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
+      GuardPolicy terms, Sizes wanted, List<PreemptableVm> vms, long nowNanos, long nowMillis) {
     Choice best = null;
     for (PreemptableVm vm : vms) {
-      if (!budget(terms, vm.vm(), nowNanos).left(terms, nowNanos)) {
+      if (!budget(terms, vm.vm(), nowNanos).hasRemaining(terms, nowNanos)) {
         continue;
       }
       Optional<Choice> choice = choose(terms, wanted, vm, nowMillis);
@@ -96,16 +96,16 @@
   }
 
   private static Optional<Choice> choose(
-      GuardTerms terms, Sizes wanted, PreemptableVm vm, long nowMillis) {
+      GuardPolicy terms, Sizes wanted, PreemptableVm vm, long nowMillis) {
     List<PreemptableTask> candidates = new ArrayList<>(vm.tasks());
-    candidates.removeIf(task -> !mayGo(task));
+    candidates.removeIf(task -> !isPreemptable(task));
     candidates.sort(
         Comparator.comparingDouble((PreemptableTask task) -> cost(terms, task, nowMillis))
             .thenComparingLong(task -> -dueMillis(task)));
     List<PreemptableTask> victims = new ArrayList<>();
     Sizes free = vm.free();
     for (PreemptableTask task : candidates) {
-      if (wanted.fitsIn(free) || victims.size() == MOST_VICTIMS) {
+      if (wanted.fitsIn(free) || victims.size() == MAX_VICTIMS) {
         break;
       }
       victims.add(task);
@@ -114,7 +114,7 @@
     if (!wanted.fitsIn(free)) {
       return Optional.empty();
     }
-    spare(victims, wanted, vm.free());
+    removeUnneeded(victims, wanted, vm.free());
     double cost = victims.stream().mapToDouble(task -> cost(terms, task, nowMillis)).sum();
     List<Preemption.Victim> going =
         victims.stream().map(task -> new Preemption.Victim(task.task(), task.token())).toList();
@@ -122,7 +122,7 @@
   }
 
   /** Leaves those out, the dearest first, without whom the others make room enough. */
-  private static void spare(List<PreemptableTask> victims, Sizes wanted, Sizes free) {
+  private static void removeUnneeded(List<PreemptableTask> victims, Sizes wanted, Sizes free) {
     for (int i = victims.size() - 1; i >= 0; i--) {
       Sizes without = free;
       for (PreemptableTask other : victims) {
@@ -134,15 +134,15 @@
     }
   }
 
-  private static boolean mayGo(PreemptableTask task) {
+  private static boolean isPreemptable(PreemptableTask task) {
     boolean lowest = task.taskClass() == TaskClass.BATCH && !task.urgent();
-    return lowest && task.evictable() && task.evictions() < MOST_EVICTIONS;
+    return lowest && task.evictable() && task.evictions() < MAX_EVICTIONS;
   }
 
-  private static double cost(GuardTerms terms, PreemptableTask task, long nowMillis) {
+  private static double cost(GuardPolicy terms, PreemptableTask task, long nowMillis) {
     double eviction = terms.evictionsWeight() * (1 + task.evictions());
     double lostSeconds = task.unsavedMillis() / MILLIS_PER_SECOND;
-    double lost = terms.throughputWeight() * lostSeconds / SECONDS_OF_AN_EVICTION;
+    double lost = terms.throughputWeight() * lostSeconds / LOST_SECONDS_PER_EVICTION;
     boolean dueSoon =
         task.finishByMillis() > 0 && task.finishByMillis() - nowMillis < DUE_SOON_MILLIS;
     return (eviction + lost) * (dueSoon ? 2 : 1);
@@ -152,7 +152,7 @@
     return task.finishByMillis() == 0 ? Long.MAX_VALUE : task.finishByMillis();
   }
 
-  private EvictionBudget budget(GuardTerms terms, String vm, long nowNanos) {
+  private EvictionBudget budget(GuardPolicy terms, String vm, long nowNanos) {
     return budgets.computeIfAbsent(vm, unused -> new EvictionBudget(terms, nowNanos));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
@@ -13,12 +13,12 @@
  */
 public final class TailWindow {
   private static final int SIZE = 512;
-  private static final int LEAST = 20;
-  private static final double TAIL = 0.99;
+  private static final int MIN_SAMPLES = 20;
+  private static final double TAIL_QUANTILE = 0.99;
   private static final double NANOS_PER_MILLI = 1e6;
 
-  private final long[] latencies = new long[SIZE];
-  private final long[] answered = new long[SIZE];
+  private final long[] latencySamplesNanos = new long[SIZE];
+  private final long[] answeredNanos = new long[SIZE];
   private final long windowNanos;
   private int added;
 
@@ -35,8 +35,8 @@
   /** Adds an answer that took so long and came now. */
   public synchronized void add(long latencyNanos, long nowNanos) {
     int place = added % SIZE;
-    latencies[place] = latencyNanos;
-    answered[place] = nowNanos;
+    latencySamplesNanos[place] = latencyNanos;
+    answeredNanos[place] = nowNanos;
     added = added == Integer.MAX_VALUE ? SIZE + place + 1 : added + 1;
   }
 
@@ -51,17 +51,17 @@
     int count = 0;
     long newest = Long.MIN_VALUE;
     for (int place = 0; place < Math.min(added, SIZE); place++) {
-      if (nowNanos - answered[place] < windowNanos) {
-        young[count] = latencies[place];
+      if (nowNanos - answeredNanos[place] < windowNanos) {
+        young[count] = latencySamplesNanos[place];
         count++;
-        newest = Math.max(newest, answered[place]);
+        newest = Math.max(newest, answeredNanos[place]);
       }
     }
-    if (count < LEAST) {
+    if (count < MIN_SAMPLES) {
       return Optional.empty();
     }
     Arrays.sort(young, 0, count);
-    long tail = young[(int) Math.ceil(TAIL * count) - 1];
+    long tail = young[(int) Math.ceil(TAIL_QUANTILE * count) - 1];
     return Optional.of(new ServiceReading(tail / NANOS_PER_MILLI, goalMillis, newest));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyStore.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/IdempotencyKeyStore.java
@@ -21,7 +21,7 @@
  * @param <W> the type of those who wait for an outcome
  * @param <A> the type of an outcome
  */
-public final class KeyStore<W, A> {
+public final class IdempotencyKeyStore<W, A> {
   /** What is to be done with a request that names a key. */
   public sealed interface Admission<A> {
     /** Run it. */
@@ -31,7 +31,7 @@
     record Join<A>() implements Admission<A> {}
 
     /** It ran already; the outcome is empty where it is not kept any more. */
-    record Ran<A>(Optional<A> outcome) implements Admission<A> {}
+    record Completed<A>(Optional<A> outcome) implements Admission<A> {}
 
     /** The key named another request before. */
     record Conflict<A>() implements Admission<A> {}
@@ -41,15 +41,15 @@
   }
 
   /** One key: running while {@code forgetAt} is 0. */
-  private static final class Known<W, A> {
+  private static final class KeyState<W, A> {
     private final long fingerprint;
     private final List<W> waiters = new ArrayList<>();
     private Optional<A> outcome = Optional.empty();
     private long bytes;
-    private long forgetAt;
+    private long expiresAt;
     private boolean ended;
 
-    Known(long fingerprint) {
+    KeyState(long fingerprint) {
       this.fingerprint = fingerprint;
     }
   }
@@ -61,15 +61,15 @@
    * @param fingerprint stands for the request's method, path and body
    * @param outcome empty where it is not kept any more
    * @param outcomeBytes what the outcome holds
-   * @param forgetAt when the key is forgotten, in nanoseconds of the store's clock
+   * @param expiresAt when the key is forgotten, in nanoseconds of the store's clock
    */
-  public record Ended<A>(
-      String key, long fingerprint, Optional<A> outcome, long outcomeBytes, long forgetAt) {}
+  public record CompletedKey<A>(
+      String key, long fingerprint, Optional<A> outcome, long outcomeBytes, long expiresAt) {}
 
   private final int maxKeys;
   private final long maxBytes;
-  private final Map<String, Known<W, A>> running = new LinkedHashMap<>();
-  private final LinkedHashMap<String, Known<W, A>> ended = new LinkedHashMap<>();
+  private final Map<String, KeyState<W, A>> running = new LinkedHashMap<>();
+  private final LinkedHashMap<String, KeyState<W, A>> completed = new LinkedHashMap<>();
   private long bytes;
 
   /**
@@ -78,7 +78,7 @@
    * @param maxKeys how many keys are known at most
    * @param maxBytes how many bytes of outcomes are kept at most, all together
    */
-  public KeyStore(int maxKeys, long maxBytes) {
+  public IdempotencyKeyStore(int maxKeys, long maxBytes) {
     checkArgument(maxKeys > 0, "maxKeys is not positive: %s", maxKeys);
     checkArgument(maxBytes >= 0, "maxBytes is negative: %s", maxBytes);
     this.maxKeys = maxKeys;
@@ -95,25 +95,25 @@
    */
   public Admission<A> admit(String key, long fingerprint, W waiter, long now) {
     expire(now);
-    Known<W, A> known = running.getOrDefault(key, ended.get(key));
+    KeyState<W, A> known = running.getOrDefault(key, completed.get(key));
     if (known == null) {
-      if (running.size() + ended.size() >= maxKeys) {
+      if (running.size() + completed.size() >= maxKeys) {
         return new Admission.Full<>();
       }
-      running.put(key, new Known<>(fingerprint));
+      running.put(key, new KeyState<>(fingerprint));
       return new Admission.Run<>();
     }
-    if (known.ended && known.forgetAt - now <= 0) {
+    if (known.ended && known.expiresAt - now <= 0) {
       // One that was taken over may stand behind others that are forgotten later.
-      forget(known);
-      ended.remove(key);
+      releaseBytes(known);
+      completed.remove(key);
       return admit(key, fingerprint, waiter, now);
     }
     if (known.fingerprint != fingerprint) {
       return new Admission.Conflict<>();
     }
     if (known.ended) {
-      return new Admission.Ran<>(known.outcome);
+      return new Admission.Completed<>(known.outcome);
     }
     known.waiters.add(waiter);
     return new Admission.Join<>();
@@ -128,31 +128,33 @@
    * @param now the time
    * @return those who wait for the outcome
    */
-  public List<W> ran(String key, A outcome, long outcomeBytes, long now) {
-    Known<W, A> known = running.remove(key);
+  public List<W> complete(String key, A outcome, long outcomeBytes, long now) {
+    KeyState<W, A> known = running.remove(key);
     checkState(known != null, "%s does not run", key);
-    end(key, known, Optional.of(outcome), outcomeBytes, now + KeyTerms.WINDOW_NANOS);
+    recordCompletion(
+        key, known, Optional.of(outcome), outcomeBytes, now + KeyTimeouts.OUTCOME_RETENTION_NANOS);
     List<W> waiters = ImmutableList.copyOf(known.waiters);
     known.waiters.clear();
     return waiters;
   }
 
   /** Notes that the key's request did not run after all; returns those who wait. */
-  public List<W> notRun(String key) {
-    Known<W, A> known = running.remove(key);
+  public List<W> abort(String key) {
+    KeyState<W, A> known = running.remove(key);
     checkState(known != null, "%s does not run", key);
     return ImmutableList.copyOf(known.waiters);
   }
 
   /** Returns the keys of the shard whose requests ran; those that run now are not among them. */
-  public List<Ended<A>> endedOf(int shard, long now) {
+  public List<CompletedKey<A>> completedKeys(int shard, long now) {
     expire(now);
-    ImmutableList.Builder<Ended<A>> found = ImmutableList.builder();
-    ended.forEach(
+    ImmutableList.Builder<CompletedKey<A>> found = ImmutableList.builder();
+    completed.forEach(
         (key, known) -> {
           if (KeyShards.of(key) == shard) {
             found.add(
-                new Ended<>(key, known.fingerprint, known.outcome, known.bytes, known.forgetAt));
+                new CompletedKey<>(
+                    key, known.fingerprint, known.outcome, known.bytes, known.expiresAt));
           }
         });
     return found.build();
@@ -166,48 +168,48 @@
    *
    * @return whether they are known now
    */
-  public boolean takeOver(List<Ended<A>> keys, long now) {
+  public boolean importKeys(List<CompletedKey<A>> keys, long now) {
     expire(now);
-    if (running.size() + ended.size() + keys.size() > maxKeys) {
+    if (running.size() + completed.size() + keys.size() > maxKeys) {
       return false;
     }
-    for (Ended<A> key : keys) {
+    for (CompletedKey<A> key : keys) {
       if (running.containsKey(key.key())) {
         continue;
       }
-      Known<W, A> older = ended.remove(key.key());
+      KeyState<W, A> older = completed.remove(key.key());
       if (older != null) {
-        forget(older);
+        releaseBytes(older);
       }
-      end(
+      recordCompletion(
           key.key(),
-          new Known<>(key.fingerprint()),
+          new KeyState<>(key.fingerprint()),
           key.outcome(),
           key.outcomeBytes(),
-          key.forgetAt());
+          key.expiresAt());
     }
     return true;
   }
 
-  private void end(
-      String key, Known<W, A> known, Optional<A> outcome, long outcomeBytes, long forgetAt) {
+  private void recordCompletion(
+      String key, KeyState<W, A> known, Optional<A> outcome, long outcomeBytes, long forgetAt) {
     known.ended = true;
-    known.forgetAt = forgetAt;
-    ended.put(key, known);
+    known.expiresAt = forgetAt;
+    completed.put(key, known);
     if (outcomeBytes <= maxBytes) {
       known.outcome = outcome;
       known.bytes = outcomeBytes;
       bytes += outcomeBytes;
-      dropOutcomes();
+      evictOutcomes();
     }
   }
 
-  private void forget(Known<W, A> known) {
+  private void releaseBytes(KeyState<W, A> known) {
     bytes -= known.bytes;
   }
 
-  private void dropOutcomes() {
-    for (Known<W, A> oldest : ended.values()) {
+  private void evictOutcomes() {
+    for (KeyState<W, A> oldest : completed.values()) {
       if (bytes <= maxBytes) {
         return;
       }
@@ -219,13 +221,13 @@
 
   /** Forgets what ended longer ago than the window. */
   private void expire(long now) {
-    Iterator<Known<W, A>> oldest = ended.values().iterator();
+    Iterator<KeyState<W, A>> oldest = completed.values().iterator();
     while (oldest.hasNext()) {
-      Known<W, A> known = oldest.next();
-      if (known.forgetAt - now > 0) {
+      KeyState<W, A> known = oldest.next();
+      if (known.expiresAt - now > 0) {
         return;
       }
-      forget(known);
+      releaseBytes(known);
       oldest.remove();
     }
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyShardTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyShardTable.java
@@ -50,8 +50,8 @@
   }
 
   private final MonotonicClock clock;
-  private final Map<Shard, KeyHome> homes = new TreeMap<>();
-  private final Map<Shard, Long> quietUntil = new TreeMap<>();
+  private final Map<Shard, ShardOwner> owners = new TreeMap<>();
+  private final Map<Shard, Long> servesFrom = new TreeMap<>();
 
   /**
    * Creates a table without homes.
@@ -87,7 +87,7 @@
    * @param incarnation the successor's incarnation
    */
   public static JsonNode handover(
-      String service, int shard, KeyHome from, String vm, long incarnation) {
+      String service, int shard, ShardOwner from, String vm, long incarnation) {
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.put("service", service).put("shard", shard);
     body.put("fromVm", from.vm()).put("fromIncarnation", from.incarnation());
@@ -101,14 +101,14 @@
   }
 
   /** Returns the home of the shard, or empty while nobody holds it. */
-  public synchronized Optional<KeyHome> home(String service, int shard) {
-    return Optional.ofNullable(homes.get(new Shard(service, shard)));
+  public synchronized Optional<ShardOwner> owner(String service, int shard) {
+    return Optional.ofNullable(owners.get(new Shard(service, shard)));
   }
 
   /** Returns the homes of the service's shards, by shard. */
-  public synchronized Map<Integer, KeyHome> homes(String service) {
-    ImmutableMap.Builder<Integer, KeyHome> found = ImmutableMap.builder();
-    homes.forEach(
+  public synchronized Map<Integer, ShardOwner> owners(String service) {
+    ImmutableMap.Builder<Integer, ShardOwner> found = ImmutableMap.builder();
+    owners.forEach(
         (shard, home) -> {
           if (shard.service().equals(service)) {
             found.put(shard.number(), home);
@@ -119,7 +119,7 @@
 
   /** Returns the services that have shards with homes. */
   public synchronized Collection<String> services() {
-    return homes.keySet().stream().map(Shard::service).distinct().toList();
+    return owners.keySet().stream().map(Shard::service).distinct().toList();
   }
 
   @Override
@@ -142,11 +142,11 @@
     }
     for (JsonNode number : body.path("shards")) {
       Shard shard = new Shard(service, number.asInt(-1));
-      if (shard.number() < 0 || shard.number() >= KeyShards.COUNT || homes.containsKey(shard)) {
+      if (shard.number() < 0 || shard.number() >= KeyShards.COUNT || owners.containsKey(shard)) {
         continue;
       }
-      long quiet = quietUntil.getOrDefault(shard, clock.nanos());
-      homes.put(shard, new KeyHome(vm, body.path("incarnation").asLong(), position, quiet));
+      long quiet = servesFrom.getOrDefault(shard, clock.nanos());
+      owners.put(shard, new ShardOwner(vm, body.path("incarnation").asLong(), position, quiet));
     }
   }
 
@@ -160,7 +160,7 @@
    */
   private void handOver(Position position, JsonNode body) {
     Shard shard = new Shard(body.path("service").asText(), body.path("shard").asInt(-1));
-    KeyHome held = homes.get(shard);
+    ShardOwner held = owners.get(shard);
     String vm = body.path("vm").asText();
     if (held == null
         || vm.isEmpty()
@@ -171,21 +171,21 @@
       return;
     }
     long incarnation = body.path("incarnation").asLong();
-    homes.put(shard, new KeyHome(vm, incarnation, position, held.quietUntil()));
+    owners.put(shard, new ShardOwner(vm, incarnation, position, held.servesFrom()));
   }
 
   private void revoke(JsonNode body) {
     String vm = body.path("vm").asText();
     long incarnation = body.path("incarnation").asLong();
-    long quiet = clock.nanos() + KeyTerms.QUIET_NANOS;
-    homes
+    long quiet = clock.nanos() + KeyTimeouts.TAKEOVER_DELAY_NANOS;
+    owners
         .entrySet()
         .removeIf(
             entry -> {
-              KeyHome home = entry.getValue();
+              ShardOwner home = entry.getValue();
               boolean revoked = home.vm().equals(vm) && home.incarnation() == incarnation;
               if (revoked) {
-                quietUntil.put(entry.getKey(), quiet);
+                servesFrom.put(entry.getKey(), quiet);
               }
               return revoked;
             });
@@ -194,17 +194,17 @@
   @Override
   public synchronized JsonNode snapshot() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    homes.forEach(
+    owners.forEach(
         (shard, home) -> {
           ObjectNode node = all.addObject();
           node.put("service", shard.service()).put("shard", shard.number());
           node.put("vm", home.vm()).put("incarnation", home.incarnation());
           node.put("offset", home.claim().offset()).put("index", home.claim().index());
-          node.put("inherited", quietUntil.containsKey(shard));
+          node.put("inherited", servesFrom.containsKey(shard));
         });
-    quietUntil.forEach(
+    servesFrom.forEach(
         (shard, until) -> {
-          if (!homes.containsKey(shard)) {
+          if (!owners.containsKey(shard)) {
             ObjectNode node = all.addObject();
             node.put("service", shard.service()).put("shard", shard.number());
             node.put("inherited", true);
@@ -216,21 +216,22 @@
   /** Restores a snapshot; quiet times begin anew, since when they began elsewhere is not known. */
   @Override
   public synchronized void restore(JsonNode snapshot) {
-    homes.clear();
-    quietUntil.clear();
-    long quiet = clock.nanos() + KeyTerms.QUIET_NANOS;
+    owners.clear();
+    servesFrom.clear();
+    long quiet = clock.nanos() + KeyTimeouts.TAKEOVER_DELAY_NANOS;
     for (JsonNode node : snapshot) {
       Shard shard = new Shard(node.path("service").asText(), node.path("shard").asInt());
       boolean inherited = node.path("inherited").asBoolean();
       if (inherited) {
-        quietUntil.put(shard, quiet);
+        servesFrom.put(shard, quiet);
       }
       if (node.hasNonNull("vm")) {
         Position claim = new Position(node.path("offset").asLong(), node.path("index").asInt());
         long until = inherited ? quiet : clock.nanos();
-        homes.put(
+        owners.put(
             shard,
-            new KeyHome(node.path("vm").asText(), node.path("incarnation").asLong(), claim, until));
+            new ShardOwner(
+                node.path("vm").asText(), node.path("incarnation").asLong(), claim, until));
       }
     }
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/HomePlan.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardAssignment.java
@@ -16,8 +16,8 @@
  * targets, and a lost VM's shards spread over all others. Where entries see different targets their
  * proposals differ and the log decides. Shards stay where they are when targets come.
  */
-public final class HomePlan {
-  private HomePlan() {}
+public final class ShardAssignment {
+  private ShardAssignment() {}
 
   /**
    * Returns the shards of the service that lack a home, by the target that should claim them.
@@ -27,11 +27,11 @@
    * @param targets the targets that can be reached; leaving ones and those of other services are
    *     passed over
    */
-  public static Map<String, List<Integer>> claims(
+  public static Map<String, List<Integer>> proposeClaims(
       String service, Collection<Integer> held, Collection<TargetState> targets) {
     List<String> vms =
         targets.stream()
-            .filter(target -> target.service().equals(service) && !target.leaving())
+            .filter(target -> target.service().equals(service) && !target.draining())
             .map(TargetState::vm)
             .toList();
     Map<String, List<Integer>> claims = new TreeMap<>();
@@ -40,7 +40,7 @@
     }
     for (int shard = 0; shard < KeyShards.COUNT; shard++) {
       if (!held.contains(shard)) {
-        String vm = strongest(vms, service, shard);
+        String vm = highestWeighted(vms, service, shard);
         claims.computeIfAbsent(vm, name -> new ArrayList<>()).add(shard);
       }
     }
@@ -58,7 +58,7 @@
   public static Optional<TargetState> successor(
       String service, int shard, String from, Collection<TargetState> targets) {
     return targets.stream()
-        .filter(target -> target.service().equals(service) && !target.leaving())
+        .filter(target -> target.service().equals(service) && !target.draining())
         .filter(target -> !target.vm().equals(from))
         .max(Comparator.comparingLong(target -> KeyShards.weight(target.vm(), service, shard)));
   }
@@ -76,7 +76,7 @@
     return heard >= missing;
   }
 
-  private static String strongest(List<String> vms, String service, int shard) {
+  private static String highestWeighted(List<String> vms, String service, int shard) {
     String best = vms.get(0);
     for (String vm : vms) {
       if (KeyShards.weight(vm, service, shard) > KeyShards.weight(best, service, shard)) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardLeases.java
@@ -16,7 +16,7 @@
  * successor begins. Confined to one thread; times are nanoseconds of one monotonic clock.
  */
 public final class ShardLeases {
-  private record Lease(Position claim, long validUntil, long quietUntil) {}
+  private record Lease(Position claim, long validUntil, long servesFrom) {}
 
   private final Map<Integer, Lease> leases = new HashMap<>();
 
@@ -32,16 +32,16 @@
    * @param quietUntil until when a predecessor's keys may matter; of several entries' words the
    *     earliest counts, since each by itself is safe
    */
-  public void vouched(int shard, Position claim, long vouchedAt, long quietUntil) {
+  public void confirmed(int shard, Position claim, long vouchedAt, long quietUntil) {
     Lease known = leases.get(shard);
     if (known != null && known.claim().compareTo(claim) > 0) {
       return;
     }
-    long validUntil = vouchedAt + KeyTerms.LEASE_NANOS;
+    long validUntil = vouchedAt + KeyTimeouts.LEASE_NANOS;
     long quiet = quietUntil;
     if (known != null && known.claim().equals(claim)) {
       validUntil = later(known.validUntil(), validUntil);
-      quiet = known.quietUntil() - quiet <= 0 ? known.quietUntil() : quiet;
+      quiet = known.servesFrom() - quiet <= 0 ? known.servesFrom() : quiet;
     }
     leases.put(shard, new Lease(claim, validUntil, quiet));
   }
@@ -51,12 +51,12 @@
    * later while a predecessor's may matter, or empty where this process does not hold it by this
    * claim, for all it knows.
    */
-  public OptionalLong runsFrom(int shard, Position claim, long now) {
+  public OptionalLong servesFrom(int shard, Position claim, long now) {
     Lease lease = leases.get(shard);
     if (lease == null || !lease.claim().equals(claim) || lease.validUntil() - now <= 0) {
       return OptionalLong.empty();
     }
-    return OptionalLong.of(lease.quietUntil());
+    return OptionalLong.of(lease.servesFrom());
   }
 
   /** Returns the latest claim by which this process is known to have held each shard. */
@@ -65,7 +65,7 @@
   }
 
   /** Returns whether this process is known to have held the shard by a claim after the given. */
-  public boolean heldAfter(int shard, Position claim) {
+  public boolean hasLaterClaim(int shard, Position claim) {
     Lease lease = leases.get(shard);
     return lease != null && lease.claim().compareTo(claim) > 0;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/KeyHome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/idempotency/ShardOwner.java
@@ -10,12 +10,12 @@
  * @param vm the VM of the side process
  * @param incarnation the side process's incarnation
  * @param claim where the claim stands in the log; a later claim has a later position
- * @param quietUntil until when a predecessor's keys may matter, in nanoseconds of this process's
+ * @param servesFrom until when a predecessor's keys may matter, in nanoseconds of this process's
  *     monotonic clock; long past where there was none
  */
-public record KeyHome(String vm, long incarnation, Position claim, long quietUntil) {
+public record ShardOwner(String vm, long incarnation, Position claim, long servesFrom) {
   /** Checks the components. */
-  public KeyHome {
+  public ShardOwner {
     requireNonNull(vm, "vm");
     requireNonNull(claim, "claim");
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/VouchLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/ConfirmationLedger.java
@@ -18,7 +18,7 @@
  *
  * <p>Not safe for use by several threads.
  */
-public final class VouchLedger {
+public final class ConfirmationLedger {
   private static final int MAX_PENDING = 64;
 
   /**
@@ -27,29 +27,30 @@
    * @param vm the VM's name
    * @param bootIncarnation the worker's boot
    * @param processIncarnation the side process's start
-   * @param askedNanos the side process's clock when it asked
+   * @param requestedNanos the side process's clock when it asked
    */
-  public record Ask(String vm, long bootIncarnation, long processIncarnation, long askedNanos) {
+  public record Request(
+      String vm, long bootIncarnation, long processIncarnation, long requestedNanos) {
     /** Checks the components. */
-    public Ask {
+    public Request {
       requireNonNull(vm, "vm");
     }
   }
 
-  private final Map<String, Ask> latest = new HashMap<>();
-  private final TreeMap<Long, List<Ask>> pending = new TreeMap<>();
+  private final Map<String, Request> latest = new HashMap<>();
+  private final TreeMap<Long, List<Request>> pending = new TreeMap<>();
   private long nextHeartbeat;
 
   /** Creates an empty ledger. */
-  public VouchLedger() {}
+  public ConfirmationLedger() {}
 
   /** Keeps an ask; a later one of the same VM takes its place. */
-  public void asked(Ask ask) {
+  public void recordRequest(Request ask) {
     latest.put(ask.vm(), ask);
   }
 
   /** Forgets a VM that is gone. */
-  public void forget(String vm) {
+  public void remove(String vm) {
     latest.remove(vm);
   }
 
@@ -57,7 +58,7 @@
    * Notes that a heartbeat is about to be sent and returns its number. Must be called before the
    * append, never after.
    */
-  public long heartbeatLeaves() {
+  public long recordHeartbeatSent() {
     long number = nextHeartbeat;
     nextHeartbeat++;
     pending.put(number, List.copyOf(latest.values()));
@@ -72,8 +73,8 @@
    * Returns the asks that a heartbeat read back from the log bears out, and forgets it and earlier
    * ones.
    */
-  public List<Ask> heartbeatReadBack(long number) {
-    List<Ask> asks = pending.get(number);
+  public List<Request> confirmedBy(long number) {
+    List<Request> asks = pending.get(number);
     pending.headMap(number, true).clear();
     return asks == null ? List.of() : asks;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
@@ -13,7 +13,7 @@
 
   private final long processIncarnation;
   private long registration = -1;
-  private long provenNanos;
+  private long confirmedNanos;
 
   /**
    * Creates evidence of nothing.
@@ -44,20 +44,20 @@
    * @param askedNanos the reading of this process's clock that the evidence dates from
    * @param nowNanos this process's clock
    */
-  public Change vouched(long vouchedRegistration, long forProcess, long askedNanos, long nowNanos) {
+  public Change confirm(long vouchedRegistration, long forProcess, long askedNanos, long nowNanos) {
     boolean ours = forProcess == processIncarnation && askedNanos - nowNanos <= 0;
     if (!ours || vouchedRegistration < registration) {
       return Change.NONE;
     }
     if (vouchedRegistration > registration) {
       registration = vouchedRegistration;
-      provenNanos = askedNanos;
+      confirmedNanos = askedNanos;
       return Change.NEW_REGISTRATION;
     }
-    if (askedNanos - provenNanos <= 0) {
+    if (askedNanos - confirmedNanos <= 0) {
       return Change.NONE;
     }
-    provenNanos = askedNanos;
+    confirmedNanos = askedNanos;
     return Change.EXTENDED;
   }
 
@@ -67,12 +67,15 @@
   }
 
   /** Returns whether any vouch was taken in. */
-  public boolean known() {
+  public boolean isConfirmed() {
     return registration >= 0;
   }
 
-  /** Returns until when a lease of the given length lasts; meaningless unless {@link #known()}. */
+  /**
+   * Returns until when a lease of the given length lasts; meaningless unless {@link
+   * #isConfirmed()}.
+   */
   public long deadlineNanos(long leaseMillis) {
-    return provenNanos + leaseMillis * NANOS_PER_MILLI;
+    return confirmedNanos + leaseMillis * NANOS_PER_MILLI;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseTerms.java
@@ -20,7 +20,7 @@
   public static final LeaseTerms DEFAULT = new LeaseTerms(30_000, 120_000, 6_000);
 
   private static final long FIXED_MARGIN_MILLIS = 1_000;
-  private static final long DRIFT_PARTS = 100;
+  private static final long CLOCK_DRIFT_DIVISOR = 100;
 
   /** Checks the components. */
   public LeaseTerms {
@@ -45,7 +45,7 @@
    * surely over, in milliseconds: the lease, 1% for clocks that run at different speeds (crystals
    * differ by less than 0.1%), and a second for the worker to stop what runs.
    */
-  public static long surelyOverMillis(long leaseMillis) {
-    return leaseMillis + leaseMillis / DRIFT_PARTS + FIXED_MARGIN_MILLIS;
+  public static long maxRemainingMillis(long leaseMillis) {
+    return leaseMillis + leaseMillis / CLOCK_DRIFT_DIVISOR + FIXED_MARGIN_MILLIS;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/VmRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/CandidateVm.java
@@ -6,16 +6,19 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** One VM inside a {@link Fleet}: its state in the log, and what is about to be claimed on it. */
-public final class VmRoom {
+/**
+ * One VM inside a {@link FleetMedians}: its state in the log, and what is about to be claimed on
+ * it.
+ */
+public final class CandidateVm {
   private final VmState state;
   private final Function<Long, Map<String, Integer>> programsOn;
   private Map<String, Integer> programs;
   private Sizes free;
-  private Sizes kept = Sizes.NONE;
-  private String keptFor = "";
+  private Sizes reserved = Sizes.NONE;
+  private String reservedFor = "";
 
-  VmRoom(VmState state, Function<Long, Map<String, Integer>> programsOn) {
+  CandidateVm(VmState state, Function<Long, Map<String, Integer>> programsOn) {
     this.state = state;
     this.programsOn = programsOn;
     this.free = state.free();
@@ -33,22 +36,22 @@
 
   /** Returns the room left after what is about to be claimed or is kept for one urgent task. */
   public Sizes free() {
-    return free.minus(kept);
+    return free.minus(reserved);
   }
 
   /** Returns the room that the task may take: what is kept for it included. */
   public Sizes freeFor(String task) {
-    return keptFor.equals(task) ? free : free();
+    return reservedFor.equals(task) ? free : free();
   }
 
   /** Returns whether room is being freed here for an urgent task. */
-  public boolean preempting() {
-    return !keptFor.isEmpty();
+  public boolean isPreempting() {
+    return !reservedFor.isEmpty();
   }
 
-  void keep(String task, Sizes sizes) {
-    keptFor = task;
-    kept = sizes;
+  void reserveFor(String task, Sizes sizes) {
+    reservedFor = task;
+    reserved = sizes;
   }
 
   /** Returns how many tasks of each program are claimed there. */
@@ -60,7 +63,7 @@
   }
 
   /** Returns the largest share of one kind of resource that would be taken with the sizes added. */
-  double loadWith(Sizes sizes) {
+  double utilizationWith(Sizes sizes) {
     Sizes capacity = state.description().capacity();
     double processors =
         share(
@@ -73,7 +76,7 @@
     return Math.max(processors, memory);
   }
 
-  void take(String program, Sizes sizes) {
+  void allocate(String program, Sizes sizes) {
     free = free.minus(sizes);
     Map<String, Integer> after = new HashMap<>(programs());
     after.merge(program, 1, Integer::sum);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
@@ -18,8 +18,8 @@
  * use by several threads.
  */
 public final class Fleet {
-  private final List<VmRoom> rooms = new ArrayList<>();
-  private final Map<Long, VmRoom> byRegistration = new HashMap<>();
+  private final List<CandidateVm> candidates = new ArrayList<>();
+  private final Map<Long, CandidateVm> byRegistration = new HashMap<>();
   private Sizes capacity = Sizes.NONE;
   private Sizes reservedEach = Sizes.NONE;
   private int reservedCount;
@@ -42,26 +42,26 @@
       }
       capacity = capacity.plus(vm.description().capacity());
       if (usable.test(vm)) {
-        VmRoom room = new VmRoom(vm, programsOn);
-        rooms.add(room);
+        CandidateVm room = new CandidateVm(vm, programsOn);
+        candidates.add(room);
         byRegistration.put(vm.registration(), room);
       }
     }
   }
 
   /** Keeps the room of preemptions under way for the tasks that they are for. */
-  public void keep(List<Preemption> preemptions) {
+  public void reservePreempted(List<Preemption> preemptions) {
     for (Preemption preemption : preemptions) {
-      VmRoom room = byRegistration.get(preemption.registration());
+      CandidateVm room = byRegistration.get(preemption.registration());
       if (room != null) {
-        room.keep(preemption.task(), preemption.sizes());
+        room.reserveFor(preemption.task(), preemption.sizes());
       }
     }
   }
 
   /** Returns the VMs that may be given tasks, oldest registration first. */
-  public List<VmRoom> rooms() {
-    return rooms;
+  public List<CandidateVm> candidates() {
+    return candidates;
   }
 
   /** Returns what all VMs have together, those that may not be given tasks included. */
@@ -75,17 +75,17 @@
    * @param each the room that an open VM has at least
    * @param count how many VMs
    */
-  public void reserve(Sizes each, int count) {
+  public void reserveVms(Sizes each, int count) {
     reservedEach = each;
     reservedCount = each.equals(Sizes.NONE) ? 0 : count;
     open = 0;
-    for (VmRoom room : rooms) {
+    for (CandidateVm room : candidates) {
       open += isOpen(room.free()) ? 1 : 0;
     }
   }
 
   /** Returns whether work that is not urgent may take the sizes and leave enough VMs open. */
-  boolean leavesReserve(VmRoom room, Sizes sizes) {
+  boolean leavesReserve(CandidateVm room, Sizes sizes) {
     boolean closes = isOpen(room.free()) && !isOpen(room.free().minus(sizes));
     return reservedCount == 0 || !closes || open > reservedCount;
   }
@@ -96,7 +96,7 @@
 
   /** Returns what a VM has on average. */
   public Sizes meanCapacity() {
-    int vms = Math.max(1, rooms.size());
+    int vms = Math.max(1, candidates.size());
     return new Sizes(
         capacity.milliProcessors() / vms,
         capacity.memoryBytes() / vms,
@@ -104,11 +104,11 @@
   }
 
   /** Notes that a claim for the sizes is on its way to the log; unknown registrations pass. */
-  public void take(long registration, String program, Sizes sizes) {
-    VmRoom room = byRegistration.get(registration);
+  public void allocate(long registration, String program, Sizes sizes) {
+    CandidateVm room = byRegistration.get(registration);
     if (room != null) {
       boolean before = isOpen(room.free());
-      room.take(program, sizes);
+      room.allocate(program, sizes);
       open -= before && !isOpen(room.free()) ? 1 : 0;
     }
   }
@@ -117,7 +117,7 @@
    * Returns why the sizes fit no VM even if it were empty, or empty if they fit one. A fleet of
    * which no VM is known yet refuses nothing.
    */
-  public static Optional<String> whyNever(List<VmState> vms, Sizes sizes) {
+  public static Optional<String> infeasibilityReason(List<VmState> vms, Sizes sizes) {
     Sizes largest = Sizes.NONE;
     for (VmState vm : vms) {
       Sizes has = vm.description().capacity();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Interference.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Interference.java
@@ -23,11 +23,11 @@
   public static final String SERVICE = "service";
 
   /** How far one measurement moves a prediction; readings are noisy, so a fifth. */
-  private static final double RATE = 0.2;
+  private static final double LEARNING_RATE = 0.2;
 
-  private static final double FLOOR = 0.005;
-  private static final double LEAST_PRESENT = 1e-6;
-  private static final double MOST_EXCESS = 4;
+  private static final double MIN_WEIGHT = 0.005;
+  private static final double MIN_NORM = 1e-6;
+  private static final double MAX_EXCESS = 4;
   private static final int MAX_PROGRAMS = 1_024;
   private static final int MAX_NEIGHBOURS = 64;
 
@@ -51,20 +51,21 @@
    *     that was throttled, the sum for several
    * @param slowdown how much longer it took than alone, from 1
    */
-  public synchronized void measured(String program, Map<String, Double> present, double slowdown) {
+  public synchronized void recordMeasurement(
+      String program, Map<String, Double> present, double slowdown) {
     double norm = 0;
     for (double much : present.values()) {
       norm += much * much;
     }
-    if (norm < LEAST_PRESENT) {
+    if (norm < MIN_NORM) {
       return;
     }
     Map<String, Double> row = weights.computeIfAbsent(program, unused -> new HashMap<>());
-    double error = Math.min(MOST_EXCESS, Math.max(0, slowdown - 1)) - predicted(row, present);
+    double error = Math.min(MAX_EXCESS, Math.max(0, slowdown - 1)) - predict(row, present);
     for (Map.Entry<String, Double> neighbour : present.entrySet()) {
-      double step = RATE * error * neighbour.getValue() / Math.max(1, norm);
+      double step = LEARNING_RATE * error * neighbour.getValue() / Math.max(1, norm);
       double weight = row.getOrDefault(neighbour.getKey(), 0.0) + step;
-      if (weight < FLOOR) {
+      if (weight < MIN_WEIGHT) {
         row.remove(neighbour.getKey());
       } else if (row.size() < MAX_NEIGHBOURS || row.containsKey(neighbour.getKey())) {
         row.put(neighbour.getKey(), weight);
@@ -89,7 +90,7 @@
   /**
    * Returns what a program and each other one cost each other, those that cost nothing left out.
    */
-  public synchronized Map<String, Double> mutual(String program) {
+  public synchronized Map<String, Double> mutualCosts(String program) {
     Map<String, Double> costs = new HashMap<>();
     Map<String, Double> row = weights.get(program);
     if (row != null) {
@@ -105,7 +106,7 @@
     return costs;
   }
 
-  private static double predicted(Map<String, Double> row, Map<String, Double> present) {
+  private static double predict(Map<String, Double> row, Map<String, Double> present) {
     double sum = 0;
     for (Map.Entry<String, Double> neighbour : present.entrySet()) {
       sum += row.getOrDefault(neighbour.getKey(), 0.0) * neighbour.getValue();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/InterferenceCosts.java
@@ -12,13 +12,13 @@
  */
 public final class InterferenceCosts implements PlacementCosts {
   /** A neighbour that doubles the run time of either costs as much as one and a half full VMs. */
-  private static final double EXCESS_COST = 1.5;
+  private static final double SLOWDOWN_COST = 1.5;
 
   /** Tasks that slow the service by less are placed without regard to it. */
-  private static final double NOISY = 0.08;
+  private static final double MIN_SLOWDOWN = 0.08;
 
   /** The service of one VM is slowed by at most so much, unless by a single task. */
-  private static final double MOST_NOISE = 0.2;
+  private static final double MAX_TOTAL_SLOWDOWN = 0.2;
 
   private final Interference interference;
   private final Map<String, Map<String, Double>> mutualByProgram = new HashMap<>();
@@ -38,7 +38,7 @@
 
   @Override
   public void prepare(PlacementRequest request) {
-    mutual = mutualByProgram.computeIfAbsent(request.spec().program(), interference::mutual);
+    mutual = mutualByProgram.computeIfAbsent(request.spec().program(), interference::mutualCosts);
   }
 
   /**
@@ -47,9 +47,9 @@
    * wave that way came to 38% of the baseline's throughput).
    */
   @Override
-  public boolean bearable(PlacementRequest request, VmRoom room) {
+  public boolean isTolerable(PlacementRequest request, CandidateVm room) {
     double own = service.getOrDefault(request.spec().program(), 0.0);
-    if (own < NOISY) {
+    if (own < MIN_SLOWDOWN) {
       return true;
     }
     double there = 0;
@@ -57,11 +57,11 @@
       Integer count = room.programs().get(noise.getKey());
       there += count == null ? 0 : noise.getValue() * count;
     }
-    return there < NOISY || there + own <= MOST_NOISE;
+    return there < MIN_SLOWDOWN || there + own <= MAX_TOTAL_SLOWDOWN;
   }
 
   @Override
-  public double cost(PlacementRequest request, VmRoom room) {
+  public double cost(PlacementRequest request, CandidateVm room) {
     if (mutual.isEmpty()) {
       return 0;
     }
@@ -72,6 +72,6 @@
         excess += neighbour.getValue() * count;
       }
     }
-    return EXCESS_COST * excess;
+    return SLOWDOWN_COST * excess;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
@@ -14,10 +14,10 @@
   default void prepare(PlacementRequest request) {}
 
   /** Returns the cost, 0 for none. */
-  double cost(PlacementRequest request, VmRoom room);
+  double cost(PlacementRequest request, CandidateVm room);
 
   /** Returns whether the service beside can bear the task there. */
-  default boolean bearable(PlacementRequest request, VmRoom room) {
+  default boolean isTolerable(PlacementRequest request, CandidateVm room) {
     return true;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementDecision.java
@@ -7,26 +7,26 @@
   /**
    * Run it there.
    *
-   * @param room the VM
-   * @param why the grounds, for people
+   * @param candidate the VM
+   * @param reason the grounds, for people
    */
-  record Chosen(VmRoom room, String why) implements PlacementDecision {
+  record Chosen(CandidateVm candidate, String reason) implements PlacementDecision {
     /** Checks the components. */
     public Chosen {
-      requireNonNull(room, "room");
-      requireNonNull(why, "why");
+      requireNonNull(candidate, "room");
+      requireNonNull(reason, "why");
     }
   }
 
   /**
    * Let it wait.
    *
-   * @param why the grounds, for people
+   * @param reason the grounds, for people
    */
-  record NoRoom(String why) implements PlacementDecision {
+  record NoCapacity(String reason) implements PlacementDecision {
     /** Checks the components. */
-    public NoRoom {
-      requireNonNull(why, "why");
+    public NoCapacity {
+      requireNonNull(reason, "why");
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
@@ -16,10 +16,10 @@
  */
 public final class Placer {
   /** Each of the job's tasks in the same rack or zone costs as much as a quarter of a VM's load. */
-  private static final double SAME_GROUP = 0.25;
+  private static final double SAME_GROUP_COST = 0.25;
 
   /** An accelerator held back from tasks that need one costs as much as a whole VM's load. */
-  private static final double WASTED_ACCELERATORS = 1;
+  private static final double ACCELERATOR_WASTE_COST = 1;
 
   /** Keeps entries that decide at once on one view from all choosing the same VM. */
   private static final double JITTER = 0.02;
@@ -50,16 +50,16 @@
   /** Returns where the task should run, without noting it in the fleet. */
   public PlacementDecision place(PlacementRequest request, Fleet fleet) {
     costs.prepare(request);
-    VmRoom best = null;
+    CandidateVm best = null;
     double bestCost = Double.POSITIVE_INFINITY;
     long salt = random.nextLong();
-    boolean elsewhere = fitsWhereItDidNotFail(request, fleet);
-    for (VmRoom room : fleet.rooms()) {
-      boolean avoided = elsewhere && failedOn(request, room);
+    boolean elsewhere = fitsOnOtherVm(request, fleet);
+    for (CandidateVm room : fleet.candidates()) {
+      boolean avoided = elsewhere && hasFailedOn(request, room);
       if (avoided || !request.sizes().fitsIn(room.freeFor(request.task().name()))) {
         continue;
       }
-      if (!request.spec().urgent() && !mayTake(request, room, fleet)) {
+      if (!request.spec().urgent() && !isAllowed(request, room, fleet)) {
         continue;
       }
       double cost = cost(request, room) + jitter(room, salt);
@@ -69,10 +69,11 @@
       }
     }
     if (best == null) {
-      return new PlacementDecision.NoRoom(whyNone(request, fleet));
+      return new PlacementDecision.NoCapacity(rejectionReason(request, fleet));
     }
     String why =
-        String.format(Locale.ROOT, "cheapest of %d VMs, cost %.2f", fleet.rooms().size(), bestCost);
+        String.format(
+            Locale.ROOT, "cheapest of %d VMs, cost %.2f", fleet.candidates().size(), bestCost);
     return new PlacementDecision.Chosen(best, why);
   }
 
@@ -81,52 +82,52 @@
    * that fails all it is given is always empty; were its VM merely dearer, tasks would go back to
    * it whenever the others are full, and use up their attempts there.
    */
-  private static boolean fitsWhereItDidNotFail(PlacementRequest request, Fleet fleet) {
+  private static boolean fitsOnOtherVm(PlacementRequest request, Fleet fleet) {
     if (request.task().failedVms().isEmpty()) {
       return true;
     }
-    for (VmRoom room : fleet.rooms()) {
+    for (CandidateVm room : fleet.candidates()) {
       Sizes capacity = room.state().description().capacity();
-      if (!failedOn(request, room) && request.sizes().fitsIn(capacity)) {
+      if (!hasFailedOn(request, room) && request.sizes().fitsIn(capacity)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean mayTake(PlacementRequest request, VmRoom room, Fleet fleet) {
-    return fleet.leavesReserve(room, request.sizes()) && costs.bearable(request, room);
+  private boolean isAllowed(PlacementRequest request, CandidateVm room, Fleet fleet) {
+    return fleet.leavesReserve(room, request.sizes()) && costs.isTolerable(request, room);
   }
 
-  private static boolean failedOn(PlacementRequest request, VmRoom room) {
+  private static boolean hasFailedOn(PlacementRequest request, CandidateVm room) {
     return request.task().failedVms().contains(room.vm());
   }
 
   /** Returns a small random cost; a hash, because a random number for every VM costs more. */
-  private static double jitter(VmRoom room, long salt) {
+  private static double jitter(CandidateVm room, long salt) {
     long mixed = (room.state().registration() ^ salt) * MIXER;
     return JITTER * (mixed >>> HASH_SHIFT) / HASH_RANGE;
   }
 
-  private double cost(PlacementRequest request, VmRoom room) {
-    double cost = room.loadWith(request.sizes());
+  private double cost(PlacementRequest request, CandidateVm room) {
+    double cost = room.utilizationWith(request.sizes());
     Spread spread = request.spec().spread();
     if (spread != Spread.NONE) {
       String group = spread.groupOf(room.state().description());
-      cost += SAME_GROUP * request.inGroup().getOrDefault(group, 0);
+      cost += SAME_GROUP_COST * request.inGroup().getOrDefault(group, 0);
     }
     if (request.sizes().accelerators() == 0
         && room.state().description().capacity().accelerators() > 0) {
-      cost += WASTED_ACCELERATORS;
+      cost += ACCELERATOR_WASTE_COST;
     }
     return cost + costs.cost(request, room);
   }
 
-  private static String whyNone(PlacementRequest request, Fleet fleet) {
-    if (fleet.rooms().isEmpty()) {
+  private static String rejectionReason(PlacementRequest request, Fleet fleet) {
+    if (fleet.candidates().isEmpty()) {
       return "no VM may be given tasks now";
     }
     return "no VM of %d has room for %s that is not kept for urgent work or for a quiet service"
-        .formatted(fleet.rooms().size(), request.sizes());
+        .formatted(fleet.candidates().size(), request.sizes());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
@@ -22,10 +22,10 @@
  */
 public final class SizeEstimates {
   /** Programs are believed after so many measurements. */
-  static final int BELIEVED_AFTER = 5;
+  static final int MIN_MEASUREMENTS = 5;
 
   private static final int MAX_PROGRAMS = 4_096;
-  private static final double FALLING = 0.05;
+  private static final double FALL_RATE = 0.05;
 
   /** Booked beyond the measured processors, up to what was declared. */
   private static final double PROCESSOR_PERCENT = 115;
@@ -34,7 +34,7 @@
   private static final double MEMORY_PERCENT = 110;
 
   /** However little was measured, a task is booked at this part of what it declared. */
-  private static final double LEAST_PART = 0.1;
+  private static final double MIN_DECLARED_FRACTION = 0.1;
 
   private static final class Estimate {
     private double milliProcessors;
@@ -54,24 +54,24 @@
   public SizeEstimates() {}
 
   /** Takes in what a task of a program was measured to use. */
-  public synchronized void measured(String program, Sizes used) {
+  public synchronized void recordUsage(String program, Sizes used) {
     requireNonNull(used, "used");
     Estimate estimate = byProgram.computeIfAbsent(program, unused -> new Estimate());
     estimate.milliProcessors = follow(estimate.milliProcessors, (double) used.milliProcessors());
     estimate.memoryBytes = follow(estimate.memoryBytes, (double) used.memoryBytes());
-    estimate.measurements = Math.min(BELIEVED_AFTER, estimate.measurements + 1);
+    estimate.measurements = Math.min(MIN_MEASUREMENTS, estimate.measurements + 1);
   }
 
   /** Returns what to book for a task of the job. */
   public synchronized Sizes booking(JobSpec spec) {
     Sizes declared = spec.sizes();
     Estimate estimate = byProgram.get(Programs.of(spec.team(), spec.command()));
-    if (estimate == null || estimate.measurements < BELIEVED_AFTER) {
+    if (estimate == null || estimate.measurements < MIN_MEASUREMENTS) {
       return declared;
     }
     double mostProcessors = Math.max((double) declared.milliProcessors(), estimate.milliProcessors);
     double wanted = estimate.milliProcessors * PROCESSOR_PERCENT / 100;
-    double least = declared.milliProcessors() * LEAST_PART;
+    double least = declared.milliProcessors() * MIN_DECLARED_FRACTION;
     double processors = Math.max(least, Math.min(mostProcessors, wanted));
     boolean larger = estimate.memoryBytes > declared.memoryBytes();
     double memory =
@@ -81,6 +81,6 @@
   }
 
   private static double follow(double estimate, double measured) {
-    return measured >= estimate ? measured : estimate + FALLING * (measured - estimate);
+    return measured >= estimate ? measured : estimate + FALL_RATE * (measured - estimate);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
@@ -17,34 +17,34 @@
  */
 public final class UrgentReserve {
   /** Urgent tasks seen this long ago, in milliseconds, still count: they come in series. */
-  static final long REMEMBERED_MILLIS = 600_000;
+  static final long RETENTION_MILLIS = 600_000;
 
   /** Room for a job of two tasks and one more that comes before they end. */
-  private static final int LEAST_VMS = 3;
+  private static final int MIN_VMS = 3;
 
   /**
    * Of a large fleet one VM in fifty: 15 of 770, which at 90 starts a second, a twentieth of them
    * urgent, is what starts in three seconds.
    */
-  private static final int VMS_PER_OPEN_ONE = 50;
+  private static final int FLEET_VMS_PER_RESERVED_VM = 50;
 
-  private static final int PARTS_OF_A_VM = 4;
+  private static final int MAX_SHARE_DIVISOR = 4;
 
-  private Sizes recent = Sizes.NONE;
-  private Sizes before = Sizes.NONE;
-  private long recentSince;
-  private long urgentUntil = Long.MIN_VALUE;
+  private Sizes currentMax = Sizes.NONE;
+  private Sizes previousMax = Sizes.NONE;
+  private long currentSinceMillis;
+  private long activeUntilMillis = Long.MIN_VALUE;
 
   /** Creates a reserve that has seen no urgent task. */
   public UrgentReserve() {}
 
   /** Takes in what is booked for a waiting task. */
-  public void seen(Sizes sizes, boolean urgent, long nowMillis) {
+  public void observe(Sizes sizes, boolean urgent, long nowMillis) {
     requireNonNull(sizes, "sizes");
-    roll(nowMillis);
-    recent = recent.max(sizes);
+    rotate(nowMillis);
+    currentMax = currentMax.max(sizes);
     if (urgent) {
-      urgentUntil = nowMillis + 2 * REMEMBERED_MILLIS;
+      activeUntilMillis = nowMillis + 2 * RETENTION_MILLIS;
     }
   }
 
@@ -53,28 +53,29 @@
    *
    * @param mean what a VM of the fleet has on average
    */
-  public Sizes each(Sizes mean, long nowMillis) {
-    roll(nowMillis);
-    if (nowMillis >= urgentUntil) {
+  public Sizes perVm(Sizes mean, long nowMillis) {
+    rotate(nowMillis);
+    if (nowMillis >= activeUntilMillis) {
       return Sizes.NONE;
     }
-    Sizes largest = recent.max(before);
+    Sizes largest = currentMax.max(previousMax);
     return new Sizes(
-        Math.min(largest.milliProcessors(), mean.milliProcessors() / PARTS_OF_A_VM),
-        Math.min(largest.memoryBytes(), mean.memoryBytes() / PARTS_OF_A_VM),
+        Math.min(largest.milliProcessors(), mean.milliProcessors() / MAX_SHARE_DIVISOR),
+        Math.min(largest.memoryBytes(), mean.memoryBytes() / MAX_SHARE_DIVISOR),
         0);
   }
 
   /** Returns how many VMs of a fleet are kept open. */
-  public int count(int vms) {
-    return Math.max(LEAST_VMS, vms / VMS_PER_OPEN_ONE);
+  public int vmCount(int vms) {
+    return Math.max(MIN_VMS, vms / FLEET_VMS_PER_RESERVED_VM);
   }
 
-  private void roll(long nowMillis) {
-    if (nowMillis - recentSince >= REMEMBERED_MILLIS) {
-      before = nowMillis - recentSince >= 2 * REMEMBERED_MILLIS ? Sizes.NONE : recent;
-      recent = Sizes.NONE;
-      recentSince = nowMillis;
+  private void rotate(long nowMillis) {
+    if (nowMillis - currentSinceMillis >= RETENTION_MILLIS) {
+      previousMax =
+          nowMillis - currentSinceMillis >= 2 * RETENTION_MILLIS ? Sizes.NONE : currentMax;
+      currentMax = Sizes.NONE;
+      currentSinceMillis = nowMillis;
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearning.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
@@ -13,13 +13,13 @@
  *
  * <p>Safe for any thread.
  */
-public final class UsageLearning {
+public final class UsageLearner {
   private static final int MAX_VMS = 4_096;
 
   /** How fast the undisturbed pressure of a service follows a lower reading, and a higher one. */
-  private static final double FALLING = 0.2;
+  private static final double FALL_RATE = 0.2;
 
-  private static final double RISING = 0.01;
+  private static final double RISE_RATE = 0.01;
 
   /**
    * One task of a report.
@@ -27,11 +27,11 @@
    * @param program what it runs
    * @param used what it used, or {@link Sizes#NONE} if that was not told
    * @param slowdown how much longer its work took than alone, or 0 if that was not told
-   * @param present how much of its processors the guard let it use, 0 to 1
+   * @param activeShare how much of its processors the guard let it use, 0 to 1
    */
-  public record Measured(String program, Sizes used, double slowdown, double present) {
+  public record TaskMeasurement(String program, Sizes used, double slowdown, double activeShare) {
     /** Checks the components. */
-    public Measured {
+    public TaskMeasurement {
       requireNonNull(program, "program");
       requireNonNull(used, "used");
     }
@@ -39,7 +39,7 @@
 
   private final SizeEstimates estimates;
   private final Interference interference;
-  private final Map<String, Double> undisturbed =
+  private final Map<String, Double> basePressure =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
@@ -48,7 +48,7 @@
       };
 
   /** Creates learning into the given tables. */
-  public UsageLearning(SizeEstimates estimates, Interference interference) {
+  public UsageLearner(SizeEstimates estimates, Interference interference) {
     this.estimates = requireNonNull(estimates, "estimates");
     this.interference = requireNonNull(interference, "interference");
   }
@@ -60,36 +60,36 @@
    * @param tasks all tasks on it
    * @param pressure its service's tail latency as a multiple of the goal; 0 if that was not told
    */
-  public synchronized void report(String vm, List<Measured> tasks, double pressure) {
+  public synchronized void report(String vm, List<TaskMeasurement> tasks, double pressure) {
     Map<String, Double> present = new HashMap<>();
-    tasks.forEach(task -> present.merge(task.program(), task.present(), Double::sum));
-    for (Measured task : tasks) {
+    tasks.forEach(task -> present.merge(task.program(), task.activeShare(), Double::sum));
+    for (TaskMeasurement task : tasks) {
       learn(task, present);
     }
     if (pressure > 0) {
-      interference.measured(Interference.SERVICE, present, slowdown(vm, pressure));
+      interference.recordMeasurement(Interference.SERVICE, present, slowdown(vm, pressure));
     }
   }
 
-  private void learn(Measured task, Map<String, Double> present) {
-    boolean told = !task.used().equals(Sizes.NONE) && task.present() > 0;
+  private void learn(TaskMeasurement task, Map<String, Double> present) {
+    boolean told = !task.used().equals(Sizes.NONE) && task.activeShare() > 0;
     if (told) {
-      long free = (long) (task.used().milliProcessors() / task.present());
-      estimates.measured(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
+      long free = (long) (task.used().milliProcessors() / task.activeShare());
+      estimates.recordUsage(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
     }
     if (task.slowdown() > 0) {
       Map<String, Double> others = new HashMap<>(present);
-      others.merge(task.program(), -task.present(), Double::sum);
+      others.merge(task.program(), -task.activeShare(), Double::sum);
       others.values().removeIf(much -> much <= 0);
-      interference.measured(task.program(), others, task.slowdown());
+      interference.recordMeasurement(task.program(), others, task.slowdown());
     }
   }
 
   /** Returns how much longer the service takes than in its quieter moments on this VM. */
   private double slowdown(String vm, double pressure) {
-    double base = undisturbed.getOrDefault(vm, pressure);
-    base += (pressure < base ? FALLING : RISING) * (pressure - base);
-    undisturbed.put(vm, base);
+    double base = basePressure.getOrDefault(vm, pressure);
+    base += (pressure < base ? FALL_RATE : RISE_RATE) * (pressure - base);
+    basePressure.put(vm, base);
     return base <= 0 ? 1 : pressure / base;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/WorkerHealth.java
@@ -25,10 +25,10 @@
   static final long HALF_LIFE_MILLIS = 600_000;
 
   /** So many failures must count against a VM; two may be chance. */
-  private static final double LEAST_FAILURES = 2.5;
+  private static final double MIN_FAILURES = 2.5;
 
-  private static final long FIRST_BACK_OFF_MILLIS = 30_000;
-  private static final long LONGEST_BACK_OFF_MILLIS = 3_600_000;
+  private static final long INITIAL_BACKOFF_MILLIS = 30_000;
+  private static final long MAX_BACKOFF_MILLIS = 3_600_000;
   private static final int MAX_JOBS = 32;
   private static final int MAX_SUCCEEDED = 4_096;
 
@@ -38,10 +38,10 @@
     private double successes;
     private long countedMillis;
     private long backOffMillis;
-    private long apartUntilMillis;
-    private boolean onTrial;
+    private long quarantinedUntilMillis;
+    private boolean onProbation;
 
-    private void fade(long nowMillis) {
+    private void decay(long nowMillis) {
       double factor = Math.pow(0.5, (double) (nowMillis - countedMillis) / HALF_LIFE_MILLIS);
       failures *= factor;
       successes *= factor;
@@ -74,13 +74,13 @@
    * @param success whether it ended with success
    * @param nowMillis the time, in milliseconds of any steady clock
    */
-  public synchronized void ended(String vm, String job, boolean success, long nowMillis) {
+  public synchronized void recordEnd(String vm, String job, boolean success, long nowMillis) {
     Counts record = records.computeIfAbsent(vm, unused -> newCounts(nowMillis));
-    record.fade(nowMillis);
+    record.decay(nowMillis);
     if (success) {
       record.successes++;
       succeeded.put(job, Boolean.TRUE);
-      record.onTrial = false;
+      record.onProbation = false;
       record.backOffMillis = 0;
       return;
     }
@@ -88,21 +88,21 @@
     if (firstOfJob || succeeded.containsKey(job)) {
       record.failures++;
     }
-    if (record.onTrial || stands(vm, record, nowMillis)) {
-      setApart(record, nowMillis);
+    if (record.onProbation || isOutlier(vm, record, nowMillis)) {
+      quarantine(record, nowMillis);
     }
   }
 
   /** Returns whether the VM may be given a task, when so many already run or are claimed there. */
-  public synchronized boolean usable(String vm, int tasks, long nowMillis) {
+  public synchronized boolean isUsable(String vm, int tasks, long nowMillis) {
     Counts record = records.get(vm);
-    if (record == null || record.apartUntilMillis == 0) {
+    if (record == null || record.quarantinedUntilMillis == 0) {
       return true;
     }
-    if (nowMillis < record.apartUntilMillis) {
+    if (nowMillis < record.quarantinedUntilMillis) {
       return false;
     }
-    if (record.onTrial) {
+    if (record.onProbation) {
       return tasks == 0;
     }
     return true;
@@ -119,25 +119,25 @@
     return record;
   }
 
-  private static void setApart(Counts record, long nowMillis) {
+  private static void quarantine(Counts record, long nowMillis) {
     record.backOffMillis =
         record.backOffMillis == 0
-            ? FIRST_BACK_OFF_MILLIS
-            : Math.min(LONGEST_BACK_OFF_MILLIS, 2 * record.backOffMillis);
-    record.apartUntilMillis = nowMillis + record.backOffMillis;
-    record.onTrial = true;
+            ? INITIAL_BACKOFF_MILLIS
+            : Math.min(MAX_BACKOFF_MILLIS, 2 * record.backOffMillis);
+    record.quarantinedUntilMillis = nowMillis + record.backOffMillis;
+    record.onProbation = true;
   }
 
   /** Returns whether the VM stands out from the others, itself left out of their rate. */
-  private boolean stands(String vm, Counts record, long nowMillis) {
-    if (record.failures < LEAST_FAILURES) {
+  private boolean isOutlier(String vm, Counts record, long nowMillis) {
+    if (record.failures < MIN_FAILURES) {
       return false;
     }
     double failures = 0;
     double ends = 0;
     for (Map.Entry<String, Counts> other : records.entrySet()) {
       if (!other.getKey().equals(vm)) {
-        other.getValue().fade(nowMillis);
+        other.getValue().decay(nowMillis);
         failures += other.getValue().failures;
         ends += other.getValue().failures + other.getValue().successes;
       }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Route.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Route.java
@@ -22,7 +22,7 @@
     /** The less loaded of some targets with a free slot anywhere, for the own zone is busy. */
     ANY_ZONE("own zone busy, less loaded elsewhere"),
     /** No slot is free; the request waits beside the target for the next one. */
-    WAITING_PLACE("all slots busy, place to wait"),
+    TARGET_QUEUE("all slots busy, place to wait"),
     /** The target was slow or failing, and is tried with this request. */
     PROBE("probe of an eased-off target");
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.routing;
 
 import io.marigoldsail.dispatch.TargetLoad;
-import io.marigoldsail.dispatch.WaitingRoom;
+import io.marigoldsail.dispatch.TargetQueueLimit;
 import java.util.ArrayDeque;
 import java.util.Deque;
 
@@ -23,9 +23,9 @@
  * <p>Load pattern: reports are late. An old report less this entry's present requests is wrong by
  * all that changed since, and limits that follow it swing: three entries with reports a second old
  * sent each request five times. So the estimate moves towards a report by the time since the last
- * one, {@link #DAMPING_NANOS} for most of the way, which evens out ten answers of a busy entry and
- * believes the announcements of a quiet one; and each time a target turns a request away, the entry
- * waits twice as long before it sends another.
+ * one, {@link #REPORT_TIME_CONSTANT_NANOS} for most of the way, which evens out ten answers of a
+ * busy entry and believes the announcements of a quiet one; and each time a target turns a request
+ * away, the entry waits twice as long before it sends another.
  *
  * <p>Not safe for use by several threads.
  */
@@ -35,26 +35,26 @@
    * round trip was quicker. Without that, all that an entry has at a target which answers within a
    * millisecond counted as others', and the entry kept half the slots empty.
    */
-  static final long IN_FLIGHT_NANOS = 1_000_000L;
+  static final long MAX_REPORT_LAG_NANOS = 1_000_000L;
 
   /** How long a target that turned a request away is not sent more, unless it reports room. */
-  static final long TURNED_AWAY_NANOS = 3_000_000L;
+  static final long REJECTION_BACKOFF_NANOS = 3_000_000L;
 
   private static final int MAX_DOUBLINGS = 5;
 
   /** A report moves the estimate of what others use by how long it is since the last. */
-  private static final double DAMPING_NANOS = 150_000_000;
+  private static final double REPORT_TIME_CONSTANT_NANOS = 150_000_000;
 
   private static final long NEVER = Long.MIN_VALUE;
 
   private final Deque<Long> recentSends = new ArrayDeque<>();
   private int slots;
-  private long inFlightNanos = IN_FLIGHT_NANOS;
-  private int own;
-  private double others;
+  private long reportLagNanos = MAX_REPORT_LAG_NANOS;
+  private int ownInFlight;
+  private double othersInFlight;
   private int entries = 1;
-  private int turnedAwayInARow;
-  private long heldUntil = NEVER;
+  private int consecutiveRejections;
+  private long backoffUntil = NEVER;
   private long reportedAt = NEVER;
 
   SlotShare(int slots) {
@@ -65,39 +65,41 @@
     slots = newSlots;
   }
 
-  void sent(long now) {
-    own++;
+  void attemptSent(long now) {
+    ownInFlight++;
     recentSends.addLast(now);
-    forgetSendsBefore(now - inFlightNanos);
+    dropSendsBefore(now - reportLagNanos);
   }
 
-  void ended() {
-    own = Math.max(0, own - 1);
+  void attemptEnded() {
+    ownInFlight = Math.max(0, ownInFlight - 1);
   }
 
   /** Takes note that a request found its place, so that there may be room for more. */
-  void tookOne() {
-    turnedAwayInARow = 0;
-    ended();
+  void attemptAccepted() {
+    consecutiveRejections = 0;
+    attemptEnded();
   }
 
-  void turnedAway(long now) {
-    ended();
-    heldUntil = now + (TURNED_AWAY_NANOS << Math.min(turnedAwayInARow, MAX_DOUBLINGS));
-    turnedAwayInARow++;
-    others = Math.max(others, slots + WaitingRoom.placesFor(slots) - own);
+  void attemptRejected(long now) {
+    attemptEnded();
+    backoffUntil =
+        now + (REJECTION_BACKOFF_NANOS << Math.min(consecutiveRejections, MAX_DOUBLINGS));
+    consecutiveRejections++;
+    othersInFlight =
+        Math.max(othersInFlight, slots + TargetQueueLimit.forSlots(slots) - ownInFlight);
   }
 
   /** Takes note how long a request was out that was answered. */
-  void answeredWithin(long nanos) {
-    inFlightNanos = Math.min(inFlightNanos, nanos);
+  void recordRoundTrip(long nanos) {
+    reportLagNanos = Math.min(reportLagNanos, nanos);
   }
 
-  void reported(TargetLoad load, long now) {
-    forgetSendsBefore(now - inFlightNanos);
-    int seenOfOwn = Math.max(0, own - recentSends.size());
+  void loadReported(TargetLoad load, long now) {
+    dropSendsBefore(now - reportLagNanos);
+    int seenOfOwn = Math.max(0, ownInFlight - recentSends.size());
     int seenOfOthers = Math.max(0, load.inFlight() + load.waiting() - seenOfOwn);
-    others += (seenOfOthers - others) * reportWeight(now);
+    othersInFlight += (seenOfOthers - othersInFlight) * reportWeight(now);
     reportedAt = now;
     entries = Math.max(1, load.entries());
   }
@@ -106,46 +108,46 @@
     if (reportedAt == NEVER) {
       return 1;
     }
-    return 1 - Math.exp((reportedAt - now) / DAMPING_NANOS);
+    return 1 - Math.exp((reportedAt - now) / REPORT_TIME_CONSTANT_NANOS);
   }
 
-  private void forgetSendsBefore(long time) {
+  private void dropSendsBefore(long time) {
     while (!recentSends.isEmpty() && recentSends.peekFirst() < time) {
       recentSends.removeFirst();
     }
   }
 
-  int own() {
-    return own;
+  int ownInFlight() {
+    return ownInFlight;
   }
 
   int slots() {
     return slots;
   }
 
-  double inUse() {
-    return own + others;
+  double estimatedInFlight() {
+    return ownInFlight + othersInFlight;
   }
 
   double loadRatio() {
-    return inUse() / slots;
+    return estimatedInFlight() / slots;
   }
 
   /** Returns whether a request sent now would likely find a free slot. */
   boolean hasFreeSlot(long now) {
-    return now >= heldUntil && inUse() < slots;
+    return now >= backoffUntil && estimatedInFlight() < slots;
   }
 
   /** Returns whether a request may be sent now, to a free slot or to a place to wait. */
-  boolean hasPlace(long now) {
-    if (now < heldUntil) {
+  boolean hasQueueCapacity(long now) {
+    if (now < backoffUntil) {
       return false;
     }
-    int aim = slots + (WaitingRoom.placesFor(slots) + 1) / 2;
-    if (own < fairShare(aim)) {
-      return own == 0 || inUse() < aim;
+    int aim = slots + (TargetQueueLimit.forSlots(slots) + 1) / 2;
+    if (ownInFlight < fairShare(aim)) {
+      return ownInFlight == 0 || estimatedInFlight() < aim;
     }
-    return inUse() < aim - 1;
+    return estimatedInFlight() < aim - 1;
   }
 
   private int fairShare(int aim) {
@@ -153,12 +155,12 @@
   }
 
   /** Returns this entry's even part of the slots and of one waiting place; all if it is alone. */
-  double evenPart() {
+  double evenShare() {
     return entries == 1 ? Double.POSITIVE_INFINITY : (slots + 1.0) / entries;
   }
 
   /** Returns until when a target that turned a request away is left alone. */
-  long heldUntil() {
-    return heldUntil;
+  long backoffUntil() {
+    return backoffUntil;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlowStart.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlowStart.java
@@ -18,12 +18,12 @@
     this.startedAt = startedAt;
   }
 
-  static SlowStart at(long now) {
+  static SlowStart startingAt(long now) {
     return new SlowStart(now);
   }
 
   /** Returns a ramp that is over, for targets that were there before this entry. */
-  static SlowStart over(long now) {
+  static SlowStart completed(long now) {
     return new SlowStart(now - RAMP_NANOS);
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Target.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Target.java
@@ -4,26 +4,26 @@
 
 /** What this entry knows of one target. Confined to the thread of its {@link Router}. */
 final class Target {
-  private final SlotShare share;
+  private final SlotShare slotShare;
   private final TargetHealth health = new TargetHealth();
   private final long createdAt;
   private TargetState state;
   private SlowStart slowStart;
-  private boolean leaving;
+  private boolean draining;
   private long nextProbe;
 
   Target(TargetState state, SlowStart slowStart, long createdAt) {
     this.createdAt = createdAt;
     this.state = state;
     this.slowStart = slowStart;
-    this.leaving = state.leaving();
-    this.share = new SlotShare(state.slots());
+    this.draining = state.draining();
+    this.slotShare = new SlotShare(state.slots());
   }
 
   void update(TargetState newState) {
     state = newState;
-    leaving = newState.leaving();
-    share.resize(newState.slots());
+    draining = newState.draining();
+    slotShare.resize(newState.slots());
   }
 
   long createdAt() {
@@ -34,25 +34,27 @@
     return state;
   }
 
-  SlotShare share() {
-    return share;
+  SlotShare slotShare() {
+    return slotShare;
   }
 
   TargetHealth health() {
     return health;
   }
 
-  void markLeaving() {
-    leaving = true;
+  void markDraining() {
+    draining = true;
   }
 
-  void restart(long now) {
-    slowStart = SlowStart.at(now);
+  void restartSlowStart(long now) {
+    slowStart = SlowStart.startingAt(now);
   }
 
   /** Returns whether ordinary requests may go there, if it has a place. */
-  boolean isOpen(long now) {
-    return !leaving && !health.isEased() && share.own() < slowStart.limit(share.slots(), now);
+  boolean isAvailable(long now) {
+    return !draining
+        && !health.isEjected()
+        && slotShare.ownInFlight() < slowStart.limit(slotShare.slots(), now);
   }
 
   /**
@@ -61,10 +63,10 @@
    * had recovered without requests for a quarter of a minute.
    */
   boolean isDueForProbe(long now) {
-    return !leaving && health.isEased() && now >= nextProbe && share.hasFreeSlot(now);
+    return !draining && health.isEjected() && now >= nextProbe && slotShare.hasFreeSlot(now);
   }
 
-  void probeNotBefore(long time) {
+  void setNextProbe(long time) {
     nextProbe = time;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceWatch.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -20,13 +20,13 @@
  *
  * <p>Guards against tasks that run nowhere while their owner takes them to be at work: it goes by
  * what reports show, never by which attempts are open. What is told stays bounded however many
- * tasks are away: one word a task within {@link #REPEAT_NANOS}, and {@link #MOST_PER_LOOK} tasks a
+ * tasks are away: one word a task within {@link #REPEAT_NANOS}, and {@link #MAX_PER_CHECK} tasks a
  * look, those never told of first; the rest is a number.
  *
  * <p>Confined to one thread. Rejects nulls. A look takes time in the number of lasting tasks, times
  * the logarithm of those away.
  */
-public final class AbsenceWatch {
+public final class AbsenceDetector {
   /** How long a task is not seen before it counts as away, in nanoseconds. */
   public static final long ABSENT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
@@ -34,7 +34,7 @@
   public static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   /** The most tasks that one look tells to be away, and the most that it tells to be back. */
-  public static final int MOST_PER_LOOK = 4;
+  public static final int MAX_PER_CHECK = 4;
 
   /**
    * What is known of a lasting task that should be at work.
@@ -44,9 +44,9 @@
    *     nanoseconds; empty if there is none now
    * @param namedAt when the newest report was read that names an attempt of it at all
    */
-  public record Sight(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
+  public record Observation(WorkflowTask task, OptionalLong seenAt, OptionalLong namedAt) {
     /** Checks the components. */
-    public Sight {
+    public Observation {
       requireNonNull(task, "task");
       requireNonNull(seenAt, "seenAt");
       requireNonNull(namedAt, "namedAt");
@@ -67,114 +67,115 @@
    * A task that was away and is seen again.
    *
    * @param task the task
-   * @param awayNanos from when it was last seen, or first looked for, to when it was seen again
+   * @param absentNanos from when it was last seen, or first looked for, to when it was seen again
    */
-  public record Return(WorkflowTask task, long awayNanos) {}
+  public record Recovery(WorkflowTask task, long absentNanos) {}
 
   /**
    * What one look found.
    *
-   * @param lasting how many tasks were looked for
-   * @param away how many of them are away
+   * @param longRunning how many tasks were looked for
+   * @param absent how many of them are away
    * @param absences those away to be told now
-   * @param absencesLeftOut how many more would have been told now but for the bound; they come
+   * @param omittedAbsences how many more would have been told now but for the bound; they come
    *     first with the next look
-   * @param returns those back to be told now
-   * @param returnsLeftOut how many more are back
+   * @param recoveries those back to be told now
+   * @param omittedRecoveries how many more are back
    */
-  public record Look(
-      int lasting,
-      int away,
+  public record CheckResult(
+      int longRunning,
+      int absent,
       ImmutableList<Absence> absences,
-      int absencesLeftOut,
-      ImmutableList<Return> returns,
-      int returnsLeftOut) {}
+      int omittedAbsences,
+      ImmutableList<Recovery> recoveries,
+      int omittedRecoveries) {}
 
-  private static final class Watched {
+  private static final class TrackedTask {
     private long since;
     private boolean seenBefore;
-    private boolean away;
-    private long toldAt = Long.MIN_VALUE;
+    private boolean absent;
+    private long reportedAt = Long.MIN_VALUE;
     private OptionalLong namedAt = OptionalLong.empty();
 
     private boolean isDue(long now) {
-      return toldAt == Long.MIN_VALUE || now - toldAt >= REPEAT_NANOS;
+      return reportedAt == Long.MIN_VALUE || now - reportedAt >= REPEAT_NANOS;
     }
   }
 
-  private record Due(WorkflowTask task, Watched watched) {}
+  private record Due(WorkflowTask task, TrackedTask watched) {}
 
-  private static final Comparator<Due> LONGEST_UNTOLD_FIRST =
-      Comparator.comparingLong((Due due) -> due.watched.toldAt)
+  private static final Comparator<Due> LEAST_RECENTLY_REPORTED_FIRST =
+      Comparator.comparingLong((Due due) -> due.watched.reportedAt)
           .thenComparingLong(due -> due.watched.since);
 
-  private final Map<TaskKey, Watched> watched = new HashMap<>();
+  private final Map<TaskKey, TrackedTask> tracked = new HashMap<>();
 
   /** Creates a watch that knows of no task. */
-  public AbsenceWatch() {}
+  public AbsenceDetector() {}
 
   /**
    * Takes what is known of all lasting tasks that should be at work, and forgets all others.
    *
    * @param now in nanoseconds; never before that of the last look
    */
-  public Look look(Collection<Sight> lasting, long now) {
+  public CheckResult check(Collection<Observation> lasting, long now) {
     List<Due> due = new ArrayList<>();
-    List<Return> returns = new ArrayList<>();
+    List<Recovery> returns = new ArrayList<>();
     Set<TaskKey> known = new HashSet<>();
     int away = 0;
-    for (Sight sight : lasting) {
+    for (Observation sight : lasting) {
       known.add(sight.task().key());
-      Watched each = watched.computeIfAbsent(sight.task().key(), unused -> begin(now));
+      TrackedTask each = tracked.computeIfAbsent(sight.task().key(), unused -> startTracking(now));
       if (sight.namedAt().isPresent()) {
         each.namedAt = sight.namedAt();
       }
       if (sight.seenAt().isPresent()) {
-        takeSeen(sight.task(), each, sight.seenAt().getAsLong(), returns);
+        recordSighting(sight.task(), each, sight.seenAt().getAsLong(), returns);
       }
-      each.away |= now - each.since >= ABSENT_NANOS;
-      if (each.away) {
+      each.absent |= now - each.since >= ABSENT_NANOS;
+      if (each.absent) {
         away++;
         if (each.isDue(now)) {
           due.add(new Due(sight.task(), each));
         }
       }
     }
-    watched.keySet().retainAll(known);
-    due.sort(LONGEST_UNTOLD_FIRST);
-    return new Look(
+    tracked.keySet().retainAll(known);
+    due.sort(LEAST_RECENTLY_REPORTED_FIRST);
+    return new CheckResult(
         lasting.size(),
         away,
-        tell(due, now),
-        Math.max(0, due.size() - MOST_PER_LOOK),
-        returns.stream().limit(MOST_PER_LOOK).collect(ImmutableList.toImmutableList()),
-        Math.max(0, returns.size() - MOST_PER_LOOK));
+        takeReports(due, now),
+        Math.max(0, due.size() - MAX_PER_CHECK),
+        returns.stream().limit(MAX_PER_CHECK).collect(ImmutableList.toImmutableList()),
+        Math.max(0, returns.size() - MAX_PER_CHECK));
   }
 
-  private static Watched begin(long now) {
-    Watched begun = new Watched();
+  private static TrackedTask startTracking(long now) {
+    TrackedTask begun = new TrackedTask();
     begun.since = now;
     return begun;
   }
 
-  private static void takeSeen(WorkflowTask task, Watched each, long seenAt, List<Return> returns) {
+  private static void recordSighting(
+      WorkflowTask task, TrackedTask each, long seenAt, List<Recovery> returns) {
     boolean newer = !each.seenBefore || seenAt > each.since;
     if (!newer) {
       return;
     }
-    if (each.away) {
-      returns.add(new Return(task, seenAt - each.since));
-      each.away = false;
-      each.toldAt = Long.MIN_VALUE;
+    if (each.absent) {
+      returns.add(new Recovery(task, seenAt - each.since));
+      each.absent = false;
+      each.reportedAt = Long.MIN_VALUE;
     }
     each.seenBefore = true;
     each.since = seenAt;
   }
 
-  private static ImmutableList<Absence> tell(List<Due> due, long now) {
+  private static ImmutableList<Absence> takeReports(List<Due> due, long now) {
     ImmutableList.Builder<Absence> told = ImmutableList.builder();
-    for (Due each : due.subList(0, Math.min(MOST_PER_LOOK, due.size()))) {
-      each.watched.toldAt = now;
+    for (Due each : due.subList(0, Math.min(MAX_PER_CHECK, due.size()))) {
+      each.watched.reportedAt = now;
       told.add(
           new Absence(
               each.task, each.watched.seenBefore, each.watched.since, each.watched.namedAt));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviceTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviserTiming.java
@@ -11,9 +11,9 @@
  * @param periodMillis for each VM that a call names
  * @param validMillis how long a ticket is good for
  */
-public record AdviceTerms(long decideMillis, long periodMillis, long validMillis) {
+public record AdviserTiming(long decideMillis, long periodMillis, long validMillis) {
   /** Checks the components. */
-  public AdviceTerms {
+  public AdviserTiming {
     checkArgument(decideMillis >= 0, "decideMillis is negative: %s", decideMillis);
     checkArgument(periodMillis >= 0, "periodMillis is negative: %s", periodMillis);
     checkArgument(validMillis >= 0, "validMillis is negative: %s", validMillis);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/FillPacer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/BestEffortThrottler.java
@@ -19,13 +19,13 @@
  * everything that fills: readings come half a second to a second apart, are rough, and users feel
  * what lasts some seconds.
  *
- * <p>Tasks of images believed to be harmless ({@link ImageHarm}), as opposed to suspects, are
- * slowed only once slowing the suspects did not help, and only for tails over the target. Without
- * tasks that fill, tails swing with the load of the services themselves and say nothing.
+ * <p>Tasks of images believed to be harmless ({@link ImageInterference}), as opposed to suspects,
+ * are slowed only once slowing the suspects did not help, and only for tails over the target.
+ * Without tasks that fill, tails swing with the load of the services themselves and say nothing.
  *
  * <p>Confined to one thread.
  */
-public final class FillPacer {
+public final class BestEffortThrottler {
   /** A tail over this share of its target, in percent, slows suspects down a little. */
   static final int HIGH_PERCENT = 92;
 
@@ -43,20 +43,20 @@
    * tail of nothing. Half way down from {@link #LOW_PERCENT} it is a quarter of that: tails answer
    * to what disturbs them late and then steeply.
    */
-  private static final double MOST_RISE_PART = 0.4;
+  private static final double MAX_RISE_FRACTION = 0.4;
 
   /** By how much the share of what is believed to be harmless rises with a reading, in percent. */
-  static final int HARMLESS_RISE = 25;
+  static final int BENIGN_RISE_PERCENT = 25;
 
   /**
    * The part of a VM's processors on which suspects begin beside a service: so much that tails tell
    * within two seconds whether their image disturbs, and so little that most services bear it until
    * then.
    */
-  private static final double FIRST_PART = 0.125;
+  private static final double INITIAL_FRACTION = 0.125;
 
   /** Speeds under this, in percent, are taken as none. */
-  static final int LEAST = 4;
+  static final int MIN_PERCENT = 4;
 
   /** The least time between two decisions, in nanoseconds: readings are over half a second. */
   static final long PERIOD_NANOS = 350_000_000L;
@@ -67,8 +67,8 @@
    * @param tailMillis as measured over the last half second
    * @param targetMillis what its users are promised
    */
-  public record Reading(long tailMillis, long targetMillis) {
-    double share() {
+  public record TailReading(long tailMillis, long targetMillis) {
+    double percentOfTarget() {
       return 100.0 * tailMillis / targetMillis;
     }
   }
@@ -76,39 +76,39 @@
   /**
    * What fills a VM, in thousandths of a processor.
    *
-   * @param suspectMilli what tasks of images that may disturb declared
-   * @param harmlessMilli what tasks of images that are believed to be harmless declared
+   * @param interferingMilli what tasks of images that may disturb declared
+   * @param benignMilli what tasks of images that are believed to be harmless declared
    * @param capacityMilli all that the VM has
    */
-  public record Filling(long suspectMilli, long harmlessMilli, long capacityMilli) {
+  public record BestEffortLoad(long interferingMilli, long benignMilli, long capacityMilli) {
     /** Checks the components. */
-    public Filling {
-      checkArgument(suspectMilli >= 0, "suspectMilli is negative: %s", suspectMilli);
-      checkArgument(harmlessMilli >= 0, "harmlessMilli is negative: %s", harmlessMilli);
+    public BestEffortLoad {
+      checkArgument(interferingMilli >= 0, "suspectMilli is negative: %s", interferingMilli);
+      checkArgument(benignMilli >= 0, "harmlessMilli is negative: %s", benignMilli);
       checkArgument(capacityMilli >= 0, "capacityMilli is negative: %s", capacityMilli);
     }
 
-    private double firstMilli() {
-      return FIRST_PART * capacityMilli;
+    private double initialMilli() {
+      return INITIAL_FRACTION * capacityMilli;
     }
   }
 
   /** What suspects may work on together, in thousandths of a processor. */
-  private double allowedMilli;
+  private double interferingBudgetMilli;
 
-  private int percent = 100;
-  private int harmlessPercent = 100;
-  private int overInRow;
+  private int interferingPercent = 100;
+  private int benignPercent = 100;
+  private int consecutiveOver;
   private long lastReading = Long.MIN_VALUE;
 
   /** Returns the share of its speed at which a suspect may work now, 0 to 100. */
-  public int percent() {
-    return percent;
+  public int interferingPercent() {
+    return interferingPercent;
   }
 
   /** Returns the same for a task of an image that is believed to be harmless. */
-  public int harmlessPercent() {
-    return harmlessPercent;
+  public int benignPercent() {
+    return benignPercent;
   }
 
   /**
@@ -118,78 +118,78 @@
    * @param now monotonic nanoseconds
    * @return the new share of suspects
    */
-  public int observe(List<Reading> readings, Filling filling, long now) {
-    boolean nothingFills = filling.suspectMilli() == 0 && filling.harmlessMilli() == 0;
+  public int observe(List<TailReading> readings, BestEffortLoad filling, long now) {
+    boolean nothingFills = filling.interferingMilli() == 0 && filling.benignMilli() == 0;
     if (readings.isEmpty() || nothingFills) {
-      allowedMilli = filling.firstMilli();
-      percent = 100;
-      harmlessPercent = 100;
-      overInRow = 0;
-      return percent;
+      interferingBudgetMilli = filling.initialMilli();
+      interferingPercent = 100;
+      benignPercent = 100;
+      consecutiveOver = 0;
+      return interferingPercent;
     }
     boolean first = lastReading == Long.MIN_VALUE;
     if (first) {
-      allowedMilli = filling.firstMilli();
+      interferingBudgetMilli = filling.initialMilli();
     }
     if (first || now - lastReading >= PERIOD_NANOS) {
       lastReading = now;
-      take(worstPercent(readings), filling);
+      applyReading(worstPercent(readings), filling);
     }
-    percent = share(filling);
-    return percent;
+    interferingPercent = share(filling);
+    return interferingPercent;
   }
 
-  private void take(double worst, Filling filling) {
-    overInRow = worst > OVER_PERCENT ? overInRow + 1 : 0;
+  private void applyReading(double worst, BestEffortLoad filling) {
+    consecutiveOver = worst > OVER_PERCENT ? consecutiveOver + 1 : 0;
     if (worst > HIGH_PERCENT) {
       slowDown(worst, filling);
     } else {
       speedUp(worst, filling);
     }
-    if (filling.suspectMilli() == 0) {
-      allowedMilli = filling.firstMilli();
+    if (filling.interferingMilli() == 0) {
+      interferingBudgetMilli = filling.initialMilli();
     }
   }
 
-  private int share(Filling filling) {
-    if (filling.suspectMilli() == 0) {
+  private int share(BestEffortLoad filling) {
+    if (filling.interferingMilli() == 0) {
       return 100;
     }
-    double share = 100 * allowedMilli / filling.suspectMilli();
-    return share < LEAST ? 0 : (int) Math.min(100, share);
+    double share = 100 * interferingBudgetMilli / filling.interferingMilli();
+    return share < MIN_PERCENT ? 0 : (int) Math.min(100, share);
   }
 
   /** Returns the worst tail as a share of its target, in percent. */
-  public static double worstPercent(List<Reading> readings) {
-    return readings.stream().mapToDouble(Reading::share).max().orElse(0);
+  public static double worstPercent(List<TailReading> readings) {
+    return readings.stream().mapToDouble(TailReading::percentOfTarget).max().orElse(0);
   }
 
-  private void slowDown(double worst, Filling filling) {
-    double working = Math.min(allowedMilli, filling.suspectMilli());
+  private void slowDown(double worst, BestEffortLoad filling) {
+    double working = Math.min(interferingBudgetMilli, filling.interferingMilli());
     if (worst > SEVERE_PERCENT) {
-      allowedMilli = working / 4;
+      interferingBudgetMilli = working / 4;
     } else if (worst > OVER_PERCENT) {
-      allowedMilli = working / 2;
+      interferingBudgetMilli = working / 2;
     } else {
-      allowedMilli = working * 3 / 4;
+      interferingBudgetMilli = working * 3 / 4;
     }
-    if (overInRow == 2) {
-      harmlessPercent = harmlessPercent / 2 < LEAST ? 0 : harmlessPercent / 2;
-    } else if (overInRow > 2) {
-      allowedMilli = 0;
-      harmlessPercent = 0;
+    if (consecutiveOver == 2) {
+      benignPercent = benignPercent / 2 < MIN_PERCENT ? 0 : benignPercent / 2;
+    } else if (consecutiveOver > 2) {
+      interferingBudgetMilli = 0;
+      benignPercent = 0;
     }
   }
 
-  private void speedUp(double worst, Filling filling) {
-    if (harmlessPercent < 100) {
-      harmlessPercent = Math.min(100, harmlessPercent + HARMLESS_RISE);
+  private void speedUp(double worst, BestEffortLoad filling) {
+    if (benignPercent < 100) {
+      benignPercent = Math.min(100, benignPercent + BENIGN_RISE_PERCENT);
       return;
     }
-    boolean inUse = allowedMilli < filling.suspectMilli() + filling.firstMilli();
+    boolean inUse = interferingBudgetMilli < filling.interferingMilli() + filling.initialMilli();
     if (worst < LOW_PERCENT && inUse) {
       double left = (LOW_PERCENT - worst) / LOW_PERCENT;
-      allowedMilli += MOST_RISE_PART * filling.capacityMilli() * left * left;
+      interferingBudgetMilli += MAX_RISE_FRACTION * filling.capacityMilli() * left * left;
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/GangChooser.java
@@ -44,17 +44,17 @@
    * @param offers the VMs to choose from
    */
   public Optional<ImmutableList<VmOffer>> choose(
-      PlacementWish wish, int members, Collection<VmOffer> offers) {
+      TaskPlacementRequest wish, int members, Collection<VmOffer> offers) {
     checkArgument(members >= 1, "members is not positive: %s", members);
     if (wish.step().placement().sameRack()) {
       for (List<VmOffer> rack : racks(offers)) {
-        Optional<ImmutableList<VmOffer>> together = fill(wish, members, rack);
+        Optional<ImmutableList<VmOffer>> together = assign(wish, members, rack);
         if (together.isPresent()) {
           return together;
         }
       }
     }
-    return fill(wish, members, offers);
+    return assign(wish, members, offers);
   }
 
   /** The VMs of each rack, the rack with the most processors left first. */
@@ -65,12 +65,12 @@
             .collect(Collectors.groupingBy(VmOffer::rack));
     Comparator<List<VmOffer>> byRoom =
         Comparator.comparingLong(
-            rack -> rack.stream().mapToLong(VmOffer::leftMilliProcessors).sum());
+            rack -> rack.stream().mapToLong(VmOffer::remainingMilliProcessors).sum());
     return byRack.values().stream().sorted(byRoom.reversed()).toList();
   }
 
-  private Optional<ImmutableList<VmOffer>> fill(
-      PlacementWish wish, int members, Collection<VmOffer> offers) {
+  private Optional<ImmutableList<VmOffer>> assign(
+      TaskPlacementRequest wish, int members, Collection<VmOffer> offers) {
     Map<String, VmOffer> left = new LinkedHashMap<>();
     offers.forEach(offer -> left.put(offer.place().vm(), offer));
     Map<String, Integer> placed = new HashMap<>();
@@ -84,7 +84,7 @@
       String vm = best.get().place().vm();
       chosen.add(best.get());
       placed.merge(vm, 1, Integer::sum);
-      left.put(vm, best.get().after(wish.step(), wish.harm()));
+      left.put(vm, best.get().afterPlacing(wish.step(), wish.interference()));
     }
     return Optional.of(chosen.build());
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/SuspectRoom.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/InterferenceBudget.java
@@ -7,19 +7,19 @@
  * How much of what may disturb fits beside tasks that serve.
  *
  * <p>Load pattern: in a burst of heavy workflows all VMs without services are full. Tasks of images
- * that disturb several times as much as they work ({@link ImageHarm}) then went beside services, as
- * many as had declared room; there {@link FillPacer} held them all near nothing for as long as the
- * burst lasted, and they took the place of harmless ones. What a service bears of such images is
- * about an eighth of its VM: few work, at a good part of their speed, and the others wait for a VM
- * without services.
+ * that disturb several times as much as they work ({@link ImageInterference}) then went beside
+ * services, as many as had declared room; there {@link BestEffortThrottler} held them all near
+ * nothing for as long as the burst lasted, and they took the place of harmless ones. What a service
+ * bears of such images is about an eighth of its VM: few work, at a good part of their speed, and
+ * the others wait for a VM without services.
  *
  * <p>Stateless.
  */
-public final class SuspectRoom {
+public final class InterferenceBudget {
   /** The part of a VM's processors that suspects may declare beside tasks that serve. */
-  private static final int PART = 8;
+  private static final int CAPACITY_DIVISOR = 8;
 
-  private SuspectRoom() {}
+  private InterferenceBudget() {}
 
   /**
    * Returns whether one more suspect fits beside tasks that serve; the first always does.
@@ -29,7 +29,7 @@
    * @param milli what the next one declares
    */
   public static boolean admits(long capacityMilli, long declaredMilli, long milli) {
-    return declaredMilli == 0 || declaredMilli + milli <= capacityMilli / PART;
+    return declaredMilli == 0 || declaredMilli + milli <= capacityMilli / CAPACITY_DIVISOR;
   }
 
   /**
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseLedger.java
@@ -23,11 +23,11 @@
 public final class LeaseLedger {
   private record Evidence(long epoch, long workerClock) {}
 
-  private final LeaseTermsOfWorker terms;
-  private final Map<Integer, Evidence> newest = new HashMap<>();
+  private final WorkerLeaseTerms terms;
+  private final Map<Integer, Evidence> latestByPartition = new HashMap<>();
 
   /** Creates a ledger without evidence. */
-  public LeaseLedger(LeaseTermsOfWorker terms) {
+  public LeaseLedger(WorkerLeaseTerms terms) {
     this.terms = requireNonNull(terms, "terms");
   }
 
@@ -37,18 +37,18 @@
    * @return whether the epoch is the highest seen; orders of lower ones are not carried out
    */
   public boolean observe(int partition, long epoch, long workerClock) {
-    Evidence known = newest.get(partition);
+    Evidence known = latestByPartition.get(partition);
     if (known != null && epoch < known.epoch()) {
       return false;
     }
     long clock = known == null ? workerClock : Math.max(workerClock, known.workerClock());
-    newest.put(partition, new Evidence(epoch, clock));
+    latestByPartition.put(partition, new Evidence(epoch, clock));
     return true;
   }
 
   /** Returns whether no owner of the partition was ever heard. */
-  public boolean isUnknown(int partition) {
-    return !newest.containsKey(partition);
+  public boolean hasNoEvidence(int partition) {
+    return !latestByPartition.containsKey(partition);
   }
 
   /**
@@ -59,7 +59,7 @@
   public OptionalLong deadline(Collection<Integer> partitions) {
     long oldest = Long.MAX_VALUE;
     for (int partition : partitions) {
-      Evidence evidence = newest.get(partition);
+      Evidence evidence = latestByPartition.get(partition);
       if (evidence == null) {
         return OptionalLong.empty();
       }
@@ -77,7 +77,7 @@
    * waits for could still be at work after the owner ordered it elsewhere.
    */
   public boolean mayStart(int partition, long workerDeadline, long workerClock) {
-    Evidence evidence = newest.get(partition);
+    Evidence evidence = latestByPartition.get(partition);
     return evidence != null
         && workerDeadline <= evidence.workerClock() + terms.boundMillis()
         && evidence.workerClock() + terms.leaseMillis() - terms.stopAheadMillis() > workerClock;
@@ -88,7 +88,7 @@
     return partitions.stream()
         .filter(
             partition -> {
-              Evidence evidence = newest.get(partition);
+              Evidence evidence = latestByPartition.get(partition);
               return evidence != null
                   && evidence.workerClock() + terms.leaseMillis() - terms.stopAheadMillis()
                       <= workerClock;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
@@ -13,13 +13,13 @@
  */
 public final class Overcommit {
   /** What may be declared beyond what is left even where nothing is idle: few work all the time. */
-  static final long BASE_MILLI = 6_000;
+  static final long BASE_MILLI_PROCESSORS = 6_000;
 
   /** The most of what is booked that counts as idle, in percent. */
-  static final int MOST_PERCENT = 50;
+  static final int MAX_PERCENT = 50;
 
   /** The part of what is booked that counts as idle where nothing is known yet, in percent. */
-  private static final int FIRST_PERCENT = 25;
+  private static final int INITIAL_PERCENT = 25;
 
   /** A tail over this share of its target, in percent, forbids more of what fills. */
   private static final double OVER_PERCENT = 100;
@@ -28,18 +28,18 @@
   private static final double LOW_PERCENT = 80;
 
   /** Tasks that get less than this of the processors they ask for, in percent, lack some. */
-  private static final int LACKING_PERCENT = 55;
+  private static final int LOW_ATTAINMENT_PERCENT = 55;
 
   /** Tasks that get more than this, in percent, lack none; sizes are declared roughly. */
-  private static final int SATED_PERCENT = 70;
+  private static final int HIGH_ATTAINMENT_PERCENT = 70;
 
   /** By how much the part that counts as idle grows with a reading, in percent. */
   private static final int RISE_PERCENT = 5;
 
   /** Tasks that ask for less together, in thousandths of a processor, tell nothing. */
-  private static final double LEAST_ASKED_MILLI = 2_000;
+  private static final double MIN_REQUESTED_MILLI = 2_000;
 
-  private int idlePercent = FIRST_PERCENT;
+  private int idlePercent = INITIAL_PERCENT;
 
   /**
    * Takes a reading of the tasks that fill and of the services beside them.
@@ -49,14 +49,14 @@
    * @param worstTailPercent the worst tail as a share of its target, in percent; 0 without services
    */
   public void observe(double askedMilli, double usedMilli, double worstTailPercent) {
-    if (askedMilli < LEAST_ASKED_MILLI) {
+    if (askedMilli < MIN_REQUESTED_MILLI) {
       return;
     }
     double attained = 100 * usedMilli / askedMilli;
-    if (attained < LACKING_PERCENT || worstTailPercent > OVER_PERCENT) {
+    if (attained < LOW_ATTAINMENT_PERCENT || worstTailPercent > OVER_PERCENT) {
       idlePercent /= 2;
-    } else if (attained >= SATED_PERCENT && worstTailPercent < LOW_PERCENT) {
-      idlePercent = Math.min(MOST_PERCENT, idlePercent + RISE_PERCENT);
+    } else if (attained >= HIGH_ATTAINMENT_PERCENT && worstTailPercent < LOW_PERCENT) {
+      idlePercent = Math.min(MAX_PERCENT, idlePercent + RISE_PERCENT);
     }
   }
 
@@ -66,6 +66,6 @@
    * @param bookedMilli what others have booked
    */
   public long milliProcessors(long bookedMilli) {
-    return BASE_MILLI + bookedMilli * idlePercent / 100;
+    return BASE_MILLI_PROCESSORS + bookedMilli * idlePercent / 100;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
@@ -21,7 +21,7 @@
   /** No such workflow was ever accepted, or it ended long ago. */
   UNKNOWN_WORKFLOW(6, null),
   /** The one who was asked does not own the workflow, or cannot tell now. */
-  CANNOT_TELL(7, null);
+  UNAVAILABLE(7, null);
 
   private final int number;
   private final WorkflowStatus status;
@@ -46,13 +46,13 @@
     return forNumber(status.number());
   }
 
-  /** Returns the result of a number; {@link #CANNOT_TELL} for one of a newer version. */
+  /** Returns the result of a number; {@link #UNAVAILABLE} for one of a newer version. */
   public static QueryResult forNumber(int number) {
     for (QueryResult result : values()) {
       if (result.number == number) {
         return result;
       }
     }
-    return CANNOT_TELL;
+    return UNAVAILABLE;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueueTable.java
@@ -23,17 +23,17 @@
   /** Returns the queue with the longest prefix that the path begins with, or empty. */
   public Optional<Queue> find(String host, String path) {
     return queues.stream()
-        .filter(queue -> queue.serves(host, path))
+        .filter(queue -> queue.matches(host, path))
         .max(Comparator.comparingInt(queue -> queue.prefix().length()));
   }
 
   /** Returns the queue of that name, or empty if this version has none. */
-  public Optional<Queue> named(String name) {
+  public Optional<Queue> findByName(String name) {
     return queues.stream().filter(queue -> queue.name().equals(name)).findFirst();
   }
 
   /** Returns whether any queue sends tasks to the service. */
-  public boolean uses(String service) {
-    return queues.stream().anyMatch(queue -> queue.terms().service().equals(service));
+  public boolean usesService(String service) {
+    return queues.stream().anyMatch(queue -> queue.policy().service().equals(service));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RoomLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ResourceLedger.java
@@ -19,16 +19,16 @@
  *
  * <p>Confined to one thread. Rejects nulls.
  */
-public final class RoomLedger {
+public final class ResourceLedger {
   /**
    * What a run takes.
    *
    * @param sizes what it declares
-   * @param fills whether it takes only the processors that others leave
+   * @param bestEffort whether it takes only the processors that others leave
    * @param urgency how much the place matters; one that starves is not held to the bound of what
    *     fills
    */
-  public record Claim(Sizes sizes, boolean fills, Urgency urgency) {
+  public record Claim(Sizes sizes, boolean bestEffort, Urgency urgency) {
     /** Checks the components. */
     public Claim {
       requireNonNull(sizes, "sizes");
@@ -37,11 +37,11 @@
 
     /** Returns what is booked for it: no processors if it fills. */
     public Sizes booked() {
-      return fills ? sizes.withoutProcessors() : sizes;
+      return bestEffort ? sizes.withoutProcessors() : sizes;
     }
 
-    private long fillMilliProcessors() {
-      return fills ? sizes.milliProcessors() : 0;
+    private long bestEffortMilliProcessors() {
+      return bestEffort ? sizes.milliProcessors() : 0;
     }
   }
 
@@ -49,10 +49,10 @@
   private final Overcommit overcommit;
   private Sizes capacity = Sizes.NONE;
   private Sizes total = Sizes.NONE;
-  private long fillMilliProcessors;
+  private long bestEffortMilliProcessors;
 
   /** Returns a ledger in which nothing is booked. */
-  public RoomLedger(Overcommit overcommit) {
+  public ResourceLedger(Overcommit overcommit) {
     this.overcommit = requireNonNull(overcommit, "overcommit");
   }
 
@@ -71,16 +71,16 @@
     if (claims.containsKey(run)) {
       return true;
     }
-    if (!claim.booked().fitsIn(free()) || !hasProcessorsToFill(claim)) {
+    if (!claim.booked().fitsIn(free()) || !hasBestEffortCapacity(claim)) {
       return false;
     }
     book(run, claim);
     return true;
   }
 
-  private boolean hasProcessorsToFill(Claim claim) {
-    long left = free().milliProcessors() - fillMilliProcessors;
-    boolean bound = claim.fills() && claim.urgency() != Urgency.STARVED;
+  private boolean hasBestEffortCapacity(Claim claim) {
+    long left = free().milliProcessors() - bestEffortMilliProcessors;
+    boolean bound = claim.bestEffort() && claim.urgency() != Urgency.STARVED;
     return !bound || left + overcommitMilliProcessors() >= claim.sizes().milliProcessors();
   }
 
@@ -91,7 +91,7 @@
     release(run);
     claims.put(run, claim);
     total = total.plus(claim.booked());
-    fillMilliProcessors += claim.fillMilliProcessors();
+    bestEffortMilliProcessors += claim.bestEffortMilliProcessors();
   }
 
   /** Frees what the run had. */
@@ -99,13 +99,13 @@
     Claim claim = claims.remove(run);
     if (claim != null) {
       total = total.minus(claim.booked());
-      fillMilliProcessors -= claim.fillMilliProcessors();
+      bestEffortMilliProcessors -= claim.bestEffortMilliProcessors();
     }
   }
 
   /** Returns what the runs that fill declared, in thousandths of a processor. */
-  public long fillMilliProcessors() {
-    return fillMilliProcessors;
+  public long bestEffortMilliProcessors() {
+    return bestEffortMilliProcessors;
   }
 
   /** Returns what such runs may declare beyond what is left, in thousandths of a processor. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/RunOutcome.java
@@ -47,7 +47,7 @@
   }
 
   /** Returns whether the task may have worked. */
-  public boolean ran() {
+  public boolean mayHaveRun() {
     return this != REFUSED;
   }
 
