--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
@@ -25,7 +25,7 @@
  */
 public final class StepAdvice {
   /** The most VMs in one call: what the time that callers allow for a step is reckoned with. */
-  public static final int MOST_NAMED = 30;
+  public static final int MAX_VMS_PER_CALL = 30;
 
   private record Ticket(String text, long validUntil) {}
 
@@ -39,7 +39,7 @@
    * @param allowed those that may run the step, with their tickets
    * @param validUntil when these tickets run out
    */
-  public void answered(Collection<String> named, Map<String, String> allowed, long validUntil) {
+  public void recordAnswer(Collection<String> named, Map<String, String> allowed, long validUntil) {
     for (String worker : named) {
       String ticket = allowed.get(worker);
       if (ticket == null) {
@@ -58,7 +58,7 @@
   }
 
   /** Returns the offers whose workers may run the step now. */
-  public ImmutableList<VmOffer> allowed(Collection<VmOffer> offers, long now) {
+  public ImmutableList<VmOffer> allowedOffers(Collection<VmOffer> offers, long now) {
     return offers.stream()
         .filter(offer -> ticket(offer.place().worker(), now).isPresent())
         .collect(ImmutableList.toImmutableList());
@@ -69,7 +69,7 @@
    *
    * @param candidates VMs that could run a task of the step, the best first
    */
-  public ImmutableList<String> toName(Collection<VmOffer> candidates, int most, long now) {
+  public ImmutableList<String> workersToQuery(Collection<VmOffer> candidates, int most, long now) {
     checkArgument(most >= 1, "most is not positive: %s", most);
     return candidates.stream()
         .map(offer -> offer.place().worker())
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepSpec.java
@@ -16,7 +16,7 @@
  * @param estimateMillis roughly how long one takes, as declared; often far off
  * @param dependsOn positions of earlier steps whose tasks must all be done first
  * @param placement where the tasks may run
- * @param nature how the tasks behave
+ * @param traits how the tasks behave
  */
 public record StepSpec(
     int tasks,
@@ -24,7 +24,7 @@
     long estimateMillis,
     ImmutableList<Integer> dependsOn,
     Placement placement,
-    Nature nature) {
+    TaskTraits traits) {
 
   /**
    * Where the tasks of a step may run.
@@ -53,33 +53,34 @@
    * @param gang whether they work only while all of one attempt are there
    * @param checkpointable whether they save their progress
    * @param speculative whether copies of one task may run at the same time
-   * @param lasting whether they run until the workflow is cancelled
-   * @param fills whether they take only the processors that other tasks leave
+   * @param longRunning whether they run until the workflow is cancelled
+   * @param bestEffort whether they take only the processors that other tasks leave
    * @param image what they run; empty if not told
    * @param latencyTargetMillis the tail latency that their own users are promised; 0 for none
-   * @param allowedUnavailable how many may be away at the same time by decisions of this system
+   * @param maxUnavailable how many may be away at the same time by decisions of this system
    */
-  public record Nature(
+  public record TaskTraits(
       boolean gang,
       boolean checkpointable,
       boolean speculative,
-      boolean lasting,
-      boolean fills,
+      boolean longRunning,
+      boolean bestEffort,
       String image,
       long latencyTargetMillis,
-      int allowedUnavailable) {
+      int maxUnavailable) {
     /** Plain tasks that end. */
-    public static final Nature PLAIN = new Nature(false, false, false, false, false, "", 0, 0);
+    public static final TaskTraits PLAIN =
+        new TaskTraits(false, false, false, false, false, "", 0, 0);
 
     /** Checks the components. */
-    public Nature {
+    public TaskTraits {
       requireNonNull(image, "image");
       checkArgument(latencyTargetMillis >= 0, "target is negative: %s", latencyTargetMillis);
-      checkArgument(allowedUnavailable >= 0, "allowance is negative: %s", allowedUnavailable);
+      checkArgument(maxUnavailable >= 0, "allowance is negative: %s", maxUnavailable);
     }
 
     /** Returns whether the tasks answer users of their own. */
-    public boolean serves() {
+    public boolean isService() {
       return latencyTargetMillis > 0;
     }
   }
@@ -91,11 +92,11 @@
     checkArgument(estimateMillis >= 0, "estimateMillis is negative: %s", estimateMillis);
     requireNonNull(dependsOn, "dependsOn");
     requireNonNull(placement, "placement");
-    requireNonNull(nature, "nature");
+    requireNonNull(traits, "nature");
   }
 
   /** Returns what a VM books for a task: processors are not booked for one that fills. */
   public Sizes booked() {
-    return nature.fills() ? sizes.withoutProcessors() : sizes;
+    return traits.bestEffort() ? sizes.withoutProcessors() : sizes;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/PlacementWish.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/TaskPlacementRequest.java
@@ -9,15 +9,15 @@
  *
  * @param spec the workflow
  * @param step the task's step
- * @param harm how harmful the step's image is believed to be, see {@link ImageHarm}
+ * @param interference how harmful the step's image is believed to be, see {@link ImageInterference}
  * @param urgency how much a place matters
  * @param siblingRack the rack where tasks of the step are at work, if they are to stand on one rack
  *     together; else empty
  */
-public record PlacementWish(
-    WorkflowSpec spec, StepSpec step, double harm, Urgency urgency, String siblingRack) {
+public record TaskPlacementRequest(
+    WorkflowSpec spec, StepSpec step, double interference, Urgency urgency, String siblingRack) {
   /** Checks the components. */
-  public PlacementWish {
+  public TaskPlacementRequest {
     requireNonNull(spec, "spec");
     requireNonNull(step, "step");
     requireNonNull(urgency, "urgency");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
@@ -27,13 +27,13 @@
    * What the right company counts, in thousandths of a processor: more than any VM has, so that
    * room decides only among VMs with the same company.
    */
-  static final long COMPANY = 1_000_000;
+  static final long COLOCATION_WEIGHT = 1_000_000;
 
   /**
    * How many times what fills counts against a VM for a task that serves: moving in beside it slows
    * it down, and the users feel it until then.
    */
-  static final long FILL_AGAINST_SERVING = 20;
+  static final long BEST_EFFORT_PENALTY = 20;
 
   /** Whether a VM may be given a task, or what forbids it. */
   public enum Verdict {
@@ -42,13 +42,13 @@
     /** It runs tasks of another service. */
     OTHER_SERVICE("of another service"),
     /** It lacks the label that the step requires. */
-    NO_LABEL("without its label"),
+    MISSING_LABEL("without its label"),
     /** What the task books is not free. */
-    NO_ROOM("without room"),
+    INSUFFICIENT_CAPACITY("without room"),
     /** The task would fill, and too much does already. */
-    CROWDED("filled"),
+    BEST_EFFORT_LIMIT("filled"),
     /** As many tasks of the step are on it as may share a VM. */
-    ENOUGH_OF_STEP("with enough of its step");
+    PER_VM_LIMIT("with enough of its step");
 
     private final String text;
 
@@ -91,17 +91,17 @@
    * @param ofStepOn how many tasks of the same step and occurrence are on a VM
    */
   public Optional<VmOffer> choose(
-      PlacementWish wish, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
+      TaskPlacementRequest wish, Collection<VmOffer> offers, ToIntFunction<VmOffer> ofStepOn) {
     requireNonNull(ofStepOn, "ofStepOn");
     boolean onlyFree =
         wish.urgency() == Urgency.HURRIED
-            && wish.step().nature().fills()
-            && ImageHarm.isSuspect(wish.harm())
-            && offers.stream().anyMatch(offer -> offer.serving() == 0);
+            && wish.step().traits().bestEffort()
+            && ImageInterference.isInterfering(wish.interference())
+            && offers.stream().anyMatch(offer -> offer.serviceTasks() == 0);
     VmOffer best = null;
     double bestScore = Double.NEGATIVE_INFINITY;
     for (VmOffer offer : offers) {
-      boolean slow = onlyFree && offer.serving() > 0;
+      boolean slow = onlyFree && offer.serviceTasks() > 0;
       if (slow || !admits(wish, offer, ofStepOn)) {
         continue;
       }
@@ -119,7 +119,8 @@
    *
    * @param most how many at most
    */
-  public ImmutableList<VmOffer> best(PlacementWish wish, Collection<VmOffer> offers, int most) {
+  public ImmutableList<VmOffer> rankedOffers(
+      TaskPlacementRequest wish, Collection<VmOffer> offers, int most) {
     return offers.stream()
         .filter(offer -> admits(wish, offer, unused -> 0))
         .sorted(Comparator.comparingDouble((VmOffer offer) -> score(wish, offer)).reversed())
@@ -132,22 +133,22 @@
    *
    * <p>Not if it serves and would be the first to do so on its VM: services fail by themselves now
    * and then, and one alone on a VM takes that from all tasks that fill. A VM that fails what it
-   * runs is no choice at all for a while ({@link VmTrust}).
+   * runs is no choice at all for a while ({@link VmQuarantine}).
    *
    * @param elsewhere the best VM on which it has not failed
    * @param anywhere the best of all VMs
    */
-  public static boolean isWorthLeaving(
+  public static boolean prefersOtherVm(
       StepSpec step, Optional<VmOffer> elsewhere, Optional<VmOffer> anywhere) {
     if (elsewhere.isEmpty() || anywhere.isEmpty()) {
       return elsewhere.isPresent();
     }
-    boolean alone = elsewhere.get().serving() == 0 && anywhere.get().serving() > 0;
-    return !(step.nature().serves() && alone);
+    boolean alone = elsewhere.get().serviceTasks() == 0 && anywhere.get().serviceTasks() > 0;
+    return !(step.traits().isService() && alone);
   }
 
   private static boolean admits(
-      PlacementWish wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+      TaskPlacementRequest wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
     return verdict(wish, offer, ofStepOn) == Verdict.ADMITTED;
   }
 
@@ -157,43 +158,44 @@
    * @param ofStepOn how many tasks of the same step and occurrence are on a VM
    */
   public static Verdict verdict(
-      PlacementWish wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
-    if (!offer.service().equals(wish.spec().terms().service())) {
+      TaskPlacementRequest wish, VmOffer offer, ToIntFunction<VmOffer> ofStepOn) {
+    if (!offer.service().equals(wish.spec().policy().service())) {
       return Verdict.OTHER_SERVICE;
     }
     StepSpec step = wish.step();
     StepSpec.Placement placement = step.placement();
     if (!placement.requiredLabel().isEmpty()
         && !offer.labels().contains(placement.requiredLabel())) {
-      return Verdict.NO_LABEL;
+      return Verdict.MISSING_LABEL;
     }
     if (!step.booked().fitsIn(offer.free())) {
-      return Verdict.NO_ROOM;
+      return Verdict.INSUFFICIENT_CAPACITY;
     }
-    boolean crowds = step.nature().fills() && !hasRoomToFill(step, wish.harm(), offer);
+    boolean crowds =
+        step.traits().bestEffort() && !hasBestEffortCapacity(step, wish.interference(), offer);
     if (crowds && wish.urgency() != Urgency.STARVED) {
-      return Verdict.CROWDED;
+      return Verdict.BEST_EFFORT_LIMIT;
     }
     boolean spread = placement.maxPerVm() == 0 || ofStepOn.applyAsInt(offer) < placement.maxPerVm();
-    return spread ? Verdict.ADMITTED : Verdict.ENOUGH_OF_STEP;
+    return spread ? Verdict.ADMITTED : Verdict.PER_VM_LIMIT;
   }
 
-  private static boolean hasRoomToFill(StepSpec step, double harm, VmOffer offer) {
-    if (offer.leftToFillMilli() < step.sizes().milliProcessors()) {
+  private static boolean hasBestEffortCapacity(StepSpec step, double harm, VmOffer offer) {
+    if (offer.bestEffortHeadroomMilli() < step.sizes().milliProcessors()) {
       return false;
     }
-    if (offer.serving() == 0 || !ImageHarm.isSuspect(harm)) {
+    if (offer.serviceTasks() == 0 || !ImageInterference.isInterfering(harm)) {
       return true;
     }
-    return SuspectRoom.admits(
+    return InterferenceBudget.admits(
         offer.capacity().milliProcessors(),
-        offer.suspectMilliProcessors(),
+        offer.interferingMilliProcessors(),
         step.sizes().milliProcessors());
   }
 
-  private double score(PlacementWish wish, VmOffer offer) {
-    double score = companyScore(wish.step(), wish.harm(), offer);
-    double slowness = offer.slowness();
+  private double score(TaskPlacementRequest wish, VmOffer offer) {
+    double score = colocationScore(wish.step(), wish.interference(), offer);
+    double slowness = offer.slowdown();
     String dataRack = wish.step().placement().preferredRack();
     if (!dataRack.isEmpty() && !offer.labels().contains(dataRack)) {
       slowness *= farRackFactor;
@@ -202,20 +204,20 @@
       slowness *= farRackFactor;
     }
     // A slow VM is worth what its speed leaves of it, whichever sign the rest has.
-    return score - (slowness - 1) * (COMPANY + offer.capacity().milliProcessors());
+    return score - (slowness - 1) * (COLOCATION_WEIGHT + offer.capacity().milliProcessors());
   }
 
-  private static double companyScore(StepSpec step, double harm, VmOffer offer) {
-    double left = offer.leftMilliProcessors() - step.sizes().milliProcessors();
-    boolean besideServing = offer.serving() > 0;
-    if (step.nature().serves()) {
-      double packed = besideServing ? COMPANY : 0;
-      return packed - FILL_AGAINST_SERVING * offer.fillMilliProcessors() - left;
+  private static double colocationScore(StepSpec step, double harm, VmOffer offer) {
+    double left = offer.remainingMilliProcessors() - step.sizes().milliProcessors();
+    boolean besideServing = offer.serviceTasks() > 0;
+    if (step.traits().isService()) {
+      double packed = besideServing ? COLOCATION_WEIGHT : 0;
+      return packed - BEST_EFFORT_PENALTY * offer.bestEffortMilliProcessors() - left;
     }
-    if (step.nature().fills()) {
-      boolean harmless = !ImageHarm.isSuspect(harm);
-      return left + (besideServing == harmless ? COMPANY : 0);
+    if (step.traits().bestEffort()) {
+      boolean harmless = !ImageInterference.isInterfering(harm);
+      return left + (besideServing == harmless ? COLOCATION_WEIGHT : 0);
     }
-    return left + (besideServing && left >= 0 ? COMPANY : 0);
+    return left + (besideServing && left >= 0 ? COLOCATION_WEIGHT : 0);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmOffer.java
@@ -18,12 +18,14 @@
  * @param rack the rack that it stands in; empty if not told
  * @param capacity all that it has
  * @param free what is not booked
- * @param fillMilliProcessors what running tasks that fill declared, in thousandths of a processor
- * @param suspectMilliProcessors the part of that which suspects declared, see {@link SuspectRoom}
+ * @param bestEffortMilliProcessors what running tasks that fill declared, in thousandths of a
+ *     processor
+ * @param interferingMilliProcessors the part of that which suspects declared, see {@link
+ *     InterferenceBudget}
  * @param overcommitMilliProcessors what tasks that fill may declare beyond what is left, see {@link
  *     Overcommit}
- * @param serving how many tasks with a latency target of their own run here
- * @param slowness how many times as long as elsewhere tasks take here; 1 for as long
+ * @param serviceTasks how many tasks with a latency target of their own run here
+ * @param slowdown how many times as long as elsewhere tasks take here; 1 for as long
  */
 public record VmOffer(
     Place place,
@@ -32,16 +34,16 @@
     String rack,
     Sizes capacity,
     Sizes free,
-    long fillMilliProcessors,
-    long suspectMilliProcessors,
+    long bestEffortMilliProcessors,
+    long interferingMilliProcessors,
     long overcommitMilliProcessors,
-    int serving,
-    double slowness) {
+    int serviceTasks,
+    double slowdown) {
   /**
    * Unbooked processors of a roomy fleet, in percent: callers expect work to get on where half is
    * free, and what entries know of room is up to a second old.
    */
-  private static final long ROOMY_PERCENT = 40;
+  private static final long SPARE_CAPACITY_PERCENT = 40;
 
   /** Checks the components. */
   public VmOffer {
@@ -60,20 +62,20 @@
    * <p>Guards against both: held to the bounds on what fills, workflows waited for good beside free
    * room; freed of them in a burst, each pressed in somewhere, and half as many were in time.
    */
-  public static boolean isRoomy(Collection<VmOffer> offers) {
+  public static boolean hasSpareCapacity(Collection<VmOffer> offers) {
     long capacity = offers.stream().mapToLong(each -> each.capacity.milliProcessors()).sum();
     long free = offers.stream().mapToLong(each -> each.free.milliProcessors()).sum();
-    return free * 100 >= capacity * ROOMY_PERCENT;
+    return free * 100 >= capacity * SPARE_CAPACITY_PERCENT;
   }
 
   /** Returns what is left of the processors once tasks that fill have what they declared. */
-  long leftMilliProcessors() {
-    return free.milliProcessors() - fillMilliProcessors;
+  long remainingMilliProcessors() {
+    return free.milliProcessors() - bestEffortMilliProcessors;
   }
 
   /** Returns what tasks that fill may still declare here, in thousandths of a processor. */
-  long leftToFillMilli() {
-    return leftMilliProcessors() + overcommitMilliProcessors;
+  long bestEffortHeadroomMilli() {
+    return remainingMilliProcessors() + overcommitMilliProcessors;
   }
 
   /**
@@ -81,10 +83,10 @@
    *
    * @param harm how harmful the step's image is believed to be
    */
-  public VmOffer after(StepSpec step, double harm) {
-    long fills = step.nature().fills() ? step.sizes().milliProcessors() : 0;
-    long suspect = ImageHarm.isSuspect(harm) ? fills : 0;
-    int nowServing = step.nature().serves() ? serving + 1 : serving;
+  public VmOffer afterPlacing(StepSpec step, double harm) {
+    long fills = step.traits().bestEffort() ? step.sizes().milliProcessors() : 0;
+    long suspect = ImageInterference.isInterfering(harm) ? fills : 0;
+    int nowServing = step.traits().isService() ? serviceTasks + 1 : serviceTasks;
     return new VmOffer(
         place,
         service,
@@ -92,10 +94,10 @@
         rack,
         capacity,
         free.minus(step.booked()),
-        fillMilliProcessors + fills,
-        suspectMilliProcessors + suspect,
+        bestEffortMilliProcessors + fills,
+        interferingMilliProcessors + suspect,
         overcommitMilliProcessors,
         nowServing,
-        slowness);
+        slowdown);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
@@ -18,70 +18,70 @@
  */
 public final class WaitingOrder {
   /** A workflow this many times later than in time is of no use any more. */
-  static final long USELESS_FACTOR = 3;
+  static final long EXPIRED_FACTOR = 3;
 
   /** What a late workflow is worth to its callers, as a part of one in time. */
-  private static final double LATE_PART = 0.15;
+  private static final double LATE_VALUE = 0.15;
 
   /**
    * How many times as long a task may take that is slowed down beside services: suspects work there
    * at about a third of their speed.
    */
-  private static final long SLOWED_FACTOR = 3;
+  private static final long THROTTLED_FACTOR = 3;
 
   /**
    * For how long a workflow with nothing at work waits for a better place, in milliseconds: its
    * caller must see it get on within three seconds if there is any room, and orders, refusals and
    * starts take up to one and a half.
    */
-  static final long HOLD_MILLIS = 1_200;
+  static final long STARVATION_MILLIS = 1_200;
 
   /** Under this part of its work left, a workflow counts as nearly done. */
-  private static final double LEAST_LEFT = 0.02;
+  private static final double MIN_REMAINING_WORK = 0.02;
 
-  private static final Comparator<Ranked> ORDER =
-      Comparator.comparingInt((Ranked each) -> each.priority)
-          .thenComparing(Comparator.comparingDouble((Ranked each) -> each.density).reversed())
+  private static final Comparator<Rank> ORDER =
+      Comparator.comparingInt((Rank each) -> each.priority)
+          .thenComparing(Comparator.comparingDouble((Rank each) -> each.density).reversed())
           .thenComparingLong(each -> each.acceptedMillis)
           .thenComparingLong(each -> each.id);
 
   /** What a workflow that waits is still good for. */
-  public enum Use {
+  public enum Timeliness {
     /** It can be in time. */
     IN_TIME(1),
     /** It will be late. */
-    LATE(LATE_PART),
+    LATE(LATE_VALUE),
     /** It comes too late for anybody. */
-    NONE(0);
+    EXPIRED(0);
 
-    private final double worth;
+    private final double value;
 
-    Use(double worth) {
-      this.worth = worth;
+    Timeliness(double worth) {
+      this.value = worth;
     }
   }
 
   /** A workflow with its place in the order at one moment. Immutable. */
-  public static final class Ranked implements Comparable<Ranked> {
+  public static final class Rank implements Comparable<Rank> {
     private final int priority;
-    private final Use use;
+    private final Timeliness timeliness;
     private final Urgency urgency;
     private final double density;
     private final long acceptedMillis;
     private final long id;
 
-    private Ranked(Workflow workflow, Use use, Urgency urgency) {
-      this.priority = workflow.spec().terms().priority();
-      this.use = use;
+    private Rank(Workflow workflow, Timeliness use, Urgency urgency) {
+      this.priority = workflow.spec().policy().priority();
+      this.timeliness = use;
       this.urgency = urgency;
-      this.density = use.worth / Math.max(LEAST_LEFT, workflow.workLeft());
+      this.density = use.value / Math.max(MIN_REMAINING_WORK, workflow.remainingWork());
       this.acceptedMillis = workflow.spec().acceptedMillis();
       this.id = workflow.spec().id();
     }
 
     /** Returns what it is still good for. */
-    public Use use() {
-      return use;
+    public Timeliness timeliness() {
+      return timeliness;
     }
 
     /** Returns how much a place matters to its tasks. */
@@ -90,13 +90,13 @@
     }
 
     @Override
-    public int compareTo(Ranked other) {
+    public int compareTo(Rank other) {
       return ORDER.compare(this, other);
     }
 
     @Override
     public boolean equals(Object other) {
-      return other instanceof Ranked ranked && compareTo(ranked) == 0;
+      return other instanceof Rank ranked && compareTo(ranked) == 0;
     }
 
     @Override
@@ -108,28 +108,29 @@
   private WaitingOrder() {}
 
   /** Returns the workflow's place at a wall clock in milliseconds. */
-  public static Ranked rank(Workflow workflow, long wallMillis) {
+  public static Rank rank(Workflow workflow, long wallMillis) {
     WorkflowSpec spec = workflow.spec();
-    boolean lasting = spec.steps().stream().anyMatch(step -> step.nature().lasting());
+    boolean lasting = spec.steps().stream().anyMatch(step -> step.traits().longRunning());
     if (lasting || spec.schedule().occurrences() > 0) {
-      return new Ranked(workflow, Use.IN_TIME, urgency(workflow, wallMillis, false));
+      return new Rank(workflow, Timeliness.IN_TIME, urgency(workflow, wallMillis, false));
     }
     double allowed =
-        spec.terms().slackFactor() * workflow.chainMillis(false) + spec.terms().objectiveMillis();
+        spec.policy().slackFactor() * workflow.criticalPathMillis(false)
+            + spec.policy().objectiveMillis();
     long age = wallMillis - spec.acceptedMillis();
-    long left = workflow.chainMillis(true);
+    long left = workflow.criticalPathMillis(true);
     boolean inTime = age + left <= allowed;
-    boolean bearsSlowing = age + SLOWED_FACTOR * left <= allowed;
-    Use use = inTime ? Use.IN_TIME : lateness(age + left, allowed);
-    return new Ranked(workflow, use, urgency(workflow, wallMillis, inTime && !bearsSlowing));
+    boolean bearsSlowing = age + THROTTLED_FACTOR * left <= allowed;
+    Timeliness use = inTime ? Timeliness.IN_TIME : lateOrExpired(age + left, allowed);
+    return new Rank(workflow, use, urgency(workflow, wallMillis, inTime && !bearsSlowing));
   }
 
-  private static Use lateness(long ends, double allowed) {
-    return ends <= USELESS_FACTOR * allowed ? Use.LATE : Use.NONE;
+  private static Timeliness lateOrExpired(long ends, double allowed) {
+    return ends <= EXPIRED_FACTOR * allowed ? Timeliness.LATE : Timeliness.EXPIRED;
   }
 
   private static Urgency urgency(Workflow workflow, long wallMillis, boolean hurried) {
-    if (workflow.idleMillis(wallMillis) >= HOLD_MILLIS) {
+    if (workflow.idleMillis(wallMillis) >= STARVATION_MILLIS) {
       return Urgency.STARVED;
     }
     return hurried ? Urgency.HURRIED : Urgency.ORDINARY;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/LeaseTermsOfWorker.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkerLeaseTerms.java
@@ -17,7 +17,7 @@
  * @param boundMillis the longest that a run can live after the evidence that it rests on
  * @param takeoverMillis how long an owner waits after its last evidence
  */
-public record LeaseTermsOfWorker(long leaseMillis, long boundMillis, long takeoverMillis) {
+public record WorkerLeaseTerms(long leaseMillis, long boundMillis, long takeoverMillis) {
   /** The lease as a share of the longest one, in percent. */
   private static final long LEASE_PERCENT = 65;
 
@@ -28,7 +28,7 @@
   private static final long DRIFT_PERCENT = 3;
 
   /** The longest time before a deadline at which runs of a silent owner are stopped, in millis. */
-  private static final long MOST_STOP_AHEAD_MILLIS = 1_500;
+  private static final long MAX_STOP_AHEAD_MILLIS = 1_500;
 
   /**
    * The same as a share of the lease, in percent. Evidence is up to two seconds old when it counts,
@@ -40,19 +40,19 @@
   private static final long MARGIN_MILLIS = 200;
 
   /** Checks the components. */
-  public LeaseTermsOfWorker {
+  public WorkerLeaseTerms {
     checkArgument(0 < leaseMillis, "leaseMillis is not positive: %s", leaseMillis);
     checkArgument(leaseMillis <= boundMillis, "lease %s over bound %s", leaseMillis, boundMillis);
     checkArgument(boundMillis < takeoverMillis, "takeover %s too short", takeoverMillis);
   }
 
   /** Returns the terms for workers that grant leases of at most the given length. */
-  public static LeaseTermsOfWorker forLongestLease(long longestMillis) {
+  public static WorkerLeaseTerms forMaxLease(long longestMillis) {
     checkArgument(longestMillis >= 1_000, "longestMillis is under a second: %s", longestMillis);
     long lease = longestMillis * LEASE_PERCENT / 100;
     long bound = longestMillis * BOUND_PERCENT / 100;
     long takeover = bound * 100 / (100 - DRIFT_PERCENT) + MARGIN_MILLIS;
-    return new LeaseTermsOfWorker(lease, bound, takeover);
+    return new WorkerLeaseTerms(lease, bound, takeover);
   }
 
   /**
@@ -60,6 +60,6 @@
    * one silent owner does not end the runs of all others.
    */
   public long stopAheadMillis() {
-    return Math.min(MOST_STOP_AHEAD_MILLIS, leaseMillis * STOP_AHEAD_PERCENT / 100);
+    return Math.min(MAX_STOP_AHEAD_MILLIS, leaseMillis * STOP_AHEAD_PERCENT / 100);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
@@ -14,7 +14,7 @@
  * One workflow as its owner knows it: which task may start, what runs, what ended.
  *
  * <p>The owner writes {@link #record} durably before it acts on a change: an attempt before its
- * order leaves, an end before the worker may forget it, and it tells callers {@link #shownStatus}
+ * order leaves, an end before the worker may forget it, and it tells callers {@link #durableStatus}
  * only. So a new owner that restores the last record knows every order that may be on its way.
  *
  * <p>Confined to one thread. Rejects nulls. All operations take time in the number of tasks at
@@ -23,28 +23,28 @@
 public final class Workflow {
   private final WorkflowSpec spec;
   private final List<WorkflowTask> tasks = new ArrayList<>();
-  private final int tasksPerRound;
-  private final int[] firstOfStep;
-  private final int[] doneOfStep;
+  private final int tasksPerOccurrence;
+  private final int[] firstTaskOfStep;
+  private final int[] doneTasksOfStep;
   private WorkflowStatus status = WorkflowStatus.QUEUED;
-  private WorkflowStatus shownStatus = WorkflowStatus.QUEUED;
+  private WorkflowStatus durableStatus = WorkflowStatus.QUEUED;
   private long endedMillis;
-  private boolean begun;
+  private boolean started;
   private long lastRanMillis;
 
   private Workflow(WorkflowSpec spec) {
     this.spec = spec;
     int stepCount = spec.steps().size();
-    this.firstOfStep = new int[stepCount];
+    this.firstTaskOfStep = new int[stepCount];
     int first = 0;
     for (int step = 0; step < stepCount; step++) {
-      firstOfStep[step] = first;
+      firstTaskOfStep[step] = first;
       first += spec.steps().get(step).tasks();
     }
-    this.tasksPerRound = first;
-    this.doneOfStep = new int[stepCount * spec.schedule().rounds()];
-    for (int round = 0; round < spec.schedule().rounds(); round++) {
-      addRound(round);
+    this.tasksPerOccurrence = first;
+    this.doneTasksOfStep = new int[stepCount * spec.schedule().occurrenceCount()];
+    for (int round = 0; round < spec.schedule().occurrenceCount(); round++) {
+      addOccurrence(round);
     }
   }
 
@@ -61,18 +61,18 @@
       WorkflowTask task = workflow.tasks.get(i);
       task.restore(state.tasks().get(i));
       if (task.isDone()) {
-        workflow.doneOfStep[workflow.stepSlot(task.key())]++;
+        workflow.doneTasksOfStep[workflow.stepIndex(task.key())]++;
       }
     }
     workflow.status = state.status();
-    workflow.shownStatus = state.status();
+    workflow.durableStatus = state.status();
     workflow.endedMillis = state.endedMillis();
-    workflow.breakGangs();
-    workflow.begun = state.status() != WorkflowStatus.QUEUED;
+    workflow.stopBrokenGangs();
+    workflow.started = state.status() != WorkflowStatus.QUEUED;
     return workflow;
   }
 
-  private void addRound(int round) {
+  private void addOccurrence(int round) {
     for (int step = 0; step < spec.steps().size(); step++) {
       StepSpec stepSpec = spec.steps().get(step);
       for (int index = 0; index < stepSpec.tasks(); index++) {
@@ -86,19 +86,19 @@
     return spec;
   }
 
-  /** Returns the status as decided; callers are told {@link #shownStatus}. */
+  /** Returns the status as decided; callers are told {@link #durableStatus}. */
   public WorkflowStatus status() {
     return status;
   }
 
   /** Returns the status that is durable. */
-  public WorkflowStatus shownStatus() {
-    return shownStatus;
+  public WorkflowStatus durableStatus() {
+    return durableStatus;
   }
 
   /** Takes the status of a record that became durable for the one to show. */
-  public void show(WorkflowStatus durable) {
-    shownStatus = requireNonNull(durable, "durable");
+  public void setDurableStatus(WorkflowStatus durable) {
+    durableStatus = requireNonNull(durable, "durable");
   }
 
   /** Returns the wall clock at the end, in milliseconds; 0 while it has not ended. */
@@ -107,12 +107,12 @@
   }
 
   /** Returns whether a worker has begun a task. */
-  public boolean hasBegun() {
-    return begun;
+  public boolean hasStarted() {
+    return started;
   }
 
-  void begun() {
-    begun = true;
+  void started() {
+    started = true;
     if (status == WorkflowStatus.QUEUED) {
       status = WorkflowStatus.RUNNING;
     }
@@ -126,18 +126,19 @@
   /** Returns the task of the key, or empty if the workflow has none. */
   public Optional<WorkflowTask> task(TaskKey key) {
     if (key.workflow() != spec.id()
-        || key.occurrence() >= spec.schedule().rounds()
+        || key.occurrence() >= spec.schedule().occurrenceCount()
         || key.step() >= spec.steps().size()
         || key.index() >= spec.steps().get(key.step()).tasks()) {
       return Optional.empty();
     }
-    int position = key.occurrence() * tasksPerRound + firstOfStep[key.step()] + key.index();
+    int position =
+        key.occurrence() * tasksPerOccurrence + firstTaskOfStep[key.step()] + key.index();
     return Optional.of(tasks.get(position));
   }
 
   /** Returns the tasks of one step of one occurrence. */
   public List<WorkflowTask> tasksOf(int occurrence, int step) {
-    int first = occurrence * tasksPerRound + firstOfStep[step];
+    int first = occurrence * tasksPerOccurrence + firstTaskOfStep[step];
     return tasks.subList(first, first + spec.steps().get(step).tasks());
   }
 
@@ -150,7 +151,7 @@
     if (status.isTerminal()) {
       return;
     }
-    for (int round = 0; round < spec.schedule().rounds(); round++) {
+    for (int round = 0; round < spec.schedule().occurrenceCount(); round++) {
       if (spec.schedule().occurrences() > 0 && spec.schedule().dueMillis(round) > wallMillis) {
         return;
       }
@@ -172,7 +173,7 @@
   }
 
   private boolean isGang(int step) {
-    return spec.steps().get(step).nature().gang();
+    return spec.steps().get(step).traits().gang();
   }
 
   private boolean dependenciesDone(int round, int step) {
@@ -181,10 +182,10 @@
   }
 
   private boolean stepDone(int round, int step) {
-    return doneOfStep[round * spec.steps().size() + step] == spec.steps().get(step).tasks();
+    return doneTasksOfStep[round * spec.steps().size() + step] == spec.steps().get(step).tasks();
   }
 
-  private int stepSlot(TaskKey key) {
+  private int stepIndex(TaskKey key) {
     return key.occurrence() * spec.steps().size() + key.step();
   }
 
@@ -193,10 +194,10 @@
    *
    * @throws IllegalStateException if one may still run, or the task is done
    */
-  public RunKey order(WorkflowTask task, Place place) {
+  public RunKey startAttempt(WorkflowTask task, Place place) {
     checkArgument(task.workflow() == this, "%s is a task of another workflow", task.key());
-    checkArgument(!task.step().nature().gang(), "%s is ordered with its gang only", task.key());
-    task.order(place, task.lastAttempt() + 1, task.failures());
+    checkArgument(!task.step().traits().gang(), "%s is ordered with its gang only", task.key());
+    task.startAttempt(place, task.lastAttempt() + 1, task.failures());
     return task.openRun();
   }
 
@@ -207,26 +208,26 @@
    * @param places one for each member, in their order
    * @throws IllegalStateException if a member may still run, or is done
    */
-  public void orderGang(WorkflowTask member, List<Place> places) {
-    List<WorkflowTask> members = gangOf(member);
+  public void startGangAttempt(WorkflowTask member, List<Place> places) {
+    List<WorkflowTask> members = gangMembers(member);
     checkArgument(places.size() == members.size(), "%s places for a gang", places.size());
     int attempt = members.stream().mapToInt(WorkflowTask::lastAttempt).max().orElse(0) + 1;
     // An attempt that failed has failed once for the gang, however many members say so.
     int failures = members.stream().mapToInt(WorkflowTask::failures).max().orElse(0);
     for (int i = 0; i < members.size(); i++) {
-      members.get(i).order(places.get(i), attempt, failures);
+      members.get(i).startAttempt(places.get(i), attempt, failures);
     }
   }
 
   /** Returns all tasks that work only together with the given one, itself among them. */
-  public List<WorkflowTask> gangOf(WorkflowTask member) {
-    checkArgument(member.step().nature().gang(), "%s has no gang", member.key());
+  public List<WorkflowTask> gangMembers(WorkflowTask member) {
+    checkArgument(member.step().traits().gang(), "%s has no gang", member.key());
     return tasksOf(member.key().occurrence(), member.key().step());
   }
 
   /** Progress that one member saved is that of the gang, and all have to resume from the same. */
   void shareCheckpoint(WorkflowTask member) {
-    gangOf(member).forEach(each -> each.resumeFrom(member.checkpoint()));
+    gangMembers(member).forEach(each -> each.resumeFrom(member.checkpoint()));
   }
 
   /**
@@ -234,10 +235,10 @@
    *
    * <p>Members that wait for one that has ended hold their room for nothing until they give up.
    */
-  private void breakGangs() {
+  private void stopBrokenGangs() {
     for (WorkflowTask task : tasks) {
-      if (!task.isOpen() && !task.isDone() && task.step().nature().gang()) {
-        gangOf(task).stream().filter(WorkflowTask::isOpen).forEach(WorkflowTask::wantStop);
+      if (!task.isOpen() && !task.isDone() && task.step().traits().gang()) {
+        gangMembers(task).stream().filter(WorkflowTask::isOpen).forEach(WorkflowTask::requestStop);
       }
     }
   }
@@ -247,25 +248,25 @@
    *
    * @return whether this changed anything; ends of other attempts than the open one do not
    */
-  public boolean ended(RunKey run, RunOutcome outcome, String checkpoint, long wallMillis) {
+  public boolean recordEnd(RunKey run, RunOutcome outcome, String checkpoint, long wallMillis) {
     Optional<WorkflowTask> found = task(run.task());
     if (found.isEmpty() || !found.get().isOpen() || found.get().lastAttempt() != run.attempt()) {
       return false;
     }
     WorkflowTask task = found.get();
-    task.close(outcome, checkpoint);
-    lastRanMillis = outcome.ran() ? Math.max(lastRanMillis, wallMillis) : lastRanMillis;
-    if (outcome.ran() && outcome != RunOutcome.LOST) {
-      begun();
+    task.endAttempt(outcome, checkpoint);
+    lastRanMillis = outcome.mayHaveRun() ? Math.max(lastRanMillis, wallMillis) : lastRanMillis;
+    if (outcome.mayHaveRun() && outcome != RunOutcome.LOST) {
+      started();
     }
     if (task.isDone()) {
-      doneOfStep[stepSlot(task.key())]++;
+      doneTasksOfStep[stepIndex(task.key())]++;
     }
-    if (task.step().nature().gang()) {
-      endedInGang(task);
+    if (task.step().traits().gang()) {
+      recordGangMemberEnd(task);
     }
     if (!status.isTerminal()) {
-      conclude(task, wallMillis);
+      updateStatus(task, wallMillis);
     }
     return true;
   }
@@ -277,20 +278,20 @@
    * report of a member's worker may be lost, so that its run counts as lost before another member
    * tells that all were done. No later attempt is open then, since that waits for all ends.
    */
-  private void endedInGang(WorkflowTask task) {
+  private void recordGangMemberEnd(WorkflowTask task) {
     shareCheckpoint(task);
-    for (WorkflowTask other : gangOf(task)) {
+    for (WorkflowTask other : gangMembers(task)) {
       if (task.isDone() && !other.isDone()) {
-        other.doneWithGang();
-        doneOfStep[stepSlot(other.key())]++;
+        other.completeWithGang();
+        doneTasksOfStep[stepIndex(other.key())]++;
       } else if (other.isOpen()) {
-        other.wantStop();
+        other.requestStop();
       }
     }
   }
 
-  private void conclude(WorkflowTask task, long wallMillis) {
-    if (task.failures() >= spec.terms().maxFailures()) {
+  private void updateStatus(WorkflowTask task, long wallMillis) {
+    if (task.failures() >= spec.policy().maxFailures()) {
       end(WorkflowStatus.FAILED, wallMillis);
     } else if (task.isDone() && tasks.stream().allMatch(WorkflowTask::isDone)) {
       end(WorkflowStatus.DONE, wallMillis);
@@ -316,7 +317,7 @@
    *
    * @param remaining whether to leave out steps that are done, of the first occurrence
    */
-  public long chainMillis(boolean remaining) {
+  public long criticalPathMillis(boolean remaining) {
     int steps = spec.steps().size();
     long[] upTo = new long[steps];
     long longest = 0;
@@ -346,7 +347,7 @@
    *
    * <p>Work is run time times processors; what runs counts as not done.
    */
-  public double workLeft() {
+  public double remainingWork() {
     double all = 0;
     double left = 0;
     for (int step = 0; step < spec.steps().size(); step++) {
@@ -354,7 +355,7 @@
       double ofTask =
           (double) Math.max(1, each.estimateMillis()) * Math.max(1, each.sizes().milliProcessors());
       all += ofTask * each.tasks();
-      left += ofTask * (each.tasks() - doneOfStep[step]);
+      left += ofTask * (each.tasks() - doneTasksOfStep[step]);
     }
     return left / all;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowSpec.java
@@ -13,7 +13,7 @@
  *
  * @param id chosen by the caller
  * @param queue the name of the queue
- * @param terms the queue's terms when the workflow was accepted
+ * @param policy the queue's terms when the workflow was accepted
  * @param program opaque text for the worker
  * @param steps at least one
  * @param schedule when it runs
@@ -22,7 +22,7 @@
 public record WorkflowSpec(
     long id,
     String queue,
-    Terms terms,
+    QueuePolicy policy,
     String program,
     ImmutableList<StepSpec> steps,
     Schedule schedule,
@@ -38,15 +38,15 @@
    * @param slackFactor how many times its longest chain of work a workflow may take and be in time
    * @param objectiveMillis what it may take in addition, in milliseconds
    */
-  public record Terms(
+  public record QueuePolicy(
       String service,
       int priority,
       int maxFailures,
-      Optional<AdviceTerms> advice,
+      Optional<AdviserTiming> advice,
       double slackFactor,
       long objectiveMillis) {
     /** Checks the components. */
-    public Terms {
+    public QueuePolicy {
       requireNonNull(service, "service");
       requireNonNull(advice, "advice");
       checkArgument(slackFactor >= 1, "slackFactor is under 1: %s", slackFactor);
@@ -64,7 +64,7 @@
    */
   public record Schedule(int occurrences, long firstDueMillis, long intervalMillis) {
     /** Once, as soon as it can. */
-    public static final Schedule AT_ONCE = new Schedule(0, 0, 0);
+    public static final Schedule IMMEDIATE = new Schedule(0, 0, 0);
 
     /** Checks the components. */
     public Schedule {
@@ -73,7 +73,7 @@
     }
 
     /** Returns how often the steps run. */
-    public int rounds() {
+    public int occurrenceCount() {
       return Math.max(1, occurrences);
     }
 
@@ -89,7 +89,7 @@
   /** Checks the components, and that steps depend on earlier ones only. */
   public WorkflowSpec {
     requireNonNull(queue, "queue");
-    requireNonNull(terms, "terms");
+    requireNonNull(policy, "terms");
     requireNonNull(program, "program");
     requireNonNull(schedule, "schedule");
     checkArgument(!steps.isEmpty(), "a workflow has no steps");
@@ -102,7 +102,7 @@
           step);
       tasks += steps.get(i).tasks();
     }
-    long total = tasks * schedule.rounds();
+    long total = tasks * schedule.occurrenceCount();
     checkArgument(total <= MAX_TASKS, "a workflow has %s tasks, %s at most", total, MAX_TASKS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowTask.java
@@ -23,7 +23,7 @@
   private String checkpoint = "";
   private boolean started;
   private int percent;
-  private boolean stopWanted;
+  private boolean stopRequested;
   private long notBefore = Long.MIN_VALUE;
   private int refusals;
   private final Set<String> failedOn = new HashSet<>();
@@ -105,13 +105,13 @@
   }
 
   /** Returns whether the owner wants the open attempt to end, to run it elsewhere. */
-  public boolean isStopWanted() {
-    return stopWanted;
+  public boolean isStopRequested() {
+    return stopRequested;
   }
 
   /** Asks that the open attempt be stopped; it is ordered anew once it has ended. */
-  public void wantStop() {
-    stopWanted = true;
+  public void requestStop() {
+    stopRequested = true;
   }
 
   /** Returns the time before which no attempt is to be ordered, in the owner's nanoseconds. */
@@ -120,7 +120,7 @@
   }
 
   /** Sets the time before which no attempt is to be ordered, in the owner's nanoseconds. */
-  public void waitUntil(long nanos) {
+  public void deferUntil(long nanos) {
     notBefore = nanos;
   }
 
@@ -135,46 +135,46 @@
   }
 
   /** Takes what a worker says of the open attempt. */
-  public void observe(String newCheckpoint, int newPercent) {
+  public void recordProgress(String newCheckpoint, int newPercent) {
     started = true;
     refusals = 0;
     percent = newPercent;
     if (!newCheckpoint.isEmpty() && !newCheckpoint.equals(checkpoint)) {
       checkpoint = newCheckpoint;
-      if (step.nature().gang()) {
+      if (step.traits().gang()) {
         workflow.shareCheckpoint(this);
       }
     }
-    workflow.begun();
+    workflow.started();
   }
 
   void resumeFrom(String saved) {
     checkpoint = saved;
   }
 
-  void order(Place newPlace, int attempt, int failuresBefore) {
+  void startAttempt(Place newPlace, int attempt, int failuresBefore) {
     checkState(place == null && !done, "%s cannot be ordered", key);
     place = requireNonNull(newPlace, "place");
     lastAttempt = attempt;
     failures = failuresBefore;
     started = false;
-    stopWanted = false;
+    stopRequested = false;
     percent = 0;
   }
 
-  void close(RunOutcome outcome, String newCheckpoint) {
+  void endAttempt(RunOutcome outcome, String newCheckpoint) {
     if (outcome.countsAsFailure()) {
       failedOn.add(place.vm());
     }
     place = null;
     started = false;
-    stopWanted = false;
+    stopRequested = false;
     percent = 0;
     if (!newCheckpoint.isEmpty()) {
       checkpoint = newCheckpoint;
     }
     refusals = outcome == RunOutcome.REFUSED ? refusals + 1 : 0;
-    if (step.nature().lasting()) {
+    if (step.traits().longRunning()) {
       return;
     }
     if (outcome.completes()) {
@@ -186,9 +186,9 @@
   }
 
   /** Takes the word of another member that the attempt of the gang did its work. */
-  void doneWithGang() {
+  void completeWithGang() {
     if (isOpen()) {
-      close(RunOutcome.DONE, "");
+      endAttempt(RunOutcome.DONE, "");
     }
     done = true;
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/admission/AdmissionPolicyTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/admission/AdmissionPolicyTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.marigoldsail.admission.AdmissionPolicy.Situation;
+import io.marigoldsail.admission.AdmissionPolicy.QueueState;
 import io.marigoldsail.admission.AdmissionPolicy.Verdict;
 import org.junit.jupiter.api.Test;
 
@@ -15,15 +15,15 @@
 
   private final AdmissionPolicy policy = new AdmissionPolicy();
 
-  private static Situation ahead(int requests) {
-    return new Situation(
+  private static QueueState ahead(int requests) {
+    return new QueueState(
         requests, requests, requests, false, true, 1_000, TARGET_DELAY, 10_000, SPARE);
   }
 
   // A market opens and ten times the usual motorists ask within half a second. All of them can be
   // answered within their second; a bound on the delay would send most of them away.
   @Test
-  void letsABurstWaitAsLongAsItsDeadlineAllows() {
+  void admitsABurstThatFitsItsDeadline() {
     assertEquals(Verdict.WAIT, policy.decide(ahead(800), 0));
     assertEquals(Verdict.WAIT, policy.decide(ahead(800), 500 * MILLI));
     assertEquals(Verdict.FULL, policy.decide(ahead(950), 500 * MILLI));
@@ -31,7 +31,7 @@
 
   // The queue has been long for a second: whoever joins it now only waits, nobody is served more.
   @Test
-  void boundsTheWaitOnceTheQueueWasLongForASecond() {
+  void boundsTheWaitAfterOneSecondAboveTheTargetDelay() {
     overload();
     assertEquals(Verdict.FULL, policy.decide(ahead(100), 1_100 * MILLI));
     assertEquals(Verdict.WAIT, policy.decide(ahead(15), 1_100 * MILLI));
@@ -40,7 +40,7 @@
   // Under lasting overload the queue dips under the target again and again. If each dip counted as
   // its end, the queue would be allowed to grow to a second every time.
   @Test
-  void staysStrictWhileAnybodyIsRefused() {
+  void staysOverloadedWhileRequestsAreRefused() {
     overload();
     for (long millis = 1_000; millis < 10_000; millis += 500) {
       policy.decide(ahead(0), millis * MILLI);
@@ -52,9 +52,9 @@
 
   // A hot caller keeps the queue at the target delay; a quiet one's first request may wait longer.
   @Test
-  void isMorePatientWithACallerWithinItsTurn() {
+  void allowsALongerWaitToACallerWithoutBacklog() {
     overload();
-    Situation quiet = new Situation(30, 30, 30, false, false, 1_000, TARGET_DELAY, 10_000, SPARE);
+    QueueState quiet = new QueueState(30, 30, 30, false, false, 1_000, TARGET_DELAY, 10_000, SPARE);
     assertEquals(Verdict.FULL, policy.decide(ahead(30), 1_100 * MILLI));
     assertEquals(Verdict.WAIT, policy.decide(quiet, 1_100 * MILLI));
   }
@@ -63,22 +63,23 @@
   // later with an earlier turn passes it: it was let in for a target delay of 20 ms and waited 87
   // ms.
   @Test
-  void countsThoseWhoWillPassOnceOverloadLasts() {
-    Situation passed = new Situation(30, 10, 100, false, true, 1_000, TARGET_DELAY, 10_000, SPARE);
+  void countsLaterRequestsThatOvertakeDuringOverload() {
+    QueueState passed =
+        new QueueState(30, 10, 100, false, true, 1_000, TARGET_DELAY, 10_000, SPARE);
     assertEquals(Verdict.WAIT, policy.decide(passed, 0));
     overload();
     assertEquals(Verdict.FULL, policy.decide(passed, 1_100 * MILLI));
   }
 
   @Test
-  void namesTheHotCallerAsTheCause() {
-    Situation hot = new Situation(950, 950, 950, true, true, 1_000, TARGET_DELAY, 10_000, SPARE);
+  void reportsACallerOverItsFairShare() {
+    QueueState hot = new QueueState(950, 950, 950, true, true, 1_000, TARGET_DELAY, 10_000, SPARE);
     assertEquals(Verdict.OVER_SHARE, policy.decide(hot, 0));
   }
 
   @Test
-  void neverHoldsMoreThanTheLimit() {
-    Situation full = new Situation(10_000, 0, 0, false, false, 1e6, TARGET_DELAY, 10_000, SPARE);
+  void refusesBeyondMaxWaiting() {
+    QueueState full = new QueueState(10_000, 0, 0, false, false, 1e6, TARGET_DELAY, 10_000, SPARE);
     assertEquals(Verdict.FULL, policy.decide(full, 0));
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/admission/FairQueueTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/admission/FairQueueTest.java
@@ -19,7 +19,7 @@
   // asks once, a moment later, would wait behind all of them if the queue were first come first
   // served.
   @Test
-  void servesAQuietCallerBeforeTheRestOfAHotOne() {
+  void servesAQuietCallerBeforeTheBacklogOfAHotOne() {
     for (int i = 0; i < 100; i++) {
       queue.add(i, "hot", "");
     }
@@ -31,7 +31,7 @@
   // On market day everybody asks about the same church yard. A motorist who asks about it waits his
   // turn for it; his question about another lot is not held up by that.
   @Test
-  void holdsUpOnlyTheRequestsAboutAHotKey() {
+  void delaysOnlyRequestsForAHotKey() {
     for (int i = 0; i < 100; i++) {
       queue.add(i, "caller-" + i, "church-yard");
     }
@@ -43,7 +43,7 @@
   }
 
   @Property(seed = "7", tries = 200)
-  void countsWhatIsServedBeforeANewcomer(
+  void countsRequestsServedBeforeANewOne(
       @ForAll @Size(min = 1, max = 200) List<@IntRange(min = 0, max = 30) Integer> callers,
       @ForAll @IntRange(min = 0, max = 10) int served) {
     FairQueue<Integer> fresh = new FairQueue<>();
@@ -53,7 +53,7 @@
     for (int i = 0; i < served; i++) {
       fresh.poll();
     }
-    int ahead = fresh.aheadOf("caller-0", "key-0");
+    int ahead = fresh.countAhead("caller-0", "key-0");
     fresh.add(-1, "caller-0", "key-0");
     int before = 0;
     while (fresh.poll().orElseThrow().item() != -1) {
@@ -63,7 +63,7 @@
   }
 
   @Property(seed = "8", tries = 200)
-  void servesWhatIsRestoredOrLeftExactlyOnce(
+  void servesRestoredAndRemainingRequestsExactlyOnce(
       @ForAll @Size(max = 100) List<@IntRange(min = 0, max = 9) Integer> steps) {
     FairQueue<Integer> fresh = new FairQueue<>();
     List<FairQueue.Ticket<Integer>> tickets = new ArrayList<>();
@@ -96,19 +96,19 @@
       queue.add(i, "caller-" + i, "key-" + i);
       queue.poll();
     }
-    assertEquals(FairQueue.MAX_FLOWS, queue.clocks());
+    assertEquals(FairQueue.MAX_FLOWS, queue.callerClockCount());
   }
 
   @Test
-  void tellsWhoseRequestsFillTheQueue() {
+  void detectsACallerOverItsFairShare() {
     for (int i = 0; i < 20; i++) {
       queue.add(i, "hot", "");
     }
     for (int i = 0; i < 4; i++) {
       queue.add(i, "quiet-" + i, "");
     }
-    assertTrue(queue.isOverShare("hot", ""));
-    assertFalse(queue.isOverShare("quiet-0", ""));
+    assertTrue(queue.isOverFairShare("hot", ""));
+    assertFalse(queue.isOverFairShare("quiet-0", ""));
   }
 
   private List<Integer> pollMany(int count) {
@@ -123,7 +123,7 @@
   // it,
   // but at each of its turns the ten pass it again: 40 are served first, not 18.
   @Test
-  void expectsThoseWhoComeLaterAndPass() {
+  void estimatesLaterRequestsThatOvertake() {
     FairQueue<Integer> queue = new FairQueue<>();
     int callers = 10;
     for (int i = 0; i < 61 * callers; i++) {
@@ -135,7 +135,7 @@
     for (int i = 0; i < 8; i++) {
       queue.add(i, "hot", "");
     }
-    assertEquals(18, queue.aheadOf("hot", ""));
-    assertEquals(40, queue.expectedAheadOf("hot", ""));
+    assertEquals(18, queue.countAhead("hot", ""));
+    assertEquals(40, queue.expectedCountAhead("hot", ""));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/RequestSchedulerTest.java
@@ -37,8 +37,8 @@
   }
 
   @Test
-  void refusesAtOnceWhatNoTargetServes() {
-    List<Decision> decisions = scheduler.arrived(arrival(1, "parking", 0), 0);
+  void refusesARequestWithoutTargetAtOnce() {
+    List<Decision> decisions = scheduler.requestArrived(arrival(1, "parking", 0), 0);
     assertEquals(ErrorKind.NO_TARGET, refusal(decisions));
     assertFalse(scheduler.isPending(1));
   }
@@ -47,10 +47,10 @@
   // to
   // come back, not at their deadline.
   @Test
-  void refusesWhatWaitsWhenTheLastTargetGoes() {
+  void refusesWaitingRequestsWhenTheLastTargetIsRemoved() {
     scheduler.targetsChanged(List.of(target("vm-0", "parking")), 0);
     for (int i = 0; i < 20; i++) {
-      scheduler.arrived(arrival(i, "parking", 0), 0);
+      scheduler.requestArrived(arrival(i, "parking", 0), 0);
     }
     List<Decision> decisions = scheduler.targetsChanged(List.of(), 1);
     assertFalse(decisions.isEmpty());
@@ -63,7 +63,7 @@
    * with seconds to spare, must be served late rather than be told that it is full.
    */
   @Test
-  void refusesNobodyWhileANearlyIdleFleetIsYoung() {
+  void servesAllRequestsOfANearlyIdleFleetThatStallsAtStart() {
     long stall = SECOND / 4;
     long spacing = SECOND / 62;
     scheduler.targetsChanged(
@@ -79,7 +79,7 @@
       if (now / spacing >= arrivals && now < SECOND) {
         Arrival next = new Arrival(arrivals, "parking", "caller", "", true, now, now + 2 * SECOND);
         arrivals++;
-        decisions.addAll(scheduler.arrived(next, now));
+        decisions.addAll(scheduler.requestArrived(next, now));
       }
       while (!ends.isEmpty() && ends.peek()[0] <= now) {
         long[] end = ends.poll();
@@ -101,21 +101,21 @@
   }
 
   @Test
-  void keepsServicesApart() {
+  void isolatesServices() {
     scheduler.targetsChanged(List.of(target("vm-0", "parking"), target("vm-1", "alerts")), 0);
     for (int i = 0; i < 100; i++) {
-      scheduler.arrived(arrival(i, "parking", 0), 0);
+      scheduler.requestArrived(arrival(i, "parking", 0), 0);
     }
-    List<Decision> decisions = scheduler.arrived(arrival(1_000, "alerts", 0), 0);
+    List<Decision> decisions = scheduler.requestArrived(arrival(1_000, "alerts", 0), 0);
     assertEquals("vm-1", ((Decision.Send) decisions.get(0)).vm());
   }
 
   @Test
-  void givesUpAtTheDeadlineWhatFoundNoSlot() {
+  void refusesAtTheDeadlineWhenNoSlotWasFree() {
     scheduler.targetsChanged(List.of(target("vm-0", "parking")), 0);
     int sent = 0;
     for (int i = 0; i < 10; i++) {
-      sent += scheduler.arrived(arrival(i, "parking", 0), 0).size();
+      sent += scheduler.requestArrived(arrival(i, "parking", 0), 0).size();
     }
     assertEquals(SECOND, scheduler.nextWake());
     List<Decision> decisions = scheduler.wake(SECOND);
@@ -157,7 +157,7 @@
         case 0 -> changeTargets(random);
         case 1 ->
             carryOut(
-                scheduler.reported(
+                scheduler.loadReported(
                     "vm-" + random.nextInt(4),
                     new TargetLoad(random.nextInt(3), random.nextInt(2), 3, false),
                     now));
@@ -184,7 +184,7 @@
           new Arrival(number, "parking", caller, "", random.nextBoolean(), now, now + SECOND / 4);
       arrived.add(number);
       arrivals.put(number, arrival);
-      carryOut(scheduler.arrived(arrival, now));
+      carryOut(scheduler.requestArrived(arrival, now));
     }
 
     private void endOne(AttemptOutcome outcome) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/TransitDelayTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/TransitDelayTest.java
@@ -10,34 +10,34 @@
   private final TransitDelay delay = new TransitDelay();
 
   @Test
-  void usualWayIsNoDelayWhateverTheClocksShow() {
-    assertEquals(0, delay.excess(5 * SECOND, -70 * SECOND));
-    assertEquals(0, delay.excess(6 * SECOND, -69 * SECOND));
+  void usualTransitTimeCountsAsZeroDelay() {
+    assertEquals(0, delay.excessNanos(5 * SECOND, -70 * SECOND));
+    assertEquals(0, delay.excessNanos(6 * SECOND, -69 * SECOND));
   }
 
   /** A frame that lay in a socket while this process was frozen for ten seconds. */
   @Test
-  void timeInBuffersIsCounted() {
-    delay.excess(0, 100);
+  void bufferedTimeIsCounted() {
+    delay.excessNanos(0, 100);
 
-    assertEquals(10 * SECOND, delay.excess(SECOND, 11 * SECOND + 100));
+    assertEquals(10 * SECOND, delay.excessNanos(SECOND, 11 * SECOND + 100));
   }
 
   @Test
-  void shorterWayIsLearntAtOnce() {
-    delay.excess(0, 500);
+  void shorterTransitTimeBecomesTheBaselineAtOnce() {
+    delay.excessNanos(0, 500);
 
-    assertEquals(0, delay.excess(1_000, 1_100));
-    assertEquals(400, delay.excess(2_000, 2_500));
+    assertEquals(0, delay.excessNanos(1_000, 1_100));
+    assertEquals(400, delay.excessNanos(2_000, 2_500));
   }
 
   /** Clocks that drift by a millisecond a minute must not add up to seconds over a day. */
   @Test
-  void driftIsForgottenAfterTwoPeriods() {
+  void clockDriftDoesNotAccumulate() {
     long excess = 0;
     for (long minute = 0; minute < 24 * 60; minute++) {
       long sentAt = minute * 60 * SECOND;
-      excess = delay.excess(sentAt, sentAt + minute * 1_000_000);
+      excess = delay.excessNanos(sentAt, sentAt + minute * 1_000_000);
     }
 
     assertEquals(1_000_000, excess);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/error/ErrorKindTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/error/ErrorKindTest.java
@@ -15,7 +15,7 @@
   private static final Path PAGE = Path.of("..", "docs", "errors.md");
 
   @Test
-  void pageShowsTheTable() throws IOException {
+  void documentationListsEveryErrorKind() throws IOException {
     List<String> rows = new ArrayList<>();
     for (ErrorKind kind : ErrorKind.values()) {
       rows.add(
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void codesAreUniqueAndFound() {
+  void codesAreUniqueAndResolvable() {
     for (ErrorKind kind : ErrorKind.values()) {
       assertEquals(Optional.of(kind), ErrorKind.forCode(kind.code()));
     }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/GuardTest.java
@@ -18,10 +18,10 @@
 
   private final List<GuardedTask> tasks = new ArrayList<>();
   private final List<GuardAction> actions = new ArrayList<>();
-  private final List<Long> loose = new ArrayList<>();
+  private final List<Long> unthrottled = new ArrayList<>();
   private long now = SECOND;
-  private Guard guard = new Guard(GuardTerms.VATULELE, now);
-  private GuardTerms terms = GuardTerms.VATULELE;
+  private Guard guard = new Guard(GuardPolicy.VATULELE, now);
+  private GuardPolicy terms = GuardPolicy.VATULELE;
 
   private void add(long token, String program, long startedSecond, long checkpointedSecond) {
     tasks.add(
@@ -35,24 +35,24 @@
             0,
             0,
             true));
-    loose.add(token);
+    unthrottled.add(token);
   }
 
   /** Runs the guard on a service whose pressure follows from which tasks are loose. */
   private void run(long seconds, ToDoubleFunction<List<Long>> pressure) {
     for (long until = now + seconds * SECOND; now < until; now += STEP) {
-      ServiceReading reading = new ServiceReading(pressure.applyAsDouble(loose), 1, now);
+      ServiceReading reading = new ServiceReading(pressure.applyAsDouble(unthrottled), 1, now);
       List<GuardAction> decided =
           guard.decide(terms, Optional.of(reading), List.copyOf(tasks), now, 0);
-      decided.forEach(this::carryOut);
+      decided.forEach(this::apply);
       actions.addAll(decided);
     }
   }
 
-  private void carryOut(GuardAction action) {
-    loose.remove(action.token());
+  private void apply(GuardAction action) {
+    unthrottled.remove(action.token());
     if (action instanceof GuardAction.Throttle throttle && throttle.percent() == 100) {
-      loose.add(action.token());
+      unthrottled.add(action.token());
     }
     if (action instanceof GuardAction.Evict) {
       tasks.removeIf(task -> task.token() == action.token());
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void aQuietServiceCostsTheTasksNothing() {
+  void doesNotThrottleBesideAHealthyService() {
     add(1, "calm", 0, 0);
     run(60, running -> 0.5);
 
@@ -76,7 +76,7 @@
    * has learned which it was, the others run free.
    */
   @Test
-  void aNoisyTaskIsThrottledAndTheOthersRunFree() {
+  void throttlesOnlyTheInterferingTask() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
     add(3, "calm", 0, 0);
@@ -84,12 +84,12 @@
     run(120, running -> running.contains(2L) ? 1.5 : 0.5);
 
     assertEquals(0, evictions());
-    assertTrue(loose.containsAll(List.of(1L, 3L, 4L)), () -> "loose: " + loose);
+    assertTrue(unthrottled.containsAll(List.of(1L, 3L, 4L)), () -> "loose: " + unthrottled);
   }
 
   /** Each try of a known culprit costs the service a slow moment, so tries become rare. */
   @Test
-  void aCulpritIsTriedAgainLessAndLess() {
+  void probesAKnownInterferingTaskRarely() {
     add(1, "calm", 0, 0);
     add(2, "noisy", 0, 0);
     run(600, running -> running.contains(2L) ? 1.5 : 0.5);
@@ -97,21 +97,21 @@
     long tries =
         actions.stream()
             .filter(action -> action.token() == 2)
-            .filter(action -> action.why().contains("quiet"))
+            .filter(action -> action.reason().contains("quiet"))
             .count();
     assertTrue(tries > 2 && tries < 40, () -> "tries " + tries);
   }
 
   /** Between quiet and slow nothing changes, or lagging readings would make the guard swing. */
   @Test
-  void betweenQuietAndSlowNothingChanges() {
+  void doesNothingBetweenTheThresholds() {
     add(1, "noisy", 0, 0);
     run(2, running -> 1.2);
     int before = actions.size();
     run(60, running -> 0.9);
 
     assertEquals(before, actions.size());
-    assertFalse(loose.contains(1L));
+    assertFalse(unthrottled.contains(1L));
   }
 
   /**
@@ -119,7 +119,7 @@
    * Only then a task is evicted, the one that loses least work.
    */
   @Test
-  void evictsTheTaskThatLosesLeastWhenThrottlingDoesNotHelp() {
+  void evictsTheTaskWithLeastLostWorkWhenThrottlingFails() {
     add(1, "a", 0, 0);
     add(2, "b", 0, 1);
     add(3, "c", 0, 0);
@@ -131,7 +131,7 @@
 
   /** A service that is overloaded by its own callers is not helped by evicting task after task. */
   @Test
-  void evictionsStayWithinTheBudget() {
+  void limitsEvictionsToTheBudget() {
     for (int token = 1; token <= 16; token++) {
       add(token, "calm", 0, 0);
     }
@@ -142,8 +142,8 @@
 
   /** Where evictions weigh more, a slowness that Vatulele evicts for is borne. */
   @Test
-  void theSitesWeightsDecideWhatAnEvictionIsWorth() {
-    terms = GuardTerms.KITAMIZORA;
+  void weightsSetTheEvictionThreshold() {
+    terms = GuardPolicy.KITAMIZORA;
     guard = new Guard(terms, now);
     add(1, "noisy", 0, 0);
     run(60, running -> 1.4);
@@ -153,7 +153,7 @@
 
   /** Readings that ceased to come say nothing about now. */
   @Test
-  void oldReadingsAreNotActedOn() {
+  void ignoresStaleReadings() {
     add(1, "calm", 0, 0);
     ServiceReading old = new ServiceReading(9, 1, now - 20 * SECOND);
 
@@ -162,7 +162,7 @@
 
   /** Memory cannot be throttled: what exceeds its booking most goes before the VM runs out. */
   @Test
-  void theTaskThatExceedsItsMemoryGoes() {
+  void evictsTheTaskThatExceedsItsMemoryMost() {
     Sizes large = new Sizes(1_000, 3_000, 0);
     GuardedTask honest = new GuardedTask(1, "a", BOOKED, BOOKED, 0, 0, 0, 0, true);
     GuardedTask liar = new GuardedTask(2, "b", BOOKED, large, 0, 0, 0, 0, true);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/PreemptorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/PreemptorTest.java
@@ -34,18 +34,18 @@
     return new PreemptableVm(name, 1, free, Arrays.asList(tasks));
   }
 
-  private Optional<Preemptor.Choice> decide(GuardTerms terms, Sizes wanted, PreemptableVm... vms) {
+  private Optional<Preemptor.Choice> decide(GuardPolicy terms, Sizes wanted, PreemptableVm... vms) {
     return preemptor.decide(terms, wanted, Arrays.asList(vms), 0, 0);
   }
 
   private List<Long> victims(Sizes wanted, PreemptableVm... vms) {
-    return decide(GuardTerms.VATULELE, wanted, vms)
+    return decide(GuardPolicy.VATULELE, wanted, vms)
         .map(choice -> choice.victims().stream().map(Preemption.Victim::token).toList())
         .orElse(List.of());
   }
 
   @Test
-  void theOneThatLosesLeastWorkGoes() {
+  void preemptsTheTaskWithLeastLostWork() {
     PreemptableVm old = vm("vm-1", Sizes.NONE, task(1, 60_000), task(2, 30_000));
     PreemptableVm saved = vm("vm-2", Sizes.NONE, task(3, 40_000), task(4, 2_000));
 
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void whatIsDueSoonOrWentBeforeStays() {
+  void sparesTasksThatAreDueSoonOrWereEvictedBefore() {
     PreemptableTask dueSoon = task(1, TaskClass.BATCH, false, 0, SOON_MILLIS, 0);
     PreemptableTask wentBefore = task(2, TaskClass.BATCH, false, 0, 0, 2);
 
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void ofEqualsTheOneDueLastGoes() {
+  void preemptsTheTaskThatIsDueLast() {
     PreemptableTask sooner = task(1, TaskClass.BATCH, false, 0, 10_000_000, 0);
     PreemptableTask later = task(2, TaskClass.BATCH, false, 0, 20_000_000, 0);
 
@@ -71,17 +71,17 @@
 
   /** Latency-critical and urgent tasks never go, nor one that has gone three times. */
   @Test
-  void onlyTheLowestClassGoes() {
+  void preemptsOnlyNonUrgentBatchTasks() {
     PreemptableTask critical = task(1, TaskClass.LATENCY_CRITICAL, false, 0, 0, 0);
     PreemptableTask urgent = task(2, TaskClass.BATCH, true, 0, 0, 0);
-    PreemptableTask worn = task(3, TaskClass.BATCH, false, 0, 0, Preemptor.MOST_EVICTIONS);
+    PreemptableTask worn = task(3, TaskClass.BATCH, false, 0, 0, Preemptor.MAX_EVICTIONS);
 
     assertEquals(List.of(), victims(HALF, vm("vm-1", Sizes.NONE, critical, urgent, worn)));
   }
 
   /** No more go than are needed, and never so many that a VM is emptied for one task. */
   @Test
-  void noMoreGoThanAreNeeded() {
+  void preemptsNoMoreThanNeeded() {
     PreemptableTask[] small =
         IntStream.range(1, 9).mapToObj(i -> task(i, i)).toArray(PreemptableTask[]::new);
 
@@ -95,28 +95,28 @@
    * too, is left alone until it has refilled, so that no wave of evictions results.
    */
   @Test
-  void aVmWithoutBudgetIsLeftAlone() {
+  void skipsVmsWithoutEvictionBudget() {
     PreemptableVm cheap = vm("vm-1", Sizes.NONE, task(1, 0));
     PreemptableVm dear = vm("vm-2", Sizes.NONE, task(2, 60_000));
-    IntStream.range(0, 3).forEach(i -> preemptor.evicted(GuardTerms.VATULELE, "vm-1", 0));
+    IntStream.range(0, 3).forEach(i -> preemptor.recordEviction(GuardPolicy.VATULELE, "vm-1", 0));
 
     assertEquals(List.of(2L), victims(HALF, cheap, dear));
     assertEquals(List.of(), victims(HALF, cheap));
     assertTrue(
         preemptor
-            .decide(GuardTerms.VATULELE, HALF, List.of(cheap), HOUR_NANOS / 10, 0)
+            .decide(GuardPolicy.VATULELE, HALF, List.of(cheap), HOUR_NANOS / 10, 0)
             .isPresent());
   }
 
   /** Where evictions weigh more, one that loses more work is better than two. */
   @Test
-  void theSitesWeightsDecideBetweenEvictionsAndLostWork() {
+  void weighsEvictionsAgainstLostWork() {
     PreemptableVm two = vm("vm-1", Sizes.NONE, task(1, 0), task(2, 0));
     PreemptableTask large =
         new PreemptableTask("t/3", 3, TaskClass.BATCH, false, true, WHOLE, 35_000, 0, 0);
     PreemptableVm one = vm("vm-2", Sizes.NONE, large);
 
-    assertEquals("vm-1", decide(GuardTerms.VATULELE, WHOLE, two, one).orElseThrow().vm().vm());
-    assertEquals("vm-2", decide(GuardTerms.KITAMIZORA, WHOLE, two, one).orElseThrow().vm().vm());
+    assertEquals("vm-1", decide(GuardPolicy.VATULELE, WHOLE, two, one).orElseThrow().vm().vm());
+    assertEquals("vm-2", decide(GuardPolicy.KITAMIZORA, WHOLE, two, one).orElseThrow().vm().vm());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/guard/TailWindowTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/guard/TailWindowTest.java
@@ -11,7 +11,7 @@
   private final TailWindow window = new TailWindow(1_000 * MILLI);
 
   @Test
-  void tellsTheTailOfWhatIsYoung() {
+  void computesTheTailOfRecentAnswers() {
     for (int millis = 1; millis <= 100; millis++) {
       window.add(millis * MILLI, 0);
     }
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void tooFewAnswersTellNothing() {
+  void returnsEmptyForTooFewAnswers() {
     for (int i = 0; i < 19; i++) {
       window.add(MILLI, 0);
     }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/KeyShardTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/KeyShardTableTest.java
@@ -39,44 +39,44 @@
    * charge and its repeat through the other entry would run at two homes.
    */
   @Test
-  void firstClaimInTheLogHolds() {
+  void firstClaimInTheLogWins() {
     claim("vm-1", 1, 3);
     claim("vm-2", 1, 3, 4);
 
-    assertEquals("vm-1", table.home(SERVICE, 3).orElseThrow().vm());
-    assertEquals("vm-2", table.home(SERVICE, 4).orElseThrow().vm());
-    assertEquals(now, table.home(SERVICE, 3).orElseThrow().quietUntil());
+    assertEquals("vm-1", table.owner(SERVICE, 3).orElseThrow().vm());
+    assertEquals("vm-2", table.owner(SERVICE, 4).orElseThrow().vm());
+    assertEquals(now, table.owner(SERVICE, 3).orElseThrow().servesFrom());
   }
 
   /** Nobody knows what a dead home ran; its successor is quiet until nobody asks for that again. */
   @Test
-  void successorIsQuietUntilItsPredecessorsKeysAreOfNoMoreMatter() {
+  void successorOfARevokedOwnerWaitsForTheTakeoverDelay() {
     claim("vm-1", 1, 3);
     now = 9_000;
     revoke("vm-1", 1);
-    assertEquals(Optional.empty(), table.home(SERVICE, 3));
+    assertEquals(Optional.empty(), table.owner(SERVICE, 3));
     now = 10_000;
     claim("vm-2", 1, 3);
 
-    KeyHome home = table.home(SERVICE, 3).orElseThrow();
-    assertEquals(9_000 + KeyTerms.QUIET_NANOS, home.quietUntil());
+    ShardOwner home = table.owner(SERVICE, 3).orElseThrow();
+    assertEquals(9_000 + KeyTimeouts.TAKEOVER_DELAY_NANOS, home.servesFrom());
   }
 
-  private void handOver(int shard, KeyHome from, String vm) {
+  private void handOver(int shard, ShardOwner from, String vm) {
     apply(table, KeyShardTable.HANDOVER, KeyShardTable.handover(SERVICE, shard, from, vm, 1));
   }
 
   /** A home stops as planned and its successor has its keys: it need not be quiet. */
   @Test
-  void handOverMovesAShardWithoutQuietTime() {
+  void handoverMovesAShardWithoutTakeoverDelay() {
     claim("vm-1", 1, 3);
-    KeyHome from = table.home(SERVICE, 3).orElseThrow();
+    ShardOwner from = table.owner(SERVICE, 3).orElseThrow();
     now = 9_000;
     handOver(3, from, "vm-2");
 
-    KeyHome home = table.home(SERVICE, 3).orElseThrow();
+    ShardOwner home = table.owner(SERVICE, 3).orElseThrow();
     assertEquals("vm-2", home.vm());
-    assertEquals(500, home.quietUntil());
+    assertEquals(500, home.servesFrom());
     assertTrue(home.claim().compareTo(from.claim()) > 0);
   }
 
@@ -86,45 +86,46 @@
    * successor knows nothing of that; it must get nothing.
    */
   @Test
-  void lateOrSecondHandOverMovesNothing() {
+  void staleOrDuplicateHandoverIsIgnored() {
     claim("vm-1", 1, 3, 4);
-    KeyHome third = table.home(SERVICE, 3).orElseThrow();
+    ShardOwner third = table.owner(SERVICE, 3).orElseThrow();
     handOver(3, third, "vm-2");
     handOver(3, third, "vm-3");
-    assertEquals("vm-2", table.home(SERVICE, 3).orElseThrow().vm());
+    assertEquals("vm-2", table.owner(SERVICE, 3).orElseThrow().vm());
 
-    KeyHome fourth = table.home(SERVICE, 4).orElseThrow();
+    ShardOwner fourth = table.owner(SERVICE, 4).orElseThrow();
     revoke("vm-1", 1);
     handOver(4, fourth, "vm-2");
-    assertEquals(Optional.empty(), table.home(SERVICE, 4));
+    assertEquals(Optional.empty(), table.owner(SERVICE, 4));
     claim("vm-1", 1, 4);
     handOver(4, fourth, "vm-2");
-    assertEquals("vm-1", table.home(SERVICE, 4).orElseThrow().vm());
+    assertEquals("vm-1", table.owner(SERVICE, 4).orElseThrow().vm());
   }
 
   /** A home that is quiet after a death stops as planned: its successor knows no more than it. */
   @Test
-  void quietTimeGoesWithTheShard() {
+  void takeoverDelayMovesWithTheShard() {
     claim("vm-1", 1, 3);
     revoke("vm-1", 1);
     claim("vm-2", 1, 3);
     now = 9_000;
-    handOver(3, table.home(SERVICE, 3).orElseThrow(), "vm-3");
+    handOver(3, table.owner(SERVICE, 3).orElseThrow(), "vm-3");
 
-    assertEquals(500 + KeyTerms.QUIET_NANOS, table.home(SERVICE, 3).orElseThrow().quietUntil());
+    assertEquals(
+        500 + KeyTimeouts.TAKEOVER_DELAY_NANOS, table.owner(SERVICE, 3).orElseThrow().servesFrom());
   }
 
   @Test
-  void revocationOfAnEarlierProcessTakesNothingFromTheLaterOne() {
+  void revocationOfAnEarlierIncarnationIsIgnored() {
     claim("vm-1", 2, 3);
     revoke("vm-1", 1);
 
-    assertEquals(2, table.home(SERVICE, 3).orElseThrow().incarnation());
+    assertEquals(2, table.owner(SERVICE, 3).orElseThrow().incarnation());
   }
 
   /** An entry that starts from a snapshot cannot tell when quiet times began: they begin anew. */
   @Test
-  void snapshotKeepsHomesAndBeginsQuietTimesAnew() {
+  void snapshotKeepsOwnersAndRestartsTakeoverDelays() {
     claim("vm-1", 1, 3, 5);
     revoke("vm-1", 1);
     claim("vm-2", 1, 3);
@@ -132,31 +133,36 @@
     KeyShardTable other = new KeyShardTable(() -> 77_000);
     other.restore(table.snapshot());
 
-    assertEquals(77_000 + KeyTerms.QUIET_NANOS, other.home(SERVICE, 3).orElseThrow().quietUntil());
-    assertEquals(77_000, other.home(SERVICE, 7).orElseThrow().quietUntil());
     assertEquals(
-        table.home(SERVICE, 3).orElseThrow().claim(), other.home(SERVICE, 3).orElseThrow().claim());
+        77_000 + KeyTimeouts.TAKEOVER_DELAY_NANOS,
+        other.owner(SERVICE, 3).orElseThrow().servesFrom());
+    assertEquals(77_000, other.owner(SERVICE, 7).orElseThrow().servesFrom());
+    assertEquals(
+        table.owner(SERVICE, 3).orElseThrow().claim(),
+        other.owner(SERVICE, 3).orElseThrow().claim());
     apply(other, KeyShardTable.CLAIM, KeyShardTable.claim(SERVICE, "vm-2", 1, List.of(5)));
-    assertEquals(77_000 + KeyTerms.QUIET_NANOS, other.home(SERVICE, 5).orElseThrow().quietUntil());
+    assertEquals(
+        77_000 + KeyTimeouts.TAKEOVER_DELAY_NANOS,
+        other.owner(SERVICE, 5).orElseThrow().servesFrom());
   }
 
   @Test
-  void brokenRecordsFoldToNothing() {
+  void invalidClaimsAreIgnored() {
     claim("vm-1", 1, -1, 64, 9_999);
     claim("", 1, 3);
 
-    assertEquals(Set.of(), table.homes(SERVICE).keySet());
+    assertEquals(Set.of(), table.owners(SERVICE).keySet());
   }
 
   @Test
-  void planSpreadsShardsAndPassesOverWhoLeavesOrServesAnother() {
+  void assignmentSpreadsShardsOverTargetsOfTheServiceThatDoNotDrain() {
     List<TargetState> targets =
         List.of(
             new TargetState("vm-1", 1, SERVICE, "suva", 8, false),
             new TargetState("vm-2", 1, SERVICE, "suva", 8, false),
             new TargetState("vm-3", 1, SERVICE, "suva", 8, true),
             new TargetState("vm-4", 1, "alerts", "suva", 8, false));
-    var claims = HomePlan.claims(SERVICE, Set.of(0, 1), targets);
+    var claims = ShardAssignment.proposeClaims(SERVICE, Set.of(0, 1), targets);
 
     assertEquals(Set.of("vm-1", "vm-2"), claims.keySet());
     int total = claims.values().stream().mapToInt(List::size).sum();
@@ -166,10 +172,10 @@
 
   /** An entry loses its network: it must not take the homes' shards, which others still hear. */
   @Test
-  void entryThatHearsHardlyAnybodyRevokesNobody() {
-    assertFalse(HomePlan.mayRevoke(11, 0));
-    assertFalse(HomePlan.mayRevoke(7, 4));
-    assertTrue(HomePlan.mayRevoke(4, 7));
-    assertTrue(HomePlan.mayRevoke(1, 1));
+  void entryThatReachesFewVmsRevokesNoOwner() {
+    assertFalse(ShardAssignment.mayRevoke(11, 0));
+    assertFalse(ShardAssignment.mayRevoke(7, 4));
+    assertTrue(ShardAssignment.mayRevoke(4, 7));
+    assertTrue(ShardAssignment.mayRevoke(1, 1));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/ShardLeasesTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/idempotency/ShardLeasesTest.java
@@ -13,22 +13,22 @@
   private final ShardLeases leases = new ShardLeases();
 
   @Test
-  void leaseCountsFromBeforeTheHeartbeatWasSent() {
-    leases.vouched(1, CLAIM, 100, 0);
+  void leaseRunsFromTheConfirmationTime() {
+    leases.confirmed(1, CLAIM, 100, 0);
 
-    long end = 100 + KeyTerms.LEASE_NANOS;
-    assertEquals(OptionalLong.of(0), leases.runsFrom(1, CLAIM, end - 1));
-    assertEquals(OptionalLong.empty(), leases.runsFrom(1, CLAIM, end));
-    assertEquals(OptionalLong.empty(), leases.runsFrom(2, CLAIM, 100));
+    long end = 100 + KeyTimeouts.LEASE_NANOS;
+    assertEquals(OptionalLong.of(0), leases.servesFrom(1, CLAIM, end - 1));
+    assertEquals(OptionalLong.empty(), leases.servesFrom(1, CLAIM, end));
+    assertEquals(OptionalLong.empty(), leases.servesFrom(2, CLAIM, 100));
   }
 
   /** Evidence that was long on its way must not take back what younger evidence gave. */
   @Test
-  void olderEvidenceShortensNothing() {
-    leases.vouched(1, CLAIM, 500, 0);
-    leases.vouched(1, CLAIM, 100, 0);
+  void olderConfirmationDoesNotShortenALease() {
+    leases.confirmed(1, CLAIM, 500, 0);
+    leases.confirmed(1, CLAIM, 100, 0);
 
-    assertEquals(OptionalLong.of(0), leases.runsFrom(1, CLAIM, 499 + KeyTerms.LEASE_NANOS));
+    assertEquals(OptionalLong.of(0), leases.servesFrom(1, CLAIM, 499 + KeyTimeouts.LEASE_NANOS));
   }
 
   /**
@@ -36,20 +36,20 @@
    * first claim: by that the home would skip the quiet time and run what another ran in between.
    */
   @Test
-  void earlierClaimDoesNotReplaceALaterOne() {
-    leases.vouched(1, LATER, 100, 8_000);
-    leases.vouched(1, CLAIM, 200, 0);
+  void earlierClaimDoesNotReplaceALaterClaim() {
+    leases.confirmed(1, LATER, 100, 8_000);
+    leases.confirmed(1, CLAIM, 200, 0);
 
-    assertEquals(OptionalLong.of(8_000), leases.runsFrom(1, LATER, 300));
-    assertEquals(OptionalLong.empty(), leases.runsFrom(1, CLAIM, 300));
+    assertEquals(OptionalLong.of(8_000), leases.servesFrom(1, LATER, 300));
+    assertEquals(OptionalLong.empty(), leases.servesFrom(1, CLAIM, 300));
   }
 
   @Test
-  void earliestEndOfTheQuietTimeCounts() {
-    leases.vouched(1, CLAIM, 100, 8_000);
-    leases.vouched(1, CLAIM, 100, 6_000);
-    leases.vouched(1, CLAIM, 100, 9_000);
+  void earliestEndOfTheTakeoverDelayWins() {
+    leases.confirmed(1, CLAIM, 100, 8_000);
+    leases.confirmed(1, CLAIM, 100, 6_000);
+    leases.confirmed(1, CLAIM, 100, 9_000);
 
-    assertEquals(OptionalLong.of(6_000), leases.runsFrom(1, CLAIM, 200));
+    assertEquals(OptionalLong.of(6_000), leases.servesFrom(1, CLAIM, 200));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/LeaseEvidenceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/LeaseEvidenceTest.java
@@ -12,8 +12,8 @@
   private final LeaseEvidence evidence = new LeaseEvidence(42);
 
   @Test
-  void knowsNothingAtFirst() {
-    assertFalse(evidence.known());
+  void isUnconfirmedInitially() {
+    assertFalse(evidence.isConfirmed());
   }
 
   /**
@@ -21,37 +21,37 @@
    * it answers, not from its arrival, so it is over by then.
    */
   @Test
-  void aLateVouchDatesFromItsAsk() {
-    assertEquals(Change.NEW_REGISTRATION, evidence.vouched(7, 42, 10 * SECOND, 70 * SECOND));
+  void aLateConfirmationCountsFromItsRequest() {
+    assertEquals(Change.NEW_REGISTRATION, evidence.confirm(7, 42, 10 * SECOND, 70 * SECOND));
 
     assertEquals(15 * SECOND, evidence.deadlineNanos(5_000));
-    evidence.vouched(7, 42, 12 * SECOND, 90 * SECOND);
+    evidence.confirm(7, 42, 12 * SECOND, 90 * SECOND);
     assertEquals(17 * SECOND, evidence.deadlineNanos(5_000));
   }
 
   @Test
-  void anOlderVouchShortensNothing() {
-    evidence.vouched(7, 42, 10 * SECOND, 10 * SECOND);
+  void anOlderConfirmationDoesNotShortenTheLease() {
+    evidence.confirm(7, 42, 10 * SECOND, 10 * SECOND);
 
-    assertEquals(Change.NONE, evidence.vouched(7, 42, 9 * SECOND, 11 * SECOND));
-    assertEquals(Change.EXTENDED, evidence.vouched(7, 42, 11 * SECOND, 11 * SECOND));
+    assertEquals(Change.NONE, evidence.confirm(7, 42, 9 * SECOND, 11 * SECOND));
+    assertEquals(Change.EXTENDED, evidence.confirm(7, 42, 11 * SECOND, 11 * SECOND));
     assertEquals(16 * SECOND, evidence.deadlineNanos(5_000));
   }
 
   /** What an earlier process asked for, and clock readings from the future, prove nothing. */
   @Test
-  void vouchesForAnotherProcessAreDropped() {
-    assertEquals(Change.NONE, evidence.vouched(7, 41, 10 * SECOND, 10 * SECOND));
-    assertEquals(Change.NONE, evidence.vouched(7, 42, 11 * SECOND, 10 * SECOND));
-    assertFalse(evidence.known());
+  void ignoresConfirmationsForAnotherProcess() {
+    assertEquals(Change.NONE, evidence.confirm(7, 41, 10 * SECOND, 10 * SECOND));
+    assertEquals(Change.NONE, evidence.confirm(7, 42, 11 * SECOND, 10 * SECOND));
+    assertFalse(evidence.isConfirmed());
   }
 
   @Test
-  void anEarlierRegistrationDoesNotComeBack() {
-    evidence.vouched(7, 42, 10 * SECOND, 10 * SECOND);
-    evidence.vouched(9, 42, 11 * SECOND, 11 * SECOND);
+  void ignoresAnEarlierRegistration() {
+    evidence.confirm(7, 42, 10 * SECOND, 10 * SECOND);
+    evidence.confirm(9, 42, 11 * SECOND, 11 * SECOND);
 
-    assertEquals(Change.NONE, evidence.vouched(7, 42, 12 * SECOND, 12 * SECOND));
+    assertEquals(Change.NONE, evidence.confirm(7, 42, 12 * SECOND, 12 * SECOND));
     assertEquals(9, evidence.registration());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/lease/WorkerClockTest.java
@@ -14,7 +14,7 @@
    * clock must never be later than the one meant, or a task would outlive its lease.
    */
   @Property(tries = 500, seed = "5")
-  void neverTurnsADeadlineIntoALaterOne(
+  void neverConvertsToALaterDeadline(
       @ForAll @IntRange(max = 1_000_000) int called,
       @ForAll @IntRange(max = 60_000) int callMillis,
       @ForAll @IntRange(max = 100) int readAtPercent,
--- a/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
@@ -44,7 +44,7 @@
 
     assertEquals(Change.LEAVING, table.announced(announcement(1, true), 1));
     assertEquals(Change.UPDATED, table.announced(announcement(1, true), 2));
-    assertTrue(table.targets().get(0).leaving());
+    assertTrue(table.targets().get(0).draining());
   }
 
   /**
--- a/marigoldsail-core/src/test/java/io/marigoldsail/placement/InterferenceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/placement/InterferenceTest.java
@@ -12,14 +12,14 @@
 
   /** A program slows whenever one neighbour is there, whoever else is; the others stay clear. */
   @Test
-  void findsTheNeighbourThatHurts() {
+  void identifiesTheInterferingNeighbour() {
     Random random = new Random(3);
     for (int i = 0; i < 300; i++) {
       boolean noisy = random.nextBoolean();
       String other = "calm-" + random.nextInt(4);
       Map<String, Double> neighbours =
           noisy ? Map.of("noisy", 1.0, other, 1.0) : Map.of(other, 1.0);
-      interference.measured("victim", neighbours, noisy ? 2 : 1);
+      interference.recordMeasurement("victim", neighbours, noisy ? 2 : 1);
     }
 
     assertEquals(1, interference.excess("victim", "noisy"), 0.2);
@@ -29,27 +29,27 @@
   }
 
   @Test
-  void unlearnsWhatCeasesToHurt() {
+  void unlearnsInterferenceThatStops() {
     for (int i = 0; i < 50; i++) {
-      interference.measured("victim", Map.of("noisy", 1.0), 2);
+      interference.recordMeasurement("victim", Map.of("noisy", 1.0), 2);
     }
     for (int i = 0; i < 100; i++) {
-      interference.measured("victim", Map.of("noisy", 1.0), 1);
+      interference.recordMeasurement("victim", Map.of("noisy", 1.0), 1);
     }
 
     assertEquals(0, interference.excess("victim", "noisy"));
-    assertTrue(interference.mutual("noisy").isEmpty());
+    assertTrue(interference.mutualCosts("noisy").isEmpty());
   }
 
   @Test
-  void costsCountBothWays() {
+  void mutualCostsIncludeBothDirections() {
     for (int i = 0; i < 50; i++) {
-      interference.measured("victim", Map.of("noisy", 1.0), 2);
+      interference.recordMeasurement("victim", Map.of("noisy", 1.0), 2);
     }
 
     assertEquals(
-        interference.mutual("noisy").get("victim"), interference.excess("victim", "noisy"));
+        interference.mutualCosts("noisy").get("victim"), interference.excess("victim", "noisy"));
     assertEquals(
-        interference.mutual("victim").get("noisy"), interference.excess("victim", "noisy"));
+        interference.mutualCosts("victim").get("noisy"), interference.excess("victim", "noisy"));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/placement/PlacerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/placement/PlacerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlacerTest {
-  private static final Sizes ROOM = new Sizes(4_000, 4_000, 0);
+  private static final Sizes CAPACITY = new Sizes(4_000, 4_000, 0);
   private static final Sizes ONE = new Sizes(1_000, 1_000, 0);
 
   private final TaskTable table = new TaskTable();
@@ -56,8 +56,8 @@
           new PlacementRequest(
               spec, table.task(spec.taskName(index)).orElseThrow(), spec.sizes(), inGroup);
       if (placer.place(request, fleet) instanceof PlacementDecision.Chosen chosen) {
-        VmState vm = chosen.room().state();
-        fleet.take(vm.registration(), spec.program(), spec.sizes());
+        VmState vm = chosen.candidate().state();
+        fleet.allocate(vm.registration(), spec.program(), spec.sizes());
         counts.merge(vm.vm(), 1, Integer::sum);
         inGroup.merge(spec.spread().groupOf(vm.description()), 1, Integer::sum);
       }
@@ -66,9 +66,9 @@
   }
 
   @Test
-  void spreadsLoadAndFillsNothingBeyondItsRoom() {
-    join("vm-1", "r1", ROOM);
-    join("vm-2", "r2", ROOM);
+  void spreadsLoadWithinCapacity() {
+    join("vm-1", "r1", CAPACITY);
+    join("vm-2", "r2", CAPACITY);
 
     assertEquals(
         Map.of("vm-1", 2, "vm-2", 2), placeAll(accept("a", "x", 4, ONE, Spread.NONE), fleet()));
@@ -79,9 +79,9 @@
   /** Two of three VMs share a rack; half of a job that spreads over racks goes to the third. */
   @Test
   void spreadsOverRacks() {
-    join("vm-1", "r1", ROOM);
-    join("vm-2", "r1", ROOM);
-    join("vm-3", "r2", ROOM);
+    join("vm-1", "r1", CAPACITY);
+    join("vm-2", "r1", CAPACITY);
+    join("vm-3", "r2", CAPACITY);
 
     Map<String, Integer> counts = placeAll(accept("a", "x", 4, ONE, Spread.RACK), fleet());
     assertEquals(2, counts.get("vm-3"));
@@ -89,18 +89,18 @@
 
   /** A VM with accelerators is kept for tasks that need them, as long as others have room. */
   @Test
-  void keepsAcceleratorsFree() {
+  void avoidsVmsWithAccelerators() {
     join("vm-1", "r1", new Sizes(8_000, 8_000, 2));
-    join("vm-2", "r1", ROOM);
+    join("vm-2", "r1", CAPACITY);
 
     assertEquals(Map.of("vm-2", 4), placeAll(accept("a", "x", 4, ONE, Spread.NONE), fleet()));
   }
 
   /** A program that was seen to slow another is not put beside it again while there is a choice. */
   @Test
-  void keepsPairsApartThatHurtEachOther() {
-    join("vm-1", "r1", ROOM);
-    join("vm-2", "r1", ROOM);
+  void separatesInterferingPrograms() {
+    join("vm-1", "r1", CAPACITY);
+    join("vm-2", "r1", CAPACITY);
     accept("victim", "victim", 1, ONE, Spread.NONE);
     long registration = table.vm("vm-1").orElseThrow().registration();
     table.apply(
@@ -108,38 +108,44 @@
         new TaskRecord.Claimed("victim/0", 1, "vm-1", registration, ONE, 1_000, "entry-1"));
     position++;
     for (int i = 0; i < 50; i++) {
-      interference.measured("team/victim", Map.of("team/noisy", 1.0), 2);
+      interference.recordMeasurement("team/victim", Map.of("team/noisy", 1.0), 2);
     }
 
     assertEquals(Map.of("vm-2", 3), placeAll(accept("n", "noisy", 3, ONE, Spread.NONE), fleet()));
   }
 
   @Test
-  void saysWhyAJobCanNeverRun() {
-    join("vm-1", "r1", ROOM);
+  void reportsWhyAJobIsInfeasible() {
+    join("vm-1", "r1", CAPACITY);
 
     assertTrue(
-        Fleet.whyNever(table.vms(), new Sizes(1, 1, 1)).orElseThrow().contains("accelerators"));
+        Fleet.infeasibilityReason(table.vms(), new Sizes(1, 1, 1))
+            .orElseThrow()
+            .contains("accelerators"));
     assertTrue(
-        Fleet.whyNever(table.vms(), new Sizes(1, 5_000, 0)).orElseThrow().contains("memory"));
+        Fleet.infeasibilityReason(table.vms(), new Sizes(1, 5_000, 0))
+            .orElseThrow()
+            .contains("memory"));
     assertTrue(
-        Fleet.whyNever(table.vms(), new Sizes(5_000, 1, 0)).orElseThrow().contains("processor"));
-    assertEquals(Optional.empty(), Fleet.whyNever(table.vms(), ROOM));
-    assertEquals(Optional.empty(), Fleet.whyNever(List.of(), new Sizes(9_999, 1, 0)));
+        Fleet.infeasibilityReason(table.vms(), new Sizes(5_000, 1, 0))
+            .orElseThrow()
+            .contains("processor"));
+    assertEquals(Optional.empty(), Fleet.infeasibilityReason(table.vms(), CAPACITY));
+    assertEquals(Optional.empty(), Fleet.infeasibilityReason(List.of(), new Sizes(9_999, 1, 0)));
   }
 
   /** Sizes are declared ten times too large, then ten times too small. */
   @Test
-  void booksWhatWasMeasured() {
+  void booksMeasuredUsage() {
     SizeEstimates estimates = new SizeEstimates();
     JobSpec spec = accept("a", "x now", 1, new Sizes(10_000, 10_000, 1), Spread.NONE);
     assertEquals(spec.sizes(), estimates.booking(spec));
-    for (int i = 0; i < SizeEstimates.BELIEVED_AFTER; i++) {
-      estimates.measured("team/x", new Sizes(2_000, 1_000, 0));
+    for (int i = 0; i < SizeEstimates.MIN_MEASUREMENTS; i++) {
+      estimates.recordUsage("team/x", new Sizes(2_000, 1_000, 0));
     }
     assertEquals(new Sizes(2_300, 10_000, 1), estimates.booking(spec));
 
-    estimates.measured("team/x", new Sizes(20_000, 100_000, 0));
+    estimates.recordUsage("team/x", new Sizes(20_000, 100_000, 0));
     assertEquals(new Sizes(20_000, 110_000, 1), estimates.booking(spec));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/retry/RetryPolicyTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/retry/RetryPolicyTest.java
@@ -20,7 +20,7 @@
   // A charge is sent, and the connection to its target is lost. It may have run: trying it again
   // could charge the motorist twice.
   @Test
-  void neverRepeatsWhatMayHaveRunAndIsNotIdempotent() {
+  void neverRetriesANonIdempotentRequestThatMayHaveRun() {
     assertTrue(retry(AttemptOutcome.LOST, false, 1, false).isEmpty());
     assertTrue(retry(AttemptOutcome.TARGET_ERROR, false, 1, false).isEmpty());
     assertEquals(OptionalLong.of(0), retry(AttemptOutcome.NOT_RUN, false, 1, false));
@@ -29,10 +29,10 @@
   // All targets fail for ten seconds. If every failure were tried again, three times the requests
   // would meet targets that are already in trouble.
   @Test
-  void keepsTriesWithinATenthMoreThanRequests() {
+  void keepsAttemptsWithinTenPercentAboveRequests() {
     int tries = 0;
     for (int request = 0; request < 1_000; request++) {
-      policy.requestSent();
+      policy.recordRequest();
       tries++;
       for (int attempt = 1;
           retry(AttemptOutcome.TARGET_ERROR, true, attempt, false).isPresent();
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void triesNothingAgainWhileRequestsWait() {
+  void doesNotRetryFailuresWhileRequestsWait() {
     assertTrue(retry(AttemptOutcome.LOST, true, 1, true).isEmpty());
     assertTrue(retry(AttemptOutcome.NOT_RUN, true, 1, true).isPresent());
   }
@@ -54,7 +54,7 @@
   void backsOffLongerEachTimeAndNeverPastTheDeadline() {
     long first = retry(AttemptOutcome.LOST, true, 1, false).orElseThrow();
     long second = retry(AttemptOutcome.LOST, true, 2, false).orElseThrow();
-    assertTrue(first >= RetryPolicy.FIRST_BACK_OFF_NANOS / 2 && first < second);
+    assertTrue(first >= RetryPolicy.INITIAL_BACKOFF_NANOS / 2 && first < second);
     assertTrue(policy.retryAt(AttemptOutcome.LOST, true, 1, false, 1_000_000, 0).isEmpty());
   }
 
@@ -62,7 +62,7 @@
   // fast
   // until its deadline nor be refused with most of its time left.
   @Test
-  void endsTheCircleOfARequestThatIsTurnedAwayEverywhere() {
+  void backsOffARequestThatIsRejectedEverywhere() {
     int tries = 1;
     long now = 0;
     OptionalLong next = policy.retryAt(AttemptOutcome.NOT_RUN, true, tries, false, DEADLINE, now);
@@ -72,7 +72,7 @@
       tries++;
       next = policy.retryAt(AttemptOutcome.NOT_RUN, true, tries, false, DEADLINE, now);
     }
-    assertTrue(tries <= RetryPolicy.MAX_TURNED_AWAY + 6, "tries: " + tries);
+    assertTrue(tries <= RetryPolicy.REJECTIONS_BEFORE_BACKOFF + 6, "tries: " + tries);
     assertTrue(now >= DEADLINE / 2, "refused with most of its time left, at " + now);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/GangChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/GangChooserTest.java
@@ -7,16 +7,16 @@
 import org.junit.jupiter.api.Test;
 
 class GangChooserTest {
-  private static final GangChooser GANGS = GangChooser.of(Workflows.CHOOSER);
+  private static final GangChooser GANGS = GangChooser.of(WorkflowFixtures.CHOOSER);
 
   private static Optional<List<String>> choose(StepSpec step, VmOffer... offers) {
     return GANGS
-        .choose(Workflows.wish(step, 0, Urgency.ORDINARY), step.tasks(), List.of(offers))
+        .choose(WorkflowFixtures.request(step, 0, Urgency.ORDINARY), step.tasks(), List.of(offers))
         .map(chosen -> chosen.stream().map(each -> each.place().vm()).sorted().toList());
   }
 
   private static VmOffer offer(String vm, String rack, long freeMilli) {
-    VmOffer plain = Workflows.offer(vm, freeMilli, 0, 0);
+    VmOffer plain = WorkflowFixtures.offer(vm, freeMilli, 0, 0);
     return new VmOffer(
         plain.place(),
         plain.service(),
@@ -37,20 +37,26 @@
    * takes its room whole; the second takes none and leaves the rest to others.
    */
   @Test
-  void aGangTakesItsRoomWholeOrNotAtAll() {
-    StepSpec gang = Workflows.gang(4, 3_000, false);
+  void placesAllMembersOrNone() {
+    StepSpec gang = WorkflowFixtures.gang(4, 3_000, false);
     assertEquals(
         Optional.of(List.of("a", "a", "b", "b")),
-        choose(gang, Workflows.offer("a", 6_000, 0, 0), Workflows.offer("b", 6_500, 0, 0)));
+        choose(
+            gang,
+            WorkflowFixtures.offer("a", 6_000, 0, 0),
+            WorkflowFixtures.offer("b", 6_500, 0, 0)));
     assertEquals(
         Optional.empty(),
-        choose(gang, Workflows.offer("a", 6_000, 0, 0), Workflows.offer("b", 5_900, 0, 0)));
+        choose(
+            gang,
+            WorkflowFixtures.offer("a", 6_000, 0, 0),
+            WorkflowFixtures.offer("b", 5_900, 0, 0)));
   }
 
   /** Members that are slower apart wait for nobody, but take a rack that holds them all first. */
   @Test
-  void oneRackThatHoldsAllComesBeforeTheEmptiestVms() {
-    StepSpec gang = Workflows.gang(4, 3_000, true);
+  void prefersOneRackThatFitsAllMembers() {
+    StepSpec gang = WorkflowFixtures.gang(4, 3_000, true);
     VmOffer empty = offer("empty", "r1", 9_000);
     VmOffer left = offer("left", "r2", 7_000);
     VmOffer right = offer("right", "r2", 6_000);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/LeaseLedgerTest.java
@@ -13,12 +13,11 @@
 import org.junit.jupiter.api.Test;
 
 class LeaseLedgerTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
 
   @Property(tries = 200)
-  void anOwnerWaitsLongerThanAnyRunCanLive(
-      @ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
-    LeaseTermsOfWorker terms = LeaseTermsOfWorker.forLongestLease(longest);
+  void takeoverExceedsTheLongestRun(@ForAll @LongRange(min = 1_000, max = 120_000) long longest) {
+    WorkerLeaseTerms terms = WorkerLeaseTerms.forMaxLease(longest);
     assertTrue(terms.boundMillis() <= longest);
     // The worker's clock is 2% slow: so much real time passes until it shows the bound.
     assertTrue(terms.takeoverMillis() > terms.boundMillis() / 0.98);
@@ -39,7 +38,7 @@
    * epoch, so what the former one sends must neither prolong leases nor start anything.
    */
   @Test
-  void aLowerEpochProvesNothing() {
+  void ignoresEvidenceOfALowerEpoch() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     assertTrue(ledger.observe(1, 7, 1_000));
     assertFalse(ledger.observe(1, 6, 9_000));
@@ -52,7 +51,7 @@
    * beside its successor.
    */
   @Test
-  void nothingStartsUnderADeadlineBeyondWhatItsOwnerWaitsFor() {
+  void refusesStartsUnderADeadlineBeyondTheTakeover() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     ledger.observe(1, 1, 1_000);
     long bound = 1_000 + TERMS.boundMillis();
@@ -62,7 +61,7 @@
   }
 
   @Test
-  void runsOfASilentOwnerAreStoppedBeforeTheyHoldTheOthersBack() {
+  void stopsRunsOfASilentOwnerBeforeTheyLimitTheOthers() {
     LeaseLedger ledger = new LeaseLedger(TERMS);
     ledger.observe(1, 1, 1_000);
     ledger.observe(2, 1, 6_000);
@@ -77,8 +76,8 @@
    * seconds; runs were stopped once it was 1.1 s old, so nothing longer ever came to its end.
    */
   @Test
-  void shortLeasesLeaveEvidenceTheTimeItTravels() {
-    LeaseLedger ledger = new LeaseLedger(LeaseTermsOfWorker.forLongestLease(4_000));
+  void shortLeasesTolerateEvidenceTwoSecondsOld() {
+    LeaseLedger ledger = new LeaseLedger(WorkerLeaseTerms.forMaxLease(4_000));
     ledger.observe(1, 1, 10_000);
     assertEquals(List.of(), ledger.overdue(Set.of(1), 11_900));
     assertEquals(List.of(1), ledger.overdue(Set.of(1), 12_000));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/OvercommitTest.java
@@ -9,8 +9,9 @@
 class OvercommitTest {
   private static final long BOOKED_MILLI = 26_000;
 
-  private static int taken(RoomLedger room) {
-    RoomLedger.Claim fills = new RoomLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
+  private static int bookAll(ResourceLedger room) {
+    ResourceLedger.Claim fills =
+        new ResourceLedger.Claim(new Sizes(3_500, 10, 0), true, Urgency.ORDINARY);
     int taken = 0;
     while (room.tryBook(new RunKey(new TaskKey(2, 0, 0, taken), 1), fills)) {
       taken++;
@@ -18,12 +19,13 @@
     return taken;
   }
 
-  private static RoomLedger withServices(Overcommit overcommit) {
-    RoomLedger room = new RoomLedger(overcommit);
+  private static ResourceLedger withServices(Overcommit overcommit) {
+    ResourceLedger room = new ResourceLedger(overcommit);
     room.capacity(new Sizes(32_000, 1_000, 0));
     RunKey services = new RunKey(new TaskKey(1, 0, 0, 0), 1);
     room.book(
-        services, new RoomLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
+        services,
+        new ResourceLedger.Claim(new Sizes(BOOKED_MILLI, 100, 0), false, Urgency.ORDINARY));
     return room;
   }
 
@@ -32,12 +34,12 @@
    * them. Guards against heavy tasks that wait beside idle processors until they are late.
    */
   @Test
-  void whatServicesLeaveIdleIsRoomInABurst() {
+  void idleBookedProcessorsAreOvercommitted() {
     Overcommit overcommit = new Overcommit();
     for (int reading = 0; reading < 5; reading++) {
       overcommit.observe(10_000, 9_000, 60);
     }
-    assertEquals(7, taken(withServices(overcommit)));
+    assertEquals(7, bookAll(withServices(overcommit)));
   }
 
   /**
@@ -45,13 +47,13 @@
    * slower than the one before.
    */
   @Test
-  void whatIsNotIdleIsCountedOnNoMore() {
+  void busyBookedProcessorsAreNotOvercommitted() {
     Overcommit overcommit = new Overcommit();
     for (int reading = 0; reading < 8; reading++) {
       overcommit.observe(10_000, 3_000, 60);
     }
-    assertEquals(Overcommit.BASE_MILLI, overcommit.milliProcessors(BOOKED_MILLI));
-    assertEquals(3, taken(withServices(overcommit)));
+    assertEquals(Overcommit.BASE_MILLI_PROCESSORS, overcommit.milliProcessors(BOOKED_MILLI));
+    assertEquals(3, bookAll(withServices(overcommit)));
   }
 
   /**
@@ -59,7 +61,7 @@
    * do. Guards against still more of them.
    */
   @Test
-  void aServiceOverItsTargetForbidsMore() {
+  void aTailOverItsTargetReducesOvercommit() {
     Overcommit overcommit = new Overcommit();
     long before = overcommit.milliProcessors(BOOKED_MILLI);
     overcommit.observe(10_000, 9_000, 120);
@@ -67,7 +69,7 @@
   }
 
   @Test
-  void whatIsIdleAgainIsCountedOnAgain() {
+  void overcommitRecoversWhenProcessorsAreIdleAgain() {
     Overcommit overcommit = new Overcommit();
     overcommit.observe(10_000, 3_000, 60);
     long lacking = overcommit.milliProcessors(BOOKED_MILLI);
@@ -77,12 +79,12 @@
       overcommit.observe(10_000, 9_000, 60);
     }
     assertEquals(
-        Overcommit.BASE_MILLI + BOOKED_MILLI * Overcommit.MOST_PERCENT / 100,
+        Overcommit.BASE_MILLI_PROCESSORS + BOOKED_MILLI * Overcommit.MAX_PERCENT / 100,
         overcommit.milliProcessors(BOOKED_MILLI));
   }
 
   @Test
-  void fewWorkingTasksTellNothing() {
+  void ignoresReadingsOfLittleDemand() {
     Overcommit overcommit = new Overcommit();
     overcommit.observe(500, 0, 60);
     assertEquals(
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/QueueTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/QueueTableTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.api.Test;
 
 class QueueTableTest {
-  private static final WorkflowSpec.Terms TERMS =
-      new WorkflowSpec.Terms("service", 0, 1, Optional.empty(), 2, 250);
+  private static final WorkflowSpec.QueuePolicy TERMS =
+      new WorkflowSpec.QueuePolicy("service", 0, 1, Optional.empty(), 2, 250);
 
   private static Queue queue(String name, String host, String prefix) {
     return new Queue(name, host, prefix, TERMS, 3_000);
   }
 
   @Test
-  void theLongestPrefixOfTheHostWins() {
+  void longestPrefixOfTheHostWins() {
     QueueTable table =
         new QueueTable(
             1,
@@ -32,9 +32,9 @@
   }
 
   @Test
-  void aServiceIsUsedWhileAQueueSendsToIt() {
+  void usesServicesOfItsQueues() {
     QueueTable table = new QueueTable(1, ImmutableList.of(queue("one", "a.example", "/x/")));
-    assertTrue(table.uses("service"));
-    assertFalse(table.uses("another"));
+    assertTrue(table.usesService("service"));
+    assertFalse(table.usesService("another"));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/RoomLedgerTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/ResourceLedgerTest.java
@@ -7,13 +7,13 @@
 import io.marigoldsail.job.Sizes;
 import org.junit.jupiter.api.Test;
 
-class RoomLedgerTest {
+class ResourceLedgerTest {
   private static RunKey run(int index) {
     return new RunKey(new TaskKey(1, 0, 0, index), 1);
   }
 
-  private static RoomLedger.Claim plain(long milliProcessors, long memory) {
-    return new RoomLedger.Claim(new Sizes(milliProcessors, memory, 0), false, Urgency.ORDINARY);
+  private static ResourceLedger.Claim plain(long milliProcessors, long memory) {
+    return new ResourceLedger.Claim(new Sizes(milliProcessors, memory, 0), false, Urgency.ORDINARY);
   }
 
   /**
@@ -21,10 +21,10 @@
    * sees both orders; the second is refused, and told again later it fits.
    */
   @Test
-  void theSecondOfTwoRacingOrdersIsRefused() {
-    RoomLedger room = new RoomLedger(new Overcommit());
+  void refusesTheSecondOfTwoRacingStarts() {
+    ResourceLedger room = new ResourceLedger(new Overcommit());
     room.capacity(new Sizes(1_000, 1_000, 0));
-    RoomLedger.Claim most = plain(600, 100);
+    ResourceLedger.Claim most = plain(600, 100);
     assertTrue(room.tryBook(run(1), most));
     assertFalse(room.tryBook(run(2), most));
     room.release(run(1));
@@ -32,8 +32,8 @@
   }
 
   @Test
-  void aRepeatedOrderBooksOnce() {
-    RoomLedger room = new RoomLedger(new Overcommit());
+  void aRepeatedStartBooksOnce() {
+    ResourceLedger room = new ResourceLedger(new Overcommit());
     room.capacity(new Sizes(1_000, 1_000, 0));
     assertTrue(room.tryBook(run(1), plain(600, 100)));
     assertTrue(room.tryBook(run(1), plain(600, 100)));
@@ -44,8 +44,8 @@
   }
 
   @Test
-  void whatIsThereAlreadyIsBookedEvenBeyondTheCapacity() {
-    RoomLedger room = new RoomLedger(new Overcommit());
+  void booksExistingRunsBeyondTheCapacity() {
+    ResourceLedger room = new ResourceLedger(new Overcommit());
     room.capacity(new Sizes(1_000, 1_000, 0));
     room.book(run(1), plain(900, 100));
     room.book(run(2), plain(900, 100));
@@ -59,20 +59,22 @@
    * twice its processors, and all of them came late.
    */
   @Test
-  void whatFillsIsBoundedAlsoWhenOwnersRace() {
-    RoomLedger room = new RoomLedger(new Overcommit());
+  void boundsBestEffortBookingsOfRacingOwners() {
+    ResourceLedger room = new ResourceLedger(new Overcommit());
     room.capacity(new Sizes(24_000, 1_000, 0));
-    RoomLedger.Claim fills = new RoomLedger.Claim(new Sizes(2_000, 10, 0), true, Urgency.ORDINARY);
+    ResourceLedger.Claim fills =
+        new ResourceLedger.Claim(new Sizes(2_000, 10, 0), true, Urgency.ORDINARY);
     int taken = 0;
     for (int index = 0; index < 24; index++) {
       taken += room.tryBook(run(index), fills) ? 1 : 0;
     }
     assertEquals(15, taken);
-    assertEquals(30_000, room.fillMilliProcessors());
+    assertEquals(30_000, room.bestEffortMilliProcessors());
     assertEquals(new Sizes(24_000, 850, 0), room.free());
     room.release(run(0));
     assertTrue(room.tryBook(run(24), fills));
     assertFalse(room.tryBook(run(25), fills));
-    assertTrue(room.tryBook(run(25), new RoomLedger.Claim(fills.sizes(), true, Urgency.STARVED)));
+    assertTrue(
+        room.tryBook(run(25), new ResourceLedger.Claim(fills.sizes(), true, Urgency.STARVED)));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/StepAdviceTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/StepAdviceTest.java
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 class StepAdviceTest {
-  private static final VmOffer A = Workflows.offer("a", 9_000, 0, 0);
-  private static final VmOffer B = Workflows.offer("b", 8_000, 0, 0);
-  private static final VmOffer C = Workflows.offer("c", 7_000, 0, 0);
+  private static final VmOffer A = WorkflowFixtures.offer("a", 9_000, 0, 0);
+  private static final VmOffer B = WorkflowFixtures.offer("b", 8_000, 0, 0);
+  private static final VmOffer C = WorkflowFixtures.offer("c", 7_000, 0, 0);
 
   private static String worker(VmOffer offer) {
     return offer.place().worker();
@@ -22,20 +22,20 @@
    * the best few, then others, and nobody twice while the answer holds.
    */
   @Test
-  void namesTheBestFirstAndNobodyTwice() {
+  void queriesTheBestWorkersFirstAndEachOnce() {
     StepAdvice advice = new StepAdvice();
-    assertEquals(List.of(worker(A), worker(B)), advice.toName(List.of(A, B, C), 2, 0));
-    advice.answered(List.of(worker(A), worker(B)), Map.of(worker(B), "t"), 100);
-    assertEquals(List.of(B), advice.allowed(List.of(A, B, C), 99));
+    assertEquals(List.of(worker(A), worker(B)), advice.workersToQuery(List.of(A, B, C), 2, 0));
+    advice.recordAnswer(List.of(worker(A), worker(B)), Map.of(worker(B), "t"), 100);
+    assertEquals(List.of(B), advice.allowedOffers(List.of(A, B, C), 99));
     assertEquals(Optional.of("t"), advice.ticket(worker(B), 99));
-    assertEquals(List.of(worker(C)), advice.toName(List.of(A, B, C), 2, 99));
+    assertEquals(List.of(worker(C)), advice.workersToQuery(List.of(A, B, C), 2, 99));
   }
 
   @Test
-  void asksAnewOnceATicketRunsOutAndNeverAgainAfterARefusal() {
+  void queriesAgainAfterExpiryButNotAfterRefusal() {
     StepAdvice advice = new StepAdvice();
-    advice.answered(List.of(worker(A), worker(B)), Map.of(worker(B), "t"), 100);
-    assertEquals(List.of(), advice.allowed(List.of(A, B), 100));
-    assertEquals(List.of(worker(B)), advice.toName(List.of(A, B), 9, 100));
+    advice.recordAnswer(List.of(worker(A), worker(B)), Map.of(worker(B), "t"), 100);
+    assertEquals(List.of(), advice.allowedOffers(List.of(A, B), 100));
+    assertEquals(List.of(worker(B)), advice.workersToQuery(List.of(A, B), 9, 100));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/VmChooserTest.java
@@ -16,9 +16,11 @@
 
 class VmChooserTest {
   private static Optional<String> choose(StepSpec step, VmOffer... offers) {
-    return Workflows.CHOOSER
+    return WorkflowFixtures.CHOOSER
         .choose(
-            Workflows.wish(step, ImageHarm.UNKNOWN, Urgency.ORDINARY), List.of(offers), offer -> 0)
+            WorkflowFixtures.request(step, ImageInterference.PRIOR_BELIEF, Urgency.ORDINARY),
+            List.of(offers),
+            offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
@@ -30,10 +32,10 @@
         offer.rack(),
         offer.capacity(),
         offer.free(),
-        offer.fillMilliProcessors(),
+        offer.bestEffortMilliProcessors(),
         suspectMilli,
         offer.overcommitMilliProcessors(),
-        offer.serving(),
+        offer.serviceTasks(),
         slowness);
   }
 
@@ -43,12 +45,12 @@
    * Packed, the services leave most VMs to the heavy tasks.
    */
   @Test
-  void servicesArePackedAndHeavyTasksStandElsewhere() {
-    StepSpec service = Workflows.step(1, 3_200, Workflows.lasting(125));
-    StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
+  void packsServicesAndPlacesBestEffortTasksElsewhere() {
+    StepSpec service = WorkflowFixtures.step(1, 3_200, WorkflowFixtures.longRunning(125));
+    StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
     Map<String, VmOffer> offers = new HashMap<>();
     for (int i = 0; i < 6; i++) {
-      offers.put("vm-" + i, Workflows.offer("vm-" + i, 16_000, 0, 0));
+      offers.put("vm-" + i, WorkflowFixtures.offer("vm-" + i, 16_000, 0, 0));
     }
     List<String> services = place(service, 8, offers);
     List<String> fills = place(heavy, 20, offers);
@@ -60,35 +62,39 @@
     List<String> placed = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       VmOffer offer =
-          Workflows.CHOOSER
+          WorkflowFixtures.CHOOSER
               .choose(
-                  Workflows.wish(step, ImageHarm.UNKNOWN, Urgency.ORDINARY),
+                  WorkflowFixtures.request(step, ImageInterference.PRIOR_BELIEF, Urgency.ORDINARY),
                   offers.values(),
                   unused -> 0)
               .orElseThrow();
       placed.add(offer.place().vm());
-      offers.put(offer.place().vm(), offer.after(step, ImageHarm.UNKNOWN));
+      offers.put(offer.place().vm(), offer.afterPlacing(step, ImageInterference.PRIOR_BELIEF));
     }
     return placed;
   }
 
   @Test
-  void smallTasksGoBesideServicesWhileThereIsRoom() {
-    StepSpec small = Workflows.step(1, 240, StepSpec.Nature.PLAIN);
-    VmOffer idle = Workflows.offer("idle", 16_000, 0, 0);
+  void placesSmallTasksBesideServicesWhileCapacityLasts() {
+    StepSpec small = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
+    VmOffer idle = WorkflowFixtures.offer("idle", 16_000, 0, 0);
     assertEquals(
-        Optional.of("serving"), choose(small, idle, Workflows.offer("serving", 3_000, 0, 2)));
-    assertEquals(Optional.of("idle"), choose(small, idle, Workflows.offer("serving", 300, 200, 2)));
+        Optional.of("serving"),
+        choose(small, idle, WorkflowFixtures.offer("serving", 3_000, 0, 2)));
+    assertEquals(
+        Optional.of("idle"), choose(small, idle, WorkflowFixtures.offer("serving", 300, 200, 2)));
   }
 
   @Test
-  void heavyTasksGoBesideServicesOnlyWhenNothingElseHasRoom() {
-    StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
-    VmOffer beside = Workflows.offer("serving", 9_000, 0, 1);
+  void placesBestEffortTasksBesideServicesOnlyAsALastResort() {
+    StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
+    VmOffer beside = WorkflowFixtures.offer("serving", 9_000, 0, 1);
     assertEquals(
-        Optional.of("tight"), choose(heavy, beside, Workflows.offer("tight", 2_000, 6_100, 0)));
+        Optional.of("tight"),
+        choose(heavy, beside, WorkflowFixtures.offer("tight", 2_000, 6_100, 0)));
     assertEquals(
-        Optional.of("serving"), choose(heavy, beside, Workflows.offer("tight", 2_000, 6_300, 0)));
+        Optional.of("serving"),
+        choose(heavy, beside, WorkflowFixtures.offer("tight", 2_000, 6_300, 0)));
     assertEquals(Optional.of("serving"), choose(heavy, with(beside, 200, 1)));
     assertEquals(Optional.empty(), choose(heavy, with(beside, 201, 1)));
   }
@@ -99,35 +105,40 @@
    * rest of the day: the VM had done half of their work.
    */
   @Test
-  void aServiceThatFailedDoesNotTakeTheVmThatHasNone() {
-    StepSpec service = Workflows.step(1, 3_200, Workflows.lasting(125));
-    VmOffer free = Workflows.offer("free", 16_000, 0, 0);
-    VmOffer former = Workflows.offer("former", 3_300, 0, 4);
-    VmOffer packed = Workflows.offer("packed", 3_300, 0, 3);
-    assertFalse(VmChooser.isWorthLeaving(service, Optional.of(free), Optional.of(former)));
-    assertTrue(VmChooser.isWorthLeaving(service, Optional.of(packed), Optional.of(former)));
-    assertTrue(VmChooser.isWorthLeaving(service, Optional.of(free), Optional.empty()));
-    assertFalse(VmChooser.isWorthLeaving(service, Optional.empty(), Optional.of(former)));
-    StepSpec plain = Workflows.step(1, 240, StepSpec.Nature.PLAIN);
-    assertTrue(VmChooser.isWorthLeaving(plain, Optional.of(free), Optional.of(former)));
+  void aFailedServiceDoesNotMoveToTheOnlyVmWithoutServices() {
+    StepSpec service = WorkflowFixtures.step(1, 3_200, WorkflowFixtures.longRunning(125));
+    VmOffer free = WorkflowFixtures.offer("free", 16_000, 0, 0);
+    VmOffer former = WorkflowFixtures.offer("former", 3_300, 0, 4);
+    VmOffer packed = WorkflowFixtures.offer("packed", 3_300, 0, 3);
+    assertFalse(VmChooser.prefersOtherVm(service, Optional.of(free), Optional.of(former)));
+    assertTrue(VmChooser.prefersOtherVm(service, Optional.of(packed), Optional.of(former)));
+    assertTrue(VmChooser.prefersOtherVm(service, Optional.of(free), Optional.empty()));
+    assertFalse(VmChooser.prefersOtherVm(service, Optional.empty(), Optional.of(former)));
+    StepSpec plain = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
+    assertTrue(VmChooser.prefersOtherVm(plain, Optional.of(free), Optional.of(former)));
   }
 
   /** What services leave on their VMs is a good part of all room; harmless tasks are to use it. */
   @Test
-  void knownImagesStandWhereTheyDoNoHarm() {
-    StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
+  void placesImagesByTheirInterference() {
+    StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
     List<VmOffer> offers =
-        List.of(Workflows.offer("serving", 3_000, 0, 4), Workflows.offer("free", 12_000, 0, 0));
-    assertEquals("serving", choose(heavy, ImageHarm.HARMLESS, offers).orElseThrow());
-    assertEquals("free", choose(heavy, ImageHarm.UNKNOWN, offers).orElseThrow());
-    assertEquals("free", choose(heavy, ImageHarm.HARMFUL, offers).orElseThrow());
+        List.of(
+            WorkflowFixtures.offer("serving", 3_000, 0, 4),
+            WorkflowFixtures.offer("free", 12_000, 0, 0));
+    assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, offers).orElseThrow());
+    assertEquals("free", choose(heavy, ImageInterference.PRIOR_BELIEF, offers).orElseThrow());
+    assertEquals("free", choose(heavy, ImageInterference.INTERFERING_BELIEF, offers).orElseThrow());
     List<VmOffer> onlyServing = offers.subList(0, 1);
-    assertEquals("serving", choose(heavy, ImageHarm.UNKNOWN, onlyServing).orElseThrow());
-    assertEquals("serving", choose(heavy, ImageHarm.HARMFUL, onlyServing).orElseThrow());
-    List<VmOffer> withOne = List.of(onlyServing.get(0).after(heavy, ImageHarm.HARMFUL));
-    assertEquals(Optional.empty(), choose(heavy, ImageHarm.UNKNOWN, withOne));
-    assertEquals(Optional.empty(), choose(heavy, ImageHarm.HARMFUL, withOne));
-    assertEquals("serving", choose(heavy, ImageHarm.HARMLESS, withOne).orElseThrow());
+    assertEquals(
+        "serving", choose(heavy, ImageInterference.PRIOR_BELIEF, onlyServing).orElseThrow());
+    assertEquals(
+        "serving", choose(heavy, ImageInterference.INTERFERING_BELIEF, onlyServing).orElseThrow());
+    List<VmOffer> withOne =
+        List.of(onlyServing.get(0).afterPlacing(heavy, ImageInterference.INTERFERING_BELIEF));
+    assertEquals(Optional.empty(), choose(heavy, ImageInterference.PRIOR_BELIEF, withOne));
+    assertEquals(Optional.empty(), choose(heavy, ImageInterference.INTERFERING_BELIEF, withOne));
+    assertEquals("serving", choose(heavy, ImageInterference.BENIGN_BELIEF, withOne).orElseThrow());
   }
 
   /**
@@ -136,15 +147,18 @@
    * speed waits for a VM without services; who is late anyway takes what is left.
    */
   @Test
-  void whoIsInAHurryIsNotSlowedDown() {
-    StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
-    VmOffer serving = Workflows.offer("serving", 3_000, 0, 4);
-    VmOffer full = Workflows.offer("full", 500, 6_000, 0);
+  void hurriedInterferingTasksWaitForAVmWithoutServices() {
+    StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
+    VmOffer serving = WorkflowFixtures.offer("serving", 3_000, 0, 4);
+    VmOffer full = WorkflowFixtures.offer("full", 500, 6_000, 0);
     List<VmOffer> both = List.of(serving, full);
-    assertEquals(Optional.empty(), hurried(heavy, ImageHarm.UNKNOWN, both));
-    assertEquals("serving", choose(heavy, ImageHarm.UNKNOWN, both).orElseThrow());
-    assertEquals("serving", hurried(heavy, ImageHarm.HARMLESS, both).orElseThrow());
-    assertEquals("serving", hurried(heavy, ImageHarm.UNKNOWN, List.of(serving)).orElseThrow());
+    assertEquals(Optional.empty(), chooseHurried(heavy, ImageInterference.PRIOR_BELIEF, both));
+    assertEquals("serving", choose(heavy, ImageInterference.PRIOR_BELIEF, both).orElseThrow());
+    assertEquals(
+        "serving", chooseHurried(heavy, ImageInterference.BENIGN_BELIEF, both).orElseThrow());
+    assertEquals(
+        "serving",
+        chooseHurried(heavy, ImageInterference.PRIOR_BELIEF, List.of(serving)).orElseThrow());
   }
 
   /**
@@ -152,32 +166,34 @@
    * Workflows with nothing at work waited for good; each is to have one task at work somewhere.
    */
   @Test
-  void aWorkflowWithNothingAtWorkGetsAnyPlace() {
-    StepSpec heavy = Workflows.step(1, 1_800, Workflows.filling());
-    VmOffer crowded = with(Workflows.offer("crowded", 3_000, 9_000, 1), 9_000, 1);
+  void starvedTasksIgnoreTheBestEffortLimits() {
+    StepSpec heavy = WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort());
+    VmOffer crowded = with(WorkflowFixtures.offer("crowded", 3_000, 9_000, 1), 9_000, 1);
     assertEquals(Optional.empty(), choose(heavy, crowded));
     Optional<VmOffer> starved =
-        Workflows.CHOOSER.choose(
-            Workflows.wish(heavy, 1, Urgency.STARVED), List.of(crowded), offer -> 0);
+        WorkflowFixtures.CHOOSER.choose(
+            WorkflowFixtures.request(heavy, 1, Urgency.STARVED), List.of(crowded), offer -> 0);
     assertEquals("crowded", starved.orElseThrow().place().vm());
   }
 
   @Test
-  void aFleetIsRoomyWhileTwoFifthsAreNotBooked() {
-    VmOffer full = Workflows.offer("full", 0, 0, 5);
-    assertTrue(VmOffer.isRoomy(List.of(full, Workflows.offer("free", 12_800, 0, 0))));
-    assertFalse(VmOffer.isRoomy(List.of(full, Workflows.offer("free", 12_700, 0, 0))));
+  void spareCapacityMeansTwoFifthsUnbooked() {
+    VmOffer full = WorkflowFixtures.offer("full", 0, 0, 5);
+    assertTrue(
+        VmOffer.hasSpareCapacity(List.of(full, WorkflowFixtures.offer("free", 12_800, 0, 0))));
+    assertFalse(
+        VmOffer.hasSpareCapacity(List.of(full, WorkflowFixtures.offer("free", 12_700, 0, 0))));
   }
 
-  private static Optional<String> hurried(StepSpec step, double harm, List<VmOffer> offers) {
-    return Workflows.CHOOSER
-        .choose(Workflows.wish(step, harm, Urgency.HURRIED), offers, offer -> 0)
+  private static Optional<String> chooseHurried(StepSpec step, double harm, List<VmOffer> offers) {
+    return WorkflowFixtures.CHOOSER
+        .choose(WorkflowFixtures.request(step, harm, Urgency.HURRIED), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
   private static Optional<String> choose(StepSpec step, double harm, List<VmOffer> offers) {
-    return Workflows.CHOOSER
-        .choose(Workflows.wish(step, harm, Urgency.ORDINARY), offers, offer -> 0)
+    return WorkflowFixtures.CHOOSER
+        .choose(WorkflowFixtures.request(step, harm, Urgency.ORDINARY), offers, offer -> 0)
         .map(offer -> offer.place().vm());
   }
 
@@ -187,35 +203,37 @@
    * one beside them, but not to none.
    */
   @Test
-  void tasksThatAreSlowerApartStandOnOneRack() {
-    StepSpec small = Workflows.step(1, 240, StepSpec.Nature.PLAIN);
-    PlacementWish wish =
-        new PlacementWish(Workflows.spec(small), small, 0, Urgency.ORDINARY, "rack-busy");
-    VmOffer idle = Workflows.offer("idle", 16_000, 0, 0);
-    VmOffer busy = Workflows.offer("busy", 300, 0, 0);
-    Optional<VmOffer> both = Workflows.CHOOSER.choose(wish, List.of(idle, busy), offer -> 0);
+  void prefersTheRackOfSiblingTasks() {
+    StepSpec small = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
+    TaskPlacementRequest wish =
+        new TaskPlacementRequest(
+            WorkflowFixtures.spec(small), small, 0, Urgency.ORDINARY, "rack-busy");
+    VmOffer idle = WorkflowFixtures.offer("idle", 16_000, 0, 0);
+    VmOffer busy = WorkflowFixtures.offer("busy", 300, 0, 0);
+    Optional<VmOffer> both = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle, busy), offer -> 0);
     assertEquals("busy", both.orElseThrow().place().vm());
-    Optional<VmOffer> one = Workflows.CHOOSER.choose(wish, List.of(idle), offer -> 0);
+    Optional<VmOffer> one = WorkflowFixtures.CHOOSER.choose(wish, List.of(idle), offer -> 0);
     assertEquals("idle", one.orElseThrow().place().vm());
   }
 
   @Test
-  void aSlowVmIsTheLastChoice() {
-    StepSpec small = Workflows.step(1, 240, StepSpec.Nature.PLAIN);
-    VmOffer slow = with(Workflows.offer("slow", 16_000, 0, 0), 0, 6);
-    assertEquals(Optional.of("full"), choose(small, slow, Workflows.offer("full", 500, 0, 0)));
+  void choosesASlowVmLast() {
+    StepSpec small = WorkflowFixtures.step(1, 240, StepSpec.TaskTraits.PLAIN);
+    VmOffer slow = with(WorkflowFixtures.offer("slow", 16_000, 0, 0), 0, 6);
+    assertEquals(
+        Optional.of("full"), choose(small, slow, WorkflowFixtures.offer("full", 500, 0, 0)));
     assertEquals(Optional.of("slow"), choose(small, slow));
   }
 
   @Test
-  void aVmWithoutRoomLabelOrServiceIsNoChoice() {
-    StepSpec big = Workflows.step(1, 5_000, StepSpec.Nature.PLAIN);
-    assertEquals(Optional.empty(), choose(big, Workflows.offer("vm", 4_999, 0, 0)));
+  void requiresCapacityLabelAndService() {
+    StepSpec big = WorkflowFixtures.step(1, 5_000, StepSpec.TaskTraits.PLAIN);
+    assertEquals(Optional.empty(), choose(big, WorkflowFixtures.offer("vm", 4_999, 0, 0)));
     StepSpec.Placement labelled = new StepSpec.Placement("rack-b", "", false, 0);
     StepSpec onlyThere =
-        new StepSpec(1, big.sizes(), 1, ImmutableList.of(), labelled, StepSpec.Nature.PLAIN);
-    VmOffer a = Workflows.offer("a", 9_000, 0, 0);
-    VmOffer b = Workflows.offer("b", 6_000, 0, 0);
+        new StepSpec(1, big.sizes(), 1, ImmutableList.of(), labelled, StepSpec.TaskTraits.PLAIN);
+    VmOffer a = WorkflowFixtures.offer("a", 9_000, 0, 0);
+    VmOffer b = WorkflowFixtures.offer("b", 6_000, 0, 0);
     assertEquals(Optional.of("b"), choose(onlyThere, a, b));
     assertEquals(Optional.empty(), choose(onlyThere, ofService("another", b)));
   }
@@ -228,50 +246,54 @@
         offer.rack(),
         offer.capacity(),
         offer.free(),
-        offer.fillMilliProcessors(),
-        offer.suspectMilliProcessors(),
+        offer.bestEffortMilliProcessors(),
+        offer.interferingMilliProcessors(),
         offer.overcommitMilliProcessors(),
-        offer.serving(),
-        offer.slowness());
+        offer.serviceTasks(),
+        offer.slowdown());
   }
 
   @Test
-  void spreadLimitHolds() {
+  void respectsMaxPerVm() {
     StepSpec.Placement spread = new StepSpec.Placement("", "", false, 1);
-    StepSpec plain = Workflows.step(2, 100, StepSpec.Nature.PLAIN);
-    StepSpec step = new StepSpec(2, plain.sizes(), 1, ImmutableList.of(), spread, plain.nature());
-    VmOffer a = Workflows.offer("a", 9_000, 0, 0);
-    VmOffer b = Workflows.offer("b", 6_000, 0, 0);
+    StepSpec plain = WorkflowFixtures.step(2, 100, StepSpec.TaskTraits.PLAIN);
+    StepSpec step = new StepSpec(2, plain.sizes(), 1, ImmutableList.of(), spread, plain.traits());
+    VmOffer a = WorkflowFixtures.offer("a", 9_000, 0, 0);
+    VmOffer b = WorkflowFixtures.offer("b", 6_000, 0, 0);
     Optional<VmOffer> chosen =
-        Workflows.CHOOSER.choose(
-            Workflows.wish(step, 0, Urgency.ORDINARY),
+        WorkflowFixtures.CHOOSER.choose(
+            WorkflowFixtures.request(step, 0, Urgency.ORDINARY),
             List.of(a, b),
             offer -> offer.place().vm().equals("a") ? 1 : 0);
     assertEquals("b", chosen.orElseThrow().place().vm());
   }
 
   private static Verdict verdict(StepSpec step, VmOffer offer, int ofStepOn) {
-    PlacementWish wish = Workflows.wish(step, ImageHarm.UNKNOWN, Urgency.ORDINARY);
+    TaskPlacementRequest wish =
+        WorkflowFixtures.request(step, ImageInterference.PRIOR_BELIEF, Urgency.ORDINARY);
     return VmChooser.verdict(wish, offer, unused -> ofStepOn);
   }
 
   private static StepSpec placed(StepSpec step, StepSpec.Placement placement) {
-    return new StepSpec(1, step.sizes(), 1, ImmutableList.of(), placement, step.nature());
+    return new StepSpec(1, step.sizes(), 1, ImmutableList.of(), placement, step.traits());
   }
 
   /** What an engineer reads of a task that no VM admits is what the choice goes by. */
   @Test
-  void aVmThatIsNoChoiceSaysWhy() {
-    StepSpec plain = Workflows.step(1, 5_000, StepSpec.Nature.PLAIN);
-    StepSpec heavy = Workflows.step(1, 5_000, Workflows.filling());
-    VmOffer free = Workflows.offer("a", 9_000, 0, 0);
+  void verdictNamesTheFirstUnmetRequirement() {
+    StepSpec plain = WorkflowFixtures.step(1, 5_000, StepSpec.TaskTraits.PLAIN);
+    StepSpec heavy = WorkflowFixtures.step(1, 5_000, WorkflowFixtures.bestEffort());
+    VmOffer free = WorkflowFixtures.offer("a", 9_000, 0, 0);
     StepSpec labelled = placed(plain, new StepSpec.Placement("rack-b", "", false, 0));
     StepSpec spread = placed(plain, new StepSpec.Placement("", "", false, 2));
     assertEquals(Verdict.ADMITTED, verdict(plain, free, 7));
-    assertEquals(Verdict.NO_LABEL, verdict(labelled, free, 0));
-    assertEquals(Verdict.NO_ROOM, verdict(plain, Workflows.offer("a", 4_999, 0, 0), 0));
-    assertEquals(Verdict.CROWDED, verdict(heavy, Workflows.offer("a", 9_000, 20_000, 0), 0));
+    assertEquals(Verdict.MISSING_LABEL, verdict(labelled, free, 0));
+    assertEquals(
+        Verdict.INSUFFICIENT_CAPACITY, verdict(plain, WorkflowFixtures.offer("a", 4_999, 0, 0), 0));
+    assertEquals(
+        Verdict.BEST_EFFORT_LIMIT,
+        verdict(heavy, WorkflowFixtures.offer("a", 9_000, 20_000, 0), 0));
     assertEquals(Verdict.ADMITTED, verdict(spread, free, 1));
-    assertEquals(Verdict.ENOUGH_OF_STEP, verdict(spread, free, 2));
+    assertEquals(Verdict.PER_VM_LIMIT, verdict(spread, free, 2));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WaitingOrderTest.java
@@ -12,12 +12,12 @@
 
   private static Workflow workflow(long id, int priority, long accepted) {
     return Workflow.of(
-        Workflows.spec(
+        WorkflowFixtures.spec(
             id,
             priority,
             accepted,
-            WorkflowSpec.Schedule.AT_ONCE,
-            Workflows.step(1, 1, StepSpec.Nature.PLAIN)));
+            WorkflowSpec.Schedule.IMMEDIATE,
+            WorkflowFixtures.step(1, 1, StepSpec.TaskTraits.PLAIN)));
   }
 
   private static List<Long> sorted(long wall, Workflow... workflows) {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whoHasPriorityGoesFirstThenWhoWasAcceptedFirst() {
+  void ordersByPriorityThenByAcceptance() {
     assertEquals(
         List.of(3L, 2L, 1L),
         sorted(30, workflow(1, 2, 10), workflow(2, 0, 30), workflow(3, 0, 20)));
@@ -36,13 +36,13 @@
 
   /** 2 x 1 s of work and 1 s are allowed: after 2 s it will be late, after 8 s it is useless. */
   @Test
-  void whatCanStillBeInTimeGoesBeforeWhatCannot() {
+  void ordersByTimeliness() {
     Workflow useless = workflow(1, 0, 0);
     Workflow late = workflow(2, 0, 5_000);
     Workflow inTime = workflow(3, 0, 9_000);
     assertEquals(List.of(3L, 2L, 1L), sorted(10_000, useless, late, inTime));
-    assertEquals(WaitingOrder.Use.LATE, WaitingOrder.rank(useless, 8_000).use());
-    assertEquals(WaitingOrder.Use.NONE, WaitingOrder.rank(useless, 8_001).use());
+    assertEquals(WaitingOrder.Timeliness.LATE, WaitingOrder.rank(useless, 8_000).timeliness());
+    assertEquals(WaitingOrder.Timeliness.EXPIRED, WaitingOrder.rank(useless, 8_001).timeliness());
   }
 
   /**
@@ -51,7 +51,7 @@
    * everything after the first seconds is late.
    */
   @Test
-  void aBurstMakesSomeWorkLateAndNotAll() {
+  void aBurstDelaysOnlyPartOfTheWork() {
     int inOrderOfUse = servedInTime(true);
     int inOrderOfArrival = servedInTime(false);
     assertEquals(
@@ -86,30 +86,30 @@
 
   /** 2 x 1 s of work and 1 s are allowed: slowed down it takes 3 s. */
   @Test
-  void whoHasWaitedIsInAHurryUntilItStarvesOrIsLate() {
+  void urgencyChangesWithWaitingTime() {
     Workflow workflow = workflow(1, 0, 0);
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 0).urgency());
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 1).urgency());
-    long held = WaitingOrder.HOLD_MILLIS;
+    long held = WaitingOrder.STARVATION_MILLIS;
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, held - 1).urgency());
     assertEquals(Urgency.STARVED, WaitingOrder.rank(workflow, held).urgency());
-    workflow.order(workflow.tasks().get(0), Workflows.HERE);
+    workflow.startAttempt(workflow.tasks().get(0), WorkflowFixtures.PLACE);
     assertEquals(Urgency.HURRIED, WaitingOrder.rank(workflow, 2_000).urgency());
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(workflow, 2_001).urgency());
   }
 
   @Test
-  void anOccurrenceWithNothingAtWorkStarvesToo() {
+  void idleOccurrencesStarve() {
     Workflow recurring =
         Workflow.of(
-            Workflows.spec(
+            WorkflowFixtures.spec(
                 1,
                 0,
                 0,
                 new WorkflowSpec.Schedule(2, 0, 10_000),
-                Workflows.step(1, 1_800, Workflows.filling())));
+                WorkflowFixtures.step(1, 1_800, WorkflowFixtures.bestEffort())));
     assertEquals(Urgency.ORDINARY, WaitingOrder.rank(recurring, 100).urgency());
-    long held = WaitingOrder.HOLD_MILLIS;
+    long held = WaitingOrder.STARVATION_MILLIS;
     assertEquals(Urgency.STARVED, WaitingOrder.rank(recurring, held).urgency());
   }
 
@@ -118,12 +118,13 @@
    * room for its first step, and both were late.
    */
   @Test
-  void whatIsNearlyDoneGoesBeforeWhatHasHardlyBegun() {
+  void nearlyDoneWorkflowsGoFirst() {
     Workflow first = heavy(1, 0);
     Workflow begun = heavy(2, 1_000);
     for (int step = 0; step < 2; step++) {
       for (WorkflowTask task : begun.tasksOf(0, step)) {
-        begun.ended(begun.order(task, Workflows.HERE), RunOutcome.DONE, "", 1_000);
+        begun.recordEnd(
+            begun.startAttempt(task, WorkflowFixtures.PLACE), RunOutcome.DONE, "", 1_000);
       }
     }
     assertEquals(List.of(2L, 1L), sorted(1_000, first, begun));
@@ -133,13 +134,13 @@
 
   private static Workflow heavy(long id, long accepted) {
     return Workflow.of(
-        Workflows.spec(
+        WorkflowFixtures.spec(
             id,
             0,
             accepted,
-            WorkflowSpec.Schedule.AT_ONCE,
-            Workflows.step(4, 1_800, Workflows.filling()),
-            Workflows.step(4, 1_800, Workflows.filling(), 0),
-            Workflows.step(4, 1_800, Workflows.filling(), 1)));
+            WorkflowSpec.Schedule.IMMEDIATE,
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort()),
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort(), 0),
+            WorkflowFixtures.step(4, 1_800, WorkflowFixtures.bestEffort(), 1)));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/Workflows.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowFixtures.java
@@ -6,40 +6,41 @@
 import java.util.Optional;
 
 /** Specimens for the tests of this package. */
-final class Workflows {
+final class WorkflowFixtures {
   static final long ID = 0x5c0e7a21d94b36f8L;
-  static final Place HERE = new Place("vm-1", "life-1");
+  static final Place PLACE = new Place("vm-1", "life-1");
   private static final long MEBIBYTE = 1 << 20;
 
   /** Chooses where a task takes half as long again on another rack. */
   static final VmChooser CHOOSER = VmChooser.of(1.5);
 
-  private Workflows() {}
+  private WorkflowFixtures() {}
 
-  static PlacementWish wish(StepSpec step, double harm, Urgency urgency) {
-    return new PlacementWish(spec(step), step, harm, urgency, "");
+  static TaskPlacementRequest request(StepSpec step, double harm, Urgency urgency) {
+    return new TaskPlacementRequest(spec(step), step, harm, urgency, "");
   }
 
-  static StepSpec.Nature lasting(long targetMillis) {
-    return new StepSpec.Nature(false, false, false, true, false, "svc", targetMillis, 1);
+  static StepSpec.TaskTraits longRunning(long targetMillis) {
+    return new StepSpec.TaskTraits(false, false, false, true, false, "svc", targetMillis, 1);
   }
 
-  static StepSpec.Nature filling() {
-    return new StepSpec.Nature(false, true, false, false, true, "batch", 0, 0);
+  static StepSpec.TaskTraits bestEffort() {
+    return new StepSpec.TaskTraits(false, true, false, false, true, "batch", 0, 0);
   }
 
   static StepSpec gang(int tasks, long milliProcessors, boolean sameRack) {
-    StepSpec plain = step(tasks, milliProcessors, StepSpec.Nature.PLAIN);
+    StepSpec plain = step(tasks, milliProcessors, StepSpec.TaskTraits.PLAIN);
     return new StepSpec(
         tasks,
         plain.sizes(),
         plain.estimateMillis(),
         plain.dependsOn(),
         new StepSpec.Placement("", "", sameRack, 0),
-        new StepSpec.Nature(true, true, false, false, false, "", 0, 0));
+        new StepSpec.TaskTraits(true, true, false, false, false, "", 0, 0));
   }
 
-  static StepSpec step(int tasks, long milliProcessors, StepSpec.Nature nature, Integer... after) {
+  static StepSpec step(
+      int tasks, long milliProcessors, StepSpec.TaskTraits nature, Integer... after) {
     return new StepSpec(
         tasks,
         new Sizes(milliProcessors, 100 * MEBIBYTE, 0),
@@ -50,7 +51,7 @@
   }
 
   static WorkflowSpec spec(StepSpec... steps) {
-    return spec(ID, 0, 1_000, WorkflowSpec.Schedule.AT_ONCE, steps);
+    return spec(ID, 0, 1_000, WorkflowSpec.Schedule.IMMEDIATE, steps);
   }
 
   static WorkflowSpec spec(
@@ -58,7 +59,7 @@
     return new WorkflowSpec(
         id,
         "queue",
-        new WorkflowSpec.Terms("service", priority, 2, Optional.empty(), 2, 1_000),
+        new WorkflowSpec.QueuePolicy("service", priority, 2, Optional.empty(), 2, 1_000),
         "program",
         ImmutableList.copyOf(steps),
         schedule,
@@ -76,7 +77,7 @@
         new Sizes(freeMilli, 32_000 * MEBIBYTE, 0),
         fillMilli,
         0,
-        Overcommit.BASE_MILLI,
+        Overcommit.BASE_MILLI_PROCESSORS,
         serving,
         1.0);
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowIdsTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowIdsTest.java
@@ -10,14 +10,14 @@
 
 class WorkflowIdsTest {
   @Property(tries = 300)
-  void textAndNumberAreTheSameId(@ForAll long id) {
+  void formatAndParseRoundTrip(@ForAll long id) {
     String text = WorkflowIds.format(id);
     assertEquals(16, text.length());
     assertEquals(OptionalLong.of(id), WorkflowIds.parse(text));
   }
 
   @Test
-  void otherTextsAreNoIds() {
+  void rejectsOtherTexts() {
     for (String text :
         new String[] {"", "5c0e", "5c0e7a21d94b36f8a", "5c0e7a21d94b36g8", "+c0e7a21d94b36f8"}) {
       assertTrue(WorkflowIds.parse(text).isEmpty(), text);
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void neighbouringIdsSpreadOverPartitions() {
+  void spreadsNeighbouringIdsOverPartitions() {
     int[] counts = new int[24];
     for (long id = 0; id < 2_400; id++) {
       counts[WorkflowIds.partition(id, 24)]++;
--- a/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/workflow/WorkflowTest.java
@@ -23,121 +23,137 @@
   }
 
   private static RunKey run(Workflow workflow, int step, int index) {
-    WorkflowTask task = workflow.task(new TaskKey(Workflows.ID, 0, step, index)).orElseThrow();
-    return workflow.order(task, Workflows.HERE);
+    WorkflowTask task =
+        workflow.task(new TaskKey(WorkflowFixtures.ID, 0, step, index)).orElseThrow();
+    return workflow.startAttempt(task, WorkflowFixtures.PLACE);
   }
 
   @Test
-  void stepWaitsForAllTasksBefore() {
+  void stepWaitsForAllTasksOfItsDependencies() {
     Workflow workflow =
         Workflow.of(
-            Workflows.spec(
-                Workflows.step(2, 100, StepSpec.Nature.PLAIN),
-                Workflows.step(1, 100, StepSpec.Nature.PLAIN, 0)));
+            WorkflowFixtures.spec(
+                WorkflowFixtures.step(2, 100, StepSpec.TaskTraits.PLAIN),
+                WorkflowFixtures.step(1, 100, StepSpec.TaskTraits.PLAIN, 0)));
     assertEquals(2, ready(workflow, WALL).size());
-    workflow.ended(run(workflow, 0, 0), RunOutcome.DONE, "", WALL);
-    assertEquals(List.of(new TaskKey(Workflows.ID, 0, 0, 1)), ready(workflow, WALL));
-    workflow.ended(run(workflow, 0, 1), RunOutcome.DONE, "", WALL);
-    assertEquals(List.of(new TaskKey(Workflows.ID, 0, 1, 0)), ready(workflow, WALL));
-    workflow.ended(run(workflow, 1, 0), RunOutcome.DONE, "", WALL);
+    workflow.recordEnd(run(workflow, 0, 0), RunOutcome.DONE, "", WALL);
+    assertEquals(List.of(new TaskKey(WorkflowFixtures.ID, 0, 0, 1)), ready(workflow, WALL));
+    workflow.recordEnd(run(workflow, 0, 1), RunOutcome.DONE, "", WALL);
+    assertEquals(List.of(new TaskKey(WorkflowFixtures.ID, 0, 1, 0)), ready(workflow, WALL));
+    workflow.recordEnd(run(workflow, 1, 0), RunOutcome.DONE, "", WALL);
     assertEquals(WorkflowStatus.DONE, workflow.status());
     assertEquals(WALL, workflow.endedMillis());
   }
 
   @Test
-  void attemptsRiseAndEndsOfOlderOnesChangeNothing() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(1, 100, StepSpec.Nature.PLAIN)));
+  void attemptNumbersIncreaseAndEndsOfOlderAttemptsAreIgnored() {
+    Workflow workflow =
+        Workflow.of(
+            WorkflowFixtures.spec(WorkflowFixtures.step(1, 100, StepSpec.TaskTraits.PLAIN)));
     RunKey first = run(workflow, 0, 0);
-    assertTrue(workflow.ended(first, RunOutcome.LOST, "", WALL));
+    assertTrue(workflow.recordEnd(first, RunOutcome.LOST, "", WALL));
     RunKey second = run(workflow, 0, 0);
     assertEquals(first.attempt() + 1, second.attempt());
-    assertFalse(workflow.ended(first, RunOutcome.DONE, "", WALL));
+    assertFalse(workflow.recordEnd(first, RunOutcome.DONE, "", WALL));
     assertEquals(WorkflowStatus.QUEUED, workflow.status());
-    assertTrue(workflow.ended(second, RunOutcome.DONE, "", WALL));
+    assertTrue(workflow.recordEnd(second, RunOutcome.DONE, "", WALL));
     assertEquals(WorkflowStatus.DONE, workflow.status());
   }
 
   @Test
   void aTaskMayNotHaveTwoOpenAttempts() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(1, 100, StepSpec.Nature.PLAIN)));
+    Workflow workflow =
+        Workflow.of(
+            WorkflowFixtures.spec(WorkflowFixtures.step(1, 100, StepSpec.TaskTraits.PLAIN)));
     run(workflow, 0, 0);
     assertTrue(ready(workflow, WALL).isEmpty());
     assertThrows(IllegalStateException.class, () -> run(workflow, 0, 0));
   }
 
   @Test
-  void failsAfterTheAllowedFailuresOnly() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(1, 100, StepSpec.Nature.PLAIN)));
+  void failsOnlyAfterMaxFailures() {
+    Workflow workflow =
+        Workflow.of(
+            WorkflowFixtures.spec(WorkflowFixtures.step(1, 100, StepSpec.TaskTraits.PLAIN)));
     for (RunOutcome harmless :
         List.of(RunOutcome.REFUSED, RunOutcome.STOPPED, RunOutcome.LAPSED, RunOutcome.LOST)) {
-      workflow.ended(run(workflow, 0, 0), harmless, "", WALL);
+      workflow.recordEnd(run(workflow, 0, 0), harmless, "", WALL);
     }
-    workflow.ended(run(workflow, 0, 0), RunOutcome.FAILED, "", WALL);
+    workflow.recordEnd(run(workflow, 0, 0), RunOutcome.FAILED, "", WALL);
     assertEquals(WorkflowStatus.RUNNING, workflow.status());
-    workflow.ended(run(workflow, 0, 0), RunOutcome.FAILED, "", WALL);
+    workflow.recordEnd(run(workflow, 0, 0), RunOutcome.FAILED, "", WALL);
     assertEquals(WorkflowStatus.FAILED, workflow.status());
     assertTrue(ready(workflow, WALL).isEmpty());
   }
 
   @Test
-  void lastingTasksAreOrderedAgainHoweverTheyEnd() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(1, 100, Workflows.lasting(50))));
+  void longRunningTasksRestartAfterEveryOutcome() {
+    Workflow workflow =
+        Workflow.of(
+            WorkflowFixtures.spec(WorkflowFixtures.step(1, 100, WorkflowFixtures.longRunning(50))));
     for (RunOutcome outcome : RunOutcome.values()) {
-      workflow.ended(run(workflow, 0, 0), outcome, "", WALL);
+      workflow.recordEnd(run(workflow, 0, 0), outcome, "", WALL);
       assertEquals(1, ready(workflow, WALL).size(), outcome.name());
     }
   }
 
   @Test
-  void cancelledWorkflowStartsNothingAndKeepsItsOpenRuns() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.step(2, 100, StepSpec.Nature.PLAIN)));
+  void cancelledWorkflowStartsNothingAndTracksItsOpenRuns() {
+    Workflow workflow =
+        Workflow.of(
+            WorkflowFixtures.spec(WorkflowFixtures.step(2, 100, StepSpec.TaskTraits.PLAIN)));
     RunKey open = run(workflow, 0, 0);
     assertTrue(workflow.cancel(WALL));
     assertFalse(workflow.cancel(WALL));
     assertTrue(ready(workflow, WALL).isEmpty());
     assertEquals(1, workflow.openTasks().size());
-    assertTrue(workflow.ended(open, RunOutcome.DONE, "", WALL));
+    assertTrue(workflow.recordEnd(open, RunOutcome.DONE, "", WALL));
     assertEquals(WorkflowStatus.CANCELLED, workflow.status());
   }
 
   @Test
-  void occurrencesFallDueOneByOne() {
+  void occurrencesBecomeReadyAtTheirDueTimes() {
     WorkflowSpec.Schedule schedule = new WorkflowSpec.Schedule(2, 10_000, 4_000);
     Workflow workflow =
         Workflow.of(
-            Workflows.spec(
-                Workflows.ID, 0, 0, schedule, Workflows.step(1, 100, StepSpec.Nature.PLAIN)));
+            WorkflowFixtures.spec(
+                WorkflowFixtures.ID,
+                0,
+                0,
+                schedule,
+                WorkflowFixtures.step(1, 100, StepSpec.TaskTraits.PLAIN)));
     assertTrue(ready(workflow, 9_999).isEmpty());
     assertEquals(1, ready(workflow, 10_000).size());
     assertEquals(2, ready(workflow, 14_000).size());
   }
 
-  private static List<RunKey> orderGang(Workflow workflow) {
+  private static List<RunKey> startGang(Workflow workflow) {
     List<WorkflowTask> members = workflow.tasksOf(0, 0);
-    workflow.orderGang(members.get(0), Collections.nCopies(members.size(), Workflows.HERE));
+    workflow.startGangAttempt(
+        members.get(0), Collections.nCopies(members.size(), WorkflowFixtures.PLACE));
     return members.stream().map(WorkflowTask::openRun).toList();
   }
 
   private static void endAll(Workflow workflow, RunOutcome outcome) {
     for (WorkflowTask open : workflow.openTasks()) {
-      workflow.ended(open.openRun(), outcome, "", WALL);
+      workflow.recordEnd(open.openRun(), outcome, "", WALL);
     }
   }
 
   @Test
-  void theMembersOfAGangShareAttemptCheckpointAndDone() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.gang(3, 100, false)));
-    List<RunKey> first = orderGang(workflow);
-    workflow.task(first.get(1).task()).orElseThrow().observe("saved", 50);
-    workflow.ended(first.get(0), RunOutcome.STOPPED, "", WALL);
+  void gangMembersShareAttemptCheckpointAndCompletion() {
+    Workflow workflow = Workflow.of(WorkflowFixtures.spec(WorkflowFixtures.gang(3, 100, false)));
+    List<RunKey> first = startGang(workflow);
+    workflow.task(first.get(1).task()).orElseThrow().recordProgress("saved", 50);
+    workflow.recordEnd(first.get(0), RunOutcome.STOPPED, "", WALL);
     assertTrue(ready(workflow, WALL).isEmpty(), "the others may still run");
-    assertTrue(workflow.openTasks().stream().allMatch(WorkflowTask::isStopWanted));
+    assertTrue(workflow.openTasks().stream().allMatch(WorkflowTask::isStopRequested));
     endAll(workflow, RunOutcome.STOPPED);
     assertEquals(3, ready(workflow, WALL).size());
-    List<RunKey> second = orderGang(workflow);
+    List<RunKey> second = startGang(workflow);
     assertTrue(second.stream().allMatch(run -> run.attempt() == 2));
     assertTrue(workflow.tasks().stream().allMatch(task -> task.checkpoint().equals("saved")));
-    workflow.ended(second.get(2), RunOutcome.DONE, "", WALL);
+    workflow.recordEnd(second.get(2), RunOutcome.DONE, "", WALL);
     assertEquals(WorkflowStatus.DONE, workflow.status());
     assertTrue(workflow.openTasks().isEmpty());
   }
@@ -148,14 +164,14 @@
    */
   @Test
   void anAttemptOfAGangFailsOnce() {
-    Workflow workflow = Workflow.of(Workflows.spec(Workflows.gang(3, 100, false)));
-    List<RunKey> first = orderGang(workflow);
-    workflow.ended(first.get(0), RunOutcome.FAILED, "", WALL);
-    workflow.ended(first.get(1), RunOutcome.FAILED, "", WALL);
-    workflow.ended(first.get(2), RunOutcome.BROKEN, "", WALL);
+    Workflow workflow = Workflow.of(WorkflowFixtures.spec(WorkflowFixtures.gang(3, 100, false)));
+    List<RunKey> first = startGang(workflow);
+    workflow.recordEnd(first.get(0), RunOutcome.FAILED, "", WALL);
+    workflow.recordEnd(first.get(1), RunOutcome.FAILED, "", WALL);
+    workflow.recordEnd(first.get(2), RunOutcome.BROKEN, "", WALL);
     assertEquals(WorkflowStatus.RUNNING, workflow.status());
-    List<RunKey> second = orderGang(workflow);
-    workflow.ended(second.get(2), RunOutcome.FAILED, "", WALL);
+    List<RunKey> second = startGang(workflow);
+    workflow.recordEnd(second.get(2), RunOutcome.FAILED, "", WALL);
     assertEquals(WorkflowStatus.FAILED, workflow.status());
   }
 
@@ -165,33 +181,33 @@
    * done for good, and ordering the other half failed with everything that waited behind it.
    */
   @Test
-  void doneByOneMemberIsDoneByAMemberThatCountedAsLost() {
-    WorkflowSpec spec = Workflows.spec(Workflows.gang(3, 100, false));
+  void completionOfOneMemberCompletesAMemberThatWasLost() {
+    WorkflowSpec spec = WorkflowFixtures.spec(WorkflowFixtures.gang(3, 100, false));
     for (int lost = 0; lost < 3; lost++) {
       Workflow workflow = Workflow.of(spec);
-      List<RunKey> runs = orderGang(workflow);
-      workflow.ended(runs.get(lost), RunOutcome.LOST, "", WALL);
-      workflow.ended(runs.get((lost + 1) % 3), RunOutcome.DONE, "", WALL);
+      List<RunKey> runs = startGang(workflow);
+      workflow.recordEnd(runs.get(lost), RunOutcome.LOST, "", WALL);
+      workflow.recordEnd(runs.get((lost + 1) % 3), RunOutcome.DONE, "", WALL);
       assertEquals(WorkflowStatus.DONE, workflow.status(), "lost: member " + lost);
       assertTrue(workflow.tasks().stream().allMatch(WorkflowTask::isDone));
       assertTrue(workflow.openTasks().isEmpty());
-      assertEquals(0.0, workflow.workLeft());
+      assertEquals(0.0, workflow.remainingWork());
       assertEquals(WorkflowStatus.DONE, Workflow.restore(spec, workflow.record()).status());
     }
   }
 
   /** An owner dies while it stops what is left of a broken gang: the next one stops it. */
   @Test
-  void whatIsLeftOfABrokenGangIsStoppedByTheNextOwner() {
-    WorkflowSpec spec = Workflows.spec(Workflows.gang(3, 100, false));
+  void nextOwnerStopsTheRestOfABrokenGang() {
+    WorkflowSpec spec = WorkflowFixtures.spec(WorkflowFixtures.gang(3, 100, false));
     Workflow workflow = Workflow.of(spec);
-    List<RunKey> runs = orderGang(workflow);
+    List<RunKey> runs = startGang(workflow);
     Workflow whole = Workflow.restore(spec, workflow.record());
-    assertTrue(whole.openTasks().stream().noneMatch(WorkflowTask::isStopWanted));
-    workflow.ended(runs.get(0), RunOutcome.LOST, "", WALL);
+    assertTrue(whole.openTasks().stream().noneMatch(WorkflowTask::isStopRequested));
+    workflow.recordEnd(runs.get(0), RunOutcome.LOST, "", WALL);
     Workflow broken = Workflow.restore(spec, workflow.record());
     assertEquals(2, broken.openTasks().size());
-    assertTrue(broken.openTasks().stream().allMatch(WorkflowTask::isStopWanted));
+    assertTrue(broken.openTasks().stream().allMatch(WorkflowTask::isStopRequested));
   }
 
   /**
@@ -199,12 +215,11 @@
    * first had decided and written, the second must know each open attempt and give no number twice.
    */
   @Property(tries = 200)
-  void aRestoredWorkflowGoesOnWhereTheRecordWas(
-      @ForAll List<@IntRange(min = 0, max = 4) Integer> steps) {
+  void restoredWorkflowMatchesItsRecord(@ForAll List<@IntRange(min = 0, max = 4) Integer> steps) {
     WorkflowSpec spec =
-        Workflows.spec(
-            Workflows.step(2, 100, StepSpec.Nature.PLAIN),
-            Workflows.step(2, 100, Workflows.filling(), 0));
+        WorkflowFixtures.spec(
+            WorkflowFixtures.step(2, 100, StepSpec.TaskTraits.PLAIN),
+            WorkflowFixtures.step(2, 100, WorkflowFixtures.bestEffort(), 0));
     Workflow workflow = Workflow.of(spec);
     for (int choice : steps) {
       advance(workflow, choice);
@@ -221,12 +236,12 @@
     List<WorkflowTask> open = workflow.openTasks();
     if (choice > 1 && !open.isEmpty()) {
       RunOutcome outcome = choice == 2 ? RunOutcome.DONE : RunOutcome.LAPSED;
-      workflow.ended(open.get(0).openRun(), outcome, "checkpoint-" + choice, WALL);
+      workflow.recordEnd(open.get(0).openRun(), outcome, "checkpoint-" + choice, WALL);
       return;
     }
     List<TaskKey> ready = ready(workflow, WALL);
     if (!ready.isEmpty()) {
-      workflow.order(workflow.task(ready.get(0)).orElseThrow(), Workflows.HERE);
+      workflow.startAttempt(workflow.task(ready.get(0)).orElseThrow(), WorkflowFixtures.PLACE);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.daemon.task.TaskTerms;
 import io.marigoldsail.dispatch.SchedulerSettings;
 import io.marigoldsail.dispatch.ServiceLimits;
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.TeamQuota;
 import io.marigoldsail.lease.LeaseTerms;
@@ -40,9 +40,9 @@
     return new TaskTerms(leases, quotas, guard(configuration));
   }
 
-  static GuardTerms guard(Configuration configuration) {
+  static GuardPolicy guard(Configuration configuration) {
     GuardConfiguration guard = configuration.guard();
-    return new GuardTerms(
+    return new GuardPolicy(
         guard.tailLatencyWeight(),
         guard.evictionsWeight(),
         guard.throughputWeight(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
@@ -4,7 +4,7 @@
 
 import io.marigoldsail.configuration.Configuration;
 import io.marigoldsail.daemon.task.ServiceWatch;
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.guard.ServiceReading;
 import io.marigoldsail.guard.TailWindow;
 import java.util.Optional;
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public GuardTerms terms() {
+  public GuardPolicy terms() {
     return ConfiguredPolicies.guard(configuration.get());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -5,8 +5,8 @@
 import io.marigoldsail.daemon.dispatch.CallerLimits;
 import io.marigoldsail.daemon.dispatch.CallerServer;
 import io.marigoldsail.daemon.dispatch.EntryDispatcher;
-import io.marigoldsail.daemon.dispatch.KeyHomes;
-import io.marigoldsail.daemon.dispatch.LinkTimes;
+import io.marigoldsail.daemon.dispatch.KeyShardCoordinator;
+import io.marigoldsail.daemon.dispatch.LinkSettings;
 import io.marigoldsail.daemon.link.EntryLinks;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.operators.MemberRoutes;
@@ -60,7 +60,7 @@
   private final StreamClient taskStream;
   private final KeyShardTable keyTable;
   private final StreamClient keyStream;
-  private final KeyHomes keyHomes;
+  private final KeyShardCoordinator keyHomes;
   private final EntryRoster roster;
   private final EntryTasks tasks;
   private volatile TaskTerms taskTerms = TaskTerms.DEFAULT;
@@ -91,7 +91,7 @@
             base::configurationRevision,
             roster::otherProcessesAddresses,
             base.events());
-    this.keyHomes = new KeyHomes(loop, keyTable, keyStream.appender()::append, links);
+    this.keyHomes = new KeyShardCoordinator(loop, keyTable, keyStream.appender()::append, links);
     this.callers = newCallerServer();
     TaskTable table = new TaskTable();
     this.taskStream = StreamClient.writer(base.shared(), TaskFold.STREAM, new TaskFold(table));
@@ -112,7 +112,7 @@
         loop,
         identity,
         policy,
-        LinkTimes.DEFAULT,
+        LinkSettings.DEFAULT,
         new ByteBudget(answerBytes),
         Optional.of(keyTable),
         service -> base.configuration().service(service).targetDetectsRepeats(),
@@ -124,7 +124,7 @@
     return new CallerServer(
         base.clock(),
         settings.callersAddress().socketAddress(),
-        CallerLimits.ofHeap(),
+        CallerLimits.forHeap(),
         service -> OptionalLong.of(base.configuration().service(service).defaultDeadlineMillis()),
         dispatcher,
         () -> serving && readiness.isReady());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon;
 
 import io.marigoldsail.daemon.configuration.ConfigurationRoutes;
-import io.marigoldsail.daemon.dispatch.Bodies;
+import io.marigoldsail.daemon.dispatch.BodyLimits;
 import io.marigoldsail.daemon.dispatch.MeasuredTarget;
 import io.marigoldsail.daemon.dispatch.SideDispatcher;
 import io.marigoldsail.daemon.dispatch.SideLimits;
@@ -78,7 +78,7 @@
   }
 
   private TargetPart newTargetPart(TargetSettings targetSettings) {
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     TargetClient client =
         new TargetClient(loop, targetSettings.address(), targetSettings.connections(), "", budget);
     TailWindow window = new TailWindow(GUARD_WINDOW_NANOS);
@@ -87,7 +87,7 @@
             loop,
             settings.processesAddress().socketAddress(),
             new MeasuredTarget(client, window, base.clock()),
-            SideLimits.ofSlots(targetSettings.slots()),
+            SideLimits.forSlots(targetSettings.slots()),
             base.incarnation(),
             links,
             budget,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/Attempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
@@ -33,37 +33,37 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class Attempts {
+final class AttemptTracker {
   /** Is notified of the outcomes of attempts and of changes of the targets. */
   interface Listener {
     /** An attempt has ended; exactly one of response and failure is not null. */
-    void ended(
-        PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure);
+    void attemptEnded(
+        PendingRequest request, AttemptOutcome outcome, CallerResponse response, Failure failure);
 
     /** A target reported its load. */
-    void reported(String vm, TargetLoad load);
+    void loadReported(String vm, TargetLoad load);
 
     /** The list of reachable targets changed. */
     void targetsChanged();
   }
 
-  private static final System.Logger LOG = System.getLogger(Attempts.class.getName());
+  private static final System.Logger LOG = System.getLogger(AttemptTracker.class.getName());
   private static final long NEVER = Long.MAX_VALUE;
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
-  private final LinkTimes settings;
+  private final LinkSettings settings;
   private final ByteBudget responseBudget;
   private final EventRecorder events;
   private final Listener listener;
   private final TargetPools pools;
-  private final Map<Long, PendingRequest> bySequence = new HashMap<>();
+  private final Map<Long, PendingRequest> requestsBySequence = new HashMap<>();
   private long lastSequence;
 
-  Attempts(
+  AttemptTracker(
       LinkLoop loop,
       EntryIdentity identity,
-      LinkTimes settings,
+      LinkSettings settings,
       ByteBudget responseBudget,
       EventRecorder events,
       RandomGenerator random,
@@ -74,7 +74,7 @@
     this.responseBudget = responseBudget;
     this.events = events;
     this.listener = listener;
-    this.pools = new TargetPools(loop, settings, random, new FromTargets());
+    this.pools = new TargetPools(loop, settings, random, new PoolListener());
   }
 
   TargetPools pools() {
@@ -85,18 +85,21 @@
   void start(PendingRequest request, Decision.Send send) {
     TargetPool pool = pools.byVm(send.vm());
     if (pool != null && pool.isGoingAway()) {
-      // A request sent after the GOAWAY was acknowledged has an unknown outcome, because the process
-      // may have exited. The policy may still choose the target by an older report that was received
+      // A request sent after the GOAWAY was acknowledged has an unknown outcome, because the
+      // process
+      // may have exited. The policy may still choose the target by an older report that was
+      // received
       // late on another connection.
       String detail = "side process of " + send.vm() + " is shutting down";
       Failure failure = new Failure(ErrorKind.SHUTTING_DOWN, detail, 1_000);
-      listener.ended(request, AttemptOutcome.NOT_RUN, null, failure);
+      listener.attemptEnded(request, AttemptOutcome.NOT_RUN, null, failure);
       return;
     }
-    LinkConnection connection = pool == null ? null : pool.pick();
+    LinkConnection connection = pool == null ? null : pool.selectConnection();
     if (connection == null) {
-      Failure failure = new Failure(ErrorKind.TARGET_UNREACHABLE, "no usable connection to " + send.vm(), 1_000);
-      listener.ended(request, AttemptOutcome.NOT_RUN, null, failure);
+      Failure failure =
+          new Failure(ErrorKind.TARGET_UNREACHABLE, "no usable connection to " + send.vm(), 1_000);
+      listener.attemptEnded(request, AttemptOutcome.NOT_RUN, null, failure);
       return;
     }
     long now = loop.now();
@@ -104,22 +107,24 @@
     Attempt attempt = new Attempt(++lastSequence, pool, connection);
     attempt.timer(loop.schedule(() -> timedOut(request, attempt), Math.max(0, remainingNanos)));
     request.attempt(attempt);
-    bySequence.put(attempt.sequence(), request);
+    requestsBySequence.put(attempt.sequence(), request);
     events.record(
         Event.of(send.attempt() > 1 ? EventKind.REQUEST_RETRIED : EventKind.REQUEST_SENT)
             .withRequest(request.label())
             .withVm(send.vm())
             .withDetail(send.reason()));
-    connection.sendAll(EntryFrames.request(identity, attempt.sequence(), request, remainingNanos, now));
+    connection.sendAll(
+        EntryFrames.request(identity, attempt.sequence(), request, remainingNanos, now));
   }
 
   /** Ends attempts whose outcome was not resolved in time. */
   void tick(long now) {
     pools.tick(now);
-    for (PendingRequest request : new ArrayList<>(bySequence.values())) {
+    for (PendingRequest request : new ArrayList<>(requestsBySequence.values())) {
       Attempt attempt = request.attempt();
-      if (attempt.resolveUntil() != NEVER && attempt.resolveUntil() - now <= 0) {
-        lost(request, "outcome not resolved in time after the connection was lost");
+      if (attempt.resolveDeadline() != NEVER && attempt.resolveDeadline() - now <= 0) {
+        endWithUnknownOutcome(
+            request, "outcome not resolved in time after the connection was lost");
       }
     }
   }
@@ -140,98 +145,105 @@
     cancel(request);
     Failure failure =
         Failure.of(
-            ErrorKind.DEADLINE_WHILE_RUNNING, "no response from " + attempt.pool().vm() + " within the deadline");
-    ended(request, AttemptOutcome.TIMED_OUT, null, failure);
+            ErrorKind.DEADLINE_WHILE_RUNNING,
+            "no response from " + attempt.pool().vm() + " within the deadline");
+    attemptEnded(request, AttemptOutcome.TIMED_OUT, null, failure);
   }
 
-  private void ended(
-      PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure) {
-    bySequence.remove(request.attempt().sequence());
-    listener.ended(request, outcome, response, failure);
+  private void attemptEnded(
+      PendingRequest request, AttemptOutcome outcome, CallerResponse response, Failure failure) {
+    requestsBySequence.remove(request.attempt().sequence());
+    listener.attemptEnded(request, outcome, response, failure);
   }
 
-  private void lost(PendingRequest request, String reason) {
+  private void endWithUnknownOutcome(PendingRequest request, String reason) {
     String detail = request.attempt().pool().vm() + ": " + reason;
-    ended(request, AttemptOutcome.LOST, null, Failure.of(ErrorKind.OUTCOME_UNKNOWN, detail));
+    attemptEnded(request, AttemptOutcome.LOST, null, Failure.of(ErrorKind.OUTCOME_UNKNOWN, detail));
   }
 
   /** Returns the request that awaits a frame on this connection, or null if the frame is stale. */
-  private PendingRequest expected(LinkConnection connection, long sequence) {
-    PendingRequest request = bySequence.get(sequence);
+  private PendingRequest findAwaiting(LinkConnection connection, long sequence) {
+    PendingRequest request = requestsBySequence.get(sequence);
     // A copy of the response may arrive on a connection that was abandoned. The one on the current
     // connection is complete by itself, and chunks of the two must not be mixed.
     return request != null && request.attempt().connection() == connection ? request : null;
   }
 
-  private void answerStart(TargetPool pool, LinkConnection connection, AnswerStart start)
+  private void handleResponseStart(TargetPool pool, LinkConnection connection, AnswerStart start)
       throws BrokenFrameException {
     if (start.getLast()) {
       connection.answerRead();
     }
-    report(pool, start.getReport());
-    PendingRequest request = expected(connection, start.getId().getSequence());
+    reportLoad(pool, start.getReport());
+    PendingRequest request = findAwaiting(connection, start.getId().getSequence());
     if (request == null) {
       return;
     }
-    AnswerAssembly assembly = AnswerAssembly.begin(start, responseBudget).orElse(null);
+    ResponseAssembly assembly = ResponseAssembly.begin(start, responseBudget).orElse(null);
     if (assembly == null) {
-      Failure failure = Failure.of(ErrorKind.OUTCOME_UNKNOWN, "response exceeds the free memory budget of the entry");
-      ended(request, AttemptOutcome.LOST, null, failure);
+      Failure failure =
+          Failure.of(
+              ErrorKind.OUTCOME_UNKNOWN, "response exceeds the free memory budget of the entry");
+      attemptEnded(request, AttemptOutcome.LOST, null, failure);
       return;
     }
     request.attempt().assembly(assembly);
-    endIfWhole(request);
+    endIfComplete(request);
   }
 
-  private void answerBody(LinkConnection connection, AnswerBody body) throws BrokenFrameException {
-    PendingRequest request = expected(connection, body.getId().getSequence());
+  private void handleResponseBody(LinkConnection connection, AnswerBody body)
+      throws BrokenFrameException {
+    PendingRequest request = findAwaiting(connection, body.getId().getSequence());
     if (request == null) {
       return;
     }
-    AnswerAssembly assembly = request.attempt().assembly();
+    ResponseAssembly assembly = request.attempt().assembly();
     if (assembly == null) {
       throw new BrokenFrameException("AnswerBody before AnswerStart");
     }
     assembly.add(body.getData(), body.getLast());
-    endIfWhole(request);
+    endIfComplete(request);
   }
 
-  private void endIfWhole(PendingRequest request) {
-    AnswerAssembly assembly = request.attempt().assembly();
-    if (!assembly.isWhole()) {
+  private void endIfComplete(PendingRequest request) {
+    ResponseAssembly assembly = request.attempt().assembly();
+    if (!assembly.isComplete()) {
       return;
     }
-    CallerAnswer response = assembly.answer();
+    CallerResponse response = assembly.response();
     boolean targetError = response.status() >= 500;
-    ended(
-        request, targetError ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, response, null);
+    attemptEnded(
+        request,
+        targetError ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED,
+        response,
+        null);
   }
 
-  private void notRun(TargetPool pool, LinkConnection connection, NotRun notRun)
+  private void handleNotRun(TargetPool pool, LinkConnection connection, NotRun notRun)
       throws BrokenFrameException {
-    report(pool, notRun.getReport());
-    PendingRequest request = expected(connection, notRun.getId().getSequence());
+    reportLoad(pool, notRun.getReport());
+    PendingRequest request = findAwaiting(connection, notRun.getId().getSequence());
     if (request == null) {
       return;
     }
     ErrorKind kind =
         ErrorKind.forCode(notRun.getErrorKind())
-            .filter(Attempts::saysNotRun)
+            .filter(AttemptTracker::provesNotRun)
             .orElse(ErrorKind.OVERLOADED);
     long retryAfter = Math.max(0, notRun.getRetryAfterMillis());
     String detail = pool.vm() + ": " + notRun.getDetail();
-    ended(request, AttemptOutcome.NOT_RUN, null, new Failure(kind, detail, retryAfter));
+    attemptEnded(request, AttemptOutcome.NOT_RUN, null, new Failure(kind, detail, retryAfter));
   }
 
   /** KEY_STATE_UNKNOWN says nothing of earlier attempts, but proves that this one did not run. */
-  private static boolean saysNotRun(ErrorKind kind) {
+  private static boolean provesNotRun(ErrorKind kind) {
     return kind.execution() == ErrorKind.Execution.NOT_RUN || kind == ErrorKind.KEY_STATE_UNKNOWN;
   }
 
-  private void failed(TargetPool pool, LinkConnection connection, Failed failed)
+  private void handleFailed(TargetPool pool, LinkConnection connection, Failed failed)
       throws BrokenFrameException {
-    report(pool, failed.getReport());
-    PendingRequest request = expected(connection, failed.getId().getSequence());
+    reportLoad(pool, failed.getReport());
+    PendingRequest request = findAwaiting(connection, failed.getId().getSequence());
     if (request == null) {
       return;
     }
@@ -241,12 +253,12 @@
             .orElse(ErrorKind.OUTCOME_UNKNOWN);
     AttemptOutcome outcome =
         kind == ErrorKind.TARGET_BROKEN_ANSWER ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.LOST;
-    ended(request, outcome, null, Failure.of(kind, pool.vm() + ": " + failed.getDetail()));
+    attemptEnded(request, outcome, null, Failure.of(kind, pool.vm() + ": " + failed.getDetail()));
   }
 
-  private void resolution(LinkConnection connection, Resolution resolution)
+  private void handleResolution(LinkConnection connection, Resolution resolution)
       throws BrokenFrameException {
-    PendingRequest request = expected(connection, resolution.getId().getSequence());
+    PendingRequest request = findAwaiting(connection, resolution.getId().getSequence());
     if (request == null) {
       return;
     }
@@ -256,39 +268,40 @@
             .withVm(request.attempt().pool().vm())
             .withDetail(resolution.getState().name()));
     switch (resolution.getState()) {
-      case RUNNING -> request.attempt().resolveUntil(NEVER);
+      case RUNNING -> request.attempt().resolveDeadline(NEVER);
       case NOT_RUN -> {
         String detail = "not received by " + request.attempt().pool().vm() + ": connection lost";
         Failure failure = new Failure(ErrorKind.TARGET_UNREACHABLE, detail, 1_000);
-        ended(request, AttemptOutcome.NOT_RUN, null, failure);
+        attemptEnded(request, AttemptOutcome.NOT_RUN, null, failure);
       }
-      case FORGOTTEN -> lost(request, "side process no longer knows the request");
-      default -> throw new BrokenFrameException("Resolution has no known state: " + resolution.getState());
+      case FORGOTTEN -> endWithUnknownOutcome(request, "side process no longer knows the request");
+      default ->
+          throw new BrokenFrameException("Resolution has no known state: " + resolution.getState());
     }
   }
 
-  private void goAway(TargetPool pool, LinkConnection connection) {
-    if (pool.goesAway()) {
+  private void handleGoAway(TargetPool pool, LinkConnection connection) {
+    if (pool.markGoingAway()) {
       listener.targetsChanged();
     }
     connection.sendInTurn(EntryFrames.goAwayAck());
   }
 
-  private void report(TargetPool pool, TargetReport report) throws BrokenFrameException {
+  private void reportLoad(TargetPool pool, TargetReport report) throws BrokenFrameException {
     TargetLoad load = Announcements.read(report);
     if (pools.byVm(pool.vm()) == pool) {
-      listener.reported(pool.vm(), load);
+      listener.loadReported(pool.vm(), load);
     }
   }
 
   /** Handles frames and connection changes of side processes. */
-  private final class FromTargets implements TargetPool.Listener {
+  private final class PoolListener implements TargetPool.Listener {
     @Override
-    public void usable(TargetPool pool, LinkConnection connection) {
-      if (pool.isFirstUsable()) {
+    public void connectionUsable(TargetPool pool, LinkConnection connection) {
+      if (pool.hasSingleUsable()) {
         listener.targetsChanged();
       }
-      for (PendingRequest request : bySequence.values()) {
+      for (PendingRequest request : requestsBySequence.values()) {
         Attempt attempt = request.attempt();
         if (attempt.pool() == pool && attempt.connection() == null) {
           attempt.connection(connection);
@@ -298,31 +311,32 @@
     }
 
     @Override
-    public void refused(TargetPool pool) {
-      for (PendingRequest request : new ArrayList<>(bySequence.values())) {
+    public void connectionRefused(TargetPool pool) {
+      for (PendingRequest request : new ArrayList<>(requestsBySequence.values())) {
         Attempt attempt = request.attempt();
         if (attempt.pool() == pool && attempt.connection() == null) {
-          Attempts.this.lost(request, "nothing listens at the address of the side process");
+          AttemptTracker.this.endWithUnknownOutcome(
+              request, "nothing listens at the address of the side process");
         }
       }
     }
 
     @Override
-    public void received(TargetPool pool, LinkConnection connection, Frame frame)
+    public void frameReceived(TargetPool pool, LinkConnection connection, Frame frame)
         throws BrokenFrameException {
       switch (frame.getBodyCase()) {
-        case ANSWER_START -> answerStart(pool, connection, frame.getAnswerStart());
-        case ANSWER_BODY -> answerBody(connection, frame.getAnswerBody());
-        case NOT_RUN -> notRun(pool, connection, frame.getNotRun());
-        case FAILED -> failed(pool, connection, frame.getFailed());
-        case RESOLUTION -> resolution(connection, frame.getResolution());
-        case GO_AWAY -> goAway(pool, connection);
+        case ANSWER_START -> handleResponseStart(pool, connection, frame.getAnswerStart());
+        case ANSWER_BODY -> handleResponseBody(connection, frame.getAnswerBody());
+        case NOT_RUN -> handleNotRun(pool, connection, frame.getNotRun());
+        case FAILED -> handleFailed(pool, connection, frame.getFailed());
+        case RESOLUTION -> handleResolution(connection, frame.getResolution());
+        case GO_AWAY -> handleGoAway(pool, connection);
         default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
       }
     }
 
     @Override
-    public void lost(TargetPool pool, LinkConnection connection, String reason) {
+    public void connectionLost(TargetPool pool, LinkConnection connection, String reason) {
       events.record(Event.of(EventKind.CONNECTION_LOST).withVm(pool.vm()).withDetail(reason));
       LOG.log(
           System.Logger.Level.INFO,
@@ -332,15 +346,15 @@
       if (!pool.isUsable()) {
         listener.targetsChanged();
       }
-      long resolveUntil = loop.now() + settings.resolveNanos();
-      for (PendingRequest request : new ArrayList<>(bySequence.values())) {
+      long resolveUntil = loop.now() + settings.resolveTimeoutNanos();
+      for (PendingRequest request : new ArrayList<>(requestsBySequence.values())) {
         Attempt attempt = request.attempt();
         if (attempt.connection() != connection) {
           continue;
         }
         attempt.connection(null);
-        if (attempt.resolveUntil() == NEVER) {
-          attempt.resolveUntil(resolveUntil);
+        if (attempt.resolveDeadline() == NEVER) {
+          attempt.resolveDeadline(resolveUntil);
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
@@ -6,9 +6,9 @@
  * Limits of an entry for callers.
  *
  * @param maxConnections the number of connections that callers may have open at once
- * @param bodyBytes the total bytes of request bodies
+ * @param bodyBudgetBytes the total bytes of request bodies
  */
-public record CallerLimits(int maxConnections, long bodyBytes) {
+public record CallerLimits(int maxConnections, long bodyBudgetBytes) {
   /** The longest deadline that a caller may set, in milliseconds. */
   public static final long MAX_DEADLINE_MILLIS = 10 * 60 * 1_000L;
 
@@ -21,12 +21,15 @@
   /** Checks the components. */
   public CallerLimits {
     checkArgument(maxConnections > 0, "maxConnections is not positive: %s", maxConnections);
-    checkArgument(bodyBytes >= Bodies.MAX_BYTES, "bodyBytes is less than one body: %s", bodyBytes);
+    checkArgument(
+        bodyBudgetBytes >= BodyLimits.MAX_BYTES,
+        "bodyBytes is less than one body: %s",
+        bodyBudgetBytes);
   }
 
   /** Returns the limits for the heap of this Java virtual machine. */
-  public static CallerLimits ofHeap() {
+  public static CallerLimits forHeap() {
     long quarter = Runtime.getRuntime().maxMemory() / 4;
-    return new CallerLimits(4_096, Math.max(2L * Bodies.MAX_BYTES, quarter));
+    return new CallerLimits(4_096, Math.max(2L * BodyLimits.MAX_BYTES, quarter));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerAnswer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerResponse.java
@@ -14,9 +14,9 @@
  * @param headers the end-to-end headers
  * @param body the complete body
  */
-public record CallerAnswer(int status, List<Header> headers, ByteString body) {
+public record CallerResponse(int status, List<Header> headers, ByteString body) {
   /** Checks the components. */
-  public CallerAnswer {
+  public CallerResponse {
     headers = ImmutableList.copyOf(headers);
     requireNonNull(body, "body");
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerResponseWriter.java
@@ -13,11 +13,11 @@
 import org.eclipse.jetty.util.Callback;
 
 /** Writes the response to a caller's request. */
-final class AnswerWriter implements AnswerSink {
+final class CallerResponseWriter implements ResponseSink {
   private final Response response;
   private final Callback callback;
-  private final Runnable ended;
-  private final Executor writes;
+  private final Runnable onEnded;
+  private final Executor writeExecutor;
 
   /**
    * Creates a writer.
@@ -27,20 +27,21 @@
    * @param onEnded run when the request has ended, before the response is written
    * @param writeExecutor runs the writes
    */
-  AnswerWriter(Response response, Callback callback, Runnable onEnded, Executor writeExecutor) {
+  CallerResponseWriter(
+      Response response, Callback callback, Runnable onEnded, Executor writeExecutor) {
     this.response = response;
     this.callback = callback;
-    this.ended = onEnded;
-    this.writes = writeExecutor;
+    this.onEnded = onEnded;
+    this.writeExecutor = writeExecutor;
   }
 
   @Override
-  public void answered(String requestId, CallerAnswer callerResponse) {
-    ended.run();
-    writes.execute(() -> write(requestId, callerResponse));
+  public void succeeded(String requestId, CallerResponse callerResponse) {
+    onEnded.run();
+    writeExecutor.execute(() -> write(requestId, callerResponse));
   }
 
-  private void write(String requestId, CallerAnswer callerResponse) {
+  private void write(String requestId, CallerResponse callerResponse) {
     response.setStatus(callerResponse.status());
     HttpFields.Mutable fields = response.getHeaders();
     for (Header header : callerResponse.headers()) {
@@ -58,8 +59,8 @@
 
   @Override
   public void failed(String requestId, Failure failure) {
-    ended.run();
-    writes.execute(() -> write(response, callback, failure, requestId));
+    onEnded.run();
+    writeExecutor.execute(() -> write(response, callback, failure, requestId));
   }
 
   /** Writes a failure as problem details (RFC 9457); an empty request id is left out. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -41,34 +41,34 @@
 
   private static final int MAX_THREADS = 32;
   private static final int MIN_THREADS = 8;
-  private static final long IDLE_MILLIS = 30_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
   /** Connections that wait to be accepted; the kernel resets or drops more. */
-  private static final int ACCEPT_QUEUE = 1_024;
+  private static final int ACCEPT_QUEUE_LENGTH = 1_024;
 
-  private static final long WRITE_LIMIT_MILLIS = 10_000;
-  private static final int MAX_ANSWER_HEADER_BYTES = 48 * 1024;
+  private static final long WRITE_DRAIN_TIMEOUT_MILLIS = 10_000;
+  private static final int MAX_RESPONSE_HEADER_BYTES = 48 * 1024;
 
   /**
    * The initial buffer for the head of a response. Buffers are not pooled, so the buffer is cleared
    * for every response, on the loop: with the size of the longest head, this took a third of the
    * loop's time.
    */
-  private static final int ANSWER_HEADER_BYTES = 2 * 1024;
+  private static final int RESPONSE_HEADER_BUFFER_BYTES = 2 * 1024;
 
   /** The buffer for one read from a caller; longer heads and bodies take several reads. */
-  private static final int INPUT_BYTES = 4 * 1024;
+  private static final int INPUT_BUFFER_BYTES = 4 * 1024;
 
   private final MonotonicClock clock;
   private final InetSocketAddress address;
   private final EntryDispatcher dispatcher;
   private final BooleanSupplier ready;
-  private final RequestReader reader;
+  private final RequestHeadReader reader;
   private final ByteBudget bodyBudget;
   private final Server server;
   private final ServerConnector connector;
-  private final OpenRequests open = new OpenRequests();
-  private final WriteThread writes = new WriteThread("caller-writes");
+  private final OpenRequests openRequests = new OpenRequests();
+  private final WriteThread writeThread = new WriteThread("caller-writes");
 
   /**
    * Creates a server that does not listen yet.
@@ -78,8 +78,8 @@
    * @param limits the limits of connections and memory
    * @param deadlines the configured services and their default deadlines
    * @param dispatcher handles the requests
-   * @param ready further condition, besides the dispatcher's, for the load balancer to route callers
-   *     to this entry
+   * @param ready further condition, besides the dispatcher's, for the load balancer to route
+   *     callers to this entry
    */
   public CallerServer(
       MonotonicClock clock,
@@ -92,36 +92,39 @@
     this.address = requireNonNull(address, "address");
     this.dispatcher = requireNonNull(dispatcher, "dispatcher");
     this.ready = requireNonNull(ready, "ready");
-    this.reader = new RequestReader(deadlines);
-    this.bodyBudget = new ByteBudget(limits.bodyBytes());
+    this.reader = new RequestHeadReader(deadlines);
+    this.bodyBudget = new ByteBudget(limits.bodyBudgetBytes());
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
     threads.setName("callers");
-    // After malformed HTTP, Jetty 12.1.13 gives one pooled buffer to two connections: a valid request
-    // on another connection is then answered with 400, or even read as another caller's. Buffers that
+    // After malformed HTTP, Jetty 12.1.13 gives one pooled buffer to two connections: a valid
+    // request
+    // on another connection is then answered with 400, or even read as another caller's. Buffers
+    // that
     // are not pooled are not shared; on the heap they are cheap to discard.
     this.server = new Server(threads, null, new ByteBufferPool.NonPooling());
     this.connector = newConnector();
     server.addConnector(connector);
     server.addBean(new NetworkConnectionLimit(limits.maxConnections(), connector));
-    server.setHandler(new Callers());
-    server.setErrorHandler(CallerServer::jettyError);
+    server.setHandler(new CallerHandler());
+    server.setErrorHandler(CallerServer::handleJettyError);
   }
 
   private ServerConnector newConnector() {
     HttpConfiguration http = new HttpConfiguration();
     http.setRequestHeaderSize(CallerLimits.MAX_HEADER_BYTES);
-    http.setInputBufferSize(INPUT_BYTES);
-    http.setResponseHeaderSize(ANSWER_HEADER_BYTES);
-    http.setMaxResponseHeaderSize(MAX_ANSWER_HEADER_BYTES);
+    http.setInputBufferSize(INPUT_BUFFER_BYTES);
+    http.setResponseHeaderSize(RESPONSE_HEADER_BUFFER_BYTES);
+    http.setMaxResponseHeaderSize(MAX_RESPONSE_HEADER_BYTES);
     http.setUseInputDirectByteBuffers(false);
     http.setUseOutputDirectByteBuffers(false);
     http.setSendServerVersion(false);
     http.setSendDateHeader(false);
-    ServerConnector newConnector = new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
+    ServerConnector newConnector =
+        new ServerConnector(server, 1, 2, new HttpConnectionFactory(http));
     newConnector.setHost(address.getHostString());
     newConnector.setPort(address.getPort());
-    newConnector.setIdleTimeout(IDLE_MILLIS);
-    newConnector.setAcceptQueueSize(ACCEPT_QUEUE);
+    newConnector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    newConnector.setAcceptQueueSize(ACCEPT_QUEUE_LENGTH);
     return newConnector;
   }
 
@@ -154,49 +157,49 @@
   public void close() {
     try {
       connector.shutdown();
-      open.awaitNone(WRITE_LIMIT_MILLIS);
+      openRequests.awaitNone(WRITE_DRAIN_TIMEOUT_MILLIS);
       server.stop();
-      writes.close();
+      writeThread.close();
     } catch (Exception e) {
       System.getLogger(CallerServer.class.getName())
           .log(System.Logger.Level.WARNING, "event=caller-server-stop reason=\"{0}\"", e);
     }
   }
 
-  private static boolean jettyError(Request request, Response response, Callback callback) {
+  private static boolean handleJettyError(Request request, Response response, Callback callback) {
     int status = response.getStatus();
     boolean serverFault =
         status >= HttpStatus.INTERNAL_SERVER_ERROR_500
             && status != HttpStatus.HTTP_VERSION_NOT_SUPPORTED_505;
     ErrorKind kind = serverFault ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
     Failure failure = Failure.of(kind, HttpStatus.getMessage(status));
-    AnswerWriter.write(response, callback, failure, "");
+    CallerResponseWriter.write(response, callback, failure, "");
     return true;
   }
 
   /** Handles requests of callers and health checks. */
-  private final class Callers extends Handler.Abstract.NonBlocking {
+  private final class CallerHandler extends Handler.Abstract.NonBlocking {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
       String path = request.getHttpURI().getPath();
       if (LIVE_PATH.equals(path)) {
-        health(response, callback, true);
+        writeHealth(response, callback, true);
         return true;
       }
       if (READY_PATH.equals(path)) {
-        health(response, callback, dispatcher.isReady() && ready.getAsBoolean());
+        writeHealth(response, callback, dispatcher.isReady() && ready.getAsBoolean());
         return true;
       }
       Result<CallerRequest> head = reader.read(request, clock.nanos());
       if (head instanceof Result.Failed<CallerRequest> failed) {
-        AnswerWriter.write(response, callback, failed.failure(), "");
+        CallerResponseWriter.write(response, callback, failed.failure(), "");
         return true;
       }
       if (!dispatcher.isReady()) {
         // Makes the load balancer send the next request of this connection to another entry.
         response.getHeaders().put(HttpHeader.CONNECTION, "close");
       }
-      readBody(request, response, open.counted(callback), head.value());
+      readBody(request, response, openRequests.track(callback), head.value());
       return true;
     }
   }
@@ -210,18 +213,19 @@
             body -> {
               if (body instanceof Result.Failed<ByteString> failed) {
                 Callback afterBodyRead = RestOfBody.thenComplete(request, callback);
-                AnswerWriter.write(response, afterBodyRead, failed.failure(), "");
+                CallerResponseWriter.write(response, afterBodyRead, failed.failure(), "");
                 return;
               }
-              long reserved = holder[0].reserved();
-              AnswerWriter writer =
-                  new AnswerWriter(response, callback, () -> bodyBudget.release(reserved), writes);
+              long reserved = holder[0].reservedBytes();
+              CallerResponseWriter writer =
+                  new CallerResponseWriter(
+                      response, callback, () -> bodyBudget.release(reserved), writeThread);
               dispatcher.submit(head.withBody(body.value()), writer);
             });
     holder[0].run();
   }
 
-  private static void health(Response response, Callback callback, boolean good) {
+  private static void writeHealth(Response response, Callback callback, boolean good) {
     response.setStatus(good ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
     byte[] text = (good ? "ok\n" : "stopping\n").getBytes(StandardCharsets.UTF_8);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ChunkedFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ChunkedFrames.java
@@ -8,7 +8,7 @@
 /** The frames of a message with a body: the first starts it, the others carry one chunk each. */
 abstract class ChunkedFrames implements FrameStream {
   private Frame first;
-  private ByteString rest;
+  private ByteString remaining;
 
   /**
    * Creates the frames.
@@ -18,25 +18,25 @@
    */
   ChunkedFrames(Frame first, ByteString body) {
     this.first = first;
-    this.rest = body.substring(head(body).size());
+    this.remaining = body.substring(firstChunk(body).size());
   }
 
   /** Returns the first chunk of the body. */
-  static ByteString head(ByteString body) {
-    return body.substring(0, Math.min(Bodies.CHUNK_BYTES, body.size()));
+  static ByteString firstChunk(ByteString body) {
+    return body.substring(0, Math.min(BodyLimits.MAX_CHUNK_BYTES, body.size()));
   }
 
   /** Returns whether the complete body fits the first frame. */
-  static boolean fitsFirst(ByteString body) {
-    return body.size() <= Bodies.CHUNK_BYTES;
+  static boolean fitsFirstFrame(ByteString body) {
+    return body.size() <= BodyLimits.MAX_CHUNK_BYTES;
   }
 
   /** Returns the frame of a chunk after the first. */
-  abstract Frame chunk(ByteString data, boolean last);
+  abstract Frame chunkFrame(ByteString data, boolean last);
 
   @Override
   public final boolean hasNext() {
-    return first != null || !rest.isEmpty();
+    return first != null || !remaining.isEmpty();
   }
 
   @Override
@@ -46,16 +46,16 @@
       first = null;
       return frame;
     }
-    if (rest.isEmpty()) {
+    if (remaining.isEmpty()) {
       throw new NoSuchElementException();
     }
-    ByteString data = head(rest);
-    rest = rest.substring(data.size());
-    return chunk(data, rest.isEmpty());
+    ByteString data = firstChunk(remaining);
+    remaining = remaining.substring(data.size());
+    return chunkFrame(data, remaining.isEmpty());
   }
 
   @Override
   public void ended() {
-    rest = ByteString.EMPTY;
+    remaining = ByteString.EMPTY;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/GoAwayFence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
@@ -14,25 +14,25 @@
  *
  * <p>If the process exited right after its last request, two kinds of messages would be lost, and
  * callers would get an unknown outcome: requests in transit that an entry sent before it was
- * notified of the stop, and responses that the operating system has not delivered, which it discards
- * when a connection is closed with unread data such as a ping. Entries acknowledge a {@code GoAway}
- * on the same connection and send no new request after that. The acknowledgement therefore proves
- * that no more requests follow and that everything sent before was received. A round with other
- * traffic in between proves neither and is repeated.
+ * notified of the stop, and responses that the operating system has not delivered, which it
+ * discards when a connection is closed with unread data such as a ping. Entries acknowledge a
+ * {@code GoAway} on the same connection and send no new request after that. The acknowledgement
+ * therefore proves that no more requests follow and that everything sent before was received. A
+ * round with other traffic in between proves neither and is repeated.
  *
- * <p>Confined to the loop's thread, but for {@link #passed}.
+ * <p>Confined to the loop's thread, but for {@link #drained}.
  */
-final class GoAwayFence {
+final class ConnectionDrain {
   /** A connection that is not acknowledged this long after the last request counts as lost. */
-  private static final long LIMIT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long DRAIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static final long CHECK_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private final LinkLoop loop;
-  private final BooleanSupplier flushed;
-  private final Set<LinkConnection> open = new HashSet<>();
+  private final BooleanSupplier allFlushed;
+  private final Set<LinkConnection> openConnections = new HashSet<>();
   private final Set<LinkConnection> unacknowledged = new HashSet<>();
-  private final CompletableFuture<Void> passed = new CompletableFuture<>();
+  private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private boolean begun;
   private boolean activity;
   private long giveUpAt;
@@ -43,34 +43,34 @@
    * @param loop the loop that all state is confined to
    * @param allFlushed whether all sent frames have been handed to the operating system
    */
-  GoAwayFence(LinkLoop loop, BooleanSupplier allFlushed) {
+  ConnectionDrain(LinkLoop loop, BooleanSupplier allFlushed) {
     this.loop = loop;
-    this.flushed = allFlushed;
+    this.allFlushed = allFlushed;
   }
 
   /** Adds a new connection. */
   void opened(LinkConnection connection) {
-    open.add(connection);
+    openConnections.add(connection);
     if (begun) {
-      ask(connection);
+      sendGoAway(connection);
     }
   }
 
   /** Removes a closed connection. */
   void closed(LinkConnection connection) {
-    open.remove(connection);
+    openConnections.remove(connection);
     unacknowledged.remove(connection);
   }
 
   /** Sends GOAWAY to all entries. */
   void begin() {
     begun = true;
-    open.forEach(this::ask);
+    openConnections.forEach(this::sendGoAway);
     // Frames sent before may still be queued in the process, so the first round proves nothing.
-    crossed();
+    recordActivity();
   }
 
-  private void ask(LinkConnection connection) {
+  private void sendGoAway(LinkConnection connection) {
     unacknowledged.add(connection);
     connection.send(SideFrames.goAway());
   }
@@ -81,38 +81,38 @@
   }
 
   /** Records that a request, a resolve or a response was sent or received. */
-  void crossed() {
+  void recordActivity() {
     activity = true;
   }
 
   /** Starts to wait for the drain, once no request is pending; later calls have no effect. */
-  void settle() {
+  void completeWhenDrained() {
     if (giveUpAt == 0) {
-      giveUpAt = loop.now() + LIMIT_NANOS;
-      awaitPassed();
+      giveUpAt = loop.now() + DRAIN_TIMEOUT_NANOS;
+      pollDrained();
     }
   }
 
   /** Returns a future that is completed when the connections may be closed. */
-  CompletableFuture<Void> passed() {
-    return passed;
+  CompletableFuture<Void> drained() {
+    return drained;
   }
 
-  private void awaitPassed() {
-    if (isSettled() || giveUpAt - loop.now() <= 0) {
-      passed.complete(null);
+  private void pollDrained() {
+    if (isDrained() || giveUpAt - loop.now() <= 0) {
+      drained.complete(null);
       return;
     }
-    loop.schedule(this::awaitPassed, CHECK_NANOS);
+    loop.schedule(this::pollDrained, POLL_INTERVAL_NANOS);
   }
 
-  private boolean isSettled() {
-    if (!unacknowledged.isEmpty() || !flushed.getAsBoolean()) {
+  private boolean isDrained() {
+    if (!unacknowledged.isEmpty() || !allFlushed.getAsBoolean()) {
       return false;
     }
     if (activity) {
       activity = false;
-      open.forEach(this::ask);
+      openConnections.forEach(this::sendGoAway);
     }
     return unacknowledged.isEmpty();
   }
