--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -13,9 +13,9 @@
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
 import io.marigoldsail.idempotency.KeyShards;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.membership.EntryIdentity;
 import io.marigoldsail.membership.MemberTable;
@@ -43,29 +43,29 @@
   private static final System.Logger LOG = System.getLogger(EntryDispatcher.class.getName());
 
   /** A tick that is later than this shows that the process was paused. */
-  private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long PROCESS_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  private static final long NO_HOME_MILLIS = 1_000;
+  private static final long NO_OWNER_RETRY_AFTER_MILLIS = 1_000;
 
   /** Back-off after the first time that the owner of a key has no free slot. */
-  private static final long HOME_BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long OWNER_RETRY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-  private static final int MAX_HOME_DOUBLINGS = 8;
+  private static final int MAX_OWNER_BACKOFF_DOUBLINGS = 8;
   private static final long NEVER = Long.MAX_VALUE;
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
   private final RequestPolicy policy;
-  private final LinkTimes settings;
+  private final LinkSettings settings;
   private final EventRecorder events;
-  private final Attempts attempts;
-  private final Optional<KeyShardTable> keys;
+  private final AttemptTracker attempts;
+  private final Optional<KeyShardTable> shardTable;
   private final Predicate<String> detectsRepeats;
   private final Map<Long, PendingRequest> pending = new HashMap<>();
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private volatile boolean stopping;
   private boolean refusing;
-  private long lastNumber;
+  private long lastRequestNumber;
   private long lastTick;
   private long wakeAt = NEVER;
   private Future<?> wake;
@@ -89,7 +89,7 @@
       LinkLoop loop,
       EntryIdentity identity,
       RequestPolicy policy,
-      LinkTimes settings,
+      LinkSettings settings,
       ByteBudget responseBudget,
       Optional<KeyShardTable> shardTable,
       Predicate<String> detectsRepeats,
@@ -99,31 +99,32 @@
     this.identity = requireNonNull(identity, "identity");
     this.policy = requireNonNull(policy, "policy");
     this.settings = requireNonNull(settings, "settings");
-    this.keys = requireNonNull(shardTable, "shardTable");
+    this.shardTable = requireNonNull(shardTable, "shardTable");
     this.detectsRepeats = requireNonNull(detectsRepeats, "detectsRepeats");
     this.events = requireNonNull(events, "events");
     this.attempts =
-        new Attempts(loop, identity, settings, responseBudget, events, random, new FromAttempts());
+        new AttemptTracker(
+            loop, identity, settings, responseBudget, events, random, new AttemptListener());
   }
 
   /** Starts the periodic checks. */
   public void start() {
     lastTick = loop.now();
-    tick = loop.repeat(this::tick, settings.tickNanos());
+    tick = loop.repeat(this::tick, settings.checkIntervalNanos());
   }
 
   /** Returns the listener that receives the announcements of targets. */
   public MemberListener memberListener() {
-    return new FromMembers();
+    return new TargetMemberListener();
   }
 
   /** Accepts a request; calls its sink exactly once, on the loop's thread. */
-  public void submit(CallerRequest request, AnswerSink sink) {
-    loop.run(() -> arrived(request, sink));
+  public void submit(CallerRequest request, ResponseSink sink) {
+    loop.run(() -> requestArrived(request, sink));
   }
 
   /** Returns the number of targets with a usable connection; call on the loop's thread only. */
-  int reachableTargets() {
+  int reachableTargetCount() {
     return attempts.pools().targets().size();
   }
 
@@ -158,11 +159,13 @@
     loop.run(attempts.pools()::close);
   }
 
-  private void arrived(CallerRequest request, AnswerSink sink) {
-    long number = ++lastNumber;
+  private void requestArrived(CallerRequest request, ResponseSink sink) {
+    long number = ++lastRequestNumber;
     String label = Long.toHexString(identity.incarnation()) + "-" + number;
     if (refusing) {
-      sink.failed(label, new Failure(ErrorKind.SHUTTING_DOWN, identity.name() + " is shutting down", 1_000));
+      sink.failed(
+          label,
+          new Failure(ErrorKind.SHUTTING_DOWN, identity.name() + " is shutting down", 1_000));
       return;
     }
     events.record(
@@ -172,14 +175,14 @@
             .withDetail(request.service()));
     PendingRequest pendingRequest = new PendingRequest(number, label, request, sink);
     pending.put(number, pendingRequest);
-    if (request.isKeyed() && keys.isPresent()) {
-      sendHome(pendingRequest, keys.get());
+    if (request.isKeyed() && shardTable.isPresent()) {
+      sendToOwner(pendingRequest, shardTable.get());
       return;
     }
-    schedule(pendingRequest);
+    submitToPolicy(pendingRequest);
   }
 
-  private void schedule(PendingRequest pendingRequest) {
+  private void submitToPolicy(PendingRequest pendingRequest) {
     CallerRequest request = pendingRequest.request();
     long number = pendingRequest.number();
     long now = loop.now();
@@ -192,7 +195,7 @@
             request.idempotent(),
             request.arrivedAt(),
             Math.max(request.arrivedAt(), request.deadline()));
-    carryOut(policy.arrived(arrival, now));
+    applyDecisions(policy.requestArrived(arrival, now));
     PendingRequest queued = pending.get(number);
     if (queued != null && queued.attempt() == null) {
       events.record(Event.of(EventKind.REQUEST_QUEUED).withRequest(pendingRequest.label()));
@@ -204,44 +207,45 @@
    *
    * <p>Only the owner may run it, so it does not wait in this entry: the owner queues or rejects
    * it. Overload rejections are retried here until the deadline; after any other outcome the caller
-   * may retry with the same key. If the owner is not reachable and the target targetDetectsRepeats repeats, the
-   * request may go to any target.
+   * may retry with the same key. If the owner is not reachable and the target targetDetectsRepeats
+   * repeats, the request may go to any target.
    */
-  private void sendHome(PendingRequest request, KeyShardTable table) {
+  private void sendToOwner(PendingRequest request, KeyShardTable table) {
     String service = request.request().service();
     boolean targetDetectsRepeats = detectsRepeats.test(service);
     int shard = KeyShards.of(request.request().idempotencyKey());
-    KeyHome owner = table.home(service, shard).orElse(null);
+    ShardOwner owner = table.owner(service, shard).orElse(null);
     // A leaving owner rejects everything, and a request sent as it exits has an unknown outcome.
-    if (owner == null || !attempts.pools().takesNew(owner.vm(), owner.incarnation())) {
+    if (owner == null || !attempts.pools().acceptsRequests(owner.vm(), owner.incarnation())) {
       if (targetDetectsRepeats) {
-        schedule(request);
+        submitToPolicy(request);
         return;
       }
       String detail = "this attempt was not run; the owner of its Idempotency-Key is not reachable";
-      fail(request, new Failure(ErrorKind.KEY_STATE_UNKNOWN, detail, NO_HOME_MILLIS));
+      fail(request, new Failure(ErrorKind.KEY_STATE_UNKNOWN, detail, NO_OWNER_RETRY_AFTER_MILLIS));
       return;
     }
-    request.sentHome(KeyHomes.claim(shard, owner), targetDetectsRepeats);
+    request.sentToOwner(KeyShardCoordinator.claim(shard, owner), targetDetectsRepeats);
     request.vm(owner.vm());
     attempts.start(request, new Decision.Send(request.number(), owner.vm(), 1, "owner of its key"));
   }
 
-  private void carryOut(List<Decision> decisions) {
+  private void applyDecisions(List<Decision> decisions) {
     for (Decision decision : decisions) {
       PendingRequest request = pending.get(decision.request());
-      checkState(request != null, "decision on request %s, which is not pending", decision.request());
+      checkState(
+          request != null, "decision on request %s, which is not pending", decision.request());
       if (decision instanceof Decision.Send send) {
         request.vm(send.vm());
-        send(request, send);
+        startAttempt(request, send);
       } else if (decision instanceof Decision.Refuse refuse) {
         refuse(request, refuse.failure());
       }
     }
-    armWake();
+    scheduleWake();
   }
 
-  private void armWake() {
+  private void scheduleWake() {
     long next = policy.nextWake();
     if (next == NEVER || (wakeAt != NEVER && wakeAt - next <= 0)) {
       return;
@@ -256,51 +260,51 @@
   private void wake() {
     wakeAt = NEVER;
     wake = null;
-    carryOut(policy.wake(loop.now()));
+    applyDecisions(policy.wake(loop.now()));
   }
 
   private void refuse(PendingRequest request, Failure failure) {
     // The policy sees only kinds of outcomes. After an attempt that may have run, the caller must
     // not receive "not run": it would retry and run the request twice.
     if (request.mayHaveRun() && failure.kind().execution() == ErrorKind.Execution.NOT_RUN) {
-      answer(request);
+      completeWithLastOutcome(request);
       return;
     }
     fail(request, failure);
   }
 
-  private void send(PendingRequest request, Decision.Send send) {
+  private void startAttempt(PendingRequest request, Decision.Send send) {
     // Whatever the policy decides, a non-idempotent request that may have run is not sent again.
     if (request.mayHaveRun() && !request.request().idempotent()) {
       LOG.log(System.Logger.Level.ERROR, "event=second-run-prevented request={0}", request.label());
-      answer(request);
+      completeWithLastOutcome(request);
       return;
     }
     attempts.start(request, send);
   }
 
-  private void ended(
+  private void attemptEnded(
       PendingRequest request,
       String vm,
       AttemptOutcome outcome,
-      CallerAnswer response,
+      CallerResponse response,
       Failure failure) {
-    request.ended(outcome, response, failure);
-    if (request.isAtHome()) {
-      if (!isFull(outcome, failure) || !sendHomeLater(request)) {
-        answer(request);
+    request.attemptEnded(outcome, response, failure);
+    if (request.isRoutedToOwner()) {
+      if (!isOverloaded(outcome, failure) || !scheduleOwnerRetry(request)) {
+        completeWithLastOutcome(request);
       }
       return;
     }
-    carryOut(policy.attemptEnded(request.number(), vm, outcome, loop.now()));
+    applyDecisions(policy.attemptEnded(request.number(), vm, outcome, loop.now()));
     if (pending.containsKey(request.number())
         && request.attempt() == null
         && !policy.isPending(request.number())) {
-      answer(request);
+      completeWithLastOutcome(request);
     }
   }
 
-  private static boolean isFull(AttemptOutcome outcome, Failure failure) {
+  private static boolean isOverloaded(AttemptOutcome outcome, Failure failure) {
     return outcome == AttemptOutcome.NOT_RUN && failure.kind() == ErrorKind.OVERLOADED;
   }
 
@@ -311,27 +315,27 @@
    * <p>A key has a single owner, and one that has just started stalls briefly: without the retry 4
    * of 1,000 callers were refused as overloaded by a nearly idle fleet.
    */
-  private boolean sendHomeLater(PendingRequest request) {
-    int doublings = Math.min(request.triesAtHome() - 1, MAX_HOME_DOUBLINGS);
-    long retryAt = loop.now() + (HOME_BACK_OFF_NANOS << doublings);
+  private boolean scheduleOwnerRetry(PendingRequest request) {
+    int doublings = Math.min(request.ownerAttempts() - 1, MAX_OWNER_BACKOFF_DOUBLINGS);
+    long retryAt = loop.now() + (OWNER_RETRY_BACKOFF_NANOS << doublings);
     if (retryAt >= request.request().deadline()) {
       return false;
     }
-    loop.schedule(() -> sendHomeAgain(request), retryAt - loop.now());
+    loop.schedule(() -> retryOwner(request), retryAt - loop.now());
     return true;
   }
 
-  private void sendHomeAgain(PendingRequest request) {
+  private void retryOwner(PendingRequest request) {
     if (pending.get(request.number()) == request) {
-      sendHome(request, keys.orElseThrow());
+      sendToOwner(request, shardTable.orElseThrow());
     }
   }
 
   /** Completes the request with the outcome of its last attempt. */
-  private void answer(PendingRequest request) {
-    if (request.lastAnswer() != null) {
-      forget(request);
-      request.sink().answered(request.label(), request.lastAnswer());
+  private void completeWithLastOutcome(PendingRequest request) {
+    if (request.lastResponse() != null) {
+      removePending(request);
+      request.sink().succeeded(request.label(), request.lastResponse());
       return;
     }
     Failure failure = request.lastFailure();
@@ -344,7 +348,7 @@
   }
 
   private void fail(PendingRequest request, Failure failure) {
-    forget(request);
+    removePending(request);
     boolean refused = failure.kind().execution() == ErrorKind.Execution.NOT_RUN;
     events.record(
         Event.of(refused ? EventKind.REQUEST_REFUSED : EventKind.REQUEST_FAILED)
@@ -354,7 +358,7 @@
     request.sink().failed(request.label(), failure);
   }
 
-  private void forget(PendingRequest request) {
+  private void removePending(PendingRequest request) {
     pending.remove(request.number());
     checkDrained();
   }
@@ -367,27 +371,27 @@
 
   private void tick() {
     long now = loop.now();
-    if (now - lastTick > FROZEN_NANOS) {
+    if (now - lastTick > PROCESS_PAUSE_NANOS) {
       // This process was paused; frames of its peers are still unread in the sockets.
-      attempts.pools().excuseSilence(now);
+      attempts.pools().resetSilenceTimers(now);
     }
     lastTick = now;
     attempts.tick(now);
   }
 
   private void targetsChanged() {
-    carryOut(policy.targetsChanged(attempts.pools().targets(), loop.now()));
+    applyDecisions(policy.targetsChanged(attempts.pools().targets(), loop.now()));
   }
 
   /** Applies announcements and losses of members. */
-  private final class FromMembers implements MemberListener {
+  private final class TargetMemberListener implements MemberListener {
     @Override
     public void announced(Announcement announcement, MemberTable.Change change) {
-      if (attempts.pools().announced(announcement)) {
+      if (attempts.pools().update(announcement)) {
         targetsChanged();
       }
       if (attempts.pools().isUsable(announcement.vm())) {
-        carryOut(policy.reported(announcement.vm(), announcement.load(), loop.now()));
+        applyDecisions(policy.loadReported(announcement.vm(), announcement.load(), loop.now()));
       }
     }
 
@@ -400,16 +404,16 @@
   }
 
   /** Passes outcomes of attempts and reports of targets to the policy. */
-  private final class FromAttempts implements Attempts.Listener {
+  private final class AttemptListener implements AttemptTracker.Listener {
     @Override
-    public void ended(
-        PendingRequest request, AttemptOutcome outcome, CallerAnswer response, Failure failure) {
-      EntryDispatcher.this.ended(request, request.vm(), outcome, response, failure);
+    public void attemptEnded(
+        PendingRequest request, AttemptOutcome outcome, CallerResponse response, Failure failure) {
+      EntryDispatcher.this.attemptEnded(request, request.vm(), outcome, response, failure);
     }
 
     @Override
-    public void reported(String vm, TargetLoad load) {
-      carryOut(policy.reported(vm, load, loop.now()));
+    public void loadReported(String vm, TargetLoad load) {
+      applyDecisions(policy.loadReported(vm, load, loop.now()));
     }
 
     @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryFrames.java
@@ -15,7 +15,11 @@
   private EntryFrames() {}
 
   static FrameStream request(
-      EntryIdentity identity, long sequence, PendingRequest pending, long remainingNanos, long now) {
+      EntryIdentity identity,
+      long sequence,
+      PendingRequest pending,
+      long remainingNanos,
+      long now) {
     CallerRequest request = pending.request();
     RequestStart.Builder start =
         RequestStart.newBuilder()
@@ -29,8 +33,8 @@
             .setIdempotencyKey(request.idempotencyKey())
             .setLabel(pending.label())
             .setSentAt(now);
-    if (pending.isAtHome()) {
-      start.setKeyClaim(pending.home());
+    if (pending.isRoutedToOwner()) {
+      start.setKeyClaim(pending.ownerClaim());
       start.setTargetDetectsRepeats(pending.targetDetectsRepeats());
     }
     return new RequestFrames(start, request.body());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
@@ -4,8 +4,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.FrameStream;
-import io.marigoldsail.idempotency.KeyStore.Ended;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.CompletedKey;
+import io.marigoldsail.idempotency.KeyTimeouts;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.HandedKey;
 import io.marigoldsail.protocol.HandedShard;
@@ -21,11 +21,11 @@
 /** The frames of shards that are handed over: chunks of one shard each, at least one a shard. */
 final class HandoverFrames implements FrameStream {
   /** A shard with its final keys. */
-  record Shard(HandedShard handed, List<Ended<TargetOutcome>> keys) {}
+  record Shard(HandedShard shardId, List<CompletedKey<TargetOutcome>> keys) {}
 
-  private final ArrayDeque<Shard> rest;
+  private final ArrayDeque<Shard> remaining;
   private final long now;
-  private Iterator<Ended<TargetOutcome>> keys;
+  private Iterator<CompletedKey<TargetOutcome>> keys;
 
   /**
    * Creates the frames.
@@ -35,55 +35,55 @@
    */
   HandoverFrames(List<Shard> shards, long now) {
     checkArgument(!shards.isEmpty(), "no shards");
-    this.rest = new ArrayDeque<>(shards);
+    this.remaining = new ArrayDeque<>(shards);
     this.now = now;
-    this.keys = rest.peek().keys().iterator();
+    this.keys = remaining.peek().keys().iterator();
   }
 
   @Override
   public boolean hasNext() {
-    return !rest.isEmpty();
+    return !remaining.isEmpty();
   }
 
   @Override
   public Frame next() {
-    Shard shard = rest.peek();
+    Shard shard = remaining.peek();
     if (shard == null) {
       throw new NoSuchElementException();
     }
     KeyHandover.Builder frame =
-        KeyHandover.newBuilder().setShard(shard.handed()).setTotal(shard.keys().size());
+        KeyHandover.newBuilder().setShard(shard.shardId()).setTotal(shard.keys().size());
     int bytes = 0;
-    while (keys.hasNext() && bytes < Bodies.CHUNK_BYTES) {
-      HandedKey key = write(keys.next(), now);
+    while (keys.hasNext() && bytes < BodyLimits.MAX_CHUNK_BYTES) {
+      HandedKey key = encode(keys.next(), now);
       bytes += key.getSerializedSize();
       frame.addKeys(key);
     }
     if (!keys.hasNext()) {
-      rest.poll();
-      keys = rest.isEmpty() ? keys : rest.peek().keys().iterator();
+      remaining.poll();
+      keys = remaining.isEmpty() ? keys : remaining.peek().keys().iterator();
     }
     return Frame.newBuilder().setKeyHandover(frame).build();
   }
 
   @Override
   public void ended() {
-    rest.clear();
+    remaining.clear();
   }
 
-  private static HandedKey write(Ended<TargetOutcome> ended, long now) {
+  private static HandedKey encode(CompletedKey<TargetOutcome> ended, long now) {
     HandedKey.Builder key =
         HandedKey.newBuilder()
             .setKey(ended.key())
             .setFingerprint(ended.fingerprint())
             .setRemainingMillis(
-                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.forgetAt() - now)) + 1);
+                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.expiresAt() - now)) + 1);
     TargetOutcome outcome = ended.outcome().orElse(null);
-    if (outcome instanceof TargetOutcome.Lost missing) {
+    if (outcome instanceof TargetOutcome.NoResponse missing) {
       key.setLost(missing.detail());
-    } else if (outcome instanceof TargetOutcome.BrokenAnswer invalid) {
+    } else if (outcome instanceof TargetOutcome.InvalidResponse invalid) {
       key.setBroken(invalid.detail());
-    } else if (outcome instanceof TargetOutcome.Answered responded) {
+    } else if (outcome instanceof TargetOutcome.Responded responded) {
       KeptAnswer response =
           KeptAnswer.newBuilder()
               .setStatus(responded.status())
@@ -92,7 +92,7 @@
               .build();
       // A longer response would exceed the frame limit. The key alone says that its request ran,
       // which prevents another run.
-      if (response.getSerializedSize() <= Bodies.CHUNK_BYTES) {
+      if (response.getSerializedSize() <= BodyLimits.MAX_CHUNK_BYTES) {
         key.setAnswered(response);
       }
     }
@@ -100,22 +100,22 @@
   }
 
   /** Decodes a key; its time in transit extends the time until it expires. */
-  static Ended<TargetOutcome> read(HandedKey key, long now) {
+  static CompletedKey<TargetOutcome> decode(HandedKey key, long now) {
     long remaining = TimeUnit.MILLISECONDS.toNanos(key.getRemainingMillis());
-    long forgetAt = now + Math.min(remaining, KeyTerms.WINDOW_NANOS);
+    long forgetAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
     Optional<TargetOutcome> outcome =
         switch (key.getOutcomeCase()) {
-          case ANSWERED -> Optional.of(answer(key.getAnswered()));
-          case LOST -> Optional.of(new TargetOutcome.Lost(key.getLost()));
-          case BROKEN -> Optional.of(new TargetOutcome.BrokenAnswer(key.getBroken()));
+          case ANSWERED -> Optional.of(decodeResponse(key.getAnswered()));
+          case LOST -> Optional.of(new TargetOutcome.NoResponse(key.getLost()));
+          case BROKEN -> Optional.of(new TargetOutcome.InvalidResponse(key.getBroken()));
           case OUTCOME_NOT_SET -> Optional.empty();
         };
     ByteString body = key.getAnswered().getBody();
-    return new Ended<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
+    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
   }
 
-  private static TargetOutcome answer(KeptAnswer retained) {
-    return new TargetOutcome.Answered(
+  private static TargetOutcome decodeResponse(KeptAnswer retained) {
+    return new TargetOutcome.Responded(
         retained.getStatus(), retained.getHeadersList(), retained.getBody(), () -> {});
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
@@ -5,9 +5,9 @@
 import io.marigoldsail.daemon.link.EntryLinks;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.dispatch.TargetState;
-import io.marigoldsail.idempotency.HomePlan;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
+import io.marigoldsail.idempotency.ShardAssignment;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.Frame;
@@ -26,16 +26,20 @@
  * is in the log, or the sender tries another entry. Runs on the loop.
  */
 final class HandoverRelay {
-  private static final long APPEND_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long APPEND_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final LinkLoop loop;
   private final KeyShardTable table;
-  private final KeyHomes.KeyLog log;
+  private final KeyShardCoordinator.KeyLog log;
   private final EntryLinks links;
   private final Runnable onMoved;
 
   HandoverRelay(
-      LinkLoop loop, KeyShardTable table, KeyHomes.KeyLog log, EntryLinks links, Runnable moved) {
+      LinkLoop loop,
+      KeyShardTable table,
+      KeyShardCoordinator.KeyLog log,
+      EntryLinks links,
+      Runnable moved) {
     this.loop = requireNonNull(loop, "loop");
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
@@ -46,30 +50,30 @@
   /** Handles a frame of a side process. */
   void received(String vm, Frame frame) {
     switch (frame.getBodyCase()) {
-      case KEY_HANDOVER -> passOn(vm, frame.getKeyHandover());
-      case KEY_HANDOVER_TAKEN -> taken(vm, frame.getKeyHandoverTaken());
+      case KEY_HANDOVER -> forward(vm, frame.getKeyHandover());
+      case KEY_HANDOVER_TAKEN -> shardTaken(vm, frame.getKeyHandoverTaken());
       default -> {
         // Side processes send no other frames about keys.
       }
     }
   }
 
-  private void passOn(String vm, KeyHandover frame) {
+  private void forward(String vm, KeyHandover frame) {
     HandedShard received = frame.getShard();
     Optional<Announcement> sender = links.members().member(vm);
     if (sender.isEmpty() || sender.get().processIncarnation() != received.getProcessIncarnation()) {
       return;
     }
     HandedShard shard = received.toBuilder().setVm(vm).setService(sender.get().service()).build();
-    if (!isHome(shard)) {
-      answer(shard, hasMoved(shard));
+    if (!isOwner(shard)) {
+      sendResult(shard, hasMoved(shard));
       return;
     }
     Optional<TargetState> successor =
-        HomePlan.successor(
+        ShardAssignment.successor(
             shard.getService(), shard.getClaim().getShard(), vm, links.members().targets());
     if (successor.isEmpty()) {
-      answer(shard, false);
+      sendResult(shard, false);
       return;
     }
     KeyHandover forwarded =
@@ -80,15 +84,18 @@
     links.sendTo(successor.get().vm(), Frame.newBuilder().setKeyHandover(forwarded).build());
   }
 
-  private void taken(String successor, KeyHandoverTaken taken) {
+  private void shardTaken(String successor, KeyHandoverTaken taken) {
     HandedShard shard = taken.getShard();
     if (!taken.getTaken()) {
-      answer(shard, false);
+      sendResult(shard, false);
       return;
     }
-    KeyHome from =
-        new KeyHome(
-            shard.getVm(), shard.getProcessIncarnation(), SideKeys.position(shard.getClaim()), 0);
+    ShardOwner from =
+        new ShardOwner(
+            shard.getVm(),
+            shard.getProcessIncarnation(),
+            KeyedRequests.position(shard.getClaim()),
+            0);
     log.append(
             KeyShardTable.HANDOVER,
             KeyShardTable.handover(
@@ -97,35 +104,35 @@
                 from,
                 successor,
                 taken.getSuccessorIncarnation()),
-            loop.now() + APPEND_NANOS)
+            loop.now() + APPEND_TIMEOUT_NANOS)
         .thenAccept(
             result ->
                 loop.run(
                     () -> {
                       onMoved.run();
-                      answer(shard, hasMoved(shard));
+                      sendResult(shard, hasMoved(shard));
                     }));
   }
 
-  private boolean isHome(HandedShard shard) {
+  private boolean isOwner(HandedShard shard) {
     return table
-        .home(shard.getService(), shard.getClaim().getShard())
+        .owner(shard.getService(), shard.getClaim().getShard())
         .filter(owner -> owner.vm().equals(shard.getVm()))
         .filter(owner -> owner.incarnation() == shard.getProcessIncarnation())
-        .filter(owner -> owner.claim().equals(SideKeys.position(shard.getClaim())))
+        .filter(owner -> owner.claim().equals(KeyedRequests.position(shard.getClaim())))
         .isPresent();
   }
 
   private boolean hasMoved(HandedShard shard) {
-    Position formerClaim = SideKeys.position(shard.getClaim());
+    Position formerClaim = KeyedRequests.position(shard.getClaim());
     return table
-        .home(shard.getService(), shard.getClaim().getShard())
+        .owner(shard.getService(), shard.getClaim().getShard())
         .filter(owner -> owner.claim().compareTo(formerClaim) > 0)
         .isPresent();
   }
 
   /** Sends the result to the sender of the shard, with the shard id that the sender used. */
-  private void answer(HandedShard shard, boolean hasMoved) {
+  private void sendResult(HandedShard shard, boolean hasMoved) {
     KeyHandoverResult result =
         KeyHandoverResult.newBuilder()
             .setShard(shard.toBuilder().clearVm().clearService())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HopHeaders.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HopByHopHeaders.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** Separates hop-by-hop headers from end-to-end headers. */
-final class HopHeaders {
-  private static final ImmutableSet<String> OF_ONE_HOP =
+final class HopByHopHeaders {
+  private static final ImmutableSet<String> HOP_BY_HOP =
       ImmutableSet.of(
           "connection",
           "content-length",
@@ -28,28 +28,28 @@
           "transfer-encoding",
           "upgrade");
 
-  private static final Splitter NAMES = Splitter.on(',').trimResults().omitEmptyStrings();
+  private static final Splitter NAME_SPLITTER = Splitter.on(',').trimResults().omitEmptyStrings();
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
   /** Adds the end-to-end headers to the list. */
-  static void copy(HttpFields fields, List<Header> into) {
-    Set<String> named = namedByConnection(fields);
+  static void copyEndToEnd(HttpFields fields, List<Header> into) {
+    Set<String> named = listedInConnectionHeader(fields);
     for (HttpField field : fields) {
       String name = field.getLowerCaseName();
-      if (!OF_ONE_HOP.contains(name) && !named.contains(name) && field.getValue() != null) {
+      if (!HOP_BY_HOP.contains(name) && !named.contains(name) && field.getValue() != null) {
         into.add(Header.newBuilder().setName(field.getName()).setValue(field.getValue()).build());
       }
     }
   }
 
-  private static Set<String> namedByConnection(HttpFields fields) {
+  private static Set<String> listedInConnectionHeader(HttpFields fields) {
     if (!fields.contains(HttpHeader.CONNECTION)) {
       return Set.of();
     }
     Set<String> named = new HashSet<>();
     for (String value : fields.getValuesList(HttpHeader.CONNECTION)) {
-      NAMES.split(value).forEach(name -> named.add(Ascii.toLowerCase(name)));
+      NAME_SPLITTER.split(value).forEach(name -> named.add(Ascii.toLowerCase(name)));
     }
     return named;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyExchange.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -16,20 +16,20 @@
  *
  * <p>Confined to the loop's thread, but for {@link #received}.
  */
-final class KeyExchange implements KeyListener {
+final class KeyFrameHandler implements KeyListener {
   private final LinkLoop loop;
   private final long processIncarnation;
   private final EntryChannel entries;
-  private final SideKeys keys;
+  private final KeyedRequests keys;
   private final BooleanSupplier leaving;
-  private KeyGiver giver;
-  private boolean given;
+  private ShardHandoverSender handoverSender;
+  private boolean handedOver;
 
-  KeyExchange(
+  KeyFrameHandler(
       LinkLoop loop,
       long processIncarnation,
       EntryChannel entries,
-      SideKeys keys,
+      KeyedRequests keys,
       BooleanSupplier leaving) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
@@ -44,9 +44,9 @@
     loop.run(
         () -> {
           switch (frame.getBodyCase()) {
-            case KEY_LEASES -> keys.vouched(frame.getKeyLeases());
-            case KEY_HANDOVER -> take(entry, frame.getKeyHandover());
-            case KEY_HANDOVER_RESULT -> result(entry, frame.getKeyHandoverResult());
+            case KEY_LEASES -> keys.leasesConfirmed(frame.getKeyLeases());
+            case KEY_HANDOVER -> acceptHandover(entry, frame.getKeyHandover());
+            case KEY_HANDOVER_RESULT -> handoverResult(entry, frame.getKeyHandoverResult());
             default -> {
               // Entries send no other frames about keys.
             }
@@ -59,36 +59,36 @@
    *
    * <p>To be called once no keyed request runs here or will run again.
    *
-   * @param done run when {@link #isGiven} has become true
+   * @param done run when {@link #isHandedOver} has become true
    */
-  void give(Runnable done) {
-    if (giver != null) {
+  void handOver(Runnable done) {
+    if (handoverSender != null) {
       return;
     }
-    giver = new KeyGiver(loop, entries, keys.shardsToGive());
-    giver
+    handoverSender = new ShardHandoverSender(loop, entries, keys.shardsToHandOver());
+    handoverSender
         .start()
         .thenRun(
             () -> {
-              given = true;
+              handedOver = true;
               done.run();
             });
   }
 
   /** Returns whether the handover has ended; shards that could not be moved in time are skipped. */
-  boolean isGiven() {
-    return given;
+  boolean isHandedOver() {
+    return handedOver;
   }
 
-  private void take(String entry, KeyHandover frame) {
+  private void acceptHandover(String entry, KeyHandover frame) {
     if (frame.getSuccessorIncarnation() != processIncarnation) {
       return;
     }
-    keys.take(frame, leaving.getAsBoolean())
-        .ifPresent(taken -> entries.sendTo(entry, answer(frame, taken)));
+    keys.acceptHandover(frame, leaving.getAsBoolean())
+        .ifPresent(taken -> entries.sendTo(entry, takenFrame(frame, taken)));
   }
 
-  private Frame answer(KeyHandover frame, boolean taken) {
+  private Frame takenFrame(KeyHandover frame, boolean taken) {
     KeyHandoverTaken.Builder result =
         KeyHandoverTaken.newBuilder()
             .setShard(frame.getShard())
@@ -97,9 +97,9 @@
     return Frame.newBuilder().setKeyHandoverTaken(result).build();
   }
 
-  private void result(String entry, KeyHandoverResult result) {
-    if (giver != null) {
-      giver.result(entry, result);
+  private void handoverResult(String entry, KeyHandoverResult result) {
+    if (handoverSender != null) {
+      handoverSender.resultReceived(entry, result);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyHomes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -7,10 +7,10 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.dispatch.TargetState;
 import io.marigoldsail.error.Result;
-import io.marigoldsail.idempotency.HomePlan;
-import io.marigoldsail.idempotency.KeyHome;
 import io.marigoldsail.idempotency.KeyShardTable;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
+import io.marigoldsail.idempotency.ShardAssignment;
+import io.marigoldsail.idempotency.ShardOwner;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.Frame;
@@ -33,10 +33,10 @@
  * without an owner for reachable targets, revokes owners that are gone, and confirms the leases of
  * current owners.
  *
- * <p>Every entry does this independently; the order of their records in the log decides. Runs on the
- * loop.
+ * <p>Every entry does this independently; the order of their records in the log decides. Runs on
+ * the loop.
  */
-public final class KeyHomes implements AutoCloseable {
+public final class KeyShardCoordinator implements AutoCloseable {
   /** Appends to the stream {@code keys}; completes once the record has been read back. */
   @FunctionalInterface
   public interface KeyLog {
@@ -52,25 +52,27 @@
 
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Period of lease confirmations, a third of the lease; changes of owners are confirmed sooner. */
-  private static final long VOUCH_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /**
+   * Period of lease confirmations, a third of the lease; changes of owners are confirmed sooner.
+   */
+  private static final long CONFIRM_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** How long changes of owners are batched before their leases are confirmed. */
-  private static final long SOON_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  private static final long CHANGE_BATCH_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  private static final int MAX_APPENDS = 32;
+  private static final int MAX_PENDING_APPENDS = 32;
 
-  private record Member(String vm, long incarnation) {}
+  private record OwnerProcess(String vm, long incarnation) {}
 
   private final LinkLoop loop;
   private final KeyShardTable table;
   private final KeyLog log;
   private final EntryLinks links;
-  private final Map<Member, Long> missingSince = new HashMap<>();
-  private final AtomicInteger appends = new AtomicInteger();
-  private Map<String, Map<Integer, KeyHome>> vouchedFor = Map.of();
-  private long vouchAt;
-  private boolean tendingSoon;
+  private final Map<OwnerProcess, Long> unreachableSince = new HashMap<>();
+  private final AtomicInteger pendingAppends = new AtomicInteger();
+  private Map<String, Map<Integer, ShardOwner>> confirmedOwners = Map.of();
+  private long confirmDueAt;
+  private boolean reconcileScheduled;
   private Future<?> tick;
 
   /**
@@ -81,17 +83,17 @@
    * @param log appends to the stream
    * @param links the live members and the connections to them
    */
-  public KeyHomes(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
+  public KeyShardCoordinator(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
     this.loop = requireNonNull(loop, "loop");
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.links = requireNonNull(links, "links");
-    links.addKeyListener(new HandoverRelay(loop, table, log, links, this::tendSoon)::received);
+    links.addKeyListener(new HandoverRelay(loop, table, log, links, this::reconcileSoon)::received);
   }
 
   /** Starts to claim, revoke and confirm periodically. */
   public void start() {
-    tick = loop.repeat(this::tend, TICK_NANOS);
+    tick = loop.repeat(this::reconcile, TICK_NANOS);
   }
 
   @Override
@@ -100,45 +102,47 @@
   }
 
   /** Confirms a successor's leases soon: until then it rejects the keys of its new shards. */
-  private void tendSoon() {
-    if (!tendingSoon) {
-      tendingSoon = true;
+  private void reconcileSoon() {
+    if (!reconcileScheduled) {
+      reconcileScheduled = true;
       loop.schedule(
           () -> {
-            tendingSoon = false;
-            tend();
+            reconcileScheduled = false;
+            reconcile();
           },
-          SOON_NANOS);
+          CHANGE_BATCH_NANOS);
     }
   }
 
-  private void tend() {
+  private void reconcile() {
     // During an outage of the log, appends stay pending, and no further ones could succeed.
-    if (appends.get() > MAX_APPENDS) {
+    if (pendingAppends.get() > MAX_PENDING_APPENDS) {
       return;
     }
     List<TargetState> targets = links.members().targets();
     Set<String> services = new HashSet<>(table.services());
     targets.forEach(target -> services.add(target.service()));
-    Set<Member> owners = new HashSet<>();
-    Map<String, Map<Integer, KeyHome>> allOwners = new HashMap<>();
+    Set<OwnerProcess> owners = new HashSet<>();
+    Map<String, Map<Integer, ShardOwner>> allOwners = new HashMap<>();
     for (String service : services) {
-      Map<Integer, KeyHome> owned = table.homes(service);
+      Map<Integer, ShardOwner> owned = table.owners(service);
       allOwners.put(service, owned);
-      owned.values().forEach(owner -> owners.add(new Member(owner.vm(), owner.incarnation())));
+      owned
+          .values()
+          .forEach(owner -> owners.add(new OwnerProcess(owner.vm(), owner.incarnation())));
       claim(service, owned.keySet(), targets);
     }
     revoke(owners);
     long now = loop.now();
-    if (!owners.isEmpty() && (!allOwners.equals(vouchedFor) || vouchAt - now <= 0)) {
-      vouchedFor = allOwners;
-      vouchAt = now + VOUCH_NANOS;
-      vouch();
+    if (!owners.isEmpty() && (!allOwners.equals(confirmedOwners) || confirmDueAt - now <= 0)) {
+      confirmedOwners = allOwners;
+      confirmDueAt = now + CONFIRM_INTERVAL_NANOS;
+      confirmLeases();
     }
   }
 
   private void claim(String service, Set<Integer> owned, List<TargetState> targets) {
-    Map<String, List<Integer>> claims = HomePlan.claims(service, owned, targets);
+    Map<String, List<Integer>> claims = ShardAssignment.proposeClaims(service, owned, targets);
     for (TargetState target : targets) {
       List<Integer> shards = claims.get(target.vm());
       if (shards != null) {
@@ -149,26 +153,27 @@
     }
   }
 
-  private void revoke(Set<Member> owners) {
+  private void revoke(Set<OwnerProcess> owners) {
     long now = loop.now();
-    missingSince.keySet().retainAll(owners);
-    int missing = (int) owners.stream().filter(owner -> !isHeard(owner)).count();
-    boolean mayRevoke = HomePlan.mayRevoke(missing, links.members().members().size());
-    for (Member owner : owners) {
+    unreachableSince.keySet().retainAll(owners);
+    int missing = (int) owners.stream().filter(owner -> !isReachable(owner)).count();
+    boolean mayRevoke = ShardAssignment.mayRevoke(missing, links.members().members().size());
+    for (OwnerProcess owner : owners) {
       Optional<Announcement> current = links.members().member(owner.vm());
-      if (isHeard(owner)) {
-        missingSince.remove(owner);
+      if (isReachable(owner)) {
+        unreachableSince.remove(owner);
         continue;
       }
-      long since = missingSince.computeIfAbsent(owner, unreachable -> now);
-      boolean replaced = current.isPresent() && current.get().processIncarnation() > owner.incarnation();
-      if (replaced || (mayRevoke && now - since > KeyTerms.REVOKE_AFTER_NANOS)) {
+      long since = unreachableSince.computeIfAbsent(owner, unreachable -> now);
+      boolean replaced =
+          current.isPresent() && current.get().processIncarnation() > owner.incarnation();
+      if (replaced || (mayRevoke && now - since > KeyTimeouts.REVOKE_AFTER_NANOS)) {
         append(KeyShardTable.REVOKE, KeyShardTable.revocation(owner.vm(), owner.incarnation()));
       }
     }
   }
 
-  private boolean isHeard(Member owner) {
+  private boolean isReachable(OwnerProcess owner) {
     return links
         .members()
         .member(owner.vm())
@@ -180,28 +185,28 @@
    * Reads the log up to an own record, then confirms leases as of the moment before the record was
    * sent.
    */
-  private void vouch() {
+  private void confirmLeases() {
     long sentAt = loop.now();
     append(KeyShardTable.HEARTBEAT, KeyShardTable.heartbeat())
         .thenAccept(
             result -> {
               if (result.isOk()) {
-                loop.run(() -> vouchAsOf(sentAt));
+                loop.run(() -> sendConfirmations(sentAt));
               }
             });
   }
 
-  private void vouchAsOf(long sentAt) {
+  private void sendConfirmations(long sentAt) {
     long now = loop.now();
-    Map<Member, KeyLeases.Builder> leases = new HashMap<>();
+    Map<OwnerProcess, KeyLeases.Builder> leases = new HashMap<>();
     for (String service : table.services()) {
       table
-          .homes(service)
+          .owners(service)
           .forEach(
               (shard, owner) ->
                   leases
                       .computeIfAbsent(
-                          new Member(owner.vm(), owner.incarnation()),
+                          new OwnerProcess(owner.vm(), owner.incarnation()),
                           member -> KeyLeases.newBuilder())
                       .addLeases(lease(shard, owner, now)));
     }
@@ -212,19 +217,21 @@
                 member.vm(),
                 Frame.newBuilder()
                     .setKeyLeases(
-                        confirmation.setProcessIncarnation(member.incarnation()).setAgeMillis(ageMillis))
+                        confirmation
+                            .setProcessIncarnation(member.incarnation())
+                            .setAgeMillis(ageMillis))
                     .build()));
   }
 
-  private static KeyLease lease(int shard, KeyHome owner, long now) {
-    long quarantineMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.quietUntil() - now));
+  private static KeyLease lease(int shard, ShardOwner owner, long now) {
+    long quarantineMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.servesFrom() - now));
     return KeyLease.newBuilder()
         .setClaim(claim(shard, owner))
         .setQuietMillis(quarantineMillis == 0 ? 0 : quarantineMillis + 1)
         .build();
   }
 
-  static KeyClaim claim(int shard, KeyHome owner) {
+  static KeyClaim claim(int shard, ShardOwner owner) {
     return KeyClaim.newBuilder()
         .setShard(shard)
         .setOffset(owner.claim().offset())
@@ -233,8 +240,8 @@
   }
 
   private CompletableFuture<Result<Position>> append(String type, JsonNode body) {
-    appends.incrementAndGet();
+    pendingAppends.incrementAndGet();
     return log.append(type, body, loop.now() + TICK_NANOS)
-        .whenComplete((result, failure) -> appends.decrementAndGet());
+        .whenComplete((result, failure) -> pendingAppends.decrementAndGet());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideKeys.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -2,11 +2,11 @@
 
 import com.google.common.hash.Hasher;
 import com.google.common.hash.Hashing;
-import io.marigoldsail.daemon.dispatch.SideAnswers.Refusal;
+import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.error.ErrorKind;
-import io.marigoldsail.idempotency.KeyStore;
-import io.marigoldsail.idempotency.KeyStore.Admission;
+import io.marigoldsail.idempotency.IdempotencyKeyStore;
+import io.marigoldsail.idempotency.IdempotencyKeyStore.Admission;
 import io.marigoldsail.idempotency.ShardLeases;
 import io.marigoldsail.log.Position;
 import io.marigoldsail.protocol.HandedShard;
@@ -28,9 +28,9 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class SideKeys {
+final class KeyedRequests {
   /** The result of {@link #admit}. */
-  enum Turn {
+  enum AdmissionResult {
     /** The request is to be run. */
     RUN,
     /** The request waits for the response of the one that runs; it takes no slot. */
@@ -41,17 +41,17 @@
 
   private static final int MAX_KEYS = 20_000;
   private static final long MAX_OUTCOME_BYTES = 3L * 1024 * 1024;
-  private static final long SOON_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final LinkLoop loop;
   private final long processIncarnation;
-  private final SideAnswers answers;
+  private final ResponseSender answers;
   private final ShardLeases leases = new ShardLeases();
-  private final KeyTaker taker = new KeyTaker();
-  private final KeyStore<SideRequest, TargetOutcome> store =
-      new KeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
+  private final ShardHandoverReceiver handoverReceiver = new ShardHandoverReceiver();
+  private final IdempotencyKeyStore<SideRequest, TargetOutcome> store =
+      new IdempotencyKeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
 
-  SideKeys(LinkLoop loop, long processIncarnation, SideAnswers answers) {
+  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender answers) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
     this.answers = answers;
@@ -62,7 +62,7 @@
   }
 
   /** Applies an entry's confirmation that this process holds the leases of shards. */
-  void vouched(KeyLeases confirmation) {
+  void leasesConfirmed(KeyLeases confirmation) {
     if (confirmation.getProcessIncarnation() != processIncarnation) {
       return;
     }
@@ -70,7 +70,7 @@
     long confirmedAt = now - TimeUnit.MILLISECONDS.toNanos(confirmation.getAgeMillis());
     for (KeyLease lease : confirmation.getLeasesList()) {
       long quarantinedUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
-      leases.vouched(
+      leases.confirmed(
           lease.getClaim().getShard(), position(lease.getClaim()), confirmedAt, quarantinedUntil);
     }
   }
@@ -81,77 +81,80 @@
    * @param joining run before a request joins a running one or shares a retained outcome; marks it
    *     as started
    */
-  Turn admit(SideRequest request, Runnable joining) {
-    Refusal rejection = unheld(request);
+  AdmissionResult admit(SideRequest request, Runnable joining) {
+    Rejection rejection = leaseRejection(request);
     if (rejection != null) {
-      refuse(request, rejection);
-      return Turn.ANSWERED;
+      reject(request, rejection);
+      return AdmissionResult.ANSWERED;
     }
     String key = request.start().getIdempotencyKey();
     Admission<TargetOutcome> admission =
         store.admit(key, fingerprint(request), request, loop.now());
     if (admission instanceof Admission.Run) {
-      return Turn.RUN;
+      return AdmissionResult.RUN;
     }
     if (admission instanceof Admission.Join) {
       joining.run();
-      return Turn.JOINED;
+      return AdmissionResult.JOINED;
     }
-    if (admission instanceof Admission.Ran<TargetOutcome> ran) {
+    if (admission instanceof Admission.Completed<TargetOutcome> ran) {
       joining.run();
-      answers.give(
+      answers.sendOutcome(
           request,
           ran.outcome()
-              .orElse(new TargetOutcome.Lost("the request ran before; its response is no longer retained")));
+              .orElse(
+                  new TargetOutcome.NoResponse(
+                      "the request ran before; its response is no longer retained")));
     } else if (admission instanceof Admission.Conflict) {
       String detail = "the Idempotency-Key was used for another request";
-      refuse(request, new Refusal(ErrorKind.CONFLICT, detail, 0));
+      reject(request, new Rejection(ErrorKind.CONFLICT, detail, 0));
     } else {
       String detail = "the side process has no capacity for another Idempotency-Key";
-      refuse(request, new Refusal(ErrorKind.OVERLOADED, detail, SOON_MILLIS));
+      reject(request, new Rejection(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS));
     }
-    return Turn.ANSWERED;
+    return AdmissionResult.ANSWERED;
   }
 
   /**
    * Returns why the lease does not allow the request to start now, or null if it does.
    *
-   * <p>Checked again right before the start: while the request was queued or the process paused, the
-   * lease may have expired, and the successor may already run the same key. Not needed for targets
-   * that detect repeats.
+   * <p>Checked again right before the start: while the request was queued or the process paused,
+   * the lease may have expired, and the successor may already run the same key. Not needed for
+   * targets that detect repeats.
    */
-  Refusal unheld(SideRequest request) {
+  Rejection leaseRejection(SideRequest request) {
     if (request.start().getTargetDetectsRepeats()) {
       return null;
     }
     KeyClaim claim = request.start().getKeyClaim();
     long now = loop.now();
-    OptionalLong runsFrom = leases.runsFrom(claim.getShard(), position(claim), now);
+    OptionalLong runsFrom = leases.servesFrom(claim.getShard(), position(claim), now);
     if (runsFrom.isEmpty()) {
       String detail = "this attempt was not run; the owner of its Idempotency-Key is changing";
-      return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, SOON_MILLIS);
+      return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, RETRY_AFTER_MILLIS);
     }
     long quarantineNanos = runsFrom.getAsLong() - now;
     if (quarantineNanos <= 0) {
       return null;
     }
-    String detail = "this attempt was not run; a former owner of its key may have run an earlier one";
+    String detail =
+        "this attempt was not run; a former owner of its key may have run an earlier one";
     long retryAfter = TimeUnit.NANOSECONDS.toMillis(quarantineNanos) + 1;
-    return new Refusal(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
+    return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
   }
 
   /** Records the outcome of a request that ran; returns the requests that share it. */
-  List<SideRequest> ran(SideRequest request, TargetOutcome outcome) {
+  List<SideRequest> requestRan(SideRequest request, TargetOutcome outcome) {
     String key = request.start().getIdempotencyKey();
-    if (outcome instanceof TargetOutcome.NeverSent) {
-      return store.notRun(key);
+    if (outcome instanceof TargetOutcome.NotSent) {
+      return store.abort(key);
     }
-    return store.ran(key, kept(outcome), bytes(outcome), loop.now());
+    return store.complete(key, detachedFromBudget(outcome), bodyBytes(outcome), loop.now());
   }
 
   /** Records that an admitted request did not run; returns the requests that waited for it. */
-  List<SideRequest> notRun(SideRequest request) {
-    return store.notRun(request.start().getIdempotencyKey());
+  List<SideRequest> requestNotRun(SideRequest request) {
+    return store.abort(request.start().getIdempotencyKey());
   }
 
   /**
@@ -160,7 +163,7 @@
    * <p>To be called only when no keyed request runs here or will run again. The new owner would not
    * know a key that runs later.
    */
-  List<HandoverFrames.Shard> shardsToGive() {
+  List<HandoverFrames.Shard> shardsToHandOver() {
     long now = loop.now();
     List<HandoverFrames.Shard> shards = new ArrayList<>();
     leases
@@ -176,7 +179,7 @@
                               .setOffset(claim.offset())
                               .setIndex(claim.index()))
                       .build();
-              shards.add(new HandoverFrames.Shard(handed, store.endedOf(shard, now)));
+              shards.add(new HandoverFrames.Shard(handed, store.completedKeys(shard, now)));
             });
     return shards;
   }
@@ -189,37 +192,37 @@
    * @return true if all keys of the shard are accepted, false if the shard is rejected, or empty
    *     while keys are missing
    */
-  Optional<Boolean> take(KeyHandover frame, boolean leaving) {
+  Optional<Boolean> acceptHandover(KeyHandover frame, boolean leaving) {
     HandedShard shard = frame.getShard();
     // A stale frame of a shard that this process has owned since has older runs than its own.
-    boolean stale = leases.heldAfter(shard.getClaim().getShard(), position(shard.getClaim()));
-    if (leaving || stale || taker.isFull()) {
-      taker.drop(shard);
+    boolean stale = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
+    if (leaving || stale || handoverReceiver.isFull()) {
+      handoverReceiver.discard(shard);
       return Optional.of(false);
     }
-    return taker.add(frame, loop.now()).map(keys -> store.takeOver(keys, loop.now()));
+    return handoverReceiver.add(frame, loop.now()).map(keys -> store.importKeys(keys, loop.now()));
   }
 
   /** Drops incomplete shards whose remaining keys were not received in time. */
   void expire() {
-    taker.expire(loop.now());
+    handoverReceiver.expire(loop.now());
   }
 
   /** Returns a copy of the outcome that holds no bytes of the budget of bodies. */
-  static TargetOutcome kept(TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Answered responded) {
-      return new TargetOutcome.Answered(
+  static TargetOutcome detachedFromBudget(TargetOutcome outcome) {
+    if (outcome instanceof TargetOutcome.Responded responded) {
+      return new TargetOutcome.Responded(
           responded.status(), responded.headers(), responded.body(), () -> {});
     }
     return outcome;
   }
 
-  private void refuse(SideRequest request, Refusal refusal) {
-    answers.refuse(request.answerTo(), request.id(), request.start().getLabel(), refusal);
+  private void reject(SideRequest request, Rejection refusal) {
+    answers.reject(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
   }
 
-  private static long bytes(TargetOutcome outcome) {
-    return outcome instanceof TargetOutcome.Answered responded ? responded.body().size() : 0;
+  private static long bodyBytes(TargetOutcome outcome) {
+    return outcome instanceof TargetOutcome.Responded responded ? responded.body().size() : 0;
   }
 
   static Position position(KeyClaim claim) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
@@ -31,7 +31,7 @@
     target.send(
         request,
         outcome -> {
-          if (outcome instanceof TargetOutcome.Answered) {
+          if (outcome instanceof TargetOutcome.Responded) {
             long now = clock.nanos();
             window.add(now - sentAt, now);
           }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/OpenRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/OpenRequests.java
@@ -8,7 +8,7 @@
   private int count;
 
   /** Counts a request as open until the returned callback is completed. */
-  synchronized Callback counted(Callback callback) {
+  synchronized Callback track(Callback callback) {
     count++;
     return Callback.from(callback, this::ended);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/PendingRequest.java
@@ -12,19 +12,19 @@
   private final long number;
   private final String label;
   private final CallerRequest request;
-  private final AnswerSink sink;
+  private final ResponseSink sink;
   private Attempt attempt;
-  private KeyClaim home;
+  private KeyClaim ownerClaim;
   private boolean targetDetectsRepeats;
-  private int triesAtHome;
+  private int ownerAttempts;
   private String vm = "";
   private boolean mayHaveRun;
   private AttemptOutcome lastOutcome = AttemptOutcome.NOT_RUN;
-  private CallerAnswer lastAnswer;
+  private CallerResponse lastResponse;
   private Failure lastFailure =
       Failure.of(ErrorKind.INTERNAL, "the request ended without the outcome of any attempt");
 
-  PendingRequest(long number, String label, CallerRequest request, AnswerSink sink) {
+  PendingRequest(long number, String label, CallerRequest request, ResponseSink sink) {
     this.number = number;
     this.label = label;
     this.request = request;
@@ -36,9 +36,9 @@
     private final long sequence;
     private final TargetPool pool;
     private LinkConnection connection;
-    private AnswerAssembly assembly;
+    private ResponseAssembly assembly;
     private Future<?> timer;
-    private long resolveUntil = Long.MAX_VALUE;
+    private long resolveDeadline = Long.MAX_VALUE;
 
     Attempt(long sequence, TargetPool pool, LinkConnection connection) {
       this.sequence = sequence;
@@ -65,11 +65,11 @@
       dropAssembly();
     }
 
-    AnswerAssembly assembly() {
+    ResponseAssembly assembly() {
       return assembly;
     }
 
-    void assembly(AnswerAssembly newAssembly) {
+    void assembly(ResponseAssembly newAssembly) {
       dropAssembly();
       assembly = newAssembly;
     }
@@ -78,12 +78,12 @@
       timer = newTimer;
     }
 
-    long resolveUntil() {
-      return resolveUntil;
+    long resolveDeadline() {
+      return resolveDeadline;
     }
 
-    void resolveUntil(long deadline) {
-      resolveUntil = deadline;
+    void resolveDeadline(long deadline) {
+      resolveDeadline = deadline;
     }
 
     void end() {
@@ -112,7 +112,7 @@
     return request;
   }
 
-  AnswerSink sink() {
+  ResponseSink sink() {
     return sink;
   }
 
@@ -125,16 +125,18 @@
     vm = newVm;
   }
 
-  /** Records that the request is sent to the owner of its key, which holds the shard by the claim. */
-  void sentHome(KeyClaim claim, boolean detectsRepeats) {
-    home = claim;
+  /**
+   * Records that the request is sent to the owner of its key, which holds the shard by the claim.
+   */
+  void sentToOwner(KeyClaim claim, boolean detectsRepeats) {
+    ownerClaim = claim;
     targetDetectsRepeats = detectsRepeats;
-    triesAtHome++;
+    ownerAttempts++;
   }
 
   /** Returns how often the request was sent to the owner of its key. */
-  int triesAtHome() {
-    return triesAtHome;
+  int ownerAttempts() {
+    return ownerAttempts;
   }
 
   /** Returns whether the owner may run it without knowing which requests a former owner ran. */
@@ -142,13 +144,15 @@
     return targetDetectsRepeats;
   }
 
-  boolean isAtHome() {
-    return home != null;
+  boolean isRoutedToOwner() {
+    return ownerClaim != null;
   }
 
-  /** Returns the claim of the owner that the request is sent to, or null if any target may run it. */
-  KeyClaim home() {
-    return home;
+  /**
+   * Returns the claim of the owner that the request is sent to, or null if any target may run it.
+   */
+  KeyClaim ownerClaim() {
+    return ownerClaim;
   }
 
   Attempt attempt() {
@@ -169,8 +173,8 @@
   }
 
   /** Returns the response of the last attempt, or null if it had none. */
-  CallerAnswer lastAnswer() {
-    return lastAnswer;
+  CallerResponse lastResponse() {
+    return lastResponse;
   }
 
   Failure lastFailure() {
@@ -178,14 +182,14 @@
   }
 
   /** Records the outcome of an attempt; exactly one of response and failure is not null. */
-  void ended(AttemptOutcome outcome, CallerAnswer response, Failure failure) {
+  void attemptEnded(AttemptOutcome outcome, CallerResponse response, Failure failure) {
     if (attempt != null) {
       attempt.end();
       attempt = null;
     }
     mayHaveRun |= outcome.mayHaveRun();
     lastOutcome = outcome;
-    lastAnswer = response;
+    lastResponse = response;
     if (failure != null) {
       lastFailure = failure;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestFrames.java
@@ -17,17 +17,17 @@
    * @param body the complete body
    */
   RequestFrames(RequestStart.Builder start, ByteString body) {
-    super(first(start, body), body);
+    super(firstFrame(start, body), body);
     this.id = start.getId();
   }
 
-  private static Frame first(RequestStart.Builder start, ByteString body) {
-    start.setBodyLength(body.size()).setData(head(body)).setLast(fitsFirst(body));
+  private static Frame firstFrame(RequestStart.Builder start, ByteString body) {
+    start.setBodyLength(body.size()).setData(firstChunk(body)).setLast(fitsFirstFrame(body));
     return Frame.newBuilder().setRequestStart(start).build();
   }
 
   @Override
-  Frame chunk(ByteString data, boolean last) {
+  Frame chunkFrame(ByteString data, boolean last) {
     RequestBody.Builder body = RequestBody.newBuilder().setId(id).setData(data).setLast(last);
     return Frame.newBuilder().setRequestBody(body).build();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestHeadReader.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.server.Request;
 
 /** Validates the head of a caller's request and converts it to a {@link CallerRequest}. */
-final class RequestReader {
+final class RequestHeadReader {
   private static final ImmutableSet<String> IDEMPOTENT_METHODS =
       ImmutableSet.of("GET", "HEAD", "OPTIONS", "PUT", "DELETE");
 
@@ -23,7 +23,7 @@
 
   private final ServiceDeadlines deadlines;
 
-  RequestReader(ServiceDeadlines deadlines) {
+  RequestHeadReader(ServiceDeadlines deadlines) {
     this.deadlines = deadlines;
   }
 
@@ -31,14 +31,18 @@
   Result<CallerRequest> read(Request request, long now) {
     String path = request.getHttpURI().getPathQuery();
     if (path == null || !path.startsWith("/") || path.length() > MAX_PATH_LENGTH) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "the path is missing, does not begin with '/', or is longer than " + MAX_PATH_LENGTH + " characters");
+      return Result.failed(
+          ErrorKind.BAD_REQUEST,
+          "the path is missing, does not begin with '/', or is longer than "
+              + MAX_PATH_LENGTH
+              + " characters");
     }
     try {
       new URI("http://target" + path);
     } catch (URISyntaxException e) {
       return Result.failed(ErrorKind.BAD_REQUEST, "the path is not a valid URI: " + e.getReason());
     }
-    String service = service(path);
+    String service = serviceName(path);
     OptionalLong defaultMillis = deadlines.defaultDeadlineMillis(service);
     if (defaultMillis.isEmpty()) {
       return Result.failed(ErrorKind.NOT_FOUND, "no service '" + service + "' is configured");
@@ -69,7 +73,7 @@
       }
     }
     List<Header> headers = new ArrayList<>();
-    HopHeaders.copy(fields, headers);
+    HopByHopHeaders.copyEndToEnd(fields, headers);
     // Only the entry assigns request ids; an id set by a caller would corrupt the time line.
     headers.removeIf(header -> header.getName().equalsIgnoreCase(CallerHeaders.REQUEST_ID));
     return Result.ok(
@@ -81,21 +85,21 @@
             ByteString.EMPTY,
             caller == null || caller.isEmpty() ? Request.getRemoteAddr(request) : caller,
             key == null ? "" : key,
-            scoped(caller, idempotencyKey),
+            scopedKey(caller, idempotencyKey),
             IDEMPOTENT_METHODS.contains(request.getMethod()),
             now,
             now + TimeUnit.MILLISECONDS.toNanos(remainingMillis)));
   }
 
   /** Scopes the idempotency key to the caller, if the caller has a name. */
-  private static String scoped(String caller, String idempotencyKey) {
+  private static String scopedKey(String caller, String idempotencyKey) {
     if (idempotencyKey == null || idempotencyKey.isEmpty()) {
       return "";
     }
     return (caller == null ? "" : caller) + '\n' + idempotencyKey;
   }
 
-  private static String service(String path) {
+  private static String serviceName(String path) {
     int end = 1;
     while (end < path.length() && path.charAt(end) != '/' && path.charAt(end) != '?') {
       end++;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerAssembly.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseAssembly.java
@@ -7,30 +7,34 @@
 import java.util.Optional;
 
 /** Assembles a response from its frames. */
-final class AnswerAssembly {
+final class ResponseAssembly {
   private final AnswerStart start;
   private final ByteBudget budget;
-  private final long reserved;
+  private final long reservedBytes;
   private ByteString body;
-  private boolean whole;
+  private boolean complete;
 
-  private AnswerAssembly(AnswerStart start, ByteBudget budget, long reserved) {
+  private ResponseAssembly(AnswerStart start, ByteBudget budget, long reserved) {
     this.start = start;
     this.budget = budget;
-    this.reserved = reserved;
+    this.reservedBytes = reserved;
     this.body = ByteString.EMPTY;
   }
 
   /** Returns an assembly with the first frame added, or empty if the budget is exhausted. */
-  static Optional<AnswerAssembly> begin(AnswerStart start, ByteBudget budget)
+  static Optional<ResponseAssembly> begin(AnswerStart start, ByteBudget budget)
       throws BrokenFrameException {
-    if (start.getBodyLength() > Bodies.MAX_BYTES) {
-      throw new BrokenFrameException("response body has " + start.getBodyLength() + " bytes, limit is " + Bodies.MAX_BYTES);
+    if (start.getBodyLength() > BodyLimits.MAX_BYTES) {
+      throw new BrokenFrameException(
+          "response body has "
+              + start.getBodyLength()
+              + " bytes, limit is "
+              + BodyLimits.MAX_BYTES);
     }
     if (!budget.tryReserve(start.getBodyLength())) {
       return Optional.empty();
     }
-    AnswerAssembly assembly = new AnswerAssembly(start, budget, start.getBodyLength());
+    ResponseAssembly assembly = new ResponseAssembly(start, budget, start.getBodyLength());
     assembly.add(start.getData(), start.getLast());
     return Optional.of(assembly);
   }
@@ -40,21 +44,22 @@
     long length = start.getBodyLength();
     // A truncated body whose last chunk is marked would reach the caller as a complete response.
     if (body.size() > length || (last && body.size() != length)) {
-      throw new BrokenFrameException("response body has " + body.size() + " bytes, announced were " + length);
+      throw new BrokenFrameException(
+          "response body has " + body.size() + " bytes, announced were " + length);
     }
-    whole = last;
+    complete = last;
   }
 
-  boolean isWhole() {
-    return whole;
+  boolean isComplete() {
+    return complete;
   }
 
-  CallerAnswer answer() {
-    return new CallerAnswer(start.getStatus(), start.getHeadersList(), body);
+  CallerResponse response() {
+    return new CallerResponse(start.getStatus(), start.getHeadersList(), body);
   }
 
   /** Returns the reserved bytes to the budget; to be called once. */
   void release() {
-    budget.release(reserved);
+    budget.release(reservedBytes);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AnswerFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseFrames.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.protocol.RequestId;
 
 /** The frames of a long response. */
-final class AnswerFrames extends ChunkedFrames {
+final class ResponseFrames extends ChunkedFrames {
   private final RequestId id;
   private final Runnable onEnded;
 
@@ -18,20 +18,20 @@
    * @param body the complete body
    * @param onEnded called when no more frames are sent
    */
-  AnswerFrames(AnswerStart start, ByteString body, Runnable onEnded) {
-    super(first(start, body), body);
+  ResponseFrames(AnswerStart start, ByteString body, Runnable onEnded) {
+    super(firstFrame(start, body), body);
     this.id = start.getId();
     this.onEnded = onEnded;
   }
 
-  private static Frame first(AnswerStart start, ByteString body) {
+  private static Frame firstFrame(AnswerStart start, ByteString body) {
     return Frame.newBuilder()
-        .setAnswerStart(start.toBuilder().setData(head(body)).setLast(fitsFirst(body)))
+        .setAnswerStart(start.toBuilder().setData(firstChunk(body)).setLast(fitsFirstFrame(body)))
         .build();
   }
 
   @Override
-  Frame chunk(ByteString data, boolean last) {
+  Frame chunkFrame(ByteString data, boolean last) {
     AnswerBody.Builder body = AnswerBody.newBuilder().setId(id).setData(data).setLast(last);
     return Frame.newBuilder().setAnswerBody(body).build();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
@@ -3,8 +3,8 @@
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkLoop;
-import io.marigoldsail.dispatch.RequestLedger;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
+import io.marigoldsail.dispatch.AttemptTable;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.AnswerStart;
 import io.marigoldsail.protocol.Frame;
@@ -21,64 +21,67 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class SideAnswers {
+final class ResponseSender {
   /**
    * The memory of a retained response besides its bytes: the objects of the frame and its headers.
    * When these were not counted, 20,000 short responses filled the old generation of a 40 MB heap,
    * and two full collections a second delayed one request in a hundred by 45 ms.
    */
-  private static final int KEPT_OVERHEAD_BYTES = 1_024;
+  private static final int RETAINED_OVERHEAD_BYTES = 1_024;
 
-  private static final long UNREACHABLE_MILLIS = 1_000;
+  private static final long UNREACHABLE_RETRY_AFTER_MILLIS = 1_000;
 
   private final LinkLoop loop;
-  private final RequestLedger<Frame> ledger;
+  private final AttemptTable<Frame> attemptTable;
   private final Supplier<TargetReport> report;
   private final EventRecorder events;
-  private final Map<LinkConnection, UnreadAnswers> unread = new HashMap<>();
+  private final Map<LinkConnection, UnacknowledgedResponses> unacknowledged = new HashMap<>();
 
-  SideAnswers(
+  ResponseSender(
       LinkLoop loop,
-      RequestLedger<Frame> ledger,
+      AttemptTable<Frame> ledger,
       Supplier<TargetReport> report,
       EventRecorder events) {
     this.loop = loop;
-    this.ledger = ledger;
+    this.attemptTable = ledger;
     this.report = report;
     this.events = events;
   }
 
   /** The reason why a request is not run. */
-  record Refusal(ErrorKind kind, String detail, long retryAfterMillis) {}
+  record Rejection(ErrorKind kind, String detail, long retryAfterMillis) {}
 
   /** Rejects a request that has not started and writes a tombstone for its id. */
-  void refuse(LinkConnection connection, WireId id, String label, Refusal refusal) {
-    if (!ledger.bury(id, loop.now())) {
-      sayForgotten(connection, id);
+  void reject(LinkConnection connection, AttemptId id, String label, Rejection refusal) {
+    if (!attemptTable.markNotRun(id, loop.now())) {
+      sendOutcomeUnknown(connection, id);
       return;
     }
-    sayNotRun(connection, id, label, refusal);
+    sendNotRun(connection, id, label, refusal);
   }
 
   /** Rejects a started request of which provably no byte was sent to the target. */
-  void neverReached(SideRequest request, Refusal refusal) {
-    ledger.neverReached(request.id(), loop.now());
-    sayNotRun(request.answerTo(), request.id(), request.start().getLabel(), refusal);
+  void rejectNotSent(SideRequest request, Rejection refusal) {
+    attemptTable.markUndelivered(request.id(), loop.now());
+    sendNotRun(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
   }
 
   /** Rejects a copy of a request that was rejected or cancelled before. */
-  void repeatRefusal(LinkConnection connection, WireId id) {
+  void resendRejection(LinkConnection connection, AttemptId id) {
     connection.send(
-        SideFrames.notRun(id, ErrorKind.OVERLOADED, "rejected or cancelled before", 0, report.get()));
+        SideFrames.notRun(
+            id, ErrorKind.OVERLOADED, "rejected or cancelled before", 0, report.get()));
   }
 
   /** Reports the outcome as unknown for a copy of a request that may have run. */
-  void sayForgotten(LinkConnection connection, WireId id) {
-    connection.send(SideFrames.failed(id, ErrorKind.OUTCOME_UNKNOWN, "received before and may have run", report.get()));
+  void sendOutcomeUnknown(LinkConnection connection, AttemptId id) {
+    connection.send(
+        SideFrames.failed(
+            id, ErrorKind.OUTCOME_UNKNOWN, "received before and may have run", report.get()));
   }
 
   /** Sends a retained response again, on the connection that requested it. */
-  void repeat(LinkConnection connection, WireId id, Frame response) {
+  void resend(LinkConnection connection, AttemptId id, Frame response) {
     send(connection, id, response);
   }
 
@@ -89,36 +92,39 @@
    * @throws BrokenFrameException if it is more than were sent
    */
   void acknowledged(LinkConnection connection, long read) throws BrokenFrameException {
-    UnreadAnswers sent = unread.get(connection);
+    UnacknowledgedResponses sent = unacknowledged.get(connection);
     if (sent == null) {
       if (read != 0) {
         throw new BrokenFrameException(read + " responses acknowledged, none sent");
       }
       return;
     }
-    sent.read(read, id -> ledger.acknowledged(id, loop.now()));
+    sent.acknowledge(read, id -> attemptTable.acknowledged(id, loop.now()));
   }
 
   /** Drops the state of a connection; its responses may still be requested on another one. */
-  void closed(LinkConnection connection) {
-    unread.remove(connection);
+  void connectionClosed(LinkConnection connection) {
+    unacknowledged.remove(connection);
   }
 
   /** Sends the outcome of a started request. */
-  void give(SideRequest request, TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Answered responded) {
-      answer(request, responded);
-    } else if (outcome instanceof TargetOutcome.NeverSent notSent) {
-      neverReached(
-          request, new Refusal(ErrorKind.TARGET_UNREACHABLE, notSent.detail(), UNREACHABLE_MILLIS));
-    } else if (outcome instanceof TargetOutcome.Lost missing) {
-      fail(request, ErrorKind.OUTCOME_UNKNOWN, missing.detail());
-    } else if (outcome instanceof TargetOutcome.BrokenAnswer invalid) {
-      fail(request, ErrorKind.TARGET_BROKEN_ANSWER, invalid.detail());
+  void sendOutcome(SideRequest request, TargetOutcome outcome) {
+    if (outcome instanceof TargetOutcome.Responded responded) {
+      sendResponse(request, responded);
+    } else if (outcome instanceof TargetOutcome.NotSent notSent) {
+      rejectNotSent(
+          request,
+          new Rejection(
+              ErrorKind.TARGET_UNREACHABLE, notSent.detail(), UNREACHABLE_RETRY_AFTER_MILLIS));
+    } else if (outcome instanceof TargetOutcome.NoResponse missing) {
+      sendFailure(request, ErrorKind.OUTCOME_UNKNOWN, missing.detail());
+    } else if (outcome instanceof TargetOutcome.InvalidResponse invalid) {
+      sendFailure(request, ErrorKind.TARGET_BROKEN_ANSWER, invalid.detail());
     }
   }
 
-  private void sayNotRun(LinkConnection connection, WireId id, String label, Refusal refusal) {
+  private void sendNotRun(
+      LinkConnection connection, AttemptId id, String label, Rejection refusal) {
     events.record(
         Event.of(EventKind.REQUEST_REFUSED)
             .withRequest(label)
@@ -128,39 +134,41 @@
             id, refusal.kind(), refusal.detail(), refusal.retryAfterMillis(), report.get()));
   }
 
-  private void fail(SideRequest request, ErrorKind kind, String detail) {
+  private void sendFailure(SideRequest request, ErrorKind kind, String detail) {
     events.record(
         Event.of(EventKind.REQUEST_FAILED)
             .withRequest(request.start().getLabel())
             .withDetail(kind.code() + ": " + detail));
     Frame frame = SideFrames.failed(request.id(), kind, detail, report.get());
-    ledger.done(request.id(), frame, 0, loop.now());
-    send(request.answerTo(), request.id(), frame);
+    attemptTable.done(request.id(), frame, 0, loop.now());
+    send(request.responseConnection(), request.id(), frame);
   }
 
-  private void answer(SideRequest request, TargetOutcome.Answered responded) {
+  private void sendResponse(SideRequest request, TargetOutcome.Responded responded) {
     events.record(
         Event.of(EventKind.REQUEST_ANSWERED)
             .withRequest(request.start().getLabel())
             .withDetail("status " + responded.status()));
     AnswerStart start = SideFrames.answerStart(request.id(), responded, report.get());
-    if (responded.body().size() > Bodies.CHUNK_BYTES) {
-      ledger.doneUnkept(request.id(), loop.now());
-      request.answerTo().sendAll(new AnswerFrames(start, responded.body(), responded.release()));
+    if (responded.body().size() > BodyLimits.MAX_CHUNK_BYTES) {
+      attemptTable.doneWithoutResponse(request.id(), loop.now());
+      request
+          .responseConnection()
+          .sendAll(new ResponseFrames(start, responded.body(), responded.release()));
       return;
     }
     responded.release().run();
     AnswerStart complete = start.toBuilder().setData(responded.body()).setLast(true).build();
     Frame frame = Frame.newBuilder().setAnswerStart(complete).build();
-    long retainedBytes = frame.getSerializedSize() + KEPT_OVERHEAD_BYTES;
-    ledger.done(request.id(), frame, retainedBytes, loop.now());
-    send(request.answerTo(), request.id(), frame);
+    long retainedBytes = frame.getSerializedSize() + RETAINED_OVERHEAD_BYTES;
+    attemptTable.done(request.id(), frame, retainedBytes, loop.now());
+    send(request.responseConnection(), request.id(), frame);
   }
 
-  private void send(LinkConnection connection, WireId id, Frame frame) {
+  private void send(LinkConnection connection, AttemptId id, Frame frame) {
     connection.send(frame);
     if (frame.hasAnswerStart() && connection.isOpen()) {
-      unread.computeIfAbsent(connection, opened -> new UnreadAnswers()).sent(id);
+      unacknowledged.computeIfAbsent(connection, opened -> new UnacknowledgedResponses()).sent(id);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.daemon.dispatch.SideAnswers.Refusal;
+import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
 import io.marigoldsail.daemon.link.Announcements;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.EntryChannel;
@@ -11,11 +11,11 @@
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.LinkServer;
+import io.marigoldsail.dispatch.AttemptId;
+import io.marigoldsail.dispatch.AttemptTable;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.RequestLedger;
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.dispatch.TransitDelay;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.RequestBody;
@@ -41,25 +41,25 @@
  * Runs the requests of all entries on the target of this VM, each at most once.
  *
  * <p>All state is confined to the loop's thread; the public methods may be called from any thread.
- * Every rejection first writes a tombstone for the request's id to the {@link RequestLedger}, so
+ * Every rejection first writes a tombstone for the request's id to the {@link AttemptTable}, so
  * that a late copy of the request does not run.
  */
 public final class SideDispatcher implements AutoCloseable {
   /** Holds several seconds of a fast target's requests in a few megabytes. */
-  private static final int MAX_ENDED = 20_000;
+  private static final int MAX_ENDED_IDS = 20_000;
 
-  private static final long LEDGER_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(60);
+  private static final long ENDED_ID_TTL_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   /** Period of health probes. A leaving target must get no new requests after at most 2 s. */
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** How long a request keeps its slot past its deadline, as the target may still be running it. */
-  private static final long LINGER_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long TARGET_OVERRUN_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   /** Retry-after of rejections for lack of a slot: about a round trip to the entry. */
-  private static final long SOON_MILLIS = 5;
+  private static final long SLOT_RETRY_AFTER_MILLIS = 5;
 
-  private static final long LATER_MILLIS = 1_000;
+  private static final long DRAINING_RETRY_AFTER_MILLIS = 1_000;
 
   private final LinkLoop loop;
   private final Target target;
@@ -69,19 +69,19 @@
   private final ByteBudget budget;
   private final EventRecorder events;
   private final LinkServer server;
-  private final TargetWatch watch;
-  private final RequestLedger<Frame> ledger;
-  private final SideAnswers answers;
-  private final SideKeys keys;
-  private final KeyExchange exchange;
-  private final Map<WireId, SideRequest> requests = new HashMap<>();
-  private final ArrayDeque<SideRequest> waiting = new ArrayDeque<>();
-  private final Map<LinkConnection, TransitDelay> delays = new HashMap<>();
-  private final GoAwayFence fence;
+  private final TargetHealthMonitor healthMonitor;
+  private final AttemptTable<Frame> attemptTable;
+  private final ResponseSender responseSender;
+  private final KeyedRequests keyedRequests;
+  private final KeyFrameHandler keyFrameHandler;
+  private final Map<AttemptId, SideRequest> requests = new HashMap<>();
+  private final ArrayDeque<SideRequest> queue = new ArrayDeque<>();
+  private final Map<LinkConnection, TransitDelay> transitDelays = new HashMap<>();
+  private final ConnectionDrain connectionDrain;
   private volatile int running;
-  private volatile int waitingCount;
+  private volatile int queueLength;
   private volatile boolean stopping;
-  private boolean toldOfStop;
+  private boolean stopAnnounced;
   private volatile Runnable leavingListener = () -> {};
   private Future<?> tick;
 
@@ -113,18 +113,20 @@
     this.entries = requireNonNull(entries, "entries");
     this.budget = requireNonNull(budget, "budget");
     this.events = requireNonNull(events, "events");
-    this.watch = new TargetWatch(loop, target, () -> leavingListener.run());
-    this.server = new LinkServer(loop, address, limits.maxConnections(), new Incoming());
-    this.fence = new GoAwayFence(loop, server::isFlushed);
-    this.ledger = new RequestLedger<>(MAX_ENDED, limits.keptAnswerBytes(), LEDGER_WINDOW_NANOS);
-    this.answers = new SideAnswers(loop, ledger, this::report, events);
-    this.keys = new SideKeys(loop, processIncarnation, answers);
-    this.exchange = new KeyExchange(loop, processIncarnation, entries, keys, this::isLeaving);
+    this.healthMonitor = new TargetHealthMonitor(loop, target, () -> leavingListener.run());
+    this.server = new LinkServer(loop, address, limits.maxConnections(), new EntryFrameListener());
+    this.connectionDrain = new ConnectionDrain(loop, server::isFlushed);
+    this.attemptTable =
+        new AttemptTable<>(MAX_ENDED_IDS, limits.retainedResponseBytes(), ENDED_ID_TTL_NANOS);
+    this.responseSender = new ResponseSender(loop, attemptTable, this::report, events);
+    this.keyedRequests = new KeyedRequests(loop, processIncarnation, responseSender);
+    this.keyFrameHandler =
+        new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isLeaving);
   }
 
   /** Returns the listener for frames of entries about idempotency keys. */
   public KeyListener keyListener() {
-    return exchange;
+    return keyFrameHandler;
   }
 
   /** Sets the listener for changes of {@link #isLeaving}; to be called before {@link #start}. */
@@ -150,12 +152,12 @@
 
   /** Returns the current load of the target. */
   public TargetLoad load() {
-    return new TargetLoad(running, waitingCount, entries.entryCount(), isLeaving());
+    return new TargetLoad(running, queueLength, entries.entryCount(), isLeaving());
   }
 
   /** Returns whether new requests are rejected because this process or its target is stopping. */
   public boolean isLeaving() {
-    return stopping || !watch.takesWork();
+    return stopping || !healthMonitor.acceptsWork();
   }
 
   /**
@@ -166,17 +168,17 @@
    */
   public CompletableFuture<Void> beginStop() {
     stopping = true;
-    loop.run(this::tellOfStop);
-    return fence.passed();
+    loop.run(this::announceStop);
+    return connectionDrain.drained();
   }
 
-  private void tellOfStop() {
-    if (toldOfStop) {
+  private void announceStop() {
+    if (stopAnnounced) {
       return;
     }
-    toldOfStop = true;
+    stopAnnounced = true;
     leavingListener.run();
-    fence.begin();
+    connectionDrain.begin();
     checkDrained();
   }
 
@@ -188,42 +190,42 @@
   }
 
   private void tick() {
-    ledger.expire(loop.now());
-    keys.expire();
-    watch.probe();
+    attemptTable.expire(loop.now());
+    keyedRequests.expire();
+    healthMonitor.probe();
   }
 
   private void checkDrained() {
     // New requests are rejected by now: once no keyed request is pending, none will run here.
-    if (stopping && requests.values().stream().noneMatch(SideKeys::isKeyed)) {
-      exchange.give(this::checkDrained);
+    if (stopping && requests.values().stream().noneMatch(KeyedRequests::isKeyed)) {
+      keyFrameHandler.handOver(this::checkDrained);
     }
-    if (stopping && requests.isEmpty() && exchange.isGiven()) {
-      fence.settle();
+    if (stopping && requests.isEmpty() && keyFrameHandler.isHandedOver()) {
+      connectionDrain.completeWhenDrained();
     }
   }
 
   private void start(LinkConnection connection, RequestStart start) throws BrokenFrameException {
-    fence.crossed();
-    WireId id = SideFrames.id(start.getId());
-    switch (ledger.state(id)) {
+    connectionDrain.recordActivity();
+    AttemptId id = SideFrames.fromMessage(start.getId());
+    switch (attemptTable.state(id)) {
       case UNSEEN -> admit(connection, id, start, loop.now());
-      case TOMBSTONE -> answers.repeatRefusal(connection, id);
+      case TOMBSTONE -> responseSender.resendRejection(connection, id);
       case WAITING, RUNNING -> throw new BrokenFrameException("second RequestStart of " + id);
       // A copy of an id whose outcome was dropped must not run: the request may have run before.
-      case DONE, FORGOTTEN -> answers.sayForgotten(connection, id);
+      case DONE, FORGOTTEN -> responseSender.sendOutcomeUnknown(connection, id);
     }
   }
 
-  private void admit(LinkConnection connection, WireId id, RequestStart start, long now)
+  private void admit(LinkConnection connection, AttemptId id, RequestStart start, long now)
       throws BrokenFrameException {
     // The time that the frame spent in buffers while this process was paused counts against the
     // deadline. Otherwise a resumed process would run requests whose callers have timed out.
-    long delay = delays.get(connection).excess(start.getSentAt(), now);
+    long delay = transitDelays.get(connection).excessNanos(start.getSentAt(), now);
     long deadline = now + TimeUnit.MILLISECONDS.toNanos(start.getRemainingMillis()) - delay;
-    Refusal refusal = refusal(start, deadline, now);
+    Rejection refusal = rejection(start, deadline, now);
     if (refusal != null) {
-      answers.refuse(connection, id, start.getLabel(), refusal);
+      responseSender.reject(connection, id, start.getLabel(), refusal);
       return;
     }
     SideRequest request;
@@ -233,56 +235,64 @@
       budget.release(start.getBodyLength());
       throw e;
     }
-    ledger.admit(id);
+    attemptTable.admit(id);
     requests.put(id, request);
-    if (request.isWhole()) {
-      ready(request);
+    if (request.isComplete()) {
+      runOrQueue(request);
     }
   }
 
   /** Returns why the request is rejected, or null after reserving the bytes of its body. */
-  private Refusal refusal(RequestStart start, long deadline, long now) {
+  private Rejection rejection(RequestStart start, long deadline, long now) {
     if (isLeaving()) {
-      return new Refusal(ErrorKind.SHUTTING_DOWN, "the target or its side process is stopping", LATER_MILLIS);
+      return new Rejection(
+          ErrorKind.SHUTTING_DOWN,
+          "the target or its side process is stopping",
+          DRAINING_RETRY_AFTER_MILLIS);
     }
     if (deadline - now <= 0) {
-      return new Refusal(ErrorKind.DEADLINE_BEFORE_START, "received after the deadline", 0);
+      return new Rejection(ErrorKind.DEADLINE_BEFORE_START, "received after the deadline", 0);
     }
-    if (start.getBodyLength() > Bodies.MAX_BYTES) {
-      return new Refusal(ErrorKind.BODY_TOO_LARGE, "body limit is " + Bodies.MAX_BYTES + " bytes", 0);
+    if (start.getBodyLength() > BodyLimits.MAX_BYTES) {
+      return new Rejection(
+          ErrorKind.BODY_TOO_LARGE, "body limit is " + BodyLimits.MAX_BYTES + " bytes", 0);
     }
     if (isFull()) {
-      return new Refusal(ErrorKind.OVERLOADED, "all slots and the queue are full", SOON_MILLIS);
+      return new Rejection(
+          ErrorKind.OVERLOADED, "all slots and the queue are full", SLOT_RETRY_AFTER_MILLIS);
     }
     if (!budget.tryReserve(start.getBodyLength())) {
-      return new Refusal(ErrorKind.OVERLOADED, "body exceeds the free memory budget of the side process", SOON_MILLIS);
+      return new Rejection(
+          ErrorKind.OVERLOADED,
+          "body exceeds the free memory budget of the side process",
+          SLOT_RETRY_AFTER_MILLIS);
     }
     return null;
   }
 
   private boolean isFull() {
-    return running >= limits.slots() && waiting.size() >= limits.waitingRoom();
+    return running >= limits.slots() && queue.size() >= limits.queueCapacity();
   }
 
-  private void body(LinkConnection connection, RequestBody body) throws BrokenFrameException {
-    SideRequest request = requests.get(SideFrames.id(body.getId()));
+  private void appendBody(LinkConnection connection, RequestBody body) throws BrokenFrameException {
+    SideRequest request = requests.get(SideFrames.fromMessage(body.getId()));
     // Chunks of a request that was rejected or cancelled may still arrive; they are dropped.
-    if (request == null || request.isWhole() || request.answerTo() != connection) {
+    if (request == null || request.isComplete() || request.responseConnection() != connection) {
       return;
     }
-    request.add(body.getData(), body.getLast());
-    if (request.isWhole()) {
-      ready(request);
+    request.appendBody(body.getData(), body.getLast());
+    if (request.isComplete()) {
+      runOrQueue(request);
     }
   }
 
-  private void ready(SideRequest request) {
-    if (SideKeys.isKeyed(request)) {
-      SideKeys.Turn admission = keys.admit(request, () -> join(request));
-      if (admission == SideKeys.Turn.ANSWERED) {
+  private void runOrQueue(SideRequest request) {
+    if (KeyedRequests.isKeyed(request)) {
+      KeyedRequests.AdmissionResult admission = keyedRequests.admit(request, () -> join(request));
+      if (admission == KeyedRequests.AdmissionResult.ANSWERED) {
         finish(request);
       }
-      if (admission != SideKeys.Turn.RUN) {
+      if (admission != KeyedRequests.AdmissionResult.RUN) {
         return;
       }
     }
@@ -291,78 +301,88 @@
       return;
     }
     if (isFull()) {
-      giveUp(request, new Refusal(ErrorKind.OVERLOADED, "all slots and the queue are full", SOON_MILLIS));
+      reject(
+          request,
+          new Rejection(
+              ErrorKind.OVERLOADED, "all slots and the queue are full", SLOT_RETRY_AFTER_MILLIS));
       return;
     }
-    waiting.add(request);
-    waitingCount = waiting.size();
+    queue.add(request);
+    queueLength = queue.size();
   }
 
   /** Lets a request share the outcome of a running one with the same key; it takes no slot. */
   private void join(SideRequest request) {
-    ledger.started(request.id());
-    request.dropBody();
+    attemptTable.started(request.id());
+    request.releaseBody();
   }
 
-  private void giveUp(SideRequest request, Refusal refusal) {
+  private void reject(SideRequest request, Rejection refusal) {
     discard(request);
-    answers.refuse(request.answerTo(), request.id(), request.start().getLabel(), refusal);
+    responseSender.reject(
+        request.responseConnection(), request.id(), request.start().getLabel(), refusal);
     checkDrained();
   }
 
   /** Removes a request that has not started, but for its entry in the ledger. */
   private void discard(SideRequest request) {
     finish(request);
-    if (waiting.remove(request)) {
-      waitingCount = waiting.size();
+    if (queue.remove(request)) {
+      queueLength = queue.size();
     }
-    if (SideKeys.isKeyed(request) && request.isWhole()) {
-      Refusal refusal =
-          new Refusal(ErrorKind.OVERLOADED, "the request with the same Idempotency-Key did not run", SOON_MILLIS);
-      for (SideRequest joined : keys.notRun(request)) {
-        answers.neverReached(joined, refusal);
+    if (KeyedRequests.isKeyed(request) && request.isComplete()) {
+      Rejection refusal =
+          new Rejection(
+              ErrorKind.OVERLOADED,
+              "the request with the same Idempotency-Key did not run",
+              SLOT_RETRY_AFTER_MILLIS);
+      for (SideRequest joined : keyedRequests.requestNotRun(request)) {
+        responseSender.rejectNotSent(joined, refusal);
         finish(joined);
       }
     }
   }
 
   private void finish(SideRequest request) {
-    fence.crossed();
+    connectionDrain.recordActivity();
     requests.remove(request.id());
     budget.release(request.start().getBodyLength());
   }
 
   private void run(SideRequest request) {
     if (request.deadline() - loop.now() <= 0) {
-      giveUp(request, new Refusal(ErrorKind.DEADLINE_BEFORE_START, "deadline passed while queued", 0));
+      reject(
+          request,
+          new Rejection(ErrorKind.DEADLINE_BEFORE_START, "deadline passed while queued", 0));
       return;
     }
-    Refusal noLease = SideKeys.isKeyed(request) ? keys.unheld(request) : null;
+    Rejection noLease =
+        KeyedRequests.isKeyed(request) ? keyedRequests.leaseRejection(request) : null;
     if (noLease != null) {
-      giveUp(request, noLease);
+      reject(request, noLease);
       return;
     }
     RequestStart start = request.start();
-    ledger.started(request.id());
+    attemptTable.started(request.id());
     running++;
     events.record(
         Event.of(EventKind.REQUEST_STARTED)
             .withRequest(start.getLabel())
             .withCaller(start.getCaller()));
     TargetRequest targetRequest =
-        SideFrames.toTarget(start, request.body(), request.deadline() + LINGER_NANOS);
-    target.send(targetRequest, outcome -> loop.run(() -> ended(request, outcome)));
-    request.dropBody();
+        SideFrames.targetRequest(start, request.body(), request.deadline() + TARGET_OVERRUN_NANOS);
+    target.send(targetRequest, outcome -> loop.run(() -> attemptEnded(request, outcome)));
+    request.releaseBody();
   }
 
-  private void ended(SideRequest request, TargetOutcome outcome) {
+  private void attemptEnded(SideRequest request, TargetOutcome outcome) {
     running--;
     finish(request);
-    answers.give(request, outcome);
-    if (SideKeys.isKeyed(request)) {
-      for (SideRequest joined : keys.ran(request, outcome)) {
+    responseSender.sendOutcome(request, outcome);
+    if (KeyedRequests.isKeyed(request)) {
+      for (SideRequest joined : keyedRequests.requestRan(request, outcome)) {
         finish(joined);
-        answers.give(joined, SideKeys.kept(outcome));
+        responseSender.sendOutcome(joined, KeyedRequests.detachedFromBudget(outcome));
       }
     }
     startNext();
@@ -370,42 +390,42 @@
   }
 
   private void startNext() {
-    while (running < limits.slots() && !waiting.isEmpty()) {
-      SideRequest next = waiting.poll();
-      waitingCount = waiting.size();
+    while (running < limits.slots() && !queue.isEmpty()) {
+      SideRequest next = queue.poll();
+      queueLength = queue.size();
       run(next);
     }
   }
 
-  private void cancel(WireId id) {
+  private void cancel(AttemptId id) {
     SideRequest request = requests.get(id);
     if (request == null) {
-      ledger.bury(id, loop.now());
+      attemptTable.markNotRun(id, loop.now());
       return;
     }
     // A running request is not cancelled: the target cannot undo it, and a slot that is freed while
     // the target still works on the request would overload the target.
-    if (ledger.bury(id, loop.now())) {
+    if (attemptTable.markNotRun(id, loop.now())) {
       discard(request);
       checkDrained();
     }
   }
 
   private void resolve(LinkConnection connection, Resolve resolve) {
-    fence.crossed();
-    WireId id = SideFrames.id(resolve.getId());
+    connectionDrain.recordActivity();
+    AttemptId id = SideFrames.fromMessage(resolve.getId());
     Resolution.State state = Resolution.State.FORGOTTEN;
     // A restarted process does not know its predecessor's requests, so that an unseen id does not
     // prove that the request did not run.
     if (resolve.getProcessIncarnation() == processIncarnation) {
       SideRequest request = requests.get(id);
-      if (request != null && !request.isWhole()) {
+      if (request != null && !request.isComplete()) {
         // The rest of the body was lost with the connection.
         discard(request);
-        ledger.bury(id, loop.now());
+        attemptTable.markNotRun(id, loop.now());
       }
-      if (ledger.answer(id).isPresent()) {
-        answers.repeat(connection, id, ledger.answer(id).get());
+      if (attemptTable.answer(id).isPresent()) {
+        responseSender.resend(connection, id, attemptTable.answer(id).get());
         recordResolved(id, "done");
         return;
       }
@@ -415,21 +435,21 @@
     connection.send(SideFrames.resolution(id, state));
   }
 
-  private Resolution.State resolution(LinkConnection connection, WireId id) {
-    return switch (ledger.state(id)) {
+  private Resolution.State resolution(LinkConnection connection, AttemptId id) {
+    return switch (attemptTable.state(id)) {
       case UNSEEN, TOMBSTONE -> {
-        ledger.bury(id, loop.now());
+        attemptTable.markNotRun(id, loop.now());
         yield Resolution.State.NOT_RUN;
       }
       case WAITING, RUNNING -> {
-        requests.get(id).answerTo(connection);
+        requests.get(id).responseConnection(connection);
         yield Resolution.State.RUNNING;
       }
       case DONE, FORGOTTEN -> Resolution.State.FORGOTTEN;
     };
   }
 
-  private void recordResolved(WireId id, String state) {
+  private void recordResolved(AttemptId id, String state) {
     events.record(Event.of(EventKind.REQUEST_RESOLVED).withDetail("attempt " + id + ": " + state));
   }
 
@@ -438,29 +458,30 @@
   }
 
   /** Handles frames and connection changes of entries. */
-  private final class Incoming implements LinkListener {
+  private final class EntryFrameListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
-      delays.put(connection, new TransitDelay());
-      fence.opened(connection);
+      transitDelays.put(connection, new TransitDelay());
+      connectionDrain.opened(connection);
     }
 
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (stopping) {
-        // This frame is handled before the task that announces the stop; entries are notified first.
-        tellOfStop();
+        // This frame is handled before the task that announces the stop; entries are notified
+        // first.
+        announceStop();
       }
-      answers.acknowledged(connection, frame.getAnswersRead());
+      responseSender.acknowledged(connection, frame.getAnswersRead());
       switch (frame.getBodyCase()) {
         case REQUEST_START -> start(connection, frame.getRequestStart());
-        case REQUEST_BODY -> body(connection, frame.getRequestBody());
+        case REQUEST_BODY -> appendBody(connection, frame.getRequestBody());
         case RESOLVE -> resolve(connection, frame.getResolve());
-        case GO_AWAY_ACK -> fence.acknowledged(connection);
-        case CANCEL -> cancel(SideFrames.id(frame.getCancel().getId()));
+        case GO_AWAY_ACK -> connectionDrain.acknowledged(connection);
+        case CANCEL -> cancel(SideFrames.fromMessage(frame.getCancel().getId()));
         case PING -> {
           long sentAt = frame.getPing().getNonce();
-          delays.get(connection).excess(sentAt, loop.now());
+          transitDelays.get(connection).excessNanos(sentAt, loop.now());
           connection.send(SideFrames.pong(sentAt));
         }
         default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
@@ -469,18 +490,18 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      delays.remove(connection);
-      answers.closed(connection);
-      fence.closed(connection);
+      transitDelays.remove(connection);
+      responseSender.connectionClosed(connection);
+      connectionDrain.closed(connection);
       List<SideRequest> incomplete = new ArrayList<>();
       for (SideRequest request : requests.values()) {
-        if (request.answerTo() == connection && !request.isWhole()) {
+        if (request.responseConnection() == connection && !request.isComplete()) {
           incomplete.add(request);
         }
       }
       for (SideRequest request : incomplete) {
         discard(request);
-        ledger.bury(request.id(), loop.now());
+        attemptTable.markNotRun(request.id(), loop.now());
       }
       checkDrained();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import com.google.protobuf.ByteString;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.AnswerStart;
 import io.marigoldsail.protocol.Failed;
@@ -21,22 +21,22 @@
 final class SideFrames {
   private SideFrames() {}
 
-  static RequestId message(WireId id) {
+  static RequestId toMessage(AttemptId id) {
     return RequestId.newBuilder()
         .setEntryIncarnation(id.entryIncarnation())
         .setSequence(id.sequence())
         .build();
   }
 
-  static WireId id(RequestId message) {
-    return new WireId(message.getEntryIncarnation(), message.getSequence());
+  static AttemptId fromMessage(RequestId message) {
+    return new AttemptId(message.getEntryIncarnation(), message.getSequence());
   }
 
   static Frame notRun(
-      WireId id, ErrorKind kind, String detail, long retryAfterMillis, TargetReport report) {
+      AttemptId id, ErrorKind kind, String detail, long retryAfterMillis, TargetReport report) {
     NotRun.Builder notRun =
         NotRun.newBuilder()
-            .setId(message(id))
+            .setId(toMessage(id))
             .setErrorKind(kind.code())
             .setDetail(detail)
             .setRetryAfterMillis(retryAfterMillis)
@@ -44,19 +44,20 @@
     return Frame.newBuilder().setNotRun(notRun).build();
   }
 
-  static Frame failed(WireId id, ErrorKind kind, String detail, TargetReport report) {
+  static Frame failed(AttemptId id, ErrorKind kind, String detail, TargetReport report) {
     Failed.Builder failed =
         Failed.newBuilder()
-            .setId(message(id))
+            .setId(toMessage(id))
             .setErrorKind(kind.code())
             .setDetail(detail)
             .setReport(report);
     return Frame.newBuilder().setFailed(failed).build();
   }
 
-  static AnswerStart answerStart(WireId id, TargetOutcome.Answered responded, TargetReport report) {
+  static AnswerStart answerStart(
+      AttemptId id, TargetOutcome.Responded responded, TargetReport report) {
     return AnswerStart.newBuilder()
-        .setId(message(id))
+        .setId(toMessage(id))
         .setStatus(responded.status())
         .addAllHeaders(responded.headers())
         .setBodyLength(responded.body().size())
@@ -64,9 +65,9 @@
         .build();
   }
 
-  static Frame resolution(WireId id, Resolution.State state) {
+  static Frame resolution(AttemptId id, Resolution.State state) {
     return Frame.newBuilder()
-        .setResolution(Resolution.newBuilder().setId(message(id)).setState(state))
+        .setResolution(Resolution.newBuilder().setId(toMessage(id)).setState(state))
         .build();
   }
 
@@ -79,7 +80,7 @@
   }
 
   /** Returns the request for the target, with the request id of the time line as a header. */
-  static TargetRequest toTarget(RequestStart start, ByteString body, long deadline) {
+  static TargetRequest targetRequest(RequestStart start, ByteString body, long deadline) {
     Header id =
         Header.newBuilder().setName(CallerHeaders.REQUEST_ID).setValue(start.getLabel()).build();
     List<Header> headers = new ArrayList<>(start.getHeadersList());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideRequest.java
@@ -3,29 +3,29 @@
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.LinkConnection;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.protocol.RequestStart;
 
 /** A pending request in a side process. Confined to the loop's thread. */
 final class SideRequest {
-  private final WireId id;
+  private final AttemptId id;
   private final RequestStart start;
   private final long deadline;
   private ByteString body;
-  private boolean whole;
-  private LinkConnection answerTo;
+  private boolean complete;
+  private LinkConnection responseConnection;
 
-  SideRequest(WireId id, RequestStart start, long deadline, LinkConnection answerTo)
+  SideRequest(AttemptId id, RequestStart start, long deadline, LinkConnection answerTo)
       throws BrokenFrameException {
     this.id = id;
     this.start = start;
     this.deadline = deadline;
-    this.answerTo = answerTo;
+    this.responseConnection = answerTo;
     this.body = ByteString.EMPTY;
-    add(start.getData(), start.getLast());
+    appendBody(start.getData(), start.getLast());
   }
 
-  WireId id() {
+  AttemptId id() {
     return id;
   }
 
@@ -42,31 +42,31 @@
     return body;
   }
 
-  boolean isWhole() {
-    return whole;
+  boolean isComplete() {
+    return complete;
   }
 
-  LinkConnection answerTo() {
-    return answerTo;
+  LinkConnection responseConnection() {
+    return responseConnection;
   }
 
   /** Sets the connection for the response: the one that requested it last. */
-  void answerTo(LinkConnection connection) {
-    answerTo = connection;
+  void responseConnection(LinkConnection connection) {
+    responseConnection = connection;
   }
 
-  void add(ByteString data, boolean last) throws BrokenFrameException {
+  void appendBody(ByteString data, boolean last) throws BrokenFrameException {
     body = body.isEmpty() ? data : body.concat(data);
     long length = start.getBodyLength();
     if (body.size() > length || (last && body.size() != length)) {
       throw new BrokenFrameException(
           "body of " + id + " has " + body.size() + " bytes, announced were " + length);
     }
-    whole = last;
+    complete = last;
   }
 
   /** Drops the body once the target has received it or it is no longer needed. */
-  void dropBody() {
+  void releaseBody() {
     body = ByteString.EMPTY;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
@@ -38,14 +38,14 @@
    * a request is rarely written to a connection that the target is closing. The outcome of such a
    * request is unknown.
    */
-  private static final long IDLE_MILLIS = 10_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 10_000;
 
   private final LinkLoop loop;
   private final URI address;
   private final String probePath;
   private final ByteBudget budget;
   private final HttpClient client;
-  private final WriteThread writes = new WriteThread("target-writes");
+  private final WriteThread writeThread = new WriteThread("target-writes");
 
   /**
    * Creates a client that is not started.
@@ -53,9 +53,9 @@
    * @param loop provides the time and retries responses that wait for memory
    * @param address the target's base address, such as {@code http://127.0.0.1:9001}
    * @param maxConnections the maximum number of connections to the target
-   * @param probePath the path of the health probe: status 503 means that the target accepts no work,
-   *     any other status that it does; if empty, the target accepts work while its port accepts
-   *     connections
+   * @param probePath the path of the health probe: status 503 means that the target accepts no
+   *     work, any other status that it does; if empty, the target accepts work while its port
+   *     accepts connections
    * @param budget the bytes that long responses may hold in this process
    */
   public TargetClient(
@@ -80,7 +80,7 @@
     client.setMaxConnectionsPerDestination(maxConnections);
     client.setMaxResponseHeadersSize(MAX_HEADER_BYTES);
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
-    client.setIdleTimeout(IDLE_MILLIS);
+    client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
     client.setFollowRedirects(false);
     client.setUserAgentField(null);
     return client;
@@ -103,7 +103,7 @@
 
   @Override
   public void send(TargetRequest request, Consumer<TargetOutcome> onEnded) {
-    writes.execute(() -> write(request, onEnded));
+    writeThread.execute(() -> write(request, onEnded));
   }
 
   private void write(TargetRequest request, Consumer<TargetOutcome> onEnded) {
@@ -112,17 +112,17 @@
       httpRequest = newRequest(request);
     } catch (IllegalArgumentException e) {
       // Without an outcome the slot of the request would never be released.
-      onEnded.accept(new TargetOutcome.NeverSent("request cannot be sent: " + e.getMessage()));
+      onEnded.accept(new TargetOutcome.NotSent("request cannot be sent: " + e.getMessage()));
       return;
     }
     TargetExchange exchange =
         new TargetExchange(loop, budget, HttpMethod.HEAD.is(request.method()), onEnded);
-    httpRequest.onRequestBegin(begun -> exchange.begun());
+    httpRequest.onRequestBegin(begun -> exchange.requestBegun());
     httpRequest.send(exchange);
   }
 
   private Request newRequest(TargetRequest request) {
-    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(request.giveUpAt() - loop.now());
+    long remainingMillis = TimeUnit.NANOSECONDS.toMillis(request.deadline() - loop.now());
     Request httpRequest =
         client
             .newRequest(address.resolve(request.path()))
@@ -168,12 +168,12 @@
     // An overloaded target may not respond in time; only a refused connection is conclusive.
     return result.getFailure() instanceof ConnectException
         ? TargetHealth.LEAVING
-        : TargetHealth.UNCLEAR;
+        : TargetHealth.UNKNOWN;
   }
 
   @Override
   public void close() {
-    writes.close();
+    writeThread.close();
     try {
       client.stop();
     } catch (Exception e) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetExchange.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetExchange.java
@@ -17,39 +17,39 @@
  * One HTTP exchange with the target: collects the response and reports the outcome.
  *
  * <p>A response longer than one chunk is not read further until the budget has the bytes of the
- * longest allowed response. Reserving chunk by chunk could deadlock: several responses could be half
- * read, each waiting for bytes that another holds.
+ * longest allowed response. Reserving chunk by chunk could deadlock: several responses could be
+ * half read, each waiting for bytes that another holds.
  */
 final class TargetExchange implements Response.Listener {
-  private static final long RETRY_RESERVE_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
+  private static final long RESERVE_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(5);
 
   private final LinkLoop loop;
   private final ByteBudget budget;
-  private final boolean bodiless;
-  private final Consumer<TargetOutcome> ended;
-  private volatile boolean begun;
-  private volatile boolean answerBegun;
-  private volatile String broken;
+  private final boolean headRequest;
+  private final Consumer<TargetOutcome> onEnded;
+  private volatile boolean requestBegun;
+  private volatile boolean responseBegun;
+  private volatile String invalidReason;
   private ByteString body = ByteString.EMPTY;
-  private long reserved;
+  private long reservedBytes;
   private boolean completed;
 
   TargetExchange(
       LinkLoop loop, ByteBudget budget, boolean headRequest, Consumer<TargetOutcome> onEnded) {
     this.loop = loop;
-    this.bodiless = headRequest;
+    this.headRequest = headRequest;
     this.budget = budget;
-    this.ended = onEnded;
+    this.onEnded = onEnded;
   }
 
   /** Records that the first byte of the request is about to be written. */
-  void begun() {
-    begun = true;
+  void requestBegun() {
+    requestBegun = true;
   }
 
   @Override
   public void onBegin(Response response) {
-    answerBegun = true;
+    responseBegun = true;
   }
 
   @Override
@@ -59,8 +59,8 @@
 
   private void read(Response response, Content.Source source) {
     while (true) {
-      if (body.size() >= Bodies.CHUNK_BYTES && reserved == 0 && !reserve()) {
-        loop.schedule(() -> read(response, source), RETRY_RESERVE_NANOS);
+      if (body.size() >= BodyLimits.MAX_CHUNK_BYTES && reservedBytes == 0 && !reserve()) {
+        loop.schedule(() -> read(response, source), RESERVE_RETRY_NANOS);
         return;
       }
       Content.Chunk chunk = source.read();
@@ -74,9 +74,9 @@
       boolean last = chunk.isLast();
       body = body.concat(ByteString.copyFrom(chunk.getByteBuffer()));
       chunk.release();
-      if (body.size() > Bodies.MAX_BYTES) {
-        broken = "response body is longer than " + Bodies.MAX_BYTES + " bytes";
-        response.abort(new IllegalStateException(broken));
+      if (body.size() > BodyLimits.MAX_BYTES) {
+        invalidReason = "response body is longer than " + BodyLimits.MAX_BYTES + " bytes";
+        response.abort(new IllegalStateException(invalidReason));
         return;
       }
       if (last) {
@@ -90,10 +90,10 @@
     if (completed) {
       return true;
     }
-    if (!budget.tryReserve(Bodies.MAX_BYTES)) {
+    if (!budget.tryReserve(BodyLimits.MAX_BYTES)) {
       return false;
     }
-    reserved = Bodies.MAX_BYTES;
+    reservedBytes = BodyLimits.MAX_BYTES;
     return true;
   }
 
@@ -103,35 +103,37 @@
       completed = true;
     }
     TargetOutcome outcome = outcome(result);
-    if (!(outcome instanceof TargetOutcome.Answered)) {
+    if (!(outcome instanceof TargetOutcome.Responded)) {
       release();
     }
-    ended.accept(outcome);
+    onEnded.accept(outcome);
   }
 
   private void release() {
-    budget.release(reserved);
+    budget.release(reservedBytes);
   }
 
   private TargetOutcome outcome(Result result) {
-    if (result.isSucceeded() || answeredEarly(result)) {
+    if (result.isSucceeded() || respondedEarly(result)) {
       List<Header> headers = new ArrayList<>();
-      HopHeaders.copy(result.getResponse().getHeaders(), headers);
-      if (bodiless) {
-        copyLength(result.getResponse(), headers);
+      HopByHopHeaders.copyEndToEnd(result.getResponse().getHeaders(), headers);
+      if (headRequest) {
+        copyContentLength(result.getResponse(), headers);
       }
-      return new TargetOutcome.Answered(
+      return new TargetOutcome.Responded(
           result.getResponse().getStatus(), headers, body, this::release);
     }
-    String detail = broken != null ? broken : String.valueOf(result.getFailure());
-    if (!begun) {
-      return new TargetOutcome.NeverSent(detail);
+    String detail = invalidReason != null ? invalidReason : String.valueOf(result.getFailure());
+    if (!requestBegun) {
+      return new TargetOutcome.NotSent(detail);
     }
-    return answerBegun ? new TargetOutcome.BrokenAnswer(detail) : new TargetOutcome.Lost(detail);
+    return responseBegun
+        ? new TargetOutcome.InvalidResponse(detail)
+        : new TargetOutcome.NoResponse(detail);
   }
 
   /** A response to HEAD has the length that the body would have. */
-  private static void copyLength(Response response, List<Header> into) {
+  private static void copyContentLength(Response response, List<Header> into) {
     String length = response.getHeaders().get(HttpHeader.CONTENT_LENGTH);
     if (length != null) {
       into.add(
@@ -143,7 +145,7 @@
   }
 
   /** A target may respond before it has read the complete request, such as with a 413. */
-  private boolean answeredEarly(Result result) {
-    return answerBegun && result.getResponseFailure() == null && broken == null;
+  private boolean respondedEarly(Result result) {
+    return responseBegun && result.getResponseFailure() == null && invalidReason == null;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealth.java
@@ -7,5 +7,5 @@
   /** The target accepts no new work: it says so, or nothing listens at its address. */
   LEAVING,
   /** The probe was inconclusive, such as at an overloaded target; the last result still holds. */
-  UNCLEAR
+  UNKNOWN
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetHealthMonitor.java
@@ -5,15 +5,15 @@
 /**
  * Monitors by health probes whether a target accepts work.
  *
- * <p>Confined to the loop's thread, but for {@link #takesWork}.
+ * <p>Confined to the loop's thread, but for {@link #acceptsWork}.
  */
-final class TargetWatch {
-  private static final System.Logger LOG = System.getLogger(TargetWatch.class.getName());
+final class TargetHealthMonitor {
+  private static final System.Logger LOG = System.getLogger(TargetHealthMonitor.class.getName());
 
   private final LinkLoop loop;
   private final Target target;
-  private final Runnable changed;
-  private volatile boolean takesWork;
+  private final Runnable onChanged;
+  private volatile boolean acceptsWork;
   private boolean probing;
 
   /**
@@ -21,17 +21,17 @@
    *
    * @param loop the loop that all state is confined to
    * @param target the target
-   * @param onChanged run on the loop when {@link #takesWork} has changed
+   * @param onChanged run on the loop when {@link #acceptsWork} has changed
    */
-  TargetWatch(LinkLoop loop, Target target, Runnable onChanged) {
+  TargetHealthMonitor(LinkLoop loop, Target target, Runnable onChanged) {
     this.loop = loop;
     this.target = target;
-    this.changed = onChanged;
+    this.onChanged = onChanged;
   }
 
   /** Returns whether the target accepted work at its last conclusive probe. */
-  boolean takesWork() {
-    return takesWork;
+  boolean acceptsWork() {
+    return acceptsWork;
   }
 
   /** Probes the target unless a probe is in progress. */
@@ -40,16 +40,16 @@
       return;
     }
     probing = true;
-    target.probe(health -> loop.run(() -> heard(health)));
+    target.probe(health -> loop.run(() -> probeCompleted(health)));
   }
 
-  private void heard(TargetHealth health) {
+  private void probeCompleted(TargetHealth health) {
     probing = false;
-    if (health == TargetHealth.UNCLEAR || (health == TargetHealth.SERVING) == takesWork) {
+    if (health == TargetHealth.UNKNOWN || (health == TargetHealth.SERVING) == acceptsWork) {
       return;
     }
-    takesWork = health == TargetHealth.SERVING;
+    acceptsWork = health == TargetHealth.SERVING;
     LOG.log(System.Logger.Level.INFO, "event=target-changed health={0}", health);
-    changed.run();
+    onChanged.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
@@ -18,10 +18,10 @@
    * @param release returns the bytes of the body to the process's memory budget; the receiver runs
    *     it once, when it no longer holds the body
    */
-  record Answered(int status, List<Header> headers, ByteString body, Runnable release)
+  record Responded(int status, List<Header> headers, ByteString body, Runnable release)
       implements TargetOutcome {
     /** Checks the components. */
-    public Answered {
+    public Responded {
       headers = ImmutableList.copyOf(headers);
       requireNonNull(body, "body");
       requireNonNull(release, "release");
@@ -29,25 +29,25 @@
   }
 
   /** No byte of the request was sent, such as for lack of a connection. */
-  record NeverSent(String detail) implements TargetOutcome {
+  record NotSent(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public NeverSent {
+    public NotSent {
       requireNonNull(detail, "detail");
     }
   }
 
   /** The request was sent, at least in part, and no response was received. */
-  record Lost(String detail) implements TargetOutcome {
+  record NoResponse(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public Lost {
+    public NoResponse {
       requireNonNull(detail, "detail");
     }
   }
 
   /** The response was truncated, too long or invalid. */
-  record BrokenAnswer(String detail) implements TargetOutcome {
+  record InvalidResponse(String detail) implements TargetOutcome {
     /** Checks the component. */
-    public BrokenAnswer {
+    public InvalidResponse {
       requireNonNull(detail, "detail");
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -26,34 +26,34 @@
   /** Is notified of frames and changes of connections. */
   interface Listener {
     /** A connection became usable. */
-    void usable(TargetPool pool, LinkConnection connection);
+    void connectionUsable(TargetPool pool, LinkConnection connection);
 
     /** A frame other than a pong was received. */
-    void received(TargetPool pool, LinkConnection connection, Frame frame)
+    void frameReceived(TargetPool pool, LinkConnection connection, Frame frame)
         throws BrokenFrameException;
 
     /** A connection was refused while none is usable: nothing listens at the address. */
-    void refused(TargetPool pool);
+    void connectionRefused(TargetPool pool);
 
     /** A usable connection was closed. */
-    void lost(TargetPool pool, LinkConnection connection, String reason);
+    void connectionLost(TargetPool pool, LinkConnection connection, String reason);
   }
 
-  private static final long BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-  private static final long MAX_BACK_OFF_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long INITIAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final LinkLoop loop;
   private final InetSocketAddress address;
-  private final LinkTimes times;
+  private final LinkSettings times;
   private final RandomGenerator random;
   private final Listener listener;
   private final List<LinkConnection> usable = new ArrayList<>();
-  private final List<LinkConnection> fresh = new ArrayList<>();
+  private final List<LinkConnection> unverified = new ArrayList<>();
   private Announcement announcement;
-  private int dialling;
-  private int next;
-  private long dialAt;
-  private long backOffNanos = BACK_OFF_NANOS;
+  private int dialsInProgress;
+  private int lastSelected;
+  private long nextDialAt;
+  private long backoffNanos = INITIAL_BACKOFF_NANOS;
   private int attemptsInFlight;
   private boolean goingAway;
   private boolean closed;
@@ -62,7 +62,7 @@
       LinkLoop loop,
       Announcement announcement,
       InetSocketAddress address,
-      LinkTimes times,
+      LinkSettings times,
       RandomGenerator random,
       Listener listener) {
     this.loop = loop;
@@ -71,7 +71,7 @@
     this.times = times;
     this.random = random;
     this.listener = listener;
-    this.dialAt = loop.now();
+    this.nextDialAt = loop.now();
   }
 
   String vm() {
@@ -91,16 +91,16 @@
   }
 
   /**
-   * Returns the state of the target for the policy. Once the side process has sent GOAWAY, the target
-   * stays leaving, even if a stale announcement is received later.
+   * Returns the state of the target for the policy. Once the side process has sent GOAWAY, the
+   * target stays leaving, even if a stale announcement is received later.
    */
   TargetState targetState() {
     TargetState announced = announcement.targetState();
-    return goingAway ? announced.asLeaving() : announced;
+    return goingAway ? announced.asDraining() : announced;
   }
 
   /** Records that the side process sent GOAWAY; returns whether this is the first time. */
-  boolean goesAway() {
+  boolean markGoingAway() {
     boolean first = !goingAway;
     goingAway = true;
     return first;
@@ -116,7 +116,7 @@
   }
 
   /** Returns whether exactly one connection is usable. */
-  boolean isFirstUsable() {
+  boolean hasSingleUsable() {
     return usable.size() == 1;
   }
 
@@ -136,15 +136,15 @@
    * Returns the usable connection whose oldest unanswered frame is the most recent, round-robin
    * among equals, or null if none is usable.
    *
-   * <p>An unresponsive connection is detected only after {@link LinkTimes#silenceNanos}; plain
-   * round-robin would delay every second request in that time.
+   * <p>An unresponsive connection is detected only after {@link LinkSettings#silenceTimeoutNanos};
+   * plain round-robin would delay every second request in that time.
    */
-  LinkConnection pick() {
+  LinkConnection selectConnection() {
     long now = loop.now();
     LinkConnection best = null;
     for (int i = 0; i < usable.size(); i++) {
-      next = (next + 1) % usable.size();
-      LinkConnection candidate = usable.get(next);
+      lastSelected = (lastSelected + 1) % usable.size();
+      LinkConnection candidate = usable.get(lastSelected);
       if (best == null || candidate.unansweredNanos(now) < best.unansweredNanos(now)) {
         best = candidate;
       }
@@ -155,10 +155,10 @@
   /** Opens missing connections, pings quiet ones, and closes unresponsive ones. */
   void tick(long now) {
     while (!closed
-        && usable.size() + fresh.size() + dialling < times.connections()
-        && dialAt - now <= 0) {
-      dialling++;
-      loop.dial(address, new Incoming(), this::failed);
+        && usable.size() + unverified.size() + dialsInProgress < times.connectionsPerTarget()
+        && nextDialAt - now <= 0) {
+      dialsInProgress++;
+      loop.dial(address, new ConnectionListener(), this::dialFailed);
     }
     for (LinkConnection connection : allConnections()) {
       long unanswered = connection.unansweredNanos(now);
@@ -166,7 +166,7 @@
       // A connection whose state was lost in the network accepts bytes but delivers nothing, and
       // never reports an error. Peers answer pings at once, so unanswered pings distinguish it from
       // a peer with a long-running request.
-      if (unanswered > times.silenceNanos()) {
+      if (unanswered > times.silenceTimeoutNanos()) {
         connection.close("silent");
       } else if (unanswered > times.pingAfterNanos() || idle) {
         ping(connection);
@@ -174,7 +174,7 @@
     }
   }
 
-  void excuseSilence(long now) {
+  void resetSilenceTimers(long now) {
     allConnections().forEach(connection -> connection.excuseSilence(now));
   }
 
@@ -185,7 +185,7 @@
 
   private List<LinkConnection> allConnections() {
     List<LinkConnection> all = new ArrayList<>(usable);
-    all.addAll(fresh);
+    all.addAll(unverified);
     return all;
   }
 
@@ -193,53 +193,53 @@
     connection.send(Frame.newBuilder().setPing(Ping.newBuilder().setNonce(loop.now())).build());
   }
 
-  private void failed(Throwable cause) {
-    dialling--;
-    backOff();
+  private void dialFailed(Throwable cause) {
+    dialsInProgress--;
+    delayNextDial();
     if (cause instanceof ConnectException && !isUsable()) {
-      listener.refused(this);
+      listener.connectionRefused(this);
     }
   }
 
-  private void backOff() {
-    dialAt = loop.now() + backOffNanos / 2 + random.nextLong(backOffNanos);
-    backOffNanos = Math.min(MAX_BACK_OFF_NANOS, backOffNanos * 2);
+  private void delayNextDial() {
+    nextDialAt = loop.now() + backoffNanos / 2 + random.nextLong(backoffNanos);
+    backoffNanos = Math.min(MAX_BACKOFF_NANOS, backoffNanos * 2);
   }
 
   /** Handles frames and connection changes of the side process. */
-  private final class Incoming implements LinkListener {
+  private final class ConnectionListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
-      dialling--;
+      dialsInProgress--;
       if (closed) {
         connection.close("stopped");
         return;
       }
-      fresh.add(connection);
+      unverified.add(connection);
       ping(connection);
     }
 
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (frame.getBodyCase() != Frame.BodyCase.PONG) {
-        listener.received(TargetPool.this, connection, frame);
+        listener.frameReceived(TargetPool.this, connection, frame);
         return;
       }
-      if (fresh.remove(connection)) {
+      if (unverified.remove(connection)) {
         usable.add(connection);
-        backOffNanos = BACK_OFF_NANOS;
-        listener.usable(TargetPool.this, connection);
+        backoffNanos = INITIAL_BACKOFF_NANOS;
+        listener.connectionUsable(TargetPool.this, connection);
       }
     }
 
     @Override
     public void closed(LinkConnection connection, String reason) {
       boolean wasUsable = usable.remove(connection);
-      if (fresh.remove(connection)) {
-        backOff();
+      if (unverified.remove(connection)) {
+        delayNextDial();
       }
       if (wasUsable) {
-        listener.lost(TargetPool.this, connection, reason);
+        listener.connectionLost(TargetPool.this, connection, reason);
         tick(loop.now());
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
@@ -20,14 +20,14 @@
   private static final System.Logger LOG = System.getLogger(TargetPools.class.getName());
 
   private final LinkLoop loop;
-  private final LinkTimes times;
+  private final LinkSettings times;
   private final RandomGenerator random;
   private final TargetPool.Listener listener;
   private final TreeMap<String, TargetPool> pools = new TreeMap<>();
   private final List<TargetPool> retired = new ArrayList<>();
 
   TargetPools(
-      LinkLoop loop, LinkTimes times, RandomGenerator random, TargetPool.Listener listener) {
+      LinkLoop loop, LinkSettings times, RandomGenerator random, TargetPool.Listener listener) {
     this.loop = loop;
     this.times = times;
     this.random = random;
@@ -44,16 +44,16 @@
   }
 
   /** Returns whether the side process of this incarnation is reachable and accepts requests. */
-  boolean takesNew(String vm, long incarnation) {
+  boolean acceptsRequests(String vm, long incarnation) {
     TargetPool pool = pools.get(vm);
     return pool != null
         && pool.isUsable()
         && pool.incarnation() == incarnation
-        && !pool.targetState().leaving();
+        && !pool.targetState().draining();
   }
 
   /** Applies an announcement; returns whether it changed the list of targets. */
-  boolean announced(Announcement announcement) {
+  boolean update(Announcement announcement) {
     TargetPool known = pools.get(announcement.vm());
     if (!announcement.hasTarget()) {
       return retire(announcement.vm());
@@ -117,9 +117,9 @@
     new ArrayList<>(pools.values()).forEach(pool -> pool.tick(now));
   }
 
-  void excuseSilence(long now) {
-    pools.values().forEach(pool -> pool.excuseSilence(now));
-    retired.forEach(pool -> pool.excuseSilence(now));
+  void resetSilenceTimers(long now) {
+    pools.values().forEach(pool -> pool.resetSilenceTimers(now));
+    retired.forEach(pool -> pool.resetSilenceTimers(now));
   }
 
   void close() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetRequest.java
@@ -14,11 +14,11 @@
  * @param path the raw path with the query
  * @param headers the end-to-end headers
  * @param body the complete body
- * @param giveUpAt when to stop waiting for the response, in nanoseconds of the process's monotonic
+ * @param deadline when to stop waiting for the response, in nanoseconds of the process's monotonic
  *     clock
  */
 public record TargetRequest(
-    String method, String path, List<Header> headers, ByteString body, long giveUpAt) {
+    String method, String path, List<Header> headers, ByteString body, long deadline) {
   /** Checks the components. */
   public TargetRequest {
     requireNonNull(method, "method");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnreadAnswers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/UnacknowledgedResponses.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import io.marigoldsail.daemon.link.BrokenFrameException;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import java.util.ArrayDeque;
 import java.util.function.Consumer;
 
@@ -11,19 +11,19 @@
  * <p>An entry reads them in the order in which they were sent, so a count identifies the
  * acknowledged ones.
  */
-final class UnreadAnswers {
+final class UnacknowledgedResponses {
   /** Beyond this the oldest are dropped: entries of older versions never acknowledge. */
-  private static final int MAX_UNREAD = 4_096;
+  private static final int MAX_TRACKED = 4_096;
 
-  private final ArrayDeque<WireId> ids = new ArrayDeque<>();
-  private long passed;
+  private final ArrayDeque<AttemptId> ids = new ArrayDeque<>();
+  private long removedCount;
 
   /** Adds a response that was sent. */
-  void sent(WireId id) {
+  void sent(AttemptId id) {
     ids.add(id);
-    if (ids.size() > MAX_UNREAD) {
+    if (ids.size() > MAX_TRACKED) {
       ids.remove();
-      passed++;
+      removedCount++;
     }
   }
 
@@ -34,12 +34,13 @@
    * @param onAcknowledged receives each id
    * @throws BrokenFrameException if the count is more than were sent
    */
-  void read(long count, Consumer<WireId> onAcknowledged) throws BrokenFrameException {
-    if (count > passed + ids.size()) {
-      throw new BrokenFrameException(count + " responses acknowledged, only " + (passed + ids.size()) + " sent");
+  void acknowledge(long count, Consumer<AttemptId> onAcknowledged) throws BrokenFrameException {
+    if (count > removedCount + ids.size()) {
+      throw new BrokenFrameException(
+          count + " responses acknowledged, only " + (removedCount + ids.size()) + " sent");
     }
-    while (passed < count) {
-      passed++;
+    while (removedCount < count) {
+      removedCount++;
       onAcknowledged.accept(ids.remove());
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/WriteThread.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/WriteThread.java
@@ -9,8 +9,8 @@
  * A single thread that writes HTTP messages for a loop, in submission order.
  *
  * <p>Creating and writing HTTP messages took half of the time of the loop, which decides on every
- * request of its process. A busy thread needs no wake-up per message, so the cost of a submission is
- * lowest under high load. Tasks must not block. Safe for any thread.
+ * request of its process. A busy thread needs no wake-up per message, so the cost of a submission
+ * is lowest under high load. Tasks must not block. Safe for any thread.
  */
 final class WriteThread implements Executor, AutoCloseable {
   private final ThreadPoolExecutor executor;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/Announcements.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/Announcements.java
@@ -33,7 +33,7 @@
         .setInFlight(load.inFlight())
         .setWaiting(load.waiting())
         .setEntries(load.entries())
-        .setLeaving(load.leaving())
+        .setLeaving(load.draining())
         .build();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -106,8 +106,8 @@
 
   private void decide(List<JobState> jobs) {
     Fleet fleet = new Fleet(context.table().vms(), this::usable, context.table()::programsOn);
-    fleet.keep(context.table().preemptions());
-    onTheirWay.values().forEach(p -> fleet.take(p.vm().registration(), p.program(), p.sizes()));
+    fleet.reservePreempted(context.table().preemptions());
+    onTheirWay.values().forEach(p -> fleet.allocate(p.vm().registration(), p.program(), p.sizes()));
     knowledge.reserveFor(jobs, fleet);
     placer.beginRound();
     QueueOrder order =
@@ -159,8 +159,8 @@
     }
     PlacementDecision decision =
         placer.place(new PlacementRequest(spec, task, sizes, inGroup), fleet);
-    if (decision instanceof PlacementDecision.NoRoom noRoom) {
-      wait(spec, noRoom.why());
+    if (decision instanceof PlacementDecision.NoCapacity noRoom) {
+      wait(spec, noRoom.reason());
       if (spec.urgent()) {
         preemptions.noRoom(spec, task, sizes, fleet);
       }
@@ -168,12 +168,12 @@
     }
     PlacementDecision.Chosen chosen = (PlacementDecision.Chosen) decision;
     whyWaiting.remove(spec.name());
-    VmState vm = chosen.room().state();
-    fleet.take(vm.registration(), spec.program(), sizes);
+    VmState vm = chosen.candidate().state();
+    fleet.allocate(vm.registration(), spec.program(), sizes);
     if (spec.spread() != Spread.NONE) {
       inGroup.merge(spec.spread().groupOf(vm.description()), 1, Integer::sum);
     }
-    claim(spec, task, vm, sizes, chosen.why());
+    claim(spec, task, vm, sizes, chosen.reason());
     return true;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
@@ -120,7 +120,7 @@
     if (task == null || task.phase() == SideTask.Phase.ENDED) {
       attempts.onStop(peer, stop);
     } else if (task.phase() == SideTask.Phase.RUNNING) {
-      guard.evictedForUrgent(service.terms(), clock.nanos());
+      guard.recordPreemption(service.terms(), clock.nanos());
       evict(task, "to make room for urgent work");
     }
   }
@@ -155,10 +155,10 @@
       if (worker.throttle(task.task(), task.token(), throttle.percent()).isOk()) {
         task.throttled(throttle.percent());
       }
-      record(EventKind.TASK_THROTTLED, task, throttle.percent() + "%: " + throttle.why());
+      record(EventKind.TASK_THROTTLED, task, throttle.percent() + "%: " + throttle.reason());
       return;
     }
-    evict(task, action.why());
+    evict(task, action.reason());
   }
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementKnowledge.java
@@ -11,7 +11,7 @@
 import io.marigoldsail.placement.PlacementCosts;
 import io.marigoldsail.placement.SizeEstimates;
 import io.marigoldsail.placement.UrgentReserve;
-import io.marigoldsail.placement.UsageLearning;
+import io.marigoldsail.placement.UsageLearner;
 import io.marigoldsail.placement.WorkerHealth;
 import io.marigoldsail.protocol.TaskUsage;
 import io.marigoldsail.protocol.UsageReport;
@@ -37,14 +37,14 @@
   private final WorkerHealth health = new WorkerHealth();
   private final SizeEstimates estimates = new SizeEstimates();
   private final Interference interference = new Interference();
-  private final UsageLearning learning = new UsageLearning(estimates, interference);
+  private final UsageLearner learning = new UsageLearner(estimates, interference);
   private final UrgentReserve reserve = new UrgentReserve();
   private long nextForget;
 
   PlacementKnowledge(EntryContext context) {
     this.context = context;
     this.nextForget = context.nanos();
-    context.table().addEndListener((vm, job, ok) -> health.ended(vm, job, ok, steadyMillis()));
+    context.table().addEndListener((vm, job, ok) -> health.recordEnd(vm, job, ok, steadyMillis()));
   }
 
   void tick() {
@@ -67,7 +67,7 @@
    */
   Sizes booking(JobSpec spec) {
     Sizes booking = estimates.booking(spec);
-    boolean never = Fleet.whyNever(context.table().vms(), booking).isPresent();
+    boolean never = Fleet.infeasibilityReason(context.table().vms(), booking).isPresent();
     return never ? spec.sizes() : booking;
   }
 
@@ -80,15 +80,15 @@
   void reserveFor(List<JobState> jobs, Fleet fleet) {
     for (JobState job : jobs) {
       if (job.waiting() > 0) {
-        reserve.seen(booking(job.spec()), job.spec().urgent(), steadyMillis());
+        reserve.observe(booking(job.spec()), job.spec().urgent(), steadyMillis());
       }
     }
-    Sizes each = reserve.each(fleet.meanCapacity(), steadyMillis());
-    fleet.reserve(each, reserve.count(fleet.rooms().size()));
+    Sizes each = reserve.perVm(fleet.meanCapacity(), steadyMillis());
+    fleet.reserveVms(each, reserve.vmCount(fleet.candidates().size()));
   }
 
   boolean usable(VmState vm) {
-    return health.usable(vm.vm(), vm.tasks(), steadyMillis());
+    return health.isUsable(vm.vm(), vm.tasks(), steadyMillis());
   }
 
   void onUsage(UsageReport report) {
@@ -98,7 +98,7 @@
     }
     Map<Long, TaskUsage> told = new HashMap<>();
     report.getTasksList().forEach(usage -> told.put(usage.getToken(), usage));
-    List<UsageLearning.Measured> measured = new ArrayList<>();
+    List<UsageLearner.TaskMeasurement> measured = new ArrayList<>();
     for (TaskState task : context.table().tasksOn(vm.get().registration())) {
       context
           .table()
@@ -109,11 +109,11 @@
     learning.report(vm.get().vm(), measured, report.getServiceSlowdownPermille() / PERMILLE);
   }
 
-  private static UsageLearning.Measured measured(String program, TaskUsage usage) {
+  private static UsageLearner.TaskMeasurement measured(String program, TaskUsage usage) {
     if (usage == null) {
-      return new UsageLearning.Measured(program, Sizes.NONE, 0, 1);
+      return new UsageLearner.TaskMeasurement(program, Sizes.NONE, 0, 1);
     }
-    return new UsageLearning.Measured(
+    return new UsageLearner.TaskMeasurement(
         program,
         new Sizes(usage.getMilliProcessors(), usage.getMemoryBytes(), 0),
         usage.getSlowdownPermille() / PERMILLE,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -10,8 +10,8 @@
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.TaskRecord;
 import io.marigoldsail.job.TaskState;
+import io.marigoldsail.placement.CandidateVm;
 import io.marigoldsail.placement.Fleet;
-import io.marigoldsail.placement.VmRoom;
 import io.marigoldsail.protocol.StopTask;
 import io.marigoldsail.protocol.TaskMessage;
 import io.marigoldsail.timeline.Event;
@@ -115,7 +115,7 @@
   }
 
   private int mostAtOnce(Fleet fleet) {
-    int most = Math.max(LEAST_AT_ONCE, fleet.rooms().size() / VMS_PER_ONE_AT_ONCE);
+    int most = Math.max(LEAST_AT_ONCE, fleet.candidates().size() / VMS_PER_ONE_AT_ONCE);
     return most - onTheirWay.size();
   }
 
@@ -126,8 +126,8 @@
 
   private List<PreemptableVm> vms(TaskState task, Fleet fleet) {
     List<PreemptableVm> vms = new ArrayList<>();
-    for (VmRoom room : fleet.rooms()) {
-      if (room.preempting() || task.failedVms().contains(room.vm())) {
+    for (CandidateVm room : fleet.candidates()) {
+      if (room.isPreempting() || task.failedVms().contains(room.vm())) {
         continue;
       }
       long registration = room.state().registration();
@@ -237,7 +237,7 @@
   private void countEvictions() {
     String vm = evictedVms.poll();
     while (vm != null) {
-      preemptor.evicted(context.terms().guard(), vm, now());
+      preemptor.recordEviction(context.terms().guard(), vm, now());
       vm = evictedVms.poll();
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceWatch.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.daemon.task;
 
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.guard.ServiceReading;
 import java.util.Optional;
 
@@ -10,7 +10,7 @@
   Optional<ServiceReading> reading(long nowNanos);
 
   /** Returns what the configuration in force says about guarding. */
-  GuardTerms terms();
+  GuardPolicy terms();
 
   /** Returns a watch of no service: nothing is ever throttled for it. */
   static ServiceWatch none() {
@@ -21,8 +21,8 @@
       }
 
       @Override
-      public GuardTerms terms() {
-        return GuardTerms.DEFAULT;
+      public GuardPolicy terms() {
+        return GuardPolicy.DEFAULT;
       }
     };
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
@@ -93,7 +93,7 @@
 
   void onVouch(Vouch vouch) {
     LeaseEvidence.Change change =
-        evidence.vouched(
+        evidence.confirm(
             vouch.getRegistration(),
             vouch.getProcessIncarnation(),
             vouch.getAskedNanos(),
@@ -146,7 +146,7 @@
     // A start meant for an earlier side process may have been answered by it: released, and claimed
     // elsewhere since. An entry that vouched to this process has read all that before.
     boolean ours = start.getProcessIncarnation() == identity.processIncarnation();
-    boolean current = evidence.known() && start.getRegistration() == evidence.registration();
+    boolean current = evidence.isConfirmed() && start.getRegistration() == evidence.registration();
     if (!ours || !current || boot == null || acknowledged.contains(start.getToken())) {
       return false;
     }
@@ -323,7 +323,7 @@
   }
 
   void renewAll() {
-    if (!evidence.known() || workerClock == null) {
+    if (!evidence.isConfirmed() || workerClock == null) {
       return;
     }
     for (SideTask task : tasks.values()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
@@ -135,7 +135,7 @@
   }
 
   private Result<JobSpec> possible(JobSpec spec) {
-    Optional<String> never = Fleet.whyNever(table.vms(), spec.sizes());
+    Optional<String> never = Fleet.infeasibilityReason(table.vms(), spec.sizes());
     if (never.isPresent()) {
       return Result.failed(ErrorKind.NEVER_FITS, "job " + spec.name() + ": " + never.get());
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.job.TeamQuota;
 import io.marigoldsail.lease.LeaseTerms;
 import java.util.Map;
@@ -16,10 +16,10 @@
  * @param quotas what teams may take up, by name
  * @param guard what evictions weigh, and how many there may be
  */
-public record TaskTerms(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardTerms guard) {
+public record TaskTerms(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
   /** What holds where no configuration says otherwise. */
   public static final TaskTerms DEFAULT =
-      new TaskTerms(LeaseTerms.DEFAULT, Map.of(), GuardTerms.DEFAULT);
+      new TaskTerms(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
 
   /** Checks and copies the components. */
   public TaskTerms {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
@@ -7,8 +7,8 @@
 import io.marigoldsail.job.TaskState;
 import io.marigoldsail.job.VmDescription;
 import io.marigoldsail.job.VmState;
+import io.marigoldsail.lease.ConfirmationLedger;
 import io.marigoldsail.lease.LeaseTerms;
-import io.marigoldsail.lease.VouchLedger;
 import io.marigoldsail.membership.EntryIdentity;
 import io.marigoldsail.protocol.AskVouch;
 import io.marigoldsail.protocol.TaskMessage;
@@ -40,12 +40,16 @@
 
   /** Where a VM's side process is and what it last said. */
   record Contact(
-      String peer, VouchLedger.Ask ask, boolean leaving, long heardUntil, long silentAt) {}
+      String peer,
+      ConfirmationLedger.Request ask,
+      boolean leaving,
+      long heardUntil,
+      long silentAt) {}
 
   private record Seen(long heartbeat, long aliveUntil) {}
 
   private final EntryContext context;
-  private final VouchLedger ledger = new VouchLedger();
+  private final ConfirmationLedger ledger = new ConfirmationLedger();
   private final Map<String, Contact> contacts = new HashMap<>();
   private final Map<String, Long> vouchedProcess = new HashMap<>();
   private final Map<Long, Long> unheardSince = new HashMap<>();
@@ -67,13 +71,13 @@
   }
 
   void onAsk(String peer, AskVouch message) {
-    VouchLedger.Ask ask =
-        new VouchLedger.Ask(
+    ConfirmationLedger.Request ask =
+        new ConfirmationLedger.Request(
             message.getVm(),
             message.getBootIncarnation(),
             message.getProcessIncarnation(),
             message.getAskedNanos());
-    ledger.asked(ask);
+    ledger.recordRequest(ask);
     long silence = context.terms().leases().silenceMillis();
     contacts.put(
         ask.vm(),
@@ -170,7 +174,7 @@
     lost.removeAll(hears);
     EntryIdentity identity = context.identity();
     // The asks that this heartbeat can bear out are those received before it leaves.
-    long number = ledger.heartbeatLeaves();
+    long number = ledger.recordHeartbeatSent();
     context.append(
         new TaskRecord.Heartbeat(identity.name(), identity.incarnation(), gained, lost),
         result -> readBack(number, result));
@@ -190,7 +194,7 @@
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
     }
-    for (VouchLedger.Ask ask : ledger.heartbeatReadBack(number)) {
+    for (ConfirmationLedger.Request ask : ledger.confirmedBy(number)) {
       Optional<VmState> vm = context.table().vm(ask.vm());
       if (vm.isPresent() && vm.get().description().bootIncarnation() == ask.bootIncarnation()) {
         vouch(ask, vm.get().registration(), ok.value());
@@ -198,7 +202,7 @@
     }
   }
 
-  private void vouch(VouchLedger.Ask ask, long registration, long heartbeat) {
+  private void vouch(ConfirmationLedger.Request ask, long registration, long heartbeat) {
     Contact contact = contacts.get(ask.vm());
     if (contact == null) {
       return;
@@ -206,7 +210,7 @@
     Vouch vouch =
         Vouch.newBuilder()
             .setRegistration(registration)
-            .setAskedNanos(ask.askedNanos())
+            .setAskedNanos(ask.requestedNanos())
             .setProcessIncarnation(ask.processIncarnation())
             .setHeartbeat(heartbeat)
             .build();
@@ -290,7 +294,7 @@
     long longestOver = 0;
     long waitedMillis = (context.nanos() - readNanos) / 1_000_000 - rankDelayMillis();
     for (TaskState task : context.table().tasksOn(vm.registration())) {
-      if (waitedMillis >= LeaseTerms.surelyOverMillis(task.leaseMillis())) {
+      if (waitedMillis >= LeaseTerms.maxRemainingMillis(task.leaseMillis())) {
         longestOver = Math.max(longestOver, task.leaseMillis());
       }
     }
@@ -333,7 +337,7 @@
                   context.passed(contact.getValue().silentAt())
                       && !names.contains(contact.getKey());
               if (gone) {
-                ledger.forget(contact.getKey());
+                ledger.remove(contact.getKey());
                 vouchedProcess.remove(contact.getKey());
               }
               return gone;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideEntries.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryConnections.java
@@ -22,11 +22,11 @@
  * <p>The store is asked only while no entry is reached; entries tell changes. Confined to the
  * loop's thread.
  */
-final class SideEntries {
-  private static final EventLog LOG = EventLog.of(SideEntries.class);
+final class EntryConnections {
+  private static final EventLog LOG = EventLog.of(EntryConnections.class);
 
   /** Between two questions to the store, in nanoseconds. */
-  private static final long ASK_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long STORE_QUERY_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   /** Told of connections and frames; runs on the loop. */
   interface Listener {
@@ -66,7 +66,7 @@
       return ordersSeen;
     }
 
-    void sawOrders(long number) {
+    void recordOrders(long number) {
       ordersSeen = Math.max(ordersSeen, number);
     }
   }
@@ -78,13 +78,13 @@
   private final Map<String, EntryConnection> connections = new HashMap<>();
   private final MemberLinks links;
   private long generation;
-  private long askedAt = Long.MIN_VALUE;
+  private long storeQueriedAt = Long.MIN_VALUE;
 
-  SideEntries(LinkLoop loop, WorkflowStore store, Listener listener) {
+  EntryConnections(LinkLoop loop, WorkflowStore store, Listener listener) {
     this.loop = requireNonNull(loop, "loop");
     this.store = requireNonNull(store, "store");
     this.listener = requireNonNull(listener, "listener");
-    this.links = new MemberLinks(loop, new FromLinks());
+    this.links = new MemberLinks(loop, new MemberLinkListener());
   }
 
   Iterable<EntryConnection> connections() {
@@ -92,7 +92,7 @@
   }
 
   /** Returns how many entries are reached. */
-  int reached() {
+  int connectedCount() {
     return connections.size();
   }
 
@@ -103,7 +103,7 @@
    * place of a newer map that an entry told, and entries tell theirs again only where digests
    * differ.
    */
-  int digest() {
+  int ownersDigest() {
     return owners.hashCode();
   }
 
@@ -113,37 +113,39 @@
   }
 
   /** Dials entries that are not reached, closes silent connections, asks the store if need be. */
-  void tick() {
+  void maintain() {
     long now = loop.now();
     links.closeSilent();
     Set<String> members = new HashSet<>(owners.values());
-    links.keep(members);
+    links.setMembers(members);
     boolean alone = links.size() == 0 || links.size() < members.size();
-    if (alone && (askedAt == Long.MIN_VALUE || now - askedAt > ASK_NANOS)) {
-      askedAt = now;
-      store.owners().thenAccept(result -> loop.run(() -> ownersRead(result)));
+    if (alone
+        && (storeQueriedAt == Long.MIN_VALUE
+            || now - storeQueriedAt > STORE_QUERY_INTERVAL_NANOS)) {
+      storeQueriedAt = now;
+      store.owners().thenAccept(result -> loop.run(() -> ownersReadFromStore(result)));
     }
   }
 
-  private void ownersRead(OwnersResult result) {
+  private void ownersReadFromStore(OwnersResult result) {
     if (!(result instanceof Owners read)) {
       LOG.debug(LogLine.of("owners-unread").with("result", result));
       return;
     }
-    replace(read.byPartition(), "the store");
+    replaceOwners(read.byPartition(), "the store");
   }
 
-  private void told(String member, OwnerMap map) {
+  private void ownerMapReceived(String member, OwnerMap map) {
     if (map.getOwnersCount() == 0 || map.getGeneration() < generation) {
       return;
     }
     generation = map.getGeneration();
     Map<Integer, String> newOwners = new HashMap<>();
     map.getOwnersList().forEach(owner -> newOwners.put(owner.getPartition(), owner.getMember()));
-    replace(newOwners, member);
+    replaceOwners(newOwners, member);
   }
 
-  private void replace(Map<Integer, String> newOwners, String source) {
+  private void replaceOwners(Map<Integer, String> newOwners, String source) {
     if (newOwners.isEmpty() || newOwners.equals(owners)) {
       return;
     }
@@ -154,12 +156,12 @@
             .with("members", new HashSet<>(owners.values()))
             .with("generation", generation)
             .with("source", source));
-    tick();
+    maintain();
     listener.ownersChanged();
   }
 
   /** What entries send. */
-  private final class FromLinks implements MemberLinks.Listener {
+  private final class MemberLinkListener implements MemberLinks.Listener {
     @Override
     public void opened(String member, LinkConnection link) {
       EntryConnection connection = new EntryConnection(member, link);
@@ -170,7 +172,7 @@
     @Override
     public void received(String member, Frame frame) {
       if (frame.hasOwnerMap()) {
-        told(member, frame.getOwnerMap());
+        ownerMapReceived(member, frame.getOwnerMap());
       } else {
         listener.received(connections.get(member), frame);
       }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryMember.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryMember.java
@@ -13,9 +13,9 @@
  *
  * @param host address of its links
  * @param port port of its links
- * @param life tells apart the lives of processes at one address
+ * @param incarnation tells apart the lives of processes at one address
  */
-record EntryMember(String host, int port, long life) {
+record EntryMember(String host, int port, long incarnation) {
   EntryMember {
     checkArgument(!host.isEmpty(), "host is empty");
     checkArgument(port > 0, "port is not positive: %s", port);
@@ -40,8 +40,8 @@
     }
   }
 
-  boolean isEarlierLifeOf(EntryMember other) {
-    return host.equals(other.host) && port == other.port && life != other.life;
+  boolean isEarlierIncarnationOf(EntryMember other) {
+    return host.equals(other.host) && port == other.port && incarnation != other.incarnation;
   }
 
   InetSocketAddress address() {
@@ -50,6 +50,6 @@
 
   @Override
   public String toString() {
-    return host + ":" + port + "/" + life;
+    return host + ":" + port + "/" + incarnation;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -29,28 +29,28 @@
  */
 final class EntryPeers {
   /** How long an owner may take to answer a question, in nanoseconds. */
-  private static final long QUESTION_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long QUERY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   /** Counts older than this are of a process that is gone, in nanoseconds. */
-  private static final long COUNTS_NANOS = TimeUnit.SECONDS.toNanos(8);
+  private static final long COUNTS_TTL_NANOS = TimeUnit.SECONDS.toNanos(8);
 
-  private record Asked(LinkConnection connection, Consumer<QueryResult> told) {}
+  private record PendingQuery(LinkConnection connection, Consumer<QueryResult> onResult) {}
 
-  private record Counts(Map<String, Integer> waiting, long at) {}
+  private record PeerCounts(Map<String, Integer> waiting, long receivedAt) {}
 
   private final LinkLoop loop;
   private final EntryMember self;
   private final MemberLinks links;
-  private final Map<Long, Asked> asked = new HashMap<>();
-  private final Map<String, Counts> counts = new HashMap<>();
-  private final Map<Integer, String> owners = new HashMap<>();
-  private OwnerMap map = OwnerMap.getDefaultInstance();
-  private long lastQuestion;
+  private final Map<Long, PendingQuery> pendingQueries = new HashMap<>();
+  private final Map<String, PeerCounts> counts = new HashMap<>();
+  private final Map<Integer, String> updateOwners = new HashMap<>();
+  private OwnerMap ownerMap = OwnerMap.getDefaultInstance();
+  private long lastQueryId;
 
   EntryPeers(LinkLoop loop, EntryMember self) {
     this.loop = requireNonNull(loop, "loop");
     this.self = requireNonNull(self, "self");
-    this.links = new MemberLinks(loop, new FromLinks());
+    this.links = new MemberLinks(loop, new PeerLinkListener());
   }
 
   /**
@@ -60,66 +60,66 @@
    * <p>A higher generation is told though the owners are the same: side processes that have it pass
    * over the older map of an entry that does not reach the store.
    */
-  boolean owners(long generation, Owners newOwners) {
-    if (generation < map.getGeneration()) {
+  boolean updateOwners(long generation, Owners newOwners) {
+    if (generation < ownerMap.getGeneration()) {
       return false;
     }
     Map<Integer, String> newMap = newOwners.byPartition();
-    if (newMap.equals(owners)) {
-      boolean rose = generation > map.getGeneration();
-      map = map.toBuilder().setGeneration(generation).build();
+    if (newMap.equals(updateOwners)) {
+      boolean rose = generation > ownerMap.getGeneration();
+      ownerMap = ownerMap.toBuilder().setGeneration(generation).build();
       return rose;
     }
-    owners.clear();
-    owners.putAll(newMap);
+    updateOwners.clear();
+    updateOwners.putAll(newMap);
     OwnerMap.Builder builder =
         OwnerMap.newBuilder().setGeneration(generation).setDigest(newMap.hashCode());
     newMap.forEach(
         (partition, member) ->
             builder.addOwners(
                 PartitionOwner.newBuilder().setPartition(partition).setMember(member)));
-    map = builder.build();
-    dialAll();
+    ownerMap = builder.build();
+    dialOwners();
     return true;
   }
 
   /** Returns who owns what, to be sent to side processes. */
-  OwnerMap map() {
-    return map;
+  OwnerMap ownerMap() {
+    return ownerMap;
   }
 
   /** Returns the member that owns the partition, or empty if nobody is known to. */
-  Optional<String> owner(int partition) {
-    return Optional.ofNullable(owners.get(partition));
+  Optional<String> ownerOf(int partition) {
+    return Optional.ofNullable(updateOwners.get(partition));
   }
 
-  private void dialAll() {
-    Set<String> members = new HashSet<>(owners.values());
+  private void dialOwners() {
+    Set<String> members = new HashSet<>(updateOwners.values());
     members.remove(self.toString());
-    links.keep(members);
+    links.setMembers(members);
   }
 
   /**
    * Asks the owner of the partition about a workflow.
    *
-   * @param told runs on the loop; {@link QueryResult#CANNOT_TELL} if the owner is not reached
+   * @param told runs on the loop; {@link QueryResult#UNAVAILABLE} if the owner is not reached
    */
-  void ask(int partition, WorkflowQuery question, Consumer<QueryResult> told) {
-    LinkConnection connection = owner(partition).flatMap(links::to).orElse(null);
+  void query(int partition, WorkflowQuery question, Consumer<QueryResult> told) {
+    LinkConnection connection = ownerOf(partition).flatMap(links::linkTo).orElse(null);
     if (connection == null) {
-      told.accept(QueryResult.CANNOT_TELL);
+      told.accept(QueryResult.UNAVAILABLE);
       return;
     }
-    long id = ++lastQuestion;
-    asked.put(id, new Asked(connection, told));
+    long id = ++lastQueryId;
+    pendingQueries.put(id, new PendingQuery(connection, told));
     connection.send(Frame.newBuilder().setWorkflowQuery(question.toBuilder().setId(id)).build());
-    loop.schedule(() -> answered(id, QueryResult.CANNOT_TELL), QUESTION_NANOS);
+    loop.schedule(() -> completeQuery(id, QueryResult.UNAVAILABLE), QUERY_TIMEOUT_NANOS);
   }
 
-  private void answered(long id, QueryResult result) {
-    Asked question = asked.remove(id);
+  private void completeQuery(long id, QueryResult result) {
+    PendingQuery question = pendingQueries.remove(id);
     if (question != null) {
-      question.told().accept(result);
+      question.onResult().accept(result);
     }
   }
 
@@ -136,35 +136,35 @@
       connection.send(frame);
       connection.send(ping);
     }
-    counts.values().removeIf(count -> now - count.at() > COUNTS_NANOS);
-    dialAll();
+    counts.values().removeIf(count -> now - count.receivedAt() > COUNTS_TTL_NANOS);
+    dialOwners();
   }
 
   /** Takes what another entry told of itself. */
-  void counted(WaitingCounts told) {
+  void updateCounts(WaitingCounts told) {
     Map<String, Integer> waiting = new HashMap<>();
     told.getQueuesList().forEach(queue -> waiting.put(queue.getQueue(), queue.getWaiting()));
-    counts.put(told.getMember(), new Counts(waiting, loop.now()));
+    counts.put(told.getMember(), new PeerCounts(waiting, loop.now()));
   }
 
   /** Returns how many workflows of the queue wait with the other entries. */
-  int waitingElsewhere(String queue) {
+  int waitingAtPeers(String queue) {
     int sum = 0;
-    for (Counts count : counts.values()) {
+    for (PeerCounts count : counts.values()) {
       sum += count.waiting().getOrDefault(queue, 0);
     }
     return sum;
   }
 
   /** What the other entries send. */
-  private final class FromLinks implements MemberLinks.Listener {
+  private final class PeerLinkListener implements MemberLinks.Listener {
     @Override
     public void opened(String member, LinkConnection link) {}
 
     @Override
     public void received(String member, Frame frame) {
       if (frame.hasWorkflowQueryAnswer()) {
-        answered(
+        completeQuery(
             frame.getWorkflowQueryAnswer().getId(),
             QueryResult.forNumber(frame.getWorkflowQueryAnswer().getResult()));
       }
@@ -172,9 +172,9 @@
 
     @Override
     public void closed(String member, LinkConnection link) {
-      for (Map.Entry<Long, Asked> each : Map.copyOf(asked).entrySet()) {
+      for (Map.Entry<Long, PendingQuery> each : Map.copyOf(pendingQueries).entrySet()) {
         if (each.getValue().connection() == link) {
-          answered(each.getKey(), QueryResult.CANNOT_TELL);
+          completeQuery(each.getKey(), QueryResult.UNAVAILABLE);
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageRecords.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageObservationCodec.java
@@ -1,17 +1,17 @@
 package io.marigoldsail.daemon.workflow;
 
 import io.marigoldsail.protocol.ImageSeen;
-import io.marigoldsail.workflow.ImageHarm;
+import io.marigoldsail.workflow.ImageInterference;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Turns what was seen of images into frames and back. Stateless. */
-final class ImageRecords {
-  private ImageRecords() {}
+final class ImageObservationCodec {
+  private ImageObservationCodec() {}
 
-  static List<ImageSeen> encode(Map<String, ImageHarm.Seen> seen) {
+  static List<ImageSeen> encode(Map<String, ImageInterference.Evidence> seen) {
     List<ImageSeen> encoded = new ArrayList<>();
     seen.forEach(
         (image, what) ->
@@ -24,12 +24,12 @@
     return encoded;
   }
 
-  static Map<String, ImageHarm.Seen> decode(List<ImageSeen> encoded) {
-    Map<String, ImageHarm.Seen> seen = new HashMap<>();
+  static Map<String, ImageInterference.Evidence> decode(List<ImageSeen> encoded) {
+    Map<String, ImageInterference.Evidence> seen = new HashMap<>();
     for (ImageSeen each : encoded) {
       double weight = Math.max(0, each.getWeight());
       double blame = Math.min(weight, Math.max(0, each.getBlame()));
-      seen.put(each.getImage(), new ImageHarm.Seen(blame, weight));
+      seen.put(each.getImage(), new ImageInterference.Evidence(blame, weight));
     }
     return seen;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSilence.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingOutage.java
@@ -10,38 +10,38 @@
  * Whether a worker leaves listings unanswered, and what is logged of it: the beginning, from then
  * on at most one line in five seconds, and the end. Confined to the loop's thread.
  */
-final class WorkerSilence {
+final class ListingOutage {
   /** Between two lines about the same silence, in nanoseconds. */
-  private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final String worker;
   private int failures;
   private long since;
-  private long tellAgainAt;
+  private long nextLogAt;
 
-  WorkerSilence(String worker) {
+  ListingOutage(String worker) {
     this.worker = requireNonNull(worker, "worker");
   }
 
   /** Returns whether the last listing was not answered. */
-  boolean lasts() {
+  boolean isOngoing() {
     return failures > 0;
   }
 
   /** Takes a listing without an answer; returns the line that is due, if one is. */
-  Optional<LogLine> failed(String reason, long now) {
+  Optional<LogLine> recordFailure(String reason, long now) {
     failures++;
     if (failures == 1) {
       since = now;
-    } else if (now < tellAgainAt) {
+    } else if (now < nextLogAt) {
       return Optional.empty();
     }
-    tellAgainAt = now + TELL_NANOS;
+    nextLogAt = now + LOG_INTERVAL_NANOS;
     return Optional.of(line("worker-silent", now).with("reason", reason));
   }
 
   /** Takes an answer; returns the line that is due if it ends a silence. */
-  Optional<LogLine> answered(long now) {
+  Optional<LogLine> recordSuccess(long now) {
     if (failures == 0) {
       return Optional.empty();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingTurns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ListingScheduler.java
@@ -5,8 +5,8 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
+import io.marigoldsail.daemon.workflow.WorkerGateway.ListingFailed;
 import io.marigoldsail.daemon.workflow.WorkerGateway.ListingResult;
-import io.marigoldsail.daemon.workflow.WorkerGateway.NoListing;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionException;
@@ -21,26 +21,26 @@
  * them would begin, and each chain asks for as long as the worker lives. A plan takes the place of
  * the one before. Confined to the loop's thread.
  */
-final class ListingTurns {
-  private static final EventLog LOG = EventLog.of(ListingTurns.class);
+final class ListingScheduler {
+  private static final EventLog LOG = EventLog.of(ListingScheduler.class);
 
   /** Until the next try where asking threw, in nanoseconds. */
-  private static final long AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final LinkLoop loop;
-  private final Runnable look;
-  private Optional<Future<?>> planned = Optional.empty();
-  private boolean underWay;
+  private final Runnable requestListing;
+  private Optional<Future<?>> scheduled = Optional.empty();
+  private boolean inFlight;
   private boolean closed;
 
   /**
    * Creates turns of which none is planned.
    *
-   * @param look asks for a listing and calls {@link #ended} once it is answered
+   * @param look asks for a listing and calls {@link #completed} once it is answered
    */
-  ListingTurns(LinkLoop loop, Runnable look) {
+  ListingScheduler(LinkLoop loop, Runnable look) {
     this.loop = requireNonNull(loop, "loop");
-    this.look = requireNonNull(look, "look");
+    this.requestListing = requireNonNull(look, "look");
   }
 
   /**
@@ -50,18 +50,18 @@
    * would end the turn and plan the next one, and what ran then counts as at work for good. So the
    * turn ends here, and the next one is planned.
    */
-  void now() {
-    if (closed || underWay) {
+  void requestNow() {
+    if (closed || inFlight) {
       return;
     }
-    cancelPlan();
-    underWay = true;
+    cancelScheduled();
+    inFlight = true;
     try {
-      look.run();
+      requestListing.run();
     } catch (RuntimeException e) {
       LOG.error(LogLine.of("listing-not-asked-for").withError(e));
-      ended();
-      after(AGAIN_NANOS);
+      completed();
+      scheduleAfter(RETRY_DELAY_NANOS);
     }
   }
 
@@ -72,7 +72,7 @@
    * would go on to get orders, and what it ran would count as at work also after its lease. A
    * listing that throws or ends with an exception is one without an answer.
    */
-  static CompletableFuture<ListingResult> answer(
+  static CompletableFuture<ListingResult> resultOf(
       String worker, Supplier<CompletableFuture<ListingResult>> listing) {
     return CompletableFuture.completedFuture(worker)
         .thenCompose(unused -> listing.get())
@@ -81,31 +81,31 @@
               boolean wrapped = error instanceof CompletionException && error.getCause() != null;
               Throwable cause = wrapped ? error.getCause() : error;
               LOG.error(LogLine.of("listing-broke").with("worker", worker).withError(cause));
-              return new NoListing(cause.toString());
+              return new ListingFailed(cause.toString());
             });
   }
 
   /** Plans the next listing, in place of what was planned. */
-  void after(long delayNanos) {
+  void scheduleAfter(long delayNanos) {
     if (closed) {
       return;
     }
-    cancelPlan();
-    planned = Optional.of(loop.schedule(this::now, delayNanos));
+    cancelScheduled();
+    scheduled = Optional.of(loop.schedule(this::requestNow, delayNanos));
   }
 
   /** Takes note that the listing under way was answered. */
-  void ended() {
-    underWay = false;
+  void completed() {
+    inFlight = false;
   }
 
   void close() {
     closed = true;
-    cancelPlan();
+    cancelScheduled();
   }
 
-  private void cancelPlan() {
-    planned.ifPresent(plan -> plan.cancel(false));
-    planned = Optional.empty();
+  private void cancelScheduled() {
+    scheduled.ifPresent(plan -> plan.cancel(false));
+    scheduled = Optional.empty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/TaskWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -9,11 +9,11 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.protocol.RunReport;
-import io.marigoldsail.workflow.AbsenceWatch;
-import io.marigoldsail.workflow.AbsenceWatch.Absence;
-import io.marigoldsail.workflow.AbsenceWatch.Look;
-import io.marigoldsail.workflow.AbsenceWatch.Return;
-import io.marigoldsail.workflow.AbsenceWatch.Sight;
+import io.marigoldsail.workflow.AbsenceDetector;
+import io.marigoldsail.workflow.AbsenceDetector.Absence;
+import io.marigoldsail.workflow.AbsenceDetector.CheckResult;
+import io.marigoldsail.workflow.AbsenceDetector.Observation;
+import io.marigoldsail.workflow.AbsenceDetector.Recovery;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.VmOffer;
 import io.marigoldsail.workflow.Workflow;
@@ -31,35 +31,35 @@
  * <p>A task is seen at work by a report that shows its open attempt as started and not being
  * stopped, on the worker that it was ordered on, while that worker answers its side process: a side
  * process beside a worker that is gone goes on naming what ran there. Also tells each {@link
- * #SUMMARY_NANOS} which partitions are owned here, so that a task of which no owner says anything
- * shows too.
+ * #SUMMARY_INTERVAL_NANOS} which partitions are owned here, so that a task of which no owner says
+ * anything shows too.
  *
  * <p>Decides nothing about tasks. Confined to the loop's thread; a look takes time in the number of
  * tasks of running workflows.
  */
-final class TaskWatch {
-  private static final EventLog LOG = EventLog.of(TaskWatch.class);
+final class LongRunningTaskMonitor {
+  private static final EventLog LOG = EventLog.of(LongRunningTaskMonitor.class);
 
   /**
-   * Between two lines on what is watched, in nanoseconds; {@link AbsenceWatch#REPEAT_NANOS} while
-   * more is away than is told.
+   * Between two lines on what is watched, in nanoseconds; {@link AbsenceDetector#REPEAT_NANOS}
+   * while more is away than is told.
    */
-  static final long SUMMARY_NANOS = TimeUnit.SECONDS.toNanos(10);
+  static final long SUMMARY_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final LinkLoop loop;
   private final LongSupplier wallMillis;
-  private final Ownership ownership;
-  private final EntryVms vms;
+  private final PartitionOwnership ownership;
+  private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final AbsenceWatch watch = new AbsenceWatch();
+  private final AbsenceDetector watch = new AbsenceDetector();
   private long summaryAt = Long.MIN_VALUE;
-  private long returnsLeftOut;
+  private long unreportedRecoveries;
 
-  TaskWatch(
+  LongRunningTaskMonitor(
       LinkLoop loop,
       LongSupplier wallMillis,
-      Ownership ownership,
-      EntryVms vms,
+      PartitionOwnership ownership,
+      VmTracker vms,
       EntryScheduler scheduler) {
     this.loop = requireNonNull(loop, "loop");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
@@ -69,32 +69,32 @@
   }
 
   /** Looks once; to be called about each second. */
-  void look() {
-    Look look = watch.look(sights(), loop.now());
-    look.returns().forEach(this::tellBack);
+  void check() {
+    CheckResult look = watch.check(observations(), loop.now());
+    look.recoveries().forEach(this::logRecovery);
     if (!look.absences().isEmpty()) {
       List<VmOffer> offers = vms.offers();
-      String standings = standings();
-      look.absences().forEach(absence -> tellAbsent(absence, offers, standings));
+      String standings = availabilityCounts();
+      look.absences().forEach(absence -> logAbsent(absence, offers, standings));
     }
-    returnsLeftOut += look.returnsLeftOut();
-    summarize(look);
+    unreportedRecoveries += look.omittedRecoveries();
+    logSummary(look);
   }
 
-  private ImmutableList<Sight> sights() {
-    ImmutableList.Builder<Sight> sights = ImmutableList.builder();
+  private ImmutableList<Observation> observations() {
+    ImmutableList.Builder<Observation> sights = ImmutableList.builder();
     long wall = wallMillis.getAsLong();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.status().isTerminal() && lasts(workflow)) {
+        if (!workflow.status().isTerminal() && isLongRunning(workflow)) {
           workflow.openTasks().stream()
-              .filter(TaskWatch::lasts)
-              .forEach(task -> sights.add(sight(task)));
+              .filter(LongRunningTaskMonitor::isLongRunning)
+              .forEach(task -> sights.add(observe(task)));
           workflow.forEachReady(
               wall,
               task -> {
-                if (lasts(task)) {
-                  sights.add(new Sight(task, OptionalLong.empty(), OptionalLong.empty()));
+                if (isLongRunning(task)) {
+                  sights.add(new Observation(task, OptionalLong.empty(), OptionalLong.empty()));
                 }
               });
         }
@@ -103,30 +103,30 @@
     return sights.build();
   }
 
-  private static boolean lasts(Workflow workflow) {
-    return workflow.spec().steps().stream().anyMatch(step -> step.nature().lasting());
+  private static boolean isLongRunning(Workflow workflow) {
+    return workflow.spec().steps().stream().anyMatch(step -> step.traits().longRunning());
   }
 
-  private static boolean lasts(WorkflowTask task) {
-    return task.step().nature().lasting();
+  private static boolean isLongRunning(WorkflowTask task) {
+    return task.step().traits().longRunning();
   }
 
-  private Sight sight(WorkflowTask task) {
+  private Observation observe(WorkflowTask task) {
     Place place = task.place().orElseThrow();
     Optional<VmSession> session = vms.view().session(place.vm());
     Optional<RunReport> named = session.flatMap(each -> each.run(task.openRun()));
     if (named.isEmpty()) {
-      return new Sight(task, OptionalLong.empty(), OptionalLong.empty());
+      return new Observation(task, OptionalLong.empty(), OptionalLong.empty());
     }
     OptionalLong namedAt = OptionalLong.of(session.get().reportedAt());
     // Runs of unknown size make a VM unhealthy to others; its worker listed them all the same.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
     boolean answers = listed && session.get().report().getWorker().equals(place.worker());
     boolean seen = answers && named.get().getStarted() && !named.get().getStopping();
-    return new Sight(task, seen ? namedAt : OptionalLong.empty(), namedAt);
+    return new Observation(task, seen ? namedAt : OptionalLong.empty(), namedAt);
   }
 
-  private void tellAbsent(Absence absence, List<VmOffer> offers, String standings) {
+  private void logAbsent(Absence absence, List<VmOffer> offers, String standings) {
     WorkflowTask task = absence.task();
     long now = loop.now();
     LogLine line =
@@ -139,11 +139,11 @@
     Optional<Place> place = task.place();
     LOG.info(
         place.isPresent()
-            ? withOpenRun(line, task, place.get())
-            : withWait(line, task, offers, standings));
+            ? addOpenRun(line, task, place.get())
+            : addWait(line, task, offers, standings));
   }
 
-  private LogLine withOpenRun(LogLine line, WorkflowTask task, Place place) {
+  private LogLine addOpenRun(LogLine line, WorkflowTask task, Place place) {
     Optional<VmSession> session = vms.view().session(place.vm());
     boolean durable = vms.view().openRun(task).map(OpenRun::isDurable).orElse(false);
     return line.with("belief", "open")
@@ -151,18 +151,21 @@
         .with("vm", place.vm())
         .with("worker", place.worker())
         .with("durable", durable)
-        .with("reported", reported(session.flatMap(each -> each.run(task.openRun()))))
-        .with("stop_wanted", task.isStopWanted())
+        .with("reported", reportedState(session.flatMap(each -> each.run(task.openRun()))))
+        .with("stop_wanted", task.isStopRequested())
         .with("vm_worker", session.map(each -> each.report().getWorker()).orElse(""))
         .with(
             "vm_is",
-            session.map(vms.view()::standing).map(VmStanding::toString).orElse("disconnected"))
+            session
+                .map(vms.view()::availability)
+                .map(VmAvailability::toString)
+                .orElse("disconnected"))
         .with(
             "vm_report_ms",
             age(session.map(VmSession::reportedAt).map(OptionalLong::of).orElse(noTime())));
   }
 
-  private static String reported(Optional<RunReport> run) {
+  private static String reportedState(Optional<RunReport> run) {
     if (run.isEmpty()) {
       return "not";
     }
@@ -172,11 +175,10 @@
     return run.get().getStarted() ? "started" : "ordered";
   }
 
-  private LogLine withWait(
-      LogLine line, WorkflowTask task, List<VmOffer> offers, String standings) {
+  private LogLine addWait(LogLine line, WorkflowTask task, List<VmOffer> offers, String standings) {
     return line.with("belief", "ready")
-        .with("reason", scheduler.causeOf(partitionOf(task), task, offers))
-        .with("offers", scheduler.verdictsOn(task, offers))
+        .with("reason", scheduler.waitCause(partitionOf(task), task, offers))
+        .with("offers", scheduler.verdictCounts(task, offers))
         .with("vms", standings)
         .with("attempts", task.lastAttempt())
         .with("refusals", task.refusals());
@@ -198,24 +200,25 @@
   }
 
   /** Returns how many of the connected VMs stand how, such as {@code 3 offered, 1 rests}. */
-  private String standings() {
-    Multiset<VmStanding> standings = EnumMultiset.create(VmStanding.class);
-    vms.view().sessions().forEach(each -> standings.add(vms.view().standing(each)));
-    return Tallies.text(standings);
+  private String availabilityCounts() {
+    Multiset<VmAvailability> standings = EnumMultiset.create(VmAvailability.class);
+    vms.view().sessions().forEach(each -> standings.add(vms.view().availability(each)));
+    return CountFormat.format(standings);
   }
 
-  private void tellBack(Return back) {
+  private void logRecovery(Recovery back) {
     WorkflowTask task = back.task();
     LOG.info(
         LogLine.of("task-back")
             .with("task", task.key())
-            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.awayNanos()))
+            .with("away_ms", TimeUnit.NANOSECONDS.toMillis(back.absentNanos()))
             .with("run", task.openRun())
             .with("vm", task.place().orElseThrow().vm()));
   }
 
-  private void summarize(Look look) {
-    long spacing = look.absencesLeftOut() > 0 ? AbsenceWatch.REPEAT_NANOS : SUMMARY_NANOS;
+  private void logSummary(CheckResult look) {
+    long spacing =
+        look.omittedAbsences() > 0 ? AbsenceDetector.REPEAT_NANOS : SUMMARY_INTERVAL_NANOS;
     if (summaryAt != Long.MIN_VALUE && loop.now() - summaryAt < spacing) {
       return;
     }
@@ -223,11 +226,11 @@
     List<Integer> partitions = ownership.active().stream().map(OwnedPartition::number).toList();
     LOG.info(
         LogLine.of("tasks-watched")
-            .with("lasting", look.lasting())
-            .with("absent", look.away())
-            .with("untold", look.absencesLeftOut())
-            .with("back_untold", returnsLeftOut)
+            .with("lasting", look.longRunning())
+            .with("absent", look.absent())
+            .with("untold", look.omittedAbsences())
+            .with("back_untold", unreportedRecoveries)
             .with("partitions", partitions));
-    returnsLeftOut = 0;
+    unreportedRecoveries = 0;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -26,7 +26,7 @@
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
 
   /** A connection that leaves this long something unanswered is given up, in nanoseconds. */
-  private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
+  private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
   /** Told of the connections; runs on the loop. */
   interface Listener {
@@ -51,7 +51,7 @@
   }
 
   /** Returns the connection to the member, or empty if it is not reached. */
-  Optional<LinkConnection> to(String member) {
+  Optional<LinkConnection> linkTo(String member) {
     return Optional.ofNullable(links.get(member));
   }
 
@@ -65,7 +65,7 @@
     long now = loop.now();
     ImmutableSet.Builder<LinkConnection> others = ImmutableSet.builder();
     for (LinkConnection link : Set.copyOf(links.values())) {
-      if (link.unansweredNanos(now) > SILENCE_NANOS) {
+      if (link.unansweredNanos(now) > SILENCE_TIMEOUT_NANOS) {
         link.close("silent");
       } else {
         others.add(link);
@@ -75,7 +75,7 @@
   }
 
   /** Dials the members that are not reached and closes the connections to all others. */
-  void keep(Set<String> members) {
+  void setMembers(Set<String> members) {
     for (String member : members) {
       EntryMember.parse(member).ifPresent(parsed -> dial(member, parsed));
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -14,9 +14,9 @@
   private final boolean starved;
   private final String ticket;
   private boolean durable;
-  private VmSession toldSession;
-  private long toldNumber;
-  private long stopToldAt = Long.MIN_VALUE;
+  private VmSession orderSession;
+  private long orderFrameNumber;
+  private long stopSentAt = Long.MIN_VALUE;
   private long startedAt = Long.MIN_VALUE;
   private long sampledAt = Long.MIN_VALUE;
 
@@ -76,30 +76,30 @@
     return durable;
   }
 
-  void becameDurable() {
+  void markDurable() {
     durable = true;
   }
 
   /** Returns whether the side process must have handled the last order by now, or got none. */
-  boolean isUnansweredBy(VmSession session, long ordersSeen) {
-    return toldSession != session || toldNumber <= ordersSeen;
+  boolean isOrderHandled(VmSession session, long ordersSeen) {
+    return orderSession != session || orderFrameNumber <= ordersSeen;
   }
 
-  void told(VmSession session, long number) {
-    toldSession = session;
-    toldNumber = number;
+  void orderSent(VmSession session, long number) {
+    orderSession = session;
+    orderFrameNumber = number;
   }
 
-  boolean mayTellStop(long now, long repeatNanos) {
-    if (stopToldAt != Long.MIN_VALUE && now - stopToldAt < repeatNanos) {
+  boolean tryStartStop(long now, long repeatNanos) {
+    if (stopSentAt != Long.MIN_VALUE && now - stopSentAt < repeatNanos) {
       return false;
     }
-    stopToldAt = now;
+    stopSentAt = now;
     return true;
   }
 
   /** Notes that a worker says that it runs; returns whether its pace is to be looked at again. */
-  boolean started(long now, long spacingNanos) {
+  boolean recordRunning(long now, long spacingNanos) {
     if (startedAt == Long.MIN_VALUE) {
       startedAt = now;
       sampledAt = now;
@@ -113,12 +113,12 @@
   }
 
   /** Returns for how long it has run, in nanoseconds; 0 while no worker says so. */
-  long ranNanos(long now) {
+  long runningNanos(long now) {
     return startedAt == Long.MIN_VALUE ? 0 : now - startedAt;
   }
 
   /** Returns whether the run should end although it is the task's open attempt. */
-  boolean isUnwanted() {
-    return task.isStopWanted() || task.workflow().status().isTerminal();
+  boolean shouldStop() {
+    return task.isStopRequested() || task.workflow().status().isTerminal();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRuns.java
@@ -32,7 +32,7 @@
   /**
    * Returns the runs on a VM, in the order in which they were ordered; may be changed meanwhile.
    */
-  List<OpenRun> on(String vm) {
+  List<OpenRun> onVm(String vm) {
     return List.copyOf(byVm.getOrDefault(vm, Map.of()).values());
   }
 
@@ -45,25 +45,25 @@
   }
 
   /** Removes the runs of a partition that another process decides for. */
-  void removeAll(OwnedPartition partition) {
-    all().forEach(runs -> runs.values().removeIf(run -> run.partition() == partition));
+  void removePartition(OwnedPartition partition) {
+    runMaps().forEach(runs -> runs.values().removeIf(run -> run.partition() == partition));
   }
 
   /** Removes the runs of the workflow whose tasks are open no more. */
   void removeEnded(Workflow workflow) {
-    all()
+    runMaps()
         .forEach(
             runs ->
                 runs.values()
                     .removeIf(run -> run.task().workflow() == workflow && !run.task().isOpen()));
   }
 
-  private Collection<Map<RunKey, OpenRun>> all() {
+  private Collection<Map<RunKey, OpenRun>> runMaps() {
     return byVm.values();
   }
 
   /** Returns how many runs of the task's step and occurrence are on the VM. */
-  int ofStepOn(String vm, WorkflowTask task) {
+  int countOfStep(String vm, WorkflowTask task) {
     int count = 0;
     for (RunKey key : byVm.getOrDefault(vm, Map.of()).keySet()) {
       if (key.task().workflow() == task.key().workflow()
