--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnedPartition.java
@@ -10,11 +10,11 @@
 import io.marigoldsail.daemon.workflow.WorkflowStore.KeyedRecord;
 import io.marigoldsail.daemon.workflow.WorkflowStore.NewestPage;
 import io.marigoldsail.daemon.workflow.WorkflowStore.NewestResult;
-import io.marigoldsail.daemon.workflow.WorkflowStore.NoPage;
+import io.marigoldsail.daemon.workflow.WorkflowStore.NewestUnavailable;
+import io.marigoldsail.daemon.workflow.WorkflowStore.ReadFailed;
 import io.marigoldsail.daemon.workflow.WorkflowStore.ReadResult;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Records;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Topic;
-import io.marigoldsail.daemon.workflow.WorkflowStore.Unreadable;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import io.marigoldsail.workflow.WorkflowRecordState;
@@ -42,7 +42,7 @@
  */
 final class OwnedPartition {
   private static final EventLog LOG = EventLog.of(OwnedPartition.class);
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   /** How long a reading waits for a record, in milliseconds. */
   private static final long TAIL_WAIT_MILLIS = 1_500;
@@ -51,7 +51,7 @@
    * How old the last answer to a reading may be, in nanoseconds, for this process to say that a
    * workflow does not exist; a little longer than a reading waits.
    */
-  private static final long FRESH_NANOS = TimeUnit.MILLISECONDS.toNanos(TAIL_WAIT_MILLIS + 700);
+  private static final long CAUGHT_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(TAIL_WAIT_MILLIS + 700);
 
   /** Told what happens to the partition; runs on the loop. */
   interface Listener {
@@ -71,25 +71,25 @@
   private final Listener listener;
   private final PartitionWriter writer;
   private final Map<Long, Workflow> workflows = new HashMap<>();
-  private final Map<Long, WorkflowRecordState> progress = new HashMap<>();
+  private final Map<Long, WorkflowRecordState> unclaimedProgress = new HashMap<>();
 
   /**
    * Workflows that could not be made out of their records. Read again they would begin anew, since
    * their progress is gone from memory, under attempts that were ordered before.
    */
-  private final Set<Long> untaken = new HashSet<>();
+  private final Set<Long> failedRestores = new HashSet<>();
 
   private boolean active;
   private boolean closed;
-  private long tailFrom;
-  private long tailFreshAt = Long.MIN_VALUE;
+  private long tailOffset;
+  private long lastTailAt = Long.MIN_VALUE;
 
   OwnedPartition(WorkflowStore store, LinkLoop loop, int number, long epoch, Listener listener) {
     this.store = requireNonNull(store, "store");
     this.loop = requireNonNull(loop, "loop");
     this.number = number;
     this.listener = requireNonNull(listener, "listener");
-    this.writer = new PartitionWriter(store, loop, number, epoch, this::lost);
+    this.writer = new PartitionWriter(store, loop, number, epoch, this::handleLost);
   }
 
   /** Begins; the listener is told when the partition is active. */
@@ -104,7 +104,7 @@
     writer.close();
   }
 
-  private void lost() {
+  private void handleLost() {
     close();
     listener.lost(this);
   }
@@ -134,24 +134,24 @@
   }
 
   /** Returns whether everything that was accepted some time ago is surely known here. */
-  boolean isFresh() {
-    return active && loop.now() - tailFreshAt < FRESH_NANOS;
+  boolean isCaughtUp() {
+    return active && loop.now() - lastTailAt < CAUGHT_UP_NANOS;
   }
 
   /** Writes the workflow's state; callers are told its status once it is durable. */
-  void changed(Workflow workflow) {
+  void persist(Workflow workflow) {
     WorkflowStatus[] written = new WorkflowStatus[1];
     writer.write(
         WorkflowIds.format(workflow.spec().id()),
         () -> {
           written[0] = workflow.status();
-          return WorkflowRecords.encode(workflow.record());
+          return WorkflowCodec.encode(workflow.record());
         },
-        () -> workflow.show(written[0]));
+        () -> workflow.setDurableStatus(written[0]));
   }
 
   /** Drops a workflow that ended long ago from memory and store. */
-  void forget(Workflow workflow) {
+  void evict(Workflow workflow) {
     String key = WorkflowIds.format(workflow.spec().id());
     KeyedRecord drop = new KeyedRecord(key, ByteString.EMPTY);
     // The submission first: without the progress it would look like a new workflow and run again.
@@ -176,9 +176,9 @@
         Topic.PROGRESS,
         after,
         page -> {
-          page.records().forEach(this::takeProgress);
-          if (page.more().isPresent()) {
-            readProgress(page.more());
+          page.records().forEach(this::loadProgress);
+          if (page.continueAfter().isPresent()) {
+            readProgress(page.continueAfter());
           } else {
             readSubmissions(Optional.empty(), this::activate);
           }
@@ -193,11 +193,11 @@
         page -> {
           if (after.isEmpty()) {
             // Pages are no snapshot: what is written while they are read comes again from here.
-            tailFrom = page.end();
+            tailOffset = page.endOffset();
           }
-          page.records().forEach(this::takeOrPassOver);
-          if (page.more().isPresent()) {
-            readSubmissions(page.more(), taken);
+          page.records().forEach(this::addOrSkip);
+          if (page.continueAfter().isPresent()) {
+            readSubmissions(page.continueAfter(), taken);
           } else {
             taken.run();
           }
@@ -209,11 +209,11 @@
       return;
     }
     store
-        .newest(topic, number, after)
-        .thenAccept(result -> loop.run(() -> newestAnswered(topic, after, taken, result)));
+        .readNewest(topic, number, after)
+        .thenAccept(result -> loop.run(() -> handleNewest(topic, after, taken, result)));
   }
 
-  private void newestAnswered(
+  private void handleNewest(
       Topic topic, Optional<String> after, Consumer<NewestPage> taken, NewestResult result) {
     if (closed) {
       return;
@@ -226,18 +226,18 @@
         LogLine.of("partition-read-retried")
             .with("partition", number)
             .with("topic", topic)
-            .with("reason", ((NoPage) result).reason()));
-    loop.schedule(() -> readNewest(topic, after, taken), RETRY_NANOS);
+            .with("reason", ((NewestUnavailable) result).reason()));
+    loop.schedule(() -> readNewest(topic, after, taken), RETRY_DELAY_NANOS);
   }
 
-  private void takeProgress(KeyedRecord keyed) {
+  private void loadProgress(KeyedRecord keyed) {
     OptionalLong id = WorkflowIds.parse(keyed.key());
-    Optional<WorkflowRecordState> state = WorkflowRecords.decodeProgress(keyed.value());
+    Optional<WorkflowRecordState> state = WorkflowCodec.decodeProgress(keyed.value());
     if (id.isEmpty() || state.isEmpty()) {
-      unreadable(Topic.PROGRESS, keyed.key());
+      logUnreadable(Topic.PROGRESS, keyed.key());
       return;
     }
-    progress.put(id.getAsLong(), state.get());
+    unclaimedProgress.put(id.getAsLong(), state.get());
   }
 
   /**
@@ -246,9 +246,9 @@
    * <p>Guards against one record that ends the reading: nothing handed in afterwards would ever be
    * ordered, or the partition would never become active, for it and for each owner after it.
    */
-  private void takeOrPassOver(KeyedRecord keyed) {
+  private void addOrSkip(KeyedRecord keyed) {
     LinkLoop.runGuarded(
-        () -> takeSubmission(keyed),
+        () -> addSubmission(keyed),
         e ->
             LOG.error(
                 LogLine.of("submission-not-taken")
@@ -257,19 +257,19 @@
                     .withError(e)));
   }
 
-  private void takeSubmission(KeyedRecord keyed) {
+  private void addSubmission(KeyedRecord keyed) {
     if (keyed.value().isEmpty()) {
       return;
     }
-    Optional<WorkflowSpec> spec = WorkflowRecords.decodeSubmission(keyed.value());
+    Optional<WorkflowSpec> spec = WorkflowCodec.decodeSubmission(keyed.value());
     if (spec.isEmpty() || !WorkflowIds.format(spec.get().id()).equals(keyed.key())) {
-      unreadable(Topic.SUBMISSIONS, keyed.key());
+      logUnreadable(Topic.SUBMISSIONS, keyed.key());
       return;
     }
     add(spec.get());
   }
 
-  private void unreadable(Topic topic, String key) {
+  private void logUnreadable(Topic topic, String key) {
     LOG.warning(
         LogLine.of("record-passed-over")
             .with("partition", number)
@@ -280,28 +280,28 @@
 
   /** Takes a workflow that was accepted durably; handed in again it stays the first one. */
   void add(WorkflowSpec spec) {
-    if (closed || workflows.containsKey(spec.id()) || !untaken.add(spec.id())) {
+    if (closed || workflows.containsKey(spec.id()) || !failedRestores.add(spec.id())) {
       return;
     }
-    WorkflowRecordState state = progress.remove(spec.id());
+    WorkflowRecordState state = unclaimedProgress.remove(spec.id());
     Workflow workflow = state == null ? Workflow.of(spec) : Workflow.restore(spec, state);
     workflows.put(spec.id(), workflow);
-    untaken.remove(spec.id());
+    failedRestores.remove(spec.id());
     if (active) {
       listener.submitted(this, workflow);
     }
   }
 
   private void activate() {
-    progress.clear();
+    unclaimedProgress.clear();
     active = true;
-    tailFreshAt = loop.now();
+    lastTailAt = loop.now();
     LOG.info(
         LogLine.of("partition-owned")
             .with("partition", number)
             .with("epoch", epoch())
             .with("workflows", workflows.size())
-            .with("submissions_end", tailFrom));
+            .with("submissions_end", tailOffset));
     // Guarded, since the partition counts as active already: without the reading nothing that is
     // handed in from now on would ever be ordered.
     LinkLoop.runGuarded(
@@ -320,28 +320,29 @@
       return;
     }
     store
-        .read(Topic.SUBMISSIONS, number, tailFrom, TAIL_WAIT_MILLIS)
-        .thenAccept(result -> loop.run(() -> tailAnswered(result)));
+        .read(Topic.SUBMISSIONS, number, tailOffset, TAIL_WAIT_MILLIS)
+        .thenAccept(result -> loop.run(() -> handleTail(result)));
   }
 
-  private void tailAnswered(ReadResult result) {
+  private void handleTail(ReadResult result) {
     if (closed) {
       return;
     }
     if (result instanceof Records records) {
-      tailFreshAt = loop.now();
-      tailFrom = records.next();
-      records.records().forEach(this::takeOrPassOver);
+      lastTailAt = loop.now();
+      tailOffset = records.nextOffset();
+      records.records().forEach(this::addOrSkip);
       tail();
     } else if (result instanceof Expired) {
-      LOG.info(LogLine.of("submissions-expired").with("partition", number).with("from", tailFrom));
+      LOG.info(
+          LogLine.of("submissions-expired").with("partition", number).with("from", tailOffset));
       readSubmissions(Optional.empty(), this::tail);
     } else {
       LOG.debug(
           LogLine.of("tail-retried")
               .with("partition", number)
-              .with("reason", ((Unreadable) result).reason()));
-      loop.schedule(this::tail, RETRY_NANOS);
+              .with("reason", ((ReadFailed) result).reason()));
+      loop.schedule(this::tail, RETRY_DELAY_NANOS);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapTurns.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiter.java
@@ -18,25 +18,25 @@
  *
  * @param <C> a connection to a side process
  */
-final class OwnerMapTurns<C> {
+final class OwnerMapRateLimiter<C> {
   /** Between two tellings of one side process that goes by another map, in nanoseconds. */
-  static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  static final long MIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
-  private final Map<C, Long> toldAt = new HashMap<>();
+  private final Map<C, Long> sentAt = new HashMap<>();
 
   /** Notes that the map was sent on the connection. */
-  void told(C connection, long now) {
-    toldAt.put(requireNonNull(connection, "connection"), now);
+  void recordSent(C connection, long now) {
+    sentAt.put(requireNonNull(connection, "connection"), now);
   }
 
   /** Returns whether the map may be sent again on the connection. */
-  boolean mayTell(C connection, long now) {
-    Long last = toldAt.get(connection);
-    return last == null || now - last >= SPACING_NANOS;
+  boolean maySend(C connection, long now) {
+    Long last = sentAt.get(connection);
+    return last == null || now - last >= MIN_INTERVAL_NANOS;
   }
 
   /** Forgets a connection that has ended. */
-  void forget(C connection) {
-    toldAt.remove(connection);
+  void remove(C connection) {
+    sentAt.remove(connection);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/Ownership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionOwnership.java
@@ -8,11 +8,11 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
+import io.marigoldsail.daemon.workflow.WorkflowStore.JoinFailed;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Joined;
-import io.marigoldsail.daemon.workflow.WorkflowStore.NotJoined;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Owner;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Owners;
-import io.marigoldsail.daemon.workflow.WorkflowStore.OwnersUnknown;
+import io.marigoldsail.daemon.workflow.WorkflowStore.OwnersUnavailable;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.HashMap;
@@ -30,26 +30,26 @@
  * anew without a reason. Nothing rests on it but who tries: the epoch of a partition's writer, made
  * of the store's generation, decides. Confined to the loop's thread.
  */
-final class Ownership {
-  private static final EventLog LOG = EventLog.of(Ownership.class);
+final class PartitionOwnership {
+  private static final EventLog LOG = EventLog.of(PartitionOwnership.class);
 
   /**
    * Between two joins, in nanoseconds: three go out in the time after which a member is dropped.
    */
-  private static final long JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+  private static final long JOIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
   /**
    * The same while members come and go, in nanoseconds. A partition waits for the next join of its
    * former owner: after all entries had started anew, one that was dealt all partitions first gave
    * them back 0.9 s later, in which runs on the workers came near the end of their leases.
    */
-  private static final long UNSETTLED_JOIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long REBALANCE_JOIN_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   /** For how long after a change of members there may be another one, in nanoseconds. */
-  private static final long UNSETTLED_NANOS = TimeUnit.SECONDS.toNanos(3);
+  private static final long REBALANCE_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** Between two readings of the owners, in nanoseconds. */
-  private static final long OWNERS_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long OWNERS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   /** Epochs of one generation: a partition taken up again under it needs a higher one. */
   private static final long EPOCHS_PER_GENERATION = 1_000;
@@ -57,7 +57,7 @@
   /** Told of changes; runs on the loop. */
   interface Listener extends OwnedPartition.Listener {
     /** The store told who owns what, at the generation or later. */
-    void ownersKnown(long asOfGeneration, Owners owners);
+    void ownersRead(long asOfGeneration, Owners owners);
   }
 
   private final WorkflowStore store;
@@ -66,16 +66,16 @@
   private final Listener listener;
   private final Map<Integer, OwnedPartition> owned = new HashMap<>();
   private final Map<Integer, Long> lastEpochs = new HashMap<>();
-  private ImmutableSet<Integer> listed = ImmutableSet.of();
-  private ImmutableMap<Integer, String> dealt = ImmutableMap.of();
+  private ImmutableSet<Integer> assigned = ImmutableSet.of();
+  private ImmutableMap<Integer, String> lastOwners = ImmutableMap.of();
   private long generation;
-  private long changedAt;
+  private long generationChangedAt;
   private long joinedAt;
   private boolean leaving;
   private boolean joining;
   private volatile boolean connected;
 
-  Ownership(WorkflowStore store, LinkLoop loop, EntryMember self, Listener listener) {
+  PartitionOwnership(WorkflowStore store, LinkLoop loop, EntryMember self, Listener listener) {
     this.store = requireNonNull(store, "store");
     this.loop = requireNonNull(loop, "loop");
     this.self = requireNonNull(self, "self");
@@ -84,10 +84,10 @@
 
   /** Begins to join and to read the owners. */
   void start() {
-    store.owners().thenAccept(result -> loop.run(() -> takeFirstOwners(result)));
-    changedAt = loop.now();
-    loop.repeat(this::joinIfDue, UNSETTLED_JOIN_NANOS);
-    loop.repeat(this::readOwners, OWNERS_NANOS);
+    store.owners().thenAccept(result -> loop.run(() -> removeEarlierIncarnations(result)));
+    generationChangedAt = loop.now();
+    loop.repeat(this::joinIfDue, REBALANCE_JOIN_INTERVAL_NANOS);
+    loop.repeat(this::readOwners, OWNERS_INTERVAL_NANOS);
   }
 
   /**
@@ -96,12 +96,12 @@
    * <p>Guards against the seconds in which nobody decides for its workflows, since the store drops
    * a member only after a while. It is gone for sure: this process has its address.
    */
-  private void takeFirstOwners(WorkflowStore.OwnersResult result) {
+  private void removeEarlierIncarnations(WorkflowStore.OwnersResult result) {
     if (result instanceof Owners owners) {
       Set<String> former = new HashSet<>();
       for (Owner owner : owners.owners()) {
         Optional<EntryMember> member = EntryMember.parse(owner.member());
-        if (member.isPresent() && member.get().isEarlierLifeOf(self)) {
+        if (member.isPresent() && member.get().isEarlierIncarnationOf(self)) {
           former.add(owner.member());
         }
       }
@@ -109,14 +109,14 @@
         LOG.info(LogLine.of("former-life-removed").with("member", member));
         store.leave(member);
       }
-      listener.ownersKnown(0, owners);
+      listener.ownersRead(0, owners);
     }
     join();
   }
 
   private void joinIfDue() {
-    boolean unsettled = loop.now() - changedAt < UNSETTLED_NANOS;
-    if (unsettled || loop.now() - joinedAt >= JOIN_NANOS) {
+    boolean unsettled = loop.now() - generationChangedAt < REBALANCE_WINDOW_NANOS;
+    if (unsettled || loop.now() - joinedAt >= JOIN_INTERVAL_NANOS) {
       join();
     }
   }
@@ -134,15 +134,15 @@
                 loop.run(
                     () -> {
                       joining = false;
-                      joinAnswered(result);
+                      handleJoin(result);
                     }));
   }
 
-  private void joinAnswered(WorkflowStore.JoinResult result) {
+  private void handleJoin(WorkflowStore.JoinResult result) {
     if (leaving) {
       return;
     }
-    if (result instanceof NotJoined failed) {
+    if (result instanceof JoinFailed failed) {
       if (connected) {
         connected = false;
         LOG.warning(LogLine.of("store-lost").with("reason", failed.reason()));
@@ -156,33 +156,34 @@
     }
     boolean changed = joined.generation() != generation;
     generation = joined.generation();
-    changedAt = changed ? loop.now() : changedAt;
-    listed = joined.partitions();
+    generationChangedAt = changed ? loop.now() : generationChangedAt;
+    assigned = joined.partitions();
     for (int partition : ImmutableSet.copyOf(owned.keySet())) {
-      if (!listed.contains(partition)) {
+      if (!assigned.contains(partition)) {
         release(partition);
       }
     }
-    listed.forEach(this::takeUp);
+    assigned.forEach(this::acquire);
     if (changed) {
       LOG.info(
           LogLine.of("membership-changed")
               .with("generation", generation)
-              .with("partitions", listed.size()));
+              .with("partitions", assigned.size()));
       // The store gives a partition to its new owner only once the former one has called again.
       join();
       readOwners();
     }
   }
 
-  private void takeUp(int partition) {
+  private void acquire(int partition) {
     if (owned.containsKey(partition)) {
       return;
     }
     long floor = generation * EPOCHS_PER_GENERATION;
     long epoch = Math.max(floor, lastEpochs.getOrDefault(partition, 0L) + 1);
     lastEpochs.put(partition, epoch);
-    OwnedPartition taken = new OwnedPartition(store, loop, partition, epoch, new Forwarding());
+    OwnedPartition taken =
+        new OwnedPartition(store, loop, partition, epoch, new PartitionListener());
     owned.put(partition, taken);
     taken.open();
   }
@@ -203,17 +204,17 @@
       return;
     }
     long asOf = generation;
-    store.owners().thenAccept(result -> loop.run(() -> ownersAnswered(asOf, result)));
+    store.owners().thenAccept(result -> loop.run(() -> handleOwners(asOf, result)));
   }
 
-  private void ownersAnswered(long asOf, WorkflowStore.OwnersResult result) {
+  private void handleOwners(long asOf, WorkflowStore.OwnersResult result) {
     if (!(result instanceof Owners owners)) {
-      LOG.debug(LogLine.of("owners-unread").with("reason", ((OwnersUnknown) result).reason()));
+      LOG.debug(LogLine.of("owners-unread").with("reason", ((OwnersUnavailable) result).reason()));
       return;
     }
-    listener.ownersKnown(asOf, owners);
-    if (!owners.byPartition().equals(dealt)) {
-      dealt = owners.byPartition();
+    listener.ownersRead(asOf, owners);
+    if (!owners.byPartition().equals(lastOwners)) {
+      lastOwners = owners.byPartition();
       // Tells the generation of the new owners, without which nobody knows which map is newer.
       join();
     }
@@ -251,7 +252,7 @@
   }
 
   /** Takes a partition up again after its writer was shut out while the store lists it as ours. */
-  private final class Forwarding implements OwnedPartition.Listener {
+  private final class PartitionListener implements OwnedPartition.Listener {
     @Override
     public void activated(OwnedPartition partition) {
       listener.activated(partition);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -38,25 +38,25 @@
   private static final EventLog LOG = EventLog.of(PartitionWriter.class);
 
   /** Between tries, in nanoseconds; a store that was asked in vain is not pressed. */
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(120);
 
   /** The most bytes of one append; well under the 2 MB that a store takes at least. */
   private static final int MAX_BATCH_BYTES = 512 * 1024;
 
-  private record Change(Supplier<ByteString> value, Runnable durable) {}
+  private record PendingValue(Supplier<ByteString> value, Runnable onDurable) {}
 
   private final WorkflowStore store;
   private final LinkLoop loop;
   private final int partition;
   private final long epoch;
-  private final Runnable lost;
-  private final Map<String, Change> changed = new LinkedHashMap<>();
+  private final Runnable onLost;
+  private final Map<String, PendingValue> pendingValues = new LinkedHashMap<>();
   private List<Runnable> effects = new ArrayList<>();
   private long sequence;
   private boolean inFlight;
   private boolean closed;
   private boolean renewalDue;
-  private long evidence = Long.MIN_VALUE;
+  private long evidenceAt = Long.MIN_VALUE;
   private long openedAt;
 
   PartitionWriter(WorkflowStore store, LinkLoop loop, int partition, long epoch, Runnable lost) {
@@ -64,7 +64,7 @@
     this.loop = requireNonNull(loop, "loop");
     this.partition = partition;
     this.epoch = epoch;
-    this.lost = requireNonNull(lost, "lost");
+    this.onLost = requireNonNull(lost, "lost");
   }
 
   long epoch() {
@@ -88,12 +88,12 @@
   }
 
   /** Returns the last time at which this writer was surely the partition's, in nanoseconds. */
-  long evidence() {
-    return evidence;
+  long evidenceAt() {
+    return evidenceAt;
   }
 
   boolean hasEvidence() {
-    return evidence != Long.MIN_VALUE;
+    return evidenceAt != Long.MIN_VALUE;
   }
 
   /**
@@ -103,8 +103,8 @@
    * @param durable run once it is durable, before effects
    */
   void write(String key, Supplier<ByteString> value, Runnable durable) {
-    changed.put(key, new Change(value, durable));
-    flushSoon();
+    pendingValues.put(key, new PendingValue(value, durable));
+    scheduleFlush();
   }
 
   /** Runs the effect once everything written so far is durable; never on a closed writer. */
@@ -112,12 +112,12 @@
     if (closed) {
       return;
     }
-    if (changed.isEmpty() && !inFlight && !renewalDue) {
+    if (pendingValues.isEmpty() && !inFlight && !renewalDue) {
       effect.run();
       return;
     }
     effects.add(effect);
-    flushSoon();
+    scheduleFlush();
   }
 
   /**
@@ -127,11 +127,11 @@
   void afterRenewal(Runnable effect) {
     renewalDue = true;
     effects.add(effect);
-    flushSoon();
+    scheduleFlush();
   }
 
   /** Appends nothing, for evidence, unless an append is on its way. */
-  void renew() {
+  void renewEvidence() {
     if (!inFlight) {
       renewalDue = true;
       flush();
@@ -141,37 +141,37 @@
   /** Stops writing; what was not written is dropped. */
   void close() {
     closed = true;
-    changed.clear();
+    pendingValues.clear();
     effects.clear();
   }
 
   /** Returns whether everything written is durable. */
   boolean isIdle() {
-    return closed || (!inFlight && changed.isEmpty());
+    return closed || (!inFlight && pendingValues.isEmpty());
   }
 
-  private void flushSoon() {
+  private void scheduleFlush() {
     // After what runs now, so that all changes of one report travel in one append.
     loop.runLater(this::flush);
   }
 
   private void flush() {
-    if (closed || inFlight || (changed.isEmpty() && !renewalDue && effects.isEmpty())) {
+    if (closed || inFlight || (pendingValues.isEmpty() && !renewalDue && effects.isEmpty())) {
       return;
     }
     List<KeyedRecord> records = new ArrayList<>();
     List<Runnable> afterwards = new ArrayList<>();
     int bytes = 0;
-    var entries = changed.entrySet().iterator();
+    var entries = pendingValues.entrySet().iterator();
     while (entries.hasNext() && bytes < MAX_BATCH_BYTES) {
-      Map.Entry<String, Change> entry = entries.next();
+      Map.Entry<String, PendingValue> entry = entries.next();
       ByteString value = entry.getValue().value().get();
       records.add(new KeyedRecord(entry.getKey(), value));
-      afterwards.add(entry.getValue().durable());
+      afterwards.add(entry.getValue().onDurable());
       bytes += value.size();
       entries.remove();
     }
-    if (changed.isEmpty()) {
+    if (pendingValues.isEmpty()) {
       afterwards.addAll(effects);
       effects = new ArrayList<>();
     }
@@ -191,22 +191,22 @@
     }
     store
         .append(Topic.PROGRESS, partition, batch.records(), Optional.of(batch.writer()))
-        .thenAccept(result -> loop.run(() -> answered(batch, result)));
+        .thenAccept(result -> loop.run(() -> handleResult(batch, result)));
   }
 
-  private void answered(Batch batch, AppendResult result) {
+  private void handleResult(Batch batch, AppendResult result) {
     if (closed) {
       return;
     }
     if (result instanceof Appended) {
       inFlight = false;
-      evidence = batch.firstSent();
+      evidenceAt = batch.firstSent();
       batch.effects().forEach(this::runEffect);
       flush();
     } else if (result instanceof Fenced) {
-      giveUp("another owner has a higher epoch");
+      relinquish("another owner has a higher epoch");
     } else if (result instanceof OutOfSequence wrong) {
-      giveUp(wrong.detail());
+      relinquish(wrong.detail());
     } else if (result instanceof NotAppended refused) {
       retry(batch, refused.reason());
     } else {
@@ -233,16 +233,16 @@
 
   private void retry(Batch batch, String reason) {
     LOG.debug(LogLine.of("append-retried").with("partition", partition).with("reason", reason));
-    loop.schedule(() -> send(batch), RETRY_NANOS);
+    loop.schedule(() -> send(batch), RETRY_DELAY_NANOS);
   }
 
-  private void giveUp(String reason) {
+  private void relinquish(String reason) {
     LOG.info(
         LogLine.of("partition-writer-lost")
             .with("partition", partition)
             .with("epoch", epoch)
             .with("reason", reason));
     close();
-    lost.run();
+    onLost.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/AdviceDesk.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
@@ -7,9 +7,9 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.daemon.workflow.PlacementAdviser.AdviceResult;
+import io.marigoldsail.daemon.workflow.PlacementAdviser.AdviceUnavailable;
 import io.marigoldsail.daemon.workflow.PlacementAdviser.Advised;
-import io.marigoldsail.daemon.workflow.PlacementAdviser.NotAdvised;
-import io.marigoldsail.workflow.AdviceTerms;
+import io.marigoldsail.workflow.AdviserTiming;
 import io.marigoldsail.workflow.StepAdvice;
 import io.marigoldsail.workflow.TaskKey;
 import io.marigoldsail.workflow.VmOffer;
@@ -26,56 +26,56 @@
  * is next is the one that is first in the waiting order when the adviser is free, not the one that
  * came first. Confined to the loop's thread.
  */
-final class AdviceDesk {
-  private static final EventLog LOG = EventLog.of(AdviceDesk.class);
+final class PlacementAdviceClient {
+  private static final EventLog LOG = EventLog.of(PlacementAdviceClient.class);
 
   /** How many times as long as it should take an answer may take: the adviser has other callers. */
-  private static final int PATIENCE = 4;
+  private static final int TIMEOUT_FACTOR = 4;
 
   /** Added to that for the way there and back, in milliseconds. */
-  private static final long WAY_MILLIS = 1_000;
+  private static final long ROUND_TRIP_MILLIS = 1_000;
 
   /** After a call that failed, in nanoseconds: the adviser may be overloaded. */
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   /**
    * Steps beyond which all that was advised is forgotten, and asked for anew where it is wanted.
    */
-  private static final int MOST_STEPS = 4_000;
+  private static final int MAX_CACHED_STEPS = 4_000;
 
   private final LinkLoop loop;
   private final PlacementAdviser adviser;
-  private final Runnable answered;
-  private final Map<StepKey, StepAdvice> advice = new HashMap<>();
-  private boolean asking;
-  private long notBefore = Long.MIN_VALUE;
+  private final Runnable onResult;
+  private final Map<StepKey, StepAdvice> adviceByStep = new HashMap<>();
+  private boolean callInFlight;
+  private long retryAt = Long.MIN_VALUE;
 
   /**
    * Creates a desk.
    *
    * @param answered run when waiting tasks should be looked at again
    */
-  AdviceDesk(LinkLoop loop, PlacementAdviser adviser, Runnable answered) {
+  PlacementAdviceClient(LinkLoop loop, PlacementAdviser adviser, Runnable answered) {
     this.loop = requireNonNull(loop, "loop");
     this.adviser = requireNonNull(adviser, "adviser");
-    this.answered = requireNonNull(answered, "answered");
+    this.onResult = requireNonNull(answered, "answered");
   }
 
   /** Returns the offers that tasks of the step may be placed on now. */
   ImmutableList<VmOffer> allowed(WorkflowTask task, Collection<VmOffer> offers) {
-    return of(task).allowed(offers, loop.now());
+    return adviceFor(task).allowedOffers(offers, loop.now());
   }
 
   /** Returns the ticket by which a worker takes the task; empty if there is none. */
   String ticket(WorkflowTask task, String worker) {
-    return of(task).ticket(worker, loop.now()).orElse("");
+    return adviceFor(task).ticket(worker, loop.now()).orElse("");
   }
 
-  private StepAdvice of(WorkflowTask task) {
-    if (advice.size() > MOST_STEPS) {
-      advice.clear();
+  private StepAdvice adviceFor(WorkflowTask task) {
+    if (adviceByStep.size() > MAX_CACHED_STEPS) {
+      adviceByStep.clear();
     }
-    return advice.computeIfAbsent(StepKey.of(task.key()), unused -> new StepAdvice());
+    return adviceByStep.computeIfAbsent(StepKey.of(task.key()), unused -> new StepAdvice());
   }
 
   /**
@@ -83,16 +83,17 @@
    *
    * @param candidates VMs with room for the task, the best first
    */
-  void ask(WorkflowTask task, Collection<VmOffer> candidates) {
-    if (asking || loop.now() < notBefore) {
+  void request(WorkflowTask task, Collection<VmOffer> candidates) {
+    if (callInFlight || loop.now() < retryAt) {
       return;
     }
-    ImmutableList<String> named = of(task).toName(candidates, StepAdvice.MOST_NAMED, loop.now());
+    ImmutableList<String> named =
+        adviceFor(task).workersToQuery(candidates, StepAdvice.MAX_VMS_PER_CALL, loop.now());
     if (named.isEmpty()) {
       return;
     }
-    asking = true;
-    AdviceTerms terms = task.workflow().spec().terms().advice().orElseThrow();
+    callInFlight = true;
+    AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
     long sentAt = loop.now();
     TaskKey key = task.key();
     adviser
@@ -101,28 +102,28 @@
             key.occurrence(),
             key.step(),
             named,
-            PATIENCE * terms.callMillis(named.size()) + WAY_MILLIS)
-        .thenAccept(result -> loop.run(() -> took(task, named, sentAt, result)));
+            TIMEOUT_FACTOR * terms.callMillis(named.size()) + ROUND_TRIP_MILLIS)
+        .thenAccept(result -> loop.run(() -> handleResult(task, named, sentAt, result)));
   }
 
-  private void took(
+  private void handleResult(
       WorkflowTask task, ImmutableList<String> named, long sentAt, AdviceResult result) {
-    asking = false;
+    callInFlight = false;
     LogLine line =
         LogLine.of("placement-advised")
             .with("task", task.key())
             .with("named", named.size())
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - sentAt));
     if (result instanceof Advised told) {
-      AdviceTerms terms = task.workflow().spec().terms().advice().orElseThrow();
+      AdviserTiming terms = task.workflow().spec().policy().advice().orElseThrow();
       // Counted from the asking: the adviser's clock for the ticket began after that.
       long validUntil = sentAt + TimeUnit.MILLISECONDS.toNanos(terms.validMillis());
-      of(task).answered(named, told.tickets(), validUntil);
+      adviceFor(task).recordAnswer(named, told.tickets(), validUntil);
       LOG.info(line.with("allowed", told.tickets().size()));
     } else {
-      notBefore = loop.now() + RETRY_NANOS;
-      LOG.warning(line.with("reason", ((NotAdvised) result).reason()));
+      retryAt = loop.now() + RETRY_DELAY_NANOS;
+      LOG.warning(line.with("reason", ((AdviceUnavailable) result).reason()));
     }
-    answered.run();
+    onResult.run();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
@@ -28,7 +28,7 @@
   }
 
   /** No answer, or none that can be read; the call may be repeated. */
-  record NotAdvised(String reason) implements AdviceResult {}
+  record AdviceUnavailable(String reason) implements AdviceResult {}
 
   /**
    * Asks which of the workers may run the tasks of a step.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
@@ -27,32 +27,32 @@
   static final long SPACING_NANOS = TimeUnit.MILLISECONDS.toNanos(25);
 
   /** The part of a turn for which those that fall due are gathered. */
-  private static final int GATHERED_PART = 4;
+  private static final int COALESCING_DIVISOR = 4;
 
   /**
    * Between two regular reports to an entry that owns nothing on the VM, in regular turns: few
    * enough for the VM not to count as silent there where a report comes late.
    */
-  static final int QUIET_TURNS = 2;
+  static final int NON_OWNER_ROUNDS = 2;
 
-  private final Map<String, Long> reportedAt = new HashMap<>();
-  private final Map<String, Long> regularIn = new HashMap<>();
-  private long turn;
+  private final Map<String, Long> lastSentAt = new HashMap<>();
+  private final Map<String, Long> lastPeriodicRound = new HashMap<>();
+  private long round;
 
   /** Notes that the member is sent a report now. */
-  void reported(String member, long now) {
-    reportedAt.put(requireNonNull(member, "member"), now);
+  void reportSent(String member, long now) {
+    lastSentAt.put(requireNonNull(member, "member"), now);
   }
 
   /** Begins the next turn of regular reports. */
-  void nextTurn() {
-    turn++;
+  void beginRound() {
+    round++;
   }
 
   /** Notes that the member is sent a report now that asks for a lease. */
-  void reportedRegularly(String member, long now) {
-    reported(member, now);
-    regularIn.put(member, turn);
+  void periodicReportSent(String member, long now) {
+    reportSent(member, now);
+    lastPeriodicRound.put(member, round);
   }
 
   /**
@@ -61,15 +61,15 @@
    * @param member of the entries
    * @param owns whether it has runs or ends on the VM, or ordered some
    */
-  boolean isRegularDue(String member, boolean owns) {
-    Long last = regularIn.get(member);
-    return owns || last == null || turn - last >= QUIET_TURNS;
+  boolean isPeriodicReportDue(String member, boolean owns) {
+    Long last = lastPeriodicRound.get(member);
+    return owns || last == null || round - last >= NON_OWNER_ROUNDS;
   }
 
   /** Forgets a member that is not reached any more. */
-  void forget(String member) {
-    reportedAt.remove(member);
-    regularIn.remove(member);
+  void remove(String member) {
+    lastSentAt.remove(member);
+    lastPeriodicRound.remove(member);
   }
 
   /**
@@ -81,11 +81,11 @@
    */
   long dueAt(String member, boolean concerned, int entries, long now) {
     checkArgument(entries > 0, "entries is not positive: %s", entries);
-    Long last = reportedAt.get(member);
+    Long last = lastSentAt.get(member);
     if (concerned || last == null) {
       return now;
     }
-    return Math.max(now, last + turnNanos(entries));
+    return Math.max(now, last + minIntervalNanos(entries));
   }
 
   /**
@@ -93,11 +93,11 @@
    * nanoseconds: one timer and one look at the room serve all of them, and the next time they fall
    * due together.
    */
-  static long gatherNanos(int entries) {
-    return turnNanos(entries) / GATHERED_PART;
+  static long coalescingNanos(int entries) {
+    return minIntervalNanos(entries) / COALESCING_DIVISOR;
   }
 
-  private static long turnNanos(int entries) {
+  private static long minIntervalNanos(int entries) {
     return SPACING_NANOS * entries;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ToldStates.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportedStates.java
@@ -13,21 +13,21 @@
  * with its order: whoever does not own the run has nothing to learn from them. Confined to one
  * thread.
  */
-final class ToldStates {
+final class ReportedStates {
   private final Map<String, VmReport> states = new HashMap<>();
 
   /** Notes that the member is told the state now. */
-  void told(String member, VmReport state) {
+  void record(String member, VmReport state) {
     states.put(requireNonNull(member, "member"), requireNonNull(state, "state"));
   }
 
   /** Returns whether the member was told just this last. */
-  boolean knows(String member, VmReport state) {
+  boolean isUpToDate(String member, VmReport state) {
     return state.equals(states.get(member));
   }
 
   /** Forgets a member that is not reached any more. */
-  void forget(String member) {
+  void remove(String member) {
     states.remove(member);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndNotes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndAcknowledger.java
@@ -16,18 +16,18 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class EndNotes {
-  private static final EventLog LOG = EventLog.of(EndNotes.class);
+final class RunEndAcknowledger {
+  private static final EventLog LOG = EventLog.of(RunEndAcknowledger.class);
 
   /** How long ends that are unknown in the same partition are gathered, in nanoseconds. */
-  private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
   private final FoldedLog unknownEnds;
 
-  EndNotes(LinkLoop loop) {
+  RunEndAcknowledger(LinkLoop loop) {
     this.loop = requireNonNull(loop, "loop");
-    this.unknownEnds = new FoldedLog(LOG::info, loop::schedule, FOLD_NANOS);
+    this.unknownEnds = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
   /**
@@ -41,14 +41,14 @@
    * @param partition the run's partition, which this process takes for its own
    * @param vm the VM that reports the end
    */
-  void take(OwnedPartition partition, RunKey run, String vm, Runnable note) {
+  void acknowledgeWhenSafe(OwnedPartition partition, RunKey run, String vm, Runnable note) {
     Optional<WorkflowTask> task =
         partition
             .workflow(run.task().workflow())
             .flatMap(workflow -> workflow.task(run.task()))
             .filter(known -> known.lastAttempt() >= run.attempt());
     if (task.isEmpty()) {
-      tellUnknown(partition, run, vm);
+      logUnknownEnd(partition, run, vm);
       partition.writer().afterRenewal(note);
     } else if (task.get().hasEnded(run.attempt())) {
       partition.writer().afterDurable(note);
@@ -62,9 +62,9 @@
     }
   }
 
-  private void tellUnknown(OwnedPartition partition, RunKey run, String vm) {
+  private void logUnknownEnd(OwnedPartition partition, RunKey run, String vm) {
     PartitionWriter writer = partition.writer();
-    long evidenceNanos = loop.now() - writer.evidence();
+    long evidenceNanos = loop.now() - writer.evidenceAt();
     unknownEnds.tell(
         "partition " + partition.number(),
         LogLine.of("end-unknown")
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunOverLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndLog.java
@@ -15,21 +15,21 @@
  * refusal stands in its owner's log as {@code run-ended} with the reason. A run that may have
  * worked is always told by itself. Confined to the loop's thread.
  */
-final class RunOverLog {
-  private static final EventLog LOG = EventLog.of(RunOverLog.class);
+final class RunEndLog {
+  private static final EventLog LOG = EventLog.of(RunEndLog.class);
 
   /** How long refusals with the same reason are gathered, in nanoseconds. */
-  private static final long FOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final String worker;
   private final FoldedLog refusals;
 
-  RunOverLog(LinkLoop loop, String worker) {
+  RunEndLog(LinkLoop loop, String worker) {
     this.worker = worker;
-    this.refusals = new FoldedLog(LOG::info, loop::schedule, FOLD_NANOS);
+    this.refusals = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
-  void over(RunKey run, RunOutcome outcome, String reason) {
+  void runEnded(RunKey run, RunOutcome outcome, String reason) {
     if (outcome == RunOutcome.DONE) {
       return;
     }
@@ -39,7 +39,7 @@
             .with("outcome", outcome)
             .with("reason", reason)
             .with("worker", worker);
-    if (outcome.ran()) {
+    if (outcome.mayHaveRun()) {
       LOG.info(line);
     } else {
       refusals.tell("refused: " + reason, line);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -8,13 +8,13 @@
 /** A run that is or may be on the worker of this VM; mutable, confined to the loop's thread. */
 final class SideRun {
   /** Listings, sent after an order was confirmed, that may lack a run before it counts as over. */
-  private static final int MAX_MISSES = 2;
+  private static final int MAX_MISSED_LISTINGS = 2;
 
   /** The speed at which a worker starts a run, in percent. */
-  private static final int FULL_SPEED = 100;
+  private static final int FULL_PERCENT = 100;
 
   /** No speed: that of the run is not known here. */
-  private static final int UNKNOWN_SPEED = -1;
+  private static final int UNKNOWN_PERCENT = -1;
 
   private final RunKey key;
   private final int partition;
@@ -22,22 +22,22 @@
   private String program = "";
   private boolean listed;
   private boolean confirmed;
-  private boolean uncertain;
+  private boolean startOutcomeUnknown;
   private boolean stopping;
-  private int tries;
-  private int misses;
+  private int startTries;
+  private int missedListings;
   private String checkpoint = "";
-  private int percent;
-  private long gauge;
-  private int pacedTo;
-  private boolean crowded;
+  private int progressPercent;
+  private long measurement;
+  private int throttlePercent;
+  private boolean excess;
 
   SideRun(RunKey key, int partition, Optional<StartRun> order) {
     this.key = key;
     this.partition = partition;
     this.order = order;
     // The process that started a run found here may have slowed it down, even to nothing.
-    this.pacedTo = order.isPresent() ? FULL_SPEED : UNKNOWN_SPEED;
+    this.throttlePercent = order.isPresent() ? FULL_PERCENT : UNKNOWN_PERCENT;
   }
 
   RunKey key() {
@@ -66,23 +66,23 @@
   }
 
   /** Counts a try to start it; returns how many there were. */
-  int tried() {
-    return ++tries;
+  int countStartTry() {
+    return ++startTries;
   }
 
   /** Notes that an order without an answer may be carried out later. */
-  void becameUncertain() {
-    uncertain = true;
+  void markStartOutcomeUnknown() {
+    startOutcomeUnknown = true;
   }
 
-  boolean isUncertain() {
-    return uncertain;
+  boolean isStartOutcomeUnknown() {
+    return startOutcomeUnknown;
   }
 
   /** Notes that the worker has taken the last order, so that listings made later must show it. */
   void confirm() {
     confirmed = true;
-    misses = 0;
+    missedListings = 0;
   }
 
   /**
@@ -94,10 +94,10 @@
   void listed(String newCheckpoint, int newPercent, long newGauge) {
     listed = true;
     confirmed |= !stopping;
-    misses = 0;
+    missedListings = 0;
     checkpoint = newCheckpoint;
-    percent = newPercent;
-    gauge = newGauge;
+    progressPercent = newPercent;
+    measurement = newGauge;
   }
 
   boolean isListed() {
@@ -105,19 +105,19 @@
   }
 
   /** Counts a listing without it; returns whether it is over. */
-  boolean missedTooOften() {
+  boolean countMissedListing() {
     if (!confirmed) {
       return false;
     }
-    misses++;
-    return misses > MAX_MISSES;
+    missedListings++;
+    return missedListings > MAX_MISSED_LISTINGS;
   }
 
   boolean isConfirmed() {
     return confirmed;
   }
 
-  void stop() {
+  void markStopping() {
     stopping = true;
     confirmed = false;
   }
@@ -126,8 +126,8 @@
     return stopping;
   }
 
-  long gauge() {
-    return gauge;
+  long measurement() {
+    return measurement;
   }
 
   long latencyTargetMillis() {
@@ -142,42 +142,42 @@
     return order.map(StartRun::getMilliProcessors).orElse(0);
   }
 
-  boolean fills() {
+  boolean isBestEffort() {
     return order.map(StartRun::getFills).orElse(false);
   }
 
   /** Returns whether the worker is known to run it at the speed, in percent. */
-  boolean isPacedTo(int speed) {
-    return pacedTo == speed;
+  boolean isThrottledTo(int speed) {
+    return throttlePercent == speed;
   }
 
   /** Returns the speed that the worker was last told, in percent; negative if not known. */
-  int pacedTo() {
-    return pacedTo;
+  int throttlePercent() {
+    return throttlePercent;
   }
 
-  void pacedTo(int newPercent) {
-    pacedTo = newPercent;
+  void throttlePercent(int newPercent) {
+    throttlePercent = newPercent;
   }
 
   /** Notes that an order for another speed was not answered: it may be carried out or not. */
-  void speedBecameUnknown() {
-    pacedTo = UNKNOWN_SPEED;
+  void markThrottleUnknown() {
+    throttlePercent = UNKNOWN_PERCENT;
   }
 
-  void crowded(boolean isCrowded) {
-    crowded = isCrowded;
+  void excess(boolean isCrowded) {
+    excess = isCrowded;
   }
 
   RunReport report() {
     return RunReport.newBuilder()
-        .setTask(WorkflowRecords.encode(key))
+        .setTask(WorkflowCodec.encode(key))
         .setStarted(listed)
         .setCheckpoint(checkpoint)
-        .setPercent(percent)
+        .setPercent(progressPercent)
         .setStopping(stopping)
         .setSizeUnknown(order.isEmpty() && !stopping)
-        .setCrowded(crowded)
+        .setCrowded(excess)
         .build();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/StartAdmission.java
@@ -3,9 +3,9 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.InterferenceBudget;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
-import io.marigoldsail.workflow.SuspectRoom;
 import io.marigoldsail.workflow.Urgency;
 import java.util.Collection;
 import java.util.Optional;
@@ -15,32 +15,32 @@
  * what they heard last, each without the others. Confined to the loop's thread.
  */
 final class StartAdmission {
-  private final WorkerTime time;
-  private final RoomLedger room;
-  private final RunPacing pacing;
+  private final WorkerLease workerLease;
+  private final ResourceLedger resources;
+  private final RunThrottler throttler;
 
-  StartAdmission(WorkerTime time, RoomLedger room, RunPacing pacing) {
-    this.time = requireNonNull(time, "time");
-    this.room = requireNonNull(room, "room");
-    this.pacing = requireNonNull(pacing, "pacing");
+  StartAdmission(WorkerLease time, ResourceLedger room, RunThrottler pacing) {
+    this.workerLease = requireNonNull(time, "time");
+    this.resources = requireNonNull(room, "room");
+    this.throttler = requireNonNull(pacing, "pacing");
   }
 
   /** Returns what the ordered run takes. */
-  static RoomLedger.Claim claim(StartRun order) {
-    return new RoomLedger.Claim(
-        WorkflowRecords.sizes(
+  static ResourceLedger.Claim claim(StartRun order) {
+    return new ResourceLedger.Claim(
+        WorkflowCodec.sizes(
             order.getMilliProcessors(), order.getMemoryMebibytes(), order.getAccelerators()),
         order.getFills(),
         order.getStarved() ? Urgency.STARVED : Urgency.ORDINARY);
   }
 
   /** Returns how many of the runs have a latency target. */
-  static int serving(Collection<SideRun> runs) {
+  static int serviceTaskCount(Collection<SideRun> runs) {
     return (int) runs.stream().filter(run -> run.latencyTargetMillis() > 0).count();
   }
 
   /** Returns whether there are runs of which only their owners know what they take. */
-  static boolean isAnyUnknown(Collection<SideRun> runs) {
+  static boolean hasUnknownSizes(Collection<SideRun> runs) {
     return runs.stream().anyMatch(run -> run.order().isEmpty());
   }
 
@@ -50,29 +50,29 @@
    * @param draining whether the worker takes nothing new
    * @param runs all that is on the worker
    */
-  Optional<String> refusal(
+  Optional<String> reserveOrRefuse(
       RunKey key, int partition, StartRun order, boolean draining, Collection<SideRun> runs) {
     if (draining) {
       return Optional.of("the worker leaves");
     }
-    if (!time.mayStart(partition)) {
+    if (!workerLease.mayStart(partition)) {
       return Optional.of("the evidence of its owner is too old");
     }
-    if (isAnyUnknown(runs)) {
+    if (hasUnknownSizes(runs)) {
       return Optional.of("what runs here is not known yet");
     }
     boolean bound = order.getFills() && !order.getStarved();
-    if (bound && serving(runs) > 0 && isTooMuchBeside(order, runs)) {
+    if (bound && serviceTaskCount(runs) > 0 && exceedsInterferingLimit(order, runs)) {
       return Optional.of("no room beside services");
     }
-    return room.tryBook(key, claim(order)) ? Optional.empty() : Optional.of("no room");
+    return resources.tryBook(key, claim(order)) ? Optional.empty() : Optional.of("no room");
   }
 
-  private boolean isTooMuchBeside(StartRun order, Collection<SideRun> runs) {
-    return pacing.isSuspect(order.getImage())
-        && !SuspectRoom.admits(
-            room.capacity().milliProcessors(),
-            pacing.suspectMilliProcessors(runs),
+  private boolean exceedsInterferingLimit(StartRun order, Collection<SideRun> runs) {
+    return throttler.isInterfering(order.getImage())
+        && !InterferenceBudget.admits(
+            resources.capacity().milliProcessors(),
+            throttler.interferingMilliProcessors(runs),
             order.getMilliProcessors());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SubmissionWriter.java
@@ -24,11 +24,11 @@
   /** Submissions of one append at most: with the longest programs well under 1 MB. */
   private static final int MAX_BATCH = 64;
 
-  private record Waiting(KeyedRecord submission, Consumer<AppendResult> told) {}
+  private record PendingSubmission(KeyedRecord submission, Consumer<AppendResult> onResult) {}
 
   private final WorkflowStore store;
   private final LinkLoop loop;
-  private final Map<Integer, List<Waiting>> waiting = new HashMap<>();
+  private final Map<Integer, List<PendingSubmission>> pending = new HashMap<>();
   private final Map<Integer, Boolean> inFlight = new HashMap<>();
 
   SubmissionWriter(WorkflowStore store, LinkLoop loop) {
@@ -38,33 +38,33 @@
 
   /** Writes the submission; {@code told} runs on the loop with the result. */
   void write(int partition, KeyedRecord submission, Consumer<AppendResult> told) {
-    waiting
+    pending
         .computeIfAbsent(partition, unused -> new ArrayList<>())
-        .add(new Waiting(submission, told));
+        .add(new PendingSubmission(submission, told));
     flush(partition);
   }
 
   private void flush(int partition) {
-    List<Waiting> queue = waiting.getOrDefault(partition, List.of());
+    List<PendingSubmission> queue = pending.getOrDefault(partition, List.of());
     if (queue.isEmpty() || inFlight.getOrDefault(partition, false)) {
       return;
     }
-    List<Waiting> head = queue.subList(0, Math.min(MAX_BATCH, queue.size()));
-    List<Waiting> batch = List.copyOf(head);
+    List<PendingSubmission> head = queue.subList(0, Math.min(MAX_BATCH, queue.size()));
+    List<PendingSubmission> batch = List.copyOf(head);
     head.clear();
     inFlight.put(partition, true);
     store
         .append(
             Topic.SUBMISSIONS,
             partition,
-            batch.stream().map(Waiting::submission).toList(),
+            batch.stream().map(PendingSubmission::submission).toList(),
             Optional.empty())
         .thenAccept(
             result ->
                 loop.run(
                     () -> {
                       inFlight.put(partition, false);
-                      batch.forEach(each -> each.told().accept(result));
+                      batch.forEach(each -> each.onResult().accept(result));
                       flush(partition);
                     }));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EndLedger.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/UnacknowledgedEnds.java
@@ -16,17 +16,17 @@
  * <p>A worker forgets ends in the order of their numbers, so the number that may be forgotten stays
  * below the oldest end that nobody has noted. Confined to one thread.
  */
-final class EndLedger {
+final class UnacknowledgedEnds {
   private final Map<RunKey, EndReport> ends = new LinkedHashMap<>();
-  private final TreeMap<Long, RunKey> unnoted = new TreeMap<>();
-  private final Set<Long> taken = new HashSet<>();
-  private long noted;
-  private long highest;
+  private final TreeMap<Long, RunKey> unacknowledged = new TreeMap<>();
+  private final Set<Long> seenSequences = new HashSet<>();
+  private long acknowledgedUpTo;
+  private long highestSequence;
 
   /** Returns whether the end is listed for the first time. */
-  boolean isNew(long sequence) {
-    highest = Math.max(highest, sequence);
-    return sequence > noted && taken.add(sequence);
+  boolean recordSequence(long sequence) {
+    highestSequence = Math.max(highestSequence, sequence);
+    return sequence > acknowledgedUpTo && seenSequences.add(sequence);
   }
 
   /** Keeps an end; of one that the worker does not list the sequence is 0. */
@@ -34,30 +34,30 @@
     ends.put(
         run,
         EndReport.newBuilder()
-            .setTask(WorkflowRecords.encode(run))
+            .setTask(WorkflowCodec.encode(run))
             .setOutcome(outcome.number())
             .setCheckpoint(checkpoint)
             .setSequence(sequence)
             .setReason(reason)
             .build());
     if (sequence > 0) {
-      unnoted.put(sequence, run);
+      unacknowledged.put(sequence, run);
     }
   }
 
   /** Forgets an end that is durable; returns whether it was kept. */
-  boolean note(RunKey run) {
+  boolean acknowledge(RunKey run) {
     EndReport end = ends.remove(run);
     if (end == null) {
       return false;
     }
-    unnoted.remove(end.getSequence());
-    noted = unnoted.isEmpty() ? highest : unnoted.firstKey() - 1;
-    taken.removeIf(sequence -> sequence <= noted);
+    unacknowledged.remove(end.getSequence());
+    acknowledgedUpTo = unacknowledged.isEmpty() ? highestSequence : unacknowledged.firstKey() - 1;
+    seenSequences.removeIf(sequence -> sequence <= acknowledgedUpTo);
     return true;
   }
 
-  boolean has(RunKey run) {
+  boolean contains(RunKey run) {
     return ends.containsKey(run);
   }
 
@@ -66,12 +66,12 @@
   }
 
   /** Returns the number up to which the worker may forget. */
-  long noted() {
-    return noted;
+  long acknowledgedUpTo() {
+    return acknowledgedUpTo;
   }
 
   /** Returns whether every end that the worker lists is durable. */
-  boolean isAllNoted() {
-    return unnoted.isEmpty();
+  boolean isAllAcknowledged() {
+    return unacknowledged.isEmpty();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmSession.java
@@ -34,13 +34,13 @@
   private ImmutableSet<String> labels = ImmutableSet.of();
   private ImmutableMap<RunKey, RunReport> runs = ImmutableMap.of();
   private RunOrders.Builder orders = RunOrders.newBuilder();
-  private final Set<Long> programsInFrame = new HashSet<>();
-  private long lastNumber;
-  private boolean pending;
+  private final Set<Long> workflowsInFrame = new HashSet<>();
+  private long lastFrameNumber;
+  private boolean ordersPending;
 
   VmSession(LinkConnection connection, VmReport first, long now) {
     this.connection = connection;
-    take(first, now);
+    update(first, now);
   }
 
   /**
@@ -50,7 +50,7 @@
    * life that was reported last. What waits for the life before would start on the next one, after
    * its owner has counted it as over.
    */
-  void take(VmReport newest, long now) {
+  void update(VmReport newest, long now) {
     if (report != null && !report.getWorker().equals(newest.getWorker())) {
       dropPending();
     }
@@ -58,7 +58,7 @@
       labels = ImmutableSet.copyOf(newest.getLabelsList());
     }
     ImmutableMap.Builder<RunKey, RunReport> named = ImmutableMap.builder();
-    newest.getRunsList().forEach(run -> named.put(WorkflowRecords.decode(run.getTask()), run));
+    newest.getRunsList().forEach(run -> named.put(WorkflowCodec.decode(run.getTask()), run));
     runs = named.buildKeepingLast();
     report = newest;
     reportedAt = now;
@@ -108,12 +108,12 @@
   }
 
   Sizes capacity() {
-    return WorkflowRecords.sizes(
+    return WorkflowCodec.sizes(
         report.getMilliProcessors(), report.getMemoryMebibytes(), report.getAccelerators());
   }
 
   Sizes free() {
-    return WorkflowRecords.sizes(
+    return WorkflowCodec.sizes(
         report.getFreeMilliProcessors(),
         report.getFreeMemoryMebibytes(),
         report.getFreeAccelerators());
@@ -126,7 +126,7 @@
    * @param knowledge what the entry has learned of images and VMs
    * @param now the loop's nanoseconds
    */
-  VmOffer offer(List<OpenRun> open, FleetKnowledge knowledge, long now) {
+  VmOffer offer(List<OpenRun> open, FleetStatistics knowledge, long now) {
     Sizes free = free();
     long fill = report.getFillMilliProcessors();
     long suspect = report.getSuspectMilliProcessors();
@@ -135,10 +135,10 @@
       WorkflowTask task = run.task();
       if (!runs.containsKey(task.openRun())) {
         free = free.minus(task.step().booked());
-        long fills = task.step().nature().fills() ? task.step().sizes().milliProcessors() : 0;
+        long fills = task.step().traits().bestEffort() ? task.step().sizes().milliProcessors() : 0;
         fill += fills;
-        suspect += knowledge.isSuspect(task) ? fills : 0;
-        serving += task.step().nature().serves() ? 1 : 0;
+        suspect += knowledge.isInterfering(task) ? fills : 0;
+        serving += task.step().traits().isService() ? 1 : 0;
       }
     }
     return new VmOffer(
@@ -161,38 +161,38 @@
     WorkflowSpec spec = task.workflow().spec();
     StartRun.Builder start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(task.openRun()))
+            .setTask(WorkflowCodec.encode(task.openRun()))
             .setMilliProcessors((int) task.step().sizes().milliProcessors())
-            .setMemoryMebibytes(WorkflowRecords.mebibytes(task.step().sizes()))
+            .setMemoryMebibytes(WorkflowCodec.mebibytes(task.step().sizes()))
             .setAccelerators((int) task.step().sizes().accelerators())
             .setCheckpoint(task.checkpoint())
-            .setImage(task.step().nature().image())
-            .setLatencyTargetMillis((int) task.step().nature().latencyTargetMillis())
-            .setFills(task.step().nature().fills())
+            .setImage(task.step().traits().image())
+            .setLatencyTargetMillis((int) task.step().traits().latencyTargetMillis())
+            .setFills(task.step().traits().bestEffort())
             .setStarved(run.isStarved())
             .setTicket(run.ticket());
-    if (programsInFrame.add(spec.id())) {
+    if (workflowsInFrame.add(spec.id())) {
       start.setProgram(spec.program());
     } else {
       start.setSameProgram(true);
     }
     orders.addStarts(start);
-    pending = true;
-    return lastNumber + 1;
+    ordersPending = true;
+    return lastFrameNumber + 1;
   }
 
   void addStop(RunKey run) {
-    orders.addStops(WorkflowRecords.encode(run));
-    pending = true;
+    orders.addStops(WorkflowCodec.encode(run));
+    ordersPending = true;
   }
 
-  void addNotedEnd(WorkflowTaskId end) {
+  void addAcknowledgedEnd(WorkflowTaskId end) {
     orders.addNotedEnds(end);
-    pending = true;
+    ordersPending = true;
   }
 
-  boolean hasPending() {
-    return pending;
+  boolean hasPendingOrders() {
+    return ordersPending;
   }
 
   /**
@@ -200,14 +200,14 @@
    * holds for the life of the worker that the last report named, and for no other.
    */
   void flush(LeaseGrant lease) {
-    orders.setNumber(++lastNumber).setLease(lease).setWorker(report.getWorker());
+    orders.setNumber(++lastFrameNumber).setLease(lease).setWorker(report.getWorker());
     connection.send(Frame.newBuilder().setRunOrders(orders).build());
     dropPending();
   }
 
   private void dropPending() {
     orders = RunOrders.newBuilder();
-    programsInFrame.clear();
-    pending = false;
+    workflowsInFrame.clear();
+    ordersPending = false;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryVms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -12,11 +12,11 @@
 import io.marigoldsail.protocol.PartitionEvidence;
 import io.marigoldsail.protocol.RunReport;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.VmOffer;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowTask;
 import java.util.ArrayList;
@@ -42,39 +42,39 @@
  *
  * <p>Confined to the loop's thread.
  */
-final class EntryVms {
-  private static final EventLog LOG = EventLog.of(EntryVms.class);
+final class VmTracker {
+  private static final EventLog LOG = EventLog.of(VmTracker.class);
 
   /** Between two orders to stop the same run, in nanoseconds. */
-  private static final long STOP_REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long STOP_RESEND_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   /** Told what reports change; runs on the loop. */
   interface Listener {
     /** A run ended and its task may wait again. */
-    void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome);
+    void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome);
 
     /** A VM has more or other room. */
-    void roomChanged();
+    void capacityChanged();
   }
 
   private final LinkLoop loop;
-  private final Ownership ownership;
-  private final LeaseTermsOfWorker terms;
+  private final PartitionOwnership ownership;
+  private final WorkerLeaseTerms terms;
   private final Listener listener;
   private final LongSupplier wallMillis;
   private final Map<LinkConnection, VmSession> sessions = new HashMap<>();
-  private final Map<String, VmSession> newest = new LinkedHashMap<>();
+  private final Map<String, VmSession> sessionsByVm = new LinkedHashMap<>();
   private final OpenRuns openRuns = new OpenRuns();
-  private final Map<String, Long> lastGrant = new HashMap<>();
-  private final FleetKnowledge knowledge = new FleetKnowledge();
+  private final Map<String, Long> lastLeaseGrantAt = new HashMap<>();
+  private final FleetStatistics fleet = new FleetStatistics();
   private final VmView view;
-  private final EndNotes endNotes;
+  private final RunEndAcknowledger endAcknowledger;
   private boolean flushScheduled;
 
-  EntryVms(
+  VmTracker(
       LinkLoop loop,
-      Ownership ownership,
-      LeaseTermsOfWorker terms,
+      PartitionOwnership ownership,
+      WorkerLeaseTerms terms,
       LongSupplier wallMillis,
       Listener listener) {
     this.loop = requireNonNull(loop, "loop");
@@ -82,12 +82,12 @@
     this.terms = requireNonNull(terms, "terms");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.listener = requireNonNull(listener, "listener");
-    this.view = new VmView(loop, newest, openRuns, knowledge);
-    this.endNotes = new EndNotes(loop);
+    this.view = new VmView(loop, sessionsByVm, openRuns, fleet);
+    this.endAcknowledger = new RunEndAcknowledger(loop);
   }
 
   /** Follows the runs that former owners of the partition ordered. */
-  void activated(OwnedPartition partition) {
+  void partitionActivated(OwnedPartition partition) {
     for (Workflow workflow : partition.workflows()) {
       workflow
           .openTasks()
@@ -96,46 +96,46 @@
   }
 
   /** Forgets the runs of a partition that another process decides for. */
-  void lost(OwnedPartition partition) {
-    openRuns.removeAll(partition);
+  void partitionLost(OwnedPartition partition) {
+    openRuns.removePartition(partition);
   }
 
   /** Follows runs of a workflow that were just decided on, and orders them once that is durable. */
-  void ordered(OwnedPartition partition, List<OpenRun> decided) {
+  void addOrdered(OwnedPartition partition, List<OpenRun> decided) {
     Map<RunKey, OpenRun> runs = new LinkedHashMap<>();
     for (OpenRun run : decided) {
       openRuns.add(run);
       runs.put(run.task().openRun(), run);
     }
-    partition.changed(decided.get(0).task().workflow());
-    partition.writer().afterDurable(() -> runs.forEach(this::becameDurable));
+    partition.persist(decided.get(0).task().workflow());
+    partition.writer().afterDurable(() -> runs.forEach(this::orderDurable));
   }
 
-  private void becameDurable(RunKey key, OpenRun run) {
-    run.becameDurable();
+  private void orderDurable(RunKey key, OpenRun run) {
+    run.markDurable();
     WorkflowTask task = run.task();
     if (task.isOpen() && task.openRun().equals(key)) {
-      tell(run, task.place().orElseThrow());
+      sendOrder(run, task.place().orElseThrow());
     }
   }
 
-  private void tell(OpenRun run, Place place) {
-    VmSession session = newest.get(place.vm());
+  private void sendOrder(OpenRun run, Place place) {
+    VmSession session = sessionsByVm.get(place.vm());
     if (session == null || !session.report().getWorker().equals(place.worker())) {
       return;
     }
-    if (run.isUnwanted()) {
-      tellStop(session, run);
+    if (run.shouldStop()) {
+      sendStop(session, run);
     } else {
-      run.told(session, session.addStart(run));
+      run.orderSent(session, session.addStart(run));
     }
-    flushSoon();
+    scheduleFlush();
   }
 
-  private void tellStop(VmSession session, OpenRun run) {
-    if (run.mayTellStop(loop.now(), STOP_REPEAT_NANOS)) {
+  private void sendStop(VmSession session, OpenRun run) {
+    if (run.tryStartStop(loop.now(), STOP_RESEND_NANOS)) {
       session.addStop(run.task().openRun());
-      flushSoon();
+      scheduleFlush();
     }
   }
 
@@ -143,16 +143,16 @@
   void stopUnwanted(Workflow workflow) {
     for (WorkflowTask task : workflow.openTasks()) {
       Place place = task.place().orElseThrow();
-      VmSession session = newest.get(place.vm());
+      VmSession session = sessionsByVm.get(place.vm());
       openRuns
           .find(place.vm(), task.openRun())
-          .filter(run -> run.isDurable() && run.isUnwanted() && session != null)
-          .ifPresent(run -> tellStop(session, run));
+          .filter(run -> run.isDurable() && run.shouldStop() && session != null)
+          .ifPresent(run -> sendStop(session, run));
     }
   }
 
   /** Takes a report from a side process. */
-  void reported(LinkConnection connection, VmReport report) {
+  void handleReport(LinkConnection connection, VmReport report) {
     if (report.getVm().isEmpty()) {
       LOG.warning(LogLine.of("report-without-vm").with("peer", connection));
       return;
@@ -161,7 +161,7 @@
     if (session == null) {
       session = new VmSession(connection, report, loop.now());
       sessions.put(connection, session);
-      newest.put(report.getVm(), session);
+      sessionsByVm.put(report.getVm(), session);
       LOG.info(
           LogLine.of("vm-connected")
               .with("vm", report.getVm())
@@ -169,102 +169,102 @@
               .with("peer", connection));
     } else {
       if (!session.report().getWorker().equals(report.getWorker())) {
-        knowledge.renewed(report.getVm());
+        fleet.reset(report.getVm());
       }
-      session.take(report, loop.now());
+      session.update(report, loop.now());
     }
     // Its only connection, if the newest of the VM was one from before that was read late.
-    newest.putIfAbsent(report.getVm(), session);
-    if (newest.get(report.getVm()) != session) {
+    sessionsByVm.putIfAbsent(report.getVm(), session);
+    if (sessionsByVm.get(report.getVm()) != session) {
       return;
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      knowledge.imagesSeen(report.getVm(), ImageRecords.decode(report.getImagesList()));
-      grant(session);
+      fleet.recordImages(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      grantLease(session);
     }
-    listener.roomChanged();
+    listener.capacityChanged();
   }
 
   private void reconcile(VmSession session, VmReport report) {
     Set<RunKey> mentioned = new HashSet<>();
     for (EndReport end : report.getEndsList()) {
-      mentioned.add(WorkflowRecords.decode(end.getTask()));
-      takeEnd(session, end);
+      mentioned.add(WorkflowCodec.decode(end.getTask()));
+      handleEnd(session, end);
     }
     for (RunReport run : report.getRunsList()) {
-      RunKey key = WorkflowRecords.decode(run.getTask());
+      RunKey key = WorkflowCodec.decode(run.getTask());
       mentioned.add(key);
-      takeRun(session, report, openRuns.find(report.getVm(), key), key, run);
+      reconcileRun(session, report, openRuns.find(report.getVm(), key), key, run);
     }
-    for (OpenRun run : openRuns.on(report.getVm())) {
+    for (OpenRun run : openRuns.onVm(report.getVm())) {
       if (!run.task().isOpen() || mentioned.contains(run.task().openRun())) {
         continue;
       }
       Place place = run.task().place().orElseThrow();
-      if (isGone(place, report)) {
-        close(run, RunOutcome.LOST, "", "its worker is gone");
+      if (isWorkerGone(place, report)) {
+        closeRun(run, RunOutcome.LOST, "", "its worker is gone");
       } else if (place.worker().equals(report.getWorker())
           && run.isDurable()
-          && run.isUnansweredBy(session, report.getOrdersSeen())) {
-        tell(run, place);
+          && run.isOrderHandled(session, report.getOrdersSeen())) {
+        sendOrder(run, place);
       }
     }
   }
 
-  private static boolean isGone(Place place, VmReport report) {
+  private static boolean isWorkerGone(Place place, VmReport report) {
     return place.worker().equals(report.getGoneWorker())
         || (!report.getWorker().isEmpty() && !place.worker().equals(report.getWorker()));
   }
 
-  private void takeRun(
+  private void reconcileRun(
       VmSession session, VmReport report, Optional<OpenRun> found, RunKey key, RunReport run) {
-    if (found.isEmpty() || !isOn(found.get(), report.getWorker())) {
-      stopUnknown(session, key, run.getStopping());
+    if (found.isEmpty() || !isOnWorker(found.get(), report.getWorker())) {
+      stopUnknownRun(session, key, run.getStopping());
       return;
     }
     OpenRun open = found.get();
     if (run.getStarted()) {
-      boolean first = !open.task().workflow().hasBegun();
-      open.task().observe(run.getCheckpoint(), run.getPercent());
-      knowledge.progressed(open, report.getVm(), run.getPercent(), loop.now());
+      boolean first = !open.task().workflow().hasStarted();
+      open.task().recordProgress(run.getCheckpoint(), run.getPercent());
+      fleet.recordProgress(open, report.getVm(), run.getPercent(), loop.now());
       if (first) {
-        open.partition().changed(open.task().workflow());
+        open.partition().persist(open.task().workflow());
       }
     }
-    if (open.isUnwanted()) {
-      tellStop(session, open);
+    if (open.shouldStop()) {
+      sendStop(session, open);
     } else if (run.getSizeUnknown()
         && open.isDurable()
-        && open.isUnansweredBy(session, report.getOrdersSeen())) {
+        && open.isOrderHandled(session, report.getOrdersSeen())) {
       // A restarted side process finds the run on its worker and cannot know what to book for it.
-      tell(open, open.task().place().orElseThrow());
+      sendOrder(open, open.task().place().orElseThrow());
     }
   }
 
-  private static boolean isOn(OpenRun run, String worker) {
+  private static boolean isOnWorker(OpenRun run, String worker) {
     return run.task().place().filter(place -> place.worker().equals(worker)).isPresent();
   }
 
-  private void stopUnknown(VmSession session, RunKey key, boolean stopping) {
+  private void stopUnknownRun(VmSession session, RunKey key, boolean stopping) {
     Optional<OwnedPartition> partition = ownership.active(partitionOf(key));
-    if (partition.isEmpty() || !partition.get().isFresh() || stopping) {
+    if (partition.isEmpty() || !partition.get().isCaughtUp() || stopping) {
       return;
     }
-    if (hasEndedWithItsGang(partition.get(), key)) {
+    if (hasGangCompleted(partition.get(), key)) {
       return;
     }
     LOG.info(LogLine.of("run-unexpected").with("run", key).with("vm", session.vm()));
     session.addStop(key);
-    flushSoon();
+    scheduleFlush();
   }
 
   /** One member's end was told first; the others' ends are on their way, and need no stop. */
-  private static boolean hasEndedWithItsGang(OwnedPartition partition, RunKey key) {
+  private static boolean hasGangCompleted(OwnedPartition partition, RunKey key) {
     return partition
         .workflow(key.task().workflow())
         .flatMap(workflow -> workflow.task(key.task()))
-        .filter(task -> task.step().nature().gang() && task.isDone())
+        .filter(task -> task.step().traits().gang() && task.isDone())
         .filter(task -> task.lastAttempt() == key.attempt())
         .isPresent();
   }
@@ -273,8 +273,8 @@
     return ownership.partitionOf(key.task().workflow());
   }
 
-  private void takeEnd(VmSession session, EndReport end) {
-    RunKey key = WorkflowRecords.decode(end.getTask());
+  private void handleEnd(VmSession session, EndReport end) {
+    RunKey key = WorkflowCodec.decode(end.getTask());
     Optional<OwnedPartition> found = ownership.active(partitionOf(key));
     if (found.isEmpty()) {
       return;
@@ -285,30 +285,30 @@
         .filter(run -> run.task().isOpen() && run.task().openRun().equals(key))
         .ifPresent(
             run ->
-                close(
+                closeRun(
                     run,
                     RunOutcome.forNumber(end.getOutcome()),
                     end.getCheckpoint(),
                     end.getReason()));
-    endNotes.take(
+    endAcknowledger.acknowledgeWhenSafe(
         partition,
         key,
         session.vm(),
         () -> {
-          session.addNotedEnd(end.getTask());
-          flushSoon();
+          session.addAcknowledgedEnd(end.getTask());
+          scheduleFlush();
         });
   }
 
-  private void close(OpenRun run, RunOutcome outcome, String checkpoint, String reason) {
+  private void closeRun(OpenRun run, RunOutcome outcome, String checkpoint, String reason) {
     WorkflowTask task = run.task();
     RunKey key = task.openRun();
     Place place = task.place().orElseThrow();
     Workflow workflow = task.workflow();
     // First of all: a run that stays open in its workflow would never be ordered or noted again.
-    boolean ended = workflow.ended(key, outcome, checkpoint, wallMillis.getAsLong());
+    boolean ended = workflow.recordEnd(key, outcome, checkpoint, wallMillis.getAsLong());
     openRuns.remove(place.vm(), key);
-    knowledge.ended(run, place.vm(), outcome, loop.now());
+    fleet.recordEnd(run, place.vm(), outcome, loop.now());
     if (!ended) {
       return;
     }
@@ -320,34 +320,34 @@
             .with("reason", reason)
             .with("ms", TimeUnit.NANOSECONDS.toMillis(loop.now() - run.orderedAt()))
             .with("status", workflow.status()));
-    run.partition().changed(workflow);
-    if (task.step().nature().gang()) {
-      followGang(task);
+    run.partition().persist(workflow);
+    if (task.step().traits().gang()) {
+      endGangAttempt(task);
     }
-    listener.ended(run.partition(), task, outcome);
+    listener.runEnded(run.partition(), task, outcome);
   }
 
   /** One member's end is the end of the others too, or makes their attempt worth nothing. */
-  private void followGang(WorkflowTask ended) {
+  private void endGangAttempt(WorkflowTask ended) {
     Workflow workflow = ended.workflow();
     openRuns.removeEnded(workflow);
     stopUnwanted(workflow);
   }
 
   /** Answers a report that asks for a lease, with the orders that wait. */
-  private void grant(VmSession session) {
+  private void grantLease(VmSession session) {
     session.flush(
-        lease(session).toBuilder()
-            .addAllImages(ImageRecords.encode(knowledge.imagesSeenElsewhere(session.vm())))
+        leaseGrant(session).toBuilder()
+            .addAllImages(ImageObservationCodec.encode(fleet.imagesOfOtherVms(session.vm())))
             .build());
   }
 
-  private LeaseGrant lease(VmSession session) {
+  private LeaseGrant leaseGrant(VmSession session) {
     LeaseGrant.Builder lease =
         LeaseGrant.newBuilder().setWorkerClock(session.report().getWorkerClock());
     for (OwnedPartition partition : ownership.active()) {
       if (partition.writer().hasEvidence()) {
-        long after = partition.writer().evidence() - session.reportedAt();
+        long after = partition.writer().evidenceAt() - session.reportedAt();
         lease.addEvidence(
             PartitionEvidence.newBuilder()
                 .setPartition(partition.number())
@@ -356,12 +356,12 @@
       }
     }
     if (session.place().isPresent()) {
-      lastGrant.put(session.vm(), loop.now());
+      lastLeaseGrantAt.put(session.vm(), loop.now());
     }
     return lease.build();
   }
 
-  private void flushSoon() {
+  private void scheduleFlush() {
     if (!flushScheduled) {
       flushScheduled = true;
       loop.runLater(this::flush);
@@ -371,8 +371,8 @@
   private void flush() {
     flushScheduled = false;
     for (VmSession session : sessions.values()) {
-      if (session.hasPending()) {
-        session.flush(lease(session));
+      if (session.hasPendingOrders()) {
+        session.flush(leaseGrant(session));
       }
     }
   }
@@ -383,7 +383,7 @@
     if (session == null) {
       return;
     }
-    newest.remove(session.vm(), session);
+    sessionsByVm.remove(session.vm(), session);
     LOG.info(LogLine.of("vm-disconnected").with("vm", session.vm()).with("reason", reason));
   }
 
@@ -396,20 +396,20 @@
    * this one shut it out. A side process that was restarted beside a dead worker hears of none, and
    * extends no lease.
    */
-  void sweep() {
+  void closeExpiredRuns() {
     long now = loop.now();
     for (String vm : openRuns.vms()) {
-      VmSession session = newest.get(vm);
+      VmSession session = sessionsByVm.get(vm);
       boolean tellsOfWorker = session != null && session.place().isPresent();
-      if (tellsOfWorker && now - session.reportedAt() < VmStanding.SILENT_NANOS) {
+      if (tellsOfWorker && now - session.reportedAt() < VmAvailability.SILENT_NANOS) {
         continue;
       }
-      long granted = lastGrant.getOrDefault(vm, Long.MIN_VALUE);
-      for (OpenRun run : openRuns.on(vm)) {
+      long granted = lastLeaseGrantAt.getOrDefault(vm, Long.MIN_VALUE);
+      for (OpenRun run : openRuns.onVm(vm)) {
         long since = Math.max(granted, run.partition().writer().openedAt());
         long over = since + TimeUnit.MILLISECONDS.toNanos(terms.takeoverMillis());
         if (run.task().isOpen() && now > Math.max(over, run.orderedAt())) {
-          close(run, RunOutcome.LOST, "", "its VM is out of reach and its lease over");
+          closeRun(run, RunOutcome.LOST, "", "its VM is out of reach and its lease over");
         }
       }
     }
@@ -422,29 +422,29 @@
   /** Returns the VMs that may be given work now. */
   List<VmOffer> offers() {
     List<VmOffer> offers = new ArrayList<>();
-    for (VmSession session : newest.values()) {
-      if (view.standing(session) == VmStanding.OFFERED) {
-        offers.add(session.offer(openRuns.on(session.vm()), knowledge, loop.now()));
+    for (VmSession session : sessionsByVm.values()) {
+      if (view.availability(session) == VmAvailability.OFFERED) {
+        offers.add(session.offer(openRuns.onVm(session.vm()), fleet, loop.now()));
       }
     }
     return offers;
   }
 
   /** Returns how harmful the image is believed to be to tasks that serve, from 0 to 1. */
-  double harmOf(String image) {
-    return knowledge.harmOf(image);
+  double interferenceOf(String image) {
+    return fleet.interferenceOf(image);
   }
 
   /** Returns how many open runs of the step and occurrence are on the VM. */
-  int ofStepOn(String vm, WorkflowTask task) {
-    return openRuns.ofStepOn(vm, task);
+  int openRunsOfStep(String vm, WorkflowTask task) {
+    return openRuns.countOfStep(vm, task);
   }
 
   /** Returns a rack where tasks of the step and occurrence are at work, or empty. */
   String rackOfStep(WorkflowTask task) {
     return task.workflow().tasksOf(task.key().occurrence(), task.key().step()).stream()
         .flatMap(sibling -> sibling.place().stream())
-        .map(place -> newest.get(place.vm()))
+        .map(place -> sessionsByVm.get(place.vm()))
         .filter(Objects::nonNull)
         .map(session -> session.report().getRack())
         .findFirst()
@@ -452,36 +452,35 @@
   }
 
   /** Returns all open runs on VMs whose workers leave. */
-  ImmutableList<OpenRun> onDrainingVms() {
+  ImmutableList<OpenRun> runsOnDrainingVms() {
     return runsOn(VmReport::getDraining);
   }
 
   /** Returns the open runs that are too many beside the services of their VMs. */
-  ImmutableList<OpenRun> crowded() {
+  ImmutableList<OpenRun> excessRuns() {
     ImmutableList.Builder<OpenRun> crowded = ImmutableList.builder();
-    for (VmSession session : newest.values()) {
+    for (VmSession session : sessionsByVm.values()) {
       session.report().getRunsList().stream()
           .filter(RunReport::getCrowded)
-          .flatMap(
-              run -> openRuns.find(session.vm(), WorkflowRecords.decode(run.getTask())).stream())
+          .flatMap(run -> openRuns.find(session.vm(), WorkflowCodec.decode(run.getTask())).stream())
           .forEach(crowded::add);
     }
     return crowded.build();
   }
 
   /** Returns all open runs that fill on VMs where such tasks may work at the share at most. */
-  ImmutableList<OpenRun> slowedDownTo(int percent) {
+  ImmutableList<OpenRun> runsThrottledTo(int percent) {
     return runsOn(report -> report.getServing() > 0 && report.getFillPercent() <= percent).stream()
-        .filter(run -> run.task().step().nature().fills())
-        .filter(run -> knowledge.isSuspect(run.task()))
+        .filter(run -> run.task().step().traits().bestEffort())
+        .filter(run -> fleet.isInterfering(run.task()))
         .collect(ImmutableList.toImmutableList());
   }
 
   private ImmutableList<OpenRun> runsOn(Predicate<VmReport> vms) {
     ImmutableList.Builder<OpenRun> runs = ImmutableList.builder();
-    for (VmSession session : newest.values()) {
+    for (VmSession session : sessionsByVm.values()) {
       if (vms.test(session.report())) {
-        runs.addAll(openRuns.on(session.vm()));
+        runs.addAll(openRuns.onVm(session.vm()));
       }
     }
     return runs.build();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmView.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 
 /**
- * What {@link EntryVms} knows, to look at and not to change. Confined to the loop's thread; each
+ * What {@link VmTracker} knows, to look at and not to change. Confined to the loop's thread; each
  * call shows the state at its time.
  */
 final class VmView {
   private final LinkLoop loop;
   private final Map<String, VmSession> sessions;
   private final OpenRuns openRuns;
-  private final FleetKnowledge knowledge;
+  private final FleetStatistics fleet;
 
   /**
    * Returns a view.
@@ -25,16 +25,19 @@
    * @param sessions the newest connection of each VM that has one, by the VM's name
    */
   VmView(
-      LinkLoop loop, Map<String, VmSession> sessions, OpenRuns openRuns, FleetKnowledge knowledge) {
+      LinkLoop loop,
+      Map<String, VmSession> sessions,
+      OpenRuns openRuns,
+      FleetStatistics knowledge) {
     this.loop = requireNonNull(loop, "loop");
     this.sessions = Collections.unmodifiableMap(sessions);
     this.openRuns = requireNonNull(openRuns, "openRuns");
-    this.knowledge = requireNonNull(knowledge, "knowledge");
+    this.fleet = requireNonNull(knowledge, "knowledge");
   }
 
   /** Returns whether the VM may be given work now, or what forbids that. */
-  VmStanding standing(VmSession session) {
-    return VmStanding.of(session, knowledge, loop.now());
+  VmAvailability availability(VmSession session) {
+    return VmAvailability.of(session, fleet, loop.now());
   }
 
   /** Returns the newest connection of each VM that has one. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerGateway.java
@@ -12,7 +12,7 @@
  * The worker of a VM.
  *
  * <p>Calls never block; futures complete on any thread and never exceptionally. Every call names
- * the worker's life that it is meant for; another life answers {@link OtherWorker} and does
+ * the worker's life that it is meant for; another life answers {@link IncarnationMismatch} and does
  * nothing.
  */
 public interface WorkerGateway {
@@ -31,21 +31,21 @@
   }
 
   /** It may have been carried out, or may be yet. */
-  record OrderUnknown(String reason) implements OrderResult {}
+  record OrderOutcomeUnknown(String reason) implements OrderResult {}
 
   /** The worker's life that the order was for is over. */
-  record OtherWorker() implements OrderResult, ListingResult {}
+  record IncarnationMismatch() implements OrderResult, ListingResult {}
 
   /** Why an order was refused. */
   enum Refusal {
     /** The attempt, or a later one, has ended here. */
-    OLD_ATTEMPT,
+    STALE_ATTEMPT,
     /** The worker has no room. */
-    NO_ROOM,
+    INSUFFICIENT_CAPACITY,
     /** The deadline has passed. */
-    LATE,
+    DEADLINE_PASSED,
     /** The worker is unhealthy, or takes nothing now. */
-    BUSY,
+    UNAVAILABLE,
     /** The order itself is wrong. */
     INVALID
   }
@@ -61,33 +61,33 @@
    *
    * @param workerClock the worker's clock in milliseconds when it answered
    */
-  record Listing(long workerClock, ImmutableList<Running> running, ImmutableList<Ended> ended)
+  record Listing(long workerClock, ImmutableList<ActiveRun> running, ImmutableList<EndedRun> ended)
       implements ListingResult {
     /** Returns whether the worker may have ends that the listing does not hold. */
-    public boolean isCut() {
+    public boolean isTruncated() {
       return ended.size() >= MAX_LISTED_ENDS;
     }
   }
 
   /** The worker did not answer. */
-  record NoListing(String reason) implements ListingResult {}
+  record ListingFailed(String reason) implements ListingResult {}
 
   /**
    * A run.
    *
    * @param checkpoint the newest progress saved; empty for none
    * @param percent how far it is
-   * @param gauge tail latency in milliseconds of a task that serves; else processors in use, in
-   *     thousandths
+   * @param measurement tail latency in milliseconds of a task that serves; else processors in use,
+   *     in thousandths
    */
-  record Running(RunKey run, String checkpoint, int percent, long gauge) {}
+  record ActiveRun(RunKey run, String checkpoint, int percent, long measurement) {}
 
   /**
    * The end of a run.
    *
    * @param sequence counts the ends of a worker's life, from 1
    */
-  record Ended(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {}
+  record EndedRun(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {}
 
   /**
    * A start.
@@ -97,16 +97,16 @@
    * @param checkpoint where to resume; empty for the beginning
    * @param ticket of the placement adviser; empty where none is needed
    */
-  record Start(RunKey run, String program, long deadline, String checkpoint, String ticket) {}
+  record StartOrder(RunKey run, String program, long deadline, String checkpoint, String ticket) {}
 
   /** Starts a run. */
-  CompletableFuture<OrderResult> start(String worker, Start start);
+  CompletableFuture<OrderResult> start(String worker, StartOrder start);
 
   /** Stops a run; once accepted, neither this attempt nor an earlier one starts there any more. */
   CompletableFuture<OrderResult> stop(String worker, RunKey run);
 
   /** Sets the share of its speed at which a run may work, 0 to 100. */
-  CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent);
+  CompletableFuture<OrderResult> throttle(String worker, RunKey run, int percent);
 
   /**
    * Lists what runs, lets it run on until the deadline, and forgets noted ends.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
@@ -10,46 +10,46 @@
  */
 final class WorkerHealth {
   /** How long a worker that refuses or does not answer gets no new work, in nanoseconds. */
-  private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  private static final long BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  private final WorkerSilence silence;
-  private long restsUntil = Long.MIN_VALUE;
-  private boolean told;
+  private final ListingOutage outage;
+  private long backoffUntil = Long.MIN_VALUE;
+  private boolean reportedUnhealthy;
 
   WorkerHealth(String worker) {
-    this.silence = new WorkerSilence(worker);
+    this.outage = new ListingOutage(worker);
   }
 
   /** Notes that the worker refused an order, or did not answer it. */
-  void failed(long now) {
-    restsUntil = now + REST_NANOS;
+  void recordFailure(long now) {
+    backoffUntil = now + BACKOFF_NANOS;
   }
 
   /** Takes a listing without an answer; returns the line that is due, if one is. */
-  Optional<LogLine> unanswered(String reason, long now) {
-    failed(now);
-    return silence.failed(reason, now);
+  Optional<LogLine> recordListingFailure(String reason, long now) {
+    recordFailure(now);
+    return outage.recordFailure(reason, now);
   }
 
   /** Takes a listing; returns the line that is due if it ends a silence. */
-  Optional<LogLine> answered(long now) {
-    return silence.answered(now);
+  Optional<LogLine> recordListing(long now) {
+    return outage.recordSuccess(now);
   }
 
   /** Returns whether the last listing was not answered. */
-  boolean isSilent() {
-    return silence.lasts();
+  boolean isUnresponsive() {
+    return outage.isOngoing();
   }
 
   /** Returns whether the worker is given nothing for now. */
-  boolean isBad(long now) {
-    return isSilent() || now < restsUntil;
+  boolean isUnhealthy(long now) {
+    return isUnresponsive() || now < backoffUntil;
   }
 
   /** Takes whether the VM takes nothing now; returns whether that is other than the last time. */
-  boolean changes(boolean unhealthy) {
-    boolean changes = told != unhealthy;
-    told = unhealthy;
+  boolean updateReported(boolean unhealthy) {
+    boolean changes = reportedUnhealthy != unhealthy;
+    reportedUnhealthy = unhealthy;
     return changes;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHeartbeat.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns whether both tell the same, whenever they were sent. */
-  boolean saysTheSameAs(WorkerHeartbeat other) {
+  boolean equalsIgnoringSequence(WorkerHeartbeat other) {
     return equals(
         new WorkerHeartbeat(
             other.worker,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -6,22 +6,22 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Accepted;
-import io.marigoldsail.daemon.workflow.WorkerGateway.Ended;
+import io.marigoldsail.daemon.workflow.WorkerGateway.ActiveRun;
+import io.marigoldsail.daemon.workflow.WorkerGateway.EndedRun;
+import io.marigoldsail.daemon.workflow.WorkerGateway.IncarnationMismatch;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Listing;
+import io.marigoldsail.daemon.workflow.WorkerGateway.ListingFailed;
 import io.marigoldsail.daemon.workflow.WorkerGateway.ListingResult;
-import io.marigoldsail.daemon.workflow.WorkerGateway.NoListing;
 import io.marigoldsail.daemon.workflow.WorkerGateway.OrderResult;
-import io.marigoldsail.daemon.workflow.WorkerGateway.OtherWorker;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Refusal;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Refused;
-import io.marigoldsail.daemon.workflow.WorkerGateway.Running;
 import io.marigoldsail.protocol.EndReport;
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Overcommit;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -46,34 +46,34 @@
   private static final EventLog LOG = EventLog.of(WorkerSession.class);
 
   /** How long a listing waits for an end, in milliseconds. */
-  private static final long WAIT_MILLIS = 900;
+  private static final long LISTING_WAIT_MILLIS = 900;
 
   /** The same while tasks with a latency target run: their tails are measured each half second. */
-  private static final long WAIT_SERVING_MILLIS = 450;
+  private static final long SERVICE_LISTING_WAIT_MILLIS = 450;
 
   /** The most that the next listing waits for owners to note ends, in nanoseconds. */
-  private static final long NOTE_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long ACKNOWLEDGEMENT_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  private static final long RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
   private static final int MAX_START_TRIES = 3;
 
   private final LinkLoop loop;
   private final WorkerGateway gateway;
   private final String worker;
   private final int partitions;
-  private final WorkerListener listener;
+  private final WorkerSessionListener listener;
   private final Overcommit overcommit = new Overcommit();
-  private final RoomLedger room = new RoomLedger(overcommit);
-  private final WorkerTime time;
-  private final RunPacing pacing;
+  private final ResourceLedger resources = new ResourceLedger(overcommit);
+  private final WorkerLease lease;
+  private final RunThrottler throttler;
   private final StartAdmission admission;
-  private final EndLedger ends = new EndLedger();
-  private final RunOverLog overs;
+  private final UnacknowledgedEnds ends = new UnacknowledgedEnds();
+  private final RunEndLog endLog;
   private final Map<RunKey, SideRun> runs = new LinkedHashMap<>();
   private WorkerHeartbeat heartbeat;
   private final WorkerHealth health;
-  private final ListingTurns turns;
-  private boolean adopted;
+  private final ListingScheduler listings;
+  private boolean initialized;
   private boolean closed;
 
   WorkerSession(
@@ -82,27 +82,27 @@
       WorkerHeartbeat heartbeat,
       Listing first,
       int partitions,
-      LeaseTermsOfWorker terms,
-      WorkerListener listener) {
+      WorkerLeaseTerms terms,
+      WorkerSessionListener listener) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
     this.heartbeat = requireNonNull(heartbeat, "heartbeat");
     this.worker = heartbeat.worker();
     this.partitions = partitions;
     this.listener = requireNonNull(listener, "listener");
-    this.time = new WorkerTime(loop, terms, first.workerClock());
-    this.pacing = new RunPacing(loop, gateway, worker, overcommit);
-    this.overs = new RunOverLog(loop, worker);
-    this.admission = new StartAdmission(time, room, pacing);
-    this.turns = new ListingTurns(loop, this::look);
+    this.lease = new WorkerLease(loop, terms, first.workerClock());
+    this.throttler = new RunThrottler(loop, gateway, worker, overcommit);
+    this.endLog = new RunEndLog(loop, worker);
+    this.admission = new StartAdmission(lease, resources, throttler);
+    this.listings = new ListingScheduler(loop, this::requestListing);
     this.health = new WorkerHealth(worker);
-    room.capacity(heartbeat.capacity());
-    takeListing(first, Set.of());
-    adopted = true;
+    resources.capacity(heartbeat.capacity());
+    applyListing(first, Set.of());
+    initialized = true;
   }
 
   void start() {
-    turns.now();
+    listings.requestNow();
   }
 
   String worker() {
@@ -116,18 +116,18 @@
   void heartbeat(WorkerHeartbeat newest) {
     WorkerHeartbeat before = heartbeat;
     heartbeat = newest;
-    room.capacity(newest.capacity());
+    resources.capacity(newest.capacity());
     if (newest.draining() && !before.draining()) {
       LOG.info(LogLine.of("worker-leaves").with("worker", worker).with("runs", runs.size()));
-      listener.standingChanged();
-    } else if (!newest.saysTheSameAs(before)) {
-      listener.roomChanged();
+      listener.availabilityChanged();
+    } else if (!newest.equalsIgnoringSequence(before)) {
+      listener.capacityChanged();
     }
   }
 
   /** Returns a time that the worker's clock has surely reached, in milliseconds. */
-  long workerClock() {
-    return time.reached();
+  long workerClockLowerBound() {
+    return lease.clockLowerBound();
   }
 
   /**
@@ -137,11 +137,11 @@
    * for empty and send it all that waits, while others have room.
    */
   boolean isUnhealthy() {
-    return health.isBad(loop.now()) || StartAdmission.isAnyUnknown(runs.values());
+    return health.isUnhealthy(loop.now()) || StartAdmission.hasUnknownSizes(runs.values());
   }
 
-  RoomLedger room() {
-    return room;
+  ResourceLedger resources() {
+    return resources;
   }
 
   Collection<SideRun> runs() {
@@ -152,17 +152,17 @@
     return ends.all();
   }
 
-  RunPacing pacing() {
-    return pacing;
+  RunThrottler throttler() {
+    return throttler;
   }
 
-  int serving() {
-    return StartAdmission.serving(runs.values());
+  int serviceTaskCount() {
+    return StartAdmission.serviceTaskCount(runs.values());
   }
 
   /** Takes evidence that an owner held its partition at a time on the worker's clock. */
-  boolean evidence(int partition, long epoch, long workerClock) {
-    return time.evidence(partition, epoch, workerClock);
+  boolean recordEvidence(int partition, long epoch, long workerClock) {
+    return lease.recordEvidence(partition, epoch, workerClock);
   }
 
   int partitionOf(RunKey key) {
@@ -175,21 +175,21 @@
     if (known != null) {
       if (known.order().isEmpty()) {
         known.order(order);
-        room.book(key, StartAdmission.claim(order));
+        resources.book(key, StartAdmission.claim(order));
         listener.runChanged(known.partition());
       }
       return;
     }
-    if (ends.has(key)) {
+    if (ends.contains(key)) {
       return;
     }
     int partition = partitionOf(key);
     Optional<String> refusal =
-        health.isSilent()
+        health.isUnresponsive()
             ? Optional.of("the worker is silent")
-            : admission.refusal(key, partition, order, heartbeat.draining(), runs.values());
+            : admission.reserveOrRefuse(key, partition, order, heartbeat.draining(), runs.values());
     if (refusal.isPresent()) {
-      finish(key, RunOutcome.REFUSED, "", 0, refusal.get());
+      recordEnd(key, RunOutcome.REFUSED, "", 0, refusal.get());
       return;
     }
     SideRun run = new SideRun(key, partition, Optional.of(order));
@@ -199,33 +199,33 @@
   }
 
   private void sendStart(SideRun run) {
-    int tries = run.tried();
-    if (!health.isSilent()) {
-      time.extend(held());
+    int tries = run.countStartTry();
+    if (!health.isUnresponsive()) {
+      lease.extend(activePartitions());
     }
-    WorkerGateway.Start start =
-        new WorkerGateway.Start(
+    WorkerGateway.StartOrder start =
+        new WorkerGateway.StartOrder(
             run.key(),
             run.program(),
-            time.deadline(),
+            lease.deadline(),
             run.order().orElseThrow().getCheckpoint(),
             run.order().orElseThrow().getTicket());
     gateway
         .start(worker, start)
-        .thenAccept(result -> loop.run(() -> startAnswered(run, tries, result)));
+        .thenAccept(result -> loop.run(() -> handleStartResult(run, tries, result)));
   }
 
-  private void startAnswered(SideRun run, int tries, OrderResult result) {
+  private void handleStartResult(SideRun run, int tries, OrderResult result) {
     if (closed || runs.get(run.key()) != run || run.isStopping()) {
       return;
     }
     if (result instanceof Accepted accepted) {
-      time.read(accepted.workerClock());
+      lease.recordClock(accepted.workerClock());
       run.confirm();
-      pacing.pace(run);
+      throttler.throttle(run);
       listener.runChanged(run.partition());
-    } else if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+    } else if (result instanceof IncarnationMismatch) {
+      end("it answered as another one");
     } else if (result instanceof Refused refused) {
       startRefused(run, refused);
     } else {
@@ -233,14 +233,14 @@
           LogLine.of("start-unanswered")
               .with("run", run.key())
               .with("tries", tries)
-              .with("reason", ((WorkerGateway.OrderUnknown) result).reason()));
-      run.becameUncertain();
-      unhealthy();
+              .with("reason", ((WorkerGateway.OrderOutcomeUnknown) result).reason()));
+      run.markStartOutcomeUnknown();
+      recordFailure();
       if (run.isListed()) {
         return;
       }
       if (tries < MAX_START_TRIES) {
-        loop.schedule(() -> retryStart(run), RETRY_NANOS);
+        loop.schedule(() -> retryStart(run), RETRY_DELAY_NANOS);
       } else {
         stop(run.key());
       }
@@ -260,36 +260,36 @@
   }
 
   private void startRefused(SideRun run, Refused refused) {
-    if (refused.refusal() == Refusal.BUSY) {
-      unhealthy();
+    if (refused.refusal() == Refusal.UNAVAILABLE) {
+      recordFailure();
     }
-    if (refused.refusal() == Refusal.OLD_ATTEMPT) {
+    if (refused.refusal() == Refusal.STALE_ATTEMPT) {
       // It ended or was stopped here: listings show its end, or it is noted already.
       run.confirm();
       return;
     }
-    if (run.isUncertain()) {
+    if (run.isStartOutcomeUnknown()) {
       // An earlier copy of the order may be carried out yet; the stop forbids that.
       stop(run.key());
       return;
     }
-    finish(run.key(), RunOutcome.REFUSED, "", 0, refused.detail());
+    recordEnd(run.key(), RunOutcome.REFUSED, "", 0, refused.detail());
   }
 
-  private void tellStanding() {
-    if (health.changes(isUnhealthy())) {
-      listener.standingChanged();
+  private void notifyAvailability() {
+    if (health.updateReported(isUnhealthy())) {
+      listener.availabilityChanged();
     }
   }
 
-  private void unhealthy() {
-    health.failed(loop.now());
-    tellStanding();
+  private void recordFailure() {
+    health.recordFailure(loop.now());
+    notifyAvailability();
   }
 
   /** Stops a run, also one that is not known here: a late order for it must not be carried out. */
   void stop(RunKey key) {
-    if (ends.has(key)) {
+    if (ends.contains(key)) {
       return;
     }
     SideRun run = runs.get(key);
@@ -300,24 +300,26 @@
     if (run.isStopping()) {
       return;
     }
-    run.stop();
+    run.markStopping();
     sendStop(run);
   }
 
   private void sendStop(SideRun run) {
-    gateway.stop(worker, run.key()).thenAccept(result -> loop.run(() -> stopAnswered(run, result)));
+    gateway
+        .stop(worker, run.key())
+        .thenAccept(result -> loop.run(() -> handleStopResult(run, result)));
   }
 
-  private void stopAnswered(SideRun run, OrderResult result) {
+  private void handleStopResult(SideRun run, OrderResult result) {
     if (closed || runs.get(run.key()) != run) {
       return;
     }
-    if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+    if (result instanceof IncarnationMismatch) {
+      end("it answered as another one");
     } else if (result instanceof Accepted accepted) {
-      time.read(accepted.workerClock());
+      lease.recordClock(accepted.workerClock());
       run.confirm();
-    } else if (result instanceof Refused refused && refused.refusal() == Refusal.OLD_ATTEMPT) {
+    } else if (result instanceof Refused refused && refused.refusal() == Refusal.STALE_ATTEMPT) {
       run.confirm();
     } else {
       LOG.info(LogLine.of("stop-retried").with("run", run.key()).with("result", result));
@@ -327,75 +329,77 @@
               sendStop(run);
             }
           },
-          RETRY_NANOS);
+          RETRY_DELAY_NANOS);
     }
   }
 
   /** Forgets an end that its owner has made durable. */
-  void noted(RunKey key) {
-    if (ends.note(key) && ends.isAllNoted() && !health.isSilent()) {
-      turns.now();
+  void acknowledgeEnd(RunKey key) {
+    if (ends.acknowledge(key) && ends.isAllAcknowledged() && !health.isUnresponsive()) {
+      listings.requestNow();
     }
   }
 
-  private void finish(
+  private void recordEnd(
       RunKey key, RunOutcome outcome, String checkpoint, long sequence, String reason) {
     runs.remove(key);
-    room.release(key);
+    resources.release(key);
     ends.add(key, outcome, checkpoint, sequence, reason);
-    overs.over(key, outcome, reason);
+    endLog.runEnded(key, outcome, reason);
     listener.runChanged(partitionOf(key));
   }
 
-  private Set<Integer> held() {
+  private Set<Integer> activePartitions() {
     Set<Integer> held = new HashSet<>();
     runs.values().forEach(run -> held.add(run.partition()));
     return held;
   }
 
-  private void look() {
+  private void requestListing() {
     // A worker that did not answer may have taken the last deadline; it must be able to pass.
-    OptionalLong until = health.isSilent() ? OptionalLong.empty() : time.extend(held());
-    long wait = serving() > 0 ? WAIT_SERVING_MILLIS : WAIT_MILLIS;
+    OptionalLong until =
+        health.isUnresponsive() ? OptionalLong.empty() : lease.extend(activePartitions());
+    long wait = serviceTaskCount() > 0 ? SERVICE_LISTING_WAIT_MILLIS : LISTING_WAIT_MILLIS;
     Set<RunKey> confirmed = new HashSet<>();
     runs.values().stream().filter(SideRun::isConfirmed).forEach(run -> confirmed.add(run.key()));
-    long waits = ends.isAllNoted() ? wait : 0;
-    ListingTurns.answer(worker, () -> gateway.list(worker, until, ends.noted(), waits))
-        .thenAccept(result -> loop.run(() -> listed(result, confirmed)));
+    long waits = ends.isAllAcknowledged() ? wait : 0;
+    ListingScheduler.resultOf(
+            worker, () -> gateway.list(worker, until, ends.acknowledgedUpTo(), waits))
+        .thenAccept(result -> loop.run(() -> handleListingResult(result, confirmed)));
   }
 
-  private void listed(ListingResult result, Set<RunKey> confirmed) {
-    turns.ended();
+  private void handleListingResult(ListingResult result, Set<RunKey> confirmed) {
+    listings.completed();
     if (closed) {
       return;
     }
-    if (result instanceof OtherWorker) {
-      gone("it answered as another one");
+    if (result instanceof IncarnationMismatch) {
+      end("it answered as another one");
       return;
     }
     // Planned first: without a next listing owners would believe for good that all this runs.
-    turns.after(RETRY_NANOS);
-    if (result instanceof NoListing failed) {
-      health.unanswered(failed.reason(), loop.now()).ifPresent(LOG::info);
-      tellStanding();
-      if (time.isOver()) {
-        leaseIsOver();
+    listings.scheduleAfter(RETRY_DELAY_NANOS);
+    if (result instanceof ListingFailed failed) {
+      health.recordListingFailure(failed.reason(), loop.now()).ifPresent(LOG::info);
+      notifyAvailability();
+      if (lease.isExpired()) {
+        recordLapsedRuns();
       }
       return;
     }
-    health.answered(loop.now()).ifPresent(LOG::info);
+    health.recordListing(loop.now()).ifPresent(LOG::info);
     Listing shown = (Listing) result;
-    time.read(shown.workerClock());
-    takeListing(shown, confirmed);
-    tellStanding();
-    stopOverdue();
-    if (pacing.observe(runs.values(), room.capacity().milliProcessors())) {
-      listener.roomChanged();
-    }
-    if (ends.isAllNoted()) {
-      turns.now();
+    lease.recordClock(shown.workerClock());
+    applyListing(shown, confirmed);
+    notifyAvailability();
+    stopRunsOfUnresponsiveOwners();
+    if (throttler.observe(runs.values(), resources.capacity().milliProcessors())) {
+      listener.capacityChanged();
+    }
+    if (ends.isAllAcknowledged()) {
+      listings.requestNow();
     } else {
-      turns.after(NOTE_WAIT_NANOS);
+      listings.scheduleAfter(ACKNOWLEDGEMENT_WAIT_NANOS);
     }
   }
 
@@ -406,63 +410,63 @@
    * replaces answers nothing, so nobody ever tells the end of what it ran. A worker that is only
    * cut off has ended it by itself by then, and takes no order that was sent before.
    */
-  private void leaseIsOver() {
+  private void recordLapsedRuns() {
     for (SideRun run : List.copyOf(runs.values())) {
-      finish(run.key(), RunOutcome.LAPSED, "", 0, "the worker is silent and its lease over");
+      recordEnd(run.key(), RunOutcome.LAPSED, "", 0, "the worker is silent and its lease over");
     }
   }
 
-  private void takeListing(Listing shown, Set<RunKey> confirmed) {
+  private void applyListing(Listing shown, Set<RunKey> confirmed) {
     Set<RunKey> mentioned = new HashSet<>();
-    for (Ended end : shown.ended()) {
+    for (EndedRun end : shown.ended()) {
       mentioned.add(end.run());
-      takeEnd(end);
+      applyEnd(end);
     }
-    for (Running row : shown.running()) {
+    for (ActiveRun row : shown.running()) {
       mentioned.add(row.run());
-      takeRunning(row);
+      applyActiveRun(row);
     }
-    if (shown.isCut()) {
+    if (shown.isTruncated()) {
       return;
     }
     for (SideRun run : List.copyOf(runs.values())) {
       boolean missing = !mentioned.contains(run.key()) && confirmed.contains(run.key());
-      if (missing && run.missedTooOften()) {
-        finish(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker lists it no more");
+      if (missing && run.countMissedListing()) {
+        recordEnd(run.key(), RunOutcome.FORGOTTEN, "", 0, "the worker lists it no more");
       }
     }
   }
 
-  private void takeEnd(Ended end) {
-    if (!ends.isNew(end.sequence())) {
+  private void applyEnd(EndedRun end) {
+    if (!ends.recordSequence(end.sequence())) {
       return;
     }
-    finish(end.run(), end.outcome(), end.checkpoint(), end.sequence(), "listed by the worker");
+    recordEnd(end.run(), end.outcome(), end.checkpoint(), end.sequence(), "listed by the worker");
   }
 
-  private void takeRunning(Running row) {
+  private void applyActiveRun(ActiveRun row) {
     SideRun run = runs.get(row.run());
     if (run == null) {
-      if (ends.has(row.run())) {
+      if (ends.contains(row.run())) {
         return;
       }
       LOG.info(
-          LogLine.of(adopted ? "run-appeared" : "run-adopted")
+          LogLine.of(initialized ? "run-appeared" : "run-adopted")
               .with("run", row.run())
               .with("worker", worker));
       run = new SideRun(row.run(), partitionOf(row.run()), Optional.empty());
       runs.put(row.run(), run);
     }
     boolean first = !run.isListed();
-    run.listed(row.checkpoint(), row.percent(), row.gauge());
+    run.listed(row.checkpoint(), row.percent(), row.measurement());
     if (first) {
       listener.runChanged(run.partition());
     }
   }
 
   /** Stops what belongs to owners that are silent for long, so that it does not end the others. */
-  private void stopOverdue() {
-    Set<Integer> overdue = time.overdue(held());
+  private void stopRunsOfUnresponsiveOwners() {
+    Set<Integer> overdue = lease.overduePartitions(activePartitions());
     for (SideRun run : new ArrayList<>(runs.values())) {
       if (overdue.contains(run.partition()) && !run.isStopping()) {
         LOG.warning(
@@ -476,17 +480,17 @@
   }
 
   /** Ends this life: what ran is over, since the worker that ran it is. */
-  void gone(String reason) {
+  void end(String reason) {
     if (closed) {
       return;
     }
     closed = true;
-    turns.close();
+    listings.close();
     LOG.info(
         LogLine.of("worker-gone")
             .with("worker", worker)
             .with("runs", runs.size())
             .with("reason", reason));
-    listener.gone(this);
+    listener.sessionEnded(this);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowRecords.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowCodec.java
@@ -11,7 +11,7 @@
 import io.marigoldsail.protocol.WorkflowStep;
 import io.marigoldsail.protocol.WorkflowSubmission;
 import io.marigoldsail.protocol.WorkflowTaskId;
-import io.marigoldsail.workflow.AdviceTerms;
+import io.marigoldsail.workflow.AdviserTiming;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.StepSpec;
@@ -25,36 +25,36 @@
 import java.util.Optional;
 
 /** Turns workflows into their durable records and frames, and back. Stateless. */
-final class WorkflowRecords {
+final class WorkflowCodec {
 
   /** Phases of a task in records; numbers never change. */
   private static final int PHASE_WAITING = 0;
 
   private static final int PHASE_DONE = 1;
 
-  private WorkflowRecords() {}
+  private WorkflowCodec() {}
 
   static ByteString encode(WorkflowSpec spec) {
     WorkflowSubmission.Builder builder =
         WorkflowSubmission.newBuilder()
             .setId(spec.id())
             .setQueue(spec.queue())
-            .setService(spec.terms().service())
-            .setPriority(spec.terms().priority())
-            .setMaxFailures(spec.terms().maxFailures())
-            .setSlackFactor(spec.terms().slackFactor())
-            .setObjectiveMillis(spec.terms().objectiveMillis())
+            .setService(spec.policy().service())
+            .setPriority(spec.policy().priority())
+            .setMaxFailures(spec.policy().maxFailures())
+            .setSlackFactor(spec.policy().slackFactor())
+            .setObjectiveMillis(spec.policy().objectiveMillis())
             .setProgram(spec.program())
             .setOccurrences(spec.schedule().occurrences())
             .setFirstDueMillis(spec.schedule().firstDueMillis())
             .setIntervalMillis(spec.schedule().intervalMillis())
             .setAcceptedMillis(spec.acceptedMillis());
-    spec.terms().advice().ifPresent(advice -> builder.setAdvice(encode(advice)));
+    spec.policy().advice().ifPresent(advice -> builder.setAdvice(encode(advice)));
     spec.steps().forEach(step -> builder.addSteps(encode(step)));
     return builder.build().toByteString();
   }
 
-  private static PlacementAdvice encode(AdviceTerms advice) {
+  private static PlacementAdvice encode(AdviserTiming advice) {
     return PlacementAdvice.newBuilder()
         .setDecideMillis((int) advice.decideMillis())
         .setPeriodMillis((int) advice.periodMillis())
@@ -62,11 +62,11 @@
         .build();
   }
 
-  private static Optional<AdviceTerms> advice(WorkflowSubmission submission) {
+  private static Optional<AdviserTiming> advice(WorkflowSubmission submission) {
     PlacementAdvice advice = submission.getAdvice();
     return submission.hasAdvice()
         ? Optional.of(
-            new AdviceTerms(
+            new AdviserTiming(
                 advice.getDecideMillis(), advice.getPeriodMillis(), advice.getValidMillis()))
         : Optional.empty();
   }
@@ -79,18 +79,18 @@
         .setAccelerators((int) step.sizes().accelerators())
         .setEstimateMillis((int) step.estimateMillis())
         .addAllDependsOn(step.dependsOn())
-        .setGang(step.nature().gang())
+        .setGang(step.traits().gang())
         .setSameRack(step.placement().sameRack())
         .setRequiredLabel(step.placement().requiredLabel())
         .setPreferredRack(step.placement().preferredRack())
         .setMaxPerVm(step.placement().maxPerVm())
-        .setCheckpointable(step.nature().checkpointable())
-        .setSpeculative(step.nature().speculative())
-        .setLasting(step.nature().lasting())
-        .setImage(step.nature().image())
-        .setLatencyTargetMillis((int) step.nature().latencyTargetMillis())
-        .setFills(step.nature().fills())
-        .setAllowedUnavailable(step.nature().allowedUnavailable())
+        .setCheckpointable(step.traits().checkpointable())
+        .setSpeculative(step.traits().speculative())
+        .setLasting(step.traits().longRunning())
+        .setImage(step.traits().image())
+        .setLatencyTargetMillis((int) step.traits().latencyTargetMillis())
+        .setFills(step.traits().bestEffort())
+        .setAllowedUnavailable(step.traits().maxUnavailable())
         .build();
   }
 
@@ -106,8 +106,8 @@
   static Optional<WorkflowSpec> decodeSubmission(ByteString bytes) {
     try {
       WorkflowSubmission submission = WorkflowSubmission.parseFrom(bytes);
-      WorkflowSpec.Terms terms =
-          new WorkflowSpec.Terms(
+      WorkflowSpec.QueuePolicy terms =
+          new WorkflowSpec.QueuePolicy(
               submission.getService(),
               submission.getPriority(),
               submission.getMaxFailures(),
@@ -121,7 +121,7 @@
               submission.getIntervalMillis());
       ImmutableList<StepSpec> steps =
           submission.getStepsList().stream()
-              .map(WorkflowRecords::decode)
+              .map(WorkflowCodec::decode)
               .collect(ImmutableList.toImmutableList());
       return Optional.of(
           new WorkflowSpec(
@@ -148,7 +148,7 @@
             step.getPreferredRack(),
             step.getSameRack(),
             step.getMaxPerVm()),
-        new StepSpec.Nature(
+        new StepSpec.TaskTraits(
             step.getGang(),
             step.getCheckpointable(),
             step.getSpeculative(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -45,29 +45,29 @@
 public final class WorkflowEntry {
   private static final EventLog LOG = EventLog.of(WorkflowEntry.class);
 
-  private static final long RENEW_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
-  private static final long SWEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-  private static final long COUNTS_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-  private static final long FORGET_NANOS = TimeUnit.SECONDS.toNanos(5);
-  private static final long WATCH_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long EVIDENCE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
+  private static final long SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long COUNTS_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long EVICTION_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long MONITOR_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** How long a cancel may take to become durable before its caller is told to ask again. */
-  private static final long CANCEL_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
+  private static final long CANCEL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private static final int MAX_LINKS = 2_000;
 
   private final LinkLoop loop;
-  private final EntryTerms terms;
+  private final EntryParameters parameters;
   private final EntryMember self;
   private final LongSupplier wallMillis;
-  private final Ownership ownership;
+  private final PartitionOwnership ownership;
   private final EntryPeers peers;
-  private final EntryVms vms;
+  private final VmTracker vms;
   private final EntryScheduler scheduler;
-  private final TaskWatch watch;
+  private final LongRunningTaskMonitor taskMonitor;
   private final SubmissionWriter submissions;
   private final LinkServer server;
-  private final OwnerMapTurns<LinkConnection> turns = new OwnerMapTurns<>();
+  private final OwnerMapRateLimiter<LinkConnection> ownerMapLimiter = new OwnerMapRateLimiter<>();
   private volatile Optional<QueueTable> configuration = Optional.empty();
   private volatile boolean leaving;
 
@@ -87,14 +87,14 @@
       InetSocketAddress address,
       LongSupplier wallMillis,
       PlacementAdviser adviser,
-      EntryTerms terms) {
+      EntryParameters terms) {
     this.loop = requireNonNull(loop, "loop");
-    this.terms = requireNonNull(terms, "terms");
+    this.parameters = requireNonNull(terms, "terms");
     this.wallMillis = requireNonNull(wallMillis, "wallMillis");
     this.self = new EntryMember(address.getHostString(), address.getPort(), wallMillis.getAsLong());
-    this.ownership = new Ownership(store, loop, self, new Changes());
+    this.ownership = new PartitionOwnership(store, loop, self, new OwnershipListener());
     this.peers = new EntryPeers(loop, self);
-    this.vms = new EntryVms(loop, ownership, terms.lease(), wallMillis, new VmChanges());
+    this.vms = new VmTracker(loop, ownership, terms.lease(), wallMillis, new VmListener());
     this.scheduler =
         new EntryScheduler(
             loop,
@@ -104,9 +104,9 @@
             VmChooser.of(terms.farRackFactor()),
             adviser,
             () -> this.configuration);
-    this.watch = new TaskWatch(loop, wallMillis, ownership, vms, scheduler);
+    this.taskMonitor = new LongRunningTaskMonitor(loop, wallMillis, ownership, vms, scheduler);
     this.submissions = new SubmissionWriter(store, loop);
-    this.server = new LinkServer(loop, address, MAX_LINKS, new Incoming());
+    this.server = new LinkServer(loop, address, MAX_LINKS, new IncomingLinkListener());
   }
 
   /**
@@ -117,11 +117,11 @@
   public void start() throws IOException {
     server.start();
     loop.run(ownership::start);
-    loop.repeat(this::renew, RENEW_NANOS);
-    loop.repeat(this::sweep, SWEEP_NANOS);
-    loop.repeat(() -> peers.tick(waitingHere()), COUNTS_NANOS);
-    loop.repeat(watch::look, WATCH_NANOS);
-    loop.repeat(this::forgetEnded, FORGET_NANOS);
+    loop.repeat(this::renewEvidence, EVIDENCE_INTERVAL_NANOS);
+    loop.repeat(this::sweep, SWEEP_INTERVAL_NANOS);
+    loop.repeat(() -> peers.tick(waitingLocally()), COUNTS_INTERVAL_NANOS);
+    loop.repeat(taskMonitor::check, MONITOR_INTERVAL_NANOS);
+    loop.repeat(this::evictEnded, EVICTION_INTERVAL_NANOS);
   }
 
   /** Puts a configuration in force; older versions than the one in force are passed over. */
@@ -135,7 +135,7 @@
         LogLine.of("configuration-in-force")
             .with("version", queues.version())
             .with("queues", queues.queues().size()));
-    loop.run(scheduler::soon);
+    loop.run(scheduler::schedulePass);
   }
 
   /** Returns the configuration in force, or empty while none is known. */
@@ -159,18 +159,20 @@
         () -> {
           if (!ownership.isConnected()) {
             // Spares the caller the wait for an append that is known to fail.
-            submitted(spec, new NotAppended("the store did not answer the last call"), told);
+            completeSubmission(
+                spec, new NotAppended("the store did not answer the last call"), told);
             return;
           }
           int partition = ownership.partitionOf(spec.id());
           String key = WorkflowIds.format(spec.id());
-          KeyedRecord submission = new KeyedRecord(key, WorkflowRecords.encode(spec));
-          submissions.write(partition, submission, result -> submitted(spec, result, told));
+          KeyedRecord submission = new KeyedRecord(key, WorkflowCodec.encode(spec));
+          submissions.write(
+              partition, submission, result -> completeSubmission(spec, result, told));
         });
     return told;
   }
 
-  private void submitted(
+  private void completeSubmission(
       WorkflowSpec spec, AppendResult result, CompletableFuture<AppendResult> told) {
     LOG.info(
         LogLine.of("workflow-submitted")
@@ -194,16 +196,16 @@
    */
   public CompletableFuture<QueryResult> query(long workflow, String queue, boolean cancel) {
     CompletableFuture<QueryResult> told = new CompletableFuture<>();
-    loop.run(() -> answer(workflow, queue, cancel, true, told::complete));
+    loop.run(() -> handleQuery(workflow, queue, cancel, true, told::complete));
     return told;
   }
 
-  private void answer(
+  private void handleQuery(
       long workflow, String queue, boolean cancel, boolean mayAsk, Consumer<QueryResult> told) {
     int partition = ownership.partitionOf(workflow);
     Optional<OwnedPartition> own = ownership.active(partition);
     if (own.isPresent()) {
-      answerOwn(own.get(), workflow, cancel, told);
+      queryOwned(own.get(), workflow, cancel, told);
     } else if (mayAsk) {
       WorkflowQuery question =
           WorkflowQuery.newBuilder()
@@ -211,59 +213,59 @@
               .setQueue(queue)
               .setCancel(cancel)
               .build();
-      peers.ask(partition, question, told);
+      peers.query(partition, question, told);
     } else {
-      told.accept(QueryResult.CANNOT_TELL);
+      told.accept(QueryResult.UNAVAILABLE);
     }
   }
 
-  private void answerOwn(OwnedPartition own, long id, boolean cancel, Consumer<QueryResult> told) {
+  private void queryOwned(OwnedPartition own, long id, boolean cancel, Consumer<QueryResult> told) {
     Optional<Workflow> found = own.workflow(id);
     if (found.isEmpty()) {
-      told.accept(own.isFresh() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.CANNOT_TELL);
+      told.accept(own.isCaughtUp() ? QueryResult.UNKNOWN_WORKFLOW : QueryResult.UNAVAILABLE);
       return;
     }
     Workflow workflow = found.get();
     if (!cancel) {
-      told.accept(QueryResult.of(workflow.shownStatus()));
+      told.accept(QueryResult.of(workflow.durableStatus()));
       return;
     }
-    cancelOwn(own, workflow).thenAccept(told);
+    cancelOwned(own, workflow).thenAccept(told);
   }
 
-  private CompletableFuture<QueryResult> cancelOwn(OwnedPartition own, Workflow workflow) {
+  private CompletableFuture<QueryResult> cancelOwned(OwnedPartition own, Workflow workflow) {
     if (workflow.cancel(wallMillis.getAsLong())) {
       LOG.info(
           LogLine.of("workflow-cancelled")
               .with("workflow", WorkflowIds.format(workflow.spec().id()))
               .with("open_runs", workflow.openTasks().size()));
-      own.changed(workflow);
+      own.persist(workflow);
     }
     CompletableFuture<QueryResult> told = new CompletableFuture<>();
     own.writer()
         .afterDurable(
             () -> {
               vms.stopUnwanted(workflow);
-              told.complete(QueryResult.of(workflow.shownStatus()));
+              told.complete(QueryResult.of(workflow.durableStatus()));
             });
     // The partition may have another owner, or the store may be out of reach.
-    loop.schedule(() -> told.complete(QueryResult.CANNOT_TELL), CANCEL_NANOS);
+    loop.schedule(() -> told.complete(QueryResult.UNAVAILABLE), CANCEL_TIMEOUT_NANOS);
     return told;
   }
 
   /** Returns how many accepted workflows of the queue have no task begun; completes on the loop. */
-  public CompletableFuture<Integer> waiting(String queue) {
+  public CompletableFuture<Integer> waitingWorkflows(String queue) {
     CompletableFuture<Integer> told = new CompletableFuture<>();
     loop.run(
-        () -> told.complete(waitingHere().getOrDefault(queue, 0) + peers.waitingElsewhere(queue)));
+        () -> told.complete(waitingLocally().getOrDefault(queue, 0) + peers.waitingAtPeers(queue)));
     return told;
   }
 
-  private Map<String, Integer> waitingHere() {
+  private Map<String, Integer> waitingLocally() {
     Map<String, Integer> waiting = new HashMap<>();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : partition.workflows()) {
-        if (!workflow.hasBegun() && !workflow.status().isTerminal()) {
+        if (!workflow.hasStarted() && !workflow.status().isTerminal()) {
           waiting.merge(workflow.spec().queue(), 1, Integer::sum);
         }
       }
@@ -271,28 +273,28 @@
     return waiting;
   }
 
-  private void renew() {
+  private void renewEvidence() {
     for (OwnedPartition partition : ownership.active()) {
-      boolean old = loop.now() - partition.writer().evidence() > RENEW_NANOS;
+      boolean old = loop.now() - partition.writer().evidenceAt() > EVIDENCE_INTERVAL_NANOS;
       if (old && partition.workflows().stream().anyMatch(Workflow::hasOpenTasks)) {
-        partition.writer().renew();
+        partition.writer().renewEvidence();
       }
     }
   }
 
   private void sweep() {
-    vms.sweep();
-    scheduler.evacuate();
-    scheduler.soon();
+    vms.closeExpiredRuns();
+    scheduler.evacuateRuns();
+    scheduler.schedulePass();
   }
 
-  private void forgetEnded() {
-    long before = wallMillis.getAsLong() - terms.keepEndedMillis();
+  private void evictEnded() {
+    long before = wallMillis.getAsLong() - parameters.endedRetentionMillis();
     for (OwnedPartition partition : ownership.active()) {
       for (Workflow workflow : ImmutableList.copyOf(partition.workflows())) {
-        boolean over = workflow.shownStatus().isTerminal() && workflow.endedMillis() < before;
+        boolean over = workflow.durableStatus().isTerminal() && workflow.endedMillis() < before;
         if (over && !workflow.hasOpenTasks()) {
-          partition.forget(workflow);
+          partition.evict(workflow);
         }
       }
     }
@@ -312,63 +314,63 @@
   }
 
   /** What changes in the partitions. */
-  private final class Changes implements Ownership.Listener {
+  private final class OwnershipListener implements PartitionOwnership.Listener {
     @Override
-    public void ownersKnown(long asOfGeneration, Owners owners) {
-      if (peers.owners(asOfGeneration, owners)) {
-        vms.connections().forEach(WorkflowEntry.this::tellOwners);
+    public void ownersRead(long asOfGeneration, Owners owners) {
+      if (peers.updateOwners(asOfGeneration, owners)) {
+        vms.connections().forEach(WorkflowEntry.this::sendOwnerMap);
       }
     }
 
     @Override
     public void activated(OwnedPartition partition) {
-      vms.activated(partition);
-      scheduler.soon();
+      vms.partitionActivated(partition);
+      scheduler.schedulePass();
     }
 
     @Override
     public void submitted(OwnedPartition partition, Workflow workflow) {
-      scheduler.soon();
+      scheduler.schedulePass();
     }
 
     @Override
     public void lost(OwnedPartition partition) {
-      vms.lost(partition);
+      vms.partitionLost(partition);
     }
   }
 
   /** What changes on the VMs. */
-  private final class VmChanges implements EntryVms.Listener {
+  private final class VmListener implements VmTracker.Listener {
     @Override
-    public void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
+    public void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {
       if (task.workflow().status().isTerminal()) {
         partition.writer().afterDurable(() -> vms.stopUnwanted(task.workflow()));
       }
-      scheduler.ended(task, outcome);
+      scheduler.runEnded(task, outcome);
     }
 
     @Override
-    public void roomChanged() {
-      scheduler.roomChanged();
+    public void capacityChanged() {
+      scheduler.capacityChanged();
     }
   }
 
   /** Connections from side processes and other entries. */
-  private final class Incoming implements LinkListener {
+  private final class IncomingLinkListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
-      tellOwners(connection);
+      sendOwnerMap(connection);
     }
 
     @Override
     public void received(LinkConnection connection, Frame frame) {
       switch (frame.getBodyCase()) {
         case VM_REPORT -> {
-          vms.reported(connection, frame.getVmReport());
-          tellOwners(connection, frame.getVmReport().getOwnersDigest());
+          vms.handleReport(connection, frame.getVmReport());
+          sendOwnerMap(connection, frame.getVmReport().getOwnersDigest());
         }
-        case WORKFLOW_QUERY -> answerPeer(connection, frame.getWorkflowQuery());
-        case WAITING_COUNTS -> peers.counted(frame.getWaitingCounts());
+        case WORKFLOW_QUERY -> handlePeerQuery(connection, frame.getWorkflowQuery());
+        case WAITING_COUNTS -> peers.updateCounts(frame.getWaitingCounts());
         case PING -> connection.send(Frame.newBuilder().setPong(Pong.getDefaultInstance()).build());
         default ->
             LOG.warning(
@@ -380,25 +382,26 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      turns.forget(connection);
+      ownerMapLimiter.remove(connection);
       vms.disconnected(connection, reason);
     }
   }
 
   /** Guards against a side process that missed a change and goes on with a map of its own. */
-  private void tellOwners(LinkConnection connection, int digestThere) {
-    if (digestThere != peers.map().getDigest() && turns.mayTell(connection, loop.now())) {
-      tellOwners(connection);
+  private void sendOwnerMap(LinkConnection connection, int digestThere) {
+    if (digestThere != peers.ownerMap().getDigest()
+        && ownerMapLimiter.maySend(connection, loop.now())) {
+      sendOwnerMap(connection);
     }
   }
 
-  private void tellOwners(LinkConnection connection) {
-    turns.told(connection, loop.now());
-    connection.send(Frame.newBuilder().setOwnerMap(peers.map()).build());
+  private void sendOwnerMap(LinkConnection connection) {
+    ownerMapLimiter.recordSent(connection, loop.now());
+    connection.send(Frame.newBuilder().setOwnerMap(peers.ownerMap()).build());
   }
 
-  private void answerPeer(LinkConnection connection, WorkflowQuery question) {
-    answer(
+  private void handlePeerQuery(LinkConnection connection, WorkflowQuery question) {
+    handleQuery(
         question.getWorkflow(),
         question.getQueue(),
         question.getCancel(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSide.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
-import io.marigoldsail.daemon.workflow.SideEntries.EntryConnection;
+import io.marigoldsail.daemon.workflow.EntryConnections.EntryConnection;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Listing;
 import io.marigoldsail.daemon.workflow.WorkerGateway.ListingResult;
 import io.marigoldsail.job.Sizes;
@@ -17,8 +17,8 @@
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
 import io.marigoldsail.protocol.WorkflowTaskId;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -34,34 +34,34 @@
  * <p>Keeps nothing: after a restart it finds what runs by asking the worker, and owners tell it the
  * rest. The public methods may be called from any thread; everything else runs on the loop.
  */
-public final class WorkflowSide {
-  private static final EventLog LOG = EventLog.of(WorkflowSide.class);
+public final class WorkflowSideProcess {
+  private static final EventLog LOG = EventLog.of(WorkflowSideProcess.class);
 
   /** Between two reports that ask for a lease, to an entry that owns runs here, in nanoseconds. */
-  static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  static final long REPORT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long TICK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   private final LinkLoop loop;
   private final WorkerGateway gateway;
   private final String vm;
   private final int partitions;
-  private final LeaseTermsOfWorker terms;
-  private final SideEntries entries;
+  private final WorkerLeaseTerms terms;
+  private final EntryConnections entries;
   private WorkerSession session;
   private String goneWorker = "";
   private final ReportPacer pacer = new ReportPacer();
-  private final ToldStates told = new ToldStates();
+  private final ReportedStates reportedStates = new ReportedStates();
   private final Set<Integer> changedPartitions = new HashSet<>();
-  private final Set<EntryConnection> owed = new HashSet<>();
+  private final Set<EntryConnection> pendingReports = new HashSet<>();
 
   /** Those that ordered something since their last regular report. */
-  private final Set<EntryConnection> ordered = new HashSet<>();
+  private final Set<EntryConnection> orderedSinceReport = new HashSet<>();
 
-  private boolean probing;
+  private boolean probeInFlight;
   private boolean reportScheduled;
-  private boolean owedScheduled;
-  private boolean standingChanged;
+  private boolean pendingScheduled;
+  private boolean availabilityChanged;
 
   /**
    * Creates a side process that does nothing yet.
@@ -72,25 +72,25 @@
    * @param vm the VM's name
    * @param terms the lengths of leases
    */
-  public WorkflowSide(
+  public WorkflowSideProcess(
       LinkLoop loop,
       WorkflowStore store,
       WorkerGateway gateway,
       String vm,
-      LeaseTermsOfWorker terms) {
+      WorkerLeaseTerms terms) {
     this.loop = requireNonNull(loop, "loop");
     this.gateway = requireNonNull(gateway, "gateway");
     this.vm = requireNonNull(vm, "vm");
     this.partitions = store.partitions();
     this.terms = requireNonNull(terms, "terms");
-    this.entries = new SideEntries(loop, store, new FromEntries());
+    this.entries = new EntryConnections(loop, store, new EntryListener());
   }
 
   /** Begins to look for entries. */
   public void start() {
-    loop.run(entries::tick);
-    loop.repeat(entries::tick, TICK_NANOS);
-    loop.repeat(this::reportRegularly, REPORT_NANOS);
+    loop.run(entries::maintain);
+    loop.repeat(entries::maintain, TICK_INTERVAL_NANOS);
+    loop.repeat(this::reportPeriodically, REPORT_INTERVAL_NANOS);
   }
 
   /**
@@ -100,11 +100,11 @@
    */
   public CompletableFuture<Boolean> heartbeat(WorkerHeartbeat heartbeat) {
     CompletableFuture<Boolean> taken = new CompletableFuture<>();
-    loop.run(() -> take(heartbeat, taken));
+    loop.run(() -> handleHeartbeat(heartbeat, taken));
     return taken;
   }
 
-  private void take(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> taken) {
+  private void handleHeartbeat(WorkerHeartbeat heartbeat, CompletableFuture<Boolean> taken) {
     if (session != null && session.worker().equals(heartbeat.worker())) {
       if (heartbeat.sequence() >= session.heartbeat().sequence()) {
         session.heartbeat(heartbeat);
@@ -112,20 +112,20 @@
       taken.complete(true);
       return;
     }
-    if (heartbeat.worker().equals(goneWorker) || probing) {
+    if (heartbeat.worker().equals(goneWorker) || probeInFlight) {
       // A heartbeat may arrive long after its sender ended; one of a living worker is repeated.
       taken.complete(false);
       return;
     }
-    probing = true;
+    probeInFlight = true;
     gateway
         .list(heartbeat.worker(), OptionalLong.empty(), 0, 0)
-        .thenAccept(result -> loop.run(() -> probed(heartbeat, result, taken)));
+        .thenAccept(result -> loop.run(() -> handleProbeResult(heartbeat, result, taken)));
   }
 
-  private void probed(
+  private void handleProbeResult(
       WorkerHeartbeat heartbeat, ListingResult result, CompletableFuture<Boolean> taken) {
-    probing = false;
+    probeInFlight = false;
     if (!(result instanceof Listing listing)) {
       LOG.info(
           LogLine.of("heartbeat-passed-over")
@@ -136,10 +136,11 @@
       return;
     }
     if (session != null) {
-      session.gone("another one took its place");
+      session.end("another one took its place");
     }
     session =
-        new WorkerSession(loop, gateway, heartbeat, listing, partitions, terms, new FromWorker());
+        new WorkerSession(
+            loop, gateway, heartbeat, listing, partitions, terms, new SessionListener());
     LOG.info(
         LogLine.of("worker-found")
             .with("worker", heartbeat.worker())
@@ -153,19 +154,19 @@
   }
 
   /** Takes the leave of a worker; completes on the loop. */
-  public CompletableFuture<Boolean> left(String worker) {
+  public CompletableFuture<Boolean> workerDeregistered(String worker) {
     CompletableFuture<Boolean> taken = new CompletableFuture<>();
     loop.run(
         () -> {
           if (session != null && session.worker().equals(worker)) {
-            session.gone("it left");
+            session.end("it left");
           }
           taken.complete(true);
         });
     return taken;
   }
 
-  private void reportSoon() {
+  private void scheduleReport() {
     if (!reportScheduled) {
       reportScheduled = true;
       loop.runLater(
@@ -177,24 +178,24 @@
   }
 
   private void reportChanges() {
-    VmReport state = state();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
-      boolean concerned = isConcerned(connection);
-      if (!concerned && told.knows(connection.member(), state)) {
-        owed.remove(connection);
+      boolean concerned = isAffected(connection);
+      if (!concerned && reportedStates.isUpToDate(connection.member(), state)) {
+        pendingReports.remove(connection);
       } else if (isDue(connection, concerned)) {
         report(connection, state, false);
       } else {
-        owed.add(connection);
+        pendingReports.add(connection);
       }
     }
     changedPartitions.clear();
-    standingChanged = false;
-    scheduleOwed();
+    availabilityChanged = false;
+    schedulePending();
   }
 
-  private boolean isConcerned(EntryConnection connection) {
-    return standingChanged
+  private boolean isAffected(EntryConnection connection) {
+    return availabilityChanged
         || changedPartitions.stream()
             .anyMatch(partition -> entries.owns(connection.member(), partition));
   }
@@ -204,38 +205,38 @@
   }
 
   private long dueAt(EntryConnection connection, boolean concerned) {
-    return pacer.dueAt(connection.member(), concerned, entries.reached(), loop.now());
+    return pacer.dueAt(connection.member(), concerned, entries.connectedCount(), loop.now());
   }
 
-  private void scheduleOwed() {
-    if (owedScheduled || owed.isEmpty()) {
+  private void schedulePending() {
+    if (pendingScheduled || pendingReports.isEmpty()) {
       return;
     }
-    owedScheduled = true;
-    long next = owed.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
-    long gathered = ReportPacer.gatherNanos(entries.reached());
-    loop.schedule(this::reportOwed, next + gathered - loop.now());
+    pendingScheduled = true;
+    long next = pendingReports.stream().mapToLong(each -> dueAt(each, false)).min().getAsLong();
+    long gathered = ReportPacer.coalescingNanos(entries.connectedCount());
+    loop.schedule(this::reportPending, next + gathered - loop.now());
   }
 
-  private void reportOwed() {
-    owedScheduled = false;
-    VmReport state = state();
-    for (EntryConnection connection : Set.copyOf(owed)) {
-      if (told.knows(connection.member(), state)) {
-        owed.remove(connection);
+  private void reportPending() {
+    pendingScheduled = false;
+    VmReport state = vmState();
+    for (EntryConnection connection : Set.copyOf(pendingReports)) {
+      if (reportedStates.isUpToDate(connection.member(), state)) {
+        pendingReports.remove(connection);
       } else if (isDue(connection, false)) {
         report(connection, state, false);
       }
     }
-    scheduleOwed();
+    schedulePending();
   }
 
-  private void reportRegularly() {
-    pacer.nextTurn();
-    VmReport state = state();
+  private void reportPeriodically() {
+    pacer.beginRound();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
-      boolean owns = ordered.contains(connection) || ownsAny(connection);
-      if (pacer.isRegularDue(connection.member(), owns)) {
+      boolean owns = orderedSinceReport.contains(connection) || ownsAny(connection);
+      if (pacer.isPeriodicReportDue(connection.member(), owns)) {
         report(connection, state, true);
       }
     }
@@ -252,38 +253,38 @@
   }
 
   private int partitionOf(EndReport end) {
-    return session.partitionOf(WorkflowRecords.decode(end.getTask()));
+    return session.partitionOf(WorkflowCodec.decode(end.getTask()));
   }
 
   private void report(boolean wantsLease) {
-    VmReport state = state();
+    VmReport state = vmState();
     for (EntryConnection connection : entries.connections()) {
       report(connection, state, wantsLease);
     }
   }
 
   private void report(EntryConnection connection, boolean wantsLease) {
-    report(connection, state(), wantsLease);
+    report(connection, vmState(), wantsLease);
   }
 
   private void report(EntryConnection connection, VmReport state, boolean wantsLease) {
     if (wantsLease) {
-      pacer.reportedRegularly(connection.member(), loop.now());
-      ordered.remove(connection);
+      pacer.periodicReportSent(connection.member(), loop.now());
+      orderedSinceReport.remove(connection);
     } else {
-      pacer.reported(connection.member(), loop.now());
+      pacer.reportSent(connection.member(), loop.now());
     }
-    told.told(connection.member(), state);
-    owed.remove(connection);
+    reportedStates.record(connection.member(), state);
+    pendingReports.remove(connection);
     VmReport.Builder report =
         state.toBuilder()
             .setOrdersSeen(connection.ordersSeen())
-            .setOwnersDigest(entries.digest())
+            .setOwnersDigest(entries.ownersDigest())
             .setWantsLease(wantsLease);
     if (session != null) {
-      report.setWorkerClock(session.workerClock());
+      report.setWorkerClock(session.workerClockLowerBound());
       if (wantsLease) {
-        report.addAllImages(ImageRecords.encode(session.pacing().seen()));
+        report.addAllImages(ImageObservationCodec.encode(session.throttler().localObservations()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -305,7 +306,7 @@
   }
 
   /** Returns what reports say to all entries alike, but for the worker's clock and the images. */
-  private VmReport state() {
+  private VmReport vmState() {
     VmReport.Builder state = VmReport.newBuilder().setVm(vm).setGoneWorker(goneWorker);
     if (session != null) {
       describe(state);
@@ -316,7 +317,7 @@
   private void describe(VmReport.Builder state) {
     WorkerHeartbeat heartbeat = session.heartbeat();
     Sizes capacity = heartbeat.capacity();
-    Sizes free = session.room().free();
+    Sizes free = session.resources().free();
     state
         .setWorker(session.worker())
         .setService(heartbeat.service())
@@ -326,16 +327,17 @@
         .setDraining(heartbeat.draining())
         .setUnhealthy(session.isUnhealthy())
         .setMilliProcessors((int) capacity.milliProcessors())
-        .setMemoryMebibytes(WorkflowRecords.mebibytes(capacity))
+        .setMemoryMebibytes(WorkflowCodec.mebibytes(capacity))
         .setAccelerators((int) capacity.accelerators())
         .setFreeMilliProcessors((int) free.milliProcessors())
-        .setFreeMemoryMebibytes(WorkflowRecords.mebibytes(free))
+        .setFreeMemoryMebibytes(WorkflowCodec.mebibytes(free))
         .setFreeAccelerators((int) free.accelerators())
-        .setFillMilliProcessors((int) session.room().fillMilliProcessors())
-        .setSuspectMilliProcessors((int) session.pacing().suspectMilliProcessors(session.runs()))
-        .setOvercommitMilliProcessors((int) session.room().overcommitMilliProcessors())
-        .setFillPercent(session.pacing().percent())
-        .setServing(session.serving());
+        .setFillMilliProcessors((int) session.resources().bestEffortMilliProcessors())
+        .setSuspectMilliProcessors(
+            (int) session.throttler().interferingMilliProcessors(session.runs()))
+        .setOvercommitMilliProcessors((int) session.resources().overcommitMilliProcessors())
+        .setFillPercent(session.throttler().interferingPercent())
+        .setServing(session.serviceTaskCount());
   }
 
   /**
@@ -345,8 +347,8 @@
    * changed is by the clock of the one before. Where that clock was ahead, the lease of this one
    * would never be over, and what it ran would count as at work for good once it is silent.
    */
-  private void obey(EntryConnection connection, RunOrders orders) {
-    connection.sawOrders(orders.getNumber());
+  private void handleOrders(EntryConnection connection, RunOrders orders) {
+    connection.recordOrders(orders.getNumber());
     if (session == null) {
       // The next report names the worker that there is then; owners order anew what it lacks.
       return;
@@ -360,35 +362,37 @@
       report(connection, false);
       return;
     }
-    Map<Integer, Boolean> current = observe(orders.getLease());
+    Map<Integer, Boolean> current = recordEvidence(orders.getLease());
     if (orders.getLease().getImagesCount() > 0) {
-      session.pacing().seenElsewhere(ImageRecords.decode(orders.getLease().getImagesList()));
+      session
+          .throttler()
+          .remoteObservations(ImageObservationCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
-      RunKey key = WorkflowRecords.decode(start.getTask());
+      RunKey key = WorkflowCodec.decode(start.getTask());
       if (!start.getSameProgram()) {
         programs.put(key.task().workflow(), start.getProgram());
       }
-      if (isCurrent(current, key)) {
+      if (isFromOwner(current, key)) {
         session.start(key, start, programs.getOrDefault(key.task().workflow(), ""));
       }
     }
     for (WorkflowTaskId stop : orders.getStopsList()) {
-      RunKey key = WorkflowRecords.decode(stop);
-      if (isCurrent(current, key)) {
+      RunKey key = WorkflowCodec.decode(stop);
+      if (isFromOwner(current, key)) {
         session.stop(key);
       }
     }
     for (WorkflowTaskId noted : orders.getNotedEndsList()) {
-      RunKey key = WorkflowRecords.decode(noted);
-      if (isCurrent(current, key)) {
-        session.noted(key);
+      RunKey key = WorkflowCodec.decode(noted);
+      if (isFromOwner(current, key)) {
+        session.acknowledgeEnd(key);
       }
     }
   }
 
-  private boolean isCurrent(Map<Integer, Boolean> current, RunKey key) {
+  private boolean isFromOwner(Map<Integer, Boolean> current, RunKey key) {
     boolean taken = current.getOrDefault(session.partitionOf(key), false);
     if (!taken) {
       LOG.info(
@@ -399,18 +403,18 @@
     return taken;
   }
 
-  private Map<Integer, Boolean> observe(LeaseGrant grant) {
+  private Map<Integer, Boolean> recordEvidence(LeaseGrant grant) {
     Map<Integer, Boolean> current = new HashMap<>();
     for (PartitionEvidence evidence : grant.getEvidenceList()) {
       long at = grant.getWorkerClock() + evidence.getAfterReportMillis();
-      boolean newest = session.evidence(evidence.getPartition(), evidence.getEpoch(), at);
+      boolean newest = session.recordEvidence(evidence.getPartition(), evidence.getEpoch(), at);
       current.put(evidence.getPartition(), newest);
     }
     return current;
   }
 
   /** What entries send. */
-  private final class FromEntries implements SideEntries.Listener {
+  private final class EntryListener implements EntryConnections.Listener {
     @Override
     public void connected(EntryConnection connection) {
       report(connection, true);
@@ -418,10 +422,10 @@
 
     @Override
     public void disconnected(EntryConnection connection) {
-      pacer.forget(connection.member());
-      told.forget(connection.member());
-      owed.remove(connection);
-      ordered.remove(connection);
+      pacer.remove(connection.member());
+      reportedStates.remove(connection.member());
+      pendingReports.remove(connection);
+      orderedSinceReport.remove(connection);
     }
 
     @Override
@@ -429,9 +433,9 @@
       if (frame.hasRunOrders()) {
         RunOrders orders = frame.getRunOrders();
         if (orders.getStartsCount() + orders.getStopsCount() > 0) {
-          ordered.add(connection);
+          orderedSinceReport.add(connection);
         }
-        obey(connection, orders);
+        handleOrders(connection, orders);
       }
     }
 
@@ -442,26 +446,26 @@
   }
 
   /** What the worker does. */
-  private final class FromWorker implements WorkerListener {
+  private final class SessionListener implements WorkerSessionListener {
     @Override
-    public void standingChanged() {
-      standingChanged = true;
-      reportSoon();
+    public void availabilityChanged() {
+      availabilityChanged = true;
+      scheduleReport();
     }
 
     @Override
-    public void roomChanged() {
-      reportSoon();
+    public void capacityChanged() {
+      scheduleReport();
     }
 
     @Override
     public void runChanged(int partition) {
       changedPartitions.add(partition);
-      reportSoon();
+      scheduleReport();
     }
 
     @Override
-    public void gone(WorkerSession over) {
+    public void sessionEnded(WorkerSession over) {
       if (session == over) {
         goneWorker = over.worker();
         session = null;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
@@ -71,15 +71,15 @@
   /**
    * Records in their order.
    *
-   * @param next the offset to read from next
+   * @param nextOffset the offset to read from next
    */
-  record Records(ImmutableList<KeyedRecord> records, long next) implements ReadResult {}
+  record Records(ImmutableList<KeyedRecord> records, long nextOffset) implements ReadResult {}
 
-  /** The records asked for are gone; what is left is read by {@link #newest}. */
+  /** The records asked for are gone; what is left is read by {@link #readNewest}. */
   record Expired() implements ReadResult {}
 
   /** Nothing could be read. */
-  record Unreadable(String reason) implements ReadResult {}
+  record ReadFailed(String reason) implements ReadResult {}
 
   /** One page of the newest records. */
   sealed interface NewestResult {}
@@ -87,14 +87,15 @@
   /**
    * A page.
    *
-   * @param more the key to continue after, or empty at the end
-   * @param end the offset after the newest record when the page was made
+   * @param continueAfter the key to continue after, or empty at the end
+   * @param endOffset the offset after the newest record when the page was made
    */
-  record NewestPage(ImmutableList<KeyedRecord> records, Optional<String> more, long end)
+  record NewestPage(
+      ImmutableList<KeyedRecord> records, Optional<String> continueAfter, long endOffset)
       implements NewestResult {}
 
   /** No page could be had. */
-  record NoPage(String reason) implements NewestResult {}
+  record NewestUnavailable(String reason) implements NewestResult {}
 
   /** Membership as the store told it. */
   sealed interface JoinResult {}
@@ -108,7 +109,7 @@
   record Joined(long generation, ImmutableSet<Integer> partitions) implements JoinResult {}
 
   /** The store did not answer, or refused. */
-  record NotJoined(String reason) implements JoinResult {}
+  record JoinFailed(String reason) implements JoinResult {}
 
   /** Who owns what. */
   sealed interface OwnersResult {}
@@ -124,7 +125,7 @@
   }
 
   /** The owners could not be read. */
-  record OwnersUnknown(String reason) implements OwnersResult {}
+  record OwnersUnavailable(String reason) implements OwnersResult {}
 
   /** The owner of a partition. */
   record Owner(int partition, String member) {
@@ -154,7 +155,7 @@
   CompletableFuture<ReadResult> read(Topic topic, int partition, long from, long waitMillis);
 
   /** Reads a page of the newest record of each key, after the given key. */
-  CompletableFuture<NewestResult> newest(Topic topic, int partition, Optional<String> after);
+  CompletableFuture<NewestResult> readNewest(Topic topic, int partition, Optional<String> after);
 
   /** Becomes or stays a member; the partitions listed are the caller's until the next call. */
   CompletableFuture<JoinResult> join(String member, long generation);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Await.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Await.java
@@ -11,9 +11,9 @@
 
 /** Waits for conditions; the timeout only keeps a failing test from hanging. */
 final class Await {
-  private static final long CHECK_MILLIS = 5;
-  private static final long BOUND_SECONDS = 60;
-  private static final ScheduledExecutorService CHECKS =
+  private static final long POLL_INTERVAL_MILLIS = 5;
+  private static final long TIMEOUT_SECONDS = 60;
+  private static final ScheduledExecutorService POLLER =
       Executors.newSingleThreadScheduledExecutor(
           task -> {
             Thread thread = new Thread(task, "await");
@@ -36,9 +36,9 @@
           }
         };
     ScheduledFuture<?> checks =
-        CHECKS.scheduleWithFixedDelay(check, 0, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        POLLER.scheduleWithFixedDelay(check, 0, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     try {
-      met.get(BOUND_SECONDS, TimeUnit.SECONDS);
+      met.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (TimeoutException e) {
       throw new AssertionError("condition not met: " + description, e);
     } catch (InterruptedException | ExecutionException e) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
@@ -5,8 +5,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.protocol.Announce;
 import io.marigoldsail.protocol.AnswerBody;
 import io.marigoldsail.protocol.Frame;
@@ -33,25 +33,25 @@
 
 /** Sends invalid input to the ports of a side process and an entry. */
 class BadInputTest {
-  private static final int TOO_LONG = 10_000_000;
+  private static final int OVERSIZED_LENGTH_BYTES = 10_000_000;
 
   private static FakeTarget target;
   private static SideUnderTest side;
   private static EntryUnderTest entry;
   private static LinkLoop testLoop;
-  private static FakePeer bystander;
+  private static FakePeer otherPeer;
 
   @BeforeContainer
   static void start() throws Exception {
     target = new FakeTarget();
     testLoop = new LinkLoop("test", MonotonicClock.system());
     LinkLoop loop = new LinkLoop("side", MonotonicClock.system());
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", 1, 0, target, loop, budget);
     entry = new EntryUnderTest("entry-1", 1);
     side.announceTo(List.of(entry.address()));
     entry.awaitTargets(1);
-    bystander = FakePeer.dial(testLoop, side.port());
+    otherPeer = FakePeer.dial(testLoop, side.port());
   }
 
   @AfterContainer
@@ -68,7 +68,7 @@
     return socket;
   }
 
-  private static void writeQuietly(Socket socket, byte[] bytes) {
+  private static void writeIgnoringErrors(Socket socket, byte[] bytes) {
     try {
       socket.getOutputStream().write(bytes);
     } catch (IOException e) {
@@ -77,9 +77,9 @@
   }
 
   /** Asserts that other connections of the side process, and callers, are still served. */
-  private static void assertOthersAreServed() throws Exception {
-    bystander.send(Frame.newBuilder().setPing(Ping.newBuilder().setNonce(7)).build());
-    assertTrue(bystander.next().hasPong());
+  private static void assertOtherConnectionsAreServed() throws Exception {
+    otherPeer.send(Frame.newBuilder().setPing(Ping.newBuilder().setNonce(7)).build());
+    assertTrue(otherPeer.next().hasPong());
     HttpResponse<byte[]> live = entry.get(CallerServer.LIVE_PATH);
     String body = new String(live.body(), StandardCharsets.UTF_8);
     assertEquals(200, live.statusCode(), body);
@@ -87,43 +87,45 @@
   }
 
   @Property(seed = "11", tries = 60)
-  void randomBytesHarmNobodyElse(@ForAll @Size(max = 300) byte[] bytes) throws Exception {
+  void randomBytesDoNotAffectOtherConnections(@ForAll @Size(max = 300) byte[] bytes)
+      throws Exception {
     for (int port : new int[] {side.port(), entry.address().getPort(), entry.callersPort()}) {
       try (Socket socket = connect(port)) {
-        writeQuietly(socket, bytes);
+        writeIgnoringErrors(socket, bytes);
       }
     }
-    assertOthersAreServed();
-    assertEquals(0, target.started());
+    assertOtherConnectionsAreServed();
+    assertEquals(0, target.startedCount());
   }
 
   @Property(seed = "12", tries = 60)
-  void wellFramedNonsenseHarmsNobodyElse(@ForAll @Size(max = 300) byte[] bytes) throws Exception {
+  void framedRandomBytesDoNotAffectOtherConnections(@ForAll @Size(max = 300) byte[] bytes)
+      throws Exception {
     byte[] framed = ByteBuffer.allocate(4 + bytes.length).putInt(bytes.length).put(bytes).array();
     for (int port : new int[] {side.port(), entry.address().getPort()}) {
       try (Socket socket = connect(port)) {
-        writeQuietly(socket, framed);
+        writeIgnoringErrors(socket, framed);
       }
     }
-    assertOthersAreServed();
-    assertEquals(0, target.started());
+    assertOtherConnectionsAreServed();
+    assertEquals(0, target.startedCount());
   }
 
   /** An announced length of ten megabytes must not be buffered. */
   @Property(tries = 1)
-  void frameLongerThanTheLimitEndsItsConnection() throws Exception {
+  void oversizedFrameClosesItsConnection() throws Exception {
     for (int port : new int[] {side.port(), entry.address().getPort()}) {
       try (Socket socket = connect(port)) {
-        writeQuietly(socket, ByteBuffer.allocate(4).putInt(TOO_LONG).array());
+        writeIgnoringErrors(socket, ByteBuffer.allocate(4).putInt(OVERSIZED_LENGTH_BYTES).array());
         assertEquals(-1, socket.getInputStream().read());
       }
     }
-    assertOthersAreServed();
+    assertOtherConnectionsAreServed();
   }
 
   @Property(tries = 1)
-  void framesOfTheWrongKindEndTheirConnection() throws Exception {
-    WireId id = new WireId(1, 1);
+  void unexpectedFramesCloseTheirConnection() throws Exception {
+    AttemptId id = new AttemptId(1, 1);
     List<Frame> toSide =
         List.of(
             Frame.getDefaultInstance(),
@@ -132,7 +134,7 @@
             Frame.newBuilder()
                 .setRequestStart(
                     RequestStart.newBuilder()
-                        .setId(SideFrames.message(id))
+                        .setId(SideFrames.toMessage(id))
                         .setRemainingMillis(60_000)
                         .setBodyLength(1)
                         .setData(ByteString.copyFromUtf8("two"))
@@ -141,7 +143,7 @@
     for (Frame frame : toSide) {
       FakePeer peer = FakePeer.dial(testLoop, side.port());
       peer.send(frame);
-      peer.awaitEnd();
+      peer.awaitClosed();
     }
     List<Frame> toEntry =
         List.of(
@@ -153,14 +155,14 @@
     for (Frame frame : toEntry) {
       FakePeer peer = FakePeer.dial(testLoop, entry.address().getPort());
       peer.send(frame);
-      peer.awaitEnd();
+      peer.awaitClosed();
     }
-    assertOthersAreServed();
-    assertEquals(0, target.started());
+    assertOtherConnectionsAreServed();
+    assertEquals(0, target.startedCount());
   }
 
   @Property(tries = 1)
-  void malformedHttpIsAnsweredWithAProblem() throws Exception {
+  void malformedHttpGetsProblemDetails() throws Exception {
     String[] requests = {
       "GET /parking/x HTTP/1.1\r\n\r\n",
       "GET /parking/x HTTP/9.9\r\nHost: x\r\n\r\n",
@@ -171,25 +173,25 @@
     };
     for (String request : requests) {
       try (Socket socket = connect(entry.callersPort())) {
-        writeQuietly(socket, request.getBytes(StandardCharsets.UTF_8));
+        writeIgnoringErrors(socket, request.getBytes(StandardCharsets.UTF_8));
         socket.shutdownOutput();
         String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(answer.startsWith("HTTP/1.1 4"), () -> request + " got " + answer);
         assertTrue(answer.contains("application/problem+json"), () -> request + " got " + answer);
       }
     }
-    assertOthersAreServed();
+    assertOtherConnectionsAreServed();
   }
 
   /**
-   * Guards against a caller with a too large body getting a connection reset instead of the refusal.
-   * The entry responded and closed the connection while the rest of the body was in transit, and the
-   * reset discarded the response. The refusal must be received while the body is still being sent,
-   * and the connection must stay usable after the rest.
+   * Guards against a caller with a too large body getting a connection reset instead of the
+   * refusal. The entry responded and closed the connection while the rest of the body was in
+   * transit, and the reset discarded the response. The refusal must be received while the body is
+   * still being sent, and the connection must stay usable after the rest.
    */
   @Property(tries = 1)
-  void aRefusedBodyMayBeSentToItsEnd() throws Exception {
-    int length = Bodies.MAX_BYTES + 1;
+  void rejectedBodyIsReadToItsEnd() throws Exception {
+    int length = BodyLimits.MAX_BYTES + 1;
     String head = "POST /parking/x HTTP/1.1\r\nHost: x\r\nContent-Length: " + length + "\r\n\r\n";
     try (Socket socket = connect(entry.callersPort())) {
       socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
@@ -206,12 +208,12 @@
       String next = new String(answer, 0, Math.max(0, read), StandardCharsets.UTF_8);
       assertTrue(next.startsWith("HTTP/1.1 200"), next);
     }
-    assertOthersAreServed();
+    assertOtherConnectionsAreServed();
   }
 
   /** Hundreds of idle connections must not lock out the connections of entries. */
   @Property(tries = 1)
-  void floodOfConnectionsIsBounded() throws Exception {
+  void numberOfConnectionsIsBounded() throws Exception {
     List<Socket> connections = new ArrayList<>();
     try {
       for (int i = 0; i < 300; i++) {
@@ -222,8 +224,8 @@
       }
       Await.until(
           "excess connections are closed",
-          () -> connections.stream().filter(BadInputTest::isEnded).count() >= 300 - 256);
-      assertOthersAreServed();
+          () -> connections.stream().filter(BadInputTest::isClosed).count() >= 300 - 256);
+      assertOtherConnectionsAreServed();
     } finally {
       for (Socket socket : connections) {
         socket.close();
@@ -231,7 +233,7 @@
     }
   }
 
-  private static boolean isEnded(Socket socket) {
+  private static boolean isClosed(Socket socket) {
     try {
       return socket.getInputStream().read() < 0;
     } catch (IOException e) {
@@ -240,14 +242,16 @@
   }
 
   /**
-   * Guards against a valid request being answered with 400, or its connection closed, because another
-   * connection sent malformed HTTP and the server's pool gave one buffer to both. Jetty 12.1.13 did so
-   * once in two thousand valid requests; with buffers that are not pooled it does not happen.
+   * Guards against a valid request being answered with 400, or its connection closed, because
+   * another connection sent malformed HTTP and the server's pool gave one buffer to both. Jetty
+   * 12.1.13 did so once in two thousand valid requests; with buffers that are not pooled it does
+   * not happen.
    */
   @Property(tries = 1)
-  void garbageOnOneConnectionDoesNotSpoilTheRequestsOfAnother() throws Exception {
+  void garbageOnOneConnectionDoesNotAffectAnother() throws Exception {
     Random random = new Random(5);
-    byte[] validRequest = "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8);
+    byte[] validRequest =
+        "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8);
     byte[] answer = new byte[1_000];
     try (Socket caller = connect(entry.callersPort())) {
       for (int round = 0; round < 8_000; round++) {
@@ -257,7 +261,7 @@
           Arrays.fill(garbage, (byte) random.nextInt());
         }
         try (Socket socket = connect(entry.callersPort())) {
-          writeQuietly(socket, garbage);
+          writeIgnoringErrors(socket, garbage);
         }
         caller.getOutputStream().write(validRequest);
         int length = caller.getInputStream().read(answer);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryDispatcherTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.marigoldsail.daemon.link.LinkConnection;
-import io.marigoldsail.dispatch.WireId;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.Resolution;
@@ -56,9 +56,10 @@
   }
 
   /** Makes the request's connection unresponsive; returns the Resolve received on a new one. */
-  private FakeSide.Heard silenceAndAwaitResolve(FakeSide.Heard request) throws Exception {
-    side.fallSilent(request.connection());
-    FakeSide.Heard resolve = side.next();
+  private FakeSide.ReceivedFrame stallAndAwaitResolve(FakeSide.ReceivedFrame request)
+      throws Exception {
+    side.stopResponding(request.connection());
+    FakeSide.ReceivedFrame resolve = side.next();
     assertTrue(resolve.frame().hasResolve(), () -> "not a Resolve: " + resolve.frame());
     assertNotSame(request.connection(), resolve.connection());
     return resolve;
@@ -70,56 +71,57 @@
    * runs, and the response is received there.
    */
   @Test
-  void requestOnASilentConnectionIsResolvedOverANewOne() throws Exception {
+  void requestOnUnresponsiveConnectionIsResolvedOverNewConnection() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
-    FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
+    FakeSide.ReceivedFrame request = side.next();
+    AttemptId id = FakeSide.idOf(request.frame());
 
-    FakeSide.Heard resolve = silenceAndAwaitResolve(request);
-    assertEquals(id, SideFrames.id(resolve.frame().getResolve().getId()));
+    FakeSide.ReceivedFrame resolve = stallAndAwaitResolve(request);
+    assertEquals(id, SideFrames.fromMessage(resolve.frame().getResolve().getId()));
     assertEquals(INCARNATION, resolve.frame().getResolve().getProcessIncarnation());
     side.send(resolve.connection(), FakeSide.resolution(id, Resolution.State.RUNNING));
-    side.send(resolve.connection(), FakeSide.answer(id, 200, "charged"));
+    side.send(resolve.connection(), FakeSide.response(id, 200, "charged"));
 
     assertEquals("charged", text(charge.join()));
-    assertEquals(0, side.unread());
+    assertEquals(0, side.unreadCount());
   }
 
   /** While one connection is unresponsive, requests on the others must still be answered. */
   @Test
-  void othersDoNotNoticeASilentConnection() throws Exception {
+  void unresponsiveConnectionDoesNotDelayOthers() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> stuck = charge();
-    FakeSide.Heard first = side.next();
-    side.fallSilent(first.connection());
+    FakeSide.ReceivedFrame first = side.next();
+    side.stopResponding(first.connection());
     for (int i = 0; i < 3; i++) {
       CompletableFuture<HttpResponse<byte[]>> other = lookup();
-      FakeSide.Heard next = side.next();
+      FakeSide.ReceivedFrame next = side.next();
       if (next.frame().hasResolve()) {
-        side.send(next.connection(), FakeSide.answer(FakeSide.idOf(first.frame()), 200, "late"));
+        side.send(next.connection(), FakeSide.response(FakeSide.idOf(first.frame()), 200, "late"));
         next = side.next();
       }
-      side.send(next.connection(), FakeSide.answer(FakeSide.idOf(next.frame()), 200, "free"));
+      side.send(next.connection(), FakeSide.response(FakeSide.idOf(next.frame()), 200, "free"));
       assertEquals("free", text(other.join()));
     }
     if (!stuck.isDone()) {
-      FakeSide.Heard resolve = side.next();
-      side.send(resolve.connection(), FakeSide.answer(FakeSide.idOf(first.frame()), 200, "late"));
+      FakeSide.ReceivedFrame resolve = side.next();
+      side.send(resolve.connection(), FakeSide.response(FakeSide.idOf(first.frame()), 200, "late"));
     }
     assertEquals("late", text(stuck.join()));
   }
 
   /** Initial buffers for heads are small; a long head must enlarge them and not be refused. */
   @Test
-  void longHeadsOfRequestsAndAnswersPassWhole() throws Exception {
+  void longRequestAndResponseHeadsAreForwardedUnchanged() throws Exception {
     String requestHeader = "a".repeat(12 * 1024);
     String responseHeader = "t".repeat(30 * 1024);
     CompletableFuture<HttpResponse<byte[]>> lookup =
         entry.sendAsync(entry.request("/parking/spaces").header("Trip", requestHeader).GET());
-    FakeSide.Heard request = side.next();
+    FakeSide.ReceivedFrame request = side.next();
     assertTrue(
         request.frame().getRequestStart().getHeadersList().stream()
             .anyMatch(header -> header.getValue().equals(requestHeader)));
-    Frame.Builder response = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free").toBuilder();
+    Frame.Builder response =
+        FakeSide.response(FakeSide.idOf(request.frame()), 200, "free").toBuilder();
     response.getAnswerStartBuilder().addHeadersBuilder().setName("Trip").setValue(responseHeader);
     side.send(request.connection(), response.build());
 
@@ -129,16 +131,16 @@
 
   /** A charge that provably did not run may be sent again, under a new id. */
   @Test
-  void chargeProvenNotRunIsTriedAgainUnderANewId() throws Exception {
+  void chargeProvenNotRunIsRetriedUnderNewId() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
-    FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
-    FakeSide.Heard resolve = silenceAndAwaitResolve(request);
+    FakeSide.ReceivedFrame request = side.next();
+    AttemptId id = FakeSide.idOf(request.frame());
+    FakeSide.ReceivedFrame resolve = stallAndAwaitResolve(request);
     side.send(resolve.connection(), FakeSide.resolution(id, Resolution.State.NOT_RUN));
 
-    FakeSide.Heard again = side.next();
+    FakeSide.ReceivedFrame again = side.next();
     assertNotEquals(id, FakeSide.idOf(again.frame()));
-    side.send(again.connection(), FakeSide.answer(FakeSide.idOf(again.frame()), 200, "charged"));
+    side.send(again.connection(), FakeSide.response(FakeSide.idOf(again.frame()), 200, "charged"));
 
     assertEquals("charged", text(charge.join()));
   }
@@ -148,10 +150,10 @@
    * unknown. A retry may charge twice; the caller must receive an unknown outcome.
    */
   @Test
-  void chargeOfUnknownOutcomeIsNeverTriedAgain() throws Exception {
+  void chargeOfUnknownOutcomeIsNotRetried() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
-    FakeSide.Heard request = side.next();
-    FakeSide.Heard resolve = silenceAndAwaitResolve(request);
+    FakeSide.ReceivedFrame request = side.next();
+    FakeSide.ReceivedFrame resolve = stallAndAwaitResolve(request);
     side.send(
         resolve.connection(),
         FakeSide.resolution(FakeSide.idOf(request.frame()), Resolution.State.FORGOTTEN));
@@ -160,27 +162,27 @@
     assertEquals(502, response.statusCode());
     assertTrue(text(response).contains("\"kind\":\"outcome-unknown\""), () -> text(response));
     assertTrue(text(response).contains("\"execution\":\"unknown\""), () -> text(response));
-    assertEquals(0, side.unread());
+    assertEquals(0, side.unreadCount());
   }
 
   /** An idempotent request may run twice, so it is retried. */
   @Test
-  void lookupOfUnknownOutcomeIsTriedAgain() throws Exception {
+  void idempotentRequestOfUnknownOutcomeIsRetried() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> lookup = lookup();
-    FakeSide.Heard request = side.next();
-    FakeSide.Heard resolve = silenceAndAwaitResolve(request);
+    FakeSide.ReceivedFrame request = side.next();
+    FakeSide.ReceivedFrame resolve = stallAndAwaitResolve(request);
     side.send(
         resolve.connection(),
         FakeSide.resolution(FakeSide.idOf(request.frame()), Resolution.State.FORGOTTEN));
 
-    FakeSide.Heard again = side.next();
-    side.send(again.connection(), FakeSide.answer(FakeSide.idOf(again.frame()), 200, "free"));
+    FakeSide.ReceivedFrame again = side.next();
+    side.send(again.connection(), FakeSide.response(FakeSide.idOf(again.frame()), 200, "free"));
     assertEquals("free", text(lookup.join()));
   }
 
   /** After a side process is killed, its charges fail as unknown at once, not at their deadline. */
   @Test
-  void chargeAtAKilledSideProcessIsAnsweredAsUnknown() throws Exception {
+  void chargeAtKilledSideProcessFailsAsOutcomeUnknown() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     side.next();
     side.close();
@@ -195,48 +197,48 @@
    * length is a protocol error: the connection is closed and the outcome is resolved.
    */
   @Test
-  void answerShorterThanItsLengthIsNeverHandedOn() throws Exception {
+  void responseShorterThanItsLengthIsNotForwarded() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
-    FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
-    side.send(request.connection(), FakeSide.answer(id, 200, "half", 8));
+    FakeSide.ReceivedFrame request = side.next();
+    AttemptId id = FakeSide.idOf(request.frame());
+    side.send(request.connection(), FakeSide.response(id, 200, "half", 8));
 
-    FakeSide.Heard resolve = side.next();
+    FakeSide.ReceivedFrame resolve = side.next();
     assertTrue(resolve.frame().hasResolve());
-    side.send(resolve.connection(), FakeSide.answer(id, 200, "half and"));
+    side.send(resolve.connection(), FakeSide.response(id, 200, "half and"));
     assertEquals("half and", text(charge.join()));
   }
 
   /** Responses to unknown ids, such as duplicates, must not affect other requests. */
   @Test
-  void doubledAndForeignAnswersAreDropped() throws Exception {
+  void duplicateAndUnknownResponsesAreDropped() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> first = lookup();
-    FakeSide.Heard request = side.next();
-    WireId id = FakeSide.idOf(request.frame());
-    side.send(request.connection(), FakeSide.answer(new WireId(1, 999), 200, "foreign"));
-    side.send(request.connection(), FakeSide.answer(id, 200, "mine"));
-    side.send(request.connection(), FakeSide.answer(id, 200, "mine again"));
+    FakeSide.ReceivedFrame request = side.next();
+    AttemptId id = FakeSide.idOf(request.frame());
+    side.send(request.connection(), FakeSide.response(new AttemptId(1, 999), 200, "foreign"));
+    side.send(request.connection(), FakeSide.response(id, 200, "mine"));
+    side.send(request.connection(), FakeSide.response(id, 200, "mine again"));
     assertEquals("mine", text(first.join()));
 
     CompletableFuture<HttpResponse<byte[]>> second = lookup();
-    FakeSide.Heard next = side.next();
-    side.send(next.connection(), FakeSide.answer(FakeSide.idOf(next.frame()), 200, "next"));
+    FakeSide.ReceivedFrame next = side.next();
+    side.send(next.connection(), FakeSide.response(FakeSide.idOf(next.frame()), 200, "next"));
     assertEquals("next", text(second.join()));
   }
 
   /** After the deadline the side process is notified, so that it does not start the request. */
   @Test
-  void requestPastItsDeadlineIsAnsweredAndCancelled() throws Exception {
+  void requestPastItsDeadlineFailsAndIsCancelled() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge =
         entry.sendAsync(
             entry
                 .request("/parking/charge")
                 .header(CallerHeaders.DEADLINE_MILLIS, "2000")
                 .POST(HttpRequest.BodyPublishers.ofString("5 dollars")));
-    FakeSide.Heard request = side.next();
+    FakeSide.ReceivedFrame request = side.next();
     assertTrue(request.frame().getRequestStart().getRemainingMillis() <= 2_000);
 
-    FakeSide.Heard cancel = side.next();
+    FakeSide.ReceivedFrame cancel = side.next();
 
     assertEquals(request.frame().getRequestStart().getId(), cancel.frame().getCancel().getId());
     HttpResponse<byte[]> response = charge.join();
@@ -246,13 +248,13 @@
 
   /** The rejection of a side process reaches the caller if no other target is left. */
   @Test
-  void refusalNamesItsKindAndWhenToComeBack() throws Exception {
+  void rejectionCarriesErrorKindAndRetryAfter() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> charge = charge();
     while (!charge.isDone()) {
-      FakeSide.Heard request = side.next();
-      WireId id = FakeSide.idOf(request.frame());
+      FakeSide.ReceivedFrame request = side.next();
+      AttemptId id = FakeSide.idOf(request.frame());
       side.send(request.connection(), FakeSide.notRun(id, ErrorKind.OVERLOADED));
-      Await.until("retried or answered", () -> charge.isDone() || side.unread() > 0);
+      Await.until("retried or answered", () -> charge.isDone() || side.unreadCount() > 0);
     }
 
     HttpResponse<byte[]> response = charge.join();
@@ -262,46 +264,46 @@
   }
 
   /**
-   * In a planned stop the readiness check fails at once, new requests are served for the grace time,
-   * and pending requests are completed before the process may exit.
+   * In a planned stop the readiness check fails at once, new requests are served for the grace
+   * time, and pending requests are completed before the process may exit.
    */
   @Test
-  void plannedStopServesItsGraceTimeAndEndsWhatIsInProgress() throws Exception {
+  void plannedStopServesDuringGraceTimeAndCompletesPendingRequests() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> before = charge();
-    FakeSide.Heard first = side.next();
+    FakeSide.ReceivedFrame first = side.next();
     assertEquals(200, entry.get(CallerServer.READY_PATH).statusCode());
 
     CompletableFuture<Void> drained = entry.dispatcher().beginStop(TimeUnit.SECONDS.toNanos(3));
     assertEquals(503, entry.get(CallerServer.READY_PATH).statusCode());
     assertEquals(200, entry.get(CallerServer.LIVE_PATH).statusCode());
     CompletableFuture<HttpResponse<byte[]>> during = lookup();
-    FakeSide.Heard second = side.next();
-    side.send(second.connection(), FakeSide.answer(FakeSide.idOf(second.frame()), 200, "free"));
+    FakeSide.ReceivedFrame second = side.next();
+    side.send(second.connection(), FakeSide.response(FakeSide.idOf(second.frame()), 200, "free"));
     assertEquals("free", text(during.join()));
 
     CompletableFuture<HttpResponse<byte[]>> late = lookup();
-    Await.until("answered or sent", () -> late.isDone() || side.unread() > 0);
+    Await.until("answered or sent", () -> late.isDone() || side.unreadCount() > 0);
     CompletableFuture<HttpResponse<byte[]>> last = late;
     while (!last.isDone()) {
-      FakeSide.Heard sent = side.next();
-      side.send(sent.connection(), FakeSide.answer(FakeSide.idOf(sent.frame()), 200, "free"));
+      FakeSide.ReceivedFrame sent = side.next();
+      side.send(sent.connection(), FakeSide.response(FakeSide.idOf(sent.frame()), 200, "free"));
       last.join();
       CompletableFuture<HttpResponse<byte[]>> next = lookup();
-      Await.until("answered or sent", () -> next.isDone() || side.unread() > 0);
+      Await.until("answered or sent", () -> next.isDone() || side.unreadCount() > 0);
       last = next;
     }
     assertTrue(text(last.join()).contains("shutting-down"), "refused after the grace time");
     assertFalse(drained.isDone());
-    side.send(first.connection(), FakeSide.answer(FakeSide.idOf(first.frame()), 200, "charged"));
+    side.send(first.connection(), FakeSide.response(FakeSide.idOf(first.frame()), 200, "charged"));
 
     assertEquals("charged", text(before.join()));
     drained.orTimeout(30, TimeUnit.SECONDS).join();
   }
 
   @Test
-  void leavingTargetIsPassedOver() throws Exception {
+  void drainingTargetGetsNoRequests() throws Exception {
     side.announce(entry, true);
-    assertAnotherServesAll();
+    assertOtherTargetServesAll();
   }
 
   /**
@@ -310,34 +312,34 @@
    * unknown outcome.
    */
   @Test
-  void targetThatGoesAwayIsPassedOverWhateverAnOvertakenAnnouncementSays() throws Exception {
+  void goAwayOverridesStaleAnnouncement() throws Exception {
     CompletableFuture<HttpResponse<byte[]>> lookup = lookup();
-    FakeSide.Heard request = side.next();
+    FakeSide.ReceivedFrame request = side.next();
     side.send(request.connection(), SideFrames.goAway());
-    FakeSide.Heard acknowledged = side.next();
+    FakeSide.ReceivedFrame acknowledged = side.next();
     assertTrue(acknowledged.frame().hasGoAwayAck());
     assertSame(request.connection(), acknowledged.connection());
-    side.send(request.connection(), FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free"));
+    side.send(request.connection(), FakeSide.response(FakeSide.idOf(request.frame()), 200, "free"));
     assertEquals("free", text(lookup.join()), "pending requests are completed");
 
     side.announce(entry, false);
 
-    assertAnotherServesAll();
+    assertOtherTargetServesAll();
   }
 
-  private void assertAnotherServesAll() throws Exception {
+  private void assertOtherTargetServesAll() throws Exception {
     try (FakeSide other = new FakeSide("vm-2", 1, 0)) {
       other.announce(entry, false);
       entry.awaitTargets(2);
       for (int i = 0; i < 20; i++) {
         CompletableFuture<HttpResponse<byte[]>> lookup = lookup();
-        FakeSide.Heard request = other.next();
-        Frame response = FakeSide.answer(FakeSide.idOf(request.frame()), 200, "free");
+        FakeSide.ReceivedFrame request = other.next();
+        Frame response = FakeSide.response(FakeSide.idOf(request.frame()), 200, "free");
         LinkConnection connection = request.connection();
         other.send(connection, response);
         assertEquals(200, lookup.join().statusCode());
       }
     }
-    assertEquals(0, side.unread());
+    assertEquals(0, side.unreadCount());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryUnderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/EntryUnderTest.java
@@ -40,10 +40,10 @@
           .build();
 
   EntryUnderTest(String name, long incarnation) throws IOException {
-    this(name, incarnation, LinkTimes.DEFAULT, EventRecorder.none());
+    this(name, incarnation, LinkSettings.DEFAULT, EventRecorder.none());
   }
 
-  EntryUnderTest(String name, long incarnation, LinkTimes settings, EventRecorder events)
+  EntryUnderTest(String name, long incarnation, LinkSettings settings, EventRecorder events)
       throws IOException {
     this(name, incarnation, settings, events, Optional.empty(), service -> false);
   }
@@ -51,7 +51,7 @@
   EntryUnderTest(
       String name,
       long incarnation,
-      LinkTimes settings,
+      LinkSettings settings,
       EventRecorder events,
       Optional<KeyShardTable> keys,
       Predicate<String> detectsRepeats)
@@ -78,7 +78,7 @@
         new CallerServer(
             MonotonicClock.system(),
             anyPort,
-            CallerLimits.ofHeap(),
+            CallerLimits.forHeap(),
             service ->
                 service.equals("parking")
                     ? OptionalLong.of(DEFAULT_DEADLINE_MILLIS)
@@ -133,10 +133,11 @@
 
   /** Waits until exactly this many targets are reachable. */
   void awaitTargets(int count) {
-    Await.until("targets known", () -> onLoop(() -> dispatcher.reachableTargets() == count));
+    Await.until(
+        "targets known", () -> evaluateOnLoop(() -> dispatcher.reachableTargetCount() == count));
   }
 
-  private boolean onLoop(java.util.function.BooleanSupplier condition) {
+  private boolean evaluateOnLoop(java.util.function.BooleanSupplier condition) {
     CompletableFuture<Boolean> result = new CompletableFuture<>();
     loop.run(() -> result.complete(condition.getAsBoolean()));
     return result.join();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
@@ -12,14 +12,14 @@
 
 /**
  * The test's end of a connection; sends and receives single frames. Acknowledges GOAWAY like an
- * entry, unless {@link #holdGoAwayAck} was called.
+ * entry, unless {@link #withholdGoAwayAck} was called.
  */
 final class FakePeer implements LinkListener {
   private final LinkLoop loop;
   private final CompletableFuture<LinkConnection> connection = new CompletableFuture<>();
   private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-  private final CompletableFuture<String> ended = new CompletableFuture<>();
-  private volatile boolean holdsGoAwayAck;
+  private final CompletableFuture<String> closeReason = new CompletableFuture<>();
+  private volatile boolean withholdsGoAwayAck;
 
   private FakePeer(LinkLoop loop) {
     this.loop = loop;
@@ -40,7 +40,7 @@
 
   @Override
   public void received(LinkConnection from, Frame frame) {
-    if (frame.hasGoAway() && !holdsGoAwayAck) {
+    if (frame.hasGoAway() && !withholdsGoAwayAck) {
       from.send(EntryFrames.goAwayAck());
     } else {
       frames.add(frame);
@@ -48,13 +48,13 @@
   }
 
   /** Makes GOAWAY frames visible to the test, which acknowledges them itself. */
-  void holdGoAwayAck() {
-    holdsGoAwayAck = true;
+  void withholdGoAwayAck() {
+    withholdsGoAwayAck = true;
   }
 
   @Override
   public void closed(LinkConnection closed, String reason) {
-    ended.complete(reason);
+    closeReason.complete(reason);
   }
 
   void send(Frame frame) {
@@ -62,7 +62,7 @@
   }
 
   /** Acknowledges one more complete response with the next frame sent. */
-  void answerRead() {
+  void acknowledgeResponse() {
     loop.run(connection.join()::answerRead);
   }
 
@@ -76,12 +76,12 @@
   }
 
   /** Waits until the other end has closed the connection. */
-  void awaitEnd() {
-    ended.orTimeout(30, TimeUnit.SECONDS).join();
+  void awaitClosed() {
+    closeReason.orTimeout(30, TimeUnit.SECONDS).join();
   }
 
   void close() {
     loop.run(() -> connection.join().close("test"));
-    awaitEnd();
+    awaitClosed();
   }
 }
