--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -7,8 +7,8 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.LinkServer;
 import io.marigoldsail.daemon.link.SideLinks;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.TargetLoad;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.protocol.AnswerStart;
@@ -25,14 +25,14 @@
 /** A side process that is controlled by the test; it answers pings by itself. */
 final class FakeSide implements AutoCloseable {
   /** A frame and the connection that it was received on. */
-  record Heard(LinkConnection connection, Frame frame) {}
+  record ReceivedFrame(LinkConnection connection, Frame frame) {}
 
   private final String vm;
   private final long incarnation;
   private final LinkLoop loop;
   private final LinkServer server;
-  private final BlockingQueue<Heard> heard = new LinkedBlockingQueue<>();
-  private volatile LinkConnection silent;
+  private final BlockingQueue<ReceivedFrame> receivedFrames = new LinkedBlockingQueue<>();
+  private volatile LinkConnection unresponsive;
   private FakePeer control;
   private volatile boolean leaving;
   private boolean closed;
@@ -41,7 +41,8 @@
     this.vm = vm;
     this.incarnation = incarnation;
     this.loop = new LinkLoop(vm, MonotonicClock.system());
-    this.server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", port), 64, new Frames());
+    this.server =
+        new LinkServer(loop, new InetSocketAddress("127.0.0.1", port), 64, new FrameRecorder());
     server.start();
   }
 
@@ -77,21 +78,21 @@
   }
 
   /** Ignores all further frames on this connection, also pings. */
-  void fallSilent(LinkConnection connection) {
-    silent = connection;
+  void stopResponding(LinkConnection connection) {
+    unresponsive = connection;
   }
 
   /** Waits for the next frame other than a ping. */
-  Heard next() throws InterruptedException {
-    Heard next = heard.poll(30, TimeUnit.SECONDS);
+  ReceivedFrame next() throws InterruptedException {
+    ReceivedFrame next = receivedFrames.poll(30, TimeUnit.SECONDS);
     if (next == null) {
       throw new AssertionError("no frame received");
     }
     return next;
   }
 
-  int unread() {
-    return heard.size();
+  int unreadCount() {
+    return receivedFrames.size();
   }
 
   void send(LinkConnection connection, Frame frame) {
@@ -102,18 +103,18 @@
     loop.run(() -> connection.close("test"));
   }
 
-  static WireId idOf(Frame request) {
-    return SideFrames.id(request.getRequestStart().getId());
+  static AttemptId idOf(Frame request) {
+    return SideFrames.fromMessage(request.getRequestStart().getId());
   }
 
-  static Frame answer(WireId id, int status, String body) {
-    return answer(id, status, body, body.length());
+  static Frame response(AttemptId id, int status, String body) {
+    return response(id, status, body, body.length());
   }
 
-  static Frame answer(WireId id, int status, String body, int length) {
+  static Frame response(AttemptId id, int status, String body, int length) {
     AnswerStart.Builder start =
         AnswerStart.newBuilder()
-            .setId(SideFrames.message(id))
+            .setId(SideFrames.toMessage(id))
             .setStatus(status)
             .setData(ByteString.copyFromUtf8(body))
             .setBodyLength(length)
@@ -122,11 +123,11 @@
     return Frame.newBuilder().setAnswerStart(start).build();
   }
 
-  static Frame notRun(WireId id, ErrorKind kind) {
+  static Frame notRun(AttemptId id, ErrorKind kind) {
     return SideFrames.notRun(id, kind, "test", 5, TargetReport.newBuilder().setEntries(1).build());
   }
 
-  static Frame resolution(WireId id, Resolution.State state) {
+  static Frame resolution(AttemptId id, Resolution.State state) {
     return SideFrames.resolution(id, state);
   }
 
@@ -139,20 +140,20 @@
     }
   }
 
-  private final class Frames implements LinkListener {
+  private final class FrameRecorder implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {}
 
     @Override
     public void received(LinkConnection connection, Frame frame) {
-      if (connection == silent) {
+      if (connection == unresponsive) {
         return;
       }
       if (frame.hasPing()) {
         connection.send(SideFrames.pong(frame.getPing().getNonce()));
         return;
       }
-      heard.add(new Heard(connection, frame));
+      receivedFrames.add(new ReceivedFrame(connection, frame));
     }
 
     @Override
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeTarget.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeTarget.java
@@ -12,19 +12,19 @@
 final class FakeTarget implements Target {
   /** A request at the target. */
   record Run(TargetRequest request, Consumer<TargetOutcome> ended) {
-    void answer(String body) {
+    void respond(String body) {
       ended.accept(
-          new TargetOutcome.Answered(200, List.of(), ByteString.copyFromUtf8(body), () -> {}));
+          new TargetOutcome.Responded(200, List.of(), ByteString.copyFromUtf8(body), () -> {}));
     }
   }
 
   private final BlockingQueue<Run> runs = new LinkedBlockingQueue<>();
-  private final AtomicInteger started = new AtomicInteger();
+  private final AtomicInteger startedCount = new AtomicInteger();
   private volatile TargetHealth health = TargetHealth.SERVING;
 
   @Override
   public void send(TargetRequest request, Consumer<TargetOutcome> onEnded) {
-    started.incrementAndGet();
+    startedCount.incrementAndGet();
     runs.add(new Run(request, onEnded));
   }
 
@@ -41,12 +41,12 @@
   }
 
   /** Returns the number of requests received so far. */
-  int started() {
-    return started.get();
+  int startedCount() {
+    return startedCount.get();
   }
 
   /** Waits for the next request. */
-  Run next() throws InterruptedException {
+  Run awaitNext() throws InterruptedException {
     Run run = runs.poll(30, TimeUnit.SECONDS);
     if (run == null) {
       throw new AssertionError("no request reached the target");
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyHomesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
@@ -29,18 +29,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Requests with idempotency keys through two entries that agree on shard owners by a log. */
-class KeyHomesTest {
+class KeyShardCoordinatorTest {
   private static final int VMS = 3;
 
   /** An entry that follows the stream of keys. */
-  private final class KeyedEntry implements AutoCloseable {
+  private final class EntryWithKeys implements AutoCloseable {
     private final KeyShardTable table = new KeyShardTable(MonotonicClock.system());
     private final StreamFollower follower;
     private final LogAppender appender;
     private final EntryUnderTest entry;
-    private final KeyHomes homes;
+    private final KeyShardCoordinator coordinator;
 
-    KeyedEntry(FakeLogService log, int number) throws Exception {
+    EntryWithKeys(FakeLogService log, int number) throws Exception {
       MonotonicClock clock = MonotonicClock.system();
       SplittableRandom random = new SplittableRandom(number);
       follower =
@@ -58,14 +58,14 @@
           new EntryUnderTest(
               "entry-" + number,
               number,
-              LinkTimes.DEFAULT,
+              LinkSettings.DEFAULT,
               EventRecorder.none(),
               Optional.of(table),
               service -> detectsRepeats);
-      homes = new KeyHomes(entry.loop(), table, appender::append, entry.links());
+      coordinator = new KeyShardCoordinator(entry.loop(), table, appender::append, entry.links());
       follower.start();
       appender.start();
-      homes.start();
+      coordinator.start();
     }
 
     CompletableFuture<HttpResponse<byte[]>> charge(String key, String query) {
@@ -86,7 +86,7 @@
 
     @Override
     public void close() {
-      homes.close();
+      coordinator.close();
       entry.close();
       appender.close();
       follower.close();
@@ -97,17 +97,17 @@
   private final List<StandInTarget> targets = new ArrayList<>();
   private final List<SideUnderTest> sides = new ArrayList<>();
   private volatile boolean detectsRepeats;
-  private KeyedEntry first;
-  private KeyedEntry second;
+  private EntryWithKeys first;
+  private EntryWithKeys second;
 
   @BeforeEach
   void start() throws Exception {
-    first = new KeyedEntry(log, 1);
-    second = new KeyedEntry(log, 2);
+    first = new EntryWithKeys(log, 1);
+    second = new EntryWithKeys(log, 2);
     List<InetSocketAddress> entries = List.of(first.entry.address(), second.entry.address());
     for (int i = 0; i < VMS; i++) {
       StandInTarget target = new StandInTarget("target-" + i, "127.0.0.1", 0, 8, 64).start();
-      SideUnderTest side = SideUnderTest.onHttp("vm-" + i, 1, target.address());
+      SideUnderTest side = SideUnderTest.withHttpTarget("vm-" + i, 1, target.address());
       side.announceTo(entries);
       targets.add(target);
       sides.add(side);
@@ -117,8 +117,8 @@
     Await.until(
         "both entries know all shard owners",
         () ->
-            first.table.homes("parking").size() == KeyShards.COUNT
-                && second.table.homes("parking").size() == KeyShards.COUNT);
+            first.table.owners("parking").size() == KeyShards.COUNT
+                && second.table.owners("parking").size() == KeyShards.COUNT);
     first.awaitServed("warm-1-");
     second.awaitServed("warm-2-");
   }
@@ -131,7 +131,7 @@
     targets.forEach(StandInTarget::close);
   }
 
-  private List<TargetRun> charges() {
+  private List<TargetRun> chargeRuns() {
     List<TargetRun> runs = new ArrayList<>();
     targets.forEach(target -> runs.addAll(target.runs()));
     runs.removeIf(run -> run.path().contains("?warm"));
@@ -143,11 +143,11 @@
   }
 
   /**
-   * Callers repeat a charge through the other entry while it still runs, and again when it has ended.
-   * The charge of each key must run once, at one target.
+   * Callers repeat a charge through the other entry while it still runs, and again when it has
+   * ended. The charge of each key must run once, at one target.
    */
   @Test
-  void repeatsThroughAnotherEntryRunNoSecondTime() {
+  void repeatsThroughOtherEntryRunOnce() {
     int keys = 20;
     List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
     for (int i = 0; i < keys; i++) {
@@ -160,102 +160,105 @@
       served += answer.join().statusCode() == 200 ? 1 : 0;
     }
     assertTrue(served > keys, "served " + served);
-    int ran = charges().size();
+    int ran = chargeRuns().size();
     assertTrue(ran <= keys, "ran " + ran);
 
     for (int i = 0; i < keys; i++) {
-      Await.until("key " + i + " served", servedAtLast("pay-" + i));
+      Await.until("key " + i + " served", chargeIsServed("pay-" + i));
     }
-    assertEquals(keys, charges().size());
-    assertEquals(keys, charges().stream().map(TargetRun::idempotencyKey).distinct().count());
+    assertEquals(keys, chargeRuns().size());
+    assertEquals(keys, chargeRuns().stream().map(TargetRun::idempotencyKey).distinct().count());
   }
 
   /**
-   * Charges arrive while all slots of their keys' owner are briefly taken, such as after its start. The
-   * rest of the fleet is idle and the deadlines are seconds away, so they must be served late and
-   * once, not refused as overloaded.
+   * Charges arrive while all slots of their keys' owner are briefly taken, such as after its start.
+   * The rest of the fleet is idle and the deadlines are seconds away, so they must be served late
+   * and once, not refused as overloaded.
    */
   @Test
-  void aHomeThatIsFullForAMomentServesItsKeysLate() {
-    int owner = homeOf("pay-0");
+  void requestsToBrieflyFullOwnerAreRetried() {
+    int owner = ownerOf("pay-0");
     List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
     for (int i = 0; answers.size() < 30; i++) {
-      if (homeOf("pay-" + i) == owner) {
+      if (ownerOf("pay-" + i) == owner) {
         answers.add(first.charge("pay-" + i, "?serviceMillis=100"));
       }
     }
     for (CompletableFuture<HttpResponse<byte[]>> answer : answers) {
       assertEquals(200, answer.join().statusCode(), () -> text(answer.join()));
     }
-    assertEquals(answers.size(), charges().size());
+    assertEquals(answers.size(), chargeRuns().size());
   }
 
-  private java.util.function.BooleanSupplier servedAtLast(String key) {
+  private java.util.function.BooleanSupplier chargeIsServed(String key) {
     return () -> second.charge(key, "?serviceMillis=100").join().statusCode() == 200;
   }
 
   /**
-   * The side process that owns a key is killed and restarted without its state, while its target runs
-   * on. It cannot know whether the charge ran, so running it could charge twice. The caller must
-   * receive key-state-unknown from both entries.
+   * The side process that owns a key is killed and restarted without its state, while its target
+   * runs on. It cannot know whether the charge ran, so running it could charge twice. The caller
+   * must receive key-state-unknown from both entries.
    */
   @Test
-  void killedHomeRunsNothingAgain() throws Exception {
+  void keysOfKilledOwnerAreNotRunAgain() throws Exception {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    int owner = homeOf("pay");
+    int owner = ownerOf("pay");
     sides.get(owner).close();
-    SideUnderTest successor = SideUnderTest.onHttp("vm-" + owner, 2, targets.get(owner).address());
+    SideUnderTest successor =
+        SideUnderTest.withHttpTarget("vm-" + owner, 2, targets.get(owner).address());
     sides.set(owner, successor);
     successor.announceTo(List.of(first.entry.address(), second.entry.address()));
     int shard = KeyShards.of("driver\npay");
     Await.until(
         "another owner has claimed the shard",
         () ->
-            second.table.home("parking", shard).isPresent()
-                && second.table.home("parking", shard).orElseThrow().quietUntil()
+            second.table.owner("parking", shard).isPresent()
+                && second.table.owner("parking", shard).orElseThrow().servesFrom()
                     > System.nanoTime());
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       HttpResponse<byte[]> response = entry.charge("pay", "").join();
       assertTrue(text(response).contains("key-state-unknown"), () -> text(response));
       assertTrue(text(response).contains("this attempt was not run"), () -> text(response));
     }
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
-   * Guards against entries sending charges to a leaving owner: it rejected them, and those in transit
-   * when it exited had an unknown outcome, though none had run. The log is down, as otherwise a
-   * successor would soon serve the key.
+   * Guards against entries sending charges to a leaving owner: it rejected them, and those in
+   * transit when it exited had an unknown outcome, though none had run. The log is down, as
+   * otherwise a successor would soon serve the key.
    */
   @Test
-  void leavingHomeIsSentNothing() {
+  void drainingOwnerGetsNoRequests() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
     log.setFaults(log.faults().withDown(true));
-    sides.get(homeOf("pay")).dispatcher().beginStop();
+    sides.get(ownerOf("pay")).dispatcher().beginStop();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until(
           "refused by the entry",
-          () -> text(entry.charge("pay", "").join()).contains("the owner of its Idempotency-Key is not reachable"));
+          () ->
+              text(entry.charge("pay", "").join())
+                  .contains("the owner of its Idempotency-Key is not reachable"));
     }
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
    * Guards against losing the keys of an owner in a planned stop, which happens 70 times a day: for
-   * 71 s repeats of its charges got key-state-unknown. Another owner must take the keys over: a repeat
-   * gets the retained response, and a new key runs.
+   * 71 s repeats of its charges got key-state-unknown. Another owner must take the keys over: a
+   * repeat gets the retained response, and a new key runs.
    */
   @Test
-  void plannedStopHandsKeysToAnotherHome() {
+  void plannedStopHandsKeysOverToAnotherOwner() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
     assertEquals(200, receipt.statusCode());
-    SideUnderTest owner = sides.remove(homeOf("pay"));
+    SideUnderTest owner = sides.remove(ownerOf("pay"));
     owner.dispatcher().beginStop().join();
     owner.close();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until(
           "retained response",
           () -> text(entry.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
@@ -264,15 +267,16 @@
         Await.until("new key served", () -> entry.charge(key, "").join().statusCode() == 200);
       }
     }
-    assertEquals(41, charges().size());
-    assertEquals(1, charges().stream().filter(run -> run.idempotencyKey().endsWith("pay")).count());
+    assertEquals(41, chargeRuns().size());
+    assertEquals(
+        1, chargeRuns().stream().filter(run -> run.idempotencyKey().endsWith("pay")).count());
   }
 
   /** The same, with the entry that relays the keys killed as the stop begins. */
   @Test
-  void handOverOutlivesItsEntry() {
+  void handoverSurvivesDeathOfItsEntry() {
     HttpResponse<byte[]> receipt = first.charge("pay", "?tag=receipt").join();
-    SideUnderTest owner = sides.remove(homeOf("pay"));
+    SideUnderTest owner = sides.remove(ownerOf("pay"));
     CompletableFuture<Void> stopped = owner.dispatcher().beginStop();
     first.close();
     stopped.join();
@@ -281,43 +285,45 @@
     Await.until(
         "retained response",
         () -> text(second.charge("pay", "?tag=receipt").join()).equals(text(receipt)));
-    assertEquals(1, charges().size());
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
-   * The log is down during a planned stop of an owner, so no successor can be recorded. The stop must
-   * end all the same, and the shards are quarantined; the charge must not run again, also not when the
-   * log is back.
+   * The log is down during a planned stop of an owner, so no successor can be recorded. The stop
+   * must end all the same, and the shards are quarantined; the charge must not run again, also not
+   * when the log is back.
    */
   @Test
-  void stopDuringALogOutageLeavesItsShardsToTheQuietTime() {
+  void shardsWaitForTheTakeoverDelayAfterStopDuringLogOutage() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    SideUnderTest owner = sides.remove(homeOf("pay"));
+    SideUnderTest owner = sides.remove(ownerOf("pay"));
     log.setFaults(log.faults().withDown(true));
     owner.dispatcher().beginStop().join();
     owner.close();
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       assertTrue(text(entry.charge("pay", "").join()).contains("key-state-unknown"));
     }
     log.setFaults(log.faults().withDown(false));
 
     Await.until(
         "another owner has claimed the shard",
-        () -> text(second.charge("pay", "").join()).contains("a former owner of its key may have run"));
-    assertEquals(1, charges().size());
+        () ->
+            text(second.charge("pay", "").join())
+                .contains("a former owner of its key may have run"));
+    assertEquals(1, chargeRuns().size());
   }
 
   /**
-   * The log is down for longer than a lease, and one owner is killed meanwhile. The other owners reject
-   * keys once their leases have expired, and send the retained responses when the log is back; the
-   * keys of the killed one stay unknown. No charge may run twice.
+   * The log is down for longer than a lease, and one owner is killed meanwhile. The other owners
+   * reject keys once their leases have expired, and send the retained responses when the log is
+   * back; the keys of the killed one stay unknown. No charge may run twice.
    */
   @Test
-  void logOutageAndKilledHomeRunNothingAgain() {
+  void logOutageAndKilledOwnerRunNothingTwice() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
-    int killed = homeOf("pay");
+    int killed = ownerOf("pay");
     int number = 0;
-    while (homeOf("other-" + number) == killed) {
+    while (ownerOf("other-" + number) == killed) {
       number++;
     }
     String other = "other-" + number;
@@ -326,34 +332,38 @@
     sides.remove(killed).close();
     Await.until(
         "lease expired",
-        () -> text(second.charge(other, "").join()).contains("the owner of its Idempotency-Key is changing"));
+        () ->
+            text(second.charge(other, "").join())
+                .contains("the owner of its Idempotency-Key is changing"));
     log.setFaults(log.faults().withDown(false));
 
     Await.until("retained response", () -> second.charge(other, "").join().statusCode() == 200);
     Await.until(
         "another owner has claimed the shard",
-        () -> text(second.charge("pay", "").join()).contains("a former owner of its key may have run"));
-    assertEquals(2, charges().size());
+        () ->
+            text(second.charge("pay", "").join())
+                .contains("a former owner of its key may have run"));
+    assertEquals(2, chargeRuns().size());
   }
 
   /**
-   * If the target is configured to detect repeats, keys of a killed owner are not quarantined for 71 s:
-   * they run, and the target receives the same key.
+   * If the target is configured to detect repeats, keys of a killed owner are not quarantined for
+   * 71 s: they run, and the target receives the same key.
    */
   @Test
-  void keysOfUnknownStateRunWhereTheTargetDetectsRepeats() {
+  void keysOfUnknownStateRunWhereTargetDetectsRepeats() {
     assertEquals(200, first.charge("pay", "").join().statusCode());
     detectsRepeats = true;
-    sides.remove(homeOf("pay")).close();
+    sides.remove(ownerOf("pay")).close();
 
-    for (KeyedEntry entry : List.of(first, second)) {
+    for (EntryWithKeys entry : List.of(first, second)) {
       Await.until("served", () -> entry.charge("pay", "").join().statusCode() == 200);
     }
-    assertTrue(charges().stream().allMatch(run -> run.idempotencyKey().endsWith("pay")));
+    assertTrue(chargeRuns().stream().allMatch(run -> run.idempotencyKey().endsWith("pay")));
   }
 
-  private int homeOf(String key) {
-    String vm = first.table.home("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
+  private int ownerOf(String key) {
+    String vm = first.table.owner("parking", KeyShards.of("driver\n" + key)).orElseThrow().vm();
     return Integer.parseInt(vm.substring("vm-".length()));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideKeysTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
@@ -6,10 +6,10 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.idempotency.KeyShards;
-import io.marigoldsail.idempotency.KeyTerms;
+import io.marigoldsail.idempotency.KeyTimeouts;
 import io.marigoldsail.protocol.Cancel;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.HandedKey;
@@ -31,21 +31,21 @@
 import org.junit.jupiter.api.Test;
 
 /** A side process that owns shards of idempotency keys. */
-class SideKeysTest {
+class KeyedRequestsTest {
   private static final long INCARNATION = 42;
   private static final KeyClaim CLAIM = KeyClaim.newBuilder().setShard(3).setOffset(7).build();
 
   private final FakeTarget target = new FakeTarget();
   private final LinkLoop testLoop = new LinkLoop("test", MonotonicClock.system());
-  private final AtomicLong ahead = new AtomicLong();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
   private SideUnderTest side;
   private FakePeer entry;
   private FakePeer otherEntry;
 
   @BeforeEach
   void start() throws Exception {
-    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + ahead.get());
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + clockOffsetNanos.get());
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", INCARNATION, 0, target, loop, budget);
     Await.until("target probed", () -> !side.dispatcher().isLeaving());
     entry = FakePeer.dial(testLoop, side.port());
@@ -58,7 +58,7 @@
     testLoop.close();
   }
 
-  private void vouch(long incarnation, long quarantineMillis) {
+  private void confirmLease(long incarnation, long quarantineMillis) {
     KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(quarantineMillis);
     KeyLeases.Builder confirmation =
         KeyLeases.newBuilder().setProcessIncarnation(incarnation).addLeases(lease);
@@ -72,7 +72,7 @@
   private Frame charge(long incarnation, long sequence, String key, String body) {
     RequestStart.Builder start =
         RequestStart.newBuilder()
-            .setId(SideFrames.message(new WireId(incarnation, sequence)))
+            .setId(SideFrames.toMessage(new AttemptId(incarnation, sequence)))
             .setMethod("POST")
             .setPath("/parking/charge")
             .setRemainingMillis(60_000)
@@ -86,101 +86,101 @@
   }
 
   /**
-   * Two requests with one key arrive through two entries. The charge must run once, and both requests,
-   * and a third one after it has ended, must receive its response.
+   * Two requests with one key arrive through two entries. The charge must run once, and both
+   * requests, and a third one after it has ended, must receive its response.
    */
   @Test
-  void oneChargeForAllWhoAskWithItsKey() throws Exception {
-    vouch(INCARNATION, 0);
+  void requestsWithOneKeyRunOnceAndShareTheResponse() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
     otherEntry.send(charge(2, 2, "other", "5 dollars"));
-    target.next().answer("other receipt");
+    target.awaitNext().respond("other receipt");
     assertEquals(2, otherEntry.next().getAnswerStart().getId().getSequence());
 
-    run.answer("receipt");
+    run.respond("receipt");
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
     Frame joined = otherEntry.next();
     assertEquals("receipt", joined.getAnswerStart().getData().toStringUtf8());
     assertEquals(1, joined.getAnswerStart().getId().getSequence());
     entry.send(charge(1, 2, "pay", "5 dollars"));
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
-    assertEquals(2, target.started());
+    assertEquals(2, target.startedCount());
   }
 
   @Test
-  void sameKeyForAnotherChargeIsAConflict() throws Exception {
-    vouch(INCARNATION, 0);
+  void keyReusedForAnotherRequestIsAConflict() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    target.next();
+    target.awaitNext();
     entry.send(charge(1, 2, "pay", "6 dollars"));
 
     assertEquals("conflict", entry.next().getNotRun().getErrorKind());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /** If the response of the target is lost, repeats of the key get the same unknown outcome. */
   @Test
-  void unknownOutcomeStaysUnknownAndRunsNoSecondTime() throws Exception {
-    vouch(INCARNATION, 0);
+  void requestOfUnknownOutcomeIsNotRunAgain() throws Exception {
+    confirmLease(INCARNATION, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
-    target.next().ended().accept(new TargetOutcome.Lost("reset"));
+    target.awaitNext().ended().accept(new TargetOutcome.NoResponse("reset"));
     assertEquals("outcome-unknown", entry.next().getFailed().getErrorKind());
     entry.send(charge(1, 2, "pay", "5 dollars"));
 
     assertEquals("outcome-unknown", entry.next().getFailed().getErrorKind());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /**
-   * The owner is disconnected from all entries, or paused, for longer than its lease, and its shard has
-   * another owner. Requests that it still receives must not run there as well.
+   * The owner is disconnected from all entries, or paused, for longer than its lease, and its shard
+   * has another owner. Requests that it still receives must not run there as well.
    */
   @Test
-  void lapsedLeaseRunsNothing() throws Exception {
-    vouch(INCARNATION, 0);
-    ahead.set(KeyTerms.LEASE_NANOS);
+  void nothingRunsUnderExpiredLease() throws Exception {
+    confirmLease(INCARNATION, 0);
+    clockOffsetNanos.set(KeyTimeouts.LEASE_NANOS);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   /** The same, with the lease expiring while the charge is queued. */
   @Test
-  void leaseIsLookedAtAgainWhenASlotFallsFree() throws Exception {
-    vouch(INCARNATION, 0);
+  void leaseIsCheckedAgainWhenSlotBecomesFree() throws Exception {
+    confirmLease(INCARNATION, 0);
     List<FakeTarget.Run> runs = new ArrayList<>();
     for (int i = 1; i <= 8; i++) {
       entry.send(charge(1, i, "key-" + i, "5 dollars"));
-      runs.add(target.next());
+      runs.add(target.awaitNext());
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("charge queued", () -> side.dispatcher().load().waiting() == 1);
-    ahead.set(KeyTerms.LEASE_NANOS);
-    runs.get(0).answer("receipt");
+    clockOffsetNanos.set(KeyTimeouts.LEASE_NANOS);
+    runs.get(0).respond("receipt");
 
     assertTrue(entry.next().hasAnswerStart());
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
-    assertEquals(8, target.started());
+    assertEquals(8, target.startedCount());
   }
 
   /** The new owner after a crash does not know which requests its predecessor ran. */
   @Test
-  void quietHomeRefusesWithTheTimeToComeBack() throws Exception {
-    vouch(INCARNATION, 5_000);
+  void shardInTakeoverDelayIsRejectedWithRetryAfter() throws Exception {
+    confirmLease(INCARNATION, 5_000);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     Frame refused = entry.next();
     assertEquals("key-state-unknown", refused.getNotRun().getErrorKind());
     assertTrue(refused.getNotRun().getRetryAfterMillis() > 0);
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   @Test
-  void evidenceForAPredecessorCountsForNothing() throws Exception {
-    vouch(INCARNATION - 1, 0);
+  void confirmationForPredecessorIsIgnored() throws Exception {
+    confirmLease(INCARNATION - 1, 0);
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
     assertEquals("key-state-unknown", entry.next().getNotRun().getErrorKind());
@@ -188,26 +188,26 @@
 
   /** A queued request is cancelled; the second one with its key, which joined it, did not run. */
   @Test
-  void whoWaitedForAChargeThatWasGivenUpHearsNotRun() throws Exception {
-    vouch(INCARNATION, 0);
+  void joinedRequestOfCancelledRequestIsRejectedAsNotRun() throws Exception {
+    confirmLease(INCARNATION, 0);
     for (int i = 1; i <= 8; i++) {
       entry.send(charge(1, i, "key-" + i, "5 dollars"));
-      target.next();
+      target.awaitNext();
     }
     entry.send(charge(1, 9, "pay", "5 dollars"));
     Await.until("charge queued", () -> side.dispatcher().load().waiting() == 1);
     otherEntry.send(charge(2, 1, "pay", "5 dollars"));
-    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, 9)));
+    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.toMessage(new AttemptId(1, 9)));
     Frame cancelFrame = Frame.newBuilder().setCancel(cancel).build();
     otherEntry.send(charge(2, 2, "key-1", "6 dollars"));
     assertEquals("conflict", otherEntry.next().getNotRun().getErrorKind());
     entry.send(cancelFrame);
 
     assertEquals("overloaded", otherEntry.next().getNotRun().getErrorKind());
-    assertEquals(8, target.started());
+    assertEquals(8, target.startedCount());
   }
 
-  private static HandedShard handed(long offset) {
+  private static HandedShard shardId(long offset) {
     return HandedShard.newBuilder()
         .setVm("vm-2")
         .setService("parking")
@@ -232,80 +232,80 @@
   }
 
   /**
-   * The keys of a stopping owner arrive in two frames, the first of them twice and the second late. If
-   * the successor took the shard before the second, the charges in it could run again.
+   * The keys of a stopping owner arrive in two frames, the first of them twice and the second late.
+   * If the successor took the shard before the second, the charges in it could run again.
    */
   @Test
-  void shardIsTakenOnlyWhenAllItsKeysHaveCome() throws Exception {
-    handOver(handed(5), 2, key("a"));
-    handOver(handed(5), 2, key("a"));
-    handOver(handed(6), 0);
-    assertEquals(handed(6), side.nextToEntry().getKeyHandoverTaken().getShard());
-    handOver(handed(5), 2, key("b"));
-
-    KeyHandoverTaken taken = side.nextToEntry().getKeyHandoverTaken();
-    assertEquals(handed(5), taken.getShard());
+  void shardIsTakenOnlyWhenAllKeysAreReceived() throws Exception {
+    handOver(shardId(5), 2, key("a"));
+    handOver(shardId(5), 2, key("a"));
+    handOver(shardId(6), 0);
+    assertEquals(shardId(6), side.awaitNextFrameToEntry().getKeyHandoverTaken().getShard());
+    handOver(shardId(5), 2, key("b"));
+
+    KeyHandoverTaken taken = side.awaitNextFrameToEntry().getKeyHandoverTaken();
+    assertEquals(shardId(5), taken.getShard());
     assertTrue(taken.getTaken());
   }
 
   /** A copy of the frames arrives when this process owns the shard and has run requests of it. */
   @Test
-  void lateKeysOfAnEarlierHomeAreNotTaken() throws Exception {
-    vouch(INCARNATION, 0);
-    handOver(handed(5), 1, key("pay"));
-    assertFalse(side.nextToEntry().getKeyHandoverTaken().getTaken());
+  void staleHandoverIsNotTaken() throws Exception {
+    confirmLease(INCARNATION, 0);
+    handOver(shardId(5), 1, key("pay"));
+    assertFalse(side.awaitNextFrameToEntry().getKeyHandoverTaken().getTaken());
     entry.send(charge(1, 1, "pay", "5 dollars"));
 
-    target.next().answer("receipt");
+    target.awaitNext().respond("receipt");
     assertEquals("receipt", entry.next().getAnswerStart().getData().toStringUtf8());
   }
 
   /**
-   * An owner is stopped while a charge runs. If its keys were handed over before the charge has ended,
-   * its key would be missing, and a repeat would run at the successor.
+   * An owner is stopped while a charge runs. If its keys were handed over before the charge has
+   * ended, its key would be missing, and a repeat would run at the successor.
    */
   @Test
-  void stoppingHomeGivesItsKeysOnceNoneRuns() throws Exception {
-    vouch(INCARNATION, 0);
+  void stoppingOwnerHandsKeysOverOnceNoneRuns() throws Exception {
+    confirmLease(INCARNATION, 0);
     String keyOfShard = "pay";
     while (KeyShards.of(keyOfShard) != CLAIM.getShard()) {
       keyOfShard += "-again";
     }
     entry.send(charge(1, 1, keyOfShard, "5 dollars"));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
     otherEntry.send(charge(2, 1, "late", "5 dollars"));
     assertEquals("shutting-down", otherEntry.next().getNotRun().getErrorKind());
-    assertTrue(side.hasSentEntriesNothing());
-    run.answer("receipt");
+    assertTrue(side.sentNothingToEntries());
+    run.respond("receipt");
 
-    KeyHandover handover = side.nextToEntry().getKeyHandover();
+    KeyHandover handover = side.awaitNextFrameToEntry().getKeyHandover();
     assertEquals(1, handover.getTotal());
     assertEquals("receipt", handover.getKeys(0).getAnswered().getBody().toStringUtf8());
     assertFalse(stopped.isDone());
-    result("entry-1", handover, true);
+    receiveResult("entry-1", handover, true);
     stopped.join();
   }
 
   /**
-   * The first entry cannot reach the log, the next one can. If the owner stopped at the first refusal,
-   * its keys would be quarantined for 71 s.
+   * The first entry cannot reach the log, the next one can. If the owner stopped at the first
+   * refusal, its keys would be quarantined for 71 s.
    */
   @Test
-  void refusedHandOverGoesByTheNextEntry() throws Exception {
-    vouch(INCARNATION, 0);
+  void refusedHandoverIsRetriedThroughNextEntry() throws Exception {
+    confirmLease(INCARNATION, 0);
     CompletableFuture<Void> stopped = side.dispatcher().beginStop();
-    KeyHandover handover = side.nextToEntry().getKeyHandover();
-    result("entry-1", handover, false);
-    assertEquals(handover, side.nextToEntry().getKeyHandover());
-    result("entry-1", handover, false);
+    KeyHandover handover = side.awaitNextFrameToEntry().getKeyHandover();
+    receiveResult("entry-1", handover, false);
+    assertEquals(handover, side.awaitNextFrameToEntry().getKeyHandover());
+    receiveResult("entry-1", handover, false);
     assertFalse(stopped.isDone());
-    result("entry-2", handover, true);
+    receiveResult("entry-2", handover, true);
 
     stopped.join();
   }
 
-  private void result(String from, KeyHandover handover, boolean moved) {
+  private void receiveResult(String from, KeyHandover handover, boolean moved) {
     KeyHandoverResult.Builder result =
         KeyHandoverResult.newBuilder().setShard(handover.getShard()).setMoved(moved);
     Frame frame = Frame.newBuilder().setKeyHandoverResult(result).build();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
@@ -26,7 +26,7 @@
 class RequestFaultsTest {
   private static final int VMS = 3;
   private static final int CALLERS = 24;
-  private static final int STEP = 300;
+  private static final int REQUESTS_PER_STEP = 300;
 
   private final List<StandInTarget> targets = new ArrayList<>();
   private final List<SideUnderTest> sides = new ArrayList<>();
@@ -61,20 +61,21 @@
 
   /** Resolves for 10 s instead of 2 s, so that a busy test machine does not cause failures. */
   private EntryUnderTest newEntry(String name) throws Exception {
-    LinkTimes defaults = LinkTimes.DEFAULT;
-    LinkTimes longResolve =
-        new LinkTimes(
-            defaults.connections(),
-            defaults.tickNanos(),
+    LinkSettings defaults = LinkSettings.DEFAULT;
+    LinkSettings longResolve =
+        new LinkSettings(
+            defaults.connectionsPerTarget(),
+            defaults.checkIntervalNanos(),
             defaults.pingAfterNanos(),
             defaults.idlePingNanos(),
-            defaults.silenceNanos(),
+            defaults.silenceTimeoutNanos(),
             TimeUnit.SECONDS.toNanos(10));
     return new EntryUnderTest(name, incarnation++, longResolve, EventRecorder.none());
   }
 
   private void startSide(int i) throws Exception {
-    SideUnderTest side = SideUnderTest.onHttp("vm-" + i, incarnation++, targets.get(i).address());
+    SideUnderTest side =
+        SideUnderTest.withHttpTarget("vm-" + i, incarnation++, targets.get(i).address());
     TcpFaultProxy proxy = new TcpFaultProxy(side.port());
     side.announceAddress("127.0.0.1:" + proxy.port());
     List<InetSocketAddress> addresses = new ArrayList<>();
@@ -98,7 +99,7 @@
     return runs;
   }
 
-  private void assertNothingViolated(Workload workload) throws InterruptedException {
+  private void assertNoViolations(Workload workload) throws InterruptedException {
     workload.awaitAll();
     Await.until("targets idle", () -> runs().stream().allMatch(run -> run.endMillis() > 0));
     assertEquals(List.of(), workload.history().violations(runs()));
@@ -106,18 +107,18 @@
   }
 
   /**
-   * Closes connections repeatedly in the middle of requests. A lost connection does not show whether
-   * its charges ran, so a retry without resolving the outcome charges twice.
+   * Closes connections repeatedly in the middle of requests. A lost connection does not show
+   * whether its charges ran, so a retry without resolving the outcome charges twice.
    */
   @Test
-  void cutConnections() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 8 * STEP);
+  void closedConnections() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 8 * REQUESTS_PER_STEP);
     workload.start();
     for (int step = 1; step < 8; step++) {
-      workload.awaitEnded(step * STEP);
+      workload.awaitEnded(step * REQUESTS_PER_STEP);
       proxies.get(step % VMS).cutOpen();
     }
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
   /**
@@ -125,18 +126,18 @@
    * Requests are lost in them, or ran and their responses are lost.
    */
   @Test
-  void silentConnections() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 5 * STEP);
+  void unresponsiveConnections() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 5 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     proxies.get(0).silenceOpen(Direction.TO_SERVER);
-    workload.awaitEnded(2 * STEP);
+    workload.awaitEnded(2 * REQUESTS_PER_STEP);
     proxies.get(1).silenceOpen(Direction.TO_CLIENT);
-    workload.awaitEnded(3 * STEP);
+    workload.awaitEnded(3 * REQUESTS_PER_STEP);
     proxies.get(2).silenceOpen(Direction.TO_SERVER);
     proxies.get(2).silenceOpen(Direction.TO_CLIENT);
     proxies.get(0).cutOpen();
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
     assertEquals(0, workload.history().count(Told.UNKNOWN), "all outcomes were resolved");
   }
 
@@ -145,21 +146,21 @@
    * another one become unresponsive; then kills and restarts an entry.
    */
   @Test
-  void killedSideProcessAndEntry() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 6 * STEP);
+  void killedSideProcessesAndEntry() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 6 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     proxies.get(1).silenceOpen(Direction.TO_CLIENT);
     replaceSide(0);
-    workload.awaitEnded(2 * STEP);
+    workload.awaitEnded(2 * REQUESTS_PER_STEP);
     EntryUnderTest killed = entries.get(0);
     entries.set(0, newEntry("entry-0"));
     killed.close();
     replaceSide(1);
     replaceSide(2);
-    workload.awaitEnded(4 * STEP);
+    workload.awaitEnded(4 * REQUESTS_PER_STEP);
     replaceSide(0);
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
   /**
@@ -168,20 +169,20 @@
    * request that was reported as not run, nor a charge that was sent elsewhere.
    */
   @Test
-  void frozenAndWokenSideProcess() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 5 * STEP);
+  void pausedAndResumedSideProcess() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 5 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     CountDownLatch resume = new CountDownLatch(1);
-    sides.get(0).loop().run(() -> awaitQuietly(resume));
-    workload.awaitEnded(4 * STEP);
+    sides.get(0).loop().run(() -> awaitLatch(resume));
+    workload.awaitEnded(4 * REQUESTS_PER_STEP);
     entries.get(0).awaitTargets(VMS - 1);
     resume.countDown();
     entries.get(0).awaitTargets(VMS);
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
   }
 
-  private static void awaitQuietly(CountDownLatch latch) {
+  private static void awaitLatch(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
@@ -191,13 +192,13 @@
 
   /** Stops a side process and an entry as planned under full load; no outcome may be unknown. */
   @Test
-  void plannedStopsCutOffNobody() throws Exception {
-    Workload workload = new Workload(entries, CALLERS, 6 * STEP);
+  void plannedStopsLoseNoRequests() throws Exception {
+    Workload workload = new Workload(entries, CALLERS, 6 * REQUESTS_PER_STEP);
     workload.start();
-    workload.awaitEnded(STEP);
+    workload.awaitEnded(REQUESTS_PER_STEP);
     sides.get(0).dispatcher().beginStop().orTimeout(30, TimeUnit.SECONDS).join();
     replaceSide(0);
-    workload.awaitEnded(3 * STEP);
+    workload.awaitEnded(3 * REQUESTS_PER_STEP);
     EntryUnderTest stopped = entries.get(0);
     entries.set(0, entries.get(1));
     stopped
@@ -206,7 +207,7 @@
         .orTimeout(30, TimeUnit.SECONDS)
         .join();
     stopped.close();
-    assertNothingViolated(workload);
+    assertNoViolations(workload);
     assertEquals(0, workload.history().count(Told.UNKNOWN), "no request was lost");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestPathTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestPathTest.java
@@ -29,7 +29,7 @@
   void start() throws Exception {
     target = new StandInTarget("target-1", "127.0.0.1", 0, 8, 64).start();
     entry = new EntryUnderTest("entry-1", 1);
-    side = SideUnderTest.onHttp("vm-1", 1, target.address());
+    side = SideUnderTest.withHttpTarget("vm-1", 1, target.address());
     side.announceTo(List.of(entry.address()));
     entry.awaitTargets(1);
   }
@@ -43,20 +43,21 @@
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 65_535, 65_536, 65_537, 1_000_003, 8 * 1024 * 1024})
-  void bodyComesBackWhole(int length) throws Exception {
+  void bodyIsEchoedUnchanged(int length) throws Exception {
     byte[] body = new byte[length];
     new SplittableRandom(length).nextBytes(body);
 
     HttpResponse<byte[]> response = entry.post("/parking/echo?lot=3", body);
 
-    assertEquals(200, response.statusCode(), () -> new String(response.body(), StandardCharsets.UTF_8));
+    assertEquals(
+        200, response.statusCode(), () -> new String(response.body(), StandardCharsets.UTF_8));
     assertArrayEquals(body, response.body());
     assertTrue(response.headers().firstValue(CallerHeaders.REQUEST_ID).isPresent());
   }
 
   @Test
-  void bodyPastTheLimitIsRefusedAlsoWithoutContentLength() throws Exception {
-    byte[] body = new byte[Bodies.MAX_BYTES + 1];
+  void oversizedBodyWithoutContentLengthIsRefused() throws Exception {
+    byte[] body = new byte[BodyLimits.MAX_BYTES + 1];
     HttpRequest.Builder chunked =
         entry
             .request("/parking/echo")
@@ -72,7 +73,7 @@
   }
 
   @Test
-  void answerOfHeadTellsTheLengthOfTheBody() throws Exception {
+  void headRequestIsAnswered() throws Exception {
     HttpRequest.Builder head =
         entry.request("/parking/echo").method("HEAD", HttpRequest.BodyPublishers.noBody());
 
@@ -80,7 +81,7 @@
   }
 
   @Test
-  void foreignServiceAndBadHeadersAreRefusedWithTheReason() throws Exception {
+  void unknownServiceAndInvalidHeadersAreRefusedWithReason() throws Exception {
     assertEquals(404, entry.get("/weather/today").statusCode());
     HttpResponse<byte[]> bad =
         entry.send(entry.request("/parking/x").header(CallerHeaders.DEADLINE_MILLIS, "soon").GET());
@@ -90,7 +91,7 @@
   }
 
   @Test
-  void targetsStatusAndHeadersReachTheCaller() throws Exception {
+  void statusAndHeadersOfTargetReachCaller() throws Exception {
     HttpResponse<byte[]> response = entry.get("/parking/spaces?status=418");
 
     assertEquals(418, response.statusCode());
@@ -98,11 +99,12 @@
   }
 
   @Test
-  void targetKnowsTheRequestByTheIdThatTheCallerIsShown() throws Exception {
+  void targetAndCallerGetSameRequestId() throws Exception {
     HttpRequest.Builder request =
         entry.request("/parking/spaces").header(CallerHeaders.REQUEST_ID, "made-up").GET();
 
-    String receivedId = entry.send(request).headers().firstValue(CallerHeaders.REQUEST_ID).orElseThrow();
+    String receivedId =
+        entry.send(request).headers().firstValue(CallerHeaders.REQUEST_ID).orElseThrow();
 
     assertEquals(receivedId, target.runs().get(0).requestId());
   }
@@ -112,7 +114,7 @@
    * connections and their responses are reordered, so matching them by position would mix them up.
    */
   @Test
-  void eachOfThousandsGetsItsOwnAnswerWhateverTheirOrder() throws Exception {
+  void outOfOrderResponsesReachTheirOwnCallers() throws Exception {
     SplittableRandom random = new SplittableRandom(4);
     List<byte[]> bodies = new ArrayList<>();
     List<CompletableFuture<HttpResponse<byte[]>>> responses = new ArrayList<>();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -6,8 +6,8 @@
 
 import com.google.protobuf.ByteString;
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.dispatch.AttemptId;
 import io.marigoldsail.dispatch.ByteBudget;
-import io.marigoldsail.dispatch.WireId;
 import io.marigoldsail.protocol.Cancel;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.Ping;
@@ -27,19 +27,19 @@
 class SideDispatcherTest {
   private static final long INCARNATION = 42;
   private static final int SLOTS = 8;
-  private static final int WAITING_ROOM = 4;
+  private static final int QUEUE_CAPACITY = 4;
   private static final long LONG_MILLIS = 60_000;
 
   private final FakeTarget target = new FakeTarget();
   private final LinkLoop testLoop = new LinkLoop("test", MonotonicClock.system());
-  private final AtomicLong ahead = new AtomicLong();
+  private final AtomicLong clockOffsetNanos = new AtomicLong();
   private SideUnderTest side;
   private FakePeer entry;
 
   @BeforeEach
   void start() throws Exception {
-    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + ahead.get());
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + clockOffsetNanos.get());
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", INCARNATION, 0, target, loop, budget);
     Await.until("target probed", () -> !side.dispatcher().isLeaving());
     entry = dial();
@@ -60,7 +60,7 @@
 
   private RequestStart.Builder request(long sequence) {
     return RequestStart.newBuilder()
-        .setId(SideFrames.message(new WireId(1, sequence)))
+        .setId(SideFrames.toMessage(new AttemptId(1, sequence)))
         .setMethod("POST")
         .setPath("/parking/book")
         .setLabel("1-" + sequence)
@@ -76,38 +76,40 @@
   private static Frame resolve(long sequence, long incarnation) {
     Resolve.Builder resolve =
         Resolve.newBuilder()
-            .setId(SideFrames.message(new WireId(1, sequence)))
+            .setId(SideFrames.toMessage(new AttemptId(1, sequence)))
             .setProcessIncarnation(incarnation);
     return Frame.newBuilder().setResolve(resolve).build();
   }
 
   private static Frame cancel(long sequence) {
-    Cancel.Builder cancel = Cancel.newBuilder().setId(SideFrames.message(new WireId(1, sequence)));
+    Cancel.Builder cancel =
+        Cancel.newBuilder().setId(SideFrames.toMessage(new AttemptId(1, sequence)));
     return Frame.newBuilder().setCancel(cancel).build();
   }
 
-  private List<FakeTarget.Run> fillSlotsAndWaitingRoom() throws InterruptedException {
-    for (int i = 1; i <= SLOTS + WAITING_ROOM; i++) {
+  private List<FakeTarget.Run> fillSlotsAndQueue() throws InterruptedException {
+    for (int i = 1; i <= SLOTS + QUEUE_CAPACITY; i++) {
       entry.send(frame(request(i)));
     }
     List<FakeTarget.Run> runs = new ArrayList<>();
     for (int i = 0; i < SLOTS; i++) {
-      runs.add(target.next());
+      runs.add(target.awaitNext());
     }
-    Await.until("the others are queued", () -> side.dispatcher().load().waiting() == WAITING_ROOM);
+    Await.until(
+        "the others are queued", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY);
     return runs;
   }
 
   @Test
-  void answerCarriesTheIdOfItsRequestAndTheLoad() throws Exception {
+  void responseCarriesRequestIdAndLoad() throws Exception {
     entry.send(frame(request(1)));
     entry.send(frame(request(2)));
-    FakeTarget.Run first = target.next();
-    FakeTarget.Run second = target.next();
+    FakeTarget.Run first = target.awaitNext();
+    FakeTarget.Run second = target.awaitNext();
 
-    second.answer("second");
+    second.respond("second");
     Frame early = entry.next();
-    first.answer("first");
+    first.respond("first");
     Frame late = entry.next();
 
     assertEquals(2, early.getAnswerStart().getId().getSequence());
@@ -117,27 +119,27 @@
   }
 
   /**
-   * A full side process rejects a booking and the caller receives "not run". The booking must not run
-   * later, also not if a copy is received, or the retry books twice.
+   * A full side process rejects a booking and the caller receives "not run". The booking must not
+   * run later, also not if a copy is received, or the retry books twice.
    */
   @Test
-  void whatIsRefusedForWantOfASlotNeverRuns() throws Exception {
-    List<FakeTarget.Run> runs = fillSlotsAndWaitingRoom();
-    long refused = SLOTS + WAITING_ROOM + 1;
+  void requestRejectedAsOverloadedNeverRuns() throws Exception {
+    List<FakeTarget.Run> runs = fillSlotsAndQueue();
+    long refused = SLOTS + QUEUE_CAPACITY + 1;
     entry.send(frame(request(refused)));
     assertEquals("overloaded", entry.next().getNotRun().getErrorKind());
 
-    runs.forEach(run -> run.answer("done"));
-    for (int i = 0; i < WAITING_ROOM; i++) {
-      target.next().answer("done");
+    runs.forEach(run -> run.respond("done"));
+    for (int i = 0; i < QUEUE_CAPACITY; i++) {
+      target.awaitNext().respond("done");
     }
-    for (int i = 0; i < SLOTS + WAITING_ROOM; i++) {
+    for (int i = 0; i < SLOTS + QUEUE_CAPACITY; i++) {
       assertTrue(entry.next().hasAnswerStart());
     }
     entry.send(frame(request(refused)));
 
     assertTrue(entry.next().hasNotRun());
-    assertEquals(SLOTS + WAITING_ROOM, target.started());
+    assertEquals(SLOTS + QUEUE_CAPACITY, target.startedCount());
   }
 
   /**
@@ -146,7 +148,7 @@
    * without a tombstone for the id the booking would run.
    */
   @Test
-  void copyThatComesAfterItsResolutionDoesNotRun() throws Exception {
+  void requestReceivedAfterItsResolutionDoesNotRun() throws Exception {
     FakePeer newConnection = dial();
     newConnection.send(resolve(1, INCARNATION));
     assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
@@ -154,7 +156,7 @@
     entry.send(frame(request(1)));
 
     assertTrue(entry.next().hasNotRun());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   /**
@@ -162,7 +164,7 @@
    * new process does not know the id; if it reported "not run", the charge would run twice.
    */
   @Test
-  void successorDoesNotSpeakForItsPredecessor() throws Exception {
+  void successorReportsPredecessorsRequestsAsForgotten() throws Exception {
     entry.send(resolve(1, INCARNATION - 1));
 
     assertEquals(Resolution.State.FORGOTTEN, entry.next().getResolution().getState());
@@ -173,25 +175,25 @@
    * it as running and sends the response there; the charge runs once.
    */
   @Test
-  void answerOfARunningRequestGoesToWhereItWasAskedForLast() throws Exception {
+  void responseIsSentToConnectionOfLastResolve() throws Exception {
     entry.send(frame(request(1)));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     entry.close();
 
     FakePeer newConnection = dial();
     newConnection.send(resolve(1, INCARNATION));
     assertEquals(Resolution.State.RUNNING, newConnection.next().getResolution().getState());
-    run.answer("charged");
+    run.respond("charged");
 
     assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /** A response that was lost with its connection is sent again over a new one. */
   @Test
-  void keptAnswerOfAnEndedRequestIsSentAgain() throws Exception {
+  void retainedResponseIsSentAgain() throws Exception {
     entry.send(frame(request(1)));
-    target.next().answer("charged");
+    target.awaitNext().respond("charged");
     assertTrue(entry.next().hasAnswerStart());
     entry.close();
 
@@ -199,22 +201,22 @@
     newConnection.send(resolve(1, INCARNATION));
 
     assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   /**
-   * Guards against retaining each response for 60 s although its entry had read it: at 16,000 a second
-   * their garbage collection delayed one request in a hundred by 85 ms. Acknowledged responses are
-   * dropped, others are retained, and neither request can run again.
+   * Guards against retaining each response for 60 s although its entry had read it: at 16,000 a
+   * second their garbage collection delayed one request in a hundred by 85 ms. Acknowledged
+   * responses are dropped, others are retained, and neither request can run again.
    */
   @Test
-  void onlyAnswersThatTheEntryHasNotReadAreKept() throws Exception {
+  void onlyUnacknowledgedResponsesAreRetained() throws Exception {
     for (int i = 1; i <= 2; i++) {
       entry.send(frame(request(i)));
-      target.next().answer("charged");
+      target.awaitNext().respond("charged");
       assertTrue(entry.next().hasAnswerStart());
     }
-    entry.answerRead();
+    entry.acknowledgeResponse();
     entry.send(Frame.newBuilder().setPing(Ping.newBuilder().setNonce(testLoop.now())).build());
     assertTrue(entry.next().hasPong());
     entry.close();
@@ -226,57 +228,57 @@
     assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
     newConnection.send(frame(request(1)));
     assertEquals("outcome-unknown", newConnection.next().getFailed().getErrorKind());
-    assertEquals(2, target.started());
+    assertEquals(2, target.startedCount());
   }
 
   /** Otherwise an entry could make the side process drop responses that it has not read. */
   @Test
-  void claimOfMoreAnswersThanWereSentEndsItsConnection() throws Exception {
-    entry.answerRead();
+  void acknowledgingUnsentResponsesClosesConnection() throws Exception {
+    entry.acknowledgeResponse();
     entry.send(frame(request(1)));
 
-    entry.awaitEnd();
-    assertEquals(0, target.started());
+    entry.awaitClosed();
+    assertEquals(0, target.startedCount());
   }
 
   /**
-   * The VM pauses for ten seconds with an unread booking in its socket, whose deadline is five seconds
-   * away. If the five seconds counted from when it is read, the resumed process would run a booking
-   * whose caller has timed out.
+   * The VM pauses for ten seconds with an unread booking in its socket, whose deadline is five
+   * seconds away. If the five seconds counted from when it is read, the resumed process would run a
+   * booking whose caller has timed out.
    */
   @Test
-  void wokenProcessDoesNotStartWhatIsPastItsDeadline() throws Exception {
+  void resumedProcessDoesNotStartExpiredRequest() throws Exception {
     long tenSecondsAgo = testLoop.now() - TimeUnit.SECONDS.toNanos(10);
 
     entry.send(frame(request(1).setSentAt(tenSecondsAgo).setRemainingMillis(5_000)));
 
     assertEquals("deadline-before-start", entry.next().getNotRun().getErrorKind());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   /** A request whose deadline passes while it is queued is rejected, not run late. */
   @Test
-  void whatWaitedTooLongDoesNotRun() throws Exception {
+  void requestThatExpiresInQueueDoesNotRun() throws Exception {
     List<FakeTarget.Run> runs = new ArrayList<>();
     for (int i = 1; i <= SLOTS; i++) {
       entry.send(frame(request(i)));
-      runs.add(target.next());
+      runs.add(target.awaitNext());
     }
     entry.send(frame(request(100).setRemainingMillis(LONG_MILLIS / 2)));
     entry.send(frame(request(101)));
     Await.until("both are queued", () -> side.dispatcher().load().waiting() == 2);
-    ahead.set(TimeUnit.MILLISECONDS.toNanos(LONG_MILLIS / 2));
-    runs.get(0).answer("done");
+    clockOffsetNanos.set(TimeUnit.MILLISECONDS.toNanos(LONG_MILLIS / 2));
+    runs.get(0).respond("done");
 
     assertTrue(entry.next().hasAnswerStart());
     assertEquals("deadline-before-start", entry.next().getNotRun().getErrorKind());
-    target.next().answer("done");
-    assertEquals(SLOTS + 1, target.started());
+    target.awaitNext().respond("done");
+    assertEquals(SLOTS + 1, target.startedCount());
   }
 
   /** A truncated body must never reach a target as a complete one. */
   @Test
-  void requestCutShortNeverRuns() throws Exception {
+  void truncatedRequestNeverRuns() throws Exception {
     ByteString half = ByteString.copyFromUtf8("half");
     entry.send(frame(request(1).setBodyLength(8).setData(half).setLast(false)));
     entry.close();
@@ -285,27 +287,27 @@
     newConnection.send(resolve(1, INCARNATION));
 
     assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   @Test
-  void bodyThatBreaksItsLengthEndsOnlyItsConnection() throws Exception {
+  void bodyOfWrongLengthClosesOnlyItsConnection() throws Exception {
     FakePeer other = dial();
     other.send(frame(request(2)));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
 
     entry.send(frame(request(1).setBodyLength(2).setData(ByteString.copyFromUtf8("long"))));
-    entry.awaitEnd();
-    run.answer("done");
+    entry.awaitClosed();
+    run.respond("done");
 
     assertTrue(other.next().hasAnswerStart());
-    assertEquals(1, target.started());
+    assertEquals(1, target.startedCount());
   }
 
   @Test
-  void bodiesBeyondTheBudgetAreRefusedAndTheBudgetComesBack() throws Exception {
+  void bodiesBeyondBudgetAreRejectedAndBudgetIsReleased() throws Exception {
     for (int i = 1; i <= 2; i++) {
-      entry.send(frame(request(i).setBodyLength(Bodies.MAX_BYTES).setLast(false)));
+      entry.send(frame(request(i).setBodyLength(BodyLimits.MAX_BYTES).setLast(false)));
     }
     entry.send(frame(request(3).setBodyLength(1).setData(ByteString.copyFromUtf8("x"))));
     assertEquals("overloaded", entry.next().getNotRun().getErrorKind());
@@ -313,57 +315,58 @@
     entry.send(cancel(1));
     entry.send(frame(request(4).setBodyLength(1).setData(ByteString.copyFromUtf8("x"))));
 
-    target.next().answer("done");
+    target.awaitNext().respond("done");
     assertEquals(4, entry.next().getAnswerStart().getId().getSequence());
   }
 
   @Test
-  void cancelledWhileWaitingNeverRunsAndRunningGoesOn() throws Exception {
-    List<FakeTarget.Run> runs = fillSlotsAndWaitingRoom();
+  void cancelStopsQueuedRequestsOnly() throws Exception {
+    List<FakeTarget.Run> runs = fillSlotsAndQueue();
     entry.send(cancel(SLOTS + 1));
     entry.send(cancel(1));
-    Await.until("queued request cancelled", () -> side.dispatcher().load().waiting() == WAITING_ROOM - 1);
+    Await.until(
+        "queued request cancelled", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY - 1);
     assertEquals(SLOTS, side.dispatcher().load().inFlight());
 
-    runs.forEach(run -> run.answer("done"));
-    for (int i = 0; i < WAITING_ROOM - 1; i++) {
-      target.next().answer("done");
+    runs.forEach(run -> run.respond("done"));
+    for (int i = 0; i < QUEUE_CAPACITY - 1; i++) {
+      target.awaitNext().respond("done");
     }
-    for (int i = 0; i < SLOTS + WAITING_ROOM - 1; i++) {
+    for (int i = 0; i < SLOTS + QUEUE_CAPACITY - 1; i++) {
       assertTrue(entry.next().hasAnswerStart());
     }
-    assertEquals(SLOTS + WAITING_ROOM - 1, target.started());
+    assertEquals(SLOTS + QUEUE_CAPACITY - 1, target.startedCount());
   }
 
   /**
-   * In a planned stop running and queued requests are completed, new ones are rejected as not run, and
-   * only then may the process exit.
+   * In a planned stop running and queued requests are completed, new ones are rejected as not run,
+   * and only then may the process exit.
    */
   @Test
-  void plannedStopEndsWhatIsInProgressAndTakesNothingNew() throws Exception {
-    List<FakeTarget.Run> runs = fillSlotsAndWaitingRoom();
+  void plannedStopCompletesPendingRequestsAndRejectsNew() throws Exception {
+    List<FakeTarget.Run> runs = fillSlotsAndQueue();
     CompletableFuture<Void> drained = side.dispatcher().beginStop();
     entry.send(frame(request(100)));
     assertEquals("shutting-down", entry.next().getNotRun().getErrorKind());
     assertFalse(drained.isDone());
 
-    runs.forEach(run -> run.answer("done"));
-    for (int i = 0; i < WAITING_ROOM; i++) {
-      target.next().answer("done");
+    runs.forEach(run -> run.respond("done"));
+    for (int i = 0; i < QUEUE_CAPACITY; i++) {
+      target.awaitNext().respond("done");
     }
-    for (int i = 0; i < SLOTS + WAITING_ROOM; i++) {
+    for (int i = 0; i < SLOTS + QUEUE_CAPACITY; i++) {
       assertTrue(entry.next().hasAnswerStart());
     }
     drained.orTimeout(30, TimeUnit.SECONDS).join();
   }
 
   /**
-   * Guards against an unknown outcome in a planned stop. A charge that the entry sent just before it
-   * was notified of the stop is still in transit when the idle process exits.
+   * Guards against an unknown outcome in a planned stop. A charge that the entry sent just before
+   * it was notified of the stop is still in transit when the idle process exits.
    */
   @Test
-  void plannedStopWaitsForWhatIsStillOnItsWay() throws Exception {
-    entry.holdGoAwayAck();
+  void plannedStopWaitsForRequestsInTransit() throws Exception {
+    entry.withholdGoAwayAck();
     CompletableFuture<Void> drained = side.dispatcher().beginStop();
     entry.send(frame(request(1)));
     assertTrue(entry.next().hasGoAway());
@@ -375,23 +378,23 @@
     entry.send(EntryFrames.goAwayAck());
 
     drained.orTimeout(30, TimeUnit.SECONDS).join();
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   /**
    * Guards against losing the last response in a planned stop. If the process exits with an unread
-   * ping before the operating system has delivered the response, the kernel resets the connection and
-   * discards it, and the caller gets an unknown outcome for a charge that ran.
+   * ping before the operating system has delivered the response, the kernel resets the connection
+   * and discards it, and the caller gets an unknown outcome for a charge that ran.
    */
   @Test
-  void plannedStopWaitsUntilItsLastAnswerHasArrived() throws Exception {
-    entry.holdGoAwayAck();
+  void plannedStopWaitsUntilLastResponseIsReceived() throws Exception {
+    entry.withholdGoAwayAck();
     entry.send(frame(request(1)));
-    FakeTarget.Run run = target.next();
+    FakeTarget.Run run = target.awaitNext();
     CompletableFuture<Void> drained = side.dispatcher().beginStop();
     assertTrue(entry.next().hasGoAway());
     entry.send(EntryFrames.goAwayAck());
-    run.answer("charged");
+    run.respond("charged");
     assertTrue(entry.next().hasAnswerStart());
 
     assertTrue(entry.next().hasGoAway(), "GOAWAY is sent again after the response");
@@ -402,19 +405,19 @@
   }
 
   @Test
-  void leavingTargetGetsNothingNew() throws Exception {
+  void leavingTargetGetsNoNewRequests() throws Exception {
     target.health(TargetHealth.LEAVING);
     Await.until("leaving target detected", () -> side.dispatcher().isLeaving());
 
     entry.send(frame(request(1)));
 
     assertEquals("shutting-down", entry.next().getNotRun().getErrorKind());
-    assertEquals(0, target.started());
+    assertEquals(0, target.startedCount());
   }
 
   @Test
-  void targetTooBusyToAnswerItsProbeDoesNotLeave() {
-    target.health(TargetHealth.UNCLEAR);
+  void unansweredProbeKeepsLastHealth() {
+    target.health(TargetHealth.UNKNOWN);
     long due = testLoop.now() + TimeUnit.MILLISECONDS.toNanos(1_200);
     Await.until("probed twice", () -> testLoop.now() - due > 0);
 
@@ -422,20 +425,20 @@
   }
 
   @Test
-  void proofThatNothingWasSentIsSaidNotRun() throws Exception {
+  void requestNotSentIsReportedAsNotRun() throws Exception {
     entry.send(frame(request(1)));
-    target.next().ended().accept(new TargetOutcome.NeverSent("refused"));
+    target.awaitNext().ended().accept(new TargetOutcome.NotSent("refused"));
 
     assertEquals("target-unreachable", entry.next().getNotRun().getErrorKind());
   }
 
   @Test
-  void lostAndBrokenAnswersAreNotSaidNotRun() throws Exception {
+  void missingAndInvalidResponsesAreNotReportedAsNotRun() throws Exception {
     entry.send(frame(request(1)));
-    target.next().ended().accept(new TargetOutcome.Lost("reset"));
+    target.awaitNext().ended().accept(new TargetOutcome.NoResponse("reset"));
     assertEquals("outcome-unknown", entry.next().getFailed().getErrorKind());
     entry.send(frame(request(2)));
-    target.next().ended().accept(new TargetOutcome.BrokenAnswer("cut short"));
+    target.awaitNext().ended().accept(new TargetOutcome.InvalidResponse("cut short"));
     assertEquals("target-broken-answer", entry.next().getFailed().getErrorKind());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
@@ -30,7 +30,7 @@
   private final Target target;
   private final SideDispatcher dispatcher;
   private SideLinks links;
-  private final BlockingQueue<Frame> toEntry = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Frame> framesToEntry = new LinkedBlockingQueue<>();
   private volatile String address;
 
   SideUnderTest(
@@ -40,7 +40,7 @@
     this.incarnation = incarnation;
     this.loop = loop;
     this.target = target;
-    SideLimits limits = SideLimits.ofSlots(SLOTS);
+    SideLimits limits = SideLimits.forSlots(SLOTS);
     this.dispatcher =
         new SideDispatcher(
             loop,
@@ -61,10 +61,10 @@
     this.address = "127.0.0.1:" + dispatcher.port();
   }
 
-  static SideUnderTest onHttp(String vm, long incarnation, String targetAddress)
+  static SideUnderTest withHttpTarget(String vm, long incarnation, String targetAddress)
       throws IOException {
     LinkLoop loop = new LinkLoop(vm, MonotonicClock.system());
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     TargetClient client = new TargetClient(loop, URI.create(targetAddress), 64, "", budget);
     client.start();
     return new SideUnderTest(vm, incarnation, 0, client, loop, budget);
@@ -118,16 +118,16 @@
    * Waits for the next frame to an entry. Only until {@link #announceTo} is called; from then on
    * frames go to the real entries.
    */
-  Frame nextToEntry() throws InterruptedException {
-    Frame frame = toEntry.poll(30, TimeUnit.SECONDS);
+  Frame awaitNextFrameToEntry() throws InterruptedException {
+    Frame frame = framesToEntry.poll(30, TimeUnit.SECONDS);
     if (frame == null) {
       throw new AssertionError("no frame was sent to an entry");
     }
     return frame;
   }
 
-  boolean hasSentEntriesNothing() {
-    return toEntry.isEmpty();
+  boolean sentNothingToEntries() {
+    return framesToEntry.isEmpty();
   }
 
   /** Sends frames to the announced entries; before that, records frames to two simulated ones. */
@@ -145,7 +145,7 @@
     @Override
     public void sendTo(String entry, Frame frame) {
       if (links == null) {
-        toEntry.add(frame);
+        framesToEntry.add(frame);
       } else {
         links.sendTo(entry, frame);
       }
@@ -154,7 +154,7 @@
     @Override
     public void sendAllTo(String entry, FrameStream frames) {
       if (links == null) {
-        frames.forEachRemaining(toEntry::add);
+        frames.forEachRemaining(framesToEntry::add);
       } else {
         links.sendAllTo(entry, frames);
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/TargetClientTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/TargetClientTest.java
@@ -19,8 +19,8 @@
    * requests the VM would have served no more.
    */
   @Test
-  void requestThatCannotBeSentEndsAsNeverSent() throws Exception {
-    ByteBudget budget = new ByteBudget(2L * Bodies.MAX_BYTES);
+  void invalidRequestEndsAsNotSent() throws Exception {
+    ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     CompletableFuture<TargetOutcome> outcome = new CompletableFuture<>();
     try (LinkLoop loop = new LinkLoop("side", MonotonicClock.system());
         TargetClient client =
@@ -31,7 +31,7 @@
       client.send(
           new TargetRequest("GET", "//", List.of(), ByteString.EMPTY, giveUpAt), outcome::complete);
 
-      assertInstanceOf(TargetOutcome.NeverSent.class, outcome.get(30, TimeUnit.SECONDS));
+      assertInstanceOf(TargetOutcome.NotSent.class, outcome.get(30, TimeUnit.SECONDS));
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
@@ -19,7 +19,7 @@
   private final AtomicReferenceArray<EntryUnderTest> entries;
   private final RequestHistory history = new RequestHistory();
   private final AtomicInteger ended = new AtomicInteger();
-  private final AtomicInteger last = new AtomicInteger();
+  private final AtomicInteger lastNumber = new AtomicInteger();
   private final int total;
   private final List<Thread> callers = new ArrayList<>();
 
@@ -35,7 +35,7 @@
     this.total = total;
     for (int i = 0; i < callerCount; i++) {
       int caller = i;
-      callers.add(new Thread(() -> ask(caller), "caller-" + i));
+      callers.add(new Thread(() -> sendRequests(caller), "caller-" + i));
     }
   }
 
@@ -58,15 +58,15 @@
     return history;
   }
 
-  private void ask(int caller) {
+  private void sendRequests(int caller) {
     SplittableRandom random = new SplittableRandom(caller);
     while (true) {
-      int number = last.incrementAndGet();
+      int number = lastNumber.incrementAndGet();
       if (number > total) {
         return;
       }
       try {
-        askOnce(caller, number, random);
+        sendOne(caller, number, random);
       } catch (InterruptedException e) {
         return;
       }
@@ -74,7 +74,7 @@
     }
   }
 
-  private void askOnce(int caller, int number, SplittableRandom random)
+  private void sendOne(int caller, int number, SplittableRandom random)
       throws InterruptedException {
     boolean idempotent = random.nextBoolean();
     String tag = "c" + number;
@@ -90,13 +90,14 @@
     try {
       HttpResponse<byte[]> response = entry.send(request);
       boolean answered = response.statusCode() == 200;
-      history.add(tag, idempotent, told(response), !answered || Arrays.equals(body, response.body()));
+      history.add(
+          tag, idempotent, outcomeOf(response), !answered || Arrays.equals(body, response.body()));
     } catch (IOException e) {
       history.add(tag, idempotent, RequestHistory.Told.UNKNOWN, true);
     }
   }
 
-  private static RequestHistory.Told told(HttpResponse<byte[]> response) {
+  private static RequestHistory.Told outcomeOf(HttpResponse<byte[]> response) {
     if (response.statusCode() == 200) {
       return RequestHistory.Told.ANSWERED;
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
@@ -71,7 +71,7 @@
 
     assertTrue(survived < leaseMillis, () -> "survived " + survived);
     long most =
-        LeaseTerms.DEFAULT.silenceMillis() + LeaseTerms.surelyOverMillis(leaseMillis) + 10_000;
+        LeaseTerms.DEFAULT.silenceMillis() + LeaseTerms.maxRemainingMillis(leaseMillis) + 10_000;
     assertTrue(failover > leaseMillis && failover <= most, () -> "failover " + failover);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.daemon.task;
 
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.guard.ServiceReading;
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.JobState;
@@ -110,8 +110,8 @@
     }
 
     @Override
-    public GuardTerms terms() {
-      return GuardTerms.DEFAULT;
+    public GuardPolicy terms() {
+      return GuardPolicy.DEFAULT;
     }
   }
 
@@ -131,7 +131,7 @@
               table,
               record -> log.append(this, record),
               new Channel(name, vms::keySet),
-              () -> new TaskTerms(leases, Map.of(), GuardTerms.DEFAULT),
+              () -> new TaskTerms(leases, Map.of(), GuardPolicy.DEFAULT),
               clock,
               clock,
               new Random(7),
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntrySchedulerTest.java
@@ -7,7 +7,6 @@
 import com.google.common.collect.ImmutableList;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.job.Sizes;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Place;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.QueueTable;
@@ -15,6 +14,7 @@
 import io.marigoldsail.workflow.StepSpec;
 import io.marigoldsail.workflow.TaskKey;
 import io.marigoldsail.workflow.VmChooser;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowSpec;
 import io.marigoldsail.workflow.WorkflowTask;
@@ -26,10 +26,10 @@
 import org.junit.jupiter.api.Test;
 
 class EntrySchedulerTest {
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "", 0, 0);
+  private static final StepSpec.TaskTraits LONG_RUNNING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "", 0, 0);
 
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
@@ -42,7 +42,7 @@
     world.awaitReady();
   }
 
-  private static StepSpec step(int tasks, int maxPerVm, StepSpec.Nature nature) {
+  private static StepSpec step(int tasks, int maxPerVm, StepSpec.TaskTraits nature) {
     return new StepSpec(
         tasks,
         new Sizes(500, 1 << 20, 0),
@@ -57,10 +57,10 @@
         new WorkflowSpec(
             id,
             "queue",
-            new WorkflowSpec.Terms(service, priority, 3, Optional.empty(), 2, 100),
+            new WorkflowSpec.QueuePolicy(service, priority, 3, Optional.empty(), 2, 100),
             "program",
             ImmutableList.copyOf(steps),
-            WorkflowSpec.Schedule.AT_ONCE,
+            WorkflowSpec.Schedule.IMMEDIATE,
             System.currentTimeMillis());
     assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(spec).join());
   }
@@ -70,13 +70,13 @@
    * at last, it was not looked at for four seconds more.
    */
   @Test
-  void aGangThatWasOftenRefusedIsSoonLookedAtAgain() {
+  void backoffOfRefusedGangIsBounded() {
     LinkLoop loop = new VirtualLoop().loop();
     EntryMember self = new EntryMember("127.0.0.1", 1, 1);
-    Ownership ownership =
-        new Ownership(new ScriptedOwnersStore(1), loop, self, new IgnoringOwnership());
-    LeaseTermsOfWorker terms = LeaseTermsOfWorker.forLongestLease(10_000);
-    EntryVms vms = new EntryVms(loop, ownership, terms, () -> 0, new IgnoringVms());
+    PartitionOwnership ownership =
+        new PartitionOwnership(new ScriptedOwnersStore(1), loop, self, new NoOpOwnershipListener());
+    WorkerLeaseTerms terms = WorkerLeaseTerms.forMaxLease(10_000);
+    VmTracker vms = new VmTracker(loop, ownership, terms, () -> 0, new NoOpVmListener());
     EntryScheduler scheduler =
         new EntryScheduler(
             loop,
@@ -86,29 +86,29 @@
             VmChooser.of(1.5),
             new FakeAdviser(),
             Optional::<QueueTable>empty);
-    StepSpec.Nature gang = new StepSpec.Nature(true, false, false, false, false, "", 0, 0);
-    Workflow workflow = Workflow.of(WorkflowWorld.workflow(94, gang, 2));
+    StepSpec.TaskTraits gang = new StepSpec.TaskTraits(true, false, false, false, false, "", 0, 0);
+    Workflow workflow = Workflow.of(WorkflowTestCluster.workflow(94, gang, 2));
     WorkflowTask member = workflow.tasks().get(0);
     for (int i = 0; i < 30; i++) {
-      workflow.orderGang(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
+      workflow.startGangAttempt(member, Collections.nCopies(2, new Place("vm-0", "life-1")));
       workflow
           .openTasks()
           .forEach(
               task -> {
-                workflow.ended(task.openRun(), RunOutcome.REFUSED, "", 0);
-                scheduler.ended(task, RunOutcome.REFUSED);
+                workflow.recordEnd(task.openRun(), RunOutcome.REFUSED, "", 0);
+                scheduler.runEnded(task, RunOutcome.REFUSED);
               });
       long waits = TimeUnit.NANOSECONDS.toMillis(member.notBefore() - loop.now());
       assertTrue(waits > 0 && waits <= 1_000, "waits " + waits + " ms after " + (i + 1));
     }
   }
 
-  private static final class IgnoringVms implements EntryVms.Listener {
+  private static final class NoOpVmListener implements VmTracker.Listener {
     @Override
-    public void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {}
+    public void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {}
 
     @Override
-    public void roomChanged() {}
+    public void capacityChanged() {}
   }
 
   /**
@@ -116,10 +116,10 @@
    * for a service with nothing to do, and did not begin before the first one did.
    */
   @Test
-  void aWorkflowWithoutRoomHoldsUpNoEqualOneOfAnotherService() throws IOException {
+  void workflowWithoutCapacityDoesNotBlockEqualOneOfAnotherService() throws IOException {
     start(40);
-    submit(91, WorkflowWorld.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.Nature.PLAIN));
-    submit(92, "service", 1, step(2, 0, StepSpec.Nature.PLAIN));
+    submit(91, WorkflowTestCluster.SERVICE_WITHOUT_VMS, 0, step(2, 0, StepSpec.TaskTraits.PLAIN));
+    submit(92, "service", 1, step(2, 0, StepSpec.TaskTraits.PLAIN));
     world.await("the other is done", () -> world.status(0, 92) == QueryResult.DONE);
     assertEquals(0, world.history().starts(new TaskKey(91, 0, 0, 0)));
   }
@@ -129,9 +129,9 @@
    * lacks a second VM for good, and nothing of the second was ever at work.
    */
   @Test
-  void aStepWithoutRoomHoldsUpNoEqualStepOfItsWorkflow() throws IOException {
+  void stepWithoutCapacityDoesNotBlockEqualStepOfItsWorkflow() throws IOException {
     start(60_000);
-    submit(93, "service", 0, step(2, 1, LASTING), step(2, 1, LASTING));
+    submit(93, "service", 0, step(2, 1, LONG_RUNNING), step(2, 1, LONG_RUNNING));
     world.await("one of each is at work", () -> world.history().totalStarts() == 2);
     assertEquals(1, world.history().starts(new TaskKey(93, 0, 0, 0)));
     assertEquals(1, world.history().starts(new TaskKey(93, 0, 1, 0)));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeAdviser.java
@@ -10,16 +10,16 @@
 final class FakeAdviser implements PlacementAdviser {
   private final List<String> calls = new ArrayList<>();
   private final List<String> answered = new ArrayList<>();
-  private String allowedEnd = "";
+  private String allowedSuffix = "";
   private int failures;
 
   /** Allows only workers whose names end so. */
-  synchronized void allowOnly(String end) {
-    allowedEnd = end;
+  synchronized void allowOnlySuffix(String end) {
+    allowedSuffix = end;
   }
 
   /** Leaves the next calls without an answer. */
-  synchronized void fail(int next) {
+  synchronized void failNext(int next) {
     failures = next;
   }
 
@@ -39,12 +39,12 @@
     calls.add(named);
     if (failures > 0) {
       failures--;
-      return CompletableFuture.completedFuture(new NotAdvised("told to fail"));
+      return CompletableFuture.completedFuture(new AdviceUnavailable("told to fail"));
     }
     workers.forEach(worker -> answered.add(named + " " + worker));
     ImmutableMap.Builder<String, String> tickets = ImmutableMap.builder();
     workers.stream()
-        .filter(worker -> worker.endsWith(allowedEnd))
+        .filter(worker -> worker.endsWith(allowedSuffix))
         .forEach(worker -> tickets.put(worker, "ticket-for-" + worker));
     return CompletableFuture.completedFuture(new Advised(tickets.buildOrThrow()));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkerGateway.java
@@ -29,34 +29,34 @@
   private final long runMillis;
   private final long began = System.nanoTime();
   private final Map<RunKey, Active> running = new LinkedHashMap<>();
-  private final List<Ended> ended = new ArrayList<>();
-  private final Map<TaskKey, Integer> over = new HashMap<>();
-  private final Map<RunKey, Integer> speeds = new HashMap<>();
+  private final List<EndedRun> ended = new ArrayList<>();
+  private final Map<TaskKey, Integer> endedAttempts = new HashMap<>();
+  private final Map<RunKey, Integer> throttlePercents = new HashMap<>();
   private final List<String> tickets = new ArrayList<>();
-  private final List<RunKey> askedToStart = new ArrayList<>();
-  private String life;
+  private final List<RunKey> startRequests = new ArrayList<>();
+  private String incarnation;
   private long sequence;
   private long deadline;
-  private int startsToLose;
+  private int startsToDelay;
   private int startsToDrop;
-  private long lateMillis;
-  private int late;
-  private boolean silent;
-  private boolean leaving;
-  private RunOutcome ending = RunOutcome.DONE;
-  private long gauge;
+  private long startDelayMillis;
+  private int delayedStarts;
+  private boolean unresponsive;
+  private boolean draining;
+  private RunOutcome outcomeOfRuns = RunOutcome.DONE;
+  private long measurement;
   private int listings;
 
   FakeWorkerGateway(
       String life, ScheduledExecutorService timer, RunHistory history, long runMillis) {
-    this.life = life;
+    this.incarnation = life;
     this.timer = timer;
     this.history = history;
     this.runMillis = runMillis;
   }
 
-  synchronized String life() {
-    return life;
+  synchronized String incarnation() {
+    return incarnation;
   }
 
   /** Returns the tickets of all starts that were carried out; empty texts for none. */
@@ -65,34 +65,34 @@
   }
 
   /** Returns for how long what runs may go on, in milliseconds. */
-  synchronized long leaseLeftMillis() {
+  synchronized long remainingLeaseMillis() {
     return deadline - clock();
   }
 
   /** Ends everything at once; the worker is back as another life. */
   synchronized void crash(String newLife) {
-    running.keySet().forEach(history::ended);
+    running.keySet().forEach(history::runEnded);
     running.clear();
     ended.clear();
-    over.clear();
+    endedAttempts.clear();
     sequence = 0;
-    life = newLife;
+    incarnation = newLife;
   }
 
   /** Answers nothing from now on; what runs ends with the lease, as it does on a worker cut off. */
-  synchronized void fallSilent() {
-    silent = true;
-    timer.scheduleAtFixedRate(this::lapse, 0, 5, TimeUnit.MILLISECONDS);
+  synchronized void becomeUnresponsive() {
+    unresponsive = true;
+    timer.scheduleAtFixedRate(this::endIfLeaseExpired, 0, 5, TimeUnit.MILLISECONDS);
   }
 
-  synchronized boolean isSilent() {
-    return silent;
+  synchronized boolean isUnresponsive() {
+    return unresponsive;
   }
 
   /** Leaves the next starts unanswered and carries them out later. */
-  synchronized void answerLate(int starts, long millis) {
-    startsToLose = starts;
-    lateMillis = millis;
+  synchronized void delayStarts(int starts, long millis) {
+    startsToDelay = starts;
+    startDelayMillis = millis;
   }
 
   /** Leaves the next starts unanswered and never carries them out. */
@@ -101,27 +101,27 @@
   }
 
   /** Returns all starts that it was asked for, in order, also those that it did not answer. */
-  synchronized List<RunKey> askedToStart() {
-    return List.copyOf(askedToStart);
+  synchronized List<RunKey> startRequests() {
+    return List.copyOf(startRequests);
   }
 
   /** Says from now on that it leaves, and goes on with what it runs. */
-  synchronized void leave() {
-    leaving = true;
+  synchronized void drain() {
+    draining = true;
   }
 
-  synchronized boolean isLeaving() {
-    return leaving;
+  synchronized boolean isDraining() {
+    return draining;
   }
 
   /** Has all runs end so once they have worked for their time. */
-  synchronized void endAllAs(RunOutcome outcome) {
-    ending = outcome;
+  synchronized void outcomeOfRuns(RunOutcome outcome) {
+    outcomeOfRuns = outcome;
   }
 
   /** Lists the figure with all that runs: a tail in milliseconds, or processors in use. */
-  synchronized void measure(long figure) {
-    gauge = figure;
+  synchronized void measurement(long figure) {
+    measurement = figure;
   }
 
   /** Returns how many listings it was asked for and answers. */
@@ -130,12 +130,12 @@
   }
 
   /** Returns what is at work. */
-  synchronized List<RunKey> atWork() {
+  synchronized List<RunKey> activeRuns() {
     return List.copyOf(running.keySet());
   }
 
   /** Returns the ends that nobody has noted. */
-  synchronized int endsNotNoted() {
+  synchronized int unacknowledgedEnds() {
     return ended.size();
   }
 
@@ -143,140 +143,141 @@
     return CLOCK_START + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - began);
   }
 
-  private <T> CompletableFuture<T> soon(T result) {
+  private <T> CompletableFuture<T> completeSoon(T result) {
     CompletableFuture<T> future = new CompletableFuture<>();
     timer.schedule(() -> future.complete(result), 1, TimeUnit.MILLISECONDS);
     return future;
   }
 
   @Override
-  public synchronized CompletableFuture<OrderResult> start(String worker, Start start) {
-    askedToStart.add(start.run());
-    if (silent) {
-      return soon(new OrderUnknown("silent"));
+  public synchronized CompletableFuture<OrderResult> start(String worker, StartOrder start) {
+    startRequests.add(start.run());
+    if (unresponsive) {
+      return completeSoon(new OrderOutcomeUnknown("silent"));
     }
     if (startsToDrop > 0) {
       startsToDrop--;
-      return soon(new OrderUnknown("told to drop it"));
+      return completeSoon(new OrderOutcomeUnknown("told to drop it"));
     }
-    if (startsToLose > 0) {
-      startsToLose--;
-      late++;
-      timer.schedule(() -> carryOutLate(worker, start), lateMillis, TimeUnit.MILLISECONDS);
-      return soon(new OrderUnknown("told to leave it unanswered"));
+    if (startsToDelay > 0) {
+      startsToDelay--;
+      delayedStarts++;
+      timer.schedule(() -> executeDelayed(worker, start), startDelayMillis, TimeUnit.MILLISECONDS);
+      return completeSoon(new OrderOutcomeUnknown("told to leave it unanswered"));
     }
-    return soon(carryOut(worker, start));
+    return completeSoon(execute(worker, start));
   }
 
-  private synchronized void carryOutLate(String worker, Start start) {
-    late--;
-    carryOut(worker, start);
+  private synchronized void executeDelayed(String worker, StartOrder start) {
+    delayedStarts--;
+    execute(worker, start);
   }
 
   /** Returns whether every start that it left unanswered was carried out by now. */
-  synchronized boolean isNothingLate() {
-    return late == 0;
+  synchronized boolean hasExecutedDelayedStarts() {
+    return delayedStarts == 0;
   }
 
-  private synchronized OrderResult carryOut(String worker, Start start) {
-    if (!worker.equals(life)) {
-      return new OtherWorker();
+  private synchronized OrderResult execute(String worker, StartOrder start) {
+    if (!worker.equals(incarnation)) {
+      return new IncarnationMismatch();
     }
     if (running.containsKey(start.run())) {
       return new Accepted(clock());
     }
-    if (start.run().attempt() <= over.getOrDefault(start.run().task(), 0)) {
-      return new Refused(Refusal.OLD_ATTEMPT, "old");
+    if (start.run().attempt() <= endedAttempts.getOrDefault(start.run().task(), 0)) {
+      return new Refused(Refusal.STALE_ATTEMPT, "old");
     }
     if (start.deadline() <= clock()) {
-      return new Refused(Refusal.LATE, "late");
+      return new Refused(Refusal.DEADLINE_PASSED, "late");
     }
     deadline = Math.max(deadline, start.deadline());
     running.put(start.run(), new Active(start.run(), System.nanoTime()));
-    history.began(start.run());
+    history.runStarted(start.run());
     tickets.add(start.ticket());
-    workOn(life, start.run());
+    scheduleEnd(incarnation, start.run());
     return new Accepted(clock());
   }
 
   /** Ends the run when it has worked for its time; one that is slowed to nothing gets no nearer. */
-  private void workOn(String of, RunKey run) {
-    timer.schedule(() -> worked(of, run), runMillis, TimeUnit.MILLISECONDS);
+  private void scheduleEnd(String of, RunKey run) {
+    timer.schedule(() -> endUnlessThrottledToZero(of, run), runMillis, TimeUnit.MILLISECONDS);
   }
 
-  private synchronized void worked(String of, RunKey run) {
-    if (speeds.getOrDefault(run, 100) == 0) {
-      workOn(of, run);
+  private synchronized void endUnlessThrottledToZero(String of, RunKey run) {
+    if (throttlePercents.getOrDefault(run, 100) == 0) {
+      scheduleEnd(of, run);
     } else {
-      finish(of, run, ending);
+      finish(of, run, outcomeOfRuns);
     }
   }
 
   private synchronized void finish(String of, RunKey run, RunOutcome outcome) {
-    if (life.equals(of) && running.remove(run) != null) {
-      history.ended(run);
+    if (incarnation.equals(of) && running.remove(run) != null) {
+      history.runEnded(run);
       if (outcome == RunOutcome.DONE) {
         history.done(run);
       }
-      over.merge(run.task(), run.attempt(), Math::max);
-      ended.add(new Ended(++sequence, run, outcome, ""));
+      endedAttempts.merge(run.task(), run.attempt(), Math::max);
+      ended.add(new EndedRun(++sequence, run, outcome, ""));
     }
   }
 
   @Override
   public synchronized CompletableFuture<OrderResult> stop(String worker, RunKey run) {
-    if (silent) {
-      return soon(new OrderUnknown("silent"));
+    if (unresponsive) {
+      return completeSoon(new OrderOutcomeUnknown("silent"));
     }
-    if (!worker.equals(life)) {
-      return soon(new OtherWorker());
+    if (!worker.equals(incarnation)) {
+      return completeSoon(new IncarnationMismatch());
     }
-    over.merge(run.task(), run.attempt(), Math::max);
-    finish(life, run, RunOutcome.STOPPED);
-    return soon(new Accepted(clock()));
+    endedAttempts.merge(run.task(), run.attempt(), Math::max);
+    finish(incarnation, run, RunOutcome.STOPPED);
+    return completeSoon(new Accepted(clock()));
   }
 
   @Override
-  public synchronized CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent) {
-    speeds.put(run, percent);
-    return soon(new Accepted(clock()));
+  public synchronized CompletableFuture<OrderResult> throttle(
+      String worker, RunKey run, int percent) {
+    throttlePercents.put(run, percent);
+    return completeSoon(new Accepted(clock()));
   }
 
   @Override
   public CompletableFuture<ListingResult> list(
       String worker, OptionalLong until, long noted, long waitMillis) {
     synchronized (this) {
-      if (silent) {
-        return soon(new NoListing("silent"));
+      if (unresponsive) {
+        return completeSoon(new ListingFailed("silent"));
       }
-      if (!worker.equals(life)) {
-        return soon(new OtherWorker());
+      if (!worker.equals(incarnation)) {
+        return completeSoon(new IncarnationMismatch());
       }
       listings++;
       until.ifPresent(wanted -> deadline = Math.max(deadline, wanted));
-      note(noted);
-      lapse();
+      acknowledge(noted);
+      endIfLeaseExpired();
     }
     CompletableFuture<ListingResult> future = new CompletableFuture<>();
     poll(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(waitMillis), future);
     return future;
   }
 
-  private void note(long sequenceUpTo) {
-    for (Ended end : List.copyOf(ended)) {
+  private void acknowledge(long sequenceUpTo) {
+    for (EndedRun end : List.copyOf(ended)) {
       if (end.sequence() <= sequenceUpTo) {
         ended.remove(end);
         if (end.outcome() == RunOutcome.DONE) {
-          history.noted(end.run());
+          history.acknowledged(end.run());
         }
       }
     }
   }
 
-  private synchronized void lapse() {
+  private synchronized void endIfLeaseExpired() {
     if (clock() > deadline) {
       for (RunKey run : List.copyOf(running.keySet())) {
-        finish(life, run, RunOutcome.LAPSED);
+        finish(incarnation, run, RunOutcome.LAPSED);
       }
     }
   }
@@ -284,8 +285,8 @@
   private void poll(long until, CompletableFuture<ListingResult> future) {
     synchronized (this) {
       if (!ended.isEmpty() || System.nanoTime() - until >= 0) {
-        ImmutableList.Builder<Running> rows = ImmutableList.builder();
-        running.keySet().forEach(run -> rows.add(new Running(run, "", 10, gauge)));
+        ImmutableList.Builder<ActiveRun> rows = ImmutableList.builder();
+        running.keySet().forEach(run -> rows.add(new ActiveRun(run, "", 10, measurement)));
         future.complete(new Listing(clock(), rows.build(), ImmutableList.copyOf(ended)));
         return;
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkflowStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FakeWorkflowStore.java
@@ -48,7 +48,7 @@
   private AppendFault fault = AppendFault.NONE;
   private int faultsLeft;
   private int faultsSeen;
-  private boolean keepsSubmissions;
+  private boolean refusesDrops;
   private int dropsRefused;
 
   FakeWorkflowStore(int partitions, ScheduledExecutorService timer) {
@@ -63,7 +63,7 @@
 
   /** Refuses from now on to drop what callers handed in. */
   synchronized void refuseDrops() {
-    keepsSubmissions = true;
+    refusesDrops = true;
   }
 
   /** Returns how often it refused to drop something. */
@@ -81,12 +81,12 @@
     if (members.removeIf(member -> member.startsWith(memberPrefix))) {
       owners.values().removeIf(owner -> owner.startsWith(memberPrefix));
       acknowledged.keySet().removeIf(member -> member.startsWith(memberPrefix));
-      deal();
+      rebalance();
     }
   }
 
   /** Deals all partitions to another member at once, without a word to the former ones. */
-  synchronized void dealAnew() {
+  synchronized void reassignAll() {
     List<String> all = List.copyOf(members);
     generation++;
     for (int partition = 0; partition < partitions; partition++) {
@@ -95,7 +95,7 @@
     }
   }
 
-  private void deal() {
+  private void rebalance() {
     generation++;
     List<String> all = List.copyOf(members);
     if (all.isEmpty()) {
@@ -115,7 +115,7 @@
         .toList();
   }
 
-  private void giveAwayFree() {
+  private void assignUnowned() {
     boolean changed = false;
     for (int partition = 0; partition < partitions; partition++) {
       if (!owners.containsKey(partition)) {
@@ -134,7 +134,7 @@
     return logs.computeIfAbsent(topic + "/" + partition, unused -> new Log());
   }
 
-  private <T> CompletableFuture<T> soon(T result) {
+  private <T> CompletableFuture<T> completeLater(T result) {
     CompletableFuture<T> future = new CompletableFuture<>();
     timer.schedule(() -> future.complete(result), 1, TimeUnit.MILLISECONDS);
     return future;
@@ -148,20 +148,20 @@
   @Override
   public synchronized CompletableFuture<AppendResult> append(
       Topic topic, int partition, List<KeyedRecord> records, Optional<Writer> writer) {
-    if (keepsSubmissions && topic == Topic.SUBMISSIONS && records.get(0).value().isEmpty()) {
+    if (refusesDrops && topic == Topic.SUBMISSIONS && records.get(0).value().isEmpty()) {
       dropsRefused++;
-      return soon(new NotAppended("told to keep it"));
+      return completeLater(new NotAppended("told to keep it"));
     }
     boolean faulty = topic == Topic.PROGRESS && faultsLeft > 0 && !records.isEmpty();
     if (faulty) {
       faultsLeft--;
       faultsSeen++;
       if (fault == AppendFault.REFUSED) {
-        return soon(new NotAppended("told to refuse"));
+        return completeLater(new NotAppended("told to refuse"));
       }
     }
     AppendResult result = write(log(topic, partition), records, writer);
-    return soon(faulty ? new AppendUnknown("told to lose the answer") : result);
+    return completeLater(faulty ? new AppendUnknown("told to lose the answer") : result);
   }
 
   private AppendResult write(Log log, List<KeyedRecord> records, Optional<Writer> writer) {
@@ -220,10 +220,10 @@
   }
 
   @Override
-  public synchronized CompletableFuture<NewestResult> newest(
+  public synchronized CompletableFuture<NewestResult> readNewest(
       Topic topic, int partition, Optional<String> after) {
     Log log = log(topic, partition);
-    return soon(
+    return completeLater(
         new NewestPage(
             ImmutableList.copyOf(log.newest.values()), Optional.empty(), log.records.size()));
   }
@@ -231,27 +231,27 @@
   @Override
   public synchronized CompletableFuture<JoinResult> join(String member, long known) {
     if (members.add(member)) {
-      deal();
+      rebalance();
     }
     acknowledged.put(member, known);
     boolean all =
         members.stream().allMatch(each -> acknowledged.getOrDefault(each, 0L) >= generation);
     if (all) {
-      giveAwayFree();
+      assignUnowned();
     }
-    return soon(new Joined(generation, ImmutableSet.copyOf(owned(member))));
+    return completeLater(new Joined(generation, ImmutableSet.copyOf(owned(member))));
   }
 
   @Override
   public synchronized CompletableFuture<Boolean> leave(String member) {
     drop(member);
-    return soon(true);
+    return completeLater(true);
   }
 
   @Override
   public synchronized CompletableFuture<OwnersResult> owners() {
     Map<Integer, String> copy = new LinkedHashMap<>(owners);
-    return soon(
+    return completeLater(
         new Owners(
             copy.entrySet().stream()
                 .map(each -> new Owner(each.getKey(), each.getValue()))
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/FormerOwner.java
@@ -44,12 +44,12 @@
 
   /** Orders to stop the run, as the owner of its partition would. */
   void stop(RunKey run, int partition) {
-    order(partition, RunOrders.newBuilder().addStops(WorkflowRecords.encode(run)));
+    order(partition, RunOrders.newBuilder().addStops(WorkflowCodec.encode(run)));
   }
 
   /** Says that the run's end is durable, as the owner of its partition would. */
-  void note(RunKey run, int partition) {
-    order(partition, RunOrders.newBuilder().addNotedEnds(WorkflowRecords.encode(run)));
+  void acknowledge(RunKey run, int partition) {
+    order(partition, RunOrders.newBuilder().addNotedEnds(WorkflowCodec.encode(run)));
   }
 
   private synchronized void order(int partition, RunOrders.Builder orders) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSilenceTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ListingOutageTest.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class WorkerSilenceTest {
-  private final WorkerSilence silence = new WorkerSilence("life-1");
+class ListingOutageTest {
+  private final ListingOutage outage = new ListingOutage("life-1");
 
   private static long at(long millis) {
     return TimeUnit.MILLISECONDS.toNanos(millis);
@@ -25,23 +25,23 @@
    * the end.
    */
   @Test
-  void tellsTheBeginningThenSeldomAndTheEnd() {
-    assertFalse(silence.lasts());
-    assertEquals(Optional.empty(), line(silence.answered(at(0))));
+  void logsTheStartThenAtMostOneLinePerIntervalThenTheEnd() {
+    assertFalse(outage.isOngoing());
+    assertEquals(Optional.empty(), line(outage.recordSuccess(at(0))));
     assertEquals(
         Optional.of("event=worker-silent worker=life-1 failures=1 silent_ms=0 reason=refused"),
-        line(silence.failed("refused", at(1_000))));
-    assertTrue(silence.lasts());
-    assertEquals(Optional.empty(), line(silence.failed("refused", at(1_300))));
-    assertEquals(Optional.empty(), line(silence.failed("refused", at(5_999))));
+        line(outage.recordFailure("refused", at(1_000))));
+    assertTrue(outage.isOngoing());
+    assertEquals(Optional.empty(), line(outage.recordFailure("refused", at(1_300))));
+    assertEquals(Optional.empty(), line(outage.recordFailure("refused", at(5_999))));
     assertEquals(
         Optional.of("event=worker-silent worker=life-1 failures=4 silent_ms=5000 reason=reset"),
-        line(silence.failed("reset", at(6_000))));
-    assertEquals(Optional.empty(), line(silence.failed("reset", at(10_999))));
+        line(outage.recordFailure("reset", at(6_000))));
+    assertEquals(Optional.empty(), line(outage.recordFailure("reset", at(10_999))));
     assertEquals(
         Optional.of("event=worker-answers-again worker=life-1 failures=5 silent_ms=10500"),
-        line(silence.answered(at(11_500))));
-    assertFalse(silence.lasts());
-    assertEquals(Optional.empty(), line(silence.answered(at(11_600))));
+        line(outage.recordSuccess(at(11_500))));
+    assertFalse(outage.isOngoing());
+    assertEquals(Optional.empty(), line(outage.recordSuccess(at(11_600))));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ListingTurnsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ListingSchedulerTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-class ListingTurnsTest {
+class ListingSchedulerTest {
   private final VirtualLoop time = new VirtualLoop();
-  private int asked;
-  private final ListingTurns turns = new ListingTurns(time.loop(), this::throwOnFirst);
+  private int requests;
+  private final ListingScheduler listings = new ListingScheduler(time.loop(), this::throwOnFirst);
 
   private void throwOnFirst() {
-    asked++;
-    if (asked == 1) {
+    requests++;
+    if (requests == 1) {
       throw new IllegalStateException("told to throw");
     }
   }
@@ -21,9 +21,9 @@
    * as under way for good, and the worker was never asked again.
    */
   @Test
-  void aQuestionThatThrowsIsAskedAgain() {
-    turns.after(1);
+  void retriesAfterTheRequestThrows() {
+    listings.scheduleAfter(1);
     time.advance(2_000);
-    assertEquals(2, asked);
+    assertEquals(2, requests);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/TaskWatchTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitorTest.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.api.Test;
 
 /** What an engineer finds in an owner's log about a lasting task that runs nowhere. */
-class TaskWatchTest {
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "svc", 25, 1);
+class LongRunningTaskMonitorTest {
+  private static final StepSpec.TaskTraits LONG_RUNNING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "svc", 25, 1);
 
   /** Long enough that an open attempt outlasts its worker's silence by far. */
   private static final long LONGEST_LEASE_MILLIS = 60_000;
 
   private static final long RUN_MILLIS = 120_000;
 
-  private static final Logger LOGGER = Logger.getLogger(TaskWatch.class.getName());
+  private static final Logger LOGGER = Logger.getLogger(LongRunningTaskMonitor.class.getName());
 
-  private final WorkflowWorld world = new WorkflowWorld(LONGEST_LEASE_MILLIS);
+  private final WorkflowTestCluster world = new WorkflowTestCluster(LONGEST_LEASE_MILLIS);
   private final List<String> lines = new CopyOnWriteArrayList<>();
   private final Handler collector =
       new Handler() {
@@ -58,10 +58,10 @@
     world.close();
   }
 
-  private void submit(long id, StepSpec.Nature nature) {
+  private void submit(long id, StepSpec.TaskTraits nature) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(id, nature, 1)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, nature, 1)).join());
   }
 
   private void awaitLine(String event, long id, String... parts) {
@@ -78,14 +78,14 @@
 
   /** The worker is dead and its side process goes on naming the run: the owner takes it for one. */
   @Test
-  void aRunUnderASilentWorkerIsToldWithWhatTheOwnerBelieves() throws IOException {
+  void logsRunOfSilentWorker() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
-    submit(71, LASTING);
+    submit(71, LONG_RUNNING);
     // Said by a report: before, the owner knows no more than that it ordered it.
     world.await("it is at work", () -> world.status(0, 71) == QueryResult.RUNNING);
-    world.side("vm-0").worker().fallSilent();
+    world.side("vm-0").worker().becomeUnresponsive();
     awaitLine(
         "task-absent",
         71,
@@ -96,11 +96,11 @@
 
   /** The VM itself is gone. */
   @Test
-  void aRunOnAVmOutOfReachIsToldAsSuch() throws IOException {
+  void logsRunOnDisconnectedVm() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
-    submit(72, LASTING);
+    submit(72, LONG_RUNNING);
     world.await("it is at work", () -> world.history().totalStarts() == 1);
     world.side("vm-0").loop().close();
     awaitLine(
@@ -113,11 +113,11 @@
 
   /** No VM is there; once one is, the task is back, and a task that ends by itself was not told. */
   @Test
-  void aTaskThatNoVmIsOfferedForIsToldWithTheReasonAndToldToBeBack() throws IOException {
+  void logsTaskWithoutVmAndItsRecovery() throws IOException {
     world.addEntry();
     world.awaitReady();
-    submit(73, LASTING);
-    submit(74, StepSpec.Nature.PLAIN);
+    submit(73, LONG_RUNNING);
+    submit(74, StepSpec.TaskTraits.PLAIN);
     awaitLine(
         "task-absent",
         73,
@@ -131,14 +131,14 @@
 
   /** VMs are there, and none of them has room enough for the task. */
   @Test
-  void aTaskThatNoVmAdmitsIsToldWithTheReason() throws IOException {
+  void logsTaskThatNoVmAdmits() throws IOException {
     world.addEntry();
     world.addSide("vm-0", RUN_MILLIS);
     world.awaitReady();
     // Nine of half a processor each, for four processors.
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(75, LASTING, 9)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(75, LONG_RUNNING, 9)).join());
     world.await(
         "one of them is told of",
         () ->
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/IgnoringOwnership.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/NoOpOwnershipListener.java
@@ -3,9 +3,9 @@
 import io.marigoldsail.workflow.Workflow;
 
 /** Takes what becomes of partitions and does nothing about it. */
-class IgnoringOwnership implements Ownership.Listener {
+class NoOpOwnershipListener implements PartitionOwnership.Listener {
   @Override
-  public void ownersKnown(long asOfGeneration, WorkflowStore.Owners owners) {}
+  public void ownersRead(long asOfGeneration, WorkflowStore.Owners owners) {}
 
   @Override
   public void activated(OwnedPartition partition) {}
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnersOrderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapOrderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** In which order maps of owners are taken, on virtual time. */
-class OwnersOrderTest {
+class OwnerMapOrderTest {
   private static final EntryMember SELF = new EntryMember("127.0.0.1", 1, 1);
   private static final String OTHER = new EntryMember("127.0.0.1", 2, 1).toString();
   private static final long SETTLED_MILLIS = 5_000;
@@ -21,23 +21,23 @@
 
   /** Guards against side processes that go back to the map of an entry without the store. */
   @Test
-  void aHigherGenerationIsToldThoughTheOwnersAreTheSame() {
+  void higherGenerationIsSentThoughOwnersAreTheSame() {
     EntryPeers peers = new EntryPeers(time.loop(), SELF);
     Owners owners = new Owners(ImmutableList.of(new Owner(0, SELF.toString())));
-    assertTrue(peers.owners(8, owners));
-    assertFalse(peers.owners(8, owners));
-    assertTrue(peers.owners(9, owners));
-    assertFalse(peers.owners(9, owners));
-    assertFalse(peers.owners(8, owners));
+    assertTrue(peers.updateOwners(8, owners));
+    assertFalse(peers.updateOwners(8, owners));
+    assertTrue(peers.updateOwners(9, owners));
+    assertFalse(peers.updateOwners(9, owners));
+    assertFalse(peers.updateOwners(8, owners));
   }
 
   /** Guards against new owners that are told under the generation of the former ones for long. */
   @ParameterizedTest
   @ValueSource(ints = {0, 500, 1_050, 1_200, 1_500})
-  void newOwnersAreSoonKnownUnderTheirOwnGeneration(int afterMillis) {
+  void newOwnersAreSoonReadUnderTheirGeneration(int afterMillis) {
     FakeWorkflowStore store = new FakeWorkflowStore(2, time.timer());
-    LastOwners last = new LastOwners();
-    Ownership ownership = new Ownership(store, time.loop(), SELF, last);
+    LastOwnersListener last = new LastOwnersListener();
+    PartitionOwnership ownership = new PartitionOwnership(store, time.loop(), SELF, last);
     store.join(OTHER, Long.MAX_VALUE);
     ownership.start();
     time.advance(SETTLED_MILLIS + afterMillis);
@@ -52,12 +52,12 @@
   }
 
   /** Keeps what was told last of the owners. */
-  private static final class LastOwners extends IgnoringOwnership {
+  private static final class LastOwnersListener extends NoOpOwnershipListener {
     private long generation;
     private Owners owners = new Owners(ImmutableList.of());
 
     @Override
-    public void ownersKnown(long asOfGeneration, Owners newest) {
+    public void ownersRead(long asOfGeneration, Owners newest) {
       generation = asOfGeneration;
       owners = newest;
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapTurnsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiterTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class OwnerMapTurnsTest {
+class OwnerMapRateLimiterTest {
   private static final long ROUND_TRIP_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
 
   /**
@@ -15,12 +15,12 @@
    * that was just heard must wait before it says the same again.
    */
   @Test
-  void twoEntriesWithDifferentMapsDoNotChaseEachOther() {
-    OwnerMapTurns<String> turns = new OwnerMapTurns<>();
+  void differingOwnerMapsAreSentAtALimitedRate() {
+    OwnerMapRateLimiter<String> turns = new OwnerMapRateLimiter<>();
     int told = 0;
-    for (long now = 0; now < 10 * OwnerMapTurns.SPACING_NANOS; now += ROUND_TRIP_NANOS) {
-      if (turns.mayTell("side", now)) {
-        turns.told("side", now);
+    for (long now = 0; now < 10 * OwnerMapRateLimiter.MIN_INTERVAL_NANOS; now += ROUND_TRIP_NANOS) {
+      if (turns.maySend("side", now)) {
+        turns.recordSent("side", now);
         told++;
       }
     }
@@ -28,11 +28,11 @@
   }
 
   @Test
-  void whoIsNewIsToldAtOnce() {
-    OwnerMapTurns<String> turns = new OwnerMapTurns<>();
-    turns.told("side", 5);
-    assertTrue(turns.mayTell("other", 6));
-    turns.forget("side");
-    assertTrue(turns.mayTell("side", 6));
+  void newConnectionIsSentTheMapAtOnce() {
+    OwnerMapRateLimiter<String> turns = new OwnerMapRateLimiter<>();
+    turns.recordSent("side", 5);
+    assertTrue(turns.maySend("other", 6));
+    turns.remove("side");
+    assertTrue(turns.maySend("side", 6));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionChainsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/PartitionExceptionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What goes on in a partition after one step of it threw. */
-class PartitionChainsTest {
+class PartitionExceptionTest {
   private final VirtualLoop time = new VirtualLoop();
   private final VirtualStore store = new VirtualStore(time);
 
@@ -26,7 +26,7 @@
    * was never told that it is durable: it was never ordered, and its room never came back.
    */
   @Test
-  void anEffectThatThrowsDoesNotTakeTheLaterOnesAlong() {
+  void throwingEffectDoesNotSkipLaterEffects() {
     List<String> ran = new ArrayList<>();
     PartitionWriter writer = new PartitionWriter(store, time.loop(), 0, 1, () -> ran.add("lost"));
     writer.write(
@@ -51,8 +51,8 @@
    * nothing any more, and whatever was handed in later waited for good.
    */
   @Test
-  void aSubmissionThatCannotBeTakenIsNotTheLastOneRead() {
-    ThrowingOwner owner = new ThrowingOwner(2);
+  void throwingSubmissionDoesNotStopTailing() {
+    ThrowingListener owner = new ThrowingListener(2);
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
     partition.open();
     time.advance(20);
@@ -63,8 +63,8 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(1L, 3L, 4L), owner.taken);
-    assertTrue(partition.isFresh());
+    assertEquals(List.of(1L, 3L, 4L), owner.submittedIds);
+    assertTrue(partition.isCaughtUp());
   }
 
   /**
@@ -72,8 +72,8 @@
    * workflow of it could not be taken. The partition read nothing any more.
    */
   @Test
-  void aSubmissionThatCannotBeTakenDoesNotEndAReadingAnew() {
-    ThrowingOwner owner = new ThrowingOwner(2);
+  void throwingSubmissionDoesNotStopRereading() {
+    ThrowingListener owner = new ThrowingListener(2);
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
     partition.open();
     time.advance(20);
@@ -83,7 +83,7 @@
     time.advance(20);
     store.submit(submission(4));
     time.advance(20);
-    assertEquals(List.of(3L, 4L), owner.taken);
+    assertEquals(List.of(3L, 4L), owner.submittedIds);
   }
 
   /**
@@ -91,15 +91,15 @@
    * callers handed in from then on.
    */
   @Test
-  void anActivationThatThrowsDoesNotKeepThePartitionFromReading() {
-    ThrowingOwner owner = new ThrowingOwner(0);
-    owner.throwsWhenActive = true;
+  void throwingActivationDoesNotStopTailing() {
+    ThrowingListener owner = new ThrowingListener(0);
+    owner.throwsOnActivation = true;
     OwnedPartition partition = new OwnedPartition(store, time.loop(), 0, 1, owner);
     partition.open();
     time.advance(20);
     store.submit(submission(1));
     time.advance(20);
-    assertEquals(List.of(1L), owner.taken);
+    assertEquals(List.of(1L), owner.submittedIds);
   }
 
   private static KeyedRecord submission(long id) {
@@ -107,7 +107,7 @@
         new WorkflowSpec(
             id,
             "queue",
-            new WorkflowSpec.Terms("service", 0, 3, Optional.empty(), 2, 100),
+            new WorkflowSpec.QueuePolicy("service", 0, 3, Optional.empty(), 2, 100),
             "program",
             ImmutableList.of(
                 new StepSpec(
@@ -116,25 +116,25 @@
                     100,
                     ImmutableList.of(),
                     StepSpec.Placement.ANYWHERE,
-                    StepSpec.Nature.PLAIN)),
-            WorkflowSpec.Schedule.AT_ONCE,
+                    StepSpec.TaskTraits.PLAIN)),
+            WorkflowSpec.Schedule.IMMEDIATE,
             1);
-    return new KeyedRecord(WorkflowIds.format(id), WorkflowRecords.encode(spec));
+    return new KeyedRecord(WorkflowIds.format(id), WorkflowCodec.encode(spec));
   }
 
   /** Takes workflows, but for one that it throws at. */
-  private static final class ThrowingOwner implements OwnedPartition.Listener {
-    private final List<Long> taken = new ArrayList<>();
+  private static final class ThrowingListener implements OwnedPartition.Listener {
+    private final List<Long> submittedIds = new ArrayList<>();
     private final long throwsAt;
-    private boolean throwsWhenActive;
+    private boolean throwsOnActivation;
 
-    ThrowingOwner(long throwsAt) {
+    ThrowingListener(long throwsAt) {
       this.throwsAt = throwsAt;
     }
 
     @Override
     public void activated(OwnedPartition partition) {
-      if (throwsWhenActive) {
+      if (throwsOnActivation) {
         throw new IllegalStateException("told to throw");
       }
     }
@@ -144,7 +144,7 @@
       if (workflow.spec().id() == throwsAt) {
         throw new IllegalStateException("told to throw");
       }
-      taken.add(workflow.spec().id());
+      submittedIds.add(workflow.spec().id());
     }
 
     @Override
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RefusingStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RefusingStore.java
@@ -9,14 +9,14 @@
   private static final String REASON = "told to refuse";
 
   private final WorkflowStore store;
-  private volatile boolean refuses;
+  private volatile boolean refusing;
 
   RefusingStore(WorkflowStore store) {
     this.store = store;
   }
 
-  void refuse(boolean all) {
-    refuses = all;
+  void setRefusing(boolean all) {
+    refusing = all;
   }
 
   private static <T> CompletableFuture<T> done(T result) {
@@ -31,7 +31,7 @@
   @Override
   public CompletableFuture<AppendResult> append(
       Topic topic, int partition, List<KeyedRecord> records, Optional<Writer> writer) {
-    return refuses
+    return refusing
         ? done(new NotAppended(REASON))
         : store.append(topic, partition, records, writer);
   }
@@ -39,27 +39,29 @@
   @Override
   public CompletableFuture<ReadResult> read(
       Topic topic, int partition, long from, long waitMillis) {
-    return refuses ? done(new Unreadable(REASON)) : store.read(topic, partition, from, waitMillis);
+    return refusing ? done(new ReadFailed(REASON)) : store.read(topic, partition, from, waitMillis);
   }
 
   @Override
-  public CompletableFuture<NewestResult> newest(
+  public CompletableFuture<NewestResult> readNewest(
       Topic topic, int partition, Optional<String> after) {
-    return refuses ? done(new NoPage(REASON)) : store.newest(topic, partition, after);
+    return refusing
+        ? done(new NewestUnavailable(REASON))
+        : store.readNewest(topic, partition, after);
   }
 
   @Override
   public CompletableFuture<JoinResult> join(String member, long generation) {
-    return refuses ? done(new NotJoined(REASON)) : store.join(member, generation);
+    return refusing ? done(new JoinFailed(REASON)) : store.join(member, generation);
   }
 
   @Override
   public CompletableFuture<Boolean> leave(String member) {
-    return refuses ? done(false) : store.leave(member);
+    return refusing ? done(false) : store.leave(member);
   }
 
   @Override
   public CompletableFuture<OwnersResult> owners() {
-    return refuses ? done(new OwnersUnknown(REASON)) : store.owners();
+    return refusing ? done(new OwnersUnavailable(REASON)) : store.owners();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -20,7 +20,7 @@
       for (int entry = 0; entry < entries; entry++) {
         String member = "entry-" + entry;
         if (pacer.dueAt(member, entry == owner, entries, now) <= now) {
-          pacer.reported(member, now);
+          pacer.reportSent(member, now);
           sent++;
         }
       }
@@ -33,21 +33,21 @@
    * 3,000 reports in ten seconds from each VM, and an entry with a thin link read little else.
    */
   @Test
-  void aBusyVmSendsNoMoreToManyEntriesThanToFew() {
+  void reportRateDoesNotGrowWithTheNumberOfEntries() {
     int toThree = reportsOfBusyVm(3);
     int toTwelve = new ReportPacerTest().reportsOfBusyVm(12);
     assertTrue(toTwelve <= toThree * 1.25, toTwelve + " to twelve, " + toThree + " to three");
   }
 
   @Test
-  void whomAChangeConcernsIsToldAtOnce() {
-    pacer.reported("owner", 100);
+  void affectedEntryIsReportedToAtOnce() {
+    pacer.reportSent("owner", 100);
     assertEquals(101, pacer.dueAt("owner", true, 12, 101));
   }
 
   @Test
-  void othersAreToldInTurns() {
-    pacer.reported("other", 100);
+  void otherEntriesAreReportedToAtTheMinimumInterval() {
+    pacer.reportSent("other", 100);
     assertEquals(100 + 12 * ReportPacer.SPACING_NANOS, pacer.dueAt("other", false, 12, 101));
     long late = 100 + 20 * ReportPacer.SPACING_NANOS;
     assertEquals(late, pacer.dueAt("other", false, 12, late));
@@ -59,31 +59,31 @@
    * read and wrote. But one that is told too seldom gives the VM no work, as if it were cut off.
    */
   @Test
-  void whoOwnsNothingIsToldInEachSecondTurnAndLongBeforeTheVmCountsAsSilent() {
+  void nonOwnerGetsEverySecondPeriodicReportBeforeTheVmCountsAsUnresponsive() {
     int owner = 0;
     int other = 0;
     for (int turn = 0; turn < 20; turn++) {
-      pacer.nextTurn();
-      if (pacer.isRegularDue("owner", true)) {
-        pacer.reportedRegularly("owner", turn);
+      pacer.beginRound();
+      if (pacer.isPeriodicReportDue("owner", true)) {
+        pacer.periodicReportSent("owner", turn);
         owner++;
       }
-      if (pacer.isRegularDue("other", false)) {
-        pacer.reportedRegularly("other", turn);
+      if (pacer.isPeriodicReportDue("other", false)) {
+        pacer.periodicReportSent("other", turn);
         other++;
       }
     }
     assertEquals(20, owner);
     assertEquals(10, other);
-    long between = ReportPacer.QUIET_TURNS * WorkflowSide.REPORT_NANOS;
-    assertTrue(between < VmStanding.SILENT_NANOS * 2 / 3, between + " ns");
+    long between = ReportPacer.NON_OWNER_ROUNDS * WorkflowSideProcess.REPORT_INTERVAL_NANOS;
+    assertTrue(between < VmAvailability.SILENT_NANOS * 2 / 3, between + " ns");
   }
 
   @Test
-  void whoIsNewOrWasForgottenIsToldAtOnce() {
+  void newOrRemovedEntryIsReportedToAtOnce() {
     assertEquals(7, pacer.dueAt("new", false, 3, 7));
-    pacer.reported("back", 7);
-    pacer.forget("back");
+    pacer.reportSent("back", 7);
+    pacer.remove("back");
     assertEquals(8, pacer.dueAt("back", false, 3, 8));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EndNotesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunEndAcknowledgerTest.java
@@ -17,18 +17,21 @@
 import org.junit.jupiter.api.Test;
 
 /** When an owner notes ends of runs that it has no record of, on virtual time. */
-class EndNotesTest {
+class RunEndAcknowledgerTest {
   private static final RunKey UNKNOWN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final long SUCCESSOR_EPOCH = 1_000_000;
 
   private final VirtualLoop time = new VirtualLoop();
   private final FakeWorkflowStore store = new FakeWorkflowStore(1, time.timer());
-  private final RefusingStore reached = new RefusingStore(store);
-  private final Ownership ownership =
-      new Ownership(
-          reached, time.loop(), new EntryMember("127.0.0.1", 1, 1), new IgnoringOwnership());
-  private final EndNotes notes = new EndNotes(time.loop());
-  private final List<RunKey> noted = new ArrayList<>();
+  private final RefusingStore storeOfOwner = new RefusingStore(store);
+  private final PartitionOwnership ownership =
+      new PartitionOwnership(
+          storeOfOwner,
+          time.loop(),
+          new EntryMember("127.0.0.1", 1, 1),
+          new NoOpOwnershipListener());
+  private final RunEndAcknowledger acknowledger = new RunEndAcknowledger(time.loop());
+  private final List<RunKey> acknowledged = new ArrayList<>();
 
   @BeforeEach
   void ownPartition() {
@@ -36,89 +39,89 @@
     time.advance(500);
   }
 
-  private void hearOfEnd(RunKey run) {
+  private void reportEnd(RunKey run) {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
-    notes.take(partition, run, "vm-0", () -> noted.add(run));
+    acknowledger.acknowledgeWhenSafe(partition, run, "vm-0", () -> acknowledged.add(run));
   }
 
   /** Guards against a task that runs again: its owner never hears of an end that another noted. */
   @Test
-  void aFormerOwnerDoesNotNoteTheEndOfWhatItsSuccessorOrdered() {
+  void formerOwnerDoesNotAcknowledgeEndOfSuccessorsRun() {
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
-    hearOfEnd(UNKNOWN);
+    reportEnd(UNKNOWN);
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Guards against the same while the former owner cannot reach the store. */
   @Test
-  void anOwnerThatIsCutOffFromTheStoreNotesNoEndThatItDoesNotKnow() {
-    reached.refuse(true);
-    hearOfEnd(UNKNOWN);
+  void ownerWithoutStoreDoesNotAcknowledgeUnknownEnd() {
+    storeOfOwner.setRefusing(true);
+    reportEnd(UNKNOWN);
     time.advance(5_000);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   private Workflow ownWorkflow() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
-    partition.add(WorkflowWorld.workflow(UNKNOWN.task().workflow(), 1));
+    partition.add(WorkflowTestCluster.workflow(UNKNOWN.task().workflow(), 1));
     return partition.workflow(UNKNOWN.task().workflow()).orElseThrow();
   }
 
   private static RunKey order(Workflow workflow) {
-    return workflow.order(workflow.tasks().get(0), new Place("vm-0", "life-1"));
+    return workflow.startAttempt(workflow.tasks().get(0), new Place("vm-0", "life-1"));
   }
 
   /** Guards against a task that runs again: its workflow has not taken the end that is noted. */
   @Test
-  void theEndOfARunThatCountsAsOpenIsNotNoted() {
+  void endOfOpenRunIsNotAcknowledged() {
     RunKey open = order(ownWorkflow());
-    hearOfEnd(open);
+    reportEnd(open);
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Guards against a worker that keeps ends for good of attempts that were followed by others. */
   @Test
-  void theEndOfAnEarlierAttemptIsNoted() {
+  void endOfEarlierAttemptIsAcknowledged() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     order(workflow);
-    hearOfEnd(first);
+    reportEnd(first);
     time.advance(100);
-    assertEquals(List.of(first), noted);
+    assertEquals(List.of(first), acknowledged);
   }
 
   /** Guards against a task that runs again: a later owner has ordered an attempt not known here. */
   @Test
-  void aFormerOwnerDoesNotNoteTheEndOfALaterAttempt() {
+  void formerOwnerDoesNotAcknowledgeEndOfLaterAttempt() {
     Workflow workflow = ownWorkflow();
     RunKey first = order(workflow);
-    workflow.ended(first, RunOutcome.LOST, "", 0);
+    workflow.recordEnd(first, RunOutcome.LOST, "", 0);
     store.append(Topic.PROGRESS, 0, List.of(), Optional.of(new Writer(SUCCESSOR_EPOCH, 0)));
-    hearOfEnd(new RunKey(first.task(), first.attempt() + 1));
+    reportEnd(new RunKey(first.task(), first.attempt() + 1));
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Guards against ends that are noted though what they changed was dropped with the ownership. */
   @Test
-  void aReleasedPartitionNotesNothing() {
+  void releasedPartitionAcknowledgesNothing() {
     OwnedPartition partition = Iterables.getOnlyElement(ownership.active());
     RunKey run = order(ownWorkflow());
-    partition.workflow(run.task().workflow()).orElseThrow().ended(run, RunOutcome.DONE, "", 0);
+    partition.workflow(run.task().workflow()).orElseThrow().recordEnd(run, RunOutcome.DONE, "", 0);
     partition.close();
-    notes.take(partition, run, "vm-0", () -> noted.add(run));
+    acknowledger.acknowledgeWhenSafe(partition, run, "vm-0", () -> acknowledged.add(run));
     time.advance(100);
-    assertEquals(List.of(), noted);
+    assertEquals(List.of(), acknowledged);
   }
 
   /** Guards against a worker that keeps ends for good whose workflows are forgotten. */
   @Test
-  void theOwnerNotesAnEndThatItDoesNotKnow() {
-    hearOfEnd(UNKNOWN);
+  void ownerAcknowledgesUnknownEnd() {
+    reportEnd(UNKNOWN);
     time.advance(100);
-    assertEquals(List.of(UNKNOWN), noted);
+    assertEquals(List.of(UNKNOWN), acknowledged);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunHistory.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RunHistory.java
@@ -14,31 +14,31 @@
  * for any thread.
  */
 final class RunHistory {
-  private final Map<TaskKey, Set<RunKey>> active = new HashMap<>();
+  private final Map<TaskKey, Set<RunKey>> activeRuns = new HashMap<>();
   private final Map<TaskKey, Integer> starts = new HashMap<>();
   private final Set<RunKey> done = new HashSet<>();
-  private final Set<RunKey> noted = new HashSet<>();
-  private final Set<RunKey> followed = new HashSet<>();
+  private final Set<RunKey> acknowledged = new HashSet<>();
+  private final Set<RunKey> restarted = new HashSet<>();
   private final Map<TaskKey, Integer> doneBefore = new HashMap<>();
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
 
-  synchronized void began(RunKey run) {
-    Set<RunKey> now = active.computeIfAbsent(run.task(), unused -> new HashSet<>());
+  synchronized void runStarted(RunKey run) {
+    Set<RunKey> now = activeRuns.computeIfAbsent(run.task(), unused -> new HashSet<>());
     if (!now.add(run) || now.size() > 1) {
-      broken.add("in two places: " + run + " beside " + now);
+      violations.add("in two places: " + run + " beside " + now);
     }
     for (RunKey earlier : done) {
       if (earlier.task().equals(run.task())) {
-        followed.add(earlier);
-        judge(earlier);
+        restarted.add(earlier);
+        checkRestartedAfterDone(earlier);
       }
     }
     starts.merge(run.task(), 1, Integer::sum);
     doneBefore.putIfAbsent(run.task(), countDone(run.task(), run.task().step() - 1));
   }
 
-  synchronized void ended(RunKey run) {
-    active.getOrDefault(run.task(), new HashSet<>()).remove(run);
+  synchronized void runEnded(RunKey run) {
+    activeRuns.getOrDefault(run.task(), new HashSet<>()).remove(run);
   }
 
   synchronized void done(RunKey run) {
@@ -46,14 +46,14 @@
   }
 
   /** An owner has noted the end as done: what it does not know of may well run again. */
-  synchronized void noted(RunKey run) {
-    noted.add(run);
-    judge(run);
+  synchronized void acknowledged(RunKey run) {
+    acknowledged.add(run);
+    checkRestartedAfterDone(run);
   }
 
-  private void judge(RunKey run) {
-    if (followed.contains(run) && noted.contains(run)) {
-      broken.add("again after it was done: " + run);
+  private void checkRestartedAfterDone(RunKey run) {
+    if (restarted.contains(run) && acknowledged.contains(run)) {
+      violations.add("again after it was done: " + run);
     }
   }
 
@@ -71,8 +71,8 @@
     return doneBefore.getOrDefault(task, 0);
   }
 
-  synchronized List<String> broken() {
-    return List.copyOf(broken);
+  synchronized List<String> violations() {
+    return List.copyOf(violations);
   }
 
   synchronized int starts(TaskKey task) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/RoomLooksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SchedulingPassTest.java
@@ -8,10 +8,10 @@
 import io.marigoldsail.daemon.workflow.WorkflowStore.KeyedRecord;
 import io.marigoldsail.daemon.workflow.WorkflowStore.Topic;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.VmChooser;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowIds;
 import io.marigoldsail.workflow.WorkflowTask;
@@ -21,22 +21,22 @@
 import org.junit.jupiter.api.Test;
 
 /** When an entry looks at waiting tasks after reports of room, on virtual time. */
-class RoomLooksTest {
+class SchedulingPassTest {
   private static final long ID = 95;
-  private static final long ROOM_WAIT_MILLIS = 10;
+  private static final long PASS_DELAY_MILLIS = 10;
 
   private final VirtualLoop time = new VirtualLoop();
   private final FakeWorkflowStore store = new FakeWorkflowStore(1, time.timer());
-  private final Ownership ownership =
-      new Ownership(
-          store, time.loop(), new EntryMember("127.0.0.1", 1, 1), new IgnoringOwnership());
-  private final EntryVms vms =
-      new EntryVms(
+  private final PartitionOwnership ownership =
+      new PartitionOwnership(
+          store, time.loop(), new EntryMember("127.0.0.1", 1, 1), new NoOpOwnershipListener());
+  private final VmTracker vms =
+      new VmTracker(
           time.loop(),
           ownership,
-          LeaseTermsOfWorker.forLongestLease(10_000),
+          WorkerLeaseTerms.forMaxLease(10_000),
           () -> 0,
-          new LooksAtRoom());
+          new PassScheduler());
   private final EntryScheduler scheduler =
       new EntryScheduler(
           time.loop(),
@@ -46,19 +46,19 @@
           VmChooser.of(1.5),
           new FakeAdviser(),
           this::configuration);
-  private int looks;
+  private int passes;
 
   /** Each look asks for the configuration once. */
   private Optional<QueueTable> configuration() {
-    looks++;
-    return Optional.of(WorkflowWorld.configuration(1, "service"));
+    passes++;
+    return Optional.of(WorkflowTestCluster.configuration(1, "service"));
   }
 
   @BeforeEach
   void submit() {
     KeyedRecord submission =
         new KeyedRecord(
-            WorkflowIds.format(ID), WorkflowRecords.encode(WorkflowWorld.workflow(ID, 1)));
+            WorkflowIds.format(ID), WorkflowCodec.encode(WorkflowTestCluster.workflow(ID, 1)));
     store.append(Topic.SUBMISSIONS, 0, List.of(submission), Optional.empty());
     ownership.start();
     time.advance(500);
@@ -68,7 +68,7 @@
   }
 
   private void report() {
-    vms.reported(
+    vms.handleReport(
         null,
         VmReport.newBuilder()
             .setVm("vm-0")
@@ -87,11 +87,11 @@
   }
 
   @Test
-  void aWaitingTaskIsOrderedSoonAfterAReportOfRoom() {
+  void waitingTaskIsOrderedSoonAfterReportOfCapacity() {
     assertFalse(isOrdered());
     report();
-    time.advance(ROOM_WAIT_MILLIS);
-    time.settle();
+    time.advance(PASS_DELAY_MILLIS);
+    time.runPending();
     assertTrue(isOrdered());
   }
 
@@ -100,25 +100,25 @@
    * together, and the entry was busy with looks that found what the one before had found.
    */
   @Test
-  void reportsThatComeTogetherCauseOneLook() {
-    for (int i = 0; i < ROOM_WAIT_MILLIS - 1; i++) {
+  void concurrentReportsCauseOnePass() {
+    for (int i = 0; i < PASS_DELAY_MILLIS - 1; i++) {
       report();
       report();
       time.advance(1);
     }
-    assertEquals(0, looks);
-    time.advance(ROOM_WAIT_MILLIS);
-    assertEquals(1, looks);
+    assertEquals(0, passes);
+    time.advance(PASS_DELAY_MILLIS);
+    assertEquals(1, passes);
     assertTrue(isOrdered());
   }
 
-  private final class LooksAtRoom implements EntryVms.Listener {
+  private final class PassScheduler implements VmTracker.Listener {
     @Override
-    public void ended(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {}
+    public void runEnded(OwnedPartition partition, WorkflowTask task, RunOutcome outcome) {}
 
     @Override
-    public void roomChanged() {
-      scheduler.roomChanged();
+    public void capacityChanged() {
+      scheduler.capacityChanged();
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedEntry.java
@@ -30,12 +30,12 @@
   }
 
   /** Waits for the next connection. */
-  LinkConnection connection() throws InterruptedException {
+  LinkConnection awaitConnection() throws InterruptedException {
     return connections.take();
   }
 
   /** Waits for the next report. */
-  VmReport report() throws InterruptedException {
+  VmReport awaitReport() throws InterruptedException {
     return reports.take();
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedOwnersStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedOwnersStore.java
@@ -11,7 +11,8 @@
 /** A store that is asked for the owners only; a test gives each answer, and when. */
 final class ScriptedOwnersStore implements WorkflowStore {
   private final int partitions;
-  private final BlockingQueue<CompletableFuture<OwnersResult>> asked = new LinkedBlockingQueue<>();
+  private final BlockingQueue<CompletableFuture<OwnersResult>> nextRequest =
+      new LinkedBlockingQueue<>();
 
   ScriptedOwnersStore(int partitions) {
     this.partitions = partitions;
@@ -24,8 +25,8 @@
   }
 
   /** Waits for the next question for the owners; the caller answers it. */
-  CompletableFuture<OwnersResult> asked() throws InterruptedException {
-    return asked.take();
+  CompletableFuture<OwnersResult> nextRequest() throws InterruptedException {
+    return nextRequest.take();
   }
 
   @Override
@@ -36,7 +37,7 @@
   @Override
   public CompletableFuture<OwnersResult> owners() {
     CompletableFuture<OwnersResult> answer = new CompletableFuture<>();
-    asked.add(answer);
+    nextRequest.add(answer);
     return answer;
   }
 
@@ -53,7 +54,7 @@
   }
 
   @Override
-  public CompletableFuture<NewestResult> newest(
+  public CompletableFuture<NewestResult> readNewest(
       Topic topic, int partition, Optional<String> after) {
     throw new UnsupportedOperationException("a side process reads nothing");
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ScriptedWorker.java
@@ -21,19 +21,19 @@
 
   private final VirtualLoop time;
   private final Set<RunKey> running = new LinkedHashSet<>();
-  private final List<Ended> ended = new ArrayList<>();
+  private final List<EndedRun> ended = new ArrayList<>();
   private final List<RunKey> stopped = new ArrayList<>();
   private long sequence;
-  private long noted;
+  private long acknowledgedUpTo;
   private long deadline = Long.MAX_VALUE;
-  private boolean lapsed;
-  private boolean silent;
-  private long failsAfterMillis = 1;
-  private boolean loses;
+  private boolean extendedAfterExpiry;
+  private boolean unresponsive;
+  private long failureDelayMillis = 1;
+  private boolean dropsStarts;
   private boolean answersStarts = true;
   private boolean answersStops = true;
-  private boolean listingsThrow;
-  private boolean listingsBreak;
+  private boolean listingCallThrows;
+  private boolean listingFutureFails;
   private int listings;
 
   ScriptedWorker(VirtualLoop time) {
@@ -54,31 +54,31 @@
   }
 
   /** Answers nothing from now on; each listing fails after the time. */
-  void fallSilent(long millis) {
-    silent = true;
-    failsAfterMillis = millis;
+  void becomeUnresponsive(long millis) {
+    unresponsive = true;
+    failureDelayMillis = millis;
   }
 
   /** Throws when it is asked for a listing from now on. */
-  void throwOnListings() {
-    listingsThrow = true;
+  void throwOnListingCall() {
+    listingCallThrows = true;
   }
 
   /** Ends each listing with an exception from now on. */
-  void breakListings() {
-    listingsBreak = true;
+  void failListingFuture() {
+    listingFutureFails = true;
   }
 
-  void answerAgain() {
-    silent = false;
-    listingsThrow = false;
-    listingsBreak = false;
+  void recover() {
+    unresponsive = false;
+    listingCallThrows = false;
+    listingFutureFails = false;
   }
 
   /** Leaves starts without an answer; those that it carries out are listed all the same. */
   void leaveStartsUnanswered(boolean carriesOut) {
     answersStarts = false;
-    loses = !carriesOut;
+    dropsStarts = !carriesOut;
   }
 
   void leaveStopsUnanswered() {
@@ -86,19 +86,19 @@
   }
 
   /** Lists the run, which another life of the side process started. */
-  void run(RunKey run) {
+  void addActiveRun(RunKey run) {
     running.add(run);
   }
 
   /** Lists the run no more, and no end of it. */
-  void forget(RunKey run) {
+  void removeActiveRun(RunKey run) {
     running.remove(run);
   }
 
   /** Ends the run as done; listed until it is noted, with the oldest ends first. */
-  void end(RunKey run) {
+  void endRun(RunKey run) {
     running.remove(run);
-    ended.add(new Ended(++sequence, run, RunOutcome.DONE, ""));
+    ended.add(new EndedRun(++sequence, run, RunOutcome.DONE, ""));
   }
 
   /** Returns the runs that it was told to stop. */
@@ -107,17 +107,17 @@
   }
 
   /** Returns the number up to which its ends were noted. */
-  long noted() {
-    return noted;
+  long acknowledgedUpTo() {
+    return acknowledgedUpTo;
   }
 
   /** Returns whether it was given a later deadline only after the one before had passed. */
-  boolean isLapsed() {
-    return lapsed;
+  boolean isExtendedAfterExpiry() {
+    return extendedAfterExpiry;
   }
 
   private void extend(long until) {
-    lapsed |= clock() > deadline;
+    extendedAfterExpiry |= clock() > deadline;
     deadline = deadline == Long.MAX_VALUE ? until : Math.max(deadline, until);
   }
 
@@ -130,8 +130,8 @@
   }
 
   Listing listing() {
-    ImmutableList.Builder<Running> rows = ImmutableList.builder();
-    running.forEach(run -> rows.add(new Running(run, "", 10, 0)));
+    ImmutableList.Builder<ActiveRun> rows = ImmutableList.builder();
+    running.forEach(run -> rows.add(new ActiveRun(run, "", 10, 0)));
     return new Listing(
         clock(),
         rows.build(),
@@ -146,16 +146,17 @@
   }
 
   @Override
-  public CompletableFuture<OrderResult> start(String worker, Start start) {
-    if (silent) {
-      return after(1, () -> new OrderUnknown("silent"));
+  public CompletableFuture<OrderResult> start(String worker, StartOrder start) {
+    if (unresponsive) {
+      return after(1, () -> new OrderOutcomeUnknown("silent"));
     }
-    if (!loses) {
+    if (!dropsStarts) {
       extend(start.deadline());
       running.add(start.run());
     }
     return after(
-        1, () -> answersStarts ? new Accepted(clock()) : new OrderUnknown("told to be silent"));
+        1,
+        () -> answersStarts ? new Accepted(clock()) : new OrderOutcomeUnknown("told to be silent"));
   }
 
   @Override
@@ -164,13 +165,13 @@
     return after(
         1,
         () ->
-            silent || !answersStops
-                ? new OrderUnknown("told to be silent")
+            unresponsive || !answersStops
+                ? new OrderOutcomeUnknown("told to be silent")
                 : new Accepted(clock()));
   }
 
   @Override
-  public CompletableFuture<OrderResult> pace(String worker, RunKey run, int percent) {
+  public CompletableFuture<OrderResult> throttle(String worker, RunKey run, int percent) {
     return after(1, () -> new Accepted(clock()));
   }
 
@@ -178,18 +179,18 @@
   public CompletableFuture<ListingResult> list(
       String worker, OptionalLong until, long notedUpTo, long waitMillis) {
     listings++;
-    if (listingsThrow) {
+    if (listingCallThrows) {
       throw new IllegalStateException("told to throw");
     }
-    if (listingsBreak) {
+    if (listingFutureFails) {
       return CompletableFuture.failedFuture(new IllegalStateException("told to break"));
     }
-    if (silent) {
-      return after(failsAfterMillis, () -> new NoListing("silent"));
+    if (unresponsive) {
+      return after(failureDelayMillis, () -> new ListingFailed("silent"));
     }
     until.ifPresent(this::extend);
-    noted = notedUpTo;
-    ended.removeIf(end -> end.sequence() <= noted);
+    acknowledgedUpTo = notedUpTo;
+    ended.removeIf(end -> end.sequence() <= acknowledgedUpTo);
     return after(Math.max(1, waitMillis), this::listing);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/SideReportsTest.java
@@ -28,29 +28,30 @@
   private static final int ROUNDS = 6;
 
   /** Between two reports of room to an entry that owns nothing here, at the least. */
-  private static final long ROOM_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long CHANGE_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /** Reports that a side process sends of its own accord, whatever changes, in nanoseconds. */
-  private static final long REGULAR_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  private static final long PERIODIC_REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("bystander", MonotonicClock.system());
   private final AtomicInteger reports = new AtomicInteger();
-  private final AtomicInteger repeated = new AtomicInteger();
+  private final AtomicInteger redundantReports = new AtomicInteger();
   private LinkServer server;
-  private String bystander;
+  private String nonOwner;
 
   @BeforeEach
   void start() throws IOException {
     world.addEntry();
     world.addSide("vm-0", 5);
     world.awaitReady();
-    server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new CountsReports());
+    server = new LinkServer(loop, new InetSocketAddress("127.0.0.1", 0), 10, new ReportCounter());
     server.start();
-    bystander = new EntryMember("127.0.0.1", server.port(), 1).toString();
-    world.store().join(bystander, Long.MAX_VALUE);
+    nonOwner = new EntryMember("127.0.0.1", server.port(), 1).toString();
+    world.store().join(nonOwner, Long.MAX_VALUE);
     world.await(
-        "the bystander owns a part", () -> ownedByBystander() == WorkflowWorld.PARTITIONS / 2);
+        "the bystander owns a part",
+        () -> partitionsOfNonOwner() == WorkflowTestCluster.PARTITIONS / 2);
     world.await("the side process reaches it", () -> reports.get() > 0);
   }
 
@@ -63,9 +64,9 @@
     world.close();
   }
 
-  private long ownedByBystander() {
-    return LongStream.range(0, WorkflowWorld.PARTITIONS)
-        .filter(partition -> bystander.equals(owner((int) partition)))
+  private long partitionsOfNonOwner() {
+    return LongStream.range(0, WorkflowTestCluster.PARTITIONS)
+        .filter(partition -> nonOwner.equals(owner((int) partition)))
         .count();
   }
 
@@ -75,9 +76,11 @@
     return owners.byPartition().getOrDefault(partition, "");
   }
 
-  private long idOfTheOther(long from) {
+  private long workflowIdOfOtherEntry(long from) {
     return LongStream.iterate(from, id -> id + 1)
-        .filter(id -> !bystander.equals(owner(WorkflowIds.partition(id, WorkflowWorld.PARTITIONS))))
+        .filter(
+            id ->
+                !nonOwner.equals(owner(WorkflowIds.partition(id, WorkflowTestCluster.PARTITIONS))))
         .findFirst()
         .orElseThrow();
   }
@@ -89,18 +92,18 @@
    * what runs must hear of room at a bounded pace, however many tasks begin and end.
    */
   @Test
-  void anEntryThatOwnsNothingOnTheVmHearsOfItAtABoundedPace() {
-    long id = idOfTheOther(1);
+  void reportRateToANonOwnerIsBounded() {
+    long id = workflowIdOfOtherEntry(1);
     int before = reports.get();
     long began = System.nanoTime();
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
     world.await("all are done", () -> world.status(0, id) == QueryResult.DONE);
     long lasted = System.nanoTime() - began;
     int heard = reports.get() - before;
     // Two reports may cross the ends.
-    long bound = lasted / ROOM_NANOS + lasted / REGULAR_NANOS + 2;
+    long bound = lasted / CHANGE_REPORT_NANOS + lasted / PERIODIC_REPORT_NANOS + 2;
     assertTrue(heard <= bound, heard + " reports, " + bound + " at most");
   }
 
@@ -110,20 +113,20 @@
    * large fleets.
    */
   @Test
-  void anEntryThatOwnsNothingOnTheVmIsNotToldTheSameAgain() {
+  void nonOwnerGetsNoReportOfAnUnchangedState() {
     long id = 0;
     for (int i = 0; i < ROUNDS; i++) {
-      id = idOfTheOther(id + 1);
+      id = workflowIdOfOtherEntry(id + 1);
       long submitted = id;
       assertInstanceOf(
           WorkflowStore.Appended.class,
-          world.entry(0).entry().submit(WorkflowWorld.workflow(id, TASKS)).join());
+          world.entry(0).entry().submit(WorkflowTestCluster.workflow(id, TASKS)).join());
       world.await("all are done", () -> world.status(0, submitted) == QueryResult.DONE);
     }
-    assertEquals(0, repeated.get(), "reports of changes that told none");
+    assertEquals(0, redundantReports.get(), "reports of changes that told none");
   }
 
-  private final class CountsReports implements LinkListener {
+  private final class ReportCounter implements LinkListener {
     private VmReport last = VmReport.getDefaultInstance();
 
     @Override
@@ -137,7 +140,7 @@
         reports.incrementAndGet();
         VmReport state = state(frame.getVmReport());
         if (!frame.getVmReport().getWantsLease() && state.equals(last)) {
-          repeated.incrementAndGet();
+          redundantReports.incrementAndGet();
         }
         last = state;
       }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/StartAdmissionTest.java
@@ -6,11 +6,11 @@
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.Overcommit;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.Executors;
@@ -24,28 +24,28 @@
   private static final int PARTITION = 3;
   private static final RunKey FIRST = new RunKey(new TaskKey(1, 0, 0, 0), 1);
   private static final RunKey SECOND = new RunKey(new TaskKey(1, 0, 0, 1), 1);
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final long WORKER_CLOCK = 100_000;
 
   private final LinkLoop loop = new LinkLoop("side", MonotonicClock.system());
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
-  private final WorkerTime time = new WorkerTime(loop, TERMS, WORKER_CLOCK);
+  private final WorkerLease lease = new WorkerLease(loop, TERMS, WORKER_CLOCK);
   private final Overcommit overcommit = new Overcommit();
-  private final RoomLedger room = new RoomLedger(overcommit);
+  private final ResourceLedger resources = new ResourceLedger(overcommit);
   private final StartAdmission admission =
       new StartAdmission(
-          time,
-          room,
-          new RunPacing(
+          lease,
+          resources,
+          new RunThrottler(
               loop,
               new FakeWorkerGateway("life", timer, new RunHistory(), 1_000),
               "life",
               overcommit));
 
   @BeforeEach
-  void give() {
-    room.capacity(new Sizes(1_000, 1L << 30, 0));
-    time.evidence(PARTITION, 1, WORKER_CLOCK);
+  void setUp() {
+    resources.capacity(new Sizes(1_000, 1L << 30, 0));
+    lease.recordEvidence(PARTITION, 1, WORKER_CLOCK);
   }
 
   @AfterEach
@@ -58,8 +58,8 @@
     return StartRun.newBuilder().setMilliProcessors(milliProcessors).setMemoryMebibytes(1).build();
   }
 
-  private Optional<String> ask(RunKey key, int milliProcessors, boolean draining) {
-    return admission.refusal(key, PARTITION, order(milliProcessors), draining, List.of());
+  private Optional<String> reserveOrRefuse(RunKey key, int milliProcessors, boolean draining) {
+    return admission.reserveOrRefuse(key, PARTITION, order(milliProcessors), draining, List.of());
   }
 
   /**
@@ -67,34 +67,34 @@
    * The task would be ended with the worker a moment later.
    */
   @Test
-  void aWorkerThatLeavesStartsNothing() {
-    assertEquals(Optional.of("the worker leaves"), ask(FIRST, 500, true));
-    assertEquals(Optional.empty(), ask(FIRST, 500, false));
+  void drainingWorkerIsRefusedNewRuns() {
+    assertEquals(Optional.of("the worker leaves"), reserveOrRefuse(FIRST, 500, true));
+    assertEquals(Optional.empty(), reserveOrRefuse(FIRST, 500, false));
   }
 
   /** Two owners each see room for one more and order at once: the second is refused. */
   @Test
-  void theSecondOfTwoOwnersIsRefused() {
-    assertEquals(Optional.empty(), ask(FIRST, 600, false));
-    assertEquals(Optional.of("no room"), ask(SECOND, 600, false));
+  void secondOfTwoOwnersIsRefusedWhenResourcesAreInsufficient() {
+    assertEquals(Optional.empty(), reserveOrRefuse(FIRST, 600, false));
+    assertEquals(Optional.of("no room"), reserveOrRefuse(SECOND, 600, false));
   }
 
   /** An order comes from an owner of which nothing was ever heard that proves it to be one. */
   @Test
-  void anOwnerWithoutEvidenceStartsNothing() {
+  void ownerWithoutEvidenceIsRefused() {
     assertEquals(
         Optional.of("the evidence of its owner is too old"),
-        admission.refusal(FIRST, PARTITION + 1, order(1), false, List.of()));
+        admission.reserveOrRefuse(FIRST, PARTITION + 1, order(1), false, List.of()));
   }
 
   /**
    * A restarted side process finds a run whose size only its owner knows, and books nothing yet.
    */
   @Test
-  void nothingStartsBesideWhatIsNotKnownYet() {
+  void refusesStartsWhileTheSizeOfARunIsUnknown() {
     SideRun found = new SideRun(SECOND, PARTITION, Optional.empty());
     assertEquals(
         Optional.of("what runs here is not known yet"),
-        admission.refusal(FIRST, PARTITION, order(1), false, List.of(found)));
+        admission.reserveOrRefuse(FIRST, PARTITION, order(1), false, List.of(found)));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualLoop.java
@@ -44,7 +44,7 @@
   }
 
   /** Runs what was put on the loop by what ran last, while no time passes. */
-  void settle() {
+  void runPending() {
     timer.runPendingTasks();
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualStore.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VirtualStore.java
@@ -30,7 +30,7 @@
     expires = true;
   }
 
-  private <T> CompletableFuture<T> soon(Supplier<T> result) {
+  private <T> CompletableFuture<T> completeLater(Supplier<T> result) {
     CompletableFuture<T> future = new CompletableFuture<>();
     time.loop()
         .schedule(() -> future.complete(result.get()), TimeUnit.MILLISECONDS.toNanos(POLL_MILLIS));
@@ -45,13 +45,13 @@
   @Override
   public CompletableFuture<AppendResult> append(
       Topic topic, int partition, List<KeyedRecord> records, Optional<Writer> writer) {
-    return soon(Appended::new);
+    return completeLater(Appended::new);
   }
 
   @Override
   public CompletableFuture<ReadResult> read(
       Topic topic, int partition, long from, long waitMillis) {
-    return soon(
+    return completeLater(
         () -> {
           if (expires) {
             expires = false;
@@ -63,9 +63,9 @@
   }
 
   @Override
-  public CompletableFuture<NewestResult> newest(
+  public CompletableFuture<NewestResult> readNewest(
       Topic topic, int partition, Optional<String> after) {
-    return soon(
+    return completeLater(
         () ->
             new NewestPage(
                 topic == Topic.SUBMISSIONS ? ImmutableList.copyOf(submissions) : ImmutableList.of(),
@@ -75,16 +75,16 @@
 
   @Override
   public CompletableFuture<JoinResult> join(String member, long generation) {
-    return soon(() -> new NotJoined("not asked here"));
+    return completeLater(() -> new JoinFailed("not asked here"));
   }
 
   @Override
   public CompletableFuture<Boolean> leave(String member) {
-    return soon(() -> true);
+    return completeLater(() -> true);
   }
 
   @Override
   public CompletableFuture<OwnersResult> owners() {
-    return soon(() -> new OwnersUnknown("not asked here"));
+    return completeLater(() -> new OwnersUnavailable("not asked here"));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmSessionTest.java
@@ -20,12 +20,12 @@
    * for the new one, which would start a task that its owner orders elsewhere.
    */
   @Test
-  void whatWaitsForOneLifeOfTheWorkerIsNotSentToTheNext() {
+  void pendingOrdersAreDroppedWhenTheIncarnationChanges() {
     VmSession session = new VmSession(null, report("life-1"), 0);
     session.addStop(RUN);
-    session.take(report("life-1"), 1);
-    assertTrue(session.hasPending());
-    session.take(report("life-2"), 2);
-    assertFalse(session.hasPending());
+    session.update(report("life-1"), 1);
+    assertTrue(session.hasPendingOrders());
+    session.update(report("life-2"), 2);
+    assertFalse(session.hasPendingOrders());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/EntryVmsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/VmTrackerTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class EntryVmsTest {
-  private final WorkflowWorld world = new WorkflowWorld();
+class VmTrackerTest {
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final LinkLoop loop = new LinkLoop("vm", MonotonicClock.system());
 
   @AfterEach
@@ -73,7 +73,7 @@
    * further reports of the VM, and gave its tasks no lease.
    */
   @Test
-  void theConnectionThatIsLeftCountsThoughAnotherOneWasReadLater() throws IOException {
+  void remainingConnectionIsUsedThoughAnotherWasReadLater() throws IOException {
     String address = world.addEntry().memberPrefix();
     int colon = address.indexOf(':');
     InetSocketAddress entry =
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionOwnersTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.util.List;
 import java.util.stream.LongStream;
@@ -14,7 +14,7 @@
 
 /** A worker that runs tasks of two owners, on virtual time. */
 class WorkerSessionOwnersTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final int PARTITIONS = 2;
   private static final long STEP_MILLIS = 100;
 
@@ -44,14 +44,14 @@
     return new RunKey(new TaskKey(workflow, 0, 0, 0), 1);
   }
 
-  private static void hear(WorkerSession session, int partition) {
-    session.evidence(partition, 1, session.workerClock());
+  private static void recordEvidence(WorkerSession session, int partition) {
+    session.recordEvidence(partition, 1, session.workerClockLowerBound());
   }
 
   private static void start(WorkerSession session, RunKey run) {
     session.start(
         run,
-        StartRun.newBuilder().setTask(WorkflowRecords.encode(run)).setMilliProcessors(1).build(),
+        StartRun.newBuilder().setTask(WorkflowCodec.encode(run)).setMilliProcessors(1).build(),
         "program");
   }
 
@@ -59,46 +59,48 @@
   @Test
   void anEndIsNotNotedOnceItsOwnerMayHaveOrderedAnotherAttempt() {
     WorkerSession session = session();
-    hear(session, 0);
-    hear(session, 1);
+    recordEvidence(session, 0);
+    recordEvidence(session, 1);
     start(session, runOf(0));
     start(session, runOf(1));
     time.advance(500);
-    hear(session, 0);
-    worker.end(runOf(0));
+    recordEvidence(session, 0);
+    worker.endRun(runOf(0));
     for (long silent = 0; silent < TERMS.takeoverMillis() + 1_000; silent += STEP_MILLIS) {
-      hear(session, 1);
+      recordEvidence(session, 1);
       time.advance(STEP_MILLIS);
     }
-    hear(session, 0);
-    session.noted(runOf(0));
+    recordEvidence(session, 0);
+    session.acknowledgeEnd(runOf(0));
     time.advance(1_000);
-    assertTrue(worker.isLapsed() || worker.noted() == 0, "noted " + worker.noted());
+    assertTrue(
+        worker.isExtendedAfterExpiry() || worker.acknowledgedUpTo() == 0,
+        "noted " + worker.acknowledgedUpTo());
   }
 
   /** Guards against a task in two places: an order of the life before is carried out late. */
   @Test
   void aRunThatIsRefusedAfterARestartIsForbiddenToTheWorker() {
-    worker.run(runOf(1));
+    worker.addActiveRun(runOf(1));
     WorkerSession session = session();
-    hear(session, 0);
+    recordEvidence(session, 0);
     start(session, runOf(0));
     time.advance(300);
     assertEquals(List.of(runOf(0)), worker.stopped());
   }
 
   /** What changes does not matter here. */
-  private static final class IgnoringListener implements WorkerListener {
+  private static final class IgnoringListener implements WorkerSessionListener {
     @Override
-    public void standingChanged() {}
+    public void availabilityChanged() {}
 
     @Override
-    public void roomChanged() {}
+    public void capacityChanged() {}
 
     @Override
     public void runChanged(int partition) {}
 
     @Override
-    public void gone(WorkerSession session) {}
+    public void sessionEnded(WorkerSession session) {}
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkerSessionTest.java
@@ -6,17 +6,17 @@
 
 import io.marigoldsail.protocol.EndReport;
 import io.marigoldsail.protocol.StartRun;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class WorkerSessionTest {
   private static final String WORKER = "life-1";
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
 
   private final VirtualLoop time = new VirtualLoop();
   private final ScriptedWorker worker = new ScriptedWorker(time);
@@ -35,8 +35,8 @@
     return new RunKey(new TaskKey(7, 0, 0, index), 1);
   }
 
-  private void hearOwner() {
-    session.evidence(0, 1, session.workerClock());
+  private void recordEvidence() {
+    session.recordEvidence(0, 1, session.workerClockLowerBound());
   }
 
   private void start(int index) {
@@ -44,21 +44,21 @@
   }
 
   private void start(int index, int milliProcessors) {
-    hearOwner();
+    recordEvidence();
     RunKey key = run(index);
     session.start(
         key,
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(key))
+            .setTask(WorkflowCodec.encode(key))
             .setMilliProcessors(milliProcessors)
             .build(),
         "program");
   }
 
   /** Has time pass with an owner that is heard all the while. */
-  private void pass(long millis) {
+  private void advanceWithEvidence(long millis) {
     for (long passed = 0; passed < millis; passed += 100) {
-      hearOwner();
+      recordEvidence();
       time.advance(100);
     }
   }
@@ -67,9 +67,9 @@
     return session.ends().stream().map(end -> RunOutcome.forNumber(end.getOutcome())).toList();
   }
 
-  private void noteAllEnds() {
+  private void acknowledgeAllEnds() {
     for (EndReport end : List.copyOf(session.ends())) {
-      session.noted(WorkflowRecords.decode(end.getTask()));
+      session.acknowledgeEnd(WorkflowCodec.decode(end.getTask()));
       time.advance(20);
     }
   }
@@ -80,18 +80,18 @@
    * the day.
    */
   @Test
-  void aSilentWorkerIsAskedByOneChainOfListings() {
+  void unresponsiveWorkerIsPolledByOneChainOfListings() {
     session.start();
     for (int index = 0; index < 5; index++) {
       start(index);
     }
-    pass(2_000);
-    worker.fallSilent(1);
-    pass(10_000);
+    advanceWithEvidence(2_000);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(10_000);
     assertEquals(5, outcomes().size());
-    noteAllEnds();
+    acknowledgeAllEnds();
     int before = worker.listings();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     int asked = worker.listings() - before;
     assertTrue(9 <= asked && asked <= 11, "asked " + asked + " times in three seconds");
   }
@@ -101,28 +101,28 @@
    * VM looked sound, was given tasks, and held each up for seconds, again and again.
    */
   @Test
-  void aSilentWorkerIsGivenNothingUntilItAnswers() {
+  void unresponsiveWorkerStaysUnhealthyUntilItAnswers() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     assertFalse(session.isUnhealthy());
-    worker.fallSilent(2_000);
-    pass(4_000);
+    worker.becomeUnresponsive(2_000);
+    advanceWithEvidence(4_000);
     for (int i = 0; i < 60; i++) {
       assertTrue(session.isUnhealthy(), "sound at " + time.millis() + " ms");
-      pass(100);
+      advanceWithEvidence(100);
     }
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
   /** An order that was on its way when the worker fell silent was held up for seconds. */
   @Test
-  void anOrderForASilentWorkerIsRefusedAtOnce() {
+  void startOnAnUnresponsiveWorkerIsRefusedAtOnce() {
     session.start();
-    pass(1_000);
-    worker.fallSilent(1);
-    pass(2_000);
+    advanceWithEvidence(1_000);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(2_000);
     start(0);
     assertEquals(List.of(RunOutcome.REFUSED), outcomes());
   }
@@ -133,13 +133,13 @@
    * though other VMs had room.
    */
   @Test
-  void aVmIsOfferedNothingWhileItsRunsAreNotKnown() {
-    worker.run(run(0));
+  void vmIsUnhealthyWhileTheSizesOfItsRunsAreUnknown() {
+    worker.addActiveRun(run(0));
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     assertTrue(session.isUnhealthy());
     start(0);
-    pass(100);
+    advanceWithEvidence(100);
     assertFalse(session.isUnhealthy());
   }
 
@@ -148,16 +148,16 @@
    * worker listed it no more, nor an end of it: the owner took it for running for good.
    */
   @Test
-  void aRunThatIsListedNoMoreIsOverThoughNoOrderWasAnswered() {
+  void runMissingFromListingsEndsThoughItsStartWasNotAnswered() {
     session.start();
-    pass(700);
+    advanceWithEvidence(700);
     worker.leaveStartsUnanswered(true);
     start(0);
-    pass(2_000);
+    advanceWithEvidence(2_000);
     assertTrue(session.runs().iterator().next().isListed());
     assertEquals(List.of(), outcomes());
-    worker.forget(run(0));
-    pass(6_000);
+    worker.removeActiveRun(run(0));
+    advanceWithEvidence(6_000);
     assertEquals(List.of(RunOutcome.FORGOTTEN), outcomes());
   }
 
@@ -166,16 +166,16 @@
    * again, and went on to report what ran then.
    */
   @Test
-  void anAnswerThatCannotBeTakenInIsNotTheLast() {
+  void listingContinuesAfterAnAnswerCannotBeProcessed() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    pass(100);
+    advanceWithEvidence(100);
     listener.throwOnce();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertFalse(listener.throwing, "nothing was thrown");
     int before = worker.listings();
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertTrue(worker.listings() > before, "asked no more");
   }
 
@@ -185,16 +185,16 @@
    * to all entries at once, each time once.
    */
   @Test
-  void allHearAtOnceThatAVmTakesNothingAndThatItDoesAgain() {
+  void listenerIsNotifiedOncePerAvailabilityChange() {
     session.start();
-    pass(1_000);
-    assertEquals(0, listener.standings);
-    worker.fallSilent(1);
-    pass(4_000);
-    assertEquals(1, listener.standings);
-    worker.answerAgain();
-    pass(6_000);
-    assertEquals(2, listener.standings);
+    advanceWithEvidence(1_000);
+    assertEquals(0, listener.availabilityChanges);
+    worker.becomeUnresponsive(1);
+    advanceWithEvidence(4_000);
+    assertEquals(1, listener.availabilityChanges);
+    worker.recover();
+    advanceWithEvidence(6_000);
+    assertEquals(2, listener.availabilityChanges);
   }
 
   /**
@@ -202,15 +202,15 @@
    * at work for the rest of the day, also after the worker was gone.
    */
   @Test
-  void aListingThatThrowsIsNotTheLast() {
+  void listingContinuesAfterTheCallThrows() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    worker.throwOnListings();
-    pass(20_000);
+    worker.throwOnListingCall();
+    advanceWithEvidence(20_000);
     assertEquals(List.of(RunOutcome.LAPSED), outcomes());
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
@@ -219,62 +219,62 @@
    * an exception. The worker was never asked again, and its task never found over.
    */
   @Test
-  void aListingThatEndsWithAnExceptionIsOneWithoutAnAnswer() {
+  void failedListingFutureCountsAsNoAnswer() {
     session.start();
-    pass(1_000);
+    advanceWithEvidence(1_000);
     start(0);
-    worker.breakListings();
-    pass(20_000);
+    worker.failListingFuture();
+    advanceWithEvidence(20_000);
     assertEquals(List.of(RunOutcome.LAPSED), outcomes());
-    worker.answerAgain();
-    pass(6_000);
+    worker.recover();
+    advanceWithEvidence(6_000);
     assertFalse(session.isUnhealthy());
   }
 
   /** Guards against a task that runs again, since its end is beyond what one listing holds. */
   @Test
-  void anEndThatTheListingHasNoPlaceForIsNotForgotten() {
+  void endsBeyondTheListingLimitAreKept() {
     int runs = WorkerGateway.MAX_LISTED_ENDS + 2;
     session.start();
     for (int index = 0; index < runs; index++) {
       start(index, 1);
     }
-    pass(1_000);
+    advanceWithEvidence(1_000);
     for (int index = 0; index < runs; index++) {
-      worker.end(run(index));
+      worker.endRun(run(index));
     }
-    pass(3_000);
+    advanceWithEvidence(3_000);
     assertEquals(Collections.nCopies(WorkerGateway.MAX_LISTED_ENDS, RunOutcome.DONE), outcomes());
-    noteAllEnds();
-    pass(1_000);
+    acknowledgeAllEnds();
+    advanceWithEvidence(1_000);
     assertEquals(List.of(RunOutcome.DONE, RunOutcome.DONE), outcomes());
   }
 
   /** What changes does not matter here; can be told to throw. */
-  private static final class ThrowingListener implements WorkerListener {
+  private static final class ThrowingListener implements WorkerSessionListener {
     private boolean throwing;
-    private int standings;
+    private int availabilityChanges;
 
     void throwOnce() {
       throwing = true;
     }
 
     @Override
-    public void standingChanged() {
-      standings++;
+    public void availabilityChanged() {
+      availabilityChanges++;
     }
 
     @Override
-    public void roomChanged() {
-      throwIfTold();
+    public void capacityChanged() {
+      throwIfRequested();
     }
 
     @Override
     public void runChanged(int partition) {
-      throwIfTold();
+      throwIfRequested();
     }
 
-    private void throwIfTold() {
+    private void throwIfRequested() {
       if (throwing) {
         throwing = false;
         throw new IllegalStateException("told to throw");
@@ -282,6 +282,6 @@
     }
 
     @Override
-    public void gone(WorkerSession session) {}
+    public void sessionEnded(WorkerSession session) {}
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowFaultsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.marigoldsail.daemon.workflow.WorkflowWorld.RunningEntry;
+import io.marigoldsail.daemon.workflow.WorkflowTestCluster.RunningEntry;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.StepSpec;
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class WorkflowFaultsTest {
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
@@ -29,7 +29,7 @@
   private void submit(int entry, long id, int... widths) {
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(entry).entry().submit(WorkflowWorld.workflow(id, widths)).join());
+        world.entry(entry).entry().submit(WorkflowTestCluster.workflow(id, widths)).join());
   }
 
   private void awaitDone(long... ids) {
@@ -44,12 +44,12 @@
     }
   }
 
-  private void assertNothingInTwoPlaces() {
-    assertEquals(List.of(), world.history().broken());
+  private void assertNoConcurrentRuns() {
+    assertEquals(List.of(), world.history().violations());
   }
 
   @Test
-  void stepsRunInOrderAndAnyEntryTellsTheStatus() throws IOException {
+  void stepsRunInOrderAndAnyEntryReportsTheStatus() throws IOException {
     world.start(2, 3, 40);
     for (long id = 1; id <= 8; id++) {
       submit((int) id % 2, id, 3, 2);
@@ -57,7 +57,7 @@
     awaitDone(LongStream.rangeClosed(1, 8).toArray());
     world.await("the other entry says so", () -> world.status(1, 1) == QueryResult.DONE);
     assertEquals(8 * 5, world.history().totalStarts());
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -65,7 +65,7 @@
    * has to find them, not run them again, and bring the workflows to their end.
    */
   @Test
-  void anotherEntryGoesOnWhenTheOwnerIsKilled() throws IOException {
+  void anotherEntryTakesOverWhenTheOwnerIsKilled() throws IOException {
     world.start(2, 2, 1_500);
     submit(0, 11, 2);
     submit(0, 12, 2);
@@ -78,7 +78,7 @@
     assertEachRanOnce(11, 2);
     assertEachRanOnce(12, 2);
     assertEachRanOnce(13, 2);
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -86,15 +86,15 @@
    * the owner for a while; only the one with the higher epoch may decide.
    */
   @Test
-  void aFormerOwnerIsShutOutWhenPartitionsAreDealtAnew() throws IOException {
+  void formerOwnerIsFencedWhenPartitionsAreReassigned() throws IOException {
     world.start(2, 2, 300);
     for (long id = 21; id <= 26; id++) {
       submit(0, id, 2, 2);
     }
-    world.store().dealAnew();
+    world.store().reassignAll();
     awaitDone(LongStream.rangeClosed(21, 26).toArray());
     assertEquals(6 * 4, world.history().totalStarts());
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -102,7 +102,7 @@
    * once must be done once.
    */
   @Test
-  void lostAnswersOfTheStoreRepeatNothing() throws IOException {
+  void lostAppendAcknowledgementsCauseNoRepeatedRun() throws IOException {
     world.start(1, 2, 50);
     world.store().failAppends(FakeWorkflowStore.AppendFault.ANSWER_LOST, 6);
     submit(0, 31, 4, 1);
@@ -112,19 +112,19 @@
     submit(0, 32, 4);
     awaitDone(32);
     assertEachRanOnce(32, 4);
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /** A worker crashes and is back as another one: what it ran runs again under higher attempts. */
   @Test
-  void whatACrashedWorkerRanRunsAgain() throws IOException {
+  void runsOfCrashedWorkerRunAgain() throws IOException {
     world.start(1, 1, 800);
     submit(0, 41, 2);
     world.await("both are at work", () -> world.history().totalStarts() == 2);
     world.side("vm-0").worker().crash("life-2");
     awaitDone(41);
     assertEquals(4, world.history().totalStarts());
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -132,13 +132,13 @@
    * ordered elsewhere before the worker has promised not to start it any more.
    */
   @Test
-  void anOrderCarriedOutLateIsNeverInTwoPlaces() throws IOException {
+  void delayedStartNeverCausesTwoConcurrentRuns() throws IOException {
     world.start(1, 2, 700);
-    world.side("vm-0").worker().answerLate(20, 600);
-    world.side("vm-1").worker().answerLate(3, 2_000);
+    world.side("vm-0").worker().delayStarts(20, 600);
+    world.side("vm-1").worker().delayStarts(3, 2_000);
     submit(0, 51, 6);
     awaitDone(51);
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -147,23 +147,23 @@
    * the lease of a worker that answered nothing, so that nobody ever took its tasks for over.
    */
   @Test
-  void whatASilentWorkerRanRunsElsewhereOnceItsLeaseIsOver() throws IOException {
-    beAtWorkUnderASilentWorker(55);
-    assertAllRunsElsewhere(55);
+  void runsOfSilentWorkerAreReassignedAfterItsLease() throws IOException {
+    startRunsAndSilenceOneWorker(55);
+    assertAllReassigned(55);
   }
 
-  private void beAtWorkUnderASilentWorker(long id) throws IOException {
+  private void startRunsAndSilenceOneWorker(long id) throws IOException {
     world.start(1, 2, 1_500);
     // Too many for one VM, so that both have some.
     submit(0, id, 10);
     world.await("all are at work", () -> world.history().totalStarts() == 10);
-    world.side("vm-0").worker().fallSilent();
+    world.side("vm-0").worker().becomeUnresponsive();
   }
 
-  private void assertAllRunsElsewhere(long id) {
+  private void assertAllReassigned(long id) {
     awaitDone(id);
     assertTrue(world.history().totalStarts() > 10);
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -171,22 +171,22 @@
    * says so in each report, which told nobody that the tasks were over.
    */
   @Test
-  void whatASilentWorkerRanRunsElsewhereAlsoAfterItsSideProcessDied() throws IOException {
-    beAtWorkUnderASilentWorker(56);
+  void runsOfSilentWorkerAreReassignedAfterItsSideProcessDied() throws IOException {
+    startRunsAndSilenceOneWorker(56);
     world.restartSide("vm-0");
-    assertAllRunsElsewhere(56);
+    assertAllReassigned(56);
   }
 
   /** A side process is killed and another one finds on the worker what it does not know. */
   @Test
-  void aRestartedSideProcessAdoptsWhatRuns() throws IOException {
+  void restartedSideProcessAdoptsRunningTasks() throws IOException {
     world.start(1, 1, 1_200);
     submit(0, 61, 3);
     world.await("all are at work", () -> world.history().totalStarts() == 3);
     world.restartSide("vm-0");
     awaitDone(61);
     assertEachRanOnce(61, 3);
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -195,15 +195,16 @@
    * good.
    */
   @Test
-  void whatAKilledSideProcessSlowedDownGoesOn() throws IOException {
+  void restartedSideProcessLiftsThrottles() throws IOException {
     world.start(1, 1, 600);
-    StepSpec.Nature fills = new StepSpec.Nature(false, false, false, false, true, "image", 0, 0);
+    StepSpec.TaskTraits fills =
+        new StepSpec.TaskTraits(false, false, false, false, true, "image", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(65, fills, 1)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(65, fills, 1)).join());
     world.await("it is at work", () -> world.history().totalStarts() == 1);
     FakeWorkerGateway worker = world.side("vm-0").worker();
-    worker.pace(worker.life(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
+    worker.throttle(worker.incarnation(), new RunKey(new TaskKey(65, 0, 0, 0), 1), 0).join();
     world.restartSide("vm-0");
     awaitDone(65);
     assertEachRanOnce(65, 1);
@@ -214,14 +215,14 @@
    * begin again with all of its members under one attempt, not with the lost ones alone.
    */
   @Test
-  void aGangBeginsAgainAsAWhole() throws IOException {
+  void gangRestartsAsAWhole() throws IOException {
     world.start(1, 2, 1_500);
     // Too many for one VM, so that both have some.
     int members = 10;
-    StepSpec.Nature gang = new StepSpec.Nature(true, false, false, false, false, "", 0, 0);
+    StepSpec.TaskTraits gang = new StepSpec.TaskTraits(true, false, false, false, false, "", 0, 0);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(66, gang, members)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(66, gang, members)).join());
     world.await("all are at work", () -> world.history().totalStarts() == members);
     world.side("vm-0").worker().crash("life-2");
     awaitDone(66);
@@ -229,7 +230,7 @@
       TaskKey member = new TaskKey(66, 0, 0, index);
       assertTrue(world.history().starts(member) >= 2, member + " did not begin again");
     }
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -238,13 +239,13 @@
    * asked about twice.
    */
   @Test
-  void whatNeedsAdviceRunsOnlyWhereItIsAllowed() throws IOException {
+  void advisedStepRunsOnlyOnAllowedVms() throws IOException {
     world.start(1, 3, 40);
-    world.adviser().allowOnly("vm-1");
-    world.adviser().fail(2);
+    world.adviser().allowOnlySuffix("vm-1");
+    world.adviser().failNext(2);
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.advised(67, 3, 2)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(67, 3, 2)).join());
     awaitDone(67);
     assertEquals(List.of(), world.side("vm-0").worker().tickets());
     assertEquals(List.of(), world.side("vm-2").worker().tickets());
@@ -259,12 +260,12 @@
    * about. The adviser is asked again, about that VM alone.
    */
   @Test
-  void aVmThatComesLaterIsAskedAboutByItself() throws IOException {
+  void adviserIsAskedAboutALaterVmAlone() throws IOException {
     world.start(1, 1, 40);
-    world.adviser().allowOnly("vm-1");
+    world.adviser().allowOnlySuffix("vm-1");
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.advised(68, 3)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflowWithAdvice(68, 3)).join());
     world.await("the first VM was asked about", () -> world.adviser().calls().size() == 1);
     world.addSide("vm-1", 40);
     awaitDone(68);
@@ -283,7 +284,7 @@
    * twice, and once the store serves it again it takes callers as before.
    */
   @Test
-  void anEntryThatTheStoreTurnsAwayHandsOverAndComesBack() throws IOException {
+  void entryRefusedByTheStoreHandsOverAndRecovers() throws IOException {
     world.start(2, 2, 1_500);
     long[] ids = LongStream.rangeClosed(81, 86).toArray();
     for (long id : ids) {
@@ -291,21 +292,22 @@
     }
     world.await("all are at work", () -> world.history().totalStarts() == 12);
     RunningEntry refused = world.entry(1);
-    refused.store().refuse(true);
+    refused.store().setRefusing(true);
     world.await("it is not ready", () -> !refused.entry().isReady());
-    WorkflowStore.AppendResult told = refused.entry().submit(WorkflowWorld.workflow(87, 1)).join();
+    WorkflowStore.AppendResult told =
+        refused.entry().submit(WorkflowTestCluster.workflow(87, 1)).join();
     assertInstanceOf(WorkflowStore.NotAppended.class, told);
     world.store().drop(refused.memberPrefix());
     awaitDone(ids);
     for (long id : ids) {
       assertEachRanOnce(id, 2);
     }
-    refused.store().refuse(false);
+    refused.store().setRefusing(false);
     world.await("it is ready again", () -> refused.entry().isReady());
     submit(1, 88, 1);
     awaitDone(88);
     assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 87));
-    assertNothingInTwoPlaces();
+    assertNoConcurrentRuns();
   }
 
   /**
@@ -313,7 +315,7 @@
    * again that it is ready, so that the balancer goes on sending it connections until it is gone.
    */
   @Test
-  void anEntryThatLeavesIsNotReadyAgain() throws IOException {
+  void drainingEntryDoesNotBecomeReadyAgain() throws IOException {
     world.start(2, 1, 1_500);
     WorkflowEntry leaving = world.entry(1).entry();
     leaving.leave().join();
@@ -324,7 +326,7 @@
 
   /** A caller cancels; the answer comes once that is durable, and nothing of it runs on. */
   @Test
-  void aCancelledWorkflowStops() throws IOException {
+  void cancelledWorkflowStops() throws IOException {
     // Longer than the test waits: nothing ends by itself.
     world.start(2, 1, 120_000);
     submit(0, 71, 2);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class WorkflowLoggingTest {
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
   private final BlockedStream stream = new BlockedStream();
   private final LogWriter writer = LogWriter.start("all", stream.printed());
   private final Logger logger = Logger.getLogger("io.marigoldsail");
@@ -45,7 +45,7 @@
     assertTrue(stream.awaitReached());
     assertInstanceOf(
         WorkflowStore.Appended.class,
-        world.entry(0).entry().submit(WorkflowWorld.workflow(41, 3, 2)).join());
+        world.entry(0).entry().submit(WorkflowTestCluster.workflow(41, 3, 2)).join());
     world.await("it is done", () -> world.status(0, 41) == QueryResult.DONE);
     assertEquals(5, world.history().totalStarts());
     assertEquals(List.of(), stream.lines());
