--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowRulesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.marigoldsail.daemon.workflow.WorkflowWorld.RunningEntry;
+import io.marigoldsail.daemon.workflow.WorkflowTestCluster.RunningEntry;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
@@ -23,13 +23,13 @@
 
 /** What callers and workers may rely on, each under the trouble that would break it. */
 class WorkflowRulesTest {
-  private static final long FOR_GOOD_MILLIS = 60_000;
-  private static final StepSpec.Nature LASTING =
-      new StepSpec.Nature(false, false, false, true, false, "service", 100, 1);
-  private static final StepSpec.Nature FILLS =
-      new StepSpec.Nature(false, true, false, false, true, "batch", 0, 0);
+  private static final long NEVER_ENDS_MILLIS = 60_000;
+  private static final StepSpec.TaskTraits LONG_RUNNING =
+      new StepSpec.TaskTraits(false, false, false, true, false, "service", 100, 1);
+  private static final StepSpec.TaskTraits BEST_EFFORT =
+      new StepSpec.TaskTraits(false, true, false, false, true, "batch", 0, 0);
 
-  private final WorkflowWorld world = new WorkflowWorld();
+  private final WorkflowTestCluster world = new WorkflowTestCluster();
 
   @AfterEach
   void stop() {
@@ -40,7 +40,7 @@
     assertInstanceOf(WorkflowStore.Appended.class, world.entry(0).entry().submit(workflow).join());
   }
 
-  private void killOneOfTwo() {
+  private void killSecondEntry() {
     RunningEntry killed = world.entry(1);
     world.kill(killed);
     world.store().drop(killed.memberPrefix());
@@ -60,18 +60,18 @@
    * caller that it failed after three runs, not after three more.
    */
   @Test
-  void aTaskThatAlwaysFailsStartsAsOftenAsAllowedThoughItsOwnerDies() throws IOException {
+  void failureLimitHoldsAcrossATakeover() throws IOException {
     world.start(2, 3, 300);
     for (int vm = 0; vm < 3; vm++) {
-      worker("vm-" + vm).endAllAs(RunOutcome.FAILED);
+      worker("vm-" + vm).outcomeOfRuns(RunOutcome.FAILED);
     }
     long[] ids = LongStream.rangeClosed(101, 106).toArray();
     for (long id : ids) {
-      submit(WorkflowWorld.workflow(id, 1));
+      submit(WorkflowTestCluster.workflow(id, 1));
     }
     world.await(
         "all are at their second run", () -> LongStream.of(ids).allMatch(id -> starts(id, 0) >= 2));
-    killOneOfTwo();
+    killSecondEntry();
     for (long id : ids) {
       world.await("it has failed", () -> world.status(0, id) == QueryResult.FAILED);
       assertEquals(3, starts(id, 0), "runs of " + id);
@@ -83,14 +83,14 @@
    * what was done, and no task of a later step may begin before all of the step before are done.
    */
   @Test
-  void laterStepsWaitForAllTasksBeforeThoughTheOwnerDies() throws IOException {
+  void stepDependenciesHoldAcrossATakeover() throws IOException {
     world.start(2, 2, 400);
     long[] ids = LongStream.rangeClosed(111, 116).toArray();
     for (long id : ids) {
-      submit(WorkflowWorld.workflow(id, 2, 2, 1));
+      submit(WorkflowTestCluster.workflow(id, 2, 2, 1));
     }
     world.await("half have begun", () -> world.history().totalStarts() >= 15);
-    killOneOfTwo();
+    killSecondEntry();
     for (long id : ids) {
       world.await("it is done", () -> world.status(0, id) == QueryResult.DONE);
       for (int index = 0; index < 2; index++) {
@@ -98,7 +98,7 @@
       }
       assertEquals(2, world.history().doneBefore(new TaskKey(id, 0, 2, 0)));
     }
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -106,20 +106,21 @@
    * done: were the entry to die now, the next owner would run the last task again.
    */
   @Test
-  void nobodyHearsOfAnEndThatTheStoreDoesNotHave() throws IOException {
+  void endIsNotReportedBeforeItIsDurable() throws IOException {
     world.start(1, 1, 500);
-    submit(WorkflowWorld.workflow(121, 2));
+    submit(WorkflowTestCluster.workflow(121, 2));
     world.await("both are at work", () -> world.history().totalStarts() == 2);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
     FakeWorkerGateway worker = worker("vm-0");
-    world.await("both have ended", () -> worker.atWork().isEmpty() && worker.endsNotNoted() == 2);
+    world.await(
+        "both have ended", () -> worker.activeRuns().isEmpty() && worker.unacknowledgedEnds() == 2);
     world.await(
         "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
     assertNotEquals(QueryResult.DONE, world.status(0, 121));
-    assertEquals(2, worker.endsNotNoted(), "an end was noted that is not durable");
+    assertEquals(2, worker.unacknowledgedEnds(), "an end was noted that is not durable");
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
     world.await("it is done", () -> world.status(0, 121) == QueryResult.DONE);
-    world.await("all ends are noted", () -> worker.endsNotNoted() == 0);
+    world.await("all ends are noted", () -> worker.unacknowledgedEnds() == 0);
   }
 
   /**
@@ -127,13 +128,13 @@
    * the owner to die now, the next one would know nothing of the order and run the tasks elsewhere.
    */
   @Test
-  void noWorkerIsAskedBeforeTheStoreHasTheAttempt() throws IOException {
+  void noStartIsSentBeforeTheAttemptIsDurable() throws IOException {
     world.start(1, 1, 100);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    submit(WorkflowWorld.workflow(125, 2));
+    submit(WorkflowTestCluster.workflow(125, 2));
     world.await(
         "the entry has tried to write it several times", () -> world.store().faultsSeen() >= 5);
-    assertEquals(List.of(), worker("vm-0").askedToStart());
+    assertEquals(List.of(), worker("vm-0").startRequests());
     world.store().failAppends(FakeWorkflowStore.AppendFault.NONE, 0);
     world.await("it is done", () -> world.status(0, 125) == QueryResult.DONE);
   }
@@ -143,21 +144,21 @@
    * that wait, also those that another entry decides for, and none once they have begun.
    */
   @Test
-  void everyEntryCountsAllThatWaits() throws IOException {
+  void everyEntryCountsAllWaitingWorkflows() throws IOException {
     world.start(2, 0, 0);
     for (long id = 131; id <= 142; id++) {
-      submit(WorkflowWorld.workflow(id, 1));
+      submit(WorkflowTestCluster.workflow(id, 1));
     }
     for (int entry = 0; entry < 2; entry++) {
       WorkflowEntry asked = world.entry(entry).entry();
-      world.await("all are counted", () -> asked.waiting("queue").join() == 12);
-      assertEquals(0, asked.waiting("another queue").join());
+      world.await("all are counted", () -> asked.waitingWorkflows("queue").join() == 12);
+      assertEquals(0, asked.waitingWorkflows("another queue").join());
     }
-    world.addSide("vm-0", FOR_GOOD_MILLIS);
-    world.addSide("vm-1", FOR_GOOD_MILLIS);
+    world.addSide("vm-0", NEVER_ENDS_MILLIS);
+    world.addSide("vm-1", NEVER_ENDS_MILLIS);
     for (int entry = 0; entry < 2; entry++) {
       WorkflowEntry asked = world.entry(entry).entry();
-      world.await("none waits", () -> asked.waiting("queue").join() == 0);
+      world.await("none waits", () -> asked.waitingWorkflows("queue").join() == 0);
     }
   }
 
@@ -167,14 +168,14 @@
    * begins.
    */
   @Test
-  void anOrderCarriedOutAfterTheCancelStartsNothing() throws IOException {
-    world.start(1, 1, FOR_GOOD_MILLIS);
+  void delayedStartAfterCancelRunsNothing() throws IOException {
+    world.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
-    worker.answerLate(Integer.MAX_VALUE, 1_500);
-    submit(WorkflowWorld.workflow(151, 2));
-    world.await("both were asked for", () -> worker.askedToStart().size() >= 2);
+    worker.delayStarts(Integer.MAX_VALUE, 1_500);
+    submit(WorkflowTestCluster.workflow(151, 2));
+    world.await("both were asked for", () -> worker.startRequests().size() >= 2);
     assertEquals(QueryResult.CANCELLED, world.entry(0).entry().query(151, "queue", true).join());
-    world.await("all late orders were carried out", () -> worker.isNothingLate());
+    world.await("all late orders were carried out", () -> worker.hasExecutedDelayedStarts());
     assertEquals(0, world.history().totalStarts());
   }
 
@@ -183,20 +184,20 @@
    * nothing more may begin on it, however much waits.
    */
   @Test
-  void aWorkerThatLeavesIsGivenNothingAndItsServicesMove() throws IOException {
-    world.start(2, 1, FOR_GOOD_MILLIS);
-    submit(WorkflowWorld.workflow(161, LASTING, 3));
+  void drainingWorkerGetsNoRunsAndItsServicesMove() throws IOException {
+    world.start(2, 1, NEVER_ENDS_MILLIS);
+    submit(WorkflowTestCluster.workflow(161, LONG_RUNNING, 3));
     FakeWorkerGateway leaving = worker("vm-0");
-    world.await("all are at work", () -> leaving.atWork().size() == 3);
-    leaving.leave();
-    world.addSide("vm-1", FOR_GOOD_MILLIS);
-    world.await("all are at work elsewhere", () -> worker("vm-1").atWork().size() == 3);
-    assertEquals(List.of(), leaving.atWork());
+    world.await("all are at work", () -> leaving.activeRuns().size() == 3);
+    leaving.drain();
+    world.addSide("vm-1", NEVER_ENDS_MILLIS);
+    world.await("all are at work elsewhere", () -> worker("vm-1").activeRuns().size() == 3);
+    assertEquals(List.of(), leaving.activeRuns());
     // As many as the other VM has no room for.
-    submit(WorkflowWorld.workflow(162, 8));
-    world.await("it is full", () -> worker("vm-1").atWork().size() == 8);
-    assertEquals(3, leaving.askedToStart().size());
-    assertEquals(List.of(), world.history().broken());
+    submit(WorkflowTestCluster.workflow(162, 8));
+    world.await("it is full", () -> worker("vm-1").activeRuns().size() == 8);
+    assertEquals(3, leaving.startRequests().size());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -204,18 +205,18 @@
    * may well answer, and the task is on a worker that ends it a moment later; it belongs elsewhere.
    */
   @Test
-  void aWorkerThatLeavesIsNotAskedAgain() throws IOException {
+  void drainingWorkerGetsNoRepeatedStart() throws IOException {
     world.start(1, 1, 200);
     FakeWorkerGateway leaving = worker("vm-0");
     leaving.dropStarts(Integer.MAX_VALUE);
-    submit(WorkflowWorld.workflow(171, 1));
-    world.await("it was asked for", () -> !leaving.askedToStart().isEmpty());
-    leaving.leave();
-    world.heartbeat("vm-0");
-    List<RunKey> asked = leaving.askedToStart();
+    submit(WorkflowTestCluster.workflow(171, 1));
+    world.await("it was asked for", () -> !leaving.startRequests().isEmpty());
+    leaving.drain();
+    world.heartbeatAndWait("vm-0");
+    List<RunKey> asked = leaving.startRequests();
     world.addSide("vm-1", 200);
     world.await("it is done", () -> world.status(0, 171) == QueryResult.DONE);
-    assertEquals(asked, leaving.askedToStart());
+    assertEquals(asked, leaving.startRequests());
   }
 
   /**
@@ -224,19 +225,19 @@
    * is neither stopped nor moved.
    */
   @Test
-  void whatDisturbsMovesAndTheServiceStays() throws IOException {
-    world.start(1, 1, FOR_GOOD_MILLIS);
-    submit(WorkflowWorld.workflow(181, LASTING, 3));
+  void interferingTaskMovesAndTheServiceStays() throws IOException {
+    world.start(1, 1, NEVER_ENDS_MILLIS);
+    submit(WorkflowTestCluster.workflow(181, LONG_RUNNING, 3));
     FakeWorkerGateway crowded = worker("vm-0");
-    world.await("the service is at work", () -> crowded.atWork().size() == 3);
-    submit(WorkflowWorld.workflow(182, FILLS, 1));
-    world.await("a heavy task is beside it", () -> crowded.atWork().size() == 4);
-    crowded.measure(400);
-    world.addSide("vm-1", FOR_GOOD_MILLIS);
-    world.await("the heavy task has moved", () -> worker("vm-1").atWork().size() == 1);
-    assertEquals(182, worker("vm-1").atWork().get(0).task().workflow());
+    world.await("the service is at work", () -> crowded.activeRuns().size() == 3);
+    submit(WorkflowTestCluster.workflow(182, BEST_EFFORT, 1));
+    world.await("a heavy task is beside it", () -> crowded.activeRuns().size() == 4);
+    crowded.measurement(400);
+    world.addSide("vm-1", NEVER_ENDS_MILLIS);
+    world.await("the heavy task has moved", () -> worker("vm-1").activeRuns().size() == 1);
+    assertEquals(182, worker("vm-1").activeRuns().get(0).task().workflow());
     assertEquals(Collections.nCopies(3, 1), startsOf(181, 3));
-    assertEquals(3, crowded.atWork().size());
+    assertEquals(3, crowded.activeRuns().size());
   }
 
   private List<Integer> startsOf(long id, int tasks) {
@@ -249,20 +250,20 @@
    * newer version sends the queue back.
    */
   @Test
-  void aQueueIsServedOnlyWhereTheNewestVersionSendsIt() throws IOException {
-    world.start(1, 1, FOR_GOOD_MILLIS);
+  void queueIsServedByTheServiceOfTheNewestVersionOnly() throws IOException {
+    world.start(1, 1, NEVER_ENDS_MILLIS);
     FakeWorkerGateway worker = worker("vm-0");
     WorkflowEntry entry = world.entry(0).entry();
-    submit(WorkflowWorld.workflow(211, 1));
-    world.await("it is at work", () -> worker.atWork().size() == 1);
-    entry.configure(WorkflowWorld.configuration(3, "another"));
-    entry.configure(WorkflowWorld.configuration(2, "service"));
-    submit(WorkflowWorld.workflow(212, 1));
+    submit(WorkflowTestCluster.workflow(211, 1));
+    world.await("it is at work", () -> worker.activeRuns().size() == 1);
+    entry.configure(WorkflowTestCluster.configuration(3, "another"));
+    entry.configure(WorkflowTestCluster.configuration(2, "service"));
+    submit(WorkflowTestCluster.workflow(212, 1));
     int before = worker.listings();
     world.await("the worker was looked at again", () -> worker.listings() >= before + 3);
-    assertEquals(1, worker.askedToStart().size());
-    entry.configure(WorkflowWorld.configuration(4, "service"));
-    world.await("both are at work", () -> worker.atWork().size() == 2);
+    assertEquals(1, worker.startRequests().size());
+    entry.configure(WorkflowTestCluster.configuration(4, "service"));
+    world.await("both are at work", () -> worker.activeRuns().size() == 2);
   }
 
   /**
@@ -270,11 +271,11 @@
    * but the store bring every accepted workflow to its end.
    */
   @Test
-  void newEntriesGoOnWhenAllHaveDied() throws IOException {
+  void newEntriesTakeOverWhenAllHaveDied() throws IOException {
     world.start(2, 2, 700);
     long[] ids = LongStream.rangeClosed(191, 202).toArray();
     for (long id : ids) {
-      submit(WorkflowWorld.workflow(id, 2, 1));
+      submit(WorkflowTestCluster.workflow(id, 2, 1));
     }
     // More than there is room for at once, so that some are done.
     world.await("some are done", () -> world.history().totalStarts() >= 20);
@@ -289,7 +290,7 @@
       world.await("workflow " + id + " is done", () -> world.status(0, id) == QueryResult.DONE);
     }
     assertTrue(world.history().totalStarts() >= ids.length * 3);
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /**
@@ -298,11 +299,11 @@
    * the caller's work is lost.
    */
   @Test
-  void anEntryThatReadsNothingCallsNoWorkflowUnknown() throws IOException {
+  void entryWithoutStoreDoesNotReportUnknownWorkflow() throws IOException {
     world.start(1, 0, 0);
     assertEquals(QueryResult.UNKNOWN_WORKFLOW, world.status(0, 221));
-    world.entry(0).store().refuse(true);
-    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.CANNOT_TELL);
+    world.entry(0).store().setRefusing(true);
+    world.await("it cannot tell", () -> world.status(0, 221) == QueryResult.UNAVAILABLE);
   }
 
   /**
@@ -311,12 +312,12 @@
    * the other takes it for new and runs it again.
    */
   @Test
-  void whatIsHalfForgottenDoesNotRunAgain() throws IOException {
+  void partlyEvictedWorkflowDoesNotRunAgain() throws IOException {
     world.addEntry(0);
     world.addSide("vm-0", 50);
     world.awaitReady();
     world.store().refuseDrops();
-    submit(WorkflowWorld.workflow(231, 2));
+    submit(WorkflowTestCluster.workflow(231, 2));
     world.await("it was to be dropped", () -> world.store().dropsRefused() >= 1);
     RunningEntry killed = world.entry(0);
     world.kill(killed);
@@ -332,37 +333,39 @@
    * higher epoch and must not obey.
    */
   @Test
-  void aFormerOwnerCannotStopWhatItsSuccessorRuns() throws IOException {
-    world.start(1, 1, FOR_GOOD_MILLIS);
-    submit(WorkflowWorld.workflow(241, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
+  void formerOwnerCannotStopRunsOfItsSuccessor() throws IOException {
+    world.start(1, 1, NEVER_ENDS_MILLIS);
+    submit(WorkflowTestCluster.workflow(241, 1));
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
       world.await("the side process knows it", () -> former.report().isPresent());
-      RunKey run = worker("vm-0").atWork().get(0);
-      former.stop(run, WorkflowIds.partition(run.task().workflow(), WorkflowWorld.PARTITIONS));
+      RunKey run = worker("vm-0").activeRuns().get(0);
+      former.stop(
+          run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
       world.await(
           "the side process has read the order",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
-      assertEquals(List.of(run), worker("vm-0").atWork());
+      assertEquals(List.of(run), worker("vm-0").activeRuns());
     }
   }
 
   /** Guards against a task that runs again, since a former owner noted an end for its successor. */
   @Test
-  void aFormerOwnerCannotNoteTheEndOfWhatItsSuccessorRan() throws IOException {
+  void formerOwnerCannotAcknowledgeEndForItsSuccessor() throws IOException {
     world.start(1, 1, 1_000);
-    submit(WorkflowWorld.workflow(242, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
-    RunKey run = worker("vm-0").atWork().get(0);
+    submit(WorkflowTestCluster.workflow(242, 1));
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
+    RunKey run = worker("vm-0").activeRuns().get(0);
     world.store().failAppends(FakeWorkflowStore.AppendFault.REFUSED, Integer.MAX_VALUE);
-    world.await("it has ended", () -> worker("vm-0").endsNotNoted() == 1);
+    world.await("it has ended", () -> worker("vm-0").unacknowledgedEnds() == 1);
     try (FormerOwner former = new FormerOwner()) {
       former.start();
       world.store().join(former.member(), Long.MAX_VALUE);
       world.await("the side process knows it", () -> former.report().isPresent());
-      former.note(run, WorkflowIds.partition(run.task().workflow(), WorkflowWorld.PARTITIONS));
+      former.acknowledge(
+          run, WorkflowIds.partition(run.task().workflow(), WorkflowTestCluster.PARTITIONS));
       world.await(
           "the side process has read the note",
           () -> former.report().orElseThrow().getOrdersSeen() == 1);
@@ -371,20 +374,20 @@
     replaceOnlyEntry();
     world.await("the next one tells", () -> world.status(0, 242) == QueryResult.DONE);
     assertEquals(1, world.history().totalStarts());
-    assertEquals(List.of(), world.history().broken());
+    assertEquals(List.of(), world.history().violations());
   }
 
   /** Guards against a cancel without an answer, since its owner cannot make it durable. */
   @Test
-  void aCancelThatCannotBecomeDurableIsAnsweredThatNobodyCanTell() throws IOException {
-    world.start(1, 1, FOR_GOOD_MILLIS);
-    submit(WorkflowWorld.workflow(243, 1));
-    world.await("it is at work", () -> worker("vm-0").atWork().size() == 1);
-    world.entry(0).store().refuse(true);
+  void cancelThatIsNotDurableIsAnsweredCannotTell() throws IOException {
+    world.start(1, 1, NEVER_ENDS_MILLIS);
+    submit(WorkflowTestCluster.workflow(243, 1));
+    world.await("it is at work", () -> worker("vm-0").activeRuns().size() == 1);
+    world.entry(0).store().setRefusing(true);
     CompletableFuture<QueryResult> told = world.entry(0).entry().query(243, "queue", true);
     world.await("it is answered", told::isDone);
-    assertEquals(QueryResult.CANNOT_TELL, told.join());
-    world.entry(0).store().refuse(false);
+    assertEquals(QueryResult.UNAVAILABLE, told.join());
+    world.entry(0).store().setRefusing(false);
     world.await("it is cancelled", () -> world.status(0, 243) == QueryResult.CANCELLED);
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideReportsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideProcessReportsTest.java
@@ -12,9 +12,9 @@
 import io.marigoldsail.protocol.RunOrders;
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowIds;
 import java.io.IOException;
 import java.util.Map;
@@ -35,14 +35,14 @@
  * apart.
  */
 @Timeout(40)
-class WorkflowSideReportsTest {
+class WorkflowSideProcessReportsTest {
   private static final int PARTITIONS = 2;
   private static final int ENTRIES = 2;
 
   /** After which an entry that owns nothing on the VM must hear of a change, in nanoseconds. */
-  private static final long TURN_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
+  private static final long MIN_INTERVAL_NANOS = ENTRIES * TimeUnit.MILLISECONDS.toNanos(25);
 
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final String WORKER = "life-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
   private static final int OWNED = WorkflowIds.partition(RUN.task().workflow(), PARTITIONS);
@@ -50,7 +50,7 @@
   private static final int ROUNDS = 7;
 
   /** How many regular reports an entry hears before a change counts as told by none of its own. */
-  private static final int REGULAR_REPORTS = 5;
+  private static final int PERIODIC_REPORTS = 5;
 
   private final AtomicLong clock = new AtomicLong();
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
@@ -58,25 +58,26 @@
   private final ScriptedOwnersStore store = new ScriptedOwnersStore(PARTITIONS);
   private final FakeWorkerGateway worker =
       new FakeWorkerGateway(WORKER, timer, new RunHistory(), 60_000);
-  private final WorkflowSide side = new WorkflowSide(loop, store, worker, "vm-0", TERMS);
+  private final WorkflowSideProcess side =
+      new WorkflowSideProcess(loop, store, worker, "vm-0", TERMS);
   private final ScriptedEntry owner;
-  private final ScriptedEntry bystander;
+  private final ScriptedEntry nonOwner;
   private LinkConnection ownerLink;
 
-  WorkflowSideReportsTest() throws IOException {
+  WorkflowSideProcessReportsTest() throws IOException {
     owner = new ScriptedEntry();
-    bystander = new ScriptedEntry();
+    nonOwner = new ScriptedEntry();
   }
 
   private void start() throws InterruptedException {
     side.start();
     store
-        .asked()
+        .nextRequest()
         .complete(
             ScriptedOwnersStore.owners(
-                Map.of(OWNED, owner.member(), 1 - OWNED, bystander.member())));
-    ownerLink = owner.connection();
-    bystander.connection();
+                Map.of(OWNED, owner.member(), 1 - OWNED, nonOwner.member())));
+    ownerLink = owner.awaitConnection();
+    nonOwner.awaitConnection();
     assertTrue(side.heartbeat(heartbeat(1_000)).join());
   }
 
@@ -84,7 +85,7 @@
   void stop() {
     loop.close();
     owner.close();
-    bystander.close();
+    nonOwner.close();
     timer.shutdownNow();
   }
 
@@ -104,26 +105,26 @@
    * Has the room change twice in one turn of both entries; then the next turn of each comes. Both
    * are told of the first change at once, so the second one has to wait for its turn.
    */
-  private void changeRoomTwiceInOneTurn(int last) {
+  private void changeCapacityTwiceInOneInterval(int last) {
     loop.runLater(
         () -> {
-          clock.addAndGet(TURN_NANOS);
+          clock.addAndGet(MIN_INTERVAL_NANOS);
           side.heartbeat(heartbeat(1_000));
           // Reports are sent by what the heartbeat has put before this.
           loop.runLater(
               () -> {
                 side.heartbeat(heartbeat(last));
-                loop.runLater(() -> clock.addAndGet(TURN_NANOS));
+                loop.runLater(() -> clock.addAndGet(MIN_INTERVAL_NANOS));
               });
         });
   }
 
   /** Returns whether a report of a change tells it, before some regular ones went by. */
-  private static boolean isToldBetweenRegularReports(ScriptedEntry entry, Predicate<VmReport> tells)
-      throws InterruptedException {
+  private static boolean isReportedBetweenPeriodicReports(
+      ScriptedEntry entry, Predicate<VmReport> tells) throws InterruptedException {
     int regular = 0;
-    while (regular < REGULAR_REPORTS) {
-      VmReport report = entry.report();
+    while (regular < PERIODIC_REPORTS) {
+      VmReport report = entry.awaitReport();
       if (report.getWantsLease()) {
         regular++;
       } else if (tells.test(report)) {
@@ -139,16 +140,16 @@
    * most of a second later. Its waiting tasks stood still for as long beside an empty VM.
    */
   @Test
-  void whoOwnsNothingThatChangedHearsOfRoomWhenItsTurnComes() throws Exception {
+  void nonOwnerIsReportedFreeResourcesAfterTheMinimumInterval() throws Exception {
     start();
     int inTurn = 0;
     for (int i = 1; i <= ROUNDS; i++) {
-      awaitRegularReport(bystander);
+      awaitPeriodicReport(nonOwner);
       int capacity = 1_000 + i;
-      changeRoomTwiceInOneTurn(capacity);
-      VmReport report = bystander.report();
+      changeCapacityTwiceInOneInterval(capacity);
+      VmReport report = nonOwner.awaitReport();
       while (report.getMilliProcessors() != capacity) {
-        report = bystander.report();
+        report = nonOwner.awaitReport();
       }
       if (!report.getWantsLease()) {
         inTurn++;
@@ -158,8 +159,8 @@
     assertTrue(inTurn > ROUNDS / 2, "told in turn " + inTurn + " times of " + ROUNDS);
   }
 
-  private static void awaitRegularReport(ScriptedEntry entry) throws InterruptedException {
-    while (!entry.report().getWantsLease()) {
+  private static void awaitPeriodicReport(ScriptedEntry entry) throws InterruptedException {
+    while (!entry.awaitReport().getWantsLease()) {
       // The next one is.
     }
   }
@@ -170,11 +171,11 @@
    * grows with the number of entries, and so would whatever waits for that task.
    */
   @Test
-  void theOwnerHearsOfItsRunWithoutWaitingForItsTurn() throws Exception {
+  void ownerIsReportedItsRunWithoutWaiting() throws Exception {
     start();
-    VmReport report = owner.report();
+    VmReport report = owner.awaitReport();
     while (!report.getWorker().equals(WORKER)) {
-      report = owner.report();
+      report = owner.awaitReport();
     }
     LeaseGrant lease =
         LeaseGrant.newBuilder()
@@ -183,7 +184,7 @@
             .build();
     StartRun start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(RUN))
+            .setTask(WorkflowCodec.encode(RUN))
             .setProgram("program")
             .setMilliProcessors(500)
             .build();
@@ -198,7 +199,7 @@
                     .addStarts(start))
             .build());
     assertTrue(
-        isToldBetweenRegularReports(
+        isReportedBetweenPeriodicReports(
             owner, told -> told.getRunsList().stream().anyMatch(run -> run.getStarted())),
         "the start is told by regular reports only");
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowSideProcessTest.java
@@ -17,9 +17,9 @@
 import io.marigoldsail.protocol.StartRun;
 import io.marigoldsail.protocol.VmReport;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.TaskKey;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import java.io.IOException;
 import java.util.Map;
 import java.util.concurrent.Executors;
@@ -30,8 +30,8 @@
 
 /** Waits for reports; where one never comes, the limit ends the test. */
 @Timeout(40)
-class WorkflowSideTest {
-  private static final LeaseTermsOfWorker TERMS = LeaseTermsOfWorker.forLongestLease(10_000);
+class WorkflowSideProcessTest {
+  private static final WorkerLeaseTerms TERMS = WorkerLeaseTerms.forMaxLease(10_000);
   private static final String WORKER = "life-1";
   private static final RunKey RUN = new RunKey(new TaskKey(7, 0, 0, 0), 1);
 
@@ -40,10 +40,11 @@
   private final ScriptedOwnersStore store = new ScriptedOwnersStore(2);
   private final FakeWorkerGateway worker =
       new FakeWorkerGateway(WORKER, timer, new RunHistory(), 60_000);
-  private final WorkflowSide side = new WorkflowSide(loop, store, worker, "vm-0", TERMS);
+  private final WorkflowSideProcess side =
+      new WorkflowSideProcess(loop, store, worker, "vm-0", TERMS);
   private final ScriptedEntry entry;
 
-  WorkflowSideTest() throws IOException {
+  WorkflowSideProcessTest() throws IOException {
     entry = new ScriptedEntry();
   }
 
@@ -54,10 +55,10 @@
     timer.shutdownNow();
   }
 
-  private VmReport reportOfWorker() throws InterruptedException {
-    VmReport report = entry.report();
+  private VmReport awaitReportOfWorker() throws InterruptedException {
+    VmReport report = entry.awaitReport();
     while (!report.getWorker().equals(WORKER)) {
-      report = entry.report();
+      report = entry.awaitReport();
     }
     return report;
   }
@@ -70,7 +71,7 @@
     return lease.build();
   }
 
-  private void beat() {
+  private void sendHeartbeat() {
     side.heartbeat(
         new WorkerHeartbeat(
             WORKER,
@@ -89,14 +90,14 @@
    * tasks stayed at work for good, and no other owner's task could start there.
    */
   @Test
-  void aLeaseForAnotherLifeOfTheWorkerCountsForNothing() throws Exception {
+  void leaseForAnotherIncarnationIsIgnored() throws Exception {
     side.start();
     store
-        .asked()
+        .nextRequest()
         .complete(ScriptedOwnersStore.owners(Map.of(0, entry.member(), 1, entry.member())));
-    LinkConnection connection = entry.connection();
-    beat();
-    VmReport report = reportOfWorker();
+    LinkConnection connection = entry.awaitConnection();
+    sendHeartbeat();
+    VmReport report = awaitReportOfWorker();
     LeaseGrant ahead = evidence(report.getWorkerClock() + 1_000_000_000L);
     entry.send(connection, Frame.newBuilder().setLeaseGrant(ahead).build());
     entry.send(
@@ -106,7 +107,7 @@
             .build());
     StartRun start =
         StartRun.newBuilder()
-            .setTask(WorkflowRecords.encode(RUN))
+            .setTask(WorkflowCodec.encode(RUN))
             .setProgram("program")
             .setMilliProcessors(500)
             .build();
@@ -120,13 +121,14 @@
                     .setLease(evidence(report.getWorkerClock()))
                     .addStarts(start))
             .build());
-    while (reportOfWorker().getRunsList().stream().noneMatch(run -> run.getStarted())) {
+    while (awaitReportOfWorker().getRunsList().stream().noneMatch(run -> run.getStarted())) {
       // The next one tells.
     }
-    assertTrue(worker.leaseLeftMillis() <= TERMS.boundMillis(), "" + worker.leaseLeftMillis());
+    assertTrue(
+        worker.remainingLeaseMillis() <= TERMS.boundMillis(), "" + worker.remainingLeaseMillis());
   }
 
-  private Frame map(long generation, Map<Integer, String> owners) {
+  private Frame ownerMapFrame(long generation, Map<Integer, String> owners) {
     OwnerMap.Builder map =
         OwnerMap.newBuilder().setGeneration(generation).setDigest(owners.hashCode());
     owners.forEach(
@@ -141,29 +143,29 @@
    * for good, and told the living one that it had its map: the ends of its tasks were never heard.
    */
   @Test
-  void aLateAnswerOfTheStoreIsCorrectedByTheEntries() throws Exception {
+  void staleOwnersFromTheStoreAreCorrectedByEntries() throws Exception {
     ScriptedEntry died = new ScriptedEntry();
     final Map<Integer, String> before = Map.of(0, entry.member(), 1, died.member());
     final Map<Integer, String> after = Map.of(0, entry.member(), 1, entry.member());
     side.start();
-    store.asked().complete(ScriptedOwnersStore.owners(before));
-    LinkConnection connection = entry.connection();
-    died.connection();
+    store.nextRequest().complete(ScriptedOwnersStore.owners(before));
+    LinkConnection connection = entry.awaitConnection();
+    died.awaitConnection();
     died.close();
     // Asked since the dead entry is not reached; the answer is on its way for long.
-    var late = store.asked();
-    entry.send(connection, map(5, after));
-    while (entry.report().getOwnersDigest() != after.hashCode()) {
+    var late = store.nextRequest();
+    entry.send(connection, ownerMapFrame(5, after));
+    while (entry.awaitReport().getOwnersDigest() != after.hashCode()) {
       // The next one tells.
     }
     late.complete(ScriptedOwnersStore.owners(before));
-    while (entry.report().getOwnersDigest() == after.hashCode()) {
+    while (entry.awaitReport().getOwnersDigest() == after.hashCode()) {
       // The entry hears that it has to tell its map again.
     }
-    entry.send(connection, map(5, after));
-    int digest = entry.report().getOwnersDigest();
+    entry.send(connection, ownerMapFrame(5, after));
+    int digest = entry.awaitReport().getOwnersDigest();
     while (digest != after.hashCode()) {
-      digest = entry.report().getOwnersDigest();
+      digest = entry.awaitReport().getOwnersDigest();
     }
     assertEquals(after.hashCode(), digest);
     assertNotEquals(before.hashCode(), digest);
@@ -171,27 +173,27 @@
 
   /** Guards against ends that are told to an entry that has lost the store and its partitions. */
   @Test
-  void aMapOfALowerGenerationIsPassedOver() throws Exception {
+  void ownerMapOfALowerGenerationIsIgnored() throws Exception {
     ScriptedEntry former = new ScriptedEntry();
     final Map<Integer, String> before = Map.of(0, entry.member(), 1, former.member());
     final Map<Integer, String> after = Map.of(0, entry.member(), 1, entry.member());
     side.start();
-    store.asked().complete(ScriptedOwnersStore.owners(before));
-    LinkConnection connection = entry.connection();
-    former.connection();
-    entry.send(connection, map(6, after));
-    while (entry.report().getOwnersDigest() != after.hashCode()) {
+    store.nextRequest().complete(ScriptedOwnersStore.owners(before));
+    LinkConnection connection = entry.awaitConnection();
+    former.awaitConnection();
+    entry.send(connection, ownerMapFrame(6, after));
+    while (entry.awaitReport().getOwnersDigest() != after.hashCode()) {
       // The next one tells.
     }
-    beat();
-    reportOfWorker();
-    entry.send(connection, map(5, before));
+    sendHeartbeat();
+    awaitReportOfWorker();
+    entry.send(connection, ownerMapFrame(5, before));
     // Orders for another life of the worker are answered by a report.
     RunOrders orders = RunOrders.newBuilder().setNumber(1).setWorker("life-0").build();
     entry.send(connection, Frame.newBuilder().setRunOrders(orders).build());
-    VmReport report = entry.report();
+    VmReport report = entry.awaitReport();
     while (report.getOrdersSeen() != 1) {
-      report = entry.report();
+      report = entry.awaitReport();
     }
     assertEquals(after.hashCode(), report.getOwnersDigest());
     former.close();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowTestCluster.java
@@ -6,12 +6,12 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.time.MonotonicClock;
-import io.marigoldsail.workflow.AdviceTerms;
-import io.marigoldsail.workflow.LeaseTermsOfWorker;
+import io.marigoldsail.workflow.AdviserTiming;
 import io.marigoldsail.workflow.QueryResult;
 import io.marigoldsail.workflow.Queue;
 import io.marigoldsail.workflow.QueueTable;
 import io.marigoldsail.workflow.StepSpec;
+import io.marigoldsail.workflow.WorkerLeaseTerms;
 import io.marigoldsail.workflow.WorkflowSpec;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -29,22 +29,23 @@
 import java.util.function.BooleanSupplier;
 
 /** Entries and side processes over real links, with a store and workers in memory. */
-final class WorkflowWorld implements AutoCloseable {
+final class WorkflowTestCluster implements AutoCloseable {
   static final int PARTITIONS = 6;
 
   /** A service that a queue sends tasks to and that no VM runs. */
   static final String SERVICE_WITHOUT_VMS = "service-without-vms";
 
   private static final long LONGEST_LEASE_MILLIS = 4_000;
-  private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(40);
-  private static final long BEAT_MILLIS = 150;
+  private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(40);
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
 
   /** An entry with what the test needs to take it down. */
   record RunningEntry(
       WorkflowEntry entry, LinkLoop loop, String memberPrefix, RefusingStore store) {}
 
   /** A side process with its worker. */
-  record RunningSide(String vm, WorkflowSide side, LinkLoop loop, FakeWorkerGateway worker) {}
+  record RunningSide(
+      String vm, WorkflowSideProcess side, LinkLoop loop, FakeWorkerGateway worker) {}
 
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
   private final FakeWorkflowStore store = new FakeWorkflowStore(PARTITIONS, timer);
@@ -52,16 +53,16 @@
   private final FakeAdviser adviser = new FakeAdviser();
   private final List<RunningEntry> entries = new ArrayList<>();
   private final Map<String, RunningSide> sides = new HashMap<>();
-  private final LeaseTermsOfWorker lease;
-  private long beats;
+  private final WorkerLeaseTerms lease;
+  private long lastHeartbeat;
 
-  WorkflowWorld() {
+  WorkflowTestCluster() {
     this(LONGEST_LEASE_MILLIS);
   }
 
   /** Creates a world whose workers grant leases of this length at most. */
-  WorkflowWorld(long longestLeaseMillis) {
-    this.lease = LeaseTermsOfWorker.forLongestLease(longestLeaseMillis);
+  WorkflowTestCluster(long longestLeaseMillis) {
+    this.lease = WorkerLeaseTerms.forMaxLease(longestLeaseMillis);
   }
 
   FakeAdviser adviser() {
@@ -101,7 +102,7 @@
     LinkLoop loop = new LinkLoop("entry-" + port, MonotonicClock.system());
     InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
     RefusingStore reached = new RefusingStore(store);
-    EntryTerms terms = new EntryTerms(lease, keepEndedMillis, 1.5);
+    EntryParameters terms = new EntryParameters(lease, keepEndedMillis, 1.5);
     WorkflowEntry entry =
         new WorkflowEntry(loop, reached, address, System::currentTimeMillis, adviser, terms);
     entry.start();
@@ -123,8 +124,8 @@
             new Queue("idle", "", "/idle/", terms(SERVICE_WITHOUT_VMS), 1_000)));
   }
 
-  private static WorkflowSpec.Terms terms(String service) {
-    return new WorkflowSpec.Terms(service, 0, 3, Optional.empty(), 2, 100);
+  private static WorkflowSpec.QueuePolicy terms(String service) {
+    return new WorkflowSpec.QueuePolicy(service, 0, 3, Optional.empty(), 2, 100);
   }
 
   /**
@@ -154,10 +155,11 @@
 
   private void startSide(String vm, FakeWorkerGateway worker) {
     LinkLoop loop = new LinkLoop("side-" + vm, MonotonicClock.system());
-    WorkflowSide side = new WorkflowSide(loop, store, worker, vm, lease);
+    WorkflowSideProcess side = new WorkflowSideProcess(loop, store, worker, vm, lease);
     side.start();
     sides.put(vm, new RunningSide(vm, side, loop, worker));
-    timer.scheduleAtFixedRate(() -> beat(vm), 1, BEAT_MILLIS, TimeUnit.MILLISECONDS);
+    timer.scheduleAtFixedRate(
+        () -> sendHeartbeat(vm), 1, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Ends a side process as a kill does and starts another one beside the same worker. */
@@ -168,46 +170,46 @@
   }
 
   /** Has the VM's worker say what it is doing, and waits until its side process has heard it. */
-  void heartbeat(String vm) {
-    assertTrue(beat(vm).join(), "the heartbeat was not taken");
+  void heartbeatAndWait(String vm) {
+    assertTrue(sendHeartbeat(vm).join(), "the heartbeat was not taken");
   }
 
-  private synchronized CompletableFuture<Boolean> beat(String vm) {
+  private synchronized CompletableFuture<Boolean> sendHeartbeat(String vm) {
     RunningSide running = sides.get(vm);
-    if (running.worker().isSilent()) {
+    if (running.worker().isUnresponsive()) {
       return CompletableFuture.completedFuture(false);
     }
-    beats++;
+    lastHeartbeat++;
     return running
         .side()
         .heartbeat(
             new WorkerHeartbeat(
-                running.worker().life(),
+                running.worker().incarnation(),
                 "service",
                 "zone",
                 ImmutableList.of("a", "rack"),
                 "rack",
                 new Sizes(4_000, 1L << 33, 0),
-                running.worker().isLeaving(),
-                beats));
+                running.worker().isDraining(),
+                lastHeartbeat));
   }
 
   static WorkflowSpec workflow(long id, int... widths) {
-    return workflow(id, StepSpec.Nature.PLAIN, widths);
+    return workflow(id, StepSpec.TaskTraits.PLAIN, widths);
   }
 
-  static WorkflowSpec workflow(long id, StepSpec.Nature nature, int... widths) {
+  static WorkflowSpec workflow(long id, StepSpec.TaskTraits nature, int... widths) {
     return workflow(id, Optional.empty(), nature, widths);
   }
 
   /** Returns a workflow of a queue that wants placement advice. */
-  static WorkflowSpec advised(long id, int... widths) {
-    AdviceTerms advice = new AdviceTerms(1, 1, 60_000);
-    return workflow(id, Optional.of(advice), StepSpec.Nature.PLAIN, widths);
+  static WorkflowSpec workflowWithAdvice(long id, int... widths) {
+    AdviserTiming advice = new AdviserTiming(1, 1, 60_000);
+    return workflow(id, Optional.of(advice), StepSpec.TaskTraits.PLAIN, widths);
   }
 
   private static WorkflowSpec workflow(
-      long id, Optional<AdviceTerms> advice, StepSpec.Nature nature, int... widths) {
+      long id, Optional<AdviserTiming> advice, StepSpec.TaskTraits nature, int... widths) {
     ImmutableList.Builder<StepSpec> steps = ImmutableList.builder();
     for (int i = 0; i < widths.length; i++) {
       steps.add(
@@ -222,10 +224,10 @@
     return new WorkflowSpec(
         id,
         "queue",
-        new WorkflowSpec.Terms("service", 0, 3, advice, 2, 100),
+        new WorkflowSpec.QueuePolicy("service", 0, 3, advice, 2, 100),
         "program",
         steps.build(),
-        WorkflowSpec.Schedule.AT_ONCE,
+        WorkflowSpec.Schedule.IMMEDIATE,
         System.currentTimeMillis());
   }
 
@@ -235,7 +237,7 @@
 
   /** Waits for the condition; fails after far longer than it can take. */
   void await(String what, BooleanSupplier condition) {
-    long until = System.nanoTime() + PATIENCE_NANOS;
+    long until = System.nanoTime() + TIMEOUT_NANOS;
     while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < until, "not seen: " + what);
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
@@ -185,7 +185,7 @@
               kind.terms(),
               "",
               steps.build(),
-              WorkflowSpec.Schedule.AT_ONCE,
+              WorkflowSpec.Schedule.IMMEDIATE,
               FleetRun.EPOCH_MILLIS + at);
       drawn.add(new Arrival(at, kind, spec, lengths.build()));
     }
@@ -224,8 +224,8 @@
       ImmutableList<Integer> after =
           position == 0 ? ImmutableList.of() : ImmutableList.of(position - 1);
       boolean lasting = kind == WorkKind.LASTING;
-      StepSpec.Nature nature =
-          new StepSpec.Nature(
+      StepSpec.TaskTraits nature =
+          new StepSpec.TaskTraits(
               false,
               kind == WorkKind.HEAVY,
               false,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -3,17 +3,17 @@
 import static java.util.Objects.requireNonNull;
 
 import com.google.common.collect.ImmutableList;
-import io.marigoldsail.workflow.ImageHarm;
-import io.marigoldsail.workflow.ImageSums;
+import io.marigoldsail.workflow.ImageEvidenceAggregator;
+import io.marigoldsail.workflow.ImageInterference;
 import io.marigoldsail.workflow.Place;
-import io.marigoldsail.workflow.PlacementWish;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
 import io.marigoldsail.workflow.StepSpec;
+import io.marigoldsail.workflow.TaskPlacementRequest;
 import io.marigoldsail.workflow.Urgency;
 import io.marigoldsail.workflow.VmChooser;
 import io.marigoldsail.workflow.VmOffer;
-import io.marigoldsail.workflow.VmSpeed;
+import io.marigoldsail.workflow.VmSlowdownEstimator;
 import io.marigoldsail.workflow.WaitingOrder;
 import io.marigoldsail.workflow.Workflow;
 import io.marigoldsail.workflow.WorkflowSpec;
@@ -55,9 +55,9 @@
   private final List<Ended> ends = new ArrayList<>();
   private final Map<Long, double[]> windows = new HashMap<>();
   private final Map<Long, Double> took = new HashMap<>();
-  private final ImageHarm harm = new ImageHarm();
-  private final ImageSums images = new ImageSums();
-  private final VmSpeed speed = new VmSpeed();
+  private final ImageInterference harm = new ImageInterference();
+  private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
+  private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
   private final VmChooser chooser = VmChooser.of(FAR_RACK_FACTOR);
   private final FleetScore score = new FleetScore();
   private int arrived;
@@ -122,12 +122,12 @@
               Math.round(longest),
               step.dependsOn(),
               step.placement(),
-              step.nature()));
+              step.traits()));
     }
     return new WorkflowSpec(
         declared.id(),
         declared.queue(),
-        declared.terms(),
+        declared.policy(),
         declared.program(),
         ImmutableList.copyOf(steps),
         declared.schedule(),
@@ -152,25 +152,26 @@
         ends.add(new Ended(run, RunOutcome.DONE, now));
         sample(vm, run, now);
       } else {
-        run.task().observe("", run.progressPercent());
+        run.task().recordProgress("", run.progressPercent());
       }
     }
   }
 
   private void sample(FleetVm vm, FleetTask run, long now) {
-    if (!run.nature().fills()) {
+    if (!run.nature().bestEffort()) {
       long nanos = TimeUnit.MILLISECONDS.toNanos(now);
-      speed.sample(vm.place().vm(), run.task().step().estimateMillis(), run.ranMillis(now), nanos);
+      speed.addSample(
+          vm.place().vm(), run.task().step().estimateMillis(), run.ranMillis(now), nanos);
     }
   }
 
   private void shareImages() {
     for (FleetVm vm : vms) {
-      images.saw(vm.place().vm(), vm.harm().own());
+      images.update(vm.place().vm(), vm.harm().localEvidence());
     }
-    harm.others(images.all());
+    harm.setRemoteEvidence(images.total());
     for (FleetVm vm : vms) {
-      vm.harm().others(images.elsewhere(vm.place().vm()));
+      vm.harm().setRemoteEvidence(images.totalExcluding(vm.place().vm()));
     }
   }
 
@@ -180,7 +181,7 @@
         ends.remove(end);
         WorkflowTask task = end.run().task();
         Workflow workflow = task.workflow();
-        workflow.ended(end.run().key(), end.outcome(), "", EPOCH_MILLIS + now);
+        workflow.recordEnd(end.run().key(), end.outcome(), "", EPOCH_MILLIS + now);
         if (workflow.status().isTerminal()) {
           took.putIfAbsent(
               workflow.spec().id(), (double) EPOCH_MILLIS + now - workflow.spec().acceptedMillis());
@@ -197,7 +198,7 @@
     if (policy.knowsEffects()) {
       return day.presses(image, now) ? 1 : 0;
     }
-    return policy.learnsImages() ? harm.belief(image) : ImageHarm.UNKNOWN;
+    return policy.learnsImages() ? harm.belief(image) : ImageInterference.PRIOR_BELIEF;
   }
 
   /** A task that may start, with how much its place matters. */
@@ -211,7 +212,7 @@
     List<VmOffer> offers = offers(now);
     Set<Need> full = new HashSet<>();
     Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.isRoomy(offers);
+    boolean roomy = VmOffer.hasSpareCapacity(offers);
     for (Waiting each : waiting) {
       Workflow workflow = each.of().workflow();
       boolean mayStarve = roomy && !fed.contains(workflow);
@@ -225,8 +226,8 @@
       if (chosen.isPresent() && start(each.of(), each.task(), urgency, chosen.get().place(), now)) {
         fed.add(workflow);
         offers.remove(chosen.get());
-        String image = each.task().step().nature().image();
-        offers.add(chosen.get().after(each.task().step(), harmOf(image, now)));
+        String image = each.task().step().traits().image();
+        offers.add(chosen.get().afterPlacing(each.task().step(), harmOf(image, now)));
       } else {
         full.add(need);
       }
@@ -234,7 +235,7 @@
   }
 
   private List<Waiting> waiting(long now) {
-    record Ordered(Open open, WaitingOrder.Ranked rank) {}
+    record Ordered(Open open, WaitingOrder.Rank rank) {}
     long wall = EPOCH_MILLIS + now;
     List<Ordered> ordered = new ArrayList<>();
     for (Open each : open) {
@@ -263,7 +264,7 @@
     long nanos = TimeUnit.MILLISECONDS.toNanos(now);
     for (FleetVm vm : vms) {
       if (!day.isLost(vm.number(), now)) {
-        offers.add(vm.offer(speed.slowness(vm.place().vm(), nanos), now));
+        offers.add(vm.offer(speed.slowdown(vm.place().vm(), nanos), now));
       }
     }
     return offers;
@@ -271,10 +272,10 @@
 
   private Optional<VmOffer> choose(
       WorkflowTask task, Urgency urgency, List<VmOffer> offers, long now) {
-    double belief = harmOf(task.step().nature().image(), now);
-    PlacementWish wish =
-        new PlacementWish(task.workflow().spec(), task.step(), belief, urgency, "");
-    if (task.step().nature().serves() && !policy.packsServices()) {
+    double belief = harmOf(task.step().traits().image(), now);
+    TaskPlacementRequest wish =
+        new TaskPlacementRequest(task.workflow().spec(), task.step(), belief, urgency, "");
+    if (task.step().traits().isService() && !policy.packsServices()) {
       return offers.stream()
           .filter(
               offer ->
@@ -300,13 +301,13 @@
   }
 
   private boolean start(Open of, WorkflowTask task, Urgency urgency, Place place, long now) {
-    of.workflow().order(task, place);
+    of.workflow().startAttempt(task, place);
     double length = of.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
     FleetTask run = new FleetTask(task, length, now);
     if (vm(place).start(run, urgency, now)) {
       return true;
     }
-    of.workflow().ended(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
+    of.workflow().recordEnd(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
     return false;
   }
 
@@ -316,7 +317,7 @@
     }
     for (FleetVm vm : vms) {
       for (FleetTask run : vm.runs()) {
-        if (run.nature().serves()) {
+        if (run.nature().isService()) {
           double[] window = windows.computeIfAbsent(run.key().task().workflow(), id -> empty());
           window[0] += TICK_MILLIS;
           window[1] += run.isOver() ? TICK_MILLIS : 0;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
@@ -33,8 +33,8 @@
     return key;
   }
 
-  StepSpec.Nature nature() {
-    return task.step().nature();
+  StepSpec.TaskTraits nature() {
+    return task.step().traits();
   }
 
   String image() {
@@ -65,7 +65,7 @@
   }
 
   boolean isDone() {
-    return !nature().lasting() && doneMillis >= lengthMillis;
+    return !nature().longRunning() && doneMillis >= lengthMillis;
   }
 
   int progressPercent() {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -4,13 +4,13 @@
 
 import com.google.common.collect.ImmutableSet;
 import io.marigoldsail.job.Sizes;
-import io.marigoldsail.workflow.FillPacer;
-import io.marigoldsail.workflow.ImageHarm;
+import io.marigoldsail.workflow.BestEffortThrottler;
+import io.marigoldsail.workflow.ImageInterference;
+import io.marigoldsail.workflow.InterferenceBudget;
 import io.marigoldsail.workflow.Overcommit;
 import io.marigoldsail.workflow.Place;
-import io.marigoldsail.workflow.RoomLedger;
+import io.marigoldsail.workflow.ResourceLedger;
 import io.marigoldsail.workflow.StepSpec;
-import io.marigoldsail.workflow.SuspectRoom;
 import io.marigoldsail.workflow.Urgency;
 import io.marigoldsail.workflow.VmOffer;
 import java.util.ArrayList;
@@ -47,9 +47,9 @@
   private final int number;
   private final long capacityMilli;
   private final Overcommit overcommit = new Overcommit();
-  private final RoomLedger room = new RoomLedger(overcommit);
+  private final ResourceLedger room = new ResourceLedger(overcommit);
   private final Pacing pacing;
-  private final ImageHarm harm = new ImageHarm();
+  private final ImageInterference harm = new ImageInterference();
   private final Draws noise;
   private final Map<String, FleetTask> runs = new LinkedHashMap<>();
   private long listedMillis;
@@ -77,7 +77,7 @@
     return List.copyOf(runs.values());
   }
 
-  ImageHarm harm() {
+  ImageInterference harm() {
     return harm;
   }
 
@@ -85,19 +85,20 @@
     if (policy.knowsEffects()) {
       return day.presses(image, millis);
     }
-    return ImageHarm.isSuspect(policy.learnsImages() ? harm.belief(image) : ImageHarm.UNKNOWN);
+    return ImageInterference.isInterfering(
+        policy.learnsImages() ? harm.belief(image) : ImageInterference.PRIOR_BELIEF);
   }
 
   private long suspectMilli(long millis) {
     return (long)
         runs.values().stream()
-            .filter(run -> run.nature().fills() && isSuspect(run.image(), millis))
+            .filter(run -> run.nature().bestEffort() && isSuspect(run.image(), millis))
             .mapToDouble(FleetTask::declaredMilli)
             .sum();
   }
 
   private int serving() {
-    return (int) runs.values().stream().filter(run -> run.nature().serves()).count();
+    return (int) runs.values().stream().filter(run -> run.nature().isService()).count();
   }
 
   /** Returns what the VM offers, as its owner is told. */
@@ -109,7 +110,7 @@
         "",
         room.capacity(),
         room.free(),
-        room.fillMilliProcessors(),
+        room.bestEffortMilliProcessors(),
         policy.boundsSuspects() ? suspectMilli(millis) : 0,
         room.overcommitMilliProcessors(),
         serving(),
@@ -119,18 +120,19 @@
   /** Starts the run, or returns false for want of room. */
   boolean start(FleetTask run, Urgency urgency, long millis) {
     StepSpec step = run.task().step();
-    boolean bound = run.nature().fills() && urgency != Urgency.STARVED && policy.boundsSuspects();
+    boolean bound =
+        run.nature().bestEffort() && urgency != Urgency.STARVED && policy.boundsSuspects();
     if (bound && serving() > 0 && isSuspect(run.image(), millis)) {
       long declared = step.sizes().milliProcessors();
-      if (!SuspectRoom.admits(capacityMilli, suspectMilli(millis), declared)) {
+      if (!InterferenceBudget.admits(capacityMilli, suspectMilli(millis), declared)) {
         return false;
       }
     }
     if (!room.tryBook(
-        run.key(), new RoomLedger.Claim(step.sizes(), run.nature().fills(), urgency))) {
+        run.key(), new ResourceLedger.Claim(step.sizes(), run.nature().bestEffort(), urgency))) {
       return false;
     }
-    if (run.nature().fills()) {
+    if (run.nature().bestEffort()) {
       run.pace(pacing.percent(isSuspect(run.image(), millis)));
     }
     runs.put(run.key().toString(), run);
@@ -149,9 +151,9 @@
     double plainUse = 0;
     double asked = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().serves()) {
+      if (run.nature().isService()) {
         serviceUse += run.declaredMilli() * load(run, millis);
-      } else if (run.nature().fills()) {
+      } else if (run.nature().bestEffort()) {
         asked += askedMilli(run);
       } else {
         plainUse += run.declaredMilli();
@@ -163,12 +165,12 @@
     double weight = Math.min(1, forMillis / READING_MILLIS);
     double pressure = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().fills()) {
+      if (run.nature().bestEffort()) {
         double used = askedMilli(run) * share;
         pressure += day.pressure(run.image(), millis) * used / capacityMilli;
         run.uses(used, weight);
         run.work(forMillis, run.percent() / 100.0 * share / slowness);
-      } else if (!run.nature().serves()) {
+      } else if (!run.nature().isService()) {
         run.work(forMillis, 1 / slowness);
       }
     }
@@ -177,7 +179,7 @@
 
   private void answer(long millis, double pressure, double weight) {
     for (FleetTask run : runs.values()) {
-      if (run.nature().serves()) {
+      if (run.nature().isService()) {
         double left = Math.max(LEAST_LEFT, 1 - load(run, millis) - pressure);
         run.answers(IDLE_TAIL_MILLIS / left, weight);
       }
@@ -202,41 +204,43 @@
       return;
     }
     listedMillis = millis;
-    List<FillPacer.Reading> readings = readings();
-    double worst = FillPacer.worstPercent(readings);
-    List<ImageHarm.Filling> fillings = fillings();
+    List<BestEffortThrottler.TailReading> readings = readings();
+    double worst = BestEffortThrottler.worstPercent(readings);
+    List<ImageInterference.ImageLoad> fillings = fillings();
     if (!readings.isEmpty()) {
       harm.observe(fillings, worst);
     }
     observeAttained(worst);
     pacing.observe(readings, filling(millis), TimeUnit.MILLISECONDS.toNanos(millis));
     for (FleetTask run : runs.values()) {
-      if (run.nature().fills()) {
+      if (run.nature().bestEffort()) {
         run.pace(pacing.percent(isSuspect(run.image(), millis)));
       }
     }
   }
 
-  private List<FillPacer.Reading> readings() {
-    List<FillPacer.Reading> readings = new ArrayList<>();
+  private List<BestEffortThrottler.TailReading> readings() {
+    List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (FleetTask run : runs.values()) {
-      if (run.nature().serves()) {
+      if (run.nature().isService()) {
         double rough = noise.logNormal(1, READING_SPREAD, 2);
-        readings.add(new FillPacer.Reading(Math.round(run.tailMillis() * rough), TARGET_MILLIS));
+        readings.add(
+            new BestEffortThrottler.TailReading(
+                Math.round(run.tailMillis() * rough), TARGET_MILLIS));
       }
     }
     return readings;
   }
 
-  private List<ImageHarm.Filling> fillings() {
+  private List<ImageInterference.ImageLoad> fillings() {
     Map<String, Double> worked = new HashMap<>();
     for (FleetTask run : runs.values()) {
-      if (run.nature().fills()) {
+      if (run.nature().bestEffort()) {
         worked.merge(run.image(), run.usedMilli(), Double::sum);
       }
     }
-    List<ImageHarm.Filling> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageHarm.Filling(image, milli)));
+    List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
+    worked.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
     return fillings;
   }
 
@@ -248,7 +252,7 @@
     double asked = 0;
     double used = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().fills() && run.usedMilli() > 0 && run.percent() > 0) {
+      if (run.nature().bestEffort() && run.usedMilli() > 0 && run.percent() > 0) {
         asked += run.declaredMilli() * run.percent() / 100;
         used += run.usedMilli();
       }
@@ -256,22 +260,23 @@
     overcommit.observe(asked, used, worst);
   }
 
-  private FillPacer.Filling filling(long millis) {
+  private BestEffortThrottler.BestEffortLoad filling(long millis) {
     long suspect = suspectMilli(millis);
-    long all = room.fillMilliProcessors();
-    return new FillPacer.Filling(suspect, Math.max(0, all - suspect), capacityMilli);
+    long all = room.bestEffortMilliProcessors();
+    return new BestEffortThrottler.BestEffortLoad(
+        suspect, Math.max(0, all - suspect), capacityMilli);
   }
 
   /** Gives what services can bear now to the images that press least. */
   private void paceByEffects(long millis) {
     double bearable = 100;
     for (FleetTask run : runs.values()) {
-      if (run.nature().serves()) {
+      if (run.nature().isService()) {
         bearable = Math.min(bearable, ORACLE_USED - load(run, millis));
       }
     }
     List<FleetTask> fills = new ArrayList<>(runs.values());
-    fills.removeIf(run -> !run.nature().fills());
+    fills.removeIf(run -> !run.nature().bestEffort());
     fills.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
     for (FleetTask run : fills) {
       double full =
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
@@ -1,29 +1,34 @@
 package io.marigoldsail.testlib.interference;
 
-import io.marigoldsail.workflow.FillPacer;
+import io.marigoldsail.workflow.BestEffortThrottler;
 import java.util.List;
 
 /** Decides at which speed tasks that fill work beside services on one VM. */
 interface Pacing {
   /** Takes the newest tails and what is beside them. */
-  void observe(List<FillPacer.Reading> readings, FillPacer.Filling filling, long nowNanos);
+  void observe(
+      List<BestEffortThrottler.TailReading> readings,
+      BestEffortThrottler.BestEffortLoad filling,
+      long nowNanos);
 
   /** Returns the speed of a task, in percent. */
   int percent(boolean suspect);
 
   /** The product's own. */
   static Pacing ofProduct() {
-    FillPacer pacer = new FillPacer();
+    BestEffortThrottler pacer = new BestEffortThrottler();
     return new Pacing() {
       @Override
       public void observe(
-          List<FillPacer.Reading> readings, FillPacer.Filling filling, long nowNanos) {
+          List<BestEffortThrottler.TailReading> readings,
+          BestEffortThrottler.BestEffortLoad filling,
+          long nowNanos) {
         pacer.observe(readings, filling, nowNanos);
       }
 
       @Override
       public int percent(boolean suspect) {
-        return suspect ? pacer.percent() : pacer.harmlessPercent();
+        return suspect ? pacer.interferingPercent() : pacer.benignPercent();
       }
     };
   }
@@ -33,7 +38,9 @@
     return new Pacing() {
       @Override
       public void observe(
-          List<FillPacer.Reading> readings, FillPacer.Filling filling, long nowNanos) {
+          List<BestEffortThrottler.TailReading> readings,
+          BestEffortThrottler.BestEffortLoad filling,
+          long nowNanos) {
         // Nothing changes the speed.
       }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/SpeedPacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/SpeedPacing.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.testlib.interference;
 
-import io.marigoldsail.workflow.FillPacer;
+import io.marigoldsail.workflow.BestEffortThrottler;
 import java.util.List;
 
 /**
@@ -23,15 +23,18 @@
   private int overInRow;
 
   @Override
-  public void observe(List<FillPacer.Reading> readings, FillPacer.Filling filling, long nowNanos) {
-    boolean suspects = filling.suspectMilli() > 0;
-    if (readings.isEmpty() || (!suspects && filling.harmlessMilli() == 0)) {
+  public void observe(
+      List<BestEffortThrottler.TailReading> readings,
+      BestEffortThrottler.BestEffortLoad filling,
+      long nowNanos) {
+    boolean suspects = filling.interferingMilli() > 0;
+    if (readings.isEmpty() || (!suspects && filling.benignMilli() == 0)) {
       percent = readings.isEmpty() ? 100 : FIRST_PERCENT;
       harmlessPercent = 100;
       overInRow = 0;
       return;
     }
-    double worst = FillPacer.worstPercent(readings);
+    double worst = BestEffortThrottler.worstPercent(readings);
     overInRow = worst > OVER_PERCENT ? overInRow + 1 : 0;
     if (worst > HIGH_PERCENT) {
       slowDown(worst);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
@@ -34,8 +34,8 @@
     return slackFactor * chainMillis + objectiveMillis;
   }
 
-  WorkflowSpec.Terms terms() {
-    return new WorkflowSpec.Terms(
+  WorkflowSpec.QueuePolicy terms() {
+    return new WorkflowSpec.QueuePolicy(
         FleetDay.SERVICE, priority, 4, Optional.empty(), slackFactor, objectiveMillis);
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
@@ -24,7 +24,7 @@
   private int next;
 
   @Override
-  public List<Decision> arrived(Arrival arrival, long now) {
+  public List<Decision> requestArrived(Arrival arrival, long now) {
     return send(arrival, 1);
   }
 
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public List<Decision> reported(String vm, TargetLoad load, long now) {
+  public List<Decision> loadReported(String vm, TargetLoad load, long now) {
     return List.of();
   }
 
@@ -57,7 +57,7 @@
   }
 
   @Override
-  public List<Decision> callerGone(long request, long now) {
+  public List<Decision> callerDisconnected(long request, long now) {
     pending.remove(request);
     return List.of();
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
@@ -71,12 +71,12 @@
     String caller = "caller-" + random.nextInt(2_000);
     String key = "key-" + random.nextInt(2_000);
     carryOut(
-        scheduler.arrived(
+        scheduler.requestArrived(
             new Arrival(number++, "service", caller, key, true, now, now + DEADLINE_NANOS), now));
   }
 
   private void end(Decision.Send send) {
-    carryOut(scheduler.reported(send.vm(), new TargetLoad(SLOTS, 1, 3, false), now));
+    carryOut(scheduler.loadReported(send.vm(), new TargetLoad(SLOTS, 1, 3, false), now));
     carryOut(scheduler.attemptEnded(send.request(), send.vm(), AttemptOutcome.ANSWERED, now));
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
@@ -43,7 +43,7 @@
     open.put(call.number, call);
     Call.Plan plan = call.plan;
     apply(
-        policy.arrived(
+        policy.requestArrived(
             new Arrival(
                 call.number,
                 SERVICE,
@@ -56,7 +56,7 @@
   }
 
   void reported(String vm, TargetLoad load) {
-    apply(policy.reported(vm, load, events.now()));
+    apply(policy.loadReported(vm, load, events.now()));
   }
 
   private void apply(List<Decision> decisions) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
@@ -83,7 +83,8 @@
       random = new Random(seed);
       Interference interference = new Interference();
       for (int team = 0; team < TEAMS; team++) {
-        interference.measured("team-" + team + "/p", Map.of("team-" + (team + 1) + "/p", 1.0), 2);
+        interference.recordMeasurement(
+            "team-" + team + "/p", Map.of("team-" + (team + 1) + "/p", 1.0), 2);
       }
       placer = new Placer(new InterferenceCosts(interference), new Random(seed));
       for (int i = 0; i < vms; i++) {
@@ -168,10 +169,10 @@
       Set<String> onTheirWay = new HashSet<>();
       for (Append append : appends) {
         onTheirWay.add(append.claim().task());
-        fleet.take(append.claim().registration(), "p", append.claim().sizes());
+        fleet.allocate(append.claim().registration(), "p", append.claim().sizes());
       }
-      waiting.forEach(job -> reserve.seen(job.spec().sizes(), job.spec().urgent(), now));
-      fleet.reserve(reserve.each(fleet.meanCapacity(), now), reserve.count(vms));
+      waiting.forEach(job -> reserve.observe(job.spec().sizes(), job.spec().urgent(), now));
+      fleet.reserveVms(reserve.perVm(fleet.meanCapacity(), now), reserve.vmCount(vms));
       QueueOrder order =
           new QueueOrder(
               waiting, table.bookedByTeam(), team -> TeamQuota.DEFAULT, fleet.capacity(), now);
@@ -197,8 +198,8 @@
         PlacementRequest request =
             new PlacementRequest(job.spec(), task, job.spec().sizes(), Map.of());
         if (placer.place(request, fleet) instanceof PlacementDecision.Chosen chosen) {
-          VmState vm = chosen.room().state();
-          fleet.take(vm.registration(), job.spec().program(), TASK);
+          VmState vm = chosen.candidate().state();
+          fleet.allocate(vm.registration(), job.spec().program(), TASK);
           appends.add(
               new Append(
                   now + APPEND_MILLIS,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.dispatch.RequestScheduler;
 import io.marigoldsail.dispatch.SchedulerSettings;
 import io.marigoldsail.dispatch.ServiceLimits;
-import io.marigoldsail.dispatch.WaitingRoom;
+import io.marigoldsail.dispatch.TargetQueueLimit;
 import java.util.Locale;
 import java.util.SplittableRandom;
 
@@ -22,7 +22,7 @@
 
     @Override
     int waitingPlaces(int slots) {
-      return WaitingRoom.placesFor(slots);
+      return TargetQueueLimit.forSlots(slots);
     }
   },
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
@@ -12,9 +12,9 @@
 import io.marigoldsail.job.VmDescription;
 import io.marigoldsail.job.VmState;
 import io.marigoldsail.lease.LeaseTerms;
+import io.marigoldsail.placement.CandidateVm;
 import io.marigoldsail.placement.Fleet;
 import io.marigoldsail.placement.PlacementRequest;
-import io.marigoldsail.placement.VmRoom;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -232,7 +232,7 @@
           if (now == revokeAt) {
             append(new TaskRecord.VmRevoked(vm.name(), registration, "silent"));
           }
-          if (now == roundUp(revokeAt + LeaseTerms.surelyOverMillis(LEASE_MILLIS))) {
+          if (now == roundUp(revokeAt + LeaseTerms.maxRemainingMillis(LEASE_MILLIS))) {
             append(new TaskRecord.VmCleared(vm.name(), registration, LEASE_MILLIS));
           }
         });
@@ -335,11 +335,11 @@
     Fleet fleet =
         new Fleet(
             table.vms(), vm -> !vmOf(vm.vm()).dead() && decider.usable(vm, now), table::programsOn);
-    fleet.keep(table.preemptions());
+    fleet.reservePreempted(table.preemptions());
     appends.forEach(
         append -> {
           if (append.record() instanceof TaskRecord.Claimed claim) {
-            fleet.take(claim.registration(), programOf(claim.task()), claim.sizes());
+            fleet.allocate(claim.registration(), programOf(claim.task()), claim.sizes());
           }
         });
     decider.prepare(jobs, fleet, now);
@@ -418,14 +418,14 @@
 
   private boolean claim(JobState job, TaskState task, Fleet fleet) {
     Sizes sizes = decider.booking(job.spec());
-    Optional<VmRoom> room =
+    Optional<CandidateVm> room =
         decider.place(new PlacementRequest(job.spec(), task, sizes, Map.of()), fleet);
     if (room.isEmpty()) {
       preempt(job, task, fleet);
       return false;
     }
     VmState vm = room.get().state();
-    fleet.take(vm.registration(), job.spec().program(), sizes);
+    fleet.allocate(vm.registration(), job.spec().program(), sizes);
     onTheirWay.put(task.name(), sizes);
     append(
         new TaskRecord.Claimed(
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
@@ -2,7 +2,7 @@
 
 import io.marigoldsail.guard.Guard;
 import io.marigoldsail.guard.GuardAction;
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.guard.GuardedTask;
 import io.marigoldsail.guard.MemoryGuard;
 import io.marigoldsail.guard.PreemptableTask;
@@ -14,6 +14,7 @@
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.TaskTable;
 import io.marigoldsail.job.VmState;
+import io.marigoldsail.placement.CandidateVm;
 import io.marigoldsail.placement.Fleet;
 import io.marigoldsail.placement.Interference;
 import io.marigoldsail.placement.InterferenceCosts;
@@ -22,8 +23,7 @@
 import io.marigoldsail.placement.Placer;
 import io.marigoldsail.placement.SizeEstimates;
 import io.marigoldsail.placement.UrgentReserve;
-import io.marigoldsail.placement.UsageLearning;
-import io.marigoldsail.placement.VmRoom;
+import io.marigoldsail.placement.UsageLearner;
 import io.marigoldsail.placement.WorkerHealth;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -47,7 +47,7 @@
   default void prepare(List<JobState> jobs, Fleet fleet, long nowMillis) {}
 
   /** Returns the VM for the task. */
-  Optional<VmRoom> place(PlacementRequest request, Fleet fleet);
+  Optional<CandidateVm> place(PlacementRequest request, Fleet fleet);
 
   /** Returns who goes so that an urgent task fits somewhere. */
   default Optional<Preemptor.Choice> preempt(
@@ -65,20 +65,21 @@
   final class Product implements TaskDecider {
     private final SizeEstimates estimates = new SizeEstimates();
     private final Interference interference = new Interference();
-    private final UsageLearning learning = new UsageLearning(estimates, interference);
+    private final UsageLearner learning = new UsageLearner(estimates, interference);
     private final UrgentReserve reserve = new UrgentReserve();
     private final WorkerHealth health = new WorkerHealth();
     private final Map<String, Guard> guards = new HashMap<>();
     private final Preemptor preemptor = new Preemptor();
     private final Placer placer;
-    private final GuardTerms terms;
+    private final GuardPolicy terms;
     private long nowMillis;
 
-    Product(TaskTable table, GuardTerms terms, long seed) {
+    Product(TaskTable table, GuardPolicy terms, long seed) {
       this.terms = terms;
       this.placer = new Placer(new InterferenceCosts(interference), new Random(seed));
-      table.addEndListener((vm, job, ok) -> health.ended(vm, job, ok, nowMillis));
-      table.addEvictionListener(vm -> preemptor.evicted(terms, vm, nowMillis * NANOS_PER_MILLI));
+      table.addEndListener((vm, job, ok) -> health.recordEnd(vm, job, ok, nowMillis));
+      table.addEvictionListener(
+          vm -> preemptor.recordEviction(terms, vm, nowMillis * NANOS_PER_MILLI));
     }
 
     @Override
@@ -89,25 +90,25 @@
     @Override
     public boolean usable(VmState vm, long now) {
       nowMillis = now;
-      return health.usable(vm.vm(), vm.tasks(), now);
+      return health.isUsable(vm.vm(), vm.tasks(), now);
     }
 
     @Override
     public void prepare(List<JobState> jobs, Fleet fleet, long now) {
       for (JobState job : jobs) {
         if (job.waiting() > 0) {
-          reserve.seen(booking(job.spec()), job.spec().urgent(), now);
+          reserve.observe(booking(job.spec()), job.spec().urgent(), now);
         }
       }
       placer.beginRound();
-      Sizes each = reserve.each(fleet.meanCapacity(), now);
-      fleet.reserve(each, reserve.count(fleet.rooms().size()));
+      Sizes each = reserve.perVm(fleet.meanCapacity(), now);
+      fleet.reserveVms(each, reserve.vmCount(fleet.candidates().size()));
     }
 
     @Override
-    public Optional<VmRoom> place(PlacementRequest request, Fleet fleet) {
+    public Optional<CandidateVm> place(PlacementRequest request, Fleet fleet) {
       return placer.place(request, fleet) instanceof PlacementDecision.Chosen chosen
-          ? Optional.of(chosen.room())
+          ? Optional.of(chosen.candidate())
           : Optional.empty();
     }
 
@@ -117,8 +118,8 @@
       Map<String, ModelVm> byName = new HashMap<>();
       vms.forEach(vm -> byName.put(vm.name(), vm));
       List<PreemptableVm> full = new ArrayList<>();
-      for (VmRoom room : fleet.rooms()) {
-        if (!room.preempting()) {
+      for (CandidateVm room : fleet.candidates()) {
+        if (!room.isPreempting()) {
           List<PreemptableTask> tasks =
               byName.get(room.vm()).tasks().stream().map(task -> task.preemptable(now)).toList();
           full.add(new PreemptableVm(room.vm(), room.state().registration(), room.free(), tasks));
@@ -145,11 +146,11 @@
 
     @Override
     public void measured(ModelVm vm, List<ModelTask> tasks, long nowMillis) {
-      List<UsageLearning.Measured> measured =
+      List<UsageLearner.TaskMeasurement> measured =
           tasks.stream()
               .map(
                   task ->
-                      new UsageLearning.Measured(
+                      new UsageLearner.TaskMeasurement(
                           task.spec().program(), task.used(), vm.slowdown(task), task.throttle()))
               .toList();
       double pressure = vm.reading(nowMillis).map(ServiceReading::pressure).orElse(0.0);
@@ -170,8 +171,10 @@
     }
 
     @Override
-    public Optional<VmRoom> place(PlacementRequest request, Fleet fleet) {
-      return fleet.rooms().stream().filter(room -> request.sizes().fitsIn(room.free())).findFirst();
+    public Optional<CandidateVm> place(PlacementRequest request, Fleet fleet) {
+      return fleet.candidates().stream()
+          .filter(room -> request.sizes().fitsIn(room.free()))
+          .findFirst();
     }
 
     @Override
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPattern.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPattern.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.testlib.measure;
 
-import io.marigoldsail.guard.GuardTerms;
+import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.job.TaskTable;
 
 /** Tasks beside services, with one disturbance in one deployment. */
@@ -27,8 +27,8 @@
     TaskTable baselineTable = new TaskTable();
     TaskScore baseline = bench(new TaskDecider.Baseline(), baselineTable, false, seed).run();
     TaskTable table = new TaskTable();
-    GuardTerms terms =
-        deployment == Deployment.VATULELE ? GuardTerms.VATULELE : GuardTerms.KITAMIZORA;
+    GuardPolicy terms =
+        deployment == Deployment.VATULELE ? GuardPolicy.VATULELE : GuardPolicy.KITAMIZORA;
     TaskScore product = bench(new TaskDecider.Product(table, terms, seed), table, true, seed).run();
     add(rows, PRODUCT, product, reference, baseline);
     add(rows, BASELINE, baseline, reference, baseline);
