--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
@@ -28,8 +28,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The attempts of an entry that are in flight. Sends them, matches responses by id, and resolves
- * their outcome over a new connection if the one that they were sent on is lost.
+ * Tracks the attempts of an entry that are in flight: sends them, matches responses by id, and
+ * resolves their outcome over a new connection if the one that they were sent on is lost.
  *
  * <p>Confined to the loop's thread.
  */
@@ -85,11 +85,9 @@
   void start(PendingRequest request, Decision.Send send) {
     TargetPool pool = pools.byVm(send.vm());
     if (pool != null && pool.isGoingAway()) {
-      // A request sent after the GOAWAY was acknowledged has an unknown outcome, because the
-      // process
-      // may have exited. The policy may still choose the target by an older report that was
-      // received
-      // late on another connection.
+      // A request sent after the GOAWAY was acknowledged has an unknown outcome, as the process may
+      // have exited. The policy may still choose the target by a stale report from another
+      // connection.
       String detail = "side process of " + send.vm() + " is shutting down";
       Failure failure = new Failure(ErrorKind.SHUTTING_DOWN, detail, 1_000);
       listener.attemptEnded(request, AttemptOutcome.NOT_RUN, null, failure);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerLimits.java
@@ -23,7 +23,7 @@
     checkArgument(maxConnections > 0, "maxConnections is not positive: %s", maxConnections);
     checkArgument(
         bodyBudgetBytes >= BodyLimits.MAX_BYTES,
-        "bodyBytes is less than one body: %s",
+        "bodyBudgetBytes is less than one body: %s",
         bodyBudgetBytes);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -97,10 +97,8 @@
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
     threads.setName("callers");
     // After malformed HTTP, Jetty 12.1.13 gives one pooled buffer to two connections: a valid
-    // request
-    // on another connection is then answered with 400, or even read as another caller's. Buffers
-    // that
-    // are not pooled are not shared; on the heap they are cheap to discard.
+    // request on another connection is then answered with 400, or even read as another caller's.
+    // Buffers that are not pooled are not shared; on the heap they are cheap to discard.
     this.server = new Server(threads, null, new ByteBufferPool.NonPooling());
     this.connector = newConnector();
     server.addConnector(connector);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
@@ -35,7 +35,7 @@
   private final CompletableFuture<Void> drained = new CompletableFuture<>();
   private boolean begun;
   private boolean activity;
-  private long giveUpAt;
+  private long deadline;
 
   /**
    * Creates a drain for a process that is not stopping yet.
@@ -87,8 +87,8 @@
 
   /** Starts to wait for the drain, once no request is pending; later calls have no effect. */
   void completeWhenDrained() {
-    if (giveUpAt == 0) {
-      giveUpAt = loop.now() + DRAIN_TIMEOUT_NANOS;
+    if (deadline == 0) {
+      deadline = loop.now() + DRAIN_TIMEOUT_NANOS;
       pollDrained();
     }
   }
@@ -99,7 +99,7 @@
   }
 
   private void pollDrained() {
-    if (isDrained() || giveUpAt - loop.now() <= 0) {
+    if (isDrained() || deadline - loop.now() <= 0) {
       drained.complete(null);
       return;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -47,7 +47,7 @@
 
   private static final long NO_OWNER_RETRY_AFTER_MILLIS = 1_000;
 
-  /** Back-off after the first time that the owner of a key has no free slot. */
+  /** The delay after the first overload rejection by the owner of a key; doubles each time. */
   private static final long OWNER_RETRY_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private static final int MAX_OWNER_BACKOFF_DOUBLINGS = 8;
@@ -83,7 +83,7 @@
    *     used here
    * @param detectsRepeats whether the targets of a service detect repeated idempotency keys
    * @param events records the request's events
-   * @param random jitter of the connection back-off
+   * @param random jitter of the reconnect backoff
    */
   public EntryDispatcher(
       LinkLoop loop,
@@ -152,7 +152,7 @@
     return drained;
   }
 
-  /** Closes all connections; pending requests get no response, so {@link #beginStop} first. */
+  /** Closes all connections; pending requests get no response, so call {@link #beginStop} first. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -207,7 +207,7 @@
    *
    * <p>Only the owner may run it, so it does not wait in this entry: the owner queues or rejects
    * it. Overload rejections are retried here until the deadline; after any other outcome the caller
-   * may retry with the same key. If the owner is not reachable and the target targetDetectsRepeats
+   * may retry with the same key. If the owner is not reachable and the target detects
    * repeats, the request may go to any target.
    */
   private void sendToOwner(PendingRequest request, KeyShardTable table) {
@@ -215,7 +215,7 @@
     boolean targetDetectsRepeats = detectsRepeats.test(service);
     int shard = KeyShards.of(request.request().idempotencyKey());
     ShardOwner owner = table.owner(service, shard).orElse(null);
-    // A leaving owner rejects everything, and a request sent as it exits has an unknown outcome.
+    // A draining owner rejects everything, and a request sent as it exits has an unknown outcome.
     if (owner == null || !attempts.pools().acceptsRequests(owner.vm(), owner.incarnation())) {
       if (targetDetectsRepeats) {
         submitToPolicy(request);
@@ -309,7 +309,7 @@
   }
 
   /**
-   * Schedules another attempt at the owner with exponential back-off; returns false if the deadline
+   * Schedules another attempt at the owner with exponential backoff; returns false if the deadline
    * is earlier.
    *
    * <p>A key has a single owner, and one that has just started stalls briefly: without the retry 4
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The frames of shards that are handed over: chunks of one shard each, at least one a shard. */
+/** The frames of shards that are handed over: one or more per shard, each with a chunk of keys. */
 final class HandoverFrames implements FrameStream {
   /** A shard with its final keys. */
   record Shard(HandedShard shardId, List<CompletedKey<TargetOutcome>> keys) {}
@@ -71,14 +71,14 @@
     remaining.clear();
   }
 
-  private static HandedKey encode(CompletedKey<TargetOutcome> ended, long now) {
+  private static HandedKey encode(CompletedKey<TargetOutcome> completedKey, long now) {
     HandedKey.Builder key =
         HandedKey.newBuilder()
-            .setKey(ended.key())
-            .setFingerprint(ended.fingerprint())
+            .setKey(completedKey.key())
+            .setFingerprint(completedKey.fingerprint())
             .setRemainingMillis(
-                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.expiresAt() - now)) + 1);
-    TargetOutcome outcome = ended.outcome().orElse(null);
+                TimeUnit.NANOSECONDS.toMillis(Math.max(0, completedKey.expiresAt() - now)) + 1);
+    TargetOutcome outcome = completedKey.outcome().orElse(null);
     if (outcome instanceof TargetOutcome.NoResponse missing) {
       key.setLost(missing.detail());
     } else if (outcome instanceof TargetOutcome.InvalidResponse invalid) {
@@ -102,7 +102,7 @@
   /** Decodes a key; its time in transit extends the time until it expires. */
   static CompletedKey<TargetOutcome> decode(HandedKey key, long now) {
     long remaining = TimeUnit.MILLISECONDS.toNanos(key.getRemainingMillis());
-    long forgetAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
+    long expiresAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
     Optional<TargetOutcome> outcome =
         switch (key.getOutcomeCase()) {
           case ANSWERED -> Optional.of(decodeResponse(key.getAnswered()));
@@ -111,7 +111,7 @@
           case OUTCOME_NOT_SET -> Optional.empty();
         };
     ByteString body = key.getAnswered().getBody();
-    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
+    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), expiresAt);
   }
 
   private static TargetOutcome decodeResponse(KeptAnswer retained) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -20,8 +20,8 @@
   private final LinkLoop loop;
   private final long processIncarnation;
   private final EntryChannel entries;
-  private final KeyedRequests keys;
-  private final BooleanSupplier leaving;
+  private final KeyedRequests keyedRequests;
+  private final BooleanSupplier draining;
   private ShardHandoverSender handoverSender;
   private boolean handedOver;
 
@@ -29,13 +29,13 @@
       LinkLoop loop,
       long processIncarnation,
       EntryChannel entries,
-      KeyedRequests keys,
-      BooleanSupplier leaving) {
+      KeyedRequests keyedRequests,
+      BooleanSupplier draining) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
     this.entries = entries;
-    this.keys = keys;
-    this.leaving = leaving;
+    this.keyedRequests = keyedRequests;
+    this.draining = draining;
   }
 
   /** Handles a frame of an entry; may be called from any thread. */
@@ -44,11 +44,11 @@
     loop.run(
         () -> {
           switch (frame.getBodyCase()) {
-            case KEY_LEASES -> keys.leasesConfirmed(frame.getKeyLeases());
+            case KEY_LEASES -> keyedRequests.leasesConfirmed(frame.getKeyLeases());
             case KEY_HANDOVER -> acceptHandover(entry, frame.getKeyHandover());
             case KEY_HANDOVER_RESULT -> handoverResult(entry, frame.getKeyHandoverResult());
             default -> {
-              // Entries send no other frames about keys.
+              // Entries send no other frames about keyedRequests.
             }
           }
         });
@@ -65,7 +65,7 @@
     if (handoverSender != null) {
       return;
     }
-    handoverSender = new ShardHandoverSender(loop, entries, keys.shardsToHandOver());
+    handoverSender = new ShardHandoverSender(loop, entries, keyedRequests.shardsToHandOver());
     handoverSender
         .start()
         .thenRun(
@@ -84,7 +84,7 @@
     if (frame.getSuccessorIncarnation() != processIncarnation) {
       return;
     }
-    keys.acceptHandover(frame, leaving.getAsBoolean())
+    keyedRequests.acceptHandover(frame, draining.getAsBoolean())
         .ifPresent(taken -> entries.sendTo(entry, takenFrame(frame, taken)));
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -52,9 +52,7 @@
 
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /**
-   * Period of lease confirmations, a third of the lease; changes of owners are confirmed sooner.
-   */
+  /** Period of lease confirmations, a third of the lease; owner changes are confirmed sooner. */
   private static final long CONFIRM_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** How long changes of owners are batched before their leases are confirmed. */
@@ -156,8 +154,8 @@
   private void revoke(Set<OwnerProcess> owners) {
     long now = loop.now();
     unreachableSince.keySet().retainAll(owners);
-    int missing = (int) owners.stream().filter(owner -> !isReachable(owner)).count();
-    boolean mayRevoke = ShardAssignment.mayRevoke(missing, links.members().members().size());
+    int unreachableCount = (int) owners.stream().filter(owner -> !isReachable(owner)).count();
+    boolean mayRevoke = ShardAssignment.mayRevoke(unreachableCount, links.members().members().size());
     for (OwnerProcess owner : owners) {
       Optional<Announcement> current = links.members().member(owner.vm());
       if (isReachable(owner)) {
@@ -207,27 +205,27 @@
                   leases
                       .computeIfAbsent(
                           new OwnerProcess(owner.vm(), owner.incarnation()),
-                          member -> KeyLeases.newBuilder())
+                          process -> KeyLeases.newBuilder())
                       .addLeases(lease(shard, owner, now)));
     }
     long ageMillis = TimeUnit.NANOSECONDS.toMillis(now - sentAt) + 1;
     leases.forEach(
-        (member, confirmation) ->
+        (process, confirmation) ->
             links.sendTo(
-                member.vm(),
+                process.vm(),
                 Frame.newBuilder()
                     .setKeyLeases(
                         confirmation
-                            .setProcessIncarnation(member.incarnation())
+                            .setProcessIncarnation(process.incarnation())
                             .setAgeMillis(ageMillis))
                     .build()));
   }
 
   private static KeyLease lease(int shard, ShardOwner owner, long now) {
-    long quarantineMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.servesFrom() - now));
+    long takeoverDelayMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.servesFrom() - now));
     return KeyLease.newBuilder()
         .setClaim(claim(shard, owner))
-        .setQuietMillis(quarantineMillis == 0 ? 0 : quarantineMillis + 1)
+        .setQuietMillis(takeoverDelayMillis == 0 ? 0 : takeoverDelayMillis + 1)
         .build();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -45,16 +45,16 @@
 
   private final LinkLoop loop;
   private final long processIncarnation;
-  private final ResponseSender answers;
+  private final ResponseSender responseSender;
   private final ShardLeases leases = new ShardLeases();
   private final ShardHandoverReceiver handoverReceiver = new ShardHandoverReceiver();
   private final IdempotencyKeyStore<SideRequest, TargetOutcome> store =
       new IdempotencyKeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
 
-  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender answers) {
+  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender responseSender) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
-    this.answers = answers;
+    this.responseSender = responseSender;
   }
 
   static boolean isKeyed(SideRequest request) {
@@ -69,9 +69,9 @@
     long now = loop.now();
     long confirmedAt = now - TimeUnit.MILLISECONDS.toNanos(confirmation.getAgeMillis());
     for (KeyLease lease : confirmation.getLeasesList()) {
-      long quarantinedUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
+      long servesFrom = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
       leases.confirmed(
-          lease.getClaim().getShard(), position(lease.getClaim()), confirmedAt, quarantinedUntil);
+          lease.getClaim().getShard(), position(lease.getClaim()), confirmedAt, servesFrom);
     }
   }
 
@@ -97,11 +97,11 @@
       joining.run();
       return AdmissionResult.JOINED;
     }
-    if (admission instanceof Admission.Completed<TargetOutcome> ran) {
+    if (admission instanceof Admission.Completed<TargetOutcome> completed) {
       joining.run();
-      answers.sendOutcome(
+      responseSender.sendOutcome(
           request,
-          ran.outcome()
+          completed.outcome()
               .orElse(
                   new TargetOutcome.NoResponse(
                       "the request ran before; its response is no longer retained")));
@@ -128,18 +128,18 @@
     }
     KeyClaim claim = request.start().getKeyClaim();
     long now = loop.now();
-    OptionalLong runsFrom = leases.servesFrom(claim.getShard(), position(claim), now);
-    if (runsFrom.isEmpty()) {
+    OptionalLong servesFrom = leases.servesFrom(claim.getShard(), position(claim), now);
+    if (servesFrom.isEmpty()) {
       String detail = "this attempt was not run; the owner of its Idempotency-Key is changing";
       return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, RETRY_AFTER_MILLIS);
     }
-    long quarantineNanos = runsFrom.getAsLong() - now;
-    if (quarantineNanos <= 0) {
+    long takeoverDelayNanos = servesFrom.getAsLong() - now;
+    if (takeoverDelayNanos <= 0) {
       return null;
     }
     String detail =
         "this attempt was not run; a former owner of its key may have run an earlier one";
-    long retryAfter = TimeUnit.NANOSECONDS.toMillis(quarantineNanos) + 1;
+    long retryAfter = TimeUnit.NANOSECONDS.toMillis(takeoverDelayNanos) + 1;
     return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
   }
 
@@ -170,7 +170,7 @@
         .claims()
         .forEach(
             (shard, claim) -> {
-              HandedShard handed =
+              HandedShard shardId =
                   HandedShard.newBuilder()
                       .setProcessIncarnation(processIncarnation)
                       .setClaim(
@@ -179,7 +179,7 @@
                               .setOffset(claim.offset())
                               .setIndex(claim.index()))
                       .build();
-              shards.add(new HandoverFrames.Shard(handed, store.completedKeys(shard, now)));
+              shards.add(new HandoverFrames.Shard(shardId, store.completedKeys(shard, now)));
             });
     return shards;
   }
@@ -188,15 +188,15 @@
    * Accepts keys that a stopping owner hands over to this process.
    *
    * @param frame some of a shard's keys
-   * @param leaving whether this process is stopping itself
+   * @param draining whether this process is stopping itself
    * @return true if all keys of the shard are accepted, false if the shard is rejected, or empty
    *     while keys are missing
    */
-  Optional<Boolean> acceptHandover(KeyHandover frame, boolean leaving) {
+  Optional<Boolean> acceptHandover(KeyHandover frame, boolean draining) {
     HandedShard shard = frame.getShard();
     // A stale frame of a shard that this process has owned since has older runs than its own.
     boolean stale = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
-    if (leaving || stale || handoverReceiver.isFull()) {
+    if (draining || stale || handoverReceiver.isFull()) {
       handoverReceiver.discard(shard);
       return Optional.of(false);
     }
@@ -217,8 +217,8 @@
     return outcome;
   }
 
-  private void reject(SideRequest request, Rejection refusal) {
-    answers.reject(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+  private void reject(SideRequest request, Rejection rejection) {
+    responseSender.reject(request.responseConnection(), request.id(), request.start().getLabel(), rejection);
   }
 
   private static long bodyBytes(TargetOutcome outcome) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
@@ -40,14 +40,14 @@
   /** Checks the components. */
   public LinkSettings {
     checkArgument(
-        connectionsPerTarget > 0, "connections is not positive: %s", connectionsPerTarget);
-    checkArgument(checkIntervalNanos > 0, "tickNanos is not positive: %s", checkIntervalNanos);
+        connectionsPerTarget > 0, "connectionsPerTarget is not positive: %s", connectionsPerTarget);
+    checkArgument(checkIntervalNanos > 0, "checkIntervalNanos is not positive: %s", checkIntervalNanos);
     checkArgument(pingAfterNanos > 0, "pingAfterNanos is not positive: %s", pingAfterNanos);
     checkArgument(idlePingNanos > 0, "idlePingNanos is not positive: %s", idlePingNanos);
     checkArgument(
         silenceTimeoutNanos > pingAfterNanos,
-        "silenceNanos %s leaves no time to ping",
+        "silenceTimeoutNanos is not greater than pingAfterNanos: %s",
         silenceTimeoutNanos);
-    checkArgument(resolveTimeoutNanos > 0, "resolveNanos is not positive: %s", resolveTimeoutNanos);
+    checkArgument(resolveTimeoutNanos > 0, "resolveTimeoutNanos is not positive: %s", resolveTimeoutNanos);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
@@ -17,7 +17,7 @@
 import java.util.function.Supplier;
 
 /**
- * Sends responses and rejections to entries, and records each in the ledger before it is sent.
+ * Sends responses and rejections to entries, and records each in the attempt table before it is sent.
  *
  * <p>Confined to the loop's thread.
  */
@@ -39,11 +39,11 @@
 
   ResponseSender(
       LinkLoop loop,
-      AttemptTable<Frame> ledger,
+      AttemptTable<Frame> attemptTable,
       Supplier<TargetReport> report,
       EventRecorder events) {
     this.loop = loop;
-    this.attemptTable = ledger;
+    this.attemptTable = attemptTable;
     this.report = report;
     this.events = events;
   }
@@ -52,18 +52,18 @@
   record Rejection(ErrorKind kind, String detail, long retryAfterMillis) {}
 
   /** Rejects a request that has not started and writes a tombstone for its id. */
-  void reject(LinkConnection connection, AttemptId id, String label, Rejection refusal) {
+  void reject(LinkConnection connection, AttemptId id, String label, Rejection rejection) {
     if (!attemptTable.markNotRun(id, loop.now())) {
       sendOutcomeUnknown(connection, id);
       return;
     }
-    sendNotRun(connection, id, label, refusal);
+    sendNotRun(connection, id, label, rejection);
   }
 
   /** Rejects a started request of which provably no byte was sent to the target. */
-  void rejectNotSent(SideRequest request, Rejection refusal) {
+  void rejectNotSent(SideRequest request, Rejection rejection) {
     attemptTable.markUndelivered(request.id(), loop.now());
-    sendNotRun(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+    sendNotRun(request.responseConnection(), request.id(), request.start().getLabel(), rejection);
   }
 
   /** Rejects a copy of a request that was rejected or cancelled before. */
@@ -124,14 +124,14 @@
   }
 
   private void sendNotRun(
-      LinkConnection connection, AttemptId id, String label, Rejection refusal) {
+      LinkConnection connection, AttemptId id, String label, Rejection rejection) {
     events.record(
         Event.of(EventKind.REQUEST_REFUSED)
             .withRequest(label)
-            .withDetail(refusal.kind().code() + ": " + refusal.detail()));
+            .withDetail(rejection.kind().code() + ": " + rejection.detail()));
     connection.send(
         SideFrames.notRun(
-            id, refusal.kind(), refusal.detail(), refusal.retryAfterMillis(), report.get()));
+            id, rejection.kind(), rejection.detail(), rejection.retryAfterMillis(), report.get()));
   }
 
   private void sendFailure(SideRequest request, ErrorKind kind, String detail) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverReceiver.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverReceiver.java
@@ -31,8 +31,8 @@
     private final Map<String, CompletedKey<TargetOutcome>> keys = new HashMap<>();
     private long bytes;
 
-    PartialShard(long dropAt) {
-      this.expiresAt = dropAt;
+    PartialShard(long expiresAt) {
+      this.expiresAt = expiresAt;
     }
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -50,7 +50,7 @@
 
   private static final long ENDED_ID_TTL_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** Period of health probes. A leaving target must get no new requests after at most 2 s. */
+  /** Period of health probes. A draining target must get no new requests after at most 2 s. */
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   /** How long a request keeps its slot past its deadline, as the target may still be running it. */
@@ -82,7 +82,7 @@
   private volatile int queueLength;
   private volatile boolean stopping;
   private boolean stopAnnounced;
-  private volatile Runnable leavingListener = () -> {};
+  private volatile Runnable drainingListener = () -> {};
   private Future<?> tick;
 
   /**
@@ -113,7 +113,7 @@
     this.entries = requireNonNull(entries, "entries");
     this.budget = requireNonNull(budget, "budget");
     this.events = requireNonNull(events, "events");
-    this.healthMonitor = new TargetHealthMonitor(loop, target, () -> leavingListener.run());
+    this.healthMonitor = new TargetHealthMonitor(loop, target, () -> drainingListener.run());
     this.server = new LinkServer(loop, address, limits.maxConnections(), new EntryFrameListener());
     this.connectionDrain = new ConnectionDrain(loop, server::isFlushed);
     this.attemptTable =
@@ -131,7 +131,7 @@
 
   /** Sets the listener for changes of {@link #isLeaving}; to be called before {@link #start}. */
   public void onLeavingChanged(Runnable listener) {
-    leavingListener = requireNonNull(listener, "listener");
+    drainingListener = requireNonNull(listener, "listener");
   }
 
   /**
@@ -177,7 +177,7 @@
       return;
     }
     stopAnnounced = true;
-    leavingListener.run();
+    drainingListener.run();
     connectionDrain.begin();
     checkDrained();
   }
@@ -223,9 +223,9 @@
     // deadline. Otherwise a resumed process would run requests whose callers have timed out.
     long delay = transitDelays.get(connection).excessNanos(start.getSentAt(), now);
     long deadline = now + TimeUnit.MILLISECONDS.toNanos(start.getRemainingMillis()) - delay;
-    Rejection refusal = rejection(start, deadline, now);
-    if (refusal != null) {
-      responseSender.reject(connection, id, start.getLabel(), refusal);
+    Rejection rejection = rejection(start, deadline, now);
+    if (rejection != null) {
+      responseSender.reject(connection, id, start.getLabel(), rejection);
       return;
     }
     SideRequest request;
@@ -317,27 +317,27 @@
     request.releaseBody();
   }
 
-  private void reject(SideRequest request, Rejection refusal) {
+  private void reject(SideRequest request, Rejection rejection) {
     discard(request);
     responseSender.reject(
-        request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+        request.responseConnection(), request.id(), request.start().getLabel(), rejection);
     checkDrained();
   }
 
-  /** Removes a request that has not started, but for its entry in the ledger. */
+  /** Removes a request that has not started, but for its entry in the attempt table. */
   private void discard(SideRequest request) {
     finish(request);
     if (queue.remove(request)) {
       queueLength = queue.size();
     }
     if (KeyedRequests.isKeyed(request) && request.isComplete()) {
-      Rejection refusal =
+      Rejection rejection =
           new Rejection(
               ErrorKind.OVERLOADED,
               "the request with the same Idempotency-Key did not run",
               SLOT_RETRY_AFTER_MILLIS);
       for (SideRequest joined : keyedRequests.requestNotRun(request)) {
-        responseSender.rejectNotSent(joined, refusal);
+        responseSender.rejectNotSent(joined, rejection);
         finish(joined);
       }
     }
@@ -468,8 +468,7 @@
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (stopping) {
-        // This frame is handled before the task that announces the stop; entries are notified
-        // first.
+        // This frame is handled before the task that announces the stop, so announce it now.
         announceStop();
       }
       responseSender.acknowledged(connection, frame.getAnswersRead());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
@@ -29,14 +29,14 @@
   /** Checks the components. */
   public SideLimits {
     checkArgument(slots > 0, "slots is not positive: %s", slots);
-    checkArgument(queueCapacity >= 0, "waitingRoom is negative: %s", queueCapacity);
+    checkArgument(queueCapacity >= 0, "queueCapacity is negative: %s", queueCapacity);
     checkArgument(maxConnections > 0, "maxConnections is not positive: %s", maxConnections);
     checkArgument(
         bodyBudgetBytes >= BodyLimits.MAX_BYTES,
-        "bodyBytes is less than one body: %s",
+        "bodyBudgetBytes is less than one body: %s",
         bodyBudgetBytes);
     checkArgument(
-        retainedResponseBytes >= 0, "keptAnswerBytes is negative: %s", retainedResponseBytes);
+        retainedResponseBytes >= 0, "retainedResponseBytes is negative: %s", retainedResponseBytes);
   }
 
   /** Returns the limits for a heap of 40 MB. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -44,7 +44,7 @@
 
   private final LinkLoop loop;
   private final InetSocketAddress address;
-  private final LinkSettings times;
+  private final LinkSettings settings;
   private final RandomGenerator random;
   private final Listener listener;
   private final List<LinkConnection> usable = new ArrayList<>();
@@ -62,13 +62,13 @@
       LinkLoop loop,
       Announcement announcement,
       InetSocketAddress address,
-      LinkSettings times,
+      LinkSettings settings,
       RandomGenerator random,
       Listener listener) {
     this.loop = loop;
     this.announcement = announcement;
     this.address = address;
-    this.times = times;
+    this.settings = settings;
     this.random = random;
     this.listener = listener;
     this.nextDialAt = loop.now();
@@ -92,7 +92,7 @@
 
   /**
    * Returns the state of the target for the policy. Once the side process has sent GOAWAY, the
-   * target stays leaving, even if a stale announcement is received later.
+   * target stays draining, even if a stale announcement is received later.
    */
   TargetState targetState() {
     TargetState announced = announcement.targetState();
@@ -133,11 +133,12 @@
   }
 
   /**
-   * Returns the usable connection whose oldest unanswered frame is the most recent, round-robin
-   * among equals, or null if none is usable.
+   * Returns the usable connection that has been waiting for a reply for the shortest time,
+   * round-robin among equals, or null if none is usable.
    *
-   * <p>An unresponsive connection is detected only after {@link LinkSettings#silenceTimeoutNanos};
-   * plain round-robin would delay every second request in that time.
+   * <p>An unresponsive connection is detected only after {@link LinkSettings#silenceTimeoutNanos}.
+   * Until then it has waited longest, so that requests use the others; plain round-robin would delay
+   * every second request.
    */
   LinkConnection selectConnection() {
     long now = loop.now();
@@ -155,20 +156,20 @@
   /** Opens missing connections, pings quiet ones, and closes unresponsive ones. */
   void tick(long now) {
     while (!closed
-        && usable.size() + unverified.size() + dialsInProgress < times.connectionsPerTarget()
+        && usable.size() + unverified.size() + dialsInProgress < settings.connectionsPerTarget()
         && nextDialAt - now <= 0) {
       dialsInProgress++;
       loop.dial(address, new ConnectionListener(), this::dialFailed);
     }
     for (LinkConnection connection : allConnections()) {
       long unanswered = connection.unansweredNanos(now);
-      boolean idle = now - connection.lastReceived() > times.idlePingNanos();
+      boolean idle = now - connection.lastReceived() > settings.idlePingNanos();
       // A connection whose state was lost in the network accepts bytes but delivers nothing, and
       // never reports an error. Peers answer pings at once, so unanswered pings distinguish it from
       // a peer with a long-running request.
-      if (unanswered > times.silenceTimeoutNanos()) {
+      if (unanswered > settings.silenceTimeoutNanos()) {
         connection.close("silent");
-      } else if (unanswered > times.pingAfterNanos() || idle) {
+      } else if (unanswered > settings.pingAfterNanos() || idle) {
         ping(connection);
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
@@ -20,16 +20,16 @@
   private static final System.Logger LOG = System.getLogger(TargetPools.class.getName());
 
   private final LinkLoop loop;
-  private final LinkSettings times;
+  private final LinkSettings settings;
   private final RandomGenerator random;
   private final TargetPool.Listener listener;
   private final TreeMap<String, TargetPool> pools = new TreeMap<>();
   private final List<TargetPool> retired = new ArrayList<>();
 
   TargetPools(
-      LinkLoop loop, LinkSettings times, RandomGenerator random, TargetPool.Listener listener) {
+      LinkLoop loop, LinkSettings settings, RandomGenerator random, TargetPool.Listener listener) {
     this.loop = loop;
-    this.times = times;
+    this.settings = settings;
     this.random = random;
     this.listener = listener;
   }
@@ -71,7 +71,7 @@
         .ifPresentOrElse(
             address -> {
               TargetPool pool =
-                  new TargetPool(loop, announcement, address, times, random, listener);
+                  new TargetPool(loop, announcement, address, settings, random, listener);
               pools.put(announcement.vm(), pool);
               pool.tick(loop.now());
             },
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
@@ -175,9 +175,9 @@
       try (Socket socket = connect(entry.callersPort())) {
         writeIgnoringErrors(socket, request.getBytes(StandardCharsets.UTF_8));
         socket.shutdownOutput();
-        String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertTrue(answer.startsWith("HTTP/1.1 4"), () -> request + " got " + answer);
-        assertTrue(answer.contains("application/problem+json"), () -> request + " got " + answer);
+        String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertTrue(response.startsWith("HTTP/1.1 4"), () -> request + " got " + response);
+        assertTrue(response.contains("application/problem+json"), () -> request + " got " + response);
       }
     }
     assertOtherConnectionsAreServed();
@@ -195,17 +195,17 @@
     String head = "POST /parking/x HTTP/1.1\r\nHost: x\r\nContent-Length: " + length + "\r\n\r\n";
     try (Socket socket = connect(entry.callersPort())) {
       socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
-      byte[] answer = new byte[1_000];
-      int read = socket.getInputStream().read(answer);
-      String refusal = new String(answer, 0, Math.max(0, read), StandardCharsets.UTF_8);
+      byte[] response = new byte[1_000];
+      int read = socket.getInputStream().read(response);
+      String refusal = new String(response, 0, Math.max(0, read), StandardCharsets.UTF_8);
       assertTrue(refusal.startsWith("HTTP/1.1 413"), refusal);
 
       socket.getOutputStream().write(new byte[length]);
       socket
           .getOutputStream()
           .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-      read = socket.getInputStream().read(answer);
-      String next = new String(answer, 0, Math.max(0, read), StandardCharsets.UTF_8);
+      read = socket.getInputStream().read(response);
+      String next = new String(response, 0, Math.max(0, read), StandardCharsets.UTF_8);
       assertTrue(next.startsWith("HTTP/1.1 200"), next);
     }
     assertOtherConnectionsAreServed();
@@ -252,7 +252,7 @@
     Random random = new Random(5);
     byte[] validRequest =
         "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8);
-    byte[] answer = new byte[1_000];
+    byte[] response = new byte[1_000];
     try (Socket caller = connect(entry.callersPort())) {
       for (int round = 0; round < 8_000; round++) {
         byte[] garbage = new byte[random.nextInt(300)];
@@ -264,8 +264,8 @@
           writeIgnoringErrors(socket, garbage);
         }
         caller.getOutputStream().write(validRequest);
-        int length = caller.getInputStream().read(answer);
-        String head = new String(answer, 0, Math.max(0, length), StandardCharsets.UTF_8);
+        int length = caller.getInputStream().read(response);
+        String head = new String(response, 0, Math.max(0, length), StandardCharsets.UTF_8);
         assertTrue(head.startsWith("HTTP/1.1 200"), "round " + round + " got '" + head + "'");
       }
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -34,7 +34,7 @@
   private final BlockingQueue<ReceivedFrame> receivedFrames = new LinkedBlockingQueue<>();
   private volatile LinkConnection unresponsive;
   private FakePeer control;
-  private volatile boolean leaving;
+  private volatile boolean draining;
   private boolean closed;
 
   FakeSide(String vm, long incarnation, int port) throws IOException {
@@ -51,8 +51,8 @@
   }
 
   /** Announces the target to the entry, now and periodically from then on. */
-  void announce(EntryUnderTest entry, boolean newLeaving) {
-    leaving = newLeaving;
+  void announce(EntryUnderTest entry, boolean newDraining) {
+    draining = newDraining;
     if (control == null) {
       control = FakePeer.dial(loop, entry.address().getPort());
       loop.repeat(this::announce, SideLinks.ANNOUNCE_NANOS);
@@ -71,8 +71,8 @@
             "",
             "parking",
             8,
-            leaving,
-            new TargetLoad(0, 0, 1, leaving),
+            draining,
+            new TargetLoad(0, 0, 1, draining),
             0);
     control.send(Frame.newBuilder().setAnnounce(Announcements.write(announcement)).build());
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
@@ -149,15 +149,15 @@
   @Test
   void repeatsThroughOtherEntryRunOnce() {
     int keys = 20;
-    List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
+    List<CompletableFuture<HttpResponse<byte[]>>> responses = new ArrayList<>();
     for (int i = 0; i < keys; i++) {
       String key = "pay-" + i;
-      answers.add(first.charge(key, "?serviceMillis=100"));
-      answers.add(second.charge(key, "?serviceMillis=100"));
+      responses.add(first.charge(key, "?serviceMillis=100"));
+      responses.add(second.charge(key, "?serviceMillis=100"));
     }
     int served = 0;
-    for (CompletableFuture<HttpResponse<byte[]>> answer : answers) {
-      served += answer.join().statusCode() == 200 ? 1 : 0;
+    for (CompletableFuture<HttpResponse<byte[]>> response : responses) {
+      served += response.join().statusCode() == 200 ? 1 : 0;
     }
     assertTrue(served > keys, "served " + served);
     int ran = chargeRuns().size();
@@ -178,16 +178,16 @@
   @Test
   void requestsToBrieflyFullOwnerAreRetried() {
     int owner = ownerOf("pay-0");
-    List<CompletableFuture<HttpResponse<byte[]>>> answers = new ArrayList<>();
-    for (int i = 0; answers.size() < 30; i++) {
+    List<CompletableFuture<HttpResponse<byte[]>>> responses = new ArrayList<>();
+    for (int i = 0; responses.size() < 30; i++) {
       if (ownerOf("pay-" + i) == owner) {
-        answers.add(first.charge("pay-" + i, "?serviceMillis=100"));
+        responses.add(first.charge("pay-" + i, "?serviceMillis=100"));
       }
     }
-    for (CompletableFuture<HttpResponse<byte[]>> answer : answers) {
-      assertEquals(200, answer.join().statusCode(), () -> text(answer.join()));
+    for (CompletableFuture<HttpResponse<byte[]>> response : responses) {
+      assertEquals(200, response.join().statusCode(), () -> text(response.join()));
     }
-    assertEquals(answers.size(), chargeRuns().size());
+    assertEquals(responses.size(), chargeRuns().size());
   }
 
   private java.util.function.BooleanSupplier chargeIsServed(String key) {
@@ -225,7 +225,7 @@
   }
 
   /**
-   * Guards against entries sending charges to a leaving owner: it rejected them, and those in
+   * Guards against entries sending charges to a draining owner: it rejected them, and those in
    * transit when it exited had an unknown outcome, though none had run. The log is down, as
    * otherwise a successor would soon serve the key.
    */
@@ -290,7 +290,7 @@
 
   /**
    * The log is down during a planned stop of an owner, so no successor can be recorded. The stop
-   * must end all the same, and the shards are quarantined; the charge must not run again, also not
+   * must end all the same, and the shards wait for the takeover delay; the charge must not run again, also not
    * when the log is back.
    */
   @Test
@@ -347,8 +347,8 @@
   }
 
   /**
-   * If the target is configured to detect repeats, keys of a killed owner are not quarantined for
-   * 71 s: they run, and the target receives the same key.
+   * If the target is configured to detect repeats, keys of a killed owner are not rejected for 71 s:
+   * they run, and the target receives the same key.
    */
   @Test
   void keysOfUnknownStateRunWhereTargetDetectsRepeats() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
@@ -58,8 +58,8 @@
     testLoop.close();
   }
 
-  private void confirmLease(long incarnation, long quarantineMillis) {
-    KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(quarantineMillis);
+  private void confirmLease(long incarnation, long takeoverDelayMillis) {
+    KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(takeoverDelayMillis);
     KeyLeases.Builder confirmation =
         KeyLeases.newBuilder().setProcessIncarnation(incarnation).addLeases(lease);
     Frame frame = Frame.newBuilder().setKeyLeases(confirmation).build();
@@ -289,7 +289,7 @@
 
   /**
    * The first entry cannot reach the log, the next one can. If the owner stopped at the first
-   * refusal, its keys would be quarantined for 71 s.
+   * refusal, its keys would be rejected for 71 s.
    */
   @Test
   void refusedHandoverIsRetriedThroughNextEntry() throws Exception {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -405,9 +405,9 @@
   }
 
   @Test
-  void leavingTargetGetsNoNewRequests() throws Exception {
+  void drainingTargetGetsNoNewRequests() throws Exception {
     target.health(TargetHealth.LEAVING);
-    Await.until("leaving target detected", () -> side.dispatcher().isLeaving());
+    Await.until("draining target detected", () -> side.dispatcher().isLeaving());
 
     entry.send(frame(request(1)));
 
