--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -207,8 +207,8 @@
    *
    * <p>Only the owner may run it, so it does not wait in this entry: the owner queues or rejects
    * it. Overload rejections are retried here until the deadline; after any other outcome the caller
-   * may retry with the same key. If the owner is not reachable and the target detects
-   * repeats, the request may go to any target.
+   * may retry with the same key. If the owner is not reachable and the target detects repeats, the
+   * request may go to any target.
    */
   private void sendToOwner(PendingRequest request, KeyShardTable table) {
     String service = request.request().service();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -84,7 +84,8 @@
     if (frame.getSuccessorIncarnation() != processIncarnation) {
       return;
     }
-    keyedRequests.acceptHandover(frame, draining.getAsBoolean())
+    keyedRequests
+        .acceptHandover(frame, draining.getAsBoolean())
         .ifPresent(taken -> entries.sendTo(entry, takenFrame(frame, taken)));
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -155,7 +155,8 @@
     long now = loop.now();
     unreachableSince.keySet().retainAll(owners);
     int unreachableCount = (int) owners.stream().filter(owner -> !isReachable(owner)).count();
-    boolean mayRevoke = ShardAssignment.mayRevoke(unreachableCount, links.members().members().size());
+    boolean mayRevoke =
+        ShardAssignment.mayRevoke(unreachableCount, links.members().members().size());
     for (OwnerProcess owner : owners) {
       Optional<Announcement> current = links.members().member(owner.vm());
       if (isReachable(owner)) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -101,7 +101,8 @@
       joining.run();
       responseSender.sendOutcome(
           request,
-          completed.outcome()
+          completed
+              .outcome()
               .orElse(
                   new TargetOutcome.NoResponse(
                       "the request ran before; its response is no longer retained")));
@@ -218,7 +219,8 @@
   }
 
   private void reject(SideRequest request, Rejection rejection) {
-    responseSender.reject(request.responseConnection(), request.id(), request.start().getLabel(), rejection);
+    responseSender.reject(
+        request.responseConnection(), request.id(), request.start().getLabel(), rejection);
   }
 
   private static long bodyBytes(TargetOutcome outcome) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
@@ -41,13 +41,15 @@
   public LinkSettings {
     checkArgument(
         connectionsPerTarget > 0, "connectionsPerTarget is not positive: %s", connectionsPerTarget);
-    checkArgument(checkIntervalNanos > 0, "checkIntervalNanos is not positive: %s", checkIntervalNanos);
+    checkArgument(
+        checkIntervalNanos > 0, "checkIntervalNanos is not positive: %s", checkIntervalNanos);
     checkArgument(pingAfterNanos > 0, "pingAfterNanos is not positive: %s", pingAfterNanos);
     checkArgument(idlePingNanos > 0, "idlePingNanos is not positive: %s", idlePingNanos);
     checkArgument(
         silenceTimeoutNanos > pingAfterNanos,
         "silenceTimeoutNanos is not greater than pingAfterNanos: %s",
         silenceTimeoutNanos);
-    checkArgument(resolveTimeoutNanos > 0, "resolveTimeoutNanos is not positive: %s", resolveTimeoutNanos);
+    checkArgument(
+        resolveTimeoutNanos > 0, "resolveTimeoutNanos is not positive: %s", resolveTimeoutNanos);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
@@ -17,7 +17,8 @@
 import java.util.function.Supplier;
 
 /**
- * Sends responses and rejections to entries, and records each in the attempt table before it is sent.
+ * Sends responses and rejections to entries, and records each in the attempt table before it is
+ * sent.
  *
  * <p>Confined to the loop's thread.
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverSender.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ShardHandoverSender.java
@@ -19,8 +19,9 @@
  *
  * <p>Started only when this process runs no keyed request and never will again. The keys of a shard
  * are therefore complete and the same however often and through whichever entries they are sent,
- * and any successor that the log names is correct. Shards that are not moved in time are
- * served again only after the takeover delay that follows this process's end. Confined to the loop's thread.
+ * and any successor that the log names is correct. Shards that are not moved in time are served
+ * again only after the takeover delay that follows this process's end. Confined to the loop's
+ * thread.
  */
 final class ShardHandoverSender {
   private static final System.Logger LOG = System.getLogger(ShardHandoverSender.class.getName());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -163,8 +163,7 @@
   /**
    * Begins a planned stop: new requests are rejected, pending ones are completed.
    *
-   * @return completed when the entries have received the last response and no request of theirs is
-   *     in transit to this process
+   * @return completed when entries have received the last response and no request is in transit
    */
   public CompletableFuture<Void> beginStop() {
     stopping = true;
@@ -246,9 +245,7 @@
   private Rejection rejection(RequestStart start, long deadline, long now) {
     if (isLeaving()) {
       return new Rejection(
-          ErrorKind.SHUTTING_DOWN,
-          "the target or its side process is stopping",
-          DRAINING_RETRY_AFTER_MILLIS);
+          ErrorKind.SHUTTING_DOWN, "the target is draining", DRAINING_RETRY_AFTER_MILLIS);
     }
     if (deadline - now <= 0) {
       return new Rejection(ErrorKind.DEADLINE_BEFORE_START, "received after the deadline", 0);
@@ -263,9 +260,7 @@
     }
     if (!budget.tryReserve(start.getBodyLength())) {
       return new Rejection(
-          ErrorKind.OVERLOADED,
-          "body exceeds the free memory budget of the side process",
-          SLOT_RETRY_AFTER_MILLIS);
+          ErrorKind.OVERLOADED, "no memory budget left for the body", SLOT_RETRY_AFTER_MILLIS);
     }
     return null;
   }
@@ -333,9 +328,7 @@
     if (KeyedRequests.isKeyed(request) && request.isComplete()) {
       Rejection rejection =
           new Rejection(
-              ErrorKind.OVERLOADED,
-              "the request with the same Idempotency-Key did not run",
-              SLOT_RETRY_AFTER_MILLIS);
+              ErrorKind.OVERLOADED, "the joined request did not run", SLOT_RETRY_AFTER_MILLIS);
       for (SideRequest joined : keyedRequests.requestNotRun(request)) {
         responseSender.rejectNotSent(joined, rejection);
         finish(joined);
@@ -351,9 +344,7 @@
 
   private void run(SideRequest request) {
     if (request.deadline() - loop.now() <= 0) {
-      reject(
-          request,
-          new Rejection(ErrorKind.DEADLINE_BEFORE_START, "deadline passed while queued", 0));
+      reject(request, new Rejection(ErrorKind.DEADLINE_BEFORE_START, "expired in the queue", 0));
       return;
     }
     Rejection noLease =
@@ -415,8 +406,7 @@
     connectionDrain.recordActivity();
     AttemptId id = SideFrames.fromMessage(resolve.getId());
     Resolution.State state = Resolution.State.FORGOTTEN;
-    // A restarted process does not know its predecessor's requests, so that an unseen id does not
-    // prove that the request did not run.
+    // A restarted process does not know earlier requests: an unseen id does not prove "not run".
     if (resolve.getProcessIncarnation() == processIncarnation) {
       SideRequest request = requests.get(id);
       if (request != null && !request.isComplete()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -137,8 +137,8 @@
    * round-robin among equals, or null if none is usable.
    *
    * <p>An unresponsive connection is detected only after {@link LinkSettings#silenceTimeoutNanos}.
-   * Until then it has waited longest, so that requests use the others; plain round-robin would delay
-   * every second request.
+   * Until then it has waited longest, so that requests use the others; plain round-robin would
+   * delay every second request.
    */
   LinkConnection selectConnection() {
     long now = loop.now();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/BadInputTest.java
@@ -175,9 +175,11 @@
       try (Socket socket = connect(entry.callersPort())) {
         writeIgnoringErrors(socket, request.getBytes(StandardCharsets.UTF_8));
         socket.shutdownOutput();
-        String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        String response =
+            new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertTrue(response.startsWith("HTTP/1.1 4"), () -> request + " got " + response);
-        assertTrue(response.contains("application/problem+json"), () -> request + " got " + response);
+        assertTrue(
+            response.contains("application/problem+json"), () -> request + " got " + response);
       }
     }
     assertOtherConnectionsAreServed();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
@@ -290,8 +290,8 @@
 
   /**
    * The log is down during a planned stop of an owner, so no successor can be recorded. The stop
-   * must end all the same, and the shards wait for the takeover delay; the charge must not run again, also not
-   * when the log is back.
+   * must end all the same, and the shards wait for the takeover delay; the charge must not run
+   * again, also not when the log is back.
    */
   @Test
   void shardsWaitForTheTakeoverDelayAfterStopDuringLogOutage() {
@@ -347,8 +347,8 @@
   }
 
   /**
-   * If the target is configured to detect repeats, keys of a killed owner are not rejected for 71 s:
-   * they run, and the target receives the same key.
+   * If the target is configured to detect repeats, keys of a killed owner are not rejected for 71
+   * s: they run, and the target receives the same key.
    */
   @Test
   void keysOfUnknownStateRunWhereTargetDetectsRepeats() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
@@ -59,7 +59,8 @@
   }
 
   private void confirmLease(long incarnation, long takeoverDelayMillis) {
-    KeyLease.Builder lease = KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(takeoverDelayMillis);
+    KeyLease.Builder lease =
+        KeyLease.newBuilder().setClaim(CLAIM).setQuietMillis(takeoverDelayMillis);
     KeyLeases.Builder confirmation =
         KeyLeases.newBuilder().setProcessIncarnation(incarnation).addLeases(lease);
     Frame frame = Frame.newBuilder().setKeyLeases(confirmation).build();
