--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerResponseWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerResponseWriter.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** Writes the one answer to a caller's request. */
+/** Writes the response to a caller's request. */
 final class CallerResponseWriter implements ResponseSink {
   private final Response response;
   private final Callback callback;
@@ -22,38 +22,39 @@
   /**
    * Creates a writer.
    *
-   * @param response where to write
-   * @param callback to be completed after writing
-   * @param ended told first that the request has ended
-   * @param writes where the answer is written
+   * @param response the HTTP response to write
+   * @param callback completed after writing
+   * @param onEnded run when the request has ended, before the response is written
+   * @param writeExecutor runs the writes
    */
-  CallerResponseWriter(Response response, Callback callback, Runnable ended, Executor writes) {
+  CallerResponseWriter(
+      Response response, Callback callback, Runnable onEnded, Executor writeExecutor) {
     this.response = response;
     this.callback = callback;
-    this.onEnded = ended;
-    this.writeExecutor = writes;
+    this.onEnded = onEnded;
+    this.writeExecutor = writeExecutor;
   }
 
   @Override
-  public void succeeded(String requestId, CallerResponse answer) {
+  public void succeeded(String requestId, CallerResponse callerResponse) {
     onEnded.run();
-    writeExecutor.execute(() -> write(requestId, answer));
+    writeExecutor.execute(() -> write(requestId, callerResponse));
   }
 
-  private void write(String requestId, CallerResponse answer) {
-    response.setStatus(answer.status());
+  private void write(String requestId, CallerResponse callerResponse) {
+    response.setStatus(callerResponse.status());
     HttpFields.Mutable fields = response.getHeaders();
-    for (Header header : answer.headers()) {
+    for (Header header : callerResponse.headers()) {
       fields.add(header.getName(), header.getValue());
     }
     fields.put(CallerHeaders.REQUEST_ID, requestId);
     boolean mayHaveBody =
-        answer.status() != HttpStatus.NO_CONTENT_204
-            && answer.status() != HttpStatus.NOT_MODIFIED_304;
+        callerResponse.status() != HttpStatus.NO_CONTENT_204
+            && callerResponse.status() != HttpStatus.NOT_MODIFIED_304;
     if (mayHaveBody && !fields.contains(HttpHeader.CONTENT_LENGTH)) {
-      fields.put(HttpHeader.CONTENT_LENGTH, answer.body().size());
+      fields.put(HttpHeader.CONTENT_LENGTH, callerResponse.body().size());
     }
-    response.write(true, answer.body().asReadOnlyByteBuffer(), callback);
+    response.write(true, callerResponse.body().asReadOnlyByteBuffer(), callback);
   }
 
   @Override
@@ -62,7 +63,7 @@
     writeExecutor.execute(() -> write(response, callback, failure, requestId));
   }
 
-  /** Writes a failure as problem details. */
+  /** Writes a failure as problem details (RFC 9457); an empty request id is left out. */
   static void write(Response response, Callback callback, Failure failure, String requestId) {
     byte[] body =
         Json.bytes(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverFrames.java
@@ -18,9 +18,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Shards of keys as frames, a chunk of a shard in each; a shard without keys is one frame, too. */
+/** The frames of shards that are handed over: one or more per shard, each with a chunk of keys. */
 final class HandoverFrames implements FrameStream {
-  /** A shard with its keys, which change no more. */
+  /** A shard with its final keys. */
   record Shard(HandedShard shardId, List<CompletedKey<TargetOutcome>> keys) {}
 
   private final ArrayDeque<Shard> remaining;
@@ -31,7 +31,7 @@
    * Creates the frames.
    *
    * @param shards the shards, at least one
-   * @param now the time, on the clock by which keys are forgotten
+   * @param now the time on the clock by which keys expire
    */
   HandoverFrames(List<Shard> shards, long now) {
     checkArgument(!shards.isEmpty(), "no shards");
@@ -71,38 +71,38 @@
     remaining.clear();
   }
 
-  private static HandedKey encode(CompletedKey<TargetOutcome> ended, long now) {
+  private static HandedKey encode(CompletedKey<TargetOutcome> completedKey, long now) {
     HandedKey.Builder key =
         HandedKey.newBuilder()
-            .setKey(ended.key())
-            .setFingerprint(ended.fingerprint())
+            .setKey(completedKey.key())
+            .setFingerprint(completedKey.fingerprint())
             .setRemainingMillis(
-                TimeUnit.NANOSECONDS.toMillis(Math.max(0, ended.expiresAt() - now)) + 1);
-    TargetOutcome outcome = ended.outcome().orElse(null);
-    if (outcome instanceof TargetOutcome.NoResponse lost) {
-      key.setLost(lost.detail());
-    } else if (outcome instanceof TargetOutcome.InvalidResponse broken) {
-      key.setBroken(broken.detail());
-    } else if (outcome instanceof TargetOutcome.Responded answered) {
-      KeptAnswer answer =
+                TimeUnit.NANOSECONDS.toMillis(Math.max(0, completedKey.expiresAt() - now)) + 1);
+    TargetOutcome outcome = completedKey.outcome().orElse(null);
+    if (outcome instanceof TargetOutcome.NoResponse missing) {
+      key.setLost(missing.detail());
+    } else if (outcome instanceof TargetOutcome.InvalidResponse invalid) {
+      key.setBroken(invalid.detail());
+    } else if (outcome instanceof TargetOutcome.Responded responded) {
+      KeptAnswer response =
           KeptAnswer.newBuilder()
-              .setStatus(answered.status())
-              .addAllHeaders(answered.headers())
-              .setBody(answered.body())
+              .setStatus(responded.status())
+              .addAllHeaders(responded.headers())
+              .setBody(responded.body())
               .build();
-      // A longer one would outgrow a frame; its key says that its request ran, which is enough for
-      // it not to run again.
-      if (answer.getSerializedSize() <= BodyLimits.MAX_CHUNK_BYTES) {
-        key.setAnswered(answer);
+      // A longer response would exceed the frame limit. The key alone says that its request ran,
+      // which prevents another run.
+      if (response.getSerializedSize() <= BodyLimits.MAX_CHUNK_BYTES) {
+        key.setAnswered(response);
       }
     }
     return key.build();
   }
 
-  /** Returns a key as it was handed over; the time that it was on its way lengthens its memory. */
+  /** Decodes a key; its time in transit extends the time until it expires. */
   static CompletedKey<TargetOutcome> decode(HandedKey key, long now) {
     long remaining = TimeUnit.MILLISECONDS.toNanos(key.getRemainingMillis());
-    long forgetAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
+    long expiresAt = now + Math.min(remaining, KeyTimeouts.OUTCOME_RETENTION_NANOS);
     Optional<TargetOutcome> outcome =
         switch (key.getOutcomeCase()) {
           case ANSWERED -> Optional.of(decodeResponse(key.getAnswered()));
@@ -111,11 +111,11 @@
           case OUTCOME_NOT_SET -> Optional.empty();
         };
     ByteString body = key.getAnswered().getBody();
-    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), forgetAt);
+    return new CompletedKey<>(key.getKey(), key.getFingerprint(), outcome, body.size(), expiresAt);
   }
 
-  private static TargetOutcome decodeResponse(KeptAnswer kept) {
+  private static TargetOutcome decodeResponse(KeptAnswer retained) {
     return new TargetOutcome.Responded(
-        kept.getStatus(), kept.getHeadersList(), kept.getBody(), () -> {});
+        retained.getStatus(), retained.getHeadersList(), retained.getBody(), () -> {});
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -10,8 +10,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What a side process and entries tell each other about keys: evidence that it holds shards, keys
- * that it takes over, and keys that it gives away at its planned stop.
+ * Handles the frames that a side process exchanges with entries about idempotency keys: lease
+ * confirmations, shards that are handed over to it, and its own shards, which it hands over at its
+ * planned stop.
  *
  * <p>Confined to the loop's thread, but for {@link #received}.
  */
@@ -19,8 +20,8 @@
   private final LinkLoop loop;
   private final long processIncarnation;
   private final EntryChannel entries;
-  private final KeyedRequests keys;
-  private final BooleanSupplier leaving;
+  private final KeyedRequests keyedRequests;
+  private final BooleanSupplier draining;
   private ShardHandoverSender handoverSender;
   private boolean handedOver;
 
@@ -28,35 +29,35 @@
       LinkLoop loop,
       long processIncarnation,
       EntryChannel entries,
-      KeyedRequests keys,
-      BooleanSupplier leaving) {
+      KeyedRequests keyedRequests,
+      BooleanSupplier draining) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
     this.entries = entries;
-    this.keys = keys;
-    this.leaving = leaving;
+    this.keyedRequests = keyedRequests;
+    this.draining = draining;
   }
 
-  /** Takes a frame of an entry; may be called from any thread. */
+  /** Handles a frame of an entry; may be called from any thread. */
   @Override
   public void received(String entry, Frame frame) {
     loop.run(
         () -> {
           switch (frame.getBodyCase()) {
-            case KEY_LEASES -> keys.leasesConfirmed(frame.getKeyLeases());
+            case KEY_LEASES -> keyedRequests.leasesConfirmed(frame.getKeyLeases());
             case KEY_HANDOVER -> acceptHandover(entry, frame.getKeyHandover());
             case KEY_HANDOVER_RESULT -> handoverResult(entry, frame.getKeyHandoverResult());
             default -> {
-              // Entries send nothing else about keys.
+              // Entries send no other frames about keyedRequests.
             }
           }
         });
   }
 
   /**
-   * Begins to give all keys away, the first time only.
+   * Starts to hand over all shards; later calls have no effect.
    *
-   * <p>To be called once nothing with a key runs here or will again.
+   * <p>To be called once no keyed request runs here or will run again.
    *
    * @param done run when {@link #isHandedOver} has become true
    */
@@ -64,7 +65,7 @@
     if (handoverSender != null) {
       return;
     }
-    handoverSender = new ShardHandoverSender(loop, entries, keys.shardsToHandOver());
+    handoverSender = new ShardHandoverSender(loop, entries, keyedRequests.shardsToHandOver());
     handoverSender
         .start()
         .thenRun(
@@ -74,7 +75,7 @@
             });
   }
 
-  /** Returns whether the keys were given away, as far as that could be done. */
+  /** Returns whether the handover has ended; shards that could not be moved in time are skipped. */
   boolean isHandedOver() {
     return handedOver;
   }
@@ -83,17 +84,18 @@
     if (frame.getSuccessorIncarnation() != processIncarnation) {
       return;
     }
-    keys.acceptHandover(frame, leaving.getAsBoolean())
+    keyedRequests
+        .acceptHandover(frame, draining.getAsBoolean())
         .ifPresent(taken -> entries.sendTo(entry, takenFrame(frame, taken)));
   }
 
   private Frame takenFrame(KeyHandover frame, boolean taken) {
-    KeyHandoverTaken.Builder answer =
+    KeyHandoverTaken.Builder result =
         KeyHandoverTaken.newBuilder()
             .setShard(frame.getShard())
             .setSuccessorIncarnation(processIncarnation)
             .setTaken(taken);
-    return Frame.newBuilder().setKeyHandoverTaken(answer).build();
+    return Frame.newBuilder().setKeyHandoverTaken(result).build();
   }
 
   private void handoverResult(String entry, KeyHandoverResult result) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -29,26 +29,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * An entry's part in giving every shard of idempotency keys a home: it claims shards that nobody
- * holds for targets that it hears, revokes homes that are gone, and brings homes the evidence that
- * they still are.
+ * Coordinates in an entry which side process owns each shard of idempotency keys: claims shards
+ * without an owner for reachable targets, revokes owners that are gone, and confirms the leases of
+ * current owners.
  *
- * <p>Every entry does so by itself; the log decides between them. Runs on the loop.
+ * <p>Every entry does this independently; the order of their records in the log decides. Runs on
+ * the loop.
  */
 public final class KeyShardCoordinator implements AutoCloseable {
-  /** Appends to the stream {@code keys}; completes once the record was read back. */
+  /** Appends to the stream {@code keys}; completes once the record has been read back. */
   @FunctionalInterface
   public interface KeyLog {
-    /** Appends a record unless the deadline, on the process's monotonic clock, passes first. */
+    /**
+     * Appends a record.
+     *
+     * @param type the type of the record
+     * @param body the content of the record
+     * @param deadline when the append is abandoned, in nanoseconds of the process's monotonic clock
+     */
     CompletableFuture<Result<Position>> append(String type, JsonNode body, long deadline);
   }
 
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How often homes get evidence, besides at once when they change; a third of the lease. */
+  /** Period of lease confirmations, a third of the lease; owner changes are confirmed sooner. */
   private static final long CONFIRM_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** How long a change of homes waits for more of them before homes get evidence of it. */
+  /** How long changes of owners are batched before their leases are confirmed. */
   private static final long CHANGE_BATCH_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private static final int MAX_PENDING_APPENDS = 32;
@@ -67,12 +74,12 @@
   private Future<?> tick;
 
   /**
-   * Creates homes that are not tended yet.
+   * Creates a coordinator that is not started.
    *
-   * @param loop the thread
-   * @param table the fold of the stream
+   * @param loop the loop that all state is confined to
+   * @param table the owners of shards according to the stream
    * @param log appends to the stream
-   * @param links who is heard, and the way to them
+   * @param links the live members and the connections to them
    */
   public KeyShardCoordinator(LinkLoop loop, KeyShardTable table, KeyLog log, EntryLinks links) {
     this.loop = requireNonNull(loop, "loop");
@@ -82,7 +89,7 @@
     links.addKeyListener(new HandoverRelay(loop, table, log, links, this::reconcileSoon)::received);
   }
 
-  /** Begins to claim, to revoke and to vouch. */
+  /** Starts to claim, revoke and confirm periodically. */
   public void start() {
     tick = loop.repeat(this::reconcile, TICK_NANOS);
   }
@@ -92,7 +99,7 @@
     tick.cancel(false);
   }
 
-  /** Brings a successor its evidence at once: until then keys of its shards are refused. */
+  /** Confirms a successor's leases soon: until then it rejects the keys of its new shards. */
   private void reconcileSoon() {
     if (!reconcileScheduled) {
       reconcileScheduled = true;
@@ -106,32 +113,34 @@
   }
 
   private void reconcile() {
-    // While the log is away appends pile up unanswered; there is nothing to tend then.
+    // During an outage of the log, appends stay pending, and no further ones could succeed.
     if (pendingAppends.get() > MAX_PENDING_APPENDS) {
       return;
     }
     List<TargetState> targets = links.members().targets();
     Set<String> services = new HashSet<>(table.services());
     targets.forEach(target -> services.add(target.service()));
-    Set<OwnerProcess> homes = new HashSet<>();
-    Map<String, Map<Integer, ShardOwner>> all = new HashMap<>();
+    Set<OwnerProcess> owners = new HashSet<>();
+    Map<String, Map<Integer, ShardOwner>> allOwners = new HashMap<>();
     for (String service : services) {
-      Map<Integer, ShardOwner> held = table.owners(service);
-      all.put(service, held);
-      held.values().forEach(home -> homes.add(new OwnerProcess(home.vm(), home.incarnation())));
-      claim(service, held.keySet(), targets);
+      Map<Integer, ShardOwner> owned = table.owners(service);
+      allOwners.put(service, owned);
+      owned
+          .values()
+          .forEach(owner -> owners.add(new OwnerProcess(owner.vm(), owner.incarnation())));
+      claim(service, owned.keySet(), targets);
     }
-    revoke(homes);
+    revoke(owners);
     long now = loop.now();
-    if (!homes.isEmpty() && (!all.equals(confirmedOwners) || confirmDueAt - now <= 0)) {
-      confirmedOwners = all;
+    if (!owners.isEmpty() && (!allOwners.equals(confirmedOwners) || confirmDueAt - now <= 0)) {
+      confirmedOwners = allOwners;
       confirmDueAt = now + CONFIRM_INTERVAL_NANOS;
       confirmLeases();
     }
   }
 
-  private void claim(String service, Set<Integer> held, List<TargetState> targets) {
-    Map<String, List<Integer>> claims = ShardAssignment.proposeClaims(service, held, targets);
+  private void claim(String service, Set<Integer> owned, List<TargetState> targets) {
+    Map<String, List<Integer>> claims = ShardAssignment.proposeClaims(service, owned, targets);
     for (TargetState target : targets) {
       List<Integer> shards = claims.get(target.vm());
       if (shards != null) {
@@ -142,34 +151,39 @@
     }
   }
 
-  private void revoke(Set<OwnerProcess> homes) {
+  private void revoke(Set<OwnerProcess> owners) {
     long now = loop.now();
-    unreachableSince.keySet().retainAll(homes);
-    int missing = (int) homes.stream().filter(home -> !isReachable(home)).count();
-    boolean trusted = ShardAssignment.mayRevoke(missing, links.members().members().size());
-    for (OwnerProcess home : homes) {
-      Optional<Announcement> heard = links.members().member(home.vm());
-      if (isReachable(home)) {
-        unreachableSince.remove(home);
+    unreachableSince.keySet().retainAll(owners);
+    int unreachableCount = (int) owners.stream().filter(owner -> !isReachable(owner)).count();
+    boolean mayRevoke =
+        ShardAssignment.mayRevoke(unreachableCount, links.members().members().size());
+    for (OwnerProcess owner : owners) {
+      Optional<Announcement> current = links.members().member(owner.vm());
+      if (isReachable(owner)) {
+        unreachableSince.remove(owner);
         continue;
       }
-      long since = unreachableSince.computeIfAbsent(home, silent -> now);
-      boolean replaced = heard.isPresent() && heard.get().processIncarnation() > home.incarnation();
-      if (replaced || (trusted && now - since > KeyTimeouts.REVOKE_AFTER_NANOS)) {
-        append(KeyShardTable.REVOKE, KeyShardTable.revocation(home.vm(), home.incarnation()));
+      long since = unreachableSince.computeIfAbsent(owner, unreachable -> now);
+      boolean replaced =
+          current.isPresent() && current.get().processIncarnation() > owner.incarnation();
+      if (replaced || (mayRevoke && now - since > KeyTimeouts.REVOKE_AFTER_NANOS)) {
+        append(KeyShardTable.REVOKE, KeyShardTable.revocation(owner.vm(), owner.incarnation()));
       }
     }
   }
 
-  private boolean isReachable(OwnerProcess home) {
+  private boolean isReachable(OwnerProcess owner) {
     return links
         .members()
-        .member(home.vm())
-        .filter(heard -> heard.processIncarnation() == home.incarnation())
+        .member(owner.vm())
+        .filter(announced -> announced.processIncarnation() == owner.incarnation())
         .isPresent();
   }
 
-  /** Reads the log up to an own record and vouches as of the moment before it was sent. */
+  /**
+   * Reads the log up to an own record, then confirms leases as of the moment before the record was
+   * sent.
+   */
   private void confirmLeases() {
     long sentAt = loop.now();
     append(KeyShardTable.HEARTBEAT, KeyShardTable.heartbeat())
@@ -188,37 +202,39 @@
       table
           .owners(service)
           .forEach(
-              (shard, home) ->
+              (shard, owner) ->
                   leases
                       .computeIfAbsent(
-                          new OwnerProcess(home.vm(), home.incarnation()),
-                          member -> KeyLeases.newBuilder())
-                      .addLeases(lease(shard, home, now)));
+                          new OwnerProcess(owner.vm(), owner.incarnation()),
+                          process -> KeyLeases.newBuilder())
+                      .addLeases(lease(shard, owner, now)));
     }
-    long age = TimeUnit.NANOSECONDS.toMillis(now - sentAt) + 1;
+    long ageMillis = TimeUnit.NANOSECONDS.toMillis(now - sentAt) + 1;
     leases.forEach(
-        (member, evidence) ->
+        (process, confirmation) ->
             links.sendTo(
-                member.vm(),
+                process.vm(),
                 Frame.newBuilder()
                     .setKeyLeases(
-                        evidence.setProcessIncarnation(member.incarnation()).setAgeMillis(age))
+                        confirmation
+                            .setProcessIncarnation(process.incarnation())
+                            .setAgeMillis(ageMillis))
                     .build()));
   }
 
-  private static KeyLease lease(int shard, ShardOwner home, long now) {
-    long quietMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, home.servesFrom() - now));
+  private static KeyLease lease(int shard, ShardOwner owner, long now) {
+    long takeoverDelayMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, owner.servesFrom() - now));
     return KeyLease.newBuilder()
-        .setClaim(claim(shard, home))
-        .setQuietMillis(quietMillis == 0 ? 0 : quietMillis + 1)
+        .setClaim(claim(shard, owner))
+        .setQuietMillis(takeoverDelayMillis == 0 ? 0 : takeoverDelayMillis + 1)
         .build();
   }
 
-  static KeyClaim claim(int shard, ShardOwner home) {
+  static KeyClaim claim(int shard, ShardOwner owner) {
     return KeyClaim.newBuilder()
         .setShard(shard)
-        .setOffset(home.claim().offset())
-        .setIndex(home.claim().index())
+        .setOffset(owner.claim().offset())
+        .setIndex(owner.claim().index())
         .build();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -23,19 +23,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The part of a side process that makes it the home of idempotency keys: it runs each key once and
- * gives its outcome to all who ask.
+ * Admits requests with idempotency keys in a side process that owns key shards: each key runs once,
+ * and all requests with the key share its outcome.
  *
  * <p>Confined to the loop's thread.
  */
 final class KeyedRequests {
-  /** What came of a request that asked to run. */
+  /** The result of {@link #admit}. */
   enum AdmissionResult {
-    /** It is to be run. */
+    /** The request is to be run. */
     RUN,
-    /** It waits for the answer of the one that runs; it takes no slot. */
+    /** The request waits for the response of the one that runs; it takes no slot. */
     JOINED,
-    /** It has been answered. */
+    /** The request has been answered or rejected. */
     ANSWERED
   }
 
@@ -45,41 +45,46 @@
 
   private final LinkLoop loop;
   private final long processIncarnation;
-  private final ResponseSender answers;
+  private final ResponseSender responseSender;
   private final ShardLeases leases = new ShardLeases();
   private final ShardHandoverReceiver handoverReceiver = new ShardHandoverReceiver();
   private final IdempotencyKeyStore<SideRequest, TargetOutcome> store =
       new IdempotencyKeyStore<>(MAX_KEYS, MAX_OUTCOME_BYTES);
 
-  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender answers) {
+  KeyedRequests(LinkLoop loop, long processIncarnation, ResponseSender responseSender) {
     this.loop = loop;
     this.processIncarnation = processIncarnation;
-    this.answers = answers;
+    this.responseSender = responseSender;
   }
 
   static boolean isKeyed(SideRequest request) {
     return request.start().hasKeyClaim() && !request.start().getIdempotencyKey().isEmpty();
   }
 
-  /** Takes an entry's evidence that this process holds shards. */
-  void leasesConfirmed(KeyLeases evidence) {
-    if (evidence.getProcessIncarnation() != processIncarnation) {
+  /** Applies an entry's confirmation that this process holds the leases of shards. */
+  void leasesConfirmed(KeyLeases confirmation) {
+    if (confirmation.getProcessIncarnation() != processIncarnation) {
       return;
     }
     long now = loop.now();
-    long vouchedAt = now - TimeUnit.MILLISECONDS.toNanos(evidence.getAgeMillis());
-    for (KeyLease lease : evidence.getLeasesList()) {
-      long quietUntil = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
+    long confirmedAt = now - TimeUnit.MILLISECONDS.toNanos(confirmation.getAgeMillis());
+    for (KeyLease lease : confirmation.getLeasesList()) {
+      long servesFrom = now + TimeUnit.MILLISECONDS.toNanos(lease.getQuietMillis());
       leases.confirmed(
-          lease.getClaim().getShard(), position(lease.getClaim()), vouchedAt, quietUntil);
+          lease.getClaim().getShard(), position(lease.getClaim()), confirmedAt, servesFrom);
     }
   }
 
-  /** Decides about a keyed request whose body is whole; a joined one counts as started. */
+  /**
+   * Admits a keyed request whose body is complete.
+   *
+   * @param joining run before a request joins a running one or shares a retained outcome; marks it
+   *     as started
+   */
   AdmissionResult admit(SideRequest request, Runnable joining) {
-    Rejection unheld = leaseRejection(request);
-    if (unheld != null) {
-      reject(request, unheld);
+    Rejection rejection = leaseRejection(request);
+    if (rejection != null) {
+      reject(request, rejection);
       return AdmissionResult.ANSWERED;
     }
     String key = request.start().getIdempotencyKey();
@@ -92,29 +97,31 @@
       joining.run();
       return AdmissionResult.JOINED;
     }
-    if (admission instanceof Admission.Completed<TargetOutcome> ran) {
+    if (admission instanceof Admission.Completed<TargetOutcome> completed) {
       joining.run();
-      answers.sendOutcome(
+      responseSender.sendOutcome(
           request,
-          ran.outcome()
+          completed
+              .outcome()
               .orElse(
-                  new TargetOutcome.NoResponse("it ran before; its answer is not kept any more")));
+                  new TargetOutcome.NoResponse(
+                      "the request ran before; its response is no longer retained")));
     } else if (admission instanceof Admission.Conflict) {
       String detail = "the Idempotency-Key was used for another request";
       reject(request, new Rejection(ErrorKind.CONFLICT, detail, 0));
     } else {
-      String detail = "no room for another Idempotency-Key";
+      String detail = "the side process has no capacity for another Idempotency-Key";
       reject(request, new Rejection(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS));
     }
     return AdmissionResult.ANSWERED;
   }
 
   /**
-   * Returns why the request may not start here now, or null where it may.
+   * Returns why the lease does not allow the request to start now, or null if it does.
    *
-   * <p>Asked again right before the start: a request that waited for a slot, or a process that was
-   * frozen, may have outlived its lease, and the successor may already run the same key. A target
-   * that tells repeats apart by itself does not mind.
+   * <p>Checked again right before the start: while the request was queued or the process paused,
+   * the lease may have expired, and the successor may already run the same key. Not needed for
+   * targets that detect repeats.
    */
   Rejection leaseRejection(SideRequest request) {
     if (request.start().getTargetDetectsRepeats()) {
@@ -122,21 +129,22 @@
     }
     KeyClaim claim = request.start().getKeyClaim();
     long now = loop.now();
-    OptionalLong runsFrom = leases.servesFrom(claim.getShard(), position(claim), now);
-    if (runsFrom.isEmpty()) {
-      String detail = "this attempt was not run; the home of its Idempotency-Key is being changed";
+    OptionalLong servesFrom = leases.servesFrom(claim.getShard(), position(claim), now);
+    if (servesFrom.isEmpty()) {
+      String detail = "this attempt was not run; the owner of its Idempotency-Key is changing";
       return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, RETRY_AFTER_MILLIS);
     }
-    long quiet = runsFrom.getAsLong() - now;
-    if (quiet <= 0) {
+    long takeoverDelayNanos = servesFrom.getAsLong() - now;
+    if (takeoverDelayNanos <= 0) {
       return null;
     }
-    String detail = "this attempt was not run; an earlier one may have been, at a former home";
-    long retryAfter = TimeUnit.NANOSECONDS.toMillis(quiet) + 1;
+    String detail =
+        "this attempt was not run; a former owner of its key may have run an earlier one";
+    long retryAfter = TimeUnit.NANOSECONDS.toMillis(takeoverDelayNanos) + 1;
     return new Rejection(ErrorKind.KEY_STATE_UNKNOWN, detail, retryAfter);
   }
 
-  /** Notes the outcome of a request that ran; returns those who get it, too. */
+  /** Records the outcome of a request that ran; returns the requests that share it. */
   List<SideRequest> requestRan(SideRequest request, TargetOutcome outcome) {
     String key = request.start().getIdempotencyKey();
     if (outcome instanceof TargetOutcome.NotSent) {
@@ -145,16 +153,16 @@
     return store.complete(key, detachedFromBudget(outcome), bodyBytes(outcome), loop.now());
   }
 
-  /** Notes that a request that was to run did not; returns those who waited for it. */
+  /** Records that an admitted request did not run; returns the requests that waited for it. */
   List<SideRequest> requestNotRun(SideRequest request) {
     return store.abort(request.start().getIdempotencyKey());
   }
 
   /**
-   * Returns the shards that this process holds, for all it knows, with their keys.
+   * Returns the shards that this process holds as far as it knows, with their keys.
    *
-   * <p>To be asked only when nothing with a key runs here or will again: else a key that runs later
-   * is unknown to whom the shards are given.
+   * <p>To be called only when no keyed request runs here or will run again. The new owner would not
+   * know a key that runs later.
    */
   List<HandoverFrames.Shard> shardsToHandOver() {
     long now = loop.now();
@@ -163,7 +171,7 @@
         .claims()
         .forEach(
             (shard, claim) -> {
-              HandedShard handed =
+              HandedShard shardId =
                   HandedShard.newBuilder()
                       .setProcessIncarnation(processIncarnation)
                       .setClaim(
@@ -172,50 +180,51 @@
                               .setOffset(claim.offset())
                               .setIndex(claim.index()))
                       .build();
-              shards.add(new HandoverFrames.Shard(handed, store.completedKeys(shard, now)));
+              shards.add(new HandoverFrames.Shard(shardId, store.completedKeys(shard, now)));
             });
     return shards;
   }
 
   /**
-   * Takes keys that a stopping home gives to this process; returns whether it has the whole shard
-   * or cannot take it, or empty while some of its keys are missing.
+   * Accepts keys that a stopping owner hands over to this process.
    *
    * @param frame some of a shard's keys
-   * @param leaving whether this process is about to give its own away
+   * @param draining whether this process is stopping itself
+   * @return true if all keys of the shard are accepted, false if the shard is rejected, or empty
+   *     while keys are missing
    */
-  Optional<Boolean> acceptHandover(KeyHandover frame, boolean leaving) {
+  Optional<Boolean> acceptHandover(KeyHandover frame, boolean draining) {
     HandedShard shard = frame.getShard();
-    // A frame so late that this process has got the shard meanwhile tells of older runs than it
-    // knows itself.
-    boolean late = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
-    if (leaving || late || handoverReceiver.isFull()) {
+    // A stale frame of a shard that this process has owned since has older runs than its own.
+    boolean stale = leases.hasLaterClaim(shard.getClaim().getShard(), position(shard.getClaim()));
+    if (draining || stale || handoverReceiver.isFull()) {
       handoverReceiver.discard(shard);
       return Optional.of(false);
     }
     return handoverReceiver.add(frame, loop.now()).map(keys -> store.importKeys(keys, loop.now()));
   }
 
-  /** Drops parts of shards whose rest never came. */
+  /** Drops incomplete shards whose remaining keys were not received in time. */
   void expire() {
     handoverReceiver.expire(loop.now());
   }
 
-  /** Returns the outcome as it is given again: it holds nothing of the budget of bodies. */
+  /** Returns a copy of the outcome that holds no bytes of the budget of bodies. */
   static TargetOutcome detachedFromBudget(TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Responded answered) {
+    if (outcome instanceof TargetOutcome.Responded responded) {
       return new TargetOutcome.Responded(
-          answered.status(), answered.headers(), answered.body(), () -> {});
+          responded.status(), responded.headers(), responded.body(), () -> {});
     }
     return outcome;
   }
 
-  private void reject(SideRequest request, Rejection refusal) {
-    answers.reject(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+  private void reject(SideRequest request, Rejection rejection) {
+    responseSender.reject(
+        request.responseConnection(), request.id(), request.start().getLabel(), rejection);
   }
 
   private static long bodyBytes(TargetOutcome outcome) {
-    return outcome instanceof TargetOutcome.Responded answered ? answered.body().size() : 0;
+    return outcome instanceof TargetOutcome.Responded responded ? responded.body().size() : 0;
   }
 
   static Position position(KeyClaim claim) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/LinkSettings.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How an entry watches its connections to side processes.
+ * Settings of an entry's connections to side processes.
  *
- * @param connectionsPerTarget how many connections to each side process
- * @param checkIntervalNanos how often connections are looked at
- * @param pingAfterNanos how long after something was sent a quiet connection is pinged
- * @param idlePingNanos how long a connection may be quiet at all before it is pinged
- * @param silenceTimeoutNanos how long nothing may come after something was sent, before the
- *     connection is given up
- * @param resolveTimeoutNanos how long the outcome of a request is asked for after its connection
+ * @param connectionsPerTarget the number of connections to each side process
+ * @param checkIntervalNanos the period of connection checks
+ * @param pingAfterNanos how long a sent frame may stay unanswered before the connection is pinged
+ * @param idlePingNanos how long no frame may be received before the connection is pinged
+ * @param silenceTimeoutNanos how long a sent frame may stay unanswered before the connection is
+ *     closed
+ * @param resolveTimeoutNanos how long to try to resolve the outcome of a request whose connection
  *     was lost
  */
 public record LinkSettings(
@@ -24,9 +24,9 @@
     long silenceTimeoutNanos,
     long resolveTimeoutNanos) {
   /**
-   * Two connections, silence noticed within two seconds, resolved within two more. A second is a
-   * thousand round trips between availability zones, and longer than the pauses that the collector
-   * makes in a heap of 40 MB.
+   * Two connections, unresponsive ones detected within two seconds, outcomes resolved within two
+   * more. A second is a thousand round trips between availability zones, and longer than the
+   * garbage collection pauses of a 40 MB heap.
    */
   public static final LinkSettings DEFAULT =
       new LinkSettings(
@@ -40,14 +40,16 @@
   /** Checks the components. */
   public LinkSettings {
     checkArgument(
-        connectionsPerTarget > 0, "connections is not positive: %s", connectionsPerTarget);
-    checkArgument(checkIntervalNanos > 0, "tickNanos is not positive: %s", checkIntervalNanos);
+        connectionsPerTarget > 0, "connectionsPerTarget is not positive: %s", connectionsPerTarget);
+    checkArgument(
+        checkIntervalNanos > 0, "checkIntervalNanos is not positive: %s", checkIntervalNanos);
     checkArgument(pingAfterNanos > 0, "pingAfterNanos is not positive: %s", pingAfterNanos);
     checkArgument(idlePingNanos > 0, "idlePingNanos is not positive: %s", idlePingNanos);
     checkArgument(
         silenceTimeoutNanos > pingAfterNanos,
-        "silenceNanos %s leaves no time to ping",
+        "silenceTimeoutNanos is not greater than pingAfterNanos: %s",
         silenceTimeoutNanos);
-    checkArgument(resolveTimeoutNanos > 0, "resolveNanos is not positive: %s", resolveTimeoutNanos);
+    checkArgument(
+        resolveTimeoutNanos > 0, "resolveTimeoutNanos is not positive: %s", resolveTimeoutNanos);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseSender.java
@@ -17,15 +17,16 @@
 import java.util.function.Supplier;
 
 /**
- * Gives entries their answers, and notes in the ledger what was said before it is sent.
+ * Sends responses and rejections to entries, and records each in the attempt table before it is
+ * sent.
  *
  * <p>Confined to the loop's thread.
  */
 final class ResponseSender {
   /**
-   * What a kept answer holds besides its bytes: the objects of the frame and its headers. Without
-   * it 20,000 short answers filled the old generation of a 40 MB heap, and two full collections a
-   * second held up one request in a hundred for 45 ms.
+   * The memory of a retained response besides its bytes: the objects of the frame and its headers.
+   * When these were not counted, 20,000 short responses filled the old generation of a 40 MB heap,
+   * and two full collections a second delayed one request in a hundred by 45 ms.
    */
   private static final int RETAINED_OVERHEAD_BYTES = 1_024;
 
@@ -39,95 +40,99 @@
 
   ResponseSender(
       LinkLoop loop,
-      AttemptTable<Frame> ledger,
+      AttemptTable<Frame> attemptTable,
       Supplier<TargetReport> report,
       EventRecorder events) {
     this.loop = loop;
-    this.attemptTable = ledger;
+    this.attemptTable = attemptTable;
     this.report = report;
     this.events = events;
   }
 
-  /** Why a request is not run. */
+  /** The reason why a request is not run. */
   record Rejection(ErrorKind kind, String detail, long retryAfterMillis) {}
 
-  /** Refuses a request that has not started, with a tombstone on its id. */
-  void reject(LinkConnection connection, AttemptId id, String label, Rejection refusal) {
+  /** Rejects a request that has not started and writes a tombstone for its id. */
+  void reject(LinkConnection connection, AttemptId id, String label, Rejection rejection) {
     if (!attemptTable.markNotRun(id, loop.now())) {
       sendOutcomeUnknown(connection, id);
       return;
     }
-    sendNotRun(connection, id, label, refusal);
+    sendNotRun(connection, id, label, rejection);
   }
 
-  /** Refuses a request that was started, on proof that its target saw no byte of it. */
-  void rejectNotSent(SideRequest request, Rejection refusal) {
+  /** Rejects a started request of which provably no byte was sent to the target. */
+  void rejectNotSent(SideRequest request, Rejection rejection) {
     attemptTable.markUndelivered(request.id(), loop.now());
-    sendNotRun(request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+    sendNotRun(request.responseConnection(), request.id(), request.start().getLabel(), rejection);
   }
 
-  /** Answers a copy of a request that was refused before. */
+  /** Rejects a copy of a request that was rejected or cancelled before. */
   void resendRejection(LinkConnection connection, AttemptId id) {
     connection.send(
-        SideFrames.notRun(id, ErrorKind.OVERLOADED, "given up before", 0, report.get()));
+        SideFrames.notRun(
+            id, ErrorKind.OVERLOADED, "rejected or cancelled before", 0, report.get()));
   }
 
-  /** Answers a copy of a request that may have run. */
+  /** Reports the outcome as unknown for a copy of a request that may have run. */
   void sendOutcomeUnknown(LinkConnection connection, AttemptId id) {
-    connection.send(SideFrames.failed(id, ErrorKind.OUTCOME_UNKNOWN, "seen before", report.get()));
+    connection.send(
+        SideFrames.failed(
+            id, ErrorKind.OUTCOME_UNKNOWN, "received before and may have run", report.get()));
   }
 
-  /** Sends a kept answer anew, to the connection on which it was asked for. */
-  void resend(LinkConnection connection, AttemptId id, Frame answer) {
-    send(connection, id, answer);
+  /** Sends a retained response again, on the connection that requested it. */
+  void resend(LinkConnection connection, AttemptId id, Frame response) {
+    send(connection, id, response);
   }
 
   /**
-   * Drops the answers that the entry at the other end has, by how many it read on the connection.
+   * Drops the responses that the entry has acknowledged.
    *
-   * @throws BrokenFrameException if it claims more than were sent
+   * @param read the number of responses that the entry has read on the connection so far
+   * @throws BrokenFrameException if it is more than were sent
    */
   void acknowledged(LinkConnection connection, long read) throws BrokenFrameException {
     UnacknowledgedResponses sent = unacknowledged.get(connection);
     if (sent == null) {
       if (read != 0) {
-        throw new BrokenFrameException(read + " answers read, none sent");
+        throw new BrokenFrameException(read + " responses acknowledged, none sent");
       }
       return;
     }
     sent.acknowledge(read, id -> attemptTable.acknowledged(id, loop.now()));
   }
 
-  /** Forgets what was sent on the connection; it may yet be asked for on another one. */
+  /** Drops the state of a connection; its responses may still be requested on another one. */
   void connectionClosed(LinkConnection connection) {
     unacknowledged.remove(connection);
   }
 
-  /** Passes on what came of a started request. */
+  /** Sends the outcome of a started request. */
   void sendOutcome(SideRequest request, TargetOutcome outcome) {
-    if (outcome instanceof TargetOutcome.Responded answered) {
-      sendResponse(request, answered);
-    } else if (outcome instanceof TargetOutcome.NotSent never) {
+    if (outcome instanceof TargetOutcome.Responded responded) {
+      sendResponse(request, responded);
+    } else if (outcome instanceof TargetOutcome.NotSent notSent) {
       rejectNotSent(
           request,
           new Rejection(
-              ErrorKind.TARGET_UNREACHABLE, never.detail(), UNREACHABLE_RETRY_AFTER_MILLIS));
-    } else if (outcome instanceof TargetOutcome.NoResponse lost) {
-      sendFailure(request, ErrorKind.OUTCOME_UNKNOWN, lost.detail());
-    } else if (outcome instanceof TargetOutcome.InvalidResponse broken) {
-      sendFailure(request, ErrorKind.TARGET_BROKEN_ANSWER, broken.detail());
+              ErrorKind.TARGET_UNREACHABLE, notSent.detail(), UNREACHABLE_RETRY_AFTER_MILLIS));
+    } else if (outcome instanceof TargetOutcome.NoResponse missing) {
+      sendFailure(request, ErrorKind.OUTCOME_UNKNOWN, missing.detail());
+    } else if (outcome instanceof TargetOutcome.InvalidResponse invalid) {
+      sendFailure(request, ErrorKind.TARGET_BROKEN_ANSWER, invalid.detail());
     }
   }
 
   private void sendNotRun(
-      LinkConnection connection, AttemptId id, String label, Rejection refusal) {
+      LinkConnection connection, AttemptId id, String label, Rejection rejection) {
     events.record(
         Event.of(EventKind.REQUEST_REFUSED)
             .withRequest(label)
-            .withDetail(refusal.kind().code() + ": " + refusal.detail()));
+            .withDetail(rejection.kind().code() + ": " + rejection.detail()));
     connection.send(
         SideFrames.notRun(
-            id, refusal.kind(), refusal.detail(), refusal.retryAfterMillis(), report.get()));
+            id, rejection.kind(), rejection.detail(), rejection.retryAfterMillis(), report.get()));
   }
 
   private void sendFailure(SideRequest request, ErrorKind kind, String detail) {
@@ -140,24 +145,24 @@
     send(request.responseConnection(), request.id(), frame);
   }
 
-  private void sendResponse(SideRequest request, TargetOutcome.Responded answered) {
+  private void sendResponse(SideRequest request, TargetOutcome.Responded responded) {
     events.record(
         Event.of(EventKind.REQUEST_ANSWERED)
             .withRequest(request.start().getLabel())
-            .withDetail("status " + answered.status()));
-    AnswerStart start = SideFrames.answerStart(request.id(), answered, report.get());
-    if (answered.body().size() > BodyLimits.MAX_CHUNK_BYTES) {
+            .withDetail("status " + responded.status()));
+    AnswerStart start = SideFrames.answerStart(request.id(), responded, report.get());
+    if (responded.body().size() > BodyLimits.MAX_CHUNK_BYTES) {
       attemptTable.doneWithoutResponse(request.id(), loop.now());
       request
           .responseConnection()
-          .sendAll(new ResponseFrames(start, answered.body(), answered.release()));
+          .sendAll(new ResponseFrames(start, responded.body(), responded.release()));
       return;
     }
-    answered.release().run();
-    AnswerStart whole = start.toBuilder().setData(answered.body()).setLast(true).build();
-    Frame frame = Frame.newBuilder().setAnswerStart(whole).build();
-    long held = frame.getSerializedSize() + RETAINED_OVERHEAD_BYTES;
-    attemptTable.done(request.id(), frame, held, loop.now());
+    responded.release().run();
+    AnswerStart complete = start.toBuilder().setData(responded.body()).setLast(true).build();
+    Frame frame = Frame.newBuilder().setAnswerStart(complete).build();
+    long retainedBytes = frame.getSerializedSize() + RETAINED_OVERHEAD_BYTES;
+    attemptTable.done(request.id(), frame, retainedBytes, loop.now());
     send(request.responseConnection(), request.id(), frame);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -38,24 +38,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs the requests of all entries on the target beside it, each at most once.
+ * Runs the requests of all entries on the target of this VM, each at most once.
  *
  * <p>All state is confined to the loop's thread; the public methods may be called from any thread.
- * Every refusal first puts a tombstone on the request's id in the {@link AttemptTable}.
+ * Every rejection first writes a tombstone for the request's id to the {@link AttemptTable}, so
+ * that a late copy of the request does not run.
  */
 public final class SideDispatcher implements AutoCloseable {
-  /** Ended ids kept: the load of several seconds of a fast target, in a few megabytes. */
+  /** Holds several seconds of a fast target's requests in a few megabytes. */
   private static final int MAX_ENDED_IDS = 20_000;
 
   private static final long ENDED_ID_TTL_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** How often the target is probed: it is to get nothing new within 2 s of its leaving. */
+  /** Period of health probes. A draining target must get no new requests after at most 2 s. */
   private static final long TICK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** How long past its deadline a request may still hold its slot, because its target does. */
+  /** How long a request keeps its slot past its deadline, as the target may still be running it. */
   private static final long TARGET_OVERRUN_NANOS = TimeUnit.SECONDS.toNanos(10);
 
-  /** A refusal for want of a slot asks the entry to wait about a round trip. */
+  /** Retry-after of rejections for lack of a slot: about a round trip to the entry. */
   private static final long SLOT_RETRY_AFTER_MILLIS = 5;
 
   private static final long DRAINING_RETRY_AFTER_MILLIS = 1_000;
@@ -81,20 +82,20 @@
   private volatile int queueLength;
   private volatile boolean stopping;
   private boolean stopAnnounced;
-  private volatile Runnable leavingListener = () -> {};
+  private volatile Runnable drainingListener = () -> {};
   private Future<?> tick;
 
   /**
    * Creates a dispatcher that does not listen yet.
    *
-   * @param loop the thread
-   * @param address where entries dial in
-   * @param target the target
-   * @param limits the bounds
-   * @param processIncarnation this process's incarnation, as announced
-   * @param entries the way to the entries that hear this process
-   * @param budget what bodies of requests hold; the same as that of the target's client
-   * @param events the time line
+   * @param loop the loop that all state is confined to
+   * @param address the address that entries connect to
+   * @param target the target that runs the requests
+   * @param limits the limits of slots, queue, connections and memory
+   * @param processIncarnation the incarnation that this process announces
+   * @param entries sends frames to the entries that this process announces itself to
+   * @param budget the bytes that request bodies may hold; shared with the target's client
+   * @param events records the request's events
    */
   public SideDispatcher(
       LinkLoop loop,
@@ -112,7 +113,7 @@
     this.entries = requireNonNull(entries, "entries");
     this.budget = requireNonNull(budget, "budget");
     this.events = requireNonNull(events, "events");
-    this.healthMonitor = new TargetHealthMonitor(loop, target, () -> leavingListener.run());
+    this.healthMonitor = new TargetHealthMonitor(loop, target, () -> drainingListener.run());
     this.server = new LinkServer(loop, address, limits.maxConnections(), new EntryFrameListener());
     this.connectionDrain = new ConnectionDrain(loop, server::isFlushed);
     this.attemptTable =
@@ -123,20 +124,20 @@
         new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isLeaving);
   }
 
-  /** Returns who takes what entries say about idempotency keys. */
+  /** Returns the listener for frames of entries about idempotency keys. */
   public KeyListener keyListener() {
     return keyFrameHandler;
   }
 
-  /** Sets who is told when {@link #isLeaving} changes; to be called before {@link #start}. */
+  /** Sets the listener for changes of {@link #isLeaving}; to be called before {@link #start}. */
   public void onLeavingChanged(Runnable listener) {
-    leavingListener = requireNonNull(listener, "listener");
+    drainingListener = requireNonNull(listener, "listener");
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     server.start();
@@ -144,25 +145,25 @@
     loop.runLater(this::tick);
   }
 
-  /** Returns the port that is listened on. */
+  /** Returns the local port. */
   public int port() {
     return server.port();
   }
 
-  /** Returns what the target has to do now. */
+  /** Returns the current load of the target. */
   public TargetLoad load() {
     return new TargetLoad(running, queueLength, entries.entryCount(), isLeaving());
   }
 
-  /** Returns whether nothing new is taken: this process or its target is stopping. */
+  /** Returns whether new requests are rejected because this process or its target is stopping. */
   public boolean isLeaving() {
     return stopping || !healthMonitor.acceptsWork();
   }
 
   /**
-   * Begins a planned stop: nothing new is taken, what is in progress ends.
+   * Begins a planned stop: new requests are rejected, pending ones are completed.
    *
-   * @return completed when entries have the last answer and nothing of theirs is on its way here
+   * @return completed when entries have received the last response and no request is in transit
    */
   public CompletableFuture<Void> beginStop() {
     stopping = true;
@@ -175,12 +176,12 @@
       return;
     }
     stopAnnounced = true;
-    leavingListener.run();
+    drainingListener.run();
     connectionDrain.begin();
     checkDrained();
   }
 
-  /** Ends all connections; what is in progress is lost, so {@link #beginStop} goes first. */
+  /** Closes all connections; pending requests are lost, so call {@link #beginStop} first. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -194,7 +195,7 @@
   }
 
   private void checkDrained() {
-    // Newcomers are refused by now: once nothing with a key is in progress none will run here.
+    // New requests are rejected by now: once no keyed request is pending, none will run here.
     if (stopping && requests.values().stream().noneMatch(KeyedRequests::isKeyed)) {
       keyFrameHandler.handOver(this::checkDrained);
     }
@@ -209,21 +210,21 @@
     switch (attemptTable.state(id)) {
       case UNSEEN -> admit(connection, id, start, loop.now());
       case TOMBSTONE -> responseSender.resendRejection(connection, id);
-      case WAITING, RUNNING -> throw new BrokenFrameException("second start of " + id);
-      // A copy that comes so late that its id is forgotten must not run: it may have run.
+      case WAITING, RUNNING -> throw new BrokenFrameException("second RequestStart of " + id);
+      // A copy of an id whose outcome was dropped must not run: the request may have run before.
       case DONE, FORGOTTEN -> responseSender.sendOutcomeUnknown(connection, id);
     }
   }
 
   private void admit(LinkConnection connection, AttemptId id, RequestStart start, long now)
       throws BrokenFrameException {
-    // Time that the frame spent in buffers while this process was frozen counts, too: without it a
-    // woken process would start requests whose callers were answered long ago.
+    // The time that the frame spent in buffers while this process was paused counts against the
+    // deadline. Otherwise a resumed process would run requests whose callers have timed out.
     long delay = transitDelays.get(connection).excessNanos(start.getSentAt(), now);
     long deadline = now + TimeUnit.MILLISECONDS.toNanos(start.getRemainingMillis()) - delay;
-    Rejection refusal = rejection(start, deadline, now);
-    if (refusal != null) {
-      responseSender.reject(connection, id, start.getLabel(), refusal);
+    Rejection rejection = rejection(start, deadline, now);
+    if (rejection != null) {
+      responseSender.reject(connection, id, start.getLabel(), rejection);
       return;
     }
     SideRequest request;
@@ -240,24 +241,26 @@
     }
   }
 
-  /** Returns why the request is not taken, or null after reserving room for its body. */
+  /** Returns why the request is rejected, or null after reserving the bytes of its body. */
   private Rejection rejection(RequestStart start, long deadline, long now) {
     if (isLeaving()) {
       return new Rejection(
-          ErrorKind.SHUTTING_DOWN, "the target is leaving", DRAINING_RETRY_AFTER_MILLIS);
+          ErrorKind.SHUTTING_DOWN, "the target is draining", DRAINING_RETRY_AFTER_MILLIS);
     }
     if (deadline - now <= 0) {
-      return new Rejection(ErrorKind.DEADLINE_BEFORE_START, "came after its deadline", 0);
+      return new Rejection(ErrorKind.DEADLINE_BEFORE_START, "received after the deadline", 0);
     }
     if (start.getBodyLength() > BodyLimits.MAX_BYTES) {
-      return new Rejection(ErrorKind.BODY_TOO_LARGE, "limit is " + BodyLimits.MAX_BYTES, 0);
+      return new Rejection(
+          ErrorKind.BODY_TOO_LARGE, "body limit is " + BodyLimits.MAX_BYTES + " bytes", 0);
     }
     if (isFull()) {
       return new Rejection(
-          ErrorKind.OVERLOADED, "all slots and the waiting room", SLOT_RETRY_AFTER_MILLIS);
+          ErrorKind.OVERLOADED, "all slots and the queue are full", SLOT_RETRY_AFTER_MILLIS);
     }
     if (!budget.tryReserve(start.getBodyLength())) {
-      return new Rejection(ErrorKind.OVERLOADED, "no room for the body", SLOT_RETRY_AFTER_MILLIS);
+      return new Rejection(
+          ErrorKind.OVERLOADED, "no memory budget left for the body", SLOT_RETRY_AFTER_MILLIS);
     }
     return null;
   }
@@ -268,7 +271,7 @@
 
   private void appendBody(LinkConnection connection, RequestBody body) throws BrokenFrameException {
     SideRequest request = requests.get(SideFrames.fromMessage(body.getId()));
-    // Chunks of a request that was refused, or given up, are still on their way; they are dropped.
+    // Chunks of a request that was rejected or cancelled may still arrive; they are dropped.
     if (request == null || request.isComplete() || request.responseConnection() != connection) {
       return;
     }
@@ -280,11 +283,11 @@
 
   private void runOrQueue(SideRequest request) {
     if (KeyedRequests.isKeyed(request)) {
-      KeyedRequests.AdmissionResult turn = keyedRequests.admit(request, () -> join(request));
-      if (turn == KeyedRequests.AdmissionResult.ANSWERED) {
+      KeyedRequests.AdmissionResult admission = keyedRequests.admit(request, () -> join(request));
+      if (admission == KeyedRequests.AdmissionResult.ANSWERED) {
         finish(request);
       }
-      if (turn != KeyedRequests.AdmissionResult.RUN) {
+      if (admission != KeyedRequests.AdmissionResult.RUN) {
         return;
       }
     }
@@ -295,38 +298,39 @@
     if (isFull()) {
       reject(
           request,
-          new Rejection(ErrorKind.OVERLOADED, "the waiting room is full", SLOT_RETRY_AFTER_MILLIS));
+          new Rejection(
+              ErrorKind.OVERLOADED, "all slots and the queue are full", SLOT_RETRY_AFTER_MILLIS));
       return;
     }
     queue.add(request);
     queueLength = queue.size();
   }
 
-  /** Lets a request have the outcome of another one with the same key; it takes no slot. */
+  /** Lets a request share the outcome of a running one with the same key; it takes no slot. */
   private void join(SideRequest request) {
     attemptTable.started(request.id());
     request.releaseBody();
   }
 
-  private void reject(SideRequest request, Rejection refusal) {
+  private void reject(SideRequest request, Rejection rejection) {
     discard(request);
     responseSender.reject(
-        request.responseConnection(), request.id(), request.start().getLabel(), refusal);
+        request.responseConnection(), request.id(), request.start().getLabel(), rejection);
     checkDrained();
   }
 
-  /** Takes a request that has not started out of everything but the ledger. */
+  /** Removes a request that has not started, but for its entry in the attempt table. */
   private void discard(SideRequest request) {
     finish(request);
     if (queue.remove(request)) {
       queueLength = queue.size();
     }
     if (KeyedRequests.isKeyed(request) && request.isComplete()) {
-      Rejection refusal =
+      Rejection rejection =
           new Rejection(
-              ErrorKind.OVERLOADED, "the first try was given up", SLOT_RETRY_AFTER_MILLIS);
+              ErrorKind.OVERLOADED, "the joined request did not run", SLOT_RETRY_AFTER_MILLIS);
       for (SideRequest joined : keyedRequests.requestNotRun(request)) {
-        responseSender.rejectNotSent(joined, refusal);
+        responseSender.rejectNotSent(joined, rejection);
         finish(joined);
       }
     }
@@ -340,13 +344,13 @@
 
   private void run(SideRequest request) {
     if (request.deadline() - loop.now() <= 0) {
-      reject(request, new Rejection(ErrorKind.DEADLINE_BEFORE_START, "waited too long", 0));
+      reject(request, new Rejection(ErrorKind.DEADLINE_BEFORE_START, "expired in the queue", 0));
       return;
     }
-    Rejection unheld =
+    Rejection noLease =
         KeyedRequests.isKeyed(request) ? keyedRequests.leaseRejection(request) : null;
-    if (unheld != null) {
-      reject(request, unheld);
+    if (noLease != null) {
+      reject(request, noLease);
       return;
     }
     RequestStart start = request.start();
@@ -356,9 +360,9 @@
         Event.of(EventKind.REQUEST_STARTED)
             .withRequest(start.getLabel())
             .withCaller(start.getCaller()));
-    TargetRequest toTarget =
+    TargetRequest targetRequest =
         SideFrames.targetRequest(start, request.body(), request.deadline() + TARGET_OVERRUN_NANOS);
-    target.send(toTarget, outcome -> loop.run(() -> attemptEnded(request, outcome)));
+    target.send(targetRequest, outcome -> loop.run(() -> attemptEnded(request, outcome)));
     request.releaseBody();
   }
 
@@ -390,8 +394,8 @@
       attemptTable.markNotRun(id, loop.now());
       return;
     }
-    // A running request goes on: its target cannot be made to undo it, and a slot counted as free
-    // while the target still works in it would overload the target.
+    // A running request is not cancelled: the target cannot undo it, and a slot that is freed while
+    // the target still works on the request would overload the target.
     if (attemptTable.markNotRun(id, loop.now())) {
       discard(request);
       checkDrained();
@@ -402,12 +406,11 @@
     connectionDrain.recordActivity();
     AttemptId id = SideFrames.fromMessage(resolve.getId());
     Resolution.State state = Resolution.State.FORGOTTEN;
-    // A process started anew on this address has seen none of its predecessor's requests; for it
-    // "never seen" proves nothing.
+    // A restarted process does not know earlier requests: an unseen id does not prove "not run".
     if (resolve.getProcessIncarnation() == processIncarnation) {
       SideRequest request = requests.get(id);
       if (request != null && !request.isComplete()) {
-        // The rest of the body was lost with its connection.
+        // The rest of the body was lost with the connection.
         discard(request);
         attemptTable.markNotRun(id, loop.now());
       }
@@ -444,7 +447,7 @@
     return Announcements.write(load(), limits.slots());
   }
 
-  /** Frames of entries. */
+  /** Handles frames and connection changes of entries. */
   private final class EntryFrameListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
@@ -455,7 +458,7 @@
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (stopping) {
-        // A frame that was read before the loop came to the stop: entries hear of it first.
+        // This frame is handled before the task that announces the stop, so announce it now.
         announceStop();
       }
       responseSender.acknowledged(connection, frame.getAnswersRead());
@@ -479,13 +482,13 @@
       transitDelays.remove(connection);
       responseSender.connectionClosed(connection);
       connectionDrain.closed(connection);
-      List<SideRequest> cutShort = new ArrayList<>();
+      List<SideRequest> incomplete = new ArrayList<>();
       for (SideRequest request : requests.values()) {
         if (request.responseConnection() == connection && !request.isComplete()) {
-          cutShort.add(request);
+          incomplete.add(request);
         }
       }
-      for (SideRequest request : cutShort) {
+      for (SideRequest request : incomplete) {
         discard(request);
         attemptTable.markNotRun(request.id(), loop.now());
       }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideLimits.java
@@ -5,16 +5,16 @@
 import io.marigoldsail.dispatch.TargetQueueLimit;
 
 /**
- * Bounds of a side process.
+ * Limits of a side process.
  *
- * @param slots how many requests its target runs at once
- * @param queueCapacity how many more are held for a free slot; covers a round trip to the entries,
- *     so that a slot that falls free is filled at once, and no more, for fairness is only seen
- *     there
- * @param maxConnections how many connections entries may have open at once
- * @param bodyBudgetBytes what bodies of requests and long answers may hold together, in bytes
- * @param retainedResponseBytes what answers kept for entries that lost a connection may hold, in
- *     bytes
+ * @param slots the number of requests that its target runs at once
+ * @param queueCapacity the number of requests that are queued for a free slot. Covers a round trip
+ *     to the entries, so that a free slot is filled at once, and no more than that, because only
+ *     entries schedule fairly
+ * @param maxConnections the number of connections that entries may have open at once
+ * @param bodyBudgetBytes the total bytes of request bodies and long responses
+ * @param retainedResponseBytes the total bytes of responses retained for entries that lost a
+ *     connection
  */
 public record SideLimits(
     int slots,
@@ -29,17 +29,17 @@
   /** Checks the components. */
   public SideLimits {
     checkArgument(slots > 0, "slots is not positive: %s", slots);
-    checkArgument(queueCapacity >= 0, "waitingRoom is negative: %s", queueCapacity);
+    checkArgument(queueCapacity >= 0, "queueCapacity is negative: %s", queueCapacity);
     checkArgument(maxConnections > 0, "maxConnections is not positive: %s", maxConnections);
     checkArgument(
         bodyBudgetBytes >= BodyLimits.MAX_BYTES,
-        "bodyBytes is less than one body: %s",
+        "bodyBudgetBytes is less than one body: %s",
         bodyBudgetBytes);
     checkArgument(
-        retainedResponseBytes >= 0, "keptAnswerBytes is negative: %s", retainedResponseBytes);
+        retainedResponseBytes >= 0, "retainedResponseBytes is negative: %s", retainedResponseBytes);
   }
 
-  /** Returns the bounds that fit a heap of 40 MB. */
+  /** Returns the limits for a heap of 40 MB. */
   public static SideLimits forSlots(int slots) {
     return new SideLimits(
         slots,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -16,26 +16,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * An entry's connections to one side process: a few, watched for silence and dialled again.
+ * An entry's connections to one side process. Monitors them for unresponsiveness and reconnects.
  *
- * <p>A connection counts only after its first ping was answered: a frozen process's kernel accepts
- * connections that nobody serves, and the stamps of the first frames tell the side process how long
- * the way usually takes. Confined to the loop's thread.
+ * <p>A connection is usable only after its first ping was answered: the kernel of a paused process
+ * still accepts connections, and the timestamps of the first frames let the side process estimate
+ * the usual transit delay. Confined to the loop's thread.
  */
 final class TargetPool {
-  /** Told of what the connections bring. */
+  /** Is notified of frames and changes of connections. */
   interface Listener {
-    /** A connection can be used. */
+    /** A connection became usable. */
     void connectionUsable(TargetPool pool, LinkConnection connection);
 
-    /** A frame other than a pong came. */
+    /** A frame other than a pong was received. */
     void frameReceived(TargetPool pool, LinkConnection connection, Frame frame)
         throws BrokenFrameException;
 
-    /** Nobody listens where the side process was. */
+    /** A connection was refused while none is usable: nothing listens at the address. */
     void connectionRefused(TargetPool pool);
 
-    /** A connection has ended. */
+    /** A usable connection was closed. */
     void connectionLost(TargetPool pool, LinkConnection connection, String reason);
   }
 
@@ -44,7 +44,7 @@
 
   private final LinkLoop loop;
   private final InetSocketAddress address;
-  private final LinkSettings times;
+  private final LinkSettings settings;
   private final RandomGenerator random;
   private final Listener listener;
   private final List<LinkConnection> usable = new ArrayList<>();
@@ -62,13 +62,13 @@
       LinkLoop loop,
       Announcement announcement,
       InetSocketAddress address,
-      LinkSettings times,
+      LinkSettings settings,
       RandomGenerator random,
       Listener listener) {
     this.loop = loop;
     this.announcement = announcement;
     this.address = address;
-    this.times = times;
+    this.settings = settings;
     this.random = random;
     this.listener = listener;
     this.nextDialAt = loop.now();
@@ -91,22 +91,22 @@
   }
 
   /**
-   * Returns the target as the policy is to see it; leaving for good once the side process goes
-   * away, whatever an announcement says that was overtaken.
+   * Returns the state of the target for the policy. Once the side process has sent GOAWAY, the
+   * target stays draining, even if a stale announcement is received later.
    */
   TargetState targetState() {
     TargetState announced = announcement.targetState();
     return goingAway ? announced.asDraining() : announced;
   }
 
-  /** Takes the side process's word that it takes nothing new; returns whether that is news. */
+  /** Records that the side process sent GOAWAY; returns whether this is the first time. */
   boolean markGoingAway() {
-    boolean news = !goingAway;
+    boolean first = !goingAway;
     goingAway = true;
-    return news;
+    return first;
   }
 
-  /** Returns whether the side process will take nothing new any more. */
+  /** Returns whether the side process has sent GOAWAY and rejects new requests. */
   boolean isGoingAway() {
     return goingAway;
   }
@@ -133,12 +133,12 @@
   }
 
   /**
-   * Returns the connection that answers best, in turn where several do, or null where none is
-   * usable.
+   * Returns the usable connection that has been waiting for a reply for the shortest time,
+   * round-robin among equals, or null if none is usable.
    *
-   * <p>A connection that went silent is noticed after {@link LinkSettings#silenceTimeoutNanos};
-   * taken in turn it would hold up every second request of that time. Whatever was sent on it is
-   * unanswered longer than on the others, so that those are taken.
+   * <p>An unresponsive connection is detected only after {@link LinkSettings#silenceTimeoutNanos}.
+   * Until then it has waited longest, so that requests use the others; plain round-robin would
+   * delay every second request.
    */
   LinkConnection selectConnection() {
     long now = loop.now();
@@ -153,23 +153,23 @@
     return best;
   }
 
-  /** Dials what is missing, pings what was quiet, and gives up what stayed silent. */
+  /** Opens missing connections, pings quiet ones, and closes unresponsive ones. */
   void tick(long now) {
     while (!closed
-        && usable.size() + unverified.size() + dialsInProgress < times.connectionsPerTarget()
+        && usable.size() + unverified.size() + dialsInProgress < settings.connectionsPerTarget()
         && nextDialAt - now <= 0) {
       dialsInProgress++;
       loop.dial(address, new ConnectionListener(), this::dialFailed);
     }
     for (LinkConnection connection : allConnections()) {
       long unanswered = connection.unansweredNanos(now);
-      boolean idle = now - connection.lastReceived() > times.idlePingNanos();
-      // A connection that something between the two ends lost track of accepts bytes and brings
-      // nothing, for good, and no error ever comes of it. Every peer answers a ping at once, so
-      // silence in spite of pings tells it from a peer that only works long.
-      if (unanswered > times.silenceTimeoutNanos()) {
+      boolean idle = now - connection.lastReceived() > settings.idlePingNanos();
+      // A connection whose state was lost in the network accepts bytes but delivers nothing, and
+      // never reports an error. Peers answer pings at once, so unanswered pings distinguish it from
+      // a peer with a long-running request.
+      if (unanswered > settings.silenceTimeoutNanos()) {
         connection.close("silent");
-      } else if (unanswered > times.pingAfterNanos() || idle) {
+      } else if (unanswered > settings.pingAfterNanos() || idle) {
         ping(connection);
       }
     }
@@ -207,7 +207,7 @@
     backoffNanos = Math.min(MAX_BACKOFF_NANOS, backoffNanos * 2);
   }
 
-  /** Frames of the side process. */
+  /** Handles frames and connection changes of the side process. */
   private final class ConnectionListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -22,9 +22,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A side process that says what the test tells it to; it answers pings by itself. */
+/** A side process that is controlled by the test; it answers pings by itself. */
 final class FakeSide implements AutoCloseable {
-  /** A frame and the connection it came on. */
+  /** A frame and the connection that it was received on. */
   record ReceivedFrame(LinkConnection connection, Frame frame) {}
 
   private final String vm;
@@ -34,7 +34,7 @@
   private final BlockingQueue<ReceivedFrame> receivedFrames = new LinkedBlockingQueue<>();
   private volatile LinkConnection unresponsive;
   private FakePeer control;
-  private volatile boolean leaving;
+  private volatile boolean draining;
   private boolean closed;
 
   FakeSide(String vm, long incarnation, int port) throws IOException {
@@ -50,9 +50,9 @@
     return server.port();
   }
 
-  /** Announces the target to the entry, now and again and again. */
-  void announce(EntryUnderTest entry, boolean newLeaving) {
-    leaving = newLeaving;
+  /** Announces the target to the entry, now and periodically from then on. */
+  void announce(EntryUnderTest entry, boolean newDraining) {
+    draining = newDraining;
     if (control == null) {
       control = FakePeer.dial(loop, entry.address().getPort());
       loop.repeat(this::announce, SideLinks.ANNOUNCE_NANOS);
@@ -71,13 +71,13 @@
             "",
             "parking",
             8,
-            leaving,
-            new TargetLoad(0, 0, 1, leaving),
+            draining,
+            new TargetLoad(0, 0, 1, draining),
             0);
     control.send(Frame.newBuilder().setAnnounce(Announcements.write(announcement)).build());
   }
 
-  /** Reads on but answers nothing on this connection any more, not even pings. */
+  /** Ignores all further frames on this connection, also pings. */
   void stopResponding(LinkConnection connection) {
     unresponsive = connection;
   }
@@ -86,7 +86,7 @@
   ReceivedFrame next() throws InterruptedException {
     ReceivedFrame next = receivedFrames.poll(30, TimeUnit.SECONDS);
     if (next == null) {
-      throw new AssertionError("no frame came");
+      throw new AssertionError("no frame received");
     }
     return next;
   }
@@ -112,7 +112,7 @@
   }
 
   static Frame response(AttemptId id, int status, String body, int length) {
-    AnswerStart.Builder answer =
+    AnswerStart.Builder start =
         AnswerStart.newBuilder()
             .setId(SideFrames.toMessage(id))
             .setStatus(status)
@@ -120,7 +120,7 @@
             .setBodyLength(length)
             .setLast(true)
             .setReport(TargetReport.newBuilder().setSlots(8).setEntries(1));
-    return Frame.newBuilder().setAnswerStart(answer).build();
+    return Frame.newBuilder().setAnswerStart(start).build();
   }
 
   static Frame notRun(AttemptId id, ErrorKind kind) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -95,7 +95,8 @@
     for (int i = 0; i < SLOTS; i++) {
       runs.add(target.awaitNext());
     }
-    Await.until("the rest waits", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY);
+    Await.until(
+        "the others are queued", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY);
     return runs;
   }
 
@@ -118,8 +119,8 @@
   }
 
   /**
-   * A full side process turns a booking away and the caller reads "not run"; whoever still runs it
-   * later books twice. The target's own record must not show it, also when a copy comes later.
+   * A full side process rejects a booking and the caller receives "not run". The booking must not
+   * run later, also not if a copy is received, or the retry books twice.
    */
   @Test
   void requestRejectedAsOverloadedNeverRuns() throws Exception {
@@ -142,15 +143,15 @@
   }
 
   /**
-   * A connection goes silent with a booking in it. The entry asks over a new one, hears "not run",
-   * and tells its caller so. Then the old connection delivers after all: without a tombstone on the
-   * id the booking runs though it was said not to have run.
+   * A connection with a booking becomes unresponsive. The entry resolves the booking over a new one
+   * as "not run" and reports that to its caller. Then the old connection delivers it after all:
+   * without a tombstone for the id the booking would run.
    */
   @Test
   void requestReceivedAfterItsResolutionDoesNotRun() throws Exception {
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.NOT_RUN, fresh.next().getResolution().getState());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
 
     entry.send(frame(request(1)));
 
@@ -159,9 +160,8 @@
   }
 
   /**
-   * A side process is killed while its target works on a charge, and started anew on the same
-   * address. The new one has never seen the id; if it took that for "did not run", the charge would
-   * be made a second time.
+   * A side process is killed while its target runs a charge, and restarted on the same address. The
+   * new process does not know the id; if it reported "not run", the charge would run twice.
    */
   @Test
   void successorReportsPredecessorsRequestsAsForgotten() throws Exception {
@@ -171,8 +171,8 @@
   }
 
   /**
-   * The connection is lost while the target works. Asked over a new one, the side process says
-   * "running", and the answer comes there; the target ran the charge once.
+   * The connection is lost while the target runs a charge. Over a new one the side process resolves
+   * it as running and sends the response there; the charge runs once.
    */
   @Test
   void responseIsSentToConnectionOfLastResolve() throws Exception {
@@ -180,16 +180,16 @@
     FakeTarget.Run run = target.awaitNext();
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.RUNNING, fresh.next().getResolution().getState());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.RUNNING, newConnection.next().getResolution().getState());
     run.respond("charged");
 
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
     assertEquals(1, target.startedCount());
   }
 
-  /** The answer was lost with its connection; the kept one comes whole over the new one. */
+  /** A response that was lost with its connection is sent again over a new one. */
   @Test
   void retainedResponseIsSentAgain() throws Exception {
     entry.send(frame(request(1)));
@@ -197,17 +197,17 @@
     assertTrue(entry.next().hasAnswerStart());
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
 
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
     assertEquals(1, target.startedCount());
   }
 
   /**
-   * Each answer was kept for 60 s although its entry had read it; at 16,000 a second collecting
-   * them held up one request in a hundred for 85 ms. What the entry has read is let go, what it has
-   * not read is kept, and neither can run again.
+   * Guards against retaining each response for 60 s although its entry had read it: at 16,000 a
+   * second their garbage collection delayed one request in a hundred by 85 ms. Acknowledged
+   * responses are dropped, others are retained, and neither request can run again.
    */
   @Test
   void onlyUnacknowledgedResponsesAreRetained() throws Exception {
@@ -221,17 +221,17 @@
     assertTrue(entry.next().hasPong());
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
-    assertEquals(Resolution.State.FORGOTTEN, fresh.next().getResolution().getState());
-    fresh.send(resolve(2, INCARNATION));
-    assertEquals("charged", fresh.next().getAnswerStart().getData().toStringUtf8());
-    fresh.send(frame(request(1)));
-    assertEquals("outcome-unknown", fresh.next().getFailed().getErrorKind());
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
+    assertEquals(Resolution.State.FORGOTTEN, newConnection.next().getResolution().getState());
+    newConnection.send(resolve(2, INCARNATION));
+    assertEquals("charged", newConnection.next().getAnswerStart().getData().toStringUtf8());
+    newConnection.send(frame(request(1)));
+    assertEquals("outcome-unknown", newConnection.next().getFailed().getErrorKind());
     assertEquals(2, target.startedCount());
   }
 
-  /** An entry that claims answers it was never sent would have others' answers dropped unread. */
+  /** Otherwise an entry could make the side process drop responses that it has not read. */
   @Test
   void acknowledgingUnsentResponsesClosesConnection() throws Exception {
     entry.acknowledgeResponse();
@@ -242,9 +242,9 @@
   }
 
   /**
-   * The VM freezes for ten seconds with a booking unread in its socket, whose caller waits five.
-   * Counting the five from when it is read, the woken process runs a booking that its caller was
-   * told had timed out.
+   * The VM pauses for ten seconds with an unread booking in its socket, whose deadline is five
+   * seconds away. If the five seconds counted from when it is read, the resumed process would run a
+   * booking whose caller has timed out.
    */
   @Test
   void resumedProcessDoesNotStartExpiredRequest() throws Exception {
@@ -256,7 +256,7 @@
     assertEquals(0, target.startedCount());
   }
 
-  /** A request whose deadline passes while it waits for a slot is given up, not run late. */
+  /** A request whose deadline passes while it is queued is rejected, not run late. */
   @Test
   void requestThatExpiresInQueueDoesNotRun() throws Exception {
     List<FakeTarget.Run> runs = new ArrayList<>();
@@ -266,7 +266,7 @@
     }
     entry.send(frame(request(100).setRemainingMillis(LONG_MILLIS / 2)));
     entry.send(frame(request(101)));
-    Await.until("both wait", () -> side.dispatcher().load().waiting() == 2);
+    Await.until("both are queued", () -> side.dispatcher().load().waiting() == 2);
     clockOffsetNanos.set(TimeUnit.MILLISECONDS.toNanos(LONG_MILLIS / 2));
     runs.get(0).respond("done");
 
@@ -276,17 +276,17 @@
     assertEquals(SLOTS + 1, target.startedCount());
   }
 
-  /** Half of a body must never reach a target as a whole one. */
+  /** A truncated body must never reach a target as a complete one. */
   @Test
   void truncatedRequestNeverRuns() throws Exception {
     ByteString half = ByteString.copyFromUtf8("half");
     entry.send(frame(request(1).setBodyLength(8).setData(half).setLast(false)));
     entry.close();
 
-    FakePeer fresh = dial();
-    fresh.send(resolve(1, INCARNATION));
+    FakePeer newConnection = dial();
+    newConnection.send(resolve(1, INCARNATION));
 
-    assertEquals(Resolution.State.NOT_RUN, fresh.next().getResolution().getState());
+    assertEquals(Resolution.State.NOT_RUN, newConnection.next().getResolution().getState());
     assertEquals(0, target.startedCount());
   }
 
@@ -324,7 +324,8 @@
     List<FakeTarget.Run> runs = fillSlotsAndQueue();
     entry.send(cancel(SLOTS + 1));
     entry.send(cancel(1));
-    Await.until("given up", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY - 1);
+    Await.until(
+        "queued request cancelled", () -> side.dispatcher().load().waiting() == QUEUE_CAPACITY - 1);
     assertEquals(SLOTS, side.dispatcher().load().inFlight());
 
     runs.forEach(run -> run.respond("done"));
@@ -338,8 +339,8 @@
   }
 
   /**
-   * A planned stop cuts off nobody: what runs and what waits inside is answered, what comes after
-   * reads "not run", and only then does the process say that it may exit.
+   * In a planned stop running and queued requests are completed, new ones are rejected as not run,
+   * and only then may the process exit.
    */
   @Test
   void plannedStopCompletesPendingRequestsAndRejectsNew() throws Exception {
@@ -360,9 +361,8 @@
   }
 
   /**
-   * A side process stops while it is idle. A charge that its entry sent a moment before it heard of
-   * that is still on its way; the process exits, and the caller is told that the outcome is unknown
-   * though a planned stop cuts off nobody.
+   * Guards against an unknown outcome in a planned stop. A charge that the entry sent just before
+   * it was notified of the stop is still in transit when the idle process exits.
    */
   @Test
   void plannedStopWaitsForRequestsInTransit() throws Exception {
@@ -371,10 +371,10 @@
     entry.send(frame(request(1)));
     assertTrue(entry.next().hasGoAway());
     assertEquals("shutting-down", entry.next().getNotRun().getErrorKind());
-    assertFalse(drained.isDone(), "more may come before the acknowledgement");
+    assertFalse(drained.isDone(), "more requests may arrive before the acknowledgement");
     entry.send(EntryFrames.goAwayAck());
     assertTrue(entry.next().hasGoAway());
-    assertFalse(drained.isDone(), "the refusal may not have arrived");
+    assertFalse(drained.isDone(), "the rejection may not have been received");
     entry.send(EntryFrames.goAwayAck());
 
     drained.orTimeout(30, TimeUnit.SECONDS).join();
@@ -382,9 +382,9 @@
   }
 
   /**
-   * The last charge ends during a stop and its answer is handed to the operating system, which has
-   * not delivered it when the process exits with a ping unread: the kernel resets the connection
-   * and throws the answer away, and a caller who was charged is told that the outcome is unknown.
+   * Guards against losing the last response in a planned stop. If the process exits with an unread
+   * ping before the operating system has delivered the response, the kernel resets the connection
+   * and discards it, and the caller gets an unknown outcome for a charge that ran.
    */
   @Test
   void plannedStopWaitsUntilLastResponseIsReceived() throws Exception {
@@ -397,7 +397,7 @@
     run.respond("charged");
     assertTrue(entry.next().hasAnswerStart());
 
-    assertTrue(entry.next().hasGoAway(), "asked behind the answer");
+    assertTrue(entry.next().hasGoAway(), "GOAWAY is sent again after the response");
     assertFalse(drained.isDone());
     entry.send(EntryFrames.goAwayAck());
 
@@ -405,9 +405,9 @@
   }
 
   @Test
-  void leavingTargetGetsNoNewRequests() throws Exception {
+  void drainingTargetGetsNoNewRequests() throws Exception {
     target.health(TargetHealth.LEAVING);
-    Await.until("noticed", () -> side.dispatcher().isLeaving());
+    Await.until("draining target detected", () -> side.dispatcher().isLeaving());
 
     entry.send(frame(request(1)));
 
