--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.daemon.http.WholeBody;
+import io.marigoldsail.daemon.http.BoundedBodyReader;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.error.ErrorKind;
@@ -41,7 +41,7 @@
       writeProblem(response, callback, failed.failure());
       return true;
     }
-    WholeBody.read(request, OperatorServer.LARGEST_BODY)
+    BoundedBodyReader.read(request, OperatorServer.LARGEST_BODY)
         .thenAccept(
             body -> {
               if (body instanceof Result.Failed<byte[]> failed) {
