--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -24,13 +24,13 @@
   private static final EventLog LOG = EventLog.of(StreamClient.class);
 
   /** What the streams of one process have in common. */
-  record Shared(
+  record Dependencies(
       LogService log,
       String process,
       long incarnation,
       MonotonicClock clock,
       EventRecorder events,
-      StreamsStatus streams) {}
+      StreamStatusReporter streams) {}
 
   private final StreamFollower follower;
   private final LogAppender appender;
@@ -41,12 +41,12 @@
   }
 
   /** Returns a client that only reads. */
-  static StreamClient reader(Shared shared, String stream, Fold fold) {
+  static StreamClient reader(Dependencies shared, String stream, Fold fold) {
     return new StreamClient(newFollower(shared, stream, fold), null);
   }
 
   /** Returns a client that also appends, and takes its turn at writing snapshots. */
-  static StreamClient writer(Shared shared, String stream, Fold fold) {
+  static StreamClient writer(Dependencies shared, String stream, Fold fold) {
     StreamFollower follower = newFollower(shared, stream, fold);
     LogAppender appender =
         new LogAppender(
@@ -61,7 +61,7 @@
     return new StreamClient(follower, appender);
   }
 
-  private static StreamFollower newFollower(Shared shared, String stream, Fold fold) {
+  private static StreamFollower newFollower(Dependencies shared, String stream, Fold fold) {
     StreamFollower follower =
         new StreamFollower(
             shared.log(),
@@ -70,7 +70,7 @@
             FollowerSettings.usual(),
             shared.clock(),
             new SplittableRandom());
-    follower.addListener(new Outages(stream, shared));
+    follower.addListener(new StreamEventRecorder(stream, shared));
     shared.streams().add(follower);
     return follower;
   }
@@ -99,7 +99,7 @@
   }
 
   /** Puts outages and other histories into the log, the metrics and on the time line. */
-  private record Outages(String stream, Shared shared) implements StreamListener {
+  private record StreamEventRecorder(String stream, Dependencies shared) implements StreamListener {
     private void record(EventKind kind, String detail) {
       shared.events().record(Event.of(kind).withDetail("stream " + stream + detail));
     }
@@ -118,7 +118,7 @@
 
     @Override
     public void historyReplaced(NewHistory reaction, String detail) {
-      shared.streams().countReplaced(stream);
+      shared.streams().countHistoryReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.EntryChannel;
-import io.marigoldsail.daemon.link.KeyListener;
+import io.marigoldsail.daemon.link.KeyFrameListener;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
@@ -125,7 +125,7 @@
   }
 
   /** Returns the listener for frames of entries about idempotency keys. */
-  public KeyListener keyListener() {
+  public KeyFrameListener keyListener() {
     return keyFrameHandler;
   }
 
@@ -444,7 +444,7 @@
   }
 
   private TargetReport report() {
-    return Announcements.write(load(), limits.slots());
+    return AnnouncementCodec.encode(load(), limits.slots());
   }
 
   /** Handles frames and connection changes of entries. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -305,7 +305,7 @@
     if (wantsLease) {
       connection.link().send(frame);
     } else {
-      connection.link().tell(frame);
+      connection.link().sendOneWay(frame);
     }
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationUnderFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
@@ -39,9 +39,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The configuration over the real follower and appender, on a log that fails as it is told. */
-final class ConfigurationUnderFaultsTest {
-  private static final String STREAM = ProcessBase.CONFIGURATION_STREAM;
-  private static final long PATIENCE_SECONDS = 30;
+final class ConfigurationFaultsTest {
+  private static final String STREAM = ProcessRuntime.CONFIGURATION_STREAM;
+  private static final long TIMEOUT_SECONDS = 30;
 
   /** A snapshot after every fifth record, at once. */
   private static final SnapshotSettings SNAPSHOTS = new SnapshotSettings(5, 600_000, 1, 0);
@@ -83,19 +83,19 @@
               WallClock.system(),
               executor,
               name + "/" + incarnation);
-      fold.onInForce(state -> note(state.revisionInForce()));
+      fold.onInForce(state -> addRevision(state.revisionInForce()));
     }
 
-    private synchronized void note(long revision) {
+    private synchronized void addRevision(long revision) {
       revisions.add(revision);
     }
 
-    synchronized void checkNeverWentBack() {
+    synchronized void assertRevisionsNeverDecrease() {
       assertEquals(revisions.stream().sorted().toList(), revisions);
     }
 
     CompletableFuture<Result<Published>> publish(String file, int waiting) {
-      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       return publisher.publish(request(file, waiting), deadline);
     }
 
@@ -108,7 +108,7 @@
               reached.complete(state.revisionInForce());
             }
           });
-      reached.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      reached.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
@@ -134,12 +134,12 @@
   }
 
   private static Result<Published> get(CompletableFuture<Result<Published>> told) throws Exception {
-    return told.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return told.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
   void stop() {
-    members.forEach(Member::checkNeverWentBack);
+    members.forEach(Member::assertRevisionsNeverDecrease);
     members.forEach(Member::close);
     executor.shutdownNow();
   }
@@ -149,7 +149,7 @@
    * loses every second answer. One order comes out; what was told as accepted is in it, each once.
    */
   @Test
-  void staysInForceWhenTheLogBeginsAgain() throws Exception {
+  void configurationStaysInForceWhenLogIsRecreated() throws Exception {
     // The platform sets the log up anew, empty. Without a guard every process stayed deaf until the
     // new stream was as long as the old one, then went on in its middle as if it were the old one;
     // a process that started later knew no configuration at all.
@@ -159,15 +159,15 @@
       assertTrue(get(first.publish("base", waiting)).isOk());
     }
     second.awaitRevision(3);
-    CompletableFuture<StreamStatus> firstWentOn = wentOn(first);
-    CompletableFuture<StreamStatus> secondWentOn = wentOn(second);
+    CompletableFuture<StreamStatus> firstWentOn = resumedOnNewHistory(first);
+    CompletableFuture<StreamStatus> secondWentOn = resumedOnNewHistory(second);
 
     log.loseNewest(Integer.MAX_VALUE);
     assertTrue(
         log.append(STREAM, "{\"v\":1,\"entries\":[]}".getBytes(StandardCharsets.UTF_8)).isOk());
 
-    firstWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-    secondWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    firstWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    secondWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(3, first.fold.state().revisionInForce());
     Result<Published> next = get(second.publish("base", 4));
     assertEquals(4, next.value().revision());
@@ -178,7 +178,7 @@
   }
 
   /** Completes once the member reads on in another history. */
-  private static CompletableFuture<StreamStatus> wentOn(Member member) {
+  private static CompletableFuture<StreamStatus> resumedOnNewHistory(Member member) {
     CompletableFuture<StreamStatus> wentOn = new CompletableFuture<>();
     member.follower.addListener(
         new StreamListener() {
@@ -193,7 +193,7 @@
   }
 
   @Test
-  void tenOperatorsRaceOverLostAnswers() throws Exception {
+  void concurrentPublishesWithLostResponsesAreAcceptedOnce() throws Exception {
     List<Member> entries = List.of(start("e-1", 1), start("e-2", 2), start("e-3", 3));
     log.setFaults(LogFaults.none().withLoseAnswers(8).withDoubleAppends(4));
     List<CompletableFuture<Result<Published>>> told = new ArrayList<>();
@@ -229,7 +229,7 @@
    * accepted. When the log is back the same publish gets in once, and all entries have it.
    */
   @Test
-  void publishDuringAnOutageIsNeverToldAsAccepted() throws Exception {
+  void publishDuringOutageIsNotReportedAsAccepted() throws Exception {
     Member first = start("e-1", 1);
     Member second = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
@@ -251,7 +251,7 @@
    * snapshot in the stream, and not serve on what the few remaining records say.
    */
   @Test
-  void entryStartsFromASnapshotAfterRecordsExpired() throws Exception {
+  void entryStartsFromSnapshotAfterRecordsExpired() throws Exception {
     Member first = start("e-1", 1);
     for (int i = 1; i <= 12; i++) {
       assertTrue(get(first.publish(i % 2 == 0 ? "base" : "vatulele", i)).isOk());
@@ -272,7 +272,7 @@
    * it goes on with its old configuration until it finds a snapshot, and never below what it had.
    */
   @Test
-  void frozenProcessCatchesUpFromASnapshot() throws Exception {
+  void pausedProcessCatchesUpFromSnapshot() throws Exception {
     Member first = start("e-1", 1);
     Member frozen = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
@@ -297,7 +297,7 @@
    * stale end publishes over what it has not seen: it must be told, not accepted.
    */
   @Test
-  void publisherThatReadsAStaleEndIsToldWhoWasFirst() throws Exception {
+  void publishOverStaleEndConflicts() throws Exception {
     Member first = start("e-1", 1);
     assertTrue(get(first.publish("base", 1)).isOk());
     Member stale = start("e-2", 2);
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CommandLineTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CommandLineTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.marigoldsail.daemon.operators.OperatorAnswer;
+import io.marigoldsail.daemon.operators.OperatorResponse;
 import io.marigoldsail.daemon.operators.ProcessMember;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
@@ -152,8 +152,8 @@
 
   @Test
   void jobsTellTheirOutcomeByExitCode() throws IOException {
-    world.server.registerImmediate("POST", "/jobs", request -> Result.ok(job(0, false)));
-    world.server.registerImmediate(
+    world.server.registerSynchronous("POST", "/jobs", request -> Result.ok(job(0, false)));
+    world.server.registerSynchronous(
         "GET",
         "/jobs/{name}",
         request ->
@@ -177,8 +177,8 @@
   @Test
   void waitOutlivesAnEntryThatDoesNotKnowTheJobYet() throws IOException {
     AtomicInteger asked = new AtomicInteger();
-    world.server.registerImmediate("POST", "/jobs", request -> Result.ok(job(0, false)));
-    world.server.registerImmediate(
+    world.server.registerSynchronous("POST", "/jobs", request -> Result.ok(job(0, false)));
+    world.server.registerSynchronous(
         "GET",
         "/jobs/{name}",
         request ->
@@ -190,10 +190,10 @@
     assertEquals(3, asked.get());
   }
 
-  private static OperatorAnswer job(int failed, boolean ended) {
+  private static OperatorResponse job(int failed, boolean ended) {
     ObjectNode node = Json.object();
     node.put("name", "payout").put("count", 2).put("failed", failed).put("ended", ended);
-    return OperatorAnswer.ok(node);
+    return OperatorResponse.ok(node);
   }
 
   @Test
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
@@ -1,6 +1,6 @@
 package io.marigoldsail.tests.measure;
 
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.job.JobSpec;
@@ -246,7 +246,7 @@
       for (int pass = -WARM_UP_PASSES; pass < PASSES; pass++) {
         began = pass == 0 ? System.nanoTime() : began;
         for (byte[] frame : frames) {
-          members.announced(Announcements.read(Announce.parseFrom(frame)), pass);
+          members.announced(AnnouncementCodec.decode(Announce.parseFrom(frame)), pass);
         }
       }
     } catch (IOException | BrokenFrameException e) {
@@ -256,7 +256,7 @@
   }
 
   private static Announce announcement(int vm) {
-    return Announcements.write(
+    return AnnouncementCodec.encode(
         new Announcement(
             "vm-" + vm,
             1_796_247_304_222L,
