--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
@@ -81,7 +81,7 @@
             .appender()
             .append(
                 EntryPresence.TYPE,
-                presence.write(),
+                presence.toJson(),
                 runtime.clock().nanos() + ANNOUNCE_PERIOD_NANOS);
   }
 
@@ -134,7 +134,7 @@
         entry.zone(),
         entry.operatorsAddress(),
         entry.revision(),
-        entry.leaving());
+        entry.draining());
   }
 
   private static ProcessMember member(Announcement side) {
@@ -144,7 +144,7 @@
         side.zone(),
         side.operatorsAddress(),
         side.configurationRevision(),
-        side.leaving());
+        side.draining());
   }
 
   @Override
@@ -155,7 +155,7 @@
   private final class OutageListener implements StreamListener {
     @Override
     public void outageEnded() {
-      directory.extendAll();
+      directory.restartTimeouts();
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -107,7 +107,7 @@
     links.addMemberListener(readiness);
     links.addTaskListener(
         (peer, message) -> scheduler.execute(() -> tasks.onMessage(peer, message)));
-    runtime.configurationFold().onInForce(state -> configure(policy));
+    runtime.configurationFold().addInForceListener(state -> configure(policy));
     registerRoutes(table, taskLog, terms);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessRuntime.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessRuntime.java
@@ -78,8 +78,8 @@
     metrics.gauge(
         "configuration_broken_records",
         "Configuration records passed over since the start, broken or never checked",
-        configuration::brokenRecords);
-    configuration.onInForce(
+        configuration::invalidRecordCount);
+    configuration.addInForceListener(
         state -> {
           currentConfiguration = state.configuration(settings.site());
           if (state.revisionInForce() > 0) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -72,7 +72,7 @@
     // Operators wait for it, so it is told at once instead of with the next announcement.
     runtime
         .configurationFold()
-        .onInForce(
+        .addInForceListener(
             state -> {
               if (state.revisionInForce() > 0) {
                 links.announceNow();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -3,12 +3,12 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.Fold;
 import io.marigoldsail.log.FollowerSettings;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.LogService;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.log.SnapshotSettings;
 import io.marigoldsail.log.SnapshotWriter;
 import io.marigoldsail.log.StreamFollower;
@@ -52,12 +52,12 @@
         new LogAppender(
             shared.log(),
             follower,
-            EntryIds.of(shared.process(), shared.incarnation()),
-            AppendSettings.usual(),
+            EntryIdGenerator.of(shared.process(), shared.incarnation()),
+            AppendSettings.defaults(),
             shared.clock(),
             new SplittableRandom());
     SnapshotWriter.attach(
-        follower, appender, SnapshotSettings.usual(), shared.clock(), new SplittableRandom());
+        follower, appender, SnapshotSettings.defaults(), shared.clock(), new SplittableRandom());
     return new StreamClient(follower, appender);
   }
 
@@ -67,7 +67,7 @@
             shared.log(),
             stream,
             fold,
-            FollowerSettings.usual(),
+            FollowerSettings.defaults(),
             shared.clock(),
             new SplittableRandom());
     follower.addListener(new StreamEventRecorder(stream, shared));
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
       shared.streams().countHistoryReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamStatusReporter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamStatusReporter.java
@@ -27,7 +27,7 @@
     metrics.gauge(
         "log_streams_behind",
         "Streams whose state here is an old one, as records expired or the stream is another one",
-        () -> followers.stream().filter(one -> one.status().seeking()).count());
+        () -> followers.stream().filter(one -> one.status().seekingSnapshot()).count());
     operators.registerSynchronous("GET", "/streams", request -> Result.ok(response()));
   }
 
@@ -47,13 +47,13 @@
       streams
           .addObject()
           .put("stream", follower.stream())
-          .put("applied", status.applied())
-          .put("end", status.end())
+          .put("applied", status.appliedOffset())
+          .put("end", status.endOffset())
           .put("firstOffset", status.firstOffset())
-          .put("behind", status.seeking())
+          .put("behind", status.seekingSnapshot())
           .put("outage", status.outage())
-          .put("skipped", status.skipped())
-          .put("historiesReplaced", status.histories());
+          .put("skipped", status.skippedCount())
+          .put("historiesReplaced", status.historyReplacementCount());
     }
     return OperatorResponse.ok(node);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
@@ -9,11 +9,11 @@
 import io.marigoldsail.configuration.ConfigurationDiff;
 import io.marigoldsail.configuration.ConfigurationFold;
 import io.marigoldsail.configuration.ConfigurationPublisher;
-import io.marigoldsail.configuration.ConfigurationRow;
 import io.marigoldsail.configuration.ConfigurationState;
 import io.marigoldsail.configuration.ConfigurationStateJson;
+import io.marigoldsail.configuration.EffectiveValue;
 import io.marigoldsail.configuration.PublishRequest;
-import io.marigoldsail.configuration.Published;
+import io.marigoldsail.configuration.PublishResult;
 import io.marigoldsail.configuration.PublishedVersion;
 import io.marigoldsail.daemon.operators.OperatorRequest;
 import io.marigoldsail.daemon.operators.OperatorResponse;
@@ -111,7 +111,7 @@
   }
 
   private Result<OperatorResponse> checkOnly(PublishRequest request) {
-    Optional<Failure> failure = publisher.verdict(request);
+    Optional<Failure> failure = publisher.validate(request);
     if (failure.isPresent()) {
       return Result.failed(failure.get());
     }
@@ -122,12 +122,12 @@
     return Result.ok(OperatorResponse.ok(node));
   }
 
-  private static OperatorResponse response(PublishRequest request, Published published) {
+  private static OperatorResponse response(PublishRequest request, PublishResult published) {
     ObjectNode node = Json.object();
     node.put("file", request.file());
     node.put("revision", published.revision());
     node.put("changed", published.changed());
-    node.put("tries", published.tries());
+    node.put("tries", published.attempts());
     return OperatorResponse.ok(node);
   }
 
@@ -171,7 +171,7 @@
                       UNKNOWN_AUTHOR,
                       "",
                       OptionalLong.empty());
-              Optional<Failure> failure = publisher.verdict(publish);
+              Optional<Failure> failure = publisher.validate(publish);
               return failure.isPresent()
                   ? Result.failed(failure.get())
                   : Result.ok(OperatorResponse.ok(diff(publisher.diff(publish))));
@@ -216,7 +216,7 @@
   private static void rows(ConfigurationState state, String site, ObjectNode node) {
     node.put("site", site);
     ArrayNode rows = node.putArray("rows");
-    for (ConfigurationRow row : state.rows(site)) {
+    for (EffectiveValue row : state.effectiveValues(site)) {
       ObjectNode rowNode = rows.addObject();
       rowNode.put("key", row.key());
       rowNode.set("value", row.value());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/AnnouncementCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/AnnouncementCodec.java
@@ -20,7 +20,7 @@
         .setOperatorsAddress(announcement.operatorsAddress())
         .setService(announcement.service())
         .setSlots(announcement.slots())
-        .setLeaving(announcement.leaving())
+        .setLeaving(announcement.draining())
         .setReport(encode(announcement.load(), announcement.slots()))
         .setConfigurationRevision(announcement.configurationRevision())
         .build();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
@@ -152,7 +152,7 @@
     // An entry frozen for seconds finds all deadlines passed before it has read what waits in its
     // sockets; the lateness of its own tick tells that it was the one who was away.
     if (now - lastTick > PAUSE_THRESHOLD_NANOS) {
-      members.extendAll(now);
+      members.restartTimeouts(now);
     }
     lastTick = now;
     for (Announcement lost : members.expire(now)) {
@@ -163,7 +163,7 @@
   }
 
   private void handleAnnouncement(LinkConnection connection, Announcement announcement) {
-    MemberTable.Change change = members.announced(announcement, loop.now());
+    MemberTable.Change change = members.update(announcement, loop.now());
     if (change == MemberTable.Change.STALE) {
       connection.close("a later process of " + announcement.vm() + " is known");
       return;
@@ -192,7 +192,7 @@
     if (change == MemberTable.Change.JOINED) {
       events.record(about);
     }
-    if (change == MemberTable.Change.LEAVING) {
+    if (change == MemberTable.Change.DRAINING) {
       events.record(Event.of(EventKind.MEMBER_LEAVING).withVm(announcement.vm()));
     }
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
@@ -8,12 +8,12 @@
 import io.marigoldsail.configuration.ConfigurationFold;
 import io.marigoldsail.configuration.ConfigurationPublisher;
 import io.marigoldsail.configuration.PublishRequest;
-import io.marigoldsail.configuration.Published;
+import io.marigoldsail.configuration.PublishResult;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.FollowerSettings;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.SnapshotSettings;
@@ -63,13 +63,13 @@
       MonotonicClock clock = MonotonicClock.system();
       SplittableRandom random = new SplittableRandom(incarnation);
       follower =
-          new StreamFollower(log, STREAM, fold, FollowerSettings.usual(), clock, random.split());
+          new StreamFollower(log, STREAM, fold, FollowerSettings.defaults(), clock, random.split());
       appender =
           new LogAppender(
               log,
               follower,
-              EntryIds.of(name, incarnation),
-              AppendSettings.usual(),
+              EntryIdGenerator.of(name, incarnation),
+              AppendSettings.defaults(),
               clock,
               random.split());
       SnapshotWriter.attach(follower, appender, SNAPSHOTS, clock, random.split());
@@ -83,7 +83,7 @@
               WallClock.system(),
               executor,
               name + "/" + incarnation);
-      fold.onInForce(state -> addRevision(state.revisionInForce()));
+      fold.addInForceListener(state -> addRevision(state.revisionInForce()));
     }
 
     private synchronized void addRevision(long revision) {
@@ -94,7 +94,7 @@
       assertEquals(revisions.stream().sorted().toList(), revisions);
     }
 
-    CompletableFuture<Result<Published>> publish(String file, int waiting) {
+    CompletableFuture<Result<PublishResult>> publish(String file, int waiting) {
       long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       return publisher.publish(request(file, waiting), deadline);
     }
@@ -102,7 +102,7 @@
     /** Returns once the revision is in force here. */
     void awaitRevision(long revision) throws Exception {
       CompletableFuture<Long> reached = new CompletableFuture<>();
-      fold.onInForce(
+      fold.addInForceListener(
           state -> {
             if (state.revisionInForce() >= revision) {
               reached.complete(state.revisionInForce());
@@ -133,7 +133,8 @@
     return member;
   }
 
-  private static Result<Published> get(CompletableFuture<Result<Published>> told) throws Exception {
+  private static Result<PublishResult> get(CompletableFuture<Result<PublishResult>> told)
+      throws Exception {
     return told.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
@@ -169,12 +170,12 @@
     firstWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     secondWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(3, first.fold.state().revisionInForce());
-    Result<Published> next = get(second.publish("base", 4));
+    Result<PublishResult> next = get(second.publish("base", 4));
     assertEquals(4, next.value().revision());
     first.awaitRevision(4);
     Member later = start("entry-3", 3);
     later.awaitRevision(4);
-    assertEquals(1, first.follower.status().histories());
+    assertEquals(1, first.follower.status().historyReplacementCount());
   }
 
   /** Completes once the member reads on in another history. */
@@ -184,7 +185,7 @@
         new StreamListener() {
           @Override
           public void pageApplied(StreamStatus status) {
-            if (status.histories() > 0 && !status.seeking()) {
+            if (status.historyReplacementCount() > 0 && !status.seekingSnapshot()) {
               wentOn.complete(status);
             }
           }
@@ -196,18 +197,18 @@
   void concurrentPublishesWithLostResponsesAreAcceptedOnce() throws Exception {
     List<Member> entries = List.of(start("e-1", 1), start("e-2", 2), start("e-3", 3));
     log.setFaults(LogFaults.none().withLoseAnswers(8).withDoubleAppends(4));
-    List<CompletableFuture<Result<Published>>> told = new ArrayList<>();
+    List<CompletableFuture<Result<PublishResult>>> told = new ArrayList<>();
     String[] files = {"base", "vatulele", "kitamizora", "suva"};
     for (int i = 0; i < 10; i++) {
       told.add(entries.get(i % 3).publish(files[i % files.length], i + 1));
     }
     List<Long> accepted = new ArrayList<>();
-    for (CompletableFuture<Result<Published>> one : told) {
-      Result<Published> result = get(one);
+    for (CompletableFuture<Result<PublishResult>> one : told) {
+      Result<PublishResult> result = get(one);
       if (result.isOk()) {
         accepted.add(result.value().revision());
       } else {
-        ErrorKind kind = ((Result.Failed<Published>) result).failure().kind();
+        ErrorKind kind = ((Result.Failed<PublishResult>) result).failure().kind();
         assertEquals(ErrorKind.CONFLICT, kind);
       }
     }
@@ -236,10 +237,10 @@
     second.awaitRevision(1);
     log.setFaults(LogFaults.none().withDown(true));
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
-    Result<Published> during = get(first.publisher.publish(request("base", 2), deadline));
+    Result<PublishResult> during = get(first.publisher.publish(request("base", 2), deadline));
     assertTrue(!during.isOk(), () -> "accepted while the log was down: " + during);
     log.setFaults(LogFaults.none());
-    Result<Published> after = get(first.publish("base", 2));
+    Result<PublishResult> after = get(first.publish("base", 2));
     assertEquals(2, after.value().revision());
     second.awaitRevision(2);
     assertEquals(2, second.fold.state().revision());
@@ -262,7 +263,7 @@
     Member late = start("e-2", 2);
     late.awaitRevision(12);
     assertEquals(first.fold.snapshot().path("files"), late.fold.snapshot().path("files"));
-    Result<Published> next = get(late.publish("base", 99));
+    Result<PublishResult> next = get(late.publish("base", 99));
     assertEquals(13, next.value().revision());
     first.awaitRevision(13);
   }
@@ -303,8 +304,8 @@
     Member stale = start("e-2", 2);
     stale.awaitRevision(1);
     log.setFaults(LogFaults.none().withStaleRecords(1));
-    CompletableFuture<Result<Published>> one = first.publish("base", 2);
-    CompletableFuture<Result<Published>> other = stale.publish("base", 3);
+    CompletableFuture<Result<PublishResult>> one = first.publish("base", 2);
+    CompletableFuture<Result<PublishResult>> other = stale.publish("base", 3);
     log.setFaults(LogFaults.none());
     long accepted = List.of(get(one), get(other)).stream().filter(Result::isOk).count();
     assertEquals(1, accepted);
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ExactlyOnceTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ExactlyOnceTest.java
@@ -39,19 +39,20 @@
     private final Map<String, Position> applied = new LinkedHashMap<>();
     private final Map<String, Result<Position>> told = new LinkedHashMap<>();
     private final StreamCursor cursor = new StreamCursor(this, false, this, (at, why, n) -> {});
-    private final EntryIds ids;
+    private final EntryIdGenerator ids;
     private final AppendQueue queue;
 
     private Process(int number, Random random) {
-      ids = EntryIds.of("entry-" + number, number);
+      ids = EntryIdGenerator.of("entry-" + number, number);
       queue =
-          new AppendQueue(AppendSettings.usual(), new Backoff(50 * MILLI, 1_000 * MILLI, random));
+          new AppendQueue(
+              AppendSettings.defaults(), new Backoff(50 * MILLI, 1_000 * MILLI, random));
     }
 
     private void offer(long deadline) {
       String id = ids.next();
-      byte[] encoded = RecordCodec.entry(id, "t", JsonNodeFactory.instance.objectNode());
-      long sequence = EntryIds.parse(id).orElseThrow().sequence();
+      byte[] encoded = RecordCodec.encodeEntry(id, "t", JsonNodeFactory.instance.objectNode());
+      long sequence = EntryIdGenerator.parse(id).orElseThrow().sequence();
       Pending entry =
           new Pending(
               id, sequence, encoded, deadline, end -> assertEquals(null, told.put(id, end)));
@@ -59,11 +60,11 @@
     }
 
     private void send(Random random, boolean healthy) {
-      queue.expire(now).forEach(Completion::tell);
+      queue.expire(now).forEach(Completion::notifyCallback);
       Batch batch = queue.takeBatch(now).orElse(null);
       if (batch != null) {
         Result<Long> answer = healthy ? log.append(STREAM, batch.record()) : spoil(batch, random);
-        queue.appended(batch, answer, now).forEach(Completion::tell);
+        queue.recordAppendResult(batch, answer, now).forEach(Completion::notifyCallback);
       }
     }
 
@@ -86,7 +87,7 @@
     private void read() {
       cursor.accept(log.read(STREAM, cursor.nextOffset(), 7, 0).value());
       if (cursor.status(false).caughtUp()) {
-        queue.reachedEnd();
+        queue.recordEndOfStream();
       }
     }
 
@@ -96,8 +97,8 @@
     }
 
     @Override
-    public void applied(LogEntry entry) {
-      queue.readBack(entry.id(), entry.position()).ifPresent(Completion::tell);
+    public void entryApplied(LogEntry entry) {
+      queue.recordReadBack(entry.id(), entry.position()).ifPresent(Completion::notifyCallback);
     }
 
     @Override
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
@@ -47,8 +47,8 @@
           new LogAppender(
               log,
               follower,
-              EntryIds.of(name, random.nextLong()),
-              AppendSettings.usual().withPaceMillis(1),
+              EntryIdGenerator.of(name, random.nextLong()),
+              AppendSettings.defaults().withMinIntervalMillis(1),
               clock,
               random);
       fold.onRestore(() -> restored.accept(this));
@@ -136,7 +136,7 @@
 
     assertTrue(waits.get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
     assertEquals(2, member.fold.count());
-    assertEquals(0, member.appender.size());
+    assertEquals(0, member.appender.pendingCount());
   }
 
   @Test
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
@@ -53,10 +53,16 @@
       SplittableRandom random = new SplittableRandom(name.hashCode());
       MonotonicClock clock = MonotonicClock.system();
       StreamFollower follower =
-          new StreamFollower(log, STREAM, new CountFold(), FollowerSettings.usual(), clock, random);
+          new StreamFollower(
+              log, STREAM, new CountFold(), FollowerSettings.defaults(), clock, random);
       LogAppender appender =
           new LogAppender(
-              log, follower, EntryIds.of(name, 1), AppendSettings.usual(), clock, random);
+              log,
+              follower,
+              EntryIdGenerator.of(name, 1),
+              AppendSettings.defaults(),
+              clock,
+              random);
       follower.start();
       appender.start();
       return new Member(follower, appender);
@@ -181,13 +187,13 @@
 
   private static FakeLogService filled(int records, int entriesPerRecord) {
     FakeLogService log = new FakeLogService();
-    EntryIds ids = EntryIds.of("entry-1", 1);
+    EntryIdGenerator ids = EntryIdGenerator.of("entry-1", 1);
     for (int i = 0; i < records; i++) {
       List<byte[]> entries = new ArrayList<>();
       for (int e = 0; e < entriesPerRecord; e++) {
-        entries.add(RecordCodec.entry(ids.next(), "t", body()));
+        entries.add(RecordCodec.encodeEntry(ids.next(), "t", body()));
       }
-      log.append(STREAM, RecordCodec.record(entries));
+      log.append(STREAM, RecordCodec.encodeRecord(entries));
     }
     return log;
   }
@@ -203,9 +209,9 @@
 
   private static double marksBytes(int writers) {
     long before = usedBytes();
-    WriterMarks marks = new WriterMarks();
+    WriterSequences marks = new WriterSequences();
     for (int i = 0; i < writers; i++) {
-      marks.accept(EntryIds.parse("entry-vm-" + i + "/5f3a9c0d12345678/17").orElseThrow());
+      marks.accept(EntryIdGenerator.parse("entry-vm-" + i + "/5f3a9c0d12345678/17").orElseThrow());
     }
     double bytes = usedBytes() - before;
     return marks.size() == 0 ? 0 : bytes;
@@ -247,16 +253,16 @@
       String write = "http://127.0.0.1:" + writing.port();
       Member reader = Member.start("reader", new HttpLogService(client, read, 2_000));
       HttpLogService writer = new HttpLogService(client, write, 2_000);
-      List<EntryIds> ids = new ArrayList<>();
+      List<EntryIdGenerator> ids = new ArrayList<>();
       for (int i = 0; i < entries; i++) {
-        ids.add(EntryIds.of("entry-" + i, 0x5f3a9c0d12345678L));
+        ids.add(EntryIdGenerator.of("entry-" + i, 0x5f3a9c0d12345678L));
       }
       int beats = 20;
       long began = System.nanoTime();
       for (int beat = 0; beat < beats; beat++) {
-        for (EntryIds id : ids) {
-          byte[] entry = RecordCodec.entry(id.next(), "heartbeat", heartbeat());
-          writer.append(STREAM, RecordCodec.record(List.of(entry))).value();
+        for (EntryIdGenerator id : ids) {
+          byte[] entry = RecordCodec.encodeEntry(id.next(), "heartbeat", heartbeat());
+          writer.append(STREAM, RecordCodec.encodeRecord(List.of(entry))).value();
           // Apart from each other, as those of different entries are, so that each is a page.
           LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1) / 9);
         }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingMember.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingMember.java
@@ -98,7 +98,7 @@
             log,
             STREAM,
             new PrintingFold(),
-            FollowerSettings.usual(),
+            FollowerSettings.defaults(),
             MonotonicClock.system(),
             new SplittableRandom())
         .start();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingTrial.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingTrial.java
@@ -35,7 +35,7 @@
   private final StandInLogService log = new StandInLogService("127.0.0.1", 0).start();
   private final ProcessFleet fleet;
   private final ScheduledExecutorService publisher = Executors.newSingleThreadScheduledExecutor();
-  private final EntryIds ids = EntryIds.of("publisher", 1);
+  private final EntryIdGenerator ids = EntryIdGenerator.of("publisher", 1);
   private final List<String> members = new ArrayList<>();
 
   private ReadingTrial(boolean relay, Path directory) {
@@ -105,8 +105,8 @@
     var body = JsonNodeFactory.instance.objectNode();
     body.put("at", System.currentTimeMillis() * 1_000);
     body.put("filler", "x".repeat(RECORD_BYTES));
-    byte[] entry = RecordCodec.entry(ids.next(), "t", body);
-    var unused = log.log().append("trial", RecordCodec.record(List.of(entry)));
+    byte[] entry = RecordCodec.encodeEntry(ids.next(), "t", body);
+    var unused = log.log().append("trial", RecordCodec.encodeRecord(List.of(entry)));
   }
 
   /** Lets time pass without a condition to wait for: the phase's length is what is measured. */
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/SilentConnectionTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/SilentConnectionTest.java
@@ -44,8 +44,8 @@
               new LogAppender(
                   log,
                   follower,
-                  EntryIds.of("entry-1", 1),
-                  AppendSettings.usual(),
+                  EntryIdGenerator.of("entry-1", 1),
+                  AppendSettings.defaults(),
                   clock,
                   random)) {
         follower.start();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliWorld.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliWorld.java
@@ -13,7 +13,7 @@
 import io.marigoldsail.daemon.operators.ProcessMember;
 import io.marigoldsail.json.Json;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.FollowerSettings;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.StreamFollower;
@@ -56,13 +56,18 @@
     MonotonicClock clock = MonotonicClock.system();
     follower =
         new StreamFollower(
-            log, "configuration", fold, FollowerSettings.usual(), clock, new SplittableRandom(1));
+            log,
+            "configuration",
+            fold,
+            FollowerSettings.defaults(),
+            clock,
+            new SplittableRandom(1));
     appender =
         new LogAppender(
             log,
             follower,
-            EntryIds.of("entry-1", 1),
-            AppendSettings.usual(),
+            EntryIdGenerator.of("entry-1", 1),
+            AppendSettings.defaults(),
             clock,
             new SplittableRandom(2));
     ConfigurationPublisher publisher =
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
@@ -246,7 +246,7 @@
       for (int pass = -WARM_UP_PASSES; pass < PASSES; pass++) {
         began = pass == 0 ? System.nanoTime() : began;
         for (byte[] frame : frames) {
-          members.announced(AnnouncementCodec.decode(Announce.parseFrom(frame)), pass);
+          members.update(AnnouncementCodec.decode(Announce.parseFrom(frame)), pass);
         }
       }
     } catch (IOException | BrokenFrameException e) {
