--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
@@ -163,7 +163,7 @@
     CompletableFuture<StreamStatus> firstWentOn = resumedOnNewHistory(first);
     CompletableFuture<StreamStatus> secondWentOn = resumedOnNewHistory(second);
 
-    log.loseNewest(Integer.MAX_VALUE);
+    log.truncateNewest(Integer.MAX_VALUE);
     assertTrue(
         log.append(STREAM, "{\"v\":1,\"entries\":[]}".getBytes(StandardCharsets.UTF_8)).isOk());
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTasksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTasksTest.java
@@ -116,7 +116,7 @@
     send(start(103));
 
     assertEquals(2, worker.runs().size());
-    assertEquals(0, worker.askedOverCapacity());
+    assertEquals(0, worker.rejectedOverCapacity());
     assertEquals(List.of(TaskReport.State.REFUSED), reports(103));
   }
 
@@ -151,7 +151,7 @@
     vouch(REGISTRATION, 6);
     send(start(103).setProcessIncarnation(6));
 
-    assertEquals(0, worker.askedOverCapacity());
+    assertEquals(0, worker.rejectedOverCapacity());
     assertEquals(List.of(TaskReport.State.REFUSED), reports(103));
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
@@ -322,7 +322,7 @@
   }
 
   long askedOverCapacity() {
-    return workers.stream().mapToLong(FakeWorker::askedOverCapacity).sum();
+    return workers.stream().mapToLong(FakeWorker::rejectedOverCapacity).sum();
   }
 
   private boolean ended() {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
@@ -35,7 +35,7 @@
   public static void main(String[] arguments) throws Exception {
     for (String what : arguments) {
       switch (what) {
-        case "reading" -> ReadingTrial.run();
+        case "reading" -> RelayReadBenchmark.run();
         case "append" -> append();
         case "slopes" -> slopes();
         default -> {
@@ -54,7 +54,7 @@
       MonotonicClock clock = MonotonicClock.system();
       StreamFollower follower =
           new StreamFollower(
-              log, STREAM, new CountFold(), FollowerSettings.defaults(), clock, random);
+              log, STREAM, new CountingFold(), FollowerSettings.defaults(), clock, random);
       LogAppender appender =
           new LogAppender(
               log,
@@ -179,9 +179,9 @@
 
   /** What a reader holds once it has read so much and the log itself is gone. */
   private static double readerBytes(int records) {
-    long before = usedBytes();
+    long before = usedHeapBytes();
     StreamCursor cursor = readAll(filled(records, 1));
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     return cursor.nextOffset() == records ? bytes : Double.NaN;
   }
 
@@ -200,7 +200,7 @@
 
   private static StreamCursor readAll(FakeLogService log) {
     StreamCursor cursor =
-        new StreamCursor(new CountFold(), false, new StreamListener() {}, (o, why, n) -> {});
+        new StreamCursor(new CountingFold(), false, new StreamListener() {}, (o, why, n) -> {});
     while (cursor.nextOffset() < log.nextOffset(STREAM)) {
       cursor.accept(log.read(STREAM, cursor.nextOffset(), 200, 0).value());
     }
@@ -208,12 +208,12 @@
   }
 
   private static double marksBytes(int writers) {
-    long before = usedBytes();
+    long before = usedHeapBytes();
     WriterSequences marks = new WriterSequences();
     for (int i = 0; i < writers; i++) {
       marks.accept(EntryIdGenerator.parse("entry-vm-" + i + "/5f3a9c0d12345678/17").orElseThrow());
     }
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     return marks.size() == 0 ? 0 : bytes;
   }
 
@@ -221,19 +221,19 @@
     FakeLogService log = new FakeLogService();
     log.setFaults(LogFaults.none().withDown(true));
     Member member = Member.start("entry-1", log);
-    long before = usedBytes();
+    long before = usedHeapBytes();
     List<CompletableFuture<Result<Position>>> kept = new ArrayList<>(open);
     for (int i = 0; i < open; i++) {
       kept.add(
           member.appender().append("t", body(), System.nanoTime() + TimeUnit.HOURS.toNanos(1)));
     }
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     member.close();
     return kept.isEmpty() ? 0 : bytes;
   }
 
   /** The least of several readings after collections. */
-  private static long usedBytes() {
+  private static long usedHeapBytes() {
     long least = Long.MAX_VALUE;
     for (int i = 0; i < 4; i++) {
       System.gc();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliWorld.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliFixture.java
@@ -33,7 +33,7 @@
 import java.util.concurrent.Executors;
 
 /** The operators' side of one entry in this process, and the command-line tool run against it. */
-final class CliWorld implements AutoCloseable {
+final class CliFixture implements AutoCloseable {
   /** What one run of the tool gave. */
   record Run(int exitCode, String out, String err) {
     JsonNode json() {
@@ -52,7 +52,7 @@
   private final StreamFollower follower;
   private final LogAppender appender;
 
-  CliWorld() {
+  CliFixture() {
     MonotonicClock clock = MonotonicClock.system();
     follower =
         new StreamFollower(
