--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -10,11 +10,11 @@
 import io.marigoldsail.daemon.link.EntryLinks;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.operators.MemberRoutes;
-import io.marigoldsail.daemon.task.EntryTasks;
-import io.marigoldsail.daemon.task.FollowedTaskLog;
+import io.marigoldsail.daemon.task.AppenderTaskLog;
+import io.marigoldsail.daemon.task.EntryTaskScheduler;
 import io.marigoldsail.daemon.task.TaskLog;
+import io.marigoldsail.daemon.task.TaskPolicy;
 import io.marigoldsail.daemon.task.TaskRoutes;
-import io.marigoldsail.daemon.task.TaskTerms;
 import io.marigoldsail.dispatch.ByteBudget;
 import io.marigoldsail.dispatch.RequestScheduler;
 import io.marigoldsail.dispatch.SchedulerSettings;
@@ -62,8 +62,8 @@
   private final StreamClient keyShardStream;
   private final KeyShardCoordinator keyShardCoordinator;
   private final EntryMembership membership;
-  private final EntryTasks tasks;
-  private volatile TaskTerms taskTerms = TaskTerms.DEFAULT;
+  private final EntryTaskScheduler tasks;
+  private volatile TaskPolicy taskTerms = TaskPolicy.DEFAULT;
   private volatile boolean serving;
 
   EntryProcess(EntrySettings settings) {
@@ -100,8 +100,8 @@
     TaskTable table = new TaskTable();
     this.taskStream =
         StreamClient.writer(runtime.streamDependencies(), TaskFold.STREAM, new TaskFold(table));
-    TaskLog taskLog = new FollowedTaskLog(taskStream.appender(), runtime.clock());
-    Supplier<TaskTerms> terms = () -> taskTerms;
+    TaskLog taskLog = new AppenderTaskLog(taskStream.appender(), runtime.clock());
+    Supplier<TaskPolicy> terms = () -> taskTerms;
     this.tasks = newTasks(table, taskLog, terms);
     links.addMemberListener(dispatcher.memberListener());
     links.addMemberListener(readiness);
@@ -136,8 +136,9 @@
         () -> serving && readiness.isReady());
   }
 
-  private EntryTasks newTasks(TaskTable table, TaskLog taskLog, Supplier<TaskTerms> terms) {
-    return new EntryTasks(
+  private EntryTaskScheduler newTasks(
+      TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
+    return new EntryTaskScheduler(
         new EntryIdentity(settings.name(), runtime.incarnation()),
         table,
         taskLog,
@@ -155,7 +156,7 @@
     taskTerms = ConfiguredPolicies.tasks(runtime.configuration());
   }
 
-  private void registerRoutes(TaskTable table, TaskLog taskLog, Supplier<TaskTerms> terms) {
+  private void registerRoutes(TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
     ConfigurationPublisher publisher =
         new ConfigurationPublisher(
             runtime.configurationFold(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -9,9 +9,9 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.SideLinks;
 import io.marigoldsail.daemon.platform.HttpWorker;
-import io.marigoldsail.daemon.task.ServiceWatch;
+import io.marigoldsail.daemon.task.ServiceMonitor;
 import io.marigoldsail.daemon.task.SideIdentity;
-import io.marigoldsail.daemon.task.SideTasks;
+import io.marigoldsail.daemon.task.SideTaskRunner;
 import io.marigoldsail.dispatch.ByteBudget;
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.error.Result;
@@ -39,7 +39,7 @@
       TargetSettings settings,
       TargetClient client,
       SideDispatcher dispatcher,
-      ServiceWatch watch) {}
+      ServiceMonitor watch) {}
 
   private final SideSettings settings;
   private final ProcessRuntime runtime;
@@ -47,7 +47,7 @@
   private final SideLinks links;
   private final StreamClient configurationStream;
   private final Optional<TargetComponents> target;
-  private final Optional<SideTasks> tasks;
+  private final Optional<SideTaskRunner> tasks;
   private boolean started;
 
   SideProcess(SideSettings settings) {
@@ -95,21 +95,21 @@
             links,
             budget,
             runtime.events());
-    dispatcher.onLeavingChanged(links::announceNow);
+    dispatcher.onDrainingChanged(links::announceNow);
     links.addKeyListener(dispatcher.keyListener());
-    ServiceWatch watch =
+    ServiceMonitor watch =
         new ConfiguredServiceWatch(targetSettings.service(), window, runtime::configuration);
     return new TargetComponents(targetSettings, client, dispatcher, watch);
   }
 
-  private SideTasks newTasks(URI worker) {
-    SideTasks sideTasks =
-        new SideTasks(
+  private SideTaskRunner newTasks(URI worker) {
+    SideTaskRunner sideTasks =
+        new SideTaskRunner(
             new SideIdentity(
                 settings.name(), runtime.incarnation(), settings.zone(), settings.rack()),
             new HttpWorker(runtime.platform(), worker.toString(), WORKER_TIMEOUT_MILLIS),
             new LinkTaskChannel(links),
-            target.map(TargetComponents::watch).orElseGet(ServiceWatch::none),
+            target.map(TargetComponents::watch).orElseGet(ServiceMonitor::none),
             runtime.clock(),
             WallClock.system(),
             runtime.events());
@@ -127,7 +127,7 @@
         settings.operatorsAddress().toString(),
         target.map(part -> part.settings().service()).orElse(""),
         target.map(part -> part.settings().slots()).orElse(0),
-        target.map(part -> part.dispatcher().isLeaving()).orElse(false),
+        target.map(part -> part.dispatcher().isDraining()).orElse(false),
         target
             .map(part -> part.dispatcher().load())
             .orElse(new TargetLoad(0, 0, links.entryCount(), false)),
@@ -157,7 +157,7 @@
     configurationStream.start();
     runtime.catchUpFromPeers(configurationStream.follower());
     links.start();
-    tasks.ifPresent(SideTasks::start);
+    tasks.ifPresent(SideTaskRunner::start);
     started = true;
     runtime.recordStarted();
     return Result.ok(true);
@@ -172,10 +172,10 @@
     if (started) {
       started = false;
       runtime.recordStopping();
-      tasks.ifPresent(SideTasks::leave);
+      tasks.ifPresent(SideTaskRunner::drain);
       target.ifPresent(SideProcess::drain);
     }
-    tasks.ifPresent(SideTasks::close);
+    tasks.ifPresent(SideTaskRunner::close);
     links.close();
     target.ifPresent(part -> part.dispatcher().close());
     target.ifPresent(part -> part.client().close());
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
@@ -1,8 +1,8 @@
 package io.marigoldsail.testlib.measure;
 
+import io.marigoldsail.job.JobQueue;
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.JobState;
-import io.marigoldsail.job.QueueOrder;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.Spread;
 import io.marigoldsail.job.TaskClass;
@@ -142,7 +142,7 @@
     private void start(TaskRecord.Claimed claim) {
       long token = fold(claim);
       TaskState task = table.task(claim.task()).orElseThrow();
-      if (!task.holds(token)) {
+      if (!task.isClaimedWith(token)) {
         return;
       }
       started++;
@@ -173,8 +173,8 @@
       }
       waiting.forEach(job -> reserve.observe(job.spec().sizes(), job.spec().urgent(), now));
       fleet.reserveVms(reserve.perVm(fleet.meanCapacity(), now), reserve.vmCount(vms));
-      QueueOrder order =
-          new QueueOrder(
+      JobQueue order =
+          new JobQueue(
               waiting, table.bookedByTeam(), team -> TeamQuota.DEFAULT, fleet.capacity(), now);
       placer.beginRound();
       int claims = 0;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
@@ -1,8 +1,8 @@
 package io.marigoldsail.testlib.measure;
 
 import io.marigoldsail.guard.GuardAction;
+import io.marigoldsail.job.JobQueue;
 import io.marigoldsail.job.JobState;
-import io.marigoldsail.job.QueueOrder;
 import io.marigoldsail.job.ReleaseCause;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.TaskRecord;
@@ -194,7 +194,7 @@
   private void start(TaskRecord.Claimed claim, long token) {
     Optional<TaskState> task = table.task(claim.task());
     ModelVm vm = vmOf(claim.vm());
-    if (task.isEmpty() || !task.get().holds(token) || vm.dead()) {
+    if (task.isEmpty() || !task.get().isClaimedWith(token) || vm.dead()) {
       return;
     }
     var spec = table.job(task.get().job()).orElseThrow().spec();
@@ -357,9 +357,8 @@
   }
 
   private void decideFairly(List<JobState> jobs, Fleet fleet) {
-    QueueOrder order =
-        new QueueOrder(
-            jobs, table.bookedByTeam(), team -> TeamQuota.DEFAULT, fleet.capacity(), now);
+    JobQueue order =
+        new JobQueue(jobs, table.bookedByTeam(), team -> TeamQuota.DEFAULT, fleet.capacity(), now);
     Map<String, Iterator<TaskState>> waiting = new HashMap<>();
     Optional<JobState> next = order.next();
     for (int claims = 0; next.isPresent() && claims < MAX_CLAIMS_PER_ROUND; claims++) {
@@ -367,7 +366,7 @@
       Iterator<TaskState> tasks =
           waiting.computeIfAbsent(job.spec().name(), name -> waitingOf(job));
       if (tasks.hasNext() && claim(job, tasks.next(), fleet)) {
-        order.took(job, decider.booking(job.spec()), tasks.hasNext());
+        order.recordAllocation(job, decider.booking(job.spec()), tasks.hasNext());
       }
       next = order.next();
     }
