--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreads.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreads.java
@@ -7,13 +7,13 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Makes thread pools for HTTP clients and servers.
+ * Creates thread pools for HTTP clients and servers.
  *
- * <p>Jetty's own thread factory makes each thread through method handles on the security manager,
- * which cost every start of a process processor time and are of no use without one.
+ * <p>Jetty's own thread factory creates each thread through method handles on the security manager,
+ * which cost processor time at every process start and serve no purpose without a security manager.
  */
 public final class HttpThreads {
-  /** Has the pool choose how many threads it keeps for what must not wait. */
+  /** Lets Jetty choose how many threads it reserves for tasks that must not wait. */
   private static final int RESERVED_BY_SIZE = -1;
 
   private HttpThreads() {}
@@ -21,17 +21,17 @@
   /**
    * Returns a pool that is not started.
    *
-   * @param name the start of its threads' names
-   * @param most how many threads it may have
-   * @param least how many threads it keeps
-   * @param idleMillis how long a thread over the least may be idle
-   * @param daemon whether its threads let the process end
+   * @param name prefix of the thread names
+   * @param maxThreads the maximum number of threads
+   * @param minThreads the number of threads that are kept when idle
+   * @param idleMillis idle time after which a thread beyond the minimum ends, in milliseconds
+   * @param daemon whether the threads are daemon threads, which do not keep the process alive
    */
   public static QueuedThreadPool pool(
-      String name, int most, int least, int idleMillis, boolean daemon) {
+      String name, int maxThreads, int minThreads, int idleMillis, boolean daemon) {
     QueuedThreadPool pool =
         new QueuedThreadPool(
-            most, least, idleMillis, RESERVED_BY_SIZE, null, null, factory(name, daemon));
+            maxThreads, minThreads, idleMillis, RESERVED_BY_SIZE, null, null, factory(name, daemon));
     pool.setName(name);
     pool.setDaemon(daemon);
     return pool;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/RestOfBody.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/RestOfBody.java
@@ -6,41 +6,41 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Reads what is left of a body, without keeping it, once its request has been answered.
+ * Reads and discards the rest of a request body after the response has been sent.
  *
- * <p>Guards against a refusal that the client never sees: a server that answers and closes while
- * the client still writes makes the connection reset, and the reset overtakes the answer. So the
- * answer leaves at once, and the connection ends only when the body has come or was too long even
- * to be passed over.
+ * <p>Guards against a response that the client never receives: when a server responds and closes
+ * while the client is still sending, the connection is reset and the reset overtakes the response.
+ * Therefore the response is sent at once, and the request completes only when the body has ended or
+ * {@link #MOST_BYTES} have been drained.
  *
- * <p>Never blocks. Used once, by the thread that serves the request.
+ * <p>Never blocks. For one request, on the thread that serves it.
  */
 public final class RestOfBody implements Runnable {
-  /** The most that is read for nothing; one who sends more is cut off, in bytes. */
+  /** Limit of what is drained; a client that sends more is disconnected. */
   static final long MOST_BYTES = 16L << 20;
 
   private final Content.Source body;
   private final Callback after;
   private long passedOver;
 
-  private RestOfBody(Content.Source body, Callback after) {
+  private RestOfBody(Content.Source body, Callback completion) {
     this.body = requireNonNull(body, "body");
-    this.after = requireNonNull(after, "after");
+    this.after = requireNonNull(completion, "completion");
   }
 
   /**
-   * Returns a callback for the writing of an answer that reads the rest of the body before it
-   * completes the one given.
+   * Returns a callback for writing the response that drains the rest of the body before it completes
+   * the given callback.
    *
-   * @param body the request's body, of which some may have been read
-   * @param after completes the request
+   * @param body the request's body, which may be partly read
+   * @param completion completes the request
    */
-  public static Callback thenComplete(Content.Source body, Callback after) {
-    RestOfBody rest = new RestOfBody(body, after);
-    return Callback.from(rest::run, after::failed);
+  public static Callback thenComplete(Content.Source body, Callback completion) {
+    RestOfBody drainer = new RestOfBody(body, completion);
+    return Callback.from(drainer::run, completion::failed);
   }
 
-  /** Reads what is there and asks to be called again for more. */
+  /** Discards the available bytes and demands a call when more arrive. */
   @Override
   public void run() {
     while (passedOver < MOST_BYTES) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/WholeBody.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/WholeBody.java
@@ -8,12 +8,12 @@
 import org.eclipse.jetty.io.Content;
 
 /**
- * Reads a body up to a limit, and what is longer to its end without keeping it.
+ * Reads a request body up to a limit, and drains a longer one.
  *
- * <p>Guards against two failures: a body without a length that fills the heap, and a refusal that
- * the client never sees. A server that answers and closes while the client still writes makes the
- * client's connection fail with a reset, and the answer is lost; reading on for a bounded amount
- * lets most clients come to the answer.
+ * <p>Guards against two failures: a body without a declared length that fills the heap, and a
+ * response that the client never receives. When a server responds and closes while the client is
+ * still sending, the client's connection is reset and the response is lost; draining a bounded
+ * number of bytes lets most clients read the response.
  */
 public final class WholeBody implements Runnable {
   private final Content.Source source;
@@ -28,10 +28,11 @@
   }
 
   /**
-   * Returns a future for the body, {@code BODY_TOO_LARGE} or {@code BAD_REQUEST}.
+   * Returns a future of the body, {@code BODY_TOO_LARGE}, or {@code BAD_REQUEST} if the body ends
+   * early. It never completes exceptionally.
    *
    * @param source the request
-   * @param limit the longest body taken, in bytes
+   * @param limit the largest body accepted, in bytes
    */
   public static CompletableFuture<Result<byte[]>> read(Content.Source source, int limit) {
     WholeBody reader = new WholeBody(source, limit);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/package-info.java
@@ -1,8 +1,9 @@
 /**
- * What every HTTP server of a process does with the bodies of requests, and the threads of HTTP
- * clients and servers.
+ * Reading of request bodies for all HTTP servers of a process, and thread pools for HTTP clients and
+ * servers.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.http.WholeBody} to read a short body, and for {@link
- * io.marigoldsail.daemon.http.RestOfBody} before a request is refused whose body is still coming.
+ * <p>{@link io.marigoldsail.daemon.http.WholeBody} reads a short body. {@link
+ * io.marigoldsail.daemon.http.RestOfBody} drains the body of a request that is refused before its
+ * body has arrived.
  */
 package io.marigoldsail.daemon.http;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
@@ -20,13 +20,13 @@
 import java.util.List;
 
 /**
- * The platform's log service over HTTP.
+ * Client of the platform's log service over HTTP.
  *
- * <p>Safe for any thread. A 503 or 429 is taken as a refusal without effect, a 413 as too large;
- * every other answer but a well-formed 200 leaves an append's outcome unknown.
+ * <p>Safe for any thread. A 503 or 429 counts as a refusal without effect, a 413 as too large; any
+ * other response except a well-formed 200 leaves the outcome of an append unknown.
  */
 public final class HttpLogService implements LogService {
-  /** The largest record that is sent, in bytes. */
+  /** The largest record that is appended. */
   public static final int MAX_RECORD_BYTES = 1 << 20;
 
   private static final int MAX_PAGE_BYTES = 4 << 20;
@@ -36,7 +36,7 @@
 
   private record WireAppended(long offset) {}
 
-  @SuppressWarnings("ArrayRecordComponent") // only ever read in
+  @SuppressWarnings("ArrayRecordComponent") // only deserialized, never compared
   private record WireRecord(long offset, byte[] bytes) {}
 
   private record WirePage(List<WireRecord> records, long firstOffset, long nextOffset) {}
@@ -48,9 +48,9 @@
   /**
    * Creates a log service.
    *
-   * @param client the client to send with; stays the caller's to close
-   * @param address where the service is, such as {@code http://127.0.0.1:7000}
-   * @param timeoutMillis how long an answer may take, in milliseconds; a read's wait comes on top
+   * @param client the HTTP client; the caller closes it
+   * @param address base URL of the service, such as {@code http://127.0.0.1:7000}
+   * @param timeoutMillis timeout of a request, in milliseconds; a read's wait is added to it
    */
   public HttpLogService(PlatformClient client, String address, long timeoutMillis) {
     this.client = requireNonNull(client, "client");
@@ -62,71 +62,71 @@
   @Override
   public Result<Long> append(String stream, byte[] record) {
     if (record.length > MAX_RECORD_BYTES) {
-      return Result.failed(ErrorKind.BODY_TOO_LARGE, "log record of " + record.length + " bytes");
+      return Result.failed(ErrorKind.BODY_TOO_LARGE, "log record of " + record.length + " bytes exceeds " + MAX_RECORD_BYTES);
     }
-    Exchange exchange = client.post(uri(stream), OCTETS, record, MAX_ANSWER_BYTES, timeoutMillis);
-    if (exchange instanceof NeverSent never) {
-      return Result.failed(ErrorKind.LOG_UNAVAILABLE, never.detail());
+    Exchange result = client.post(uri(stream), OCTETS, record, MAX_ANSWER_BYTES, timeoutMillis);
+    if (result instanceof NeverSent notSent) {
+      return Result.failed(ErrorKind.LOG_UNAVAILABLE, notSent.detail());
     }
-    if (exchange instanceof Answered answered) {
-      return switch (answered.status()) {
+    if (result instanceof Answered response) {
+      return switch (response.status()) {
         case 200 ->
             PlatformJson.read(
-                    answered.body(),
+                    response.body(),
                     new TypeReference<WireAppended>() {},
                     ErrorKind.LOG_OUTCOME_UNKNOWN)
                 .then(HttpLogService::checkedOffset);
-        case 429, 503 -> Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
-        case 413 -> Result.failed(ErrorKind.BODY_TOO_LARGE, "log record refused as too large");
-        default -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(exchange));
+        case 429, 503 -> Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
+        case 413 -> Result.failed(ErrorKind.BODY_TOO_LARGE, "log service refused the record as too large");
+        default -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(result));
       };
     }
-    return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(exchange));
+    return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(result));
   }
 
   private static Result<Long> checkedOffset(WireAppended appended) {
     return appended.offset() >= 0
         ? Result.ok(appended.offset())
-        : Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "negative offset " + appended.offset());
+        : Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "log service returned the negative offset " + appended.offset());
   }
 
   @Override
   public Result<LogPage> read(String stream, long fromOffset, int maxRecords, long waitMillis) {
     checkArgument(fromOffset >= 0, "fromOffset is negative: %s", fromOffset);
     checkArgument(maxRecords > 0, "maxRecords is not positive: %s", maxRecords);
-    int asked = Math.min(maxRecords, MAX_PAGE_RECORDS);
+    int limit = Math.min(maxRecords, MAX_PAGE_RECORDS);
     while (true) {
-      Exchange exchange = readOnce(stream, fromOffset, asked, waitMillis);
-      if (exchange instanceof AnswerTooLong && asked > 1) {
-        // A page of large records is asked for again in halves.
-        asked /= 2;
+      Exchange result = readOnce(stream, fromOffset, limit, waitMillis);
+      if (result instanceof AnswerTooLong && limit > 1) {
+        // Retries with half as many records.
+        limit /= 2;
         continue;
       }
-      if (exchange instanceof AnswerTooLong) {
+      if (result instanceof AnswerTooLong) {
         return withoutRecord(stream, fromOffset);
       }
-      if (!(exchange instanceof Answered answered) || answered.status() != 200) {
-        return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
+      if (!(result instanceof Answered response) || response.status() != 200) {
+        return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
       }
-      int allowed = asked;
+      int requested = limit;
       return PlatformJson.read(
-              answered.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
-          .then(page -> checkedPage(page, fromOffset, allowed));
+              response.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
+          .then(page -> checkedPage(page, fromOffset, requested));
     }
   }
 
   /**
-   * Returns a page that holds an empty record in place of one that is longer than this process may
-   * hold. Whoever appended it is not of this system; without this every reader would ask for it for
-   * ever. Where records have expired the page holds none, so that the reader notices.
+   * Returns a page with an empty record in place of one that exceeds the page limit. Such a record
+   * was appended by another system; without the replacement every reader would request it forever.
+   * If the record has expired, the page is empty, so that the reader notices.
    */
   private Result<LogPage> withoutRecord(String stream, long offset) {
-    Exchange exchange = readOnce(stream, offset, 0, 0);
-    if (!(exchange instanceof Answered answered) || answered.status() != 200) {
-      return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
+    Exchange result = readOnce(stream, offset, 0, 0);
+    if (!(result instanceof Answered response) || response.status() != 200) {
+      return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
     }
     return PlatformJson.read(
-            answered.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
+            response.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
         .then(page -> checkedPage(page, offset, 0))
         .then(
             page ->
@@ -149,14 +149,14 @@
       return broken("offsets " + page.firstOffset() + " to " + page.nextOffset());
     }
     if (page.records().size() > maxRecords) {
-      return broken(page.records().size() + " records, " + maxRecords + " asked for");
+      return broken(page.records().size() + " records, " + maxRecords + " requested");
     }
     List<LogRecord> records = new ArrayList<>();
     long expected = Math.max(fromOffset, page.firstOffset());
     for (WireRecord record : page.records()) {
-      // A gap or a step back would make this process skip or repeat what others apply.
+      // With a gap or a step back, this process would skip or repeat records that others apply.
       if (record == null || record.offset() != expected || record.bytes() == null) {
-        return broken("record out of order, offset " + expected + " expected");
+        return broken("record missing or out of order, expected offset " + expected);
       }
       records.add(new LogRecord(record.offset(), record.bytes()));
       expected++;
@@ -168,20 +168,20 @@
   }
 
   private static Result<LogPage> broken(String detail) {
-    return Result.failed(ErrorKind.LOG_UNAVAILABLE, "broken page: " + detail);
+    return Result.failed(ErrorKind.LOG_UNAVAILABLE, "malformed page from the log service: " + detail);
   }
 
   private String uri(String stream) {
     return address + "/streams/" + URLEncoder.encode(stream, StandardCharsets.UTF_8) + "/records";
   }
 
-  private static String describe(Exchange exchange) {
-    if (exchange instanceof Answered answered) {
-      return "log service answered " + answered.status();
+  private static String describe(Exchange result) {
+    if (result instanceof Answered response) {
+      return "log service responded with status " + response.status();
     }
-    if (exchange instanceof AnswerLost lost) {
-      return "log service gave no answer: " + lost.detail();
+    if (result instanceof AnswerLost lost) {
+      return "response of the log service was lost: " + lost.detail();
     }
-    return exchange.toString();
+    return result.toString();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
@@ -20,10 +20,10 @@
 import java.util.List;
 
 /**
- * The platform's worker over HTTP.
+ * Client of the platform's worker over HTTP.
  *
- * <p>Safe for any thread. An answer about another task or token than asked for counts as broken: it
- * would otherwise free or hold the wrong task's sizes.
+ * <p>Safe for any thread. A response about a task or token other than the requested one is rejected
+ * as malformed: it would otherwise release or reserve the resources of the wrong task.
  */
 public final class HttpWorker implements Worker {
   private static final int MAX_ANSWER_BYTES = 1 << 20;
@@ -40,11 +40,11 @@
   private final long timeoutMillis;
 
   /**
-   * Creates a worker.
+   * Creates a client.
    *
-   * @param client the client to send with; stays the caller's to close
-   * @param address where the worker is, such as {@code http://127.0.0.1:9002}
-   * @param timeoutMillis how long an answer may take, in milliseconds
+   * @param client the HTTP client; the caller closes it
+   * @param address base URL of the worker, such as {@code http://127.0.0.1:9002}
+   * @param timeoutMillis timeout of a request, in milliseconds
    */
   public HttpWorker(PlatformClient client, String address, long timeoutMillis) {
     this.client = requireNonNull(client, "client");
@@ -97,7 +97,7 @@
 
   private static Result<List<UsageSample>> withoutNulls(List<UsageSample> samples) {
     return samples.stream().anyMatch(sample -> sample == null)
-        ? Result.failed(ErrorKind.WORKER_FAILED, "broken answer: a sample is null")
+        ? Result.failed(ErrorKind.WORKER_FAILED, "malformed response of the worker: a sample is null")
         : Result.ok(List.copyOf(samples));
   }
 
@@ -105,35 +105,43 @@
     return read(client.get(address + path, MAX_ANSWER_BYTES, timeoutMillis), type);
   }
 
-  private Result<WorkerTask> act(String path, Object call, String task, long token) {
-    byte[] body = PlatformJson.write(call);
-    Exchange exchange =
+  private Result<WorkerTask> act(String path, Object content, String task, long token) {
+    byte[] body = PlatformJson.write(content);
+    Exchange result =
         client.post(address + path, JSON_TYPE, body, MAX_ANSWER_BYTES, timeoutMillis);
-    Result<WorkerTask> answer = read(exchange, new TypeReference<>() {});
-    return answer.then(
-        told ->
-            told.task().equals(task) && told.token() == token
-                ? answer
+    Result<WorkerTask> response = read(result, new TypeReference<>() {});
+    return response.then(
+        reported ->
+            reported.task().equals(task) && reported.token() == token
+                ? response
                 : Result.failed(
                     ErrorKind.WORKER_FAILED,
-                    "broken answer: about " + told.task() + "@" + told.token()));
+                    "worker responded about "
+                        + reported.task()
+                        + "@"
+                        + reported.token()
+                        + " instead of "
+                        + task
+                        + "@"
+                        + token));
   }
 
-  private static <T> Result<T> read(Exchange exchange, TypeReference<T> type) {
-    if (exchange instanceof Answered answered) {
-      return answered.status() == 200
-          ? PlatformJson.read(answered.body(), type, ErrorKind.WORKER_FAILED)
-          : Result.failed(kindOf(answered.status()), "worker answered " + answered.status());
+  private static <T> Result<T> read(Exchange result, TypeReference<T> type) {
+    if (result instanceof Answered response) {
+      return response.status() == 200
+          ? PlatformJson.read(response.body(), type, ErrorKind.WORKER_FAILED)
+          : Result.failed(
+              kindOf(response.status()), "worker responded with status " + response.status());
     }
-    if (exchange instanceof NeverSent never) {
-      return Result.failed(ErrorKind.TARGET_UNREACHABLE, "worker: " + never.detail());
+    if (result instanceof NeverSent notSent) {
+      return Result.failed(ErrorKind.TARGET_UNREACHABLE, "worker unreachable: " + notSent.detail());
     }
-    if (exchange instanceof AnswerTooLong tooLong) {
+    if (result instanceof AnswerTooLong tooLarge) {
       return Result.failed(
-          ErrorKind.WORKER_FAILED, "worker's answer exceeds " + tooLong.maxBytes() + " bytes");
+          ErrorKind.WORKER_FAILED, "response of the worker exceeds " + tooLarge.maxBytes() + " bytes");
     }
     return Result.failed(
-        ErrorKind.OUTCOME_UNKNOWN, "worker gave no answer: " + ((AnswerLost) exchange).detail());
+        ErrorKind.OUTCOME_UNKNOWN, "response of the worker was lost: " + ((AnswerLost) result).detail());
   }
 
   private static ErrorKind kindOf(int status) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PeerClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PeerClient.java
@@ -8,7 +8,7 @@
 import io.marigoldsail.json.Json;
 import io.marigoldsail.settings.HostPort;
 
-/** Reads from the operators' address of another process. Safe for any thread; blocks it. */
+/** Reads from the operators' address of another process. Safe for any thread; calls block. */
 public final class PeerClient {
   private static final int STATUS_OK = 200;
   private static final int MAX_ANSWER_BYTES = 4 << 20;
@@ -16,18 +16,21 @@
 
   private final PlatformClient client;
 
-  /** Creates a reader over a client that is shared with others. */
+  /** Creates a reader; the client may be shared and is closed by the caller. */
   public PeerClient(PlatformClient client) {
     this.client = requireNonNull(client, "client");
   }
 
-  /** Returns the JSON that the peer answers, or {@code TARGET_UNREACHABLE}. */
+  /**
+   * Returns the JSON of the peer's response, {@code TARGET_UNREACHABLE} without a success, or a
+   * parse failure.
+   */
   public Result<JsonNode> get(HostPort peer, String pathAndQuery) {
-    PlatformClient.Exchange exchange =
+    PlatformClient.Exchange result =
         client.get("http://" + peer + pathAndQuery, MAX_ANSWER_BYTES, TIMEOUT_MILLIS);
-    if (exchange instanceof PlatformClient.Answered answered && answered.status() == STATUS_OK) {
-      return Json.parse(peer.toString(), answered.body());
+    if (result instanceof PlatformClient.Answered response && response.status() == STATUS_OK) {
+      return Json.parse(peer.toString(), response.body());
     }
-    return Result.failed(ErrorKind.TARGET_UNREACHABLE, peer + ": " + exchange);
+    return Result.failed(ErrorKind.TARGET_UNREACHABLE, peer + ": " + result);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
@@ -28,25 +28,26 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Sends one request at a time to the platform and tells a lost answer from one never asked for.
+ * HTTP client for the platform that distinguishes a lost response from a request that was not sent.
  *
- * <p>Safe for any thread; blocks the calling one until the answer, at most the given time. A
- * connection whose answer does not come in time is closed, so that the next request opens a new
- * one: the platform's middle boxes forget connections silently.
+ * <p>Safe for any thread. {@code get} and {@code post} block until the response, at most for the
+ * given time; {@link #send} does not block. A connection whose response does not arrive in time is
+ * closed, so that the next request opens a new one: the platform's middleboxes drop connections
+ * silently.
  */
 public final class PlatformClient implements AutoCloseable {
-  /** How an exchange ended. */
+  /** The result of an exchange. */
   public sealed interface Exchange permits Answered, NeverSent, AnswerLost, AnswerTooLong {}
 
-  /** A whole answer. */
+  /** A complete response. */
   public record Answered(int status, byte[] body) implements Exchange {
-    /** Returns the body as JSON, or empty if it is none. */
+    /** Returns the body as JSON, or empty if it is not valid JSON. */
     public Optional<JsonNode> json() {
-      Result<JsonNode> parsed = Json.parse("the answer", body);
+      Result<JsonNode> parsed = Json.parse("the response", body);
       return parsed.isOk() ? Optional.of(parsed.value()) : Optional.empty();
     }
 
-    /** Returns the body of a success as JSON, or empty if it is none. */
+    /** Returns the body as JSON, or empty if the status is not 200 or it is not valid JSON. */
     public Optional<JsonNode> okJson() {
       return status == HttpStatus.OK_200 ? json() : Optional.empty();
     }
@@ -55,10 +56,10 @@
   /** No byte of the request left this process. */
   public record NeverSent(String detail) implements Exchange {}
 
-  /** The request may have taken effect; its answer did not come, or not whole. */
+  /** The request may have taken effect; its response did not arrive, or not completely. */
   public record AnswerLost(String detail) implements Exchange {}
 
-  /** An answer came and was longer than allowed. */
+  /** The response was larger than allowed. */
   public record AnswerTooLong(int maxBytes) implements Exchange {}
 
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -86,10 +87,11 @@
   }
 
   /**
-   * Returns a started client with more connections, for callers that let many requests wait.
+   * Returns a started client with the given number of connections, for callers with many pending
+   * requests.
    *
    * @param name the start of its threads' names
-   * @param connections the most connections to one address
+   * @param connections the maximum number of connections to one address
    * @throws IllegalStateException if it cannot start
    */
   public static PlatformClient start(String name, int connections) {
@@ -114,27 +116,27 @@
     return new PlatformClient(client);
   }
 
-  Exchange get(String uri, int maxAnswerBytes, long timeoutMillis) {
-    return exchange(client.newRequest(uri), maxAnswerBytes, timeoutMillis);
+  Exchange get(String uri, int maxResponseBytes, long timeoutMillis) {
+    return exchange(client.newRequest(uri), maxResponseBytes, timeoutMillis);
   }
 
-  Exchange post(String uri, String type, byte[] body, int maxAnswerBytes, long timeoutMillis) {
+  Exchange post(String uri, String type, byte[] body, int maxResponseBytes, long timeoutMillis) {
     Request request =
         client.newRequest(uri).method(HttpMethod.POST).body(new BytesRequestContent(type, body));
-    return exchange(request, maxAnswerBytes, timeoutMillis);
+    return exchange(request, maxResponseBytes, timeoutMillis);
   }
 
   /**
    * Sends a request without blocking.
    *
    * @param method the HTTP method
-   * @param uri where to
-   * @param headers sent besides the usual ones
+   * @param uri the request URI
+   * @param headers additional headers
    * @param type the media type of the body
-   * @param body what is sent; empty for none
-   * @param maxAnswerBytes the longest answer taken
-   * @param timeoutMillis how long the whole exchange may take
-   * @return completes on a thread of the client's, never exceptionally
+   * @param body the request body; empty for none
+   * @param maxResponseBytes the largest response accepted
+   * @param timeoutMillis how long the complete exchange may take
+   * @return a future that completes on a thread of the client, never exceptionally
    */
   public CompletableFuture<Exchange> send(
       String method,
@@ -142,7 +144,7 @@
       Map<String, String> headers,
       String type,
       byte[] body,
-      int maxAnswerBytes,
+      int maxResponseBytes,
       long timeoutMillis) {
     Request request = client.newRequest(uri).method(method);
     headers.forEach((name, value) -> request.headers(fields -> fields.put(name, value)));
@@ -150,7 +152,7 @@
       request.body(new BytesRequestContent(type, body));
     }
     AtomicBoolean begun = watched(request, timeoutMillis);
-    return new CompletableResponseListener(request, maxAnswerBytes)
+    return new CompletableResponseListener(request, maxResponseBytes)
         .send()
         .handle(
             (response, error) -> {
@@ -158,47 +160,48 @@
                 return new Answered(response.getStatus(), response.getContent());
               }
               Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-              return failed(begun.get(), cause, maxAnswerBytes);
+              return failed(begun.get(), cause, maxResponseBytes);
             });
   }
 
-  private static Exchange exchange(Request request, int maxAnswerBytes, long timeoutMillis) {
+  private static Exchange exchange(Request request, int maxResponseBytes, long timeoutMillis) {
     AtomicBoolean begun = watched(request, timeoutMillis);
     CompletableFuture<ContentResponse> sent =
-        new CompletableResponseListener(request, maxAnswerBytes).send();
+        new CompletableResponseListener(request, maxResponseBytes).send();
     try {
       ContentResponse response = sent.get(timeoutMillis + GRACE_MILLIS, TimeUnit.MILLISECONDS);
       return new Answered(response.getStatus(), response.getContent());
     } catch (ExecutionException e) {
-      return failed(begun.get(), e.getCause(), maxAnswerBytes);
+      return failed(begun.get(), e.getCause(), maxResponseBytes);
     } catch (TimeoutException e) {
       request.abort(e);
-      return failed(begun.get(), e, maxAnswerBytes);
+      return failed(begun.get(), e, maxResponseBytes);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       request.abort(e);
-      return failed(begun.get(), e, maxAnswerBytes);
+      return failed(begun.get(), e, maxResponseBytes);
     }
   }
 
-  /** Bounds the request's time; returns what tells whether a byte of it may have left. */
+  /** Sets the timeout; returns a flag that is set once a byte of the request may have been sent. */
   private static AtomicBoolean watched(Request request, long timeoutMillis) {
     checkArgument(timeoutMillis > 0, "timeoutMillis is not positive: %s", timeoutMillis);
-    // Begin is called before the first byte is written. Without it a refused or timed out
-    // connection would count as an unknown outcome, and callers would have to look it up.
+    // The begin event precedes the first byte. Without the flag, a connection that is refused or
+    // times out would count as an unknown outcome, and callers would have to look it up.
     AtomicBoolean begun = new AtomicBoolean();
-    request.onRequestBegin(begins -> begun.set(true));
+    request.onRequestBegin(ignored -> begun.set(true));
     request.timeout(timeoutMillis, TimeUnit.MILLISECONDS);
     return begun;
   }
 
-  private static Exchange failed(boolean begun, Throwable cause, int maxAnswerBytes) {
+  private static Exchange failed(boolean begun, Throwable cause, int maxResponseBytes) {
     if (!begun) {
       return new NeverSent(describe(cause));
     }
-    // Jetty tells of an answer beyond the buffer with this exception and no other here.
+    // Jetty reports a response larger than the buffer with this exception, which has no other cause
+    // here.
     if (cause instanceof IllegalArgumentException) {
-      return new AnswerTooLong(maxAnswerBytes);
+      return new AnswerTooLong(maxResponseBytes);
     }
     return new AnswerLost(describe(cause));
   }
@@ -207,7 +210,7 @@
     return cause.getClass().getSimpleName() + ": " + cause.getMessage();
   }
 
-  /** Reads no trust store: the platform is called without TLS, and the store takes long to read. */
+  /** Loads no trust store, since loading it is slow and the platform is called without TLS. */
   private static final class NoTls extends SslContextFactory.Client {
     @Override
     protected void doStart() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformJson.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformJson.java
@@ -13,10 +13,10 @@
 import java.io.IOException;
 
 /**
- * Reads the platform's JSON into typed values without guessing.
+ * Strict conversion between the platform's JSON and typed values.
  *
- * <p>Unknown fields pass, because the platform may learn new ones; a missing field, a null, a
- * string for a number, or a value that its record refuses is an error.
+ * <p>Unknown fields are ignored, because the platform may add fields; a missing field, a null, a
+ * string for a number, or a value that a record's constructor rejects is an error.
  */
 final class PlatformJson {
   private static final int MAX_DEPTH = 32;
@@ -40,24 +40,28 @@
 
   private PlatformJson() {}
 
-  /** Returns the value that the bytes hold, or a failure of the given kind that says why not. */
-  static <T> Result<T> read(byte[] bytes, TypeReference<T> type, ErrorKind broken) {
+  /** Returns the decoded value, or a failure of the given kind with the reason. */
+  static <T> Result<T> read(byte[] bytes, TypeReference<T> type, ErrorKind errorKind) {
     try {
       T value = MAPPER.readValue(bytes, type);
-      return value == null ? Result.failed(broken, "answer is null") : Result.ok(value);
+      return value == null ? Result.failed(errorKind, "malformed response: null") : Result.ok(value);
     } catch (JsonProcessingException e) {
-      return Result.failed(broken, "broken answer: " + e.getOriginalMessage());
+      return Result.failed(errorKind, "malformed response: " + e.getOriginalMessage());
     } catch (IOException | RuntimeException e) {
-      return Result.failed(broken, "broken answer: " + e.getMessage());
+      return Result.failed(errorKind, "malformed response: " + e.getMessage());
     }
   }
 
-  /** Returns the value as JSON bytes. */
+  /**
+   * Returns the value as JSON.
+   *
+   * @throws IllegalArgumentException if the value cannot be written
+   */
   static byte[] write(Object value) {
     try {
       return MAPPER.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("no JSON: " + e.getMessage(), e);
+      throw new IllegalArgumentException("value cannot be written as JSON: " + e.getMessage(), e);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The platform over HTTP: its log service and its workers, as the core's interfaces.
+ * HTTP clients of the platform's log service and workers, which implement the core's interfaces.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.platform.PlatformClient} to make the client that both
- * share. Nothing that the platform answers makes these classes throw: whatever is broken, too long
- * or of the wrong type becomes a {@link io.marigoldsail.error.Failure}.
+ * <p>{@link io.marigoldsail.daemon.platform.PlatformClient} is the HTTP client that both share. No
+ * response of the platform makes these classes throw: a response that is malformed, too large or of
+ * the wrong type becomes a {@link io.marigoldsail.error.Failure}.
  */
 package io.marigoldsail.daemon.platform;
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/BrokenAnswersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/BrokenAnswersTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Whatever the platform answers, the caller gets a failure that claims no more than is known. */
+/** Malformed responses of the platform become failures that claim no more than is known. */
 final class BrokenAnswersTest {
   private static final long TIMEOUT_MILLIS = 5_000;
   private static final String TASK =
@@ -38,7 +38,7 @@
   @BeforeContainer
   static void start() throws IOException {
     server = new RawAnswerServer();
-    client = PlatformClient.start("broken-answers");
+    client = PlatformClient.start("malformed-responses");
     log = new HttpLogService(client, server.address(), TIMEOUT_MILLIS);
     worker = new HttpWorker(client, server.address(), TIMEOUT_MILLIS);
   }
@@ -76,12 +76,12 @@
   }
 
   @Property(seed = "3503", tries = 60)
-  void truncatedAnswersAreFailures(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
-    byte[] whole = TASK.getBytes(StandardCharsets.US_ASCII);
-    byte[] half = Arrays.copyOf(whole, cut % whole.length);
-    server.answer(half, whole.length);
+  void truncatedAnswersAreFailures(@ForAll @IntRange(min = 0, max = 10_000) int length) {
+    byte[] complete = TASK.getBytes(StandardCharsets.US_ASCII);
+    byte[] truncated = Arrays.copyOf(complete, length % complete.length);
+    server.answer(truncated, complete.length);
     assertFails(() -> worker.stop("a/1", 7));
-    server.answer(half);
+    server.answer(truncated);
     assertFails(() -> worker.stop("a/1", 7));
   }
 
@@ -110,7 +110,7 @@
             "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[")) {
       server.answer(wrong.getBytes(StandardCharsets.US_ASCII));
       for (Supplier<Result<?>> call : CALLS) {
-        // An empty list of samples is a sound answer; everything else here is not.
+        // An empty list of samples is a valid response; all others here are malformed.
         if (!wrong.equals("[]")) {
           assertFails(call);
         }
@@ -135,8 +135,8 @@
 
   @Example
   void aBrokenAnswerToAnAppendLeavesItsOutcomeUnknown() {
-    // The record was stored and the answer came back garbled. Were that taken for a refusal, the
-    // writer would say "not run" of something that counts.
+    // The record was stored and the response is malformed. If that counted as a refusal, the writer
+    // would report an operation as not run although it took effect.
     server.answer("{\"offset\":\"x\"}".getBytes(StandardCharsets.US_ASCII));
     assertKind(ErrorKind.LOG_OUTCOME_UNKNOWN, log.append("s", new byte[] {1}));
     server.answerRaw(new byte[0]);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
@@ -62,8 +62,8 @@
 
   @Test
   void readsLargeRecordsInSmallerPages() {
-    // A reader asks for a hundred records, which together exceed what it may hold at once. Without
-    // smaller pages it would ask for the same page for ever.
+    // A hundred records together exceed the reader's page limit. Without smaller pages it would
+    // request the same page forever.
     byte[] large = new byte[HttpLogService.MAX_RECORD_BYTES];
     for (int i = 0; i < 8; i++) {
       log.append(STREAM, large).value();
@@ -77,8 +77,8 @@
 
   @Test
   void readsOnBehindARecordThatIsTooLarge() {
-    // Something else appended a record longer than a reader may hold. Every reader would ask for it
-    // again and again, and nothing behind it would ever be in force.
+    // Another writer appended a record beyond the readers' limit. Every reader would request it
+    // forever, and no later record would take effect.
     service.log().append(STREAM, new byte[5 << 20]);
     log.append(STREAM, bytes("behind")).value();
 
@@ -91,8 +91,8 @@
 
   @Test
   void tellsARefusalFromALostAnswer() {
-    // The service refuses while it is down, and nothing took effect. Then an answer is lost on the
-    // way back after the record was stored. Taking one for the other would lose or double records.
+    // The service refuses while it is down, without effect. Then a response is lost after the record
+    // was stored. Confusing the two would lose or duplicate records.
     service.log().setFaults(LogFaults.none().withDown(true));
     assertKind(ErrorKind.LOG_UNAVAILABLE, log.append(STREAM, bytes("refused")));
     assertKind(ErrorKind.LOG_UNAVAILABLE, log.read(STREAM, 0, 10, 0));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
@@ -52,8 +52,8 @@
 
   @Test
   void tellsWhatDidNotTakeEffectFromWhatMayHave() {
-    // An answer is lost after the worker started the task; then the worker refuses a second one.
-    // Whoever takes the first for a refusal starts the task elsewhere too.
+    // A response is lost after the worker started the task; then the worker refuses a second start.
+    // A client that confuses the first with a refusal would start the task elsewhere as well.
     WorkerBoot boot = worker.boot().value();
     service.worker().setFaults(WorkerFaults.none().withLoseAnswers(1));
     assertKind(ErrorKind.OUTCOME_UNKNOWN, worker.start(start(boot, "payout/1", 1)));
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A worker's VM is gone. A client without a connection to it cannot have started anything. One
-   * that still holds a connection may not yet have heard of its end, and cannot know.
+   * The VM of a worker is lost. A client without a connection to it cannot have started a task. A
+   * client with a pooled connection may not have noticed the loss, so its outcome may be unknown.
    */
   @Test
   void refusedConnectionTookNoEffect() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawAnswerServer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawAnswerServer.java
@@ -9,16 +9,16 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Answers every request with the bytes it was given last, then closes the connection. */
+/** Responds to every request with the bytes that were set last, then closes the connection. */
 final class RawAnswerServer implements AutoCloseable {
   private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final ServerSocket acceptor;
-  private volatile byte[] answer = new byte[0];
+  private volatile byte[] response = new byte[0];
 
   RawAnswerServer() throws IOException {
     this.acceptor = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-    Thread thread = new Thread(this::serve, "raw-answers");
+    Thread thread = new Thread(this::serve, "raw-responses");
     thread.setDaemon(true);
     thread.start();
   }
@@ -27,18 +27,18 @@
     return "http://127.0.0.1:" + acceptor.getLocalPort();
   }
 
-  /** Answers with exactly these bytes, no HTTP added. */
+  /** Sets a response of exactly these bytes, without HTTP framing. */
   void answerRaw(byte[] bytes) {
-    answer = bytes;
+    response = bytes;
   }
 
-  /** Answers 200 with a body, announcing more or fewer bytes than there are. */
-  void answer(byte[] body, int announced) {
-    String head = "HTTP/1.1 200 OK\r\nContent-Length: " + announced + "\r\n\r\n";
+  /** Sets a response with status 200, a body, and the given Content-Length, which may be wrong. */
+  void answer(byte[] body, int contentLength) {
+    String head = "HTTP/1.1 200 OK\r\nContent-Length: " + contentLength + "\r\n\r\n";
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(head.getBytes(StandardCharsets.US_ASCII));
     all.writeBytes(body);
-    answer = all.toByteArray();
+    response = all.toByteArray();
   }
 
   void answer(byte[] body) {
@@ -55,13 +55,14 @@
       try (Socket socket = acceptor.accept()) {
         readHead(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
-        out.write(answer);
+        out.write(response);
         out.flush();
         socket.shutdownOutput();
-        // Draining what is left of the request keeps the close from resetting the answer away.
+        // Without draining the rest of the request, the close would reset the connection and lose
+        // the response.
         socket.getInputStream().skipNBytes(socket.getInputStream().available());
       } catch (IOException e) {
-        // The client has gone, which some of these answers make it do.
+        // The client closed the connection, as some of these responses cause it to.
       }
     }
   }
