--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
@@ -151,7 +151,7 @@
     if (body.length > 0) {
       request.body(new BytesRequestContent(type, body));
     }
-    AtomicBoolean begun = watched(request, timeoutMillis);
+    AtomicBoolean sendStarted = watched(request, timeoutMillis);
     return new CompletableResponseListener(request, maxResponseBytes)
         .send()
         .handle(
@@ -160,26 +160,26 @@
                 return new Answered(response.getStatus(), response.getContent());
               }
               Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-              return failed(begun.get(), cause, maxResponseBytes);
+              return failed(sendStarted.get(), cause, maxResponseBytes);
             });
   }
 
   private static Exchange exchange(Request request, int maxResponseBytes, long timeoutMillis) {
-    AtomicBoolean begun = watched(request, timeoutMillis);
+    AtomicBoolean sendStarted = watched(request, timeoutMillis);
     CompletableFuture<ContentResponse> sent =
         new CompletableResponseListener(request, maxResponseBytes).send();
     try {
       ContentResponse response = sent.get(timeoutMillis + GRACE_MILLIS, TimeUnit.MILLISECONDS);
       return new Answered(response.getStatus(), response.getContent());
     } catch (ExecutionException e) {
-      return failed(begun.get(), e.getCause(), maxResponseBytes);
+      return failed(sendStarted.get(), e.getCause(), maxResponseBytes);
     } catch (TimeoutException e) {
       request.abort(e);
-      return failed(begun.get(), e, maxResponseBytes);
+      return failed(sendStarted.get(), e, maxResponseBytes);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       request.abort(e);
-      return failed(begun.get(), e, maxResponseBytes);
+      return failed(sendStarted.get(), e, maxResponseBytes);
     }
   }
 
@@ -188,14 +188,14 @@
     checkArgument(timeoutMillis > 0, "timeoutMillis is not positive: %s", timeoutMillis);
     // The begin event precedes the first byte. Without the flag, a connection that is refused or
     // times out would count as an unknown outcome, and callers would have to look it up.
-    AtomicBoolean begun = new AtomicBoolean();
-    request.onRequestBegin(ignored -> begun.set(true));
+    AtomicBoolean sendStarted = new AtomicBoolean();
+    request.onRequestBegin(ignored -> sendStarted.set(true));
     request.timeout(timeoutMillis, TimeUnit.MILLISECONDS);
-    return begun;
+    return sendStarted;
   }
 
-  private static Exchange failed(boolean begun, Throwable cause, int maxResponseBytes) {
-    if (!begun) {
+  private static Exchange failed(boolean sendStarted, Throwable cause, int maxResponseBytes) {
+    if (!sendStarted) {
       return new NeverSent(describe(cause));
     }
     // Jetty reports a response larger than the buffer with this exception, which has no other cause
