--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/RestOfBody.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/BodyDrainer.java
@@ -11,51 +11,51 @@
  * <p>Guards against a response that the client never receives: when a server responds and closes
  * while the client is still sending, the connection is reset and the reset overtakes the response.
  * Therefore the response is sent at once, and the request completes only when the body has ended or
- * {@link #MOST_BYTES} have been drained.
+ * {@link #MAX_DRAINED_BYTES} have been drained.
  *
  * <p>Never blocks. For one request, on the thread that serves it.
  */
-public final class RestOfBody implements Runnable {
+public final class BodyDrainer implements Runnable {
   /** Limit of what is drained; a client that sends more is disconnected. */
-  static final long MOST_BYTES = 16L << 20;
+  static final long MAX_DRAINED_BYTES = 16L << 20;
 
   private final Content.Source body;
-  private final Callback after;
-  private long passedOver;
+  private final Callback completion;
+  private long drainedBytes;
 
-  private RestOfBody(Content.Source body, Callback completion) {
+  private BodyDrainer(Content.Source body, Callback completion) {
     this.body = requireNonNull(body, "body");
-    this.after = requireNonNull(completion, "completion");
+    this.completion = requireNonNull(completion, "completion");
   }
 
   /**
-   * Returns a callback for writing the response that drains the rest of the body before it completes
-   * the given callback.
+   * Returns a callback for writing the response that drains the rest of the body before it
+   * completes the given callback.
    *
    * @param body the request's body, which may be partly read
    * @param completion completes the request
    */
-  public static Callback thenComplete(Content.Source body, Callback completion) {
-    RestOfBody drainer = new RestOfBody(body, completion);
+  public static Callback drainThenComplete(Content.Source body, Callback completion) {
+    BodyDrainer drainer = new BodyDrainer(body, completion);
     return Callback.from(drainer::run, completion::failed);
   }
 
   /** Discards the available bytes and demands a call when more arrive. */
   @Override
   public void run() {
-    while (passedOver < MOST_BYTES) {
+    while (drainedBytes < MAX_DRAINED_BYTES) {
       Content.Chunk chunk = body.read();
       if (chunk == null) {
         body.demand(this);
         return;
       }
-      passedOver += chunk.remaining();
+      drainedBytes += chunk.remaining();
       boolean ended = chunk.isLast() || Content.Chunk.isFailure(chunk);
       chunk.release();
       if (ended) {
         break;
       }
     }
-    after.succeeded();
+    completion.succeeded();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreads.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreadPools.java
@@ -12,11 +12,11 @@
  * <p>Jetty's own thread factory creates each thread through method handles on the security manager,
  * which cost processor time at every process start and serve no purpose without a security manager.
  */
-public final class HttpThreads {
+public final class HttpThreadPools {
   /** Lets Jetty choose how many threads it reserves for tasks that must not wait. */
-  private static final int RESERVED_BY_SIZE = -1;
+  private static final int DEFAULT_RESERVED_THREADS = -1;
 
-  private HttpThreads() {}
+  private HttpThreadPools() {}
 
   /**
    * Returns a pool that is not started.
@@ -27,11 +27,17 @@
    * @param idleMillis idle time after which a thread beyond the minimum ends, in milliseconds
    * @param daemon whether the threads are daemon threads, which do not keep the process alive
    */
-  public static QueuedThreadPool pool(
+  public static QueuedThreadPool create(
       String name, int maxThreads, int minThreads, int idleMillis, boolean daemon) {
     QueuedThreadPool pool =
         new QueuedThreadPool(
-            maxThreads, minThreads, idleMillis, RESERVED_BY_SIZE, null, null, factory(name, daemon));
+            maxThreads,
+            minThreads,
+            idleMillis,
+            DEFAULT_RESERVED_THREADS,
+            null,
+            null,
+            factory(name, daemon));
     pool.setName(name);
     pool.setDaemon(daemon);
     return pool;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Reading of request bodies for all HTTP servers of a process, and thread pools for HTTP clients and
- * servers.
+ * Reading of request bodies for all HTTP servers of a process, and thread pools for HTTP clients
+ * and servers.
  *
- * <p>{@link io.marigoldsail.daemon.http.WholeBody} reads a short body. {@link
- * io.marigoldsail.daemon.http.RestOfBody} drains the body of a request that is refused before its
+ * <p>{@link io.marigoldsail.daemon.http.BoundedBodyReader} reads a short body. {@link
+ * io.marigoldsail.daemon.http.BodyDrainer} drains the body of a request that is refused before its
  * body has arrived.
  */
 package io.marigoldsail.daemon.http;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
@@ -4,11 +4,11 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.core.type.TypeReference;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerLost;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerTooLong;
-import io.marigoldsail.daemon.platform.PlatformClient.Answered;
-import io.marigoldsail.daemon.platform.PlatformClient.Exchange;
-import io.marigoldsail.daemon.platform.PlatformClient.NeverSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ExchangeResult;
+import io.marigoldsail.daemon.platform.PlatformClient.NotSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseLost;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseReceived;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseTooLarge;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.log.LogPage;
@@ -30,9 +30,9 @@
   public static final int MAX_RECORD_BYTES = 1 << 20;
 
   private static final int MAX_PAGE_BYTES = 4 << 20;
-  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_RESPONSE_BYTES = 64 << 10;
   private static final int MAX_PAGE_RECORDS = 1_000;
-  private static final String OCTETS = "application/octet-stream";
+  private static final String OCTET_STREAM = "application/octet-stream";
 
   private record WireAppended(long offset) {}
 
@@ -62,32 +62,38 @@
   @Override
   public Result<Long> append(String stream, byte[] record) {
     if (record.length > MAX_RECORD_BYTES) {
-      return Result.failed(ErrorKind.BODY_TOO_LARGE, "log record of " + record.length + " bytes exceeds " + MAX_RECORD_BYTES);
+      return Result.failed(
+          ErrorKind.BODY_TOO_LARGE,
+          "log record of " + record.length + " bytes exceeds " + MAX_RECORD_BYTES);
     }
-    Exchange result = client.post(uri(stream), OCTETS, record, MAX_ANSWER_BYTES, timeoutMillis);
-    if (result instanceof NeverSent notSent) {
+    ExchangeResult result =
+        client.post(uri(stream), OCTET_STREAM, record, MAX_RESPONSE_BYTES, timeoutMillis);
+    if (result instanceof NotSent notSent) {
       return Result.failed(ErrorKind.LOG_UNAVAILABLE, notSent.detail());
     }
-    if (result instanceof Answered response) {
+    if (result instanceof ResponseReceived response) {
       return switch (response.status()) {
         case 200 ->
             PlatformJson.read(
                     response.body(),
                     new TypeReference<WireAppended>() {},
                     ErrorKind.LOG_OUTCOME_UNKNOWN)
-                .then(HttpLogService::checkedOffset);
+                .then(HttpLogService::validateOffset);
         case 429, 503 -> Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
-        case 413 -> Result.failed(ErrorKind.BODY_TOO_LARGE, "log service refused the record as too large");
+        case 413 ->
+            Result.failed(ErrorKind.BODY_TOO_LARGE, "log service refused the record as too large");
         default -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(result));
       };
     }
     return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(result));
   }
 
-  private static Result<Long> checkedOffset(WireAppended appended) {
+  private static Result<Long> validateOffset(WireAppended appended) {
     return appended.offset() >= 0
         ? Result.ok(appended.offset())
-        : Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "log service returned the negative offset " + appended.offset());
+        : Result.failed(
+            ErrorKind.LOG_OUTCOME_UNKNOWN,
+            "log service returned the negative offset " + appended.offset());
   }
 
   @Override
@@ -96,22 +102,22 @@
     checkArgument(maxRecords > 0, "maxRecords is not positive: %s", maxRecords);
     int limit = Math.min(maxRecords, MAX_PAGE_RECORDS);
     while (true) {
-      Exchange result = readOnce(stream, fromOffset, limit, waitMillis);
-      if (result instanceof AnswerTooLong && limit > 1) {
+      ExchangeResult result = readOnce(stream, fromOffset, limit, waitMillis);
+      if (result instanceof ResponseTooLarge && limit > 1) {
         // Retries with half as many records.
         limit /= 2;
         continue;
       }
-      if (result instanceof AnswerTooLong) {
-        return withoutRecord(stream, fromOffset);
+      if (result instanceof ResponseTooLarge) {
+        return readPastOversizedRecord(stream, fromOffset);
       }
-      if (!(result instanceof Answered response) || response.status() != 200) {
+      if (!(result instanceof ResponseReceived response) || response.status() != 200) {
         return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
       }
       int requested = limit;
       return PlatformJson.read(
               response.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
-          .then(page -> checkedPage(page, fromOffset, requested));
+          .then(page -> validatePage(page, fromOffset, requested));
     }
   }
 
@@ -120,14 +126,14 @@
    * was appended by another system; without the replacement every reader would request it forever.
    * If the record has expired, the page is empty, so that the reader notices.
    */
-  private Result<LogPage> withoutRecord(String stream, long offset) {
-    Exchange result = readOnce(stream, offset, 0, 0);
-    if (!(result instanceof Answered response) || response.status() != 200) {
+  private Result<LogPage> readPastOversizedRecord(String stream, long offset) {
+    ExchangeResult result = readOnce(stream, offset, 0, 0);
+    if (!(result instanceof ResponseReceived response) || response.status() != 200) {
       return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(result));
     }
     return PlatformJson.read(
             response.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
-        .then(page -> checkedPage(page, offset, 0))
+        .then(page -> validatePage(page, offset, 0))
         .then(
             page ->
                 page.firstOffset() <= offset && offset < page.nextOffset()
@@ -139,47 +145,48 @@
                     : Result.ok(page));
   }
 
-  private Exchange readOnce(String stream, long fromOffset, int maxRecords, long waitMillis) {
+  private ExchangeResult readOnce(String stream, long fromOffset, int maxRecords, long waitMillis) {
     String query = "?from=" + fromOffset + "&max=" + maxRecords + "&waitMillis=" + waitMillis;
     return client.get(uri(stream) + query, MAX_PAGE_BYTES, waitMillis + timeoutMillis);
   }
 
-  private static Result<LogPage> checkedPage(WirePage page, long fromOffset, int maxRecords) {
+  private static Result<LogPage> validatePage(WirePage page, long fromOffset, int maxRecords) {
     if (page.firstOffset() < 0 || page.nextOffset() < page.firstOffset()) {
-      return broken("offsets " + page.firstOffset() + " to " + page.nextOffset());
+      return malformedPage("offsets " + page.firstOffset() + " to " + page.nextOffset());
     }
     if (page.records().size() > maxRecords) {
-      return broken(page.records().size() + " records, " + maxRecords + " requested");
+      return malformedPage(page.records().size() + " records, " + maxRecords + " requested");
     }
     List<LogRecord> records = new ArrayList<>();
     long expected = Math.max(fromOffset, page.firstOffset());
     for (WireRecord record : page.records()) {
       // With a gap or a step back, this process would skip or repeat records that others apply.
       if (record == null || record.offset() != expected || record.bytes() == null) {
-        return broken("record missing or out of order, expected offset " + expected);
+        return malformedPage("record missing or out of order, expected offset " + expected);
       }
       records.add(new LogRecord(record.offset(), record.bytes()));
       expected++;
     }
     if (!records.isEmpty() && expected > page.nextOffset()) {
-      return broken("records beyond the end " + page.nextOffset());
+      return malformedPage("records beyond the end " + page.nextOffset());
     }
     return Result.ok(new LogPage(records, page.firstOffset(), page.nextOffset()));
   }
 
-  private static Result<LogPage> broken(String detail) {
-    return Result.failed(ErrorKind.LOG_UNAVAILABLE, "malformed page from the log service: " + detail);
+  private static Result<LogPage> malformedPage(String detail) {
+    return Result.failed(
+        ErrorKind.LOG_UNAVAILABLE, "malformed page from the log service: " + detail);
   }
 
   private String uri(String stream) {
     return address + "/streams/" + URLEncoder.encode(stream, StandardCharsets.UTF_8) + "/records";
   }
 
-  private static String describe(Exchange result) {
-    if (result instanceof Answered response) {
+  private static String describe(ExchangeResult result) {
+    if (result instanceof ResponseReceived response) {
       return "log service responded with status " + response.status();
     }
-    if (result instanceof AnswerLost lost) {
+    if (result instanceof ResponseLost lost) {
       return "response of the log service was lost: " + lost.detail();
     }
     return result.toString();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
@@ -4,11 +4,11 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.core.type.TypeReference;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerLost;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerTooLong;
-import io.marigoldsail.daemon.platform.PlatformClient.Answered;
-import io.marigoldsail.daemon.platform.PlatformClient.Exchange;
-import io.marigoldsail.daemon.platform.PlatformClient.NeverSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ExchangeResult;
+import io.marigoldsail.daemon.platform.PlatformClient.NotSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseLost;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseReceived;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseTooLarge;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.lease.UsageSample;
@@ -26,14 +26,14 @@
  * as malformed: it would otherwise release or reserve the resources of the wrong task.
  */
 public final class HttpWorker implements Worker {
-  private static final int MAX_ANSWER_BYTES = 1 << 20;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
   private static final String JSON_TYPE = "application/json";
 
-  private record TaskCall(String task, long token) {}
+  private record TaskRequest(String task, long token) {}
 
-  private record RenewCall(String task, long token, long leaseDeadlineMillis) {}
+  private record RenewRequest(String task, long token, long leaseDeadlineMillis) {}
 
-  private record ThrottleCall(String task, long token, int percent) {}
+  private record ThrottleRequest(String task, long token, int percent) {}
 
   private final PlatformClient client;
   private final String address;
@@ -60,28 +60,30 @@
 
   @Override
   public Result<WorkerTask> start(WorkerStart start) {
-    return act("/tasks/start", start, start.task(), start.token());
+    return postTaskRequest("/tasks/start", start, start.task(), start.token());
   }
 
   @Override
   public Result<WorkerTask> renew(String task, long token, long leaseDeadlineMillis) {
-    return act("/tasks/renew", new RenewCall(task, token, leaseDeadlineMillis), task, token);
+    return postTaskRequest(
+        "/tasks/renew", new RenewRequest(task, token, leaseDeadlineMillis), task, token);
   }
 
   @Override
   public Result<WorkerTask> throttle(String task, long token, int percent) {
     checkArgument(percent >= 1 && percent <= 100, "percent is not in 1..100: %s", percent);
-    return act("/tasks/throttle", new ThrottleCall(task, token, percent), task, token);
+    return postTaskRequest(
+        "/tasks/throttle", new ThrottleRequest(task, token, percent), task, token);
   }
 
   @Override
   public Result<WorkerTask> checkpoint(String task, long token) {
-    return act("/tasks/checkpoint", new TaskCall(task, token), task, token);
+    return postTaskRequest("/tasks/checkpoint", new TaskRequest(task, token), task, token);
   }
 
   @Override
   public Result<WorkerTask> stop(String task, long token) {
-    return act("/tasks/stop", new TaskCall(task, token), task, token);
+    return postTaskRequest("/tasks/stop", new TaskRequest(task, token), task, token);
   }
 
   @Override
@@ -92,23 +94,24 @@
   @Override
   public Result<List<UsageSample>> usage() {
     Result<List<UsageSample>> samples = get("/usage", new TypeReference<>() {});
-    return samples.then(HttpWorker::withoutNulls);
+    return samples.then(HttpWorker::rejectNulls);
   }
 
-  private static Result<List<UsageSample>> withoutNulls(List<UsageSample> samples) {
+  private static Result<List<UsageSample>> rejectNulls(List<UsageSample> samples) {
     return samples.stream().anyMatch(sample -> sample == null)
-        ? Result.failed(ErrorKind.WORKER_FAILED, "malformed response of the worker: a sample is null")
+        ? Result.failed(
+            ErrorKind.WORKER_FAILED, "malformed response of the worker: a sample is null")
         : Result.ok(List.copyOf(samples));
   }
 
   private <T> Result<T> get(String path, TypeReference<T> type) {
-    return read(client.get(address + path, MAX_ANSWER_BYTES, timeoutMillis), type);
+    return read(client.get(address + path, MAX_RESPONSE_BYTES, timeoutMillis), type);
   }
 
-  private Result<WorkerTask> act(String path, Object content, String task, long token) {
+  private Result<WorkerTask> postTaskRequest(String path, Object content, String task, long token) {
     byte[] body = PlatformJson.write(content);
-    Exchange result =
-        client.post(address + path, JSON_TYPE, body, MAX_ANSWER_BYTES, timeoutMillis);
+    ExchangeResult result =
+        client.post(address + path, JSON_TYPE, body, MAX_RESPONSE_BYTES, timeoutMillis);
     Result<WorkerTask> response = read(result, new TypeReference<>() {});
     return response.then(
         reported ->
@@ -126,25 +129,27 @@
                         + token));
   }
 
-  private static <T> Result<T> read(Exchange result, TypeReference<T> type) {
-    if (result instanceof Answered response) {
+  private static <T> Result<T> read(ExchangeResult result, TypeReference<T> type) {
+    if (result instanceof ResponseReceived response) {
       return response.status() == 200
           ? PlatformJson.read(response.body(), type, ErrorKind.WORKER_FAILED)
           : Result.failed(
-              kindOf(response.status()), "worker responded with status " + response.status());
+              errorKind(response.status()), "worker responded with status " + response.status());
     }
-    if (result instanceof NeverSent notSent) {
+    if (result instanceof NotSent notSent) {
       return Result.failed(ErrorKind.TARGET_UNREACHABLE, "worker unreachable: " + notSent.detail());
     }
-    if (result instanceof AnswerTooLong tooLarge) {
+    if (result instanceof ResponseTooLarge tooLarge) {
       return Result.failed(
-          ErrorKind.WORKER_FAILED, "response of the worker exceeds " + tooLarge.maxBytes() + " bytes");
+          ErrorKind.WORKER_FAILED,
+          "response of the worker exceeds " + tooLarge.maxBytes() + " bytes");
     }
     return Result.failed(
-        ErrorKind.OUTCOME_UNKNOWN, "response of the worker was lost: " + ((AnswerLost) result).detail());
+        ErrorKind.OUTCOME_UNKNOWN,
+        "response of the worker was lost: " + ((ResponseLost) result).detail());
   }
 
-  private static ErrorKind kindOf(int status) {
+  private static ErrorKind errorKind(int status) {
     return switch (status) {
       case 400, 422 -> ErrorKind.BAD_REQUEST;
       case 404 -> ErrorKind.NOT_FOUND;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PeerClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PeerClient.java
@@ -11,7 +11,7 @@
 /** Reads from the operators' address of another process. Safe for any thread; calls block. */
 public final class PeerClient {
   private static final int STATUS_OK = 200;
-  private static final int MAX_ANSWER_BYTES = 4 << 20;
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
   private static final long TIMEOUT_MILLIS = 1_000;
 
   private final PlatformClient client;
@@ -26,9 +26,10 @@
    * parse failure.
    */
   public Result<JsonNode> get(HostPort peer, String pathAndQuery) {
-    PlatformClient.Exchange result =
-        client.get("http://" + peer + pathAndQuery, MAX_ANSWER_BYTES, TIMEOUT_MILLIS);
-    if (result instanceof PlatformClient.Answered response && response.status() == STATUS_OK) {
+    PlatformClient.ExchangeResult result =
+        client.get("http://" + peer + pathAndQuery, MAX_RESPONSE_BYTES, TIMEOUT_MILLIS);
+    if (result instanceof PlatformClient.ResponseReceived response
+        && response.status() == STATUS_OK) {
       return Json.parse(peer.toString(), response.body());
     }
     return Result.failed(ErrorKind.TARGET_UNREACHABLE, peer + ": " + result);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
@@ -4,7 +4,7 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.marigoldsail.daemon.http.HttpThreads;
+import io.marigoldsail.daemon.http.HttpThreadPools;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
 import java.util.Map;
@@ -37,10 +37,11 @@
  */
 public final class PlatformClient implements AutoCloseable {
   /** The result of an exchange. */
-  public sealed interface Exchange permits Answered, NeverSent, AnswerLost, AnswerTooLong {}
+  public sealed interface ExchangeResult
+      permits ResponseReceived, NotSent, ResponseLost, ResponseTooLarge {}
 
   /** A complete response. */
-  public record Answered(int status, byte[] body) implements Exchange {
+  public record ResponseReceived(int status, byte[] body) implements ExchangeResult {
     /** Returns the body as JSON, or empty if it is not valid JSON. */
     public Optional<JsonNode> json() {
       Result<JsonNode> parsed = Json.parse("the response", body);
@@ -54,21 +55,21 @@
   }
 
   /** No byte of the request left this process. */
-  public record NeverSent(String detail) implements Exchange {}
+  public record NotSent(String detail) implements ExchangeResult {}
 
   /** The request may have taken effect; its response did not arrive, or not completely. */
-  public record AnswerLost(String detail) implements Exchange {}
+  public record ResponseLost(String detail) implements ExchangeResult {}
 
   /** The response was larger than allowed. */
-  public record AnswerTooLong(int maxBytes) implements Exchange {}
+  public record ResponseTooLarge(int maxBytes) implements ExchangeResult {}
 
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
-  private static final long GRACE_MILLIS = 500;
-  private static final int CONNECTIONS = 16;
+  private static final long ABORT_GRACE_MILLIS = 500;
+  private static final int DEFAULT_MAX_CONNECTIONS = 16;
   private static final int MAX_THREADS = 12;
   private static final int MIN_THREADS = 2;
   private static final int THREAD_IDLE_MILLIS = 60_000;
-  private static final int QUEUED = 64;
+  private static final int MAX_QUEUED_REQUESTS = 64;
 
   private final HttpClient client;
 
@@ -83,7 +84,7 @@
    * @throws IllegalStateException if it cannot start
    */
   public static PlatformClient start(String name) {
-    return start(name, CONNECTIONS);
+    return start(name, DEFAULT_MAX_CONNECTIONS);
   }
 
   /**
@@ -96,7 +97,7 @@
    */
   public static PlatformClient start(String name, int connections) {
     QueuedThreadPool threads =
-        HttpThreads.pool(
+        HttpThreadPools.create(
             requireNonNull(name, "name"), MAX_THREADS, MIN_THREADS, THREAD_IDLE_MILLIS, true);
     ClientConnector connector = new ClientConnector();
     connector.setSelectors(1);
@@ -105,7 +106,7 @@
     HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
     client.setMaxConnectionsPerDestination(connections);
-    client.setMaxRequestsQueuedPerDestination(QUEUED);
+    client.setMaxRequestsQueuedPerDestination(MAX_QUEUED_REQUESTS);
     client.setFollowRedirects(false);
     try {
       client.start();
@@ -116,11 +117,12 @@
     return new PlatformClient(client);
   }
 
-  Exchange get(String uri, int maxResponseBytes, long timeoutMillis) {
+  ExchangeResult get(String uri, int maxResponseBytes, long timeoutMillis) {
     return exchange(client.newRequest(uri), maxResponseBytes, timeoutMillis);
   }
 
-  Exchange post(String uri, String type, byte[] body, int maxResponseBytes, long timeoutMillis) {
+  ExchangeResult post(
+      String uri, String type, byte[] body, int maxResponseBytes, long timeoutMillis) {
     Request request =
         client.newRequest(uri).method(HttpMethod.POST).body(new BytesRequestContent(type, body));
     return exchange(request, maxResponseBytes, timeoutMillis);
@@ -138,7 +140,7 @@
    * @param timeoutMillis how long the complete exchange may take
    * @return a future that completes on a thread of the client, never exceptionally
    */
-  public CompletableFuture<Exchange> send(
+  public CompletableFuture<ExchangeResult> send(
       String method,
       String uri,
       Map<String, String> headers,
@@ -151,40 +153,42 @@
     if (body.length > 0) {
       request.body(new BytesRequestContent(type, body));
     }
-    AtomicBoolean sendStarted = watched(request, timeoutMillis);
+    AtomicBoolean sendStarted = setTimeoutAndTrackSend(request, timeoutMillis);
     return new CompletableResponseListener(request, maxResponseBytes)
         .send()
         .handle(
             (response, error) -> {
               if (error == null) {
-                return new Answered(response.getStatus(), response.getContent());
+                return new ResponseReceived(response.getStatus(), response.getContent());
               }
               Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-              return failed(sendStarted.get(), cause, maxResponseBytes);
+              return failureResult(sendStarted.get(), cause, maxResponseBytes);
             });
   }
 
-  private static Exchange exchange(Request request, int maxResponseBytes, long timeoutMillis) {
-    AtomicBoolean sendStarted = watched(request, timeoutMillis);
+  private static ExchangeResult exchange(
+      Request request, int maxResponseBytes, long timeoutMillis) {
+    AtomicBoolean sendStarted = setTimeoutAndTrackSend(request, timeoutMillis);
     CompletableFuture<ContentResponse> sent =
         new CompletableResponseListener(request, maxResponseBytes).send();
     try {
-      ContentResponse response = sent.get(timeoutMillis + GRACE_MILLIS, TimeUnit.MILLISECONDS);
-      return new Answered(response.getStatus(), response.getContent());
+      ContentResponse response =
+          sent.get(timeoutMillis + ABORT_GRACE_MILLIS, TimeUnit.MILLISECONDS);
+      return new ResponseReceived(response.getStatus(), response.getContent());
     } catch (ExecutionException e) {
-      return failed(sendStarted.get(), e.getCause(), maxResponseBytes);
+      return failureResult(sendStarted.get(), e.getCause(), maxResponseBytes);
     } catch (TimeoutException e) {
       request.abort(e);
-      return failed(sendStarted.get(), e, maxResponseBytes);
+      return failureResult(sendStarted.get(), e, maxResponseBytes);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       request.abort(e);
-      return failed(sendStarted.get(), e, maxResponseBytes);
+      return failureResult(sendStarted.get(), e, maxResponseBytes);
     }
   }
 
   /** Sets the timeout; returns a flag that is set once a byte of the request may have been sent. */
-  private static AtomicBoolean watched(Request request, long timeoutMillis) {
+  private static AtomicBoolean setTimeoutAndTrackSend(Request request, long timeoutMillis) {
     checkArgument(timeoutMillis > 0, "timeoutMillis is not positive: %s", timeoutMillis);
     // The begin event precedes the first byte. Without the flag, a connection that is refused or
     // times out would count as an unknown outcome, and callers would have to look it up.
@@ -194,16 +198,17 @@
     return sendStarted;
   }
 
-  private static Exchange failed(boolean sendStarted, Throwable cause, int maxResponseBytes) {
+  private static ExchangeResult failureResult(
+      boolean sendStarted, Throwable cause, int maxResponseBytes) {
     if (!sendStarted) {
-      return new NeverSent(describe(cause));
+      return new NotSent(describe(cause));
     }
     // Jetty reports a response larger than the buffer with this exception, which has no other cause
     // here.
     if (cause instanceof IllegalArgumentException) {
-      return new AnswerTooLong(maxResponseBytes);
+      return new ResponseTooLarge(maxResponseBytes);
     }
-    return new AnswerLost(describe(cause));
+    return new ResponseLost(describe(cause));
   }
 
   private static String describe(Throwable cause) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformJson.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformJson.java
@@ -44,7 +44,9 @@
   static <T> Result<T> read(byte[] bytes, TypeReference<T> type, ErrorKind errorKind) {
     try {
       T value = MAPPER.readValue(bytes, type);
-      return value == null ? Result.failed(errorKind, "malformed response: null") : Result.ok(value);
+      return value == null
+          ? Result.failed(errorKind, "malformed response: null")
+          : Result.ok(value);
     } catch (JsonProcessingException e) {
       return Result.failed(errorKind, "malformed response: " + e.getOriginalMessage());
     } catch (IOException | RuntimeException e) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageObservationCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageEvidenceCodec.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /** Turns what was seen of images into frames and back. Stateless. */
-final class ImageObservationCodec {
-  private ImageObservationCodec() {}
+final class ImageEvidenceCodec {
+  private ImageEvidenceCodec() {}
 
   static List<ImageSeen> encode(Map<String, ImageInterference.Evidence> seen) {
     List<ImageSeen> encoded = new ArrayList<>();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -61,7 +61,7 @@
   }
 
   /** Closes connections that went silent; returns the others. */
-  ImmutableSet<LinkConnection> closeSilent() {
+  ImmutableSet<LinkConnection> closeUnresponsive() {
     long now = loop.now();
     ImmutableSet.Builder<LinkConnection> others = ImmutableSet.builder();
     for (LinkConnection link : Set.copyOf(links.values())) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -21,7 +21,7 @@
   QUARANTINED("rests");
 
   /** A VM that was silent for this long gets no new work, in nanoseconds: three reports missed. */
-  static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
+  static final long UNRESPONSIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   private final String text;
 
@@ -32,7 +32,7 @@
   /** Returns how the VM stands at a time in the loop's nanoseconds. */
   static VmAvailability of(VmSession session, FleetStatistics knowledge, long now) {
     VmReport report = session.report();
-    if (now - session.reportedAt() >= SILENT_NANOS) {
+    if (now - session.reportedAt() >= UNRESPONSIVE_NANOS) {
       return SILENT;
     }
     if (report.getWorker().isEmpty()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -180,7 +180,7 @@
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      fleet.recordImages(report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      fleet.recordImages(report.getVm(), ImageEvidenceCodec.decode(report.getImagesList()));
       grantLease(session);
     }
     listener.capacityChanged();
@@ -338,7 +338,7 @@
   private void grantLease(VmSession session) {
     session.flush(
         leaseGrant(session).toBuilder()
-            .addAllImages(ImageObservationCodec.encode(fleet.imagesOfOtherVms(session.vm())))
+            .addAllImages(ImageEvidenceCodec.encode(fleet.imagesOfOtherVms(session.vm())))
             .build());
   }
 
@@ -401,7 +401,7 @@
     for (String vm : openRuns.vms()) {
       VmSession session = sessionsByVm.get(vm);
       boolean tellsOfWorker = session != null && session.place().isPresent();
-      if (tellsOfWorker && now - session.reportedAt() < VmAvailability.SILENT_NANOS) {
+      if (tellsOfWorker && now - session.reportedAt() < VmAvailability.UNRESPONSIVE_NANOS) {
         continue;
       }
       long granted = lastLeaseGrantAt.getOrDefault(vm, Long.MIN_VALUE);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void readsFromTheOldestRecordThatRetentionLeft() {
+  void readsFromTheOldestRetainedRecord() {
     for (int i = 0; i < 10; i++) {
       log.append(STREAM, bytes("r" + i)).value();
     }
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void readsOnBehindARecordThatIsTooLarge() {
+  void readsPastAnOversizedRecord() {
     // Another writer appended a record beyond the readers' limit. Every reader would request it
     // forever, and no later record would take effect.
     service.log().append(STREAM, new byte[5 << 20]);
@@ -90,8 +90,9 @@
   }
 
   @Test
-  void tellsARefusalFromALostAnswer() {
-    // The service refuses while it is down, without effect. Then a response is lost after the record
+  void distinguishesRefusalFromLostResponse() {
+    // The service refuses while it is down, without effect. Then a response is lost after the
+    // record
     // was stored. Confusing the two would lose or duplicate records.
     service.log().setFaults(LogFaults.none().withDown(true));
     assertKind(ErrorKind.LOG_UNAVAILABLE, log.append(STREAM, bytes("refused")));
@@ -103,14 +104,14 @@
   }
 
   @Test
-  void tellsAServiceThatIsGoneFromALostAnswer() {
+  void unreachableServiceIsUnavailable() {
     service.close();
 
     assertKind(ErrorKind.LOG_UNAVAILABLE, log.append(STREAM, bytes("x")));
   }
 
   @Test
-  void refusesRecordsThatAreTooLarge() {
+  void rejectsOversizedRecords() {
     byte[] record = new byte[HttpLogService.MAX_RECORD_BYTES + 1];
 
     assertKind(ErrorKind.BODY_TOO_LARGE, log.append(STREAM, record));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void runsThroughTheLifeOfAnAttempt() {
+  void runsAnAttemptFromStartToStop() {
     WorkerBoot boot = worker.boot().value();
     WorkerStart start = start(boot, "payout/3", 7);
 
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void tellsWhatDidNotTakeEffectFromWhatMayHave() {
+  void distinguishesRefusalFromUnknownOutcome() {
     // A response is lost after the worker started the task; then the worker refuses a second start.
     // A client that confuses the first with a refusal would start the task elsewhere as well.
     WorkerBoot boot = worker.boot().value();
@@ -70,7 +70,7 @@
    * client with a pooled connection may not have noticed the loss, so its outcome may be unknown.
    */
   @Test
-  void refusedConnectionTookNoEffect() {
+  void refusedConnectionHasNoEffect() {
     WorkerBoot boot = worker.boot().value();
     String address = service.address();
     service.close();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawAnswerServer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawResponseServer.java
@@ -10,13 +10,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** Responds to every request with the bytes that were set last, then closes the connection. */
-final class RawAnswerServer implements AutoCloseable {
+final class RawResponseServer implements AutoCloseable {
   private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final ServerSocket acceptor;
   private volatile byte[] response = new byte[0];
 
-  RawAnswerServer() throws IOException {
+  RawResponseServer() throws IOException {
     this.acceptor = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     Thread thread = new Thread(this::serve, "raw-responses");
     thread.setDaemon(true);
@@ -28,12 +28,12 @@
   }
 
   /** Sets a response of exactly these bytes, without HTTP framing. */
-  void answerRaw(byte[] bytes) {
+  void respondRaw(byte[] bytes) {
     response = bytes;
   }
 
   /** Sets a response with status 200, a body, and the given Content-Length, which may be wrong. */
-  void answer(byte[] body, int contentLength) {
+  void respond(byte[] body, int contentLength) {
     String head = "HTTP/1.1 200 OK\r\nContent-Length: " + contentLength + "\r\n\r\n";
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(head.getBytes(StandardCharsets.US_ASCII));
@@ -41,8 +41,8 @@
     response = all.toByteArray();
   }
 
-  void answer(byte[] body) {
-    answer(body, body.length);
+  void respond(byte[] body) {
+    respond(body, body.length);
   }
 
   @Override
