--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
@@ -10,9 +10,10 @@
 import java.util.TreeSet;
 
 /**
- * The VMs inside a {@link TaskTable} and what claims take up on them, by VM, team and program.
+ * The VM registrations of a {@link TaskTable} and the resources that claims have booked on them, by
+ * VM, team and program.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class Bookings {
   private final Map<Long, VmState> vms = new TreeMap<>();
@@ -25,23 +26,23 @@
     return List.copyOf(vms.values());
   }
 
-  /** Returns the registration, or null if it is not known, or no more. */
+  /** Returns the registration, or null if it is unknown or has been removed. */
   VmState find(long registration) {
     return vms.get(registration);
   }
 
-  /** Returns the VM's last registration, revoked or not. */
+  /** Returns the VM's latest registration, revoked or not. */
   Optional<VmState> current(String vm) {
     Long registration = currentByVm.get(vm);
     return Optional.ofNullable(registration == null ? null : vms.get(registration));
   }
 
-  /** Returns the names of the tasks claimed on a registration, in their order. */
+  /** Returns the names of the tasks claimed on a registration, in alphabetical order. */
   Set<String> tasksOn(long registration) {
     return tasks.getOrDefault(registration, new TreeSet<>());
   }
 
-  /** Returns how many tasks of each program are claimed on a registration. */
+  /** Returns the number of tasks of each program claimed on a registration. */
   Map<String, Integer> programsOn(long registration) {
     return programs.getOrDefault(registration, Map.of());
   }
@@ -64,7 +65,7 @@
     dropIfEmpty(vm.registration());
   }
 
-  /** Forgets a revoked registration that nothing is claimed on any more. */
+  /** Removes the registration if it is revoked and no task is claimed on it. */
   void dropIfEmpty(long registration) {
     VmState vm = vms.get(registration);
     if (vm == null || !vm.revoked() || vm.tasks() > 0) {
@@ -72,7 +73,8 @@
     }
     vms.remove(registration);
     if (currentByVm.remove(vm.vm(), registration)) {
-      // An older one may wait for its leases yet; a restored table takes that for the last one.
+      // An older registration may still wait for its leases to expire. It becomes the latest one, as
+      // in a table restored from a snapshot, which does not contain the removed one.
       for (VmState older : vms.values()) {
         if (older.vm().equals(vm.vm())) {
           currentByVm.put(older.vm(), older.registration());
@@ -86,7 +88,7 @@
     index(vm.registration(), spec, task, sizes);
   }
 
-  /** Takes in a claim that the registration's state counts already, from a snapshot. */
+  /** Indexes a claim that the registration's state already includes, as in a snapshot. */
   void index(long registration, JobSpec spec, String task, Sizes sizes) {
     tasks.computeIfAbsent(registration, unused -> new TreeSet<>()).add(task);
     countProgram(registration, spec.program(), 1);
@@ -107,7 +109,7 @@
     dropIfEmpty(registration);
   }
 
-  /** Replaces the counts by new ones: readers on other threads keep what they were given. */
+  /** Replaces the map of counts, because readers on other threads may hold the current one. */
   private void countProgram(long registration, String program, int change) {
     Map<String, Integer> counts = new HashMap<>(programs.getOrDefault(registration, Map.of()));
     counts.merge(program, change, Integer::sum);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/DisplacedBoots.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/DisplacedBoots.java
@@ -7,15 +7,17 @@
 import java.util.Map;
 
 /**
- * Boots of VMs that a later boot under the same name has displaced.
+ * Boots of VMs that a later boot under the same name has displaced; they may not join again.
  *
- * <p>Guards against a late or doubled record of an old boot's joining, and against an old machine
- * that lives on under a name given to a new one: each would revoke the new boot, whose tasks would
- * lose their leases, and the two could go on displacing each other. A worker never goes back to an
- * earlier boot, so what was displaced stays out. Bounded; the oldest are forgotten.
+ * <p>Without this check, a late or duplicate join record of an old boot, or an old machine that still
+ * runs under a name given to a new one, would revoke the new boot. The tasks of the new boot would
+ * lose their leases, and the two boots could displace each other repeatedly. A worker never returns
+ * to an earlier boot, so a displaced boot is rejected for good.
+ *
+ * <p>Bounded: the oldest boots of a VM, and the VMs displaced first, are evicted. Not thread-safe.
  */
 final class DisplacedBoots {
-  private static final int MAX_BOOTS = 16;
+  private static final int MAX_BOOTS_PER_VM = 16;
   private static final int MAX_VMS = 4_096;
 
   private final Map<String, ArrayDeque<Long>> boots =
@@ -37,12 +39,12 @@
     }
     ArrayDeque<Long> ofVm = boots.computeIfAbsent(vm, unused -> new ArrayDeque<>());
     ofVm.addLast(boot);
-    if (ofVm.size() > MAX_BOOTS) {
+    if (ofVm.size() > MAX_BOOTS_PER_VM) {
       ofVm.removeFirst();
     }
   }
 
-  /** Returns all, in the order in which VMs were first displaced. */
+  /** Returns a copy of all boots by VM, in the order in which the VMs were first displaced. */
   Map<String, List<Long>> byVm() {
     Map<String, List<Long>> copy = new LinkedHashMap<>();
     boots.forEach((vm, ofVm) -> copy.put(vm, new ArrayList<>(ofVm)));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/EntryState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/EntryState.java
@@ -6,14 +6,14 @@
 import java.util.TreeSet;
 
 /**
- * An entry as its heartbeats tell of it.
+ * State of an entry, computed from its heartbeats.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param entry the entry's name
- * @param incarnation its start
+ * @param incarnation identifies the start of the entry's process
  * @param lastHeartbeat the position of its last heartbeat
- * @param heard the VMs that it hears
+ * @param heard the VMs that reach it
  */
 public record EntryState(String entry, long incarnation, long lastHeartbeat, Set<String> heard) {
   /** Checks and copies the components. */
@@ -23,8 +23,8 @@
   }
 
   static EntryState after(EntryState before, TaskRecord.Heartbeat heartbeat, long position) {
-    boolean same = before != null && before.incarnation == heartbeat.incarnation();
-    Set<String> heard = same ? new TreeSet<>(before.heard) : new TreeSet<>();
+    boolean sameIncarnation = before != null && before.incarnation == heartbeat.incarnation();
+    Set<String> heard = sameIncarnation ? new TreeSet<>(before.heard) : new TreeSet<>();
     heard.removeAll(heartbeat.lost());
     heard.addAll(heartbeat.gained());
     return new EntryState(heartbeat.entry(), heartbeat.incarnation(), position, heard);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
@@ -18,9 +18,10 @@
 import java.util.Optional;
 
 /**
- * Reads job files: JSON, every key checked, the first fault named with file and key.
+ * Parser of job files. A job file is JSON; every key is checked, and the failure names the file and
+ * the first invalid key.
  *
- * <p>A file that asks for 20 batch tasks of half a processor each:
+ * <p>A job of 20 batch tasks that use half a processor each:
  *
  * <pre>{@code
  * {"name": "payout-march", "team": "payments", "class": "batch", "count": 20,
@@ -28,17 +29,18 @@
  *  "command": "payout --month 3", "runMillis": 60000}
  * }</pre>
  *
- * <p>Further keys: {@code sizes.accelerators} (0), {@code urgent} (false), {@code finishBy} (an
- * instant such as {@code 2026-12-02T22:00:00Z}), {@code idempotent} (true), {@code
- * checkpointIntervalMillis} (0: none), {@code spread} ({@code none}, {@code rack} or {@code zone}).
+ * <p>Optional keys with their defaults: {@code sizes.accelerators} (0), {@code urgent} (false),
+ * {@code finishBy} (none; an instant such as {@code 2026-12-02T22:00:00Z}), {@code idempotent}
+ * (true), {@code checkpointIntervalMillis} (0, no checkpoints), {@code spread} ({@code none}; or
+ * {@code rack} or {@code zone}).
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 public final class JobFile {
-  /** The longest file that is read, in bytes. */
+  /** Maximum size of a job file, in bytes. */
   public static final int MAX_BYTES = 64 * 1024;
 
-  private static final int MAX_COMMAND = 4_096;
+  private static final int MAX_COMMAND_CHARS = 4_096;
   private static final long MAX_RUN_MILLIS = 366L * 24 * 3_600_000;
   private static final long MAX_MILLI_PROCESSORS = 1_024_000;
   private static final long MAX_MEBIBYTES = 16L * 1024 * 1024;
@@ -73,7 +75,7 @@
     this.fileName = fileName;
   }
 
-  /** One fault of a file; leaves this class only as a failed result. */
+  /** Signals an invalid file; converted to a failed result before it leaves this class. */
   private static final class Fault extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -83,25 +85,27 @@
   }
 
   /**
-   * Returns the job that a file asks for, or a failure of kind {@code INVALID_CONTENT}, or {@code
-   * BODY_TOO_LARGE}.
+   * Parses a job file.
    *
-   * @param fileName how the file is called in failures
-   * @param bytes what stands in it
+   * <p>Fails with {@code BODY_TOO_LARGE} for more than {@value #MAX_BYTES} bytes, with {@code
+   * INVALID_CONTENT} for anything that is not a valid job.
+   *
+   * @param fileName the file's name for failure messages
+   * @param bytes the file's content
    */
   public static Result<JobSpec> read(String fileName, byte[] bytes) {
     requireNonNull(fileName, "fileName");
     if (bytes.length > MAX_BYTES) {
       return Result.failed(
           ErrorKind.BODY_TOO_LARGE,
-          "%s: %d bytes, at most %d are read".formatted(fileName, bytes.length, MAX_BYTES));
+          "%s: has %d bytes, the limit is %d".formatted(fileName, bytes.length, MAX_BYTES));
     }
     try {
       return Result.ok(new JobFile(fileName).job(MAPPER.readTree(bytes)));
     } catch (JsonProcessingException e) {
       return Result.failed(
           ErrorKind.INVALID_CONTENT,
-          "%s: no valid JSON: %s".formatted(fileName, e.getOriginalMessage()));
+          "%s: is not valid JSON: %s".formatted(fileName, e.getOriginalMessage()));
     } catch (IOException e) {
       return Result.failed(ErrorKind.INVALID_CONTENT, fileName + ": " + e.getMessage());
     } catch (Fault e) {
@@ -139,16 +143,16 @@
   private String name(JsonNode root, String key) {
     String name = text("", root, key);
     if (!JobSpec.NAME.matcher(name).matches()) {
-      throw fault(key, "\"%s\" is not a name of the form %s".formatted(name, JobSpec.NAME));
+      throw fault(key, "\"%s\" does not match %s".formatted(name, JobSpec.NAME));
     }
     return name;
   }
 
   private String command(JsonNode root) {
     String command = text("", root, "command");
-    if (command.isEmpty() || command.length() > MAX_COMMAND) {
+    if (command.isEmpty() || command.length() > MAX_COMMAND_CHARS) {
       throw fault(
-          "command", "has %d characters, not 1 to %d".formatted(command.length(), MAX_COMMAND));
+          "command", "has %d characters, must have 1 to %d".formatted(command.length(), MAX_COMMAND_CHARS));
     }
     return command;
   }
@@ -158,7 +162,7 @@
     try {
       return TaskClass.forCode(code);
     } catch (IllegalArgumentException e) {
-      throw fault("class", "\"%s\" is neither latency-critical nor batch".formatted(code));
+      throw fault("class", "\"%s\" is not one of latency-critical, batch".formatted(code));
     }
   }
 
@@ -170,7 +174,7 @@
     try {
       return Spread.forCode(code);
     } catch (IllegalArgumentException e) {
-      throw fault("spread", "\"%s\" is none of none, rack, zone".formatted(code));
+      throw fault("spread", "\"%s\" is not one of none, rack, zone".formatted(code));
     }
   }
 
@@ -182,17 +186,17 @@
     try {
       return Math.max(1, Instant.parse(text).toEpochMilli());
     } catch (DateTimeParseException | ArithmeticException e) {
-      throw fault("finishBy", "\"%s\" is no instant like 2026-12-02T22:00:00Z".formatted(text));
+      throw fault("finishBy", "\"%s\" is not an instant such as 2026-12-02T22:00:00Z".formatted(text));
     }
   }
 
-  private boolean flag(JsonNode root, String key, boolean otherwise) {
+  private boolean flag(JsonNode root, String key, boolean defaultValue) {
     JsonNode node = root.get(key);
     if (node == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!node.isBoolean()) {
-      throw fault(key, "is not true or false: " + node);
+      throw fault(key, "is not a boolean: " + node);
     }
     return node.booleanValue();
   }
@@ -200,23 +204,23 @@
   private String text(String prefix, JsonNode parent, String key) {
     JsonNode node = required(prefix, parent, key);
     if (!node.isTextual()) {
-      throw fault(path(prefix, key), "is not a text: " + node);
+      throw fault(path(prefix, key), "is not a string: " + node);
     }
     return node.textValue();
   }
 
   private long number(
-      String prefix, JsonNode parent, String key, long least, long most, Optional<Long> otherwise) {
-    if (!parent.has(key) && otherwise.isPresent()) {
-      return otherwise.get();
+      String prefix, JsonNode parent, String key, long min, long max, Optional<Long> defaultValue) {
+    if (!parent.has(key) && defaultValue.isPresent()) {
+      return defaultValue.get();
     }
     JsonNode node = required(prefix, parent, key);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-      throw fault(path(prefix, key), "is not a whole number: " + node);
+      throw fault(path(prefix, key), "is not an integer: " + node);
     }
     long value = node.longValue();
-    if (value < least || value > most) {
-      throw fault(path(prefix, key), "is %d, not %d to %d".formatted(value, least, most));
+    if (value < min || value > max) {
+      throw fault(path(prefix, key), "is %d, must be %d to %d".formatted(value, min, max));
     }
     return value;
   }
@@ -237,7 +241,7 @@
     while (names.hasNext()) {
       String key = names.next();
       if (!keys.contains(key)) {
-        throw fault(path(path, key), "is not known; known are " + String.join(", ", keys));
+        throw fault(path(path, key), "is not a known key; known keys: " + String.join(", ", keys));
       }
     }
   }
@@ -246,8 +250,8 @@
     return prefix.isEmpty() ? key : prefix + "." + key;
   }
 
-  private Fault fault(String key, String what) {
-    String place = key.isEmpty() ? "the file" : "key " + key;
-    return new Fault("%s: %s %s".formatted(fileName, place, what));
+  private Fault fault(String key, String problem) {
+    String subject = key.isEmpty() ? "the file" : "key " + key;
+    return new Fault("%s: %s %s".formatted(fileName, subject, problem));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobSpec.java
@@ -7,23 +7,23 @@
 import java.util.regex.Pattern;
 
 /**
- * What a team asks to be run: a number of like tasks.
+ * Specification of a job: a number of identical tasks that a team wants to run.
  *
- * <p>Immutable. Rejects nulls and values out of range. Also the form that a job takes in the log.
+ * <p>Immutable. Rejects nulls and values out of range. The log stores it in this form.
  *
- * @param name the job's name; submitting it again is the same job
- * @param team the team it counts against
- * @param taskClass how its tasks weigh against others
- * @param count how many tasks
- * @param sizes what one task is declared to need; often far off
- * @param command what a worker runs, opaque to this system
- * @param runMillis the declared run time of a task in milliseconds; often far off
- * @param urgent whether it goes before work that is not
- * @param finishByMillis when it should be done, in milliseconds since the Unix epoch; 0 for none
- * @param idempotent whether a task may be run again from its start after its VM was lost
- * @param checkpointIntervalMillis how often a task writes a checkpoint, in milliseconds; 0 for
- *     never
- * @param spread over what its tasks are spread
+ * @param name the job's name; submitting the same job again has no effect
+ * @param team the team whose quota it uses
+ * @param taskClass the priority class of its tasks
+ * @param count number of tasks
+ * @param sizes the declared resources of one task; often far off
+ * @param command the command line for the worker, opaque to this system
+ * @param runMillis the declared run time of a task, in milliseconds; often far off
+ * @param urgent whether it takes precedence over jobs that are not urgent
+ * @param finishByMillis the deadline, in milliseconds since the Unix epoch; 0 for none
+ * @param idempotent whether a task may run again from its start after its VM was lost
+ * @param checkpointIntervalMillis the interval at which a task writes checkpoints, in milliseconds;
+ *     0 for no checkpoints
+ * @param spread the placement constraint of its tasks
  */
 public record JobSpec(
     String name,
@@ -38,16 +38,16 @@
     boolean idempotent,
     long checkpointIntervalMillis,
     Spread spread) {
-  /** The most tasks that one job may have. */
+  /** Maximum number of tasks of a job. */
   public static final int MAX_COUNT = 10_000;
 
-  /** What names of jobs and teams look like. */
+  /** Pattern of the names of jobs and teams. */
   public static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
   /** Checks the components. */
   public JobSpec {
-    checkArgument(name != null && NAME.matcher(name).matches(), "name is no job name: %s", name);
-    checkArgument(team != null && NAME.matcher(team).matches(), "team is no team name: %s", team);
+    checkArgument(name != null && NAME.matcher(name).matches(), "not a valid job name: %s", name);
+    checkArgument(team != null && NAME.matcher(team).matches(), "not a valid team name: %s", team);
     requireNonNull(taskClass, "taskClass");
     checkArgument(count >= 1 && count <= MAX_COUNT, "count is not in 1..%s: %s", MAX_COUNT, count);
     requireNonNull(sizes, "sizes");
@@ -61,12 +61,12 @@
     requireNonNull(spread, "spread");
   }
 
-  /** Returns whether its tasks may go for urgent work: batch that is not urgent itself. */
+  /** Returns whether its tasks may be preempted for urgent ones: batch and not urgent itself. */
   public boolean preemptable() {
     return taskClass == TaskClass.BATCH && !urgent;
   }
 
-  /** Returns what its tasks run; see {@link Programs}. */
+  /** Returns the name of the program that its tasks run; see {@link Programs}. */
   public String program() {
     return Programs.of(team, command);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobState.java
@@ -3,19 +3,19 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * A job as folded from the log up to some position.
+ * State of a job, folded from the log up to some position.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param spec what was asked for
- * @param accepted the position where it was accepted
+ * @param spec the accepted specification
+ * @param accepted the position of the record that accepted it
  * @param acceptedMillis when its entry accepted it, in milliseconds since the Unix epoch
- * @param cancelReason why it was cancelled, or empty
- * @param waiting how many of its tasks wait
- * @param claimed how many are claimed
- * @param done how many ended with success
- * @param cancelled how many ended as cancelled
- * @param failed how many ended without success
+ * @param cancelReason the reason of its cancellation, or empty if it was not cancelled
+ * @param waiting number of waiting tasks
+ * @param claimed number of claimed tasks
+ * @param done number of tasks that ended with success
+ * @param cancelled number of tasks that ended as cancelled
+ * @param failed number of tasks that ended without success
  */
 public record JobState(
     JobSpec spec,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/MutableJob.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/MutableJob.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One job inside a {@link TaskTable}: its tasks by index, and how many stand where. */
+/** A job of a {@link TaskTable}: its tasks by index, and the number of tasks in each phase. */
 final class MutableJob {
   private final JobSpec spec;
   private final long accepted;
@@ -59,7 +59,7 @@
     return count(Phase.WAITING) == 0 && count(Phase.CLAIMED) == 0;
   }
 
-  /** Returns the task of the given full name, or null for a foreign one. */
+  /** Returns the task of the given full name, or null if it is not a task of this job. */
   TaskState find(String task) {
     int index = indexOf(task);
     return index < 0 ? null : tasks[index];
@@ -67,7 +67,7 @@
 
   void put(TaskState task) {
     int index = indexOf(task.name());
-    checkArgument(index >= 0, "%s is no task of %s", task.name(), spec.name());
+    checkArgument(index >= 0, "%s is not a task of job %s", task.name(), spec.name());
     counts.merge(tasks[index].phase(), -1, Integer::sum);
     counts.merge(task.phase(), 1, Integer::sum);
     waiting.set(index, task.phase() == Phase.WAITING);
@@ -109,14 +109,14 @@
       return -1;
     }
     int index = 0;
-    for (int at = prefix.length(); at < task.length(); at++) {
-      int digit = task.charAt(at) - '0';
+    for (int i = prefix.length(); i < task.length(); i++) {
+      int digit = task.charAt(i) - '0';
       if (digit < 0 || digit > 9) {
         return -1;
       }
       index = index * 10 + digit;
     }
-    boolean known = task.length() > prefix.length() && index < tasks.length;
-    return known && spec.taskName(index).equals(task) ? index : -1;
+    boolean valid = task.length() > prefix.length() && index < tasks.length;
+    return valid && spec.taskName(index).equals(task) ? index : -1;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
@@ -6,29 +6,29 @@
 import java.util.TreeMap;
 
 /**
- * The preemptions under way inside a {@link TaskTable}: at most one for a task, and one on a VM.
+ * The pending preemptions of a {@link TaskTable}, at most one for each task and one on each VM.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class Preemptions {
   private final Map<String, Preemption> byTask = new TreeMap<>();
   private final Map<Long, Preemption> byRegistration = new HashMap<>();
 
-  /** Returns all, by the urgent task's name. */
+  /** Returns all preemptions, ordered by the urgent task's name. */
   List<Preemption> all() {
     return List.copyOf(byTask.values());
   }
 
   /**
-   * Takes in a preemption whose task waits and whose victims make room enough, unless another one
-   * is under way for the task, or on the VM.
+   * Adds a preemption unless another one is pending for the task or on the VM, and returns whether it
+   * was added. The caller has checked that the task waits and that the victims free enough capacity.
    *
-   * <p>Entries that look at the same urgent task at once each choose victims. Only one of them may
-   * have its way; the others' victims would lose work for nothing.
+   * <p>Several entries may choose victims for the same urgent task at once. If more than one of their
+   * preemptions took effect, the further victims would lose work for nothing.
    */
   boolean accept(long position, TaskRecord.Preempted preempted) {
-    Preemption former = byTask.get(preempted.task());
-    boolean outdated = (former == null ? 0 : former.position()) != preempted.replaces();
+    Preemption previous = byTask.get(preempted.task());
+    boolean outdated = (previous == null ? 0 : previous.position()) != preempted.replaces();
     if (outdated || heldForAnother(preempted.registration(), preempted.task())) {
       return false;
     }
@@ -43,7 +43,7 @@
     return true;
   }
 
-  /** Returns what is kept on the registration from the given task, or nothing. */
+  /** Returns the resources on the registration that are reserved for a task other than this one. */
   Sizes keptFrom(String task, long registration) {
     return heldForAnother(registration, task)
         ? byRegistration.get(registration).sizes()
@@ -61,19 +61,19 @@
     byRegistration.put(preemption.registration(), preemption);
   }
 
-  /** Ends the task's preemption, if there is one. */
+  /** Removes the task's preemption, if there is one. */
   void end(String task) {
-    Preemption ended = byTask.remove(task);
-    if (ended != null) {
-      byRegistration.remove(ended.registration());
+    Preemption removed = byTask.remove(task);
+    if (removed != null) {
+      byRegistration.remove(removed.registration());
     }
   }
 
-  /** Ends the preemption on a registration that gets nothing new any more. */
+  /** Removes the preemption on a registration, if there is one. */
   void endOn(long registration) {
-    Preemption ended = byRegistration.get(registration);
-    if (ended != null) {
-      end(ended.task());
+    Preemption removed = byRegistration.get(registration);
+    if (removed != null) {
+      end(removed.task());
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
@@ -1,12 +1,14 @@
 package io.marigoldsail.job;
 
-/** What tasks run, so that what was learned about one counts for others of its kind. */
+/** Names of programs. Measurements of a task apply to all tasks of the same program. */
 public final class Programs {
   private Programs() {}
 
   /**
-   * Returns the name of what a command runs: its team and its first word. Jobs come and go under
-   * ever new names; the program that a team runs month by month stays.
+   * Returns the name of the program that a command runs: the team and the command's first word.
+   *
+   * <p>Job names are no suitable key, because recurring jobs use a new name each time while their
+   * program stays the same.
    */
   public static String of(String team, String command) {
     int space = command.indexOf(' ');
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/QueueOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/QueueOrder.java
@@ -13,29 +13,31 @@
 import java.util.function.Function;
 
 /**
- * The order in which waiting jobs get room, in one round of decisions.
+ * Priority queue of waiting jobs for one scheduling round, ordered by weighted dominant resource
+ * fairness.
  *
- * <p>Load pattern: many teams wait for a full fleet, one of them with thousands of tasks. First
- * come, first served would let that team hold the fleet for hours. So the team with the smallest
- * dominant share (its largest share of any one resource, divided by its weight) goes first; urgent
- * jobs go before others; and the longer a job has waited, the smaller its team's share counts, so
- * that nothing starves: after {@value #AGING_MILLIS} ms a job goes before even a team with nothing.
- * Among jobs of equal rank the one due first goes first, then the older.
+ * <p>The job with the lowest rank is first. The rank is the dominant share of the job's team (its
+ * largest share of any one resource, divided by its weight), minus a bonus for urgent jobs, minus the
+ * time that the job has waited in units of {@value #AGING_MILLIS} ms. Jobs of equal rank are ordered
+ * by deadline, then by acceptance.
  *
- * <p>A round costs one sort of the jobs and a logarithmic step for each pick. Not safe for use by
- * several threads.
+ * <p>First come, first served would let a team with thousands of waiting tasks hold a full fleet for
+ * hours. The waiting time prevents starvation: a job that has waited {@value #AGING_MILLIS} ms goes
+ * before a new job of a team that holds nothing.
+ *
+ * <p>Building the queue takes O(n log n), each pick O(log n). Not thread-safe.
  */
 public final class QueueOrder {
   /**
-   * A job that waited so long, in milliseconds, counts as if its team had a whole fleet less. An
-   * hour: an order above what a fair wait takes when 400 teams queue for tasks of some minutes.
+   * Waiting time that lowers a job's rank by the share of one whole fleet, in milliseconds. One hour
+   * is about ten times the fair waiting time of 400 teams with tasks of a few minutes.
    */
   public static final long AGING_MILLIS = 3_600_000;
 
   /**
-   * Urgent jobs rank as if their team had so many whole fleets less. It is bounded, because a team
-   * that calls all of its work urgent would starve the others else; with 2, work that is not urgent
-   * has its turn after two hours.
+   * Reduction of an urgent job's rank, in shares of one whole fleet. Bounded, because a team that
+   * marks all of its jobs urgent would otherwise starve the others. With 2, other jobs go first after
+   * waiting two hours.
    */
   private static final double URGENT_HEAD_START = 2;
 
@@ -49,13 +51,14 @@
   private record Ranked(JobState job, double rank) {}
 
   /**
-   * Creates the order of one round.
+   * Creates the queue of one round.
    *
-   * @param jobs the jobs; those without waiting tasks are passed over
-   * @param bookedByTeam what each team's claims take up
-   * @param quotas what each team may take up, by name
-   * @param capacity what the fleet has
-   * @param nowMillis the time, in milliseconds since the Unix epoch
+   * @param jobs the jobs; those without waiting tasks are skipped
+   * @param bookedByTeam the resources that each team's claims have booked; teams without claims may
+   *     be missing
+   * @param quotas returns the quota of a team by its name
+   * @param capacity the total capacity of the fleet
+   * @param nowMillis the current time, in milliseconds since the Unix epoch
    */
   public QueueOrder(
       List<JobState> jobs,
@@ -81,23 +84,23 @@
   }
 
   /**
-   * Returns the job that gets room next, and takes it out of the round; empty when none is left.
+   * Removes and returns the job of the lowest rank; empty if none is left.
    */
   public Optional<JobState> next() {
-    Ranked first = queue.poll();
-    while (first != null) {
-      double rank = rank(first.job());
-      if (rank <= first.rank()) {
-        return Optional.of(first.job());
+    Ranked head = queue.poll();
+    while (head != null) {
+      double rank = rank(head.job());
+      if (rank <= head.rank()) {
+        return Optional.of(head.job());
       }
-      // Its team has been given room since it was ranked.
-      queue.add(new Ranked(first.job(), rank));
-      first = queue.poll();
+      // Its team has been allocated capacity since the job was ranked.
+      queue.add(new Ranked(head.job(), rank));
+      head = queue.poll();
     }
     return Optional.empty();
   }
 
-  /** Returns whether the team's bound leaves room for the sizes; notes teams that it does not. */
+  /** Returns whether the team stays within its limit with the sizes; if not, records the team. */
   public boolean withinQuota(String team, Sizes sizes) {
     Sizes after = booked.getOrDefault(team, Sizes.NONE).plus(sizes);
     boolean within = after.fitsIn(quotas.apply(team).most());
@@ -107,12 +110,12 @@
     return within;
   }
 
-  /** Returns the teams that were found to be at their bound in this round. */
+  /** Returns the teams for which {@link #withinQuota} has returned false in this round. */
   public Set<String> overQuota() {
     return Set.copyOf(overQuota);
   }
 
-  /** Notes that a task of the job was given room, and puts the job back if it has more to run. */
+  /** Records an allocation to a task of the job, and requeues the job if it has more tasks. */
   public void took(JobState job, Sizes sizes, boolean more) {
     booked.merge(job.spec().team(), sizes, Sizes::plus);
     if (more) {
@@ -124,8 +127,8 @@
     String team = job.spec().team();
     double share = dominantShare(booked.getOrDefault(team, Sizes.NONE));
     double waited = (double) Math.max(0, nowMillis - job.acceptedMillis()) / AGING_MILLIS;
-    double headStart = job.spec().urgent() ? URGENT_HEAD_START : 0;
-    return share / quotas.apply(team).share() - waited - headStart;
+    double urgentBonus = job.spec().urgent() ? URGENT_HEAD_START : 0;
+    return share / quotas.apply(team).share() - waited - urgentBonus;
   }
 
   private double dominantShare(Sizes sizes) {
@@ -135,8 +138,8 @@
     return Math.max(processors, Math.max(memory, accelerators));
   }
 
-  private static double part(long taken, long whole) {
-    return whole == 0 ? 0 : (double) taken / whole;
+  private static double part(long used, long total) {
+    return total == 0 ? 0 : (double) used / total;
   }
 
   private static long dueMillis(JobState job) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/ReleaseCause.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/ReleaseCause.java
@@ -1,16 +1,16 @@
 package io.marigoldsail.job;
 
-/** Why an attempt was released. */
+/** Cause of an attempt's release. */
 public enum ReleaseCause {
-  /** Its side process never started it. */
+  /** The side process rejected its start. */
   REFUSED(false, false),
-  /** The guard of its VM evicted it. */
+  /** The guard of its VM evicted it, or a preemption did. */
   EVICTED(true, true),
-  /** Its lease passed. */
+  /** Its lease expired. */
   LAPSED(true, false),
-  /** Its VM was revoked and the lease is surely over. */
+  /** Its VM was revoked and its lease must have expired. */
   VM_LOST(true, false),
-  /** It was stopped for a planned stop of its VM, or on request. */
+  /** It was stopped for a planned shutdown of its VM, or on request. */
   STOPPED(true, true);
 
   private final boolean mayHaveRun;
@@ -26,7 +26,7 @@
     return mayHaveRun;
   }
 
-  /** Returns whether nothing was done after the checkpoint that the release names. */
+  /** Returns whether the attempt did no work after the checkpoint in the release. */
   public boolean endsAtCheckpoint() {
     return endsAtCheckpoint;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Sizes.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Sizes.java
@@ -6,19 +6,20 @@
 import com.google.common.math.LongMath;
 
 /**
- * An amount of processors, memory and accelerators: what a VM has, or what a task needs.
+ * An amount of processors, memory and accelerators, such as the capacity of a VM or the demand of a
+ * task.
  *
  * <p>Immutable; no component is negative.
  *
- * @param milliProcessors thousandths of a processor
+ * @param milliProcessors processors, in thousandths of one
  * @param memoryBytes memory in bytes
- * @param accelerators whole accelerators
+ * @param accelerators number of accelerators
  */
 public record Sizes(long milliProcessors, long memoryBytes, long accelerators) {
-  /** Bytes in the unit in which memory is declared. */
+  /** Bytes in a mebibyte, the unit in which job files declare memory. */
   public static final long BYTES_PER_MEBIBYTE = 1 << 20;
 
-  /** Nothing at all. */
+  /** Zero in every component. */
   public static final Sizes NONE = new Sizes(0, 0, 0);
 
   /** Checks the components. */
@@ -28,7 +29,7 @@
     checkArgument(accelerators >= 0, "accelerators is negative: %s", accelerators);
   }
 
-  /** Returns the sum of this and the other; a component too large for a long is the largest one. */
+  /** Returns the sum; a component that would overflow is {@link Long#MAX_VALUE}. */
   public Sizes plus(Sizes other) {
     requireNonNull(other, "other");
     return new Sizes(
@@ -37,7 +38,7 @@
         LongMath.saturatedAdd(accelerators, other.accelerators));
   }
 
-  /** Returns this less the other, each component at least zero. */
+  /** Returns the difference; a component that would be negative is 0. */
   public Sizes minus(Sizes other) {
     requireNonNull(other, "other");
     return new Sizes(
@@ -46,12 +47,12 @@
         Math.max(0, accelerators - other.accelerators));
   }
 
-  /** Returns this with no processors. */
+  /** Returns a copy with 0 processors. */
   public Sizes withoutProcessors() {
     return new Sizes(0, memoryBytes, accelerators);
   }
 
-  /** Returns the larger of this and the other in each component. */
+  /** Returns the maximum of both in each component. */
   public Sizes max(Sizes other) {
     requireNonNull(other, "other");
     return new Sizes(
@@ -60,11 +61,11 @@
         Math.max(accelerators, other.accelerators));
   }
 
-  /** Returns whether every component is at most that of the room. */
-  public boolean fitsIn(Sizes room) {
-    requireNonNull(room, "room");
-    return milliProcessors <= room.milliProcessors
-        && memoryBytes <= room.memoryBytes
-        && accelerators <= room.accelerators;
+  /** Returns whether every component is at most that of the capacity. */
+  public boolean fitsIn(Sizes capacity) {
+    requireNonNull(capacity, "capacity");
+    return milliProcessors <= capacity.milliProcessors
+        && memoryBytes <= capacity.memoryBytes
+        && accelerators <= capacity.accelerators;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Spread.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Spread.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Over what the tasks of one job are spread, as far as room allows. */
+/** Placement constraint that spreads the tasks of a job, as far as capacity allows. */
 public enum Spread {
-  /** Over VMs as they come. */
+  /** No constraint. */
   NONE("none"),
-  /** Over racks, so that one rack's loss takes few of the job's tasks. */
+  /** Over racks, so that the loss of one rack affects few of the job's tasks. */
   RACK("rack"),
   /** Over availability zones. */
   ZONE("zone");
@@ -18,13 +18,13 @@
     this.code = code;
   }
 
-  /** Returns the name used in files, logs and answers. */
+  /** Returns the name used in job files, the log and responses. */
   @JsonValue
   public String code() {
     return code;
   }
 
-  /** Returns the part of the fleet that a VM belongs to under this spread. */
+  /** Returns the group of a VM: tasks of a job are spread evenly over groups. */
   public String groupOf(VmDescription vm) {
     return switch (this) {
       case NONE -> vm.vm();
@@ -45,6 +45,6 @@
         return spread;
       }
     }
-    throw new IllegalArgumentException("no spread is called " + code);
+    throw new IllegalArgumentException("unknown spread: " + code);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskClass.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskClass.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** How a task weighs against others on its VM. */
+/** Priority class of a task against other tasks on its VM. */
 public enum TaskClass {
-  /** Holds a service up; never throttled or evicted for another. */
+  /** Supports a service; never throttled or evicted for other tasks. */
   LATENCY_CRITICAL("latency-critical"),
-  /** Gives way to services. */
+  /** May be throttled or evicted to protect a service. */
   BATCH("batch");
 
   private final String code;
@@ -16,7 +16,7 @@
     this.code = code;
   }
 
-  /** Returns the name used in files, logs and answers. */
+  /** Returns the name used in job files, the log and responses. */
   @JsonValue
   public String code() {
     return code;
@@ -34,6 +34,6 @@
         return taskClass;
       }
     }
-    throw new IllegalArgumentException("no task class is called " + code);
+    throw new IllegalArgumentException("unknown task class: " + code);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskFold.java
@@ -12,7 +12,8 @@
 /**
  * Folds the stream {@code tasks} into a {@link TaskTable}.
  *
- * <p>An entry that is no task record, or a broken one, folds to nothing in every process alike.
+ * <p>Every process ignores the same log entries: those of an unknown type and those with an invalid
+ * body.
  */
 public final class TaskFold implements Fold {
   /** The name of the stream. */
@@ -22,21 +23,21 @@
 
   private final TaskTable table;
 
-  /** Creates a fold into an empty table. */
+  /** Creates a fold into the given table, which must be empty. */
   public TaskFold(TaskTable table) {
     this.table = requireNonNull(table, "table");
   }
 
   /**
-   * Returns a place in the log as one number, in the order of the log; claims use it as fencing
-   * token.
+   * Returns a position in the log as one number that increases along the log. The position of a claim
+   * is the fencing token of its attempt.
    *
-   * @throws IllegalArgumentException if the platform record holds more entries than any process
-   *     writes into one
+   * @throws IllegalArgumentException if the index within the platform record needs more than 16 bits;
+   *     no process writes that many entries into one record
    */
-  public static long position(Position place) {
-    checkArgument(place.index() < 1 << INDEX_BITS, "index is too large: %s", place.index());
-    return (place.offset() << INDEX_BITS) + place.index();
+  public static long position(Position position) {
+    checkArgument(position.index() < 1 << INDEX_BITS, "index is too large: %s", position.index());
+    return (position.offset() << INDEX_BITS) + position.index();
   }
 
   @Override
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
@@ -5,9 +5,9 @@
 
 import java.util.List;
 
-/** What may be written on the stream {@code tasks}; each kind is immutable and rejects nulls. */
+/** A record of the stream {@code tasks}. Every kind is immutable and rejects nulls. */
 public sealed interface TaskRecord {
-  /** A job is accepted, unless one of its name is known. */
+  /** Accepts a job. Has no effect if a job of that name is already known. */
   record JobAccepted(JobSpec job, long acceptedMillis) implements TaskRecord {
     /** Checks the components. */
     public JobAccepted {
@@ -15,7 +15,7 @@
     }
   }
 
-  /** A job's waiting tasks end as cancelled; running ones are to be stopped. */
+  /** Cancels a job: its waiting tasks end as cancelled, its running tasks are to be stopped. */
   record JobCancelled(String job, String reason) implements TaskRecord {
     /** Checks the components. */
     public JobCancelled {
@@ -24,7 +24,7 @@
     }
   }
 
-  /** A VM may be given tasks; the record's position is its registration. */
+  /** Makes a VM available for tasks. The record's position is the VM's registration. */
   record VmJoined(VmDescription vm) implements TaskRecord {
     /** Checks the components. */
     public VmJoined {
@@ -32,7 +32,7 @@
     }
   }
 
-  /** A VM's registration is no longer vouched for; its leases run out. */
+  /** Ends the confirmation of a VM's registration; its leases are no longer renewed. */
   record VmRevoked(String vm, long registration, String reason) implements TaskRecord {
     /** Checks the components. */
     public VmRevoked {
@@ -42,8 +42,10 @@
   }
 
   /**
-   * Leases up to the given length on a revoked registration are surely over. Only written after
-   * waiting that length and the drift margin, counted from having read the revocation.
+   * States that all leases up to the given length on a revoked registration have expired.
+   *
+   * <p>An entry writes it only after it has waited that length plus the clock drift margin since it
+   * read the revocation.
    */
   record VmCleared(String vm, long registration, long leaseMillis) implements TaskRecord {
     /** Checks the components. */
@@ -53,17 +55,18 @@
   }
 
   /**
-   * An entry wants a task to run on a VM; the first acceptable claim wins.
+   * Assigns a waiting task to a VM. The first valid claim in the log takes effect; later ones have
+   * none.
    *
    * @param task the task
-   * @param attempt the attempt that it waits for
+   * @param attempt the attempt that the task waits for
    * @param vm the VM
-   * @param registration that VM's registration
-   * @param sizes what the attempt takes up
-   * @param leaseMillis its lease, in milliseconds
-   * @param entry the entry
-   * @param teamMost what the task's team may take up in all, by the configuration that the entry
-   *     had in force; left out of the log where the team has no bound
+   * @param registration the VM's registration
+   * @param sizes the resources booked for the attempt
+   * @param leaseMillis the length of the lease, in milliseconds
+   * @param entry the entry that wrote the claim
+   * @param teamMost the limit of all bookings of the task's team, by the configuration in force at
+   *     the entry; left out of the log if the team has no limit
    */
   record Claimed(
       String task,
@@ -75,7 +78,7 @@
       String entry,
       Sizes teamMost)
       implements TaskRecord {
-    /** Creates a claim for a task whose team has no bound. */
+    /** Creates a claim for a task whose team has no limit. */
     public Claimed(
         String task,
         int attempt,
@@ -99,16 +102,17 @@
   }
 
   /**
-   * An entry wants attempts on a VM to go for a waiting urgent task; the first acceptable one wins.
+   * Preempts attempts on a VM to free capacity for a waiting urgent task. The first valid preemption
+   * in the log takes effect; later ones have none.
    *
    * @param task the urgent task
-   * @param attempt the attempt that it waits for
+   * @param attempt the attempt that the task waits for
    * @param vm the VM
-   * @param registration that VM's registration
-   * @param sizes what the urgent task takes up
-   * @param victims the attempts that go
-   * @param replaces the position of the task's preemption that this one is put in place of, or 0
-   * @param entry the entry
+   * @param registration the VM's registration
+   * @param sizes the resources that the urgent task needs
+   * @param victims the attempts to evict
+   * @param replaces the position of the task's earlier preemption that this one replaces, or 0
+   * @param entry the entry that wrote the preemption
    */
   record Preempted(
       String task,
@@ -130,7 +134,7 @@
     }
   }
 
-  /** A running attempt has written a checkpoint. */
+  /** Records that a running attempt has written a checkpoint. */
   record Checkpointed(String task, long token, String checkpoint) implements TaskRecord {
     /** Checks the components. */
     public Checkpointed {
@@ -139,7 +143,7 @@
     }
   }
 
-  /** An attempt no longer runs and its task waits for the next one. */
+  /** Records that an attempt no longer runs; its task waits for the next attempt. */
   record Released(String task, long token, ReleaseCause cause, String checkpoint, String detail)
       implements TaskRecord {
     /** Checks the components. */
@@ -151,7 +155,7 @@
     }
   }
 
-  /** An attempt ended by itself, with success or without. */
+  /** Records that an attempt completed by itself, with success or without. */
   record Ended(String task, long token, boolean success, String checkpoint, String detail)
       implements TaskRecord {
     /** Checks the components. */
@@ -163,12 +167,14 @@
   }
 
   /**
-   * An entry lives, and which VMs it has begun and ceased to hear since its last heartbeat.
+   * Shows that an entry is alive, and names the VMs that became reachable or unreachable for it since
+   * its last heartbeat.
    *
    * @param entry the entry's name
-   * @param incarnation the entry's start; the first heartbeat of a new one forgets what was heard
-   * @param gained VMs that it hears from now on
-   * @param lost VMs that it no longer hears
+   * @param incarnation identifies the start of the entry's process; the first heartbeat of a new
+   *     incarnation clears the set of reachable VMs
+   * @param gained VMs that the entry reaches from now on
+   * @param lost VMs that the entry no longer reaches
    */
   record Heartbeat(String entry, long incarnation, List<String> gained, List<String> lost)
       implements TaskRecord {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
@@ -13,10 +13,10 @@
 import io.marigoldsail.error.Result;
 
 /**
- * Task records as JSON, as they stand in the log.
+ * Converts task records from and to the JSON that the log stores.
  *
- * <p>Fields that a newer version adds are passed over; a missing or ill-typed one is a failure of
- * kind {@code INVALID_CONTENT}. Safe for any thread.
+ * <p>Unknown fields, such as those of a newer version, are ignored; a missing or ill-typed field is a
+ * failure of kind {@code INVALID_CONTENT}. Thread-safe.
  */
 public final class TaskRecordCodec {
   private static final ImmutableBiMap<String, Class<? extends TaskRecord>> TYPES =
@@ -35,7 +35,7 @@
           .buildOrThrow();
 
   private static final String TEAM_MOST = "teamMost";
-  private static final Sizes UNBOUNDED = TeamQuota.DEFAULT.most();
+  private static final Sizes NO_LIMIT = TeamQuota.DEFAULT.most();
 
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -46,7 +46,7 @@
 
   private TaskRecordCodec() {}
 
-  /** Returns the name of the record's kind in the log. */
+  /** Returns the type name of the record in the log. */
   public static String type(TaskRecord record) {
     String type = TYPES.inverse().get(record.getClass());
     return requireNonNull(type, "type");
@@ -55,35 +55,35 @@
   /** Returns the record as JSON. */
   public static JsonNode body(TaskRecord record) {
     ObjectNode body = MAPPER.valueToTree(record);
-    if (record instanceof TaskRecord.Claimed claimed && claimed.teamMost().equals(UNBOUNDED)) {
+    if (record instanceof TaskRecord.Claimed claimed && claimed.teamMost().equals(NO_LIMIT)) {
       body.remove(TEAM_MOST);
     }
     return body;
   }
 
-  /** Returns the record that the type and JSON stand for. */
+  /** Parses a record of the given type, or fails with {@code INVALID_CONTENT}. */
   public static Result<TaskRecord> read(String type, JsonNode body) {
     Class<? extends TaskRecord> recordClass = TYPES.get(type);
     if (recordClass == null) {
-      return Result.failed(ErrorKind.INVALID_CONTENT, "no task record is called " + type);
+      return Result.failed(ErrorKind.INVALID_CONTENT, "unknown type of task record: " + type);
     }
     try {
       return Result.ok(MAPPER.treeToValue(complete(recordClass, body), recordClass));
     } catch (JsonProcessingException | IllegalArgumentException e) {
       return Result.failed(
-          ErrorKind.INVALID_CONTENT, "task record " + type + " is broken: " + e.getMessage());
+          ErrorKind.INVALID_CONTENT, "invalid task record of type " + type + ": " + e.getMessage());
     }
   }
 
-  /** Adds what is left out of claims for teams without a bound, and of all of earlier versions. */
+  /** Adds the team limit, which claims for teams without one and claims of old versions omit. */
   private static JsonNode complete(Class<? extends TaskRecord> recordClass, JsonNode body) {
-    boolean unbounded = recordClass == TaskRecord.Claimed.class && !body.has(TEAM_MOST);
-    if (!unbounded || !(body instanceof ObjectNode fields)) {
+    boolean lacksLimit = recordClass == TaskRecord.Claimed.class && !body.has(TEAM_MOST);
+    if (!lacksLimit || !(body instanceof ObjectNode fields)) {
       return body;
     }
     ObjectNode completed = MAPPER.createObjectNode();
     completed.setAll(fields);
-    completed.set(TEAM_MOST, MAPPER.valueToTree(UNBOUNDED));
+    completed.set(TEAM_MOST, MAPPER.valueToTree(NO_LIMIT));
     return completed;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
@@ -7,22 +7,23 @@
 import java.util.List;
 
 /**
- * A task as folded from the log up to some position.
+ * State of a task, folded from the log up to some position.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name the task's name: job, slash, index
- * @param phase where it stands
- * @param attempt the present attempt while claimed, else the next one; from 1
- * @param token the fencing token of the present attempt; 0 unless claimed
- * @param vm where it is claimed for, or was last
+ * @param phase the phase of the task's life cycle
+ * @param attempt the current attempt if claimed, else the next one; starts at 1
+ * @param token the fencing token of the current attempt; 0 unless claimed
+ * @param vm the VM of the current claim, or else of the last one; empty if there was none
  * @param registration that VM's registration; 0 unless claimed
- * @param booked what the claim takes up on the VM
- * @param leaseMillis the lease of the present attempt, in milliseconds
- * @param checkpoint the last checkpoint known, or empty
- * @param failedVms VMs on which an attempt failed by itself, oldest first
- * @param evictions how often it was evicted
- * @param detail why it waits or how it ended; empty if nothing happened yet
+ * @param booked the resources that the claim books on the VM
+ * @param leaseMillis the length of the current attempt's lease, in milliseconds
+ * @param checkpoint the last known checkpoint, or empty
+ * @param failedVms VMs on which an attempt failed by itself, oldest first, one element for each
+ *     failure
+ * @param evictions the number of evictions of the task
+ * @param detail why it waits or how it ended; empty if nothing has happened yet
  */
 public record TaskState(
     String name,
@@ -37,11 +38,11 @@
     List<String> failedVms,
     int evictions,
     String detail) {
-  /** Where a task stands. */
+  /** A phase of a task's life cycle. */
   public enum Phase {
     /** Waits for a claim. */
     WAITING(false),
-    /** Claimed; runs, or is about to. */
+    /** Claimed for a VM; runs or is about to start. */
     CLAIMED(false),
     /** Ended with success. */
     DONE(true),
@@ -56,7 +57,7 @@
       this.ended = ended;
     }
 
-    /** Returns whether nothing more happens to the task. */
+    /** Returns whether the phase is final. */
     public boolean ended() {
       return ended;
     }
@@ -89,7 +90,7 @@
     return slash < 0 ? task : task.substring(0, slash);
   }
 
-  /** Returns whether the attempt with the given token is in force. */
+  /** Returns whether the task is claimed and the token is that of its current attempt. */
   public boolean holds(long otherToken) {
     return phase == Phase.CLAIMED && token == otherToken;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
@@ -17,31 +17,31 @@
 import java.util.function.Consumer;
 
 /**
- * What stands in the log about jobs, tasks, VMs and entries: the one state machine that every entry
- * folds for itself and that gives each of them the same answer at the same position.
+ * Replicated state machine of jobs, tasks, VMs and entries. Every entry folds the stream {@code tasks}
+ * into its own table, and all tables have the same state at the same position.
  *
- * <p>Nothing but the records and their positions enters the fold; no clock, no configuration. A
- * record that does not apply (a claim that lost its race, a doubled or late release) changes
- * nothing.
+ * <p>The state depends only on the records and their positions, not on clocks or configuration. A
+ * record that does not apply, such as a claim that lost a race or a duplicate or late release, changes
+ * only the position.
  *
- * <p>Safe for any thread: every method holds the table's lock, and what they return is immutable.
- * Applying costs a few map look-ups, the revocation of a VM one step for each of its tasks.
+ * <p>Thread-safe: every method holds the table's lock, and the results are immutable. Applying a
+ * record takes a few map look-ups; clearing a VM takes one step for each of its tasks.
  */
 public final class TaskTable {
-  /** Told of attempts that ended by themselves; must return at once. */
+  /** Notified of attempts that completed by themselves. Must not block. */
   @FunctionalInterface
   public interface EndListener {
-    /** An attempt of a job's task ended on a VM. */
+    /** Called when an attempt of a job's task has completed on a VM. */
     void ended(String vm, String job, boolean success);
   }
 
-  /** An attempt fails by itself on so many different VMs before the task ends as failed. */
+  /** A task ends as failed after its attempts have failed on this many different VMs. */
   public static final int MAX_FAILED_VMS = 3;
 
-  /** An attempt fails by itself so often, wherever, before the task ends as failed. */
+  /** A task ends as failed after this many failed attempts, on any VMs. */
   public static final int MAX_FAILURES = 6;
 
-  /** Ended jobs stay readable until they have so many tasks in all. */
+  /** The oldest ended jobs are evicted when the ended jobs have more tasks than this in all. */
   static final int MAX_ENDED_TASKS = 5_000;
 
   private static final int MAX_ENTRIES = 64;
@@ -61,10 +61,10 @@
   public TaskTable() {}
 
   /**
-   * Folds one record in.
+   * Applies a record.
    *
-   * @param position the record's place in the log, greater than all before
-   * @return whether the record changed anything but its position
+   * @param position the record's position in the log, greater than that of all records before it
+   * @return whether the record changed anything but the position
    */
   public synchronized boolean apply(long position, TaskRecord record) {
     requireNonNull(record, "record");
@@ -103,23 +103,23 @@
     return heartbeat(position, (TaskRecord.Heartbeat) record);
   }
 
-  /** Returns the position of the last record folded in, or -1. */
+  /** Returns the position of the last applied record, or -1. */
   public synchronized long applied() {
     return applied;
   }
 
-  /** Returns the task of the given name, or empty if it is not known, or no more. */
+  /** Returns the task of the given name, or empty if it is unknown or has been evicted. */
   public synchronized Optional<TaskState> task(String name) {
     MutableJob job = findJob(TaskState.jobOf(name));
     return job == null ? Optional.empty() : Optional.ofNullable(job.find(name));
   }
 
-  /** Returns the job of the given name, or empty if it is not known, or no more. */
+  /** Returns the job of the given name, or empty if it is unknown or has been evicted. */
   public synchronized Optional<JobState> job(String name) {
     return Optional.ofNullable(findJob(name)).map(MutableJob::state);
   }
 
-  /** Returns the tasks of the job of the given name, by index; empty for an unknown job. */
+  /** Returns the tasks of the job of the given name by index; empty for an unknown job. */
   public synchronized List<TaskState> tasksOf(String jobName) {
     MutableJob job = findJob(jobName);
     return job == null ? List.of() : job.tasks();
@@ -130,17 +130,17 @@
     return jobs.values().stream().map(MutableJob::state).toList();
   }
 
-  /** Returns the jobs of which tasks wait, in the order of their acceptance. */
+  /** Returns the jobs that have waiting tasks, in the order of their acceptance. */
   public synchronized List<JobState> waitingJobs() {
     return jobs.values().stream().filter(MutableJob::waits).map(MutableJob::state).toList();
   }
 
-  /** Returns the jobs that ended not long ago, oldest end first. */
+  /** Returns the ended jobs that have not been evicted, in the order of their ends. */
   public synchronized List<JobState> endedJobs() {
     return endedJobs.values().stream().map(MutableJob::state).toList();
   }
 
-  /** Returns at most the given number of the job's waiting tasks from an index on. */
+  /** Returns the job's first waiting tasks from an index on, up to a limit. */
   public synchronized List<TaskState> waiting(String jobName, int fromIndex, int limit) {
     MutableJob job = jobs.get(jobName);
     List<TaskState> found = new ArrayList<>();
@@ -155,61 +155,61 @@
     return found;
   }
 
-  /** Returns every registration, revoked ones too, oldest first. */
+  /** Returns all registrations including revoked ones, oldest first. */
   public synchronized List<VmState> vms() {
     return bookings.vms();
   }
 
-  /** Returns the VM's present registration, or empty if it has none or it is revoked. */
+  /** Returns the VM's latest registration, or empty if it has none or it is revoked. */
   public synchronized Optional<VmState> vm(String name) {
     return bookings.current(name).filter(vm -> !vm.revoked());
   }
 
-  /** Returns the tasks claimed on a registration, by name. */
+  /** Returns the tasks claimed on a registration, ordered by name. */
   public synchronized List<TaskState> tasksOn(long registration) {
     return bookings.tasksOn(registration).stream()
         .map(name -> findJob(TaskState.jobOf(name)).find(name))
         .toList();
   }
 
-  /** Returns what each team's claims take up in all; teams without claims are left out. */
+  /** Returns the total of each team's claims; teams without claims are omitted. */
   public synchronized Map<String, Sizes> bookedByTeam() {
     return bookings.byTeam();
   }
 
-  /** Returns how many tasks of each {@linkplain Programs program} a registration holds. */
+  /** Returns the number of tasks of each {@linkplain Programs program} on a registration. */
   public synchronized Map<String, Integer> programsOn(long registration) {
     return bookings.programsOn(registration);
   }
 
-  /** Adds a listener that is told of every attempt that ends by itself from now on. */
+  /** Adds a listener for attempts that complete by themselves from now on. */
   public void addEndListener(EndListener listener) {
     endListeners.add(requireNonNull(listener, "listener"));
   }
 
-  /** Adds a listener that is told the VM of every eviction from now on; must return at once. */
+  /** Adds a listener that receives the VM of every eviction from now on. It must not block. */
   public void addEvictionListener(Consumer<String> listener) {
     evictionListeners.add(requireNonNull(listener, "listener"));
   }
 
-  /** Returns the preemptions under way, by the urgent task's name. */
+  /** Returns the pending preemptions, ordered by the urgent task's name. */
   public synchronized List<Preemption> preemptions() {
     return preemptions.all();
   }
 
-  /** Returns the entries that wrote heartbeats, by name. */
+  /** Returns the entries that have written heartbeats, ordered by name. */
   public synchronized Collection<EntryState> entries() {
     return List.copyOf(entries.values());
   }
 
-  /** Returns all there is, for a snapshot. */
+  /** Returns the whole state. */
   public synchronized TaskTableSnapshot snapshot() {
-    List<TaskTableSnapshot.Job> kept = new ArrayList<>();
-    jobs.values().forEach(job -> kept.add(TaskTableSnapshot.Job.of(job)));
-    endedJobs.values().forEach(job -> kept.add(TaskTableSnapshot.Job.of(job)));
+    List<TaskTableSnapshot.Job> allJobs = new ArrayList<>();
+    jobs.values().forEach(job -> allJobs.add(TaskTableSnapshot.Job.of(job)));
+    endedJobs.values().forEach(job -> allJobs.add(TaskTableSnapshot.Job.of(job)));
     return new TaskTableSnapshot(
         applied,
-        kept,
+        allJobs,
         bookings.vms(),
         List.copyOf(entries.values()),
         displaced.byVm(),
@@ -217,13 +217,13 @@
   }
 
   /**
-   * Replaces all there is by a snapshot.
+   * Replaces the whole state by a snapshot.
    *
-   * @throws IllegalArgumentException if it contradicts itself; the table is then as it was
+   * @throws IllegalArgumentException if the snapshot is inconsistent; the table is then unchanged
    */
   public synchronized void restore(TaskTableSnapshot snapshot) {
     List<MutableJob> restored = new ArrayList<>();
-    snapshot.jobs().forEach(kept -> restored.add(kept.toMutable()));
+    snapshot.jobs().forEach(job -> restored.add(job.toMutable()));
     snapshot.checkRegistrations(restored);
     jobs.clear();
     endedJobs.clear();
@@ -285,7 +285,7 @@
   private boolean join(long position, VmDescription vm) {
     VmState current = bookings.current(vm.vm()).orElse(null);
     if (current != null && current.description().bootIncarnation() == vm.bootIncarnation()) {
-      // Either two entries saw it join, or it is revoked and its leases are not surely over.
+      // Either two entries wrote the join, or the VM is revoked and its leases may not have expired.
       return false;
     }
     if (displaced.contains(vm.vm(), vm.bootIncarnation())) {
@@ -293,8 +293,8 @@
     }
     bookings.add(new VmState(vm, position, false, Sizes.NONE, 0));
     if (current != null) {
-      // A new boot under the same name: nothing new goes to the old one, but what it held stays
-      // held until its leases are over, because the name alone does not prove that it is gone.
+      // A new boot under the same name. The old boot gets no new tasks, but its claims are kept until
+      // their leases have expired, because the name alone does not prove that it has stopped.
       displaced.add(vm.vm(), current.description().bootIncarnation());
       revoke(vm.vm(), current.registration());
     }
@@ -331,13 +331,13 @@
     if (task == null || vm == null) {
       return false;
     }
-    // Entries choose on views that may be seconds old; only here do all of them see the same
-    // bookings, so only here can two claims be kept from filling the same room twice. What victims
-    // of a preemption have left is kept for the urgent task they left for.
-    Sizes kept = preemptions.keptFrom(claim.task(), claim.registration());
+    // Entries choose VMs by views that may be seconds old. Only here are the bookings the same for
+    // all, so only here can two claims for the same capacity be detected. Capacity that a preemption
+    // has freed is reserved for its urgent task.
+    Sizes reserved = preemptions.keptFrom(claim.task(), claim.registration());
     MutableJob job = jobs.get(task.job());
-    Sizes ofTeam = bookings.ofTeam(job.spec().team()).plus(claim.sizes());
-    if (!claim.sizes().fitsIn(vm.free().minus(kept)) || !ofTeam.fitsIn(claim.teamMost())) {
+    Sizes teamTotal = bookings.ofTeam(job.spec().team()).plus(claim.sizes());
+    if (!claim.sizes().fitsIn(vm.free().minus(reserved)) || !teamTotal.fitsIn(claim.teamMost())) {
       return false;
     }
     preemptions.end(claim.task());
@@ -352,19 +352,19 @@
     if (task == null || vm == null || !jobs.get(task.job()).spec().urgent()) {
       return false;
     }
-    Sizes room = vm.free();
+    Sizes freed = vm.free();
     for (Preemption.Victim victim : preempted.victims()) {
-      TaskState goes = held(victim.task(), victim.token());
-      boolean there = goes != null && goes.registration() == vm.registration();
-      if (!there || !jobs.get(goes.job()).spec().preemptable()) {
+      TaskState claimed = held(victim.task(), victim.token());
+      boolean onVm = claimed != null && claimed.registration() == vm.registration();
+      if (!onVm || !jobs.get(claimed.job()).spec().preemptable()) {
         return false;
       }
-      room = room.plus(goes.booked());
+      freed = freed.plus(claimed.booked());
     }
-    return preempted.sizes().fitsIn(room) && preemptions.accept(position, preempted);
+    return preempted.sizes().fitsIn(freed) && preemptions.accept(position, preempted);
   }
 
-  /** Returns the task if it waits for just that attempt, else null. */
+  /** Returns the task if it waits for exactly that attempt, else null. */
   private TaskState waitingFor(String name, int attempt) {
     MutableJob job = jobs.get(TaskState.jobOf(name));
     TaskState task = job == null ? null : job.find(name);
@@ -372,7 +372,7 @@
     return waits ? task : null;
   }
 
-  /** Returns the registration if it may be given tasks, else null. */
+  /** Returns the registration if it is known and not revoked, else null. */
   private VmState open(String name, long registration) {
     VmState vm = bookings.find(registration);
     return vm == null || vm.revoked() || !vm.vm().equals(name) ? null : vm;
@@ -388,8 +388,8 @@
   }
 
   private boolean release(TaskRecord.Released released) {
-    // A doubled release, or a late one of an older attempt, no longer names the token in force;
-    // folding it would start a second attempt beside the first.
+    // A duplicate release, or a late one of an earlier attempt, has a stale token. Applying it would
+    // let a second attempt start while the first one runs.
     TaskState task = held(released.task(), released.token());
     if (task == null) {
       return false;
@@ -409,11 +409,11 @@
     for (EndListener listener : endListeners) {
       listener.ended(task.vm(), task.job(), ended.success());
     }
-    TaskState last = task.withCheckpoint(ended.checkpoint());
+    TaskState updated = task.withCheckpoint(ended.checkpoint());
     if (ended.success()) {
-      settle(task, last.ended(Phase.DONE, ended.detail()));
+      settle(task, updated.ended(Phase.DONE, ended.detail()));
     } else {
-      settle(task, afterFailure(last.withFailedVm(task.vm()), ended.detail()));
+      settle(task, afterFailure(updated.withFailedVm(task.vm()), ended.detail()));
     }
     return true;
   }
@@ -427,15 +427,15 @@
       return task.ended(
           Phase.FAILED, "failed on " + task.vm() + " and must not run twice: " + detail);
     }
-    long vmsTried = task.failedVms().stream().distinct().count();
-    if (vmsTried >= MAX_FAILED_VMS || task.failedVms().size() >= MAX_FAILURES) {
+    long distinctVms = task.failedVms().stream().distinct().count();
+    if (distinctVms >= MAX_FAILED_VMS || task.failedVms().size() >= MAX_FAILURES) {
       return task.ended(
           Phase.FAILED, "failed on " + String.join(", ", task.failedVms()) + ": " + detail);
     }
     return task.waiting(false, "failed on " + task.vm() + ": " + detail);
   }
 
-  /** Ends the hold of a claimed task that did not end by itself. */
+  /** Releases a claimed task whose attempt did not complete by itself. */
   private void leave(TaskState task, ReleaseCause cause, String detail) {
     MutableJob job = jobs.get(task.job());
     if (job.cancelled()) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTableSnapshot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTableSnapshot.java
@@ -16,16 +16,16 @@
 import java.util.Set;
 
 /**
- * A {@link TaskTable} at one position.
+ * State of a {@link TaskTable} at one position.
  *
- * <p>Immutable. Rejects nulls. Tasks that nothing happened to yet are left out of their job.
+ * <p>Immutable. Rejects nulls.
  *
- * @param applied the position of the last record in it
- * @param jobs the jobs, those under way before those that ended
- * @param vms every registration
+ * @param applied the position of the last applied record
+ * @param jobs the jobs; those that have not ended precede those that have
+ * @param vms all registrations
  * @param entries the entries
- * @param displaced boots that a later boot of the same VM has displaced, oldest first
- * @param preemptions the preemptions under way; snapshots of earlier versions have none
+ * @param displaced by VM, the boots that a later boot of the same VM has displaced, oldest first
+ * @param preemptions the pending preemptions; missing in the JSON of earlier versions
  */
 public record TaskTableSnapshot(
     long applied,
@@ -37,13 +37,13 @@
   private static final String PREEMPTIONS = "preemptions";
 
   /**
-   * One job with what became of its tasks.
+   * A job and its tasks.
    *
-   * @param spec what was asked for
-   * @param accepted the position where it was accepted
-   * @param acceptedMillis when, in milliseconds since the Unix epoch
-   * @param cancelReason why it was cancelled, or empty
-   * @param tasks its tasks, but for those that are as they were accepted
+   * @param spec the accepted specification
+   * @param accepted the position of the record that accepted it
+   * @param acceptedMillis when its entry accepted it, in milliseconds since the Unix epoch
+   * @param cancelReason the reason of its cancellation, or empty if it was not cancelled
+   * @param tasks its tasks without those whose state has not changed since the acceptance
    */
   public record Job(
       JobSpec spec,
@@ -92,9 +92,9 @@
     vms.forEach(vm -> known.add(vm.registration()));
     for (MutableJob job : restored) {
       for (TaskState task : job.tasks()) {
-        boolean held = task.phase() == TaskState.Phase.CLAIMED;
+        boolean claimed = task.phase() == TaskState.Phase.CLAIMED;
         checkArgument(
-            !held || known.contains(task.registration()), "%s is on no known VM", task.name());
+            !claimed || known.contains(task.registration()), "%s is claimed on an unknown registration", task.name());
       }
     }
   }
@@ -104,18 +104,18 @@
     return TaskRecordCodec.mapper().valueToTree(this);
   }
 
-  /** Returns the snapshot that the JSON stands for. */
+  /** Parses a snapshot, or fails with {@code INVALID_CONTENT}. */
   public static Result<TaskTableSnapshot> fromJson(JsonNode json) {
     try {
       return Result.ok(
           TaskRecordCodec.mapper().treeToValue(complete(json), TaskTableSnapshot.class));
     } catch (JsonProcessingException | IllegalArgumentException e) {
       return Result.failed(
-          ErrorKind.INVALID_CONTENT, "snapshot of tasks is broken: " + e.getMessage());
+          ErrorKind.INVALID_CONTENT, "invalid snapshot of tasks: " + e.getMessage());
     }
   }
 
-  /** Adds what an earlier version did not write yet. */
+  /** Adds the fields that earlier versions did not write. */
   private static JsonNode complete(JsonNode json) {
     if (!(json instanceof ObjectNode fields) || fields.has(PREEMPTIONS)) {
       return json;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TeamQuota.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TeamQuota.java
@@ -4,21 +4,22 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * What a team may take up.
+ * Fair-share weight and resource limit of a team.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param share its weight against other teams; twice the weight, twice the share when all wait
- * @param most what its claims may take up in all
+ * @param share the weight against other teams, positive; if all have waiting tasks, a team with twice
+ *     the weight gets twice the share
+ * @param most the maximum resources of all claims of the team
  */
 public record TeamQuota(double share, Sizes most) {
-  /** A team that no configuration names: weight 1, no bound. */
+  /** Quota of a team without a configured one: weight 1, no limit. */
   public static final TeamQuota DEFAULT =
       new TeamQuota(1, new Sizes(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE));
 
   /** Checks the components. */
   public TeamQuota {
-    checkArgument(share > 0, "share is not positive: %s", share);
-    requireNonNull(most, "most");
+    checkArgument(share > 0, "weight is not positive: %s", share);
+    requireNonNull(most, "limit");
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/VmDescription.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/VmDescription.java
@@ -4,13 +4,13 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One boot of a VM, as its side process announces it.
+ * A boot of a VM, as described by its side process.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param vm the VM's name
- * @param bootIncarnation the worker's boot
- * @param capacity what tasks may use in all
+ * @param bootIncarnation identifies the boot of the VM's worker
+ * @param capacity the total resources for tasks
  * @param zone its availability zone
  * @param rack its rack
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/VmState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/VmState.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * A VM's registration as folded from the log up to some position.
+ * State of a VM's registration, folded from the log up to some position.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param description the VM
- * @param registration the position where it joined
- * @param revoked whether it gets nothing new and its leases run out
- * @param booked what claims on it take up
- * @param tasks how many tasks are claimed for it
+ * @param description the registered boot of the VM
+ * @param registration the position of the record by which it joined
+ * @param revoked whether it gets no new tasks and its leases are not renewed
+ * @param booked the total of the claims on it
+ * @param tasks number of tasks claimed for it
  */
 public record VmState(
     VmDescription description, long registration, boolean revoked, Sizes booked, int tasks) {
@@ -29,7 +29,7 @@
     return description.vm();
   }
 
-  /** Returns the room that is left. */
+  /** Returns the capacity that is not booked. */
   @JsonIgnore
   public Sizes free() {
     return description.capacity().minus(booked);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Jobs and their tasks: the checked job file, sizes, and the state machine folded from the log.
+ * Jobs and their tasks: the job file parser, resource amounts, and the state machine folded from the
+ * log.
  *
- * <p>Reach for {@link io.marigoldsail.job.Sizes} wherever room on a VM is counted.
+ * <p>Use {@link io.marigoldsail.job.Sizes} wherever capacity of a VM is counted.
  */
 package io.marigoldsail.job;
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/JobFileTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/JobFileTest.java
@@ -41,19 +41,19 @@
       delimiter = '|',
       textBlock =
           """
-          "count": 20         | "count": 0          | key count is 0, not 1 to 10000
-          "count": 20         | "count": "20"       | key count is not a whole number: "20"
-          "count": 20         | "cuont": 20         | key cuont is not known
+          "count": 20         | "count": 0          | key count is 0, must be 1 to 10000
+          "count": 20         | "count": "20"       | key count is not an integer: "20"
+          "count": 20         | "cuont": 20         | key cuont is not a known key
           "team": "payments", | ' '                 | key team is missing
-          payout-march        | Payout March        | key name "Payout March" is not a name
-          "batch"             | "bulk"              | key class "bulk" is neither
+          payout-march        | Payout March        | key name "Payout March" does not match
+          "batch"             | "bulk"              | key class "bulk" is not one of latency-critical
           500,                | -1,                 | key sizes.milliProcessors is -1
-          256                 | 1.5                 | key sizes.memoryMebibytes is not a whole number
-          "runMillis": 60000  | "urgent": 1, "runMillis": 1 | key urgent is not true or false
-          "runMillis": 60000  | "runMillis": 1, "finishBy": "soon" | key finishBy "soon" is no instant
-          "runMillis": 60000} | "runMillis": 60000  | no valid JSON
-          "runMillis": 60000} | "runMillis": 1} {}  | no valid JSON
-          "count": 20         | "count": 20, "count": 21 | no valid JSON
+          256                 | 1.5                 | key sizes.memoryMebibytes is not an integer
+          "runMillis": 60000  | "urgent": 1, "runMillis": 1 | key urgent is not a boolean
+          "runMillis": 60000  | "runMillis": 1, "finishBy": "soon" | key finishBy "soon" is not an instant
+          "runMillis": 60000} | "runMillis": 60000  | is not valid JSON
+          "runMillis": 60000} | "runMillis": 1} {}  | is not valid JSON
+          "count": 20         | "count": 20, "count": 21 | is not valid JSON
           """)
   void namesFileAndKeyOfAFault(String from, String to, String message) {
     Result<JobSpec> result = read(GOOD.replace(from, to));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -25,21 +25,28 @@
 import java.util.Set;
 
 /**
- * One entry's part in giving waiting tasks a VM: takes them in the queue's order, chooses a VM and
- * writes the claim.
+ * Assigns waiting tasks to VMs on behalf of an entry: takes them in the order of the job queue,
+ * chooses a VM and writes the claim.
  *
- * <p>Load pattern: thousands of tasks wait when a fleet frees up, or the log comes back after an
- * outage. Claims on their way are bounded, so that a round trip to the log paces them, and rounds
- * are bounded in work. Tasks are divided among the living entries by a hash of their name; without
- * that every entry would race for the head of the same queue and all but one append would be
- * wasted. An entry takes another's tasks only after the job has not moved for a while.
+ * <p>Thousands of tasks may wait when capacity becomes free or the log becomes available again. Pending
+ * claims are bounded, so that the round trip to the log limits their rate, and so is the work of a
+ * round.
+ *
+ * <p>Tasks are partitioned among the live entries by a hash of their names. Otherwise all entries would
+ * claim the head of the same queue, and all but one append would be wasted. An entry takes over the
+ * tasks of others after their job has made no progress for {@value #OTHERS_TASKS_MILLIS} ms.
+ *
+ * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
  */
 final class ClaimLoop {
   private static final int MAX_ON_THEIR_WAY = 64;
   private static final int MAX_TRIES_A_ROUND = 128;
   private static final int CANDIDATES = 256;
 
-  /** What the log does not tell, such as which VMs are heard, is looked at so often. */
+  /**
+   * Interval of rounds while the log has not changed. Conditions outside the log, such as which VMs
+   * are reachable, may have changed.
+   */
   private static final long LOOK_AGAIN_MILLIS = 200;
 
   private static final long NEVER = Long.MIN_VALUE;
@@ -50,7 +57,7 @@
 
   private record Progress(long marker, long othersFrom) {}
 
-  /** One job's waiting tasks in one round. */
+  /** The waiting tasks of a job in one round, and the number of its tasks in each spread group. */
   private record Candidates(Deque<TaskState> tasks, Map<String, Integer> inGroup) {}
 
   private final EntryContext context;
@@ -64,7 +71,7 @@
   private final Map<String, String> whyWaiting = new HashMap<>();
   private long pausedUntil;
 
-  /** How far the log was read when a round found nothing to claim. */
+  /** Position of the log at which the last round found nothing to claim. */
   private long fruitlessAt = NEVER;
 
   private long lookAgain;
@@ -96,11 +103,11 @@
     }
     List<JobState> jobs = context.table().waitingJobs();
     noteProgress(jobs);
-    int before = onTheirWay.size();
+    int claimsBefore = onTheirWay.size();
     if (!jobs.isEmpty()) {
       decide(jobs);
     }
-    fruitlessAt = onTheirWay.size() == before ? applied : NEVER;
+    fruitlessAt = onTheirWay.size() == claimsBefore ? applied : NEVER;
     lookAgain = context.afterMillis(LOOK_AGAIN_MILLIS);
   }
 
@@ -120,7 +127,7 @@
     round(order, fleet);
   }
 
-  /** Returns why the job's tasks wait, as far as this entry has looked; empty if it has not. */
+  /** Returns the reason for which the job's tasks wait; empty if this entry knows none. */
   String whyWaiting(String job) {
     return whyWaiting.getOrDefault(job, "");
   }
@@ -132,9 +139,9 @@
   private void round(QueueOrder order, Fleet fleet) {
     Map<String, Candidates> candidates = new HashMap<>();
     Optional<JobState> next = order.next();
-    int tries = 0;
-    while (next.isPresent() && tries < MAX_TRIES_A_ROUND && onTheirWay.size() < MAX_ON_THEIR_WAY) {
-      tries++;
+    int placements = 0;
+    while (next.isPresent() && placements < MAX_TRIES_A_ROUND && onTheirWay.size() < MAX_ON_THEIR_WAY) {
+      placements++;
       JobState job = next.get();
       Candidates waiting =
           candidates.computeIfAbsent(job.spec().name(), unused -> candidatesOf(job));
@@ -154,13 +161,13 @@
     JobSpec spec = job.spec();
     Sizes sizes = knowledge.booking(spec);
     if (!order.withinQuota(spec.team(), sizes)) {
-      wait(spec, "team " + spec.team() + " is at its quota");
+      wait(spec, "team " + spec.team() + " has reached its quota");
       return false;
     }
     PlacementDecision decision =
         placer.place(new PlacementRequest(spec, task, sizes, inGroup), fleet);
-    if (decision instanceof PlacementDecision.NoCapacity noRoom) {
-      wait(spec, noRoom.reason());
+    if (decision instanceof PlacementDecision.NoCapacity noCapacity) {
+      wait(spec, noCapacity.reason());
       if (spec.urgent()) {
         preemptions.noRoom(spec, task, sizes, fleet);
       }
@@ -177,18 +184,18 @@
     return true;
   }
 
-  private void wait(JobSpec spec, String why) {
-    String before = whyWaiting.put(spec.name(), why);
+  private void wait(JobSpec spec, String reason) {
+    String before = whyWaiting.put(spec.name(), reason);
     if (before == null) {
       context.record(
           Event.of(EventKind.TASK_WAITING)
               .withTask(spec.name())
               .withTeam(spec.team())
-              .withDetail(why));
+              .withDetail(reason));
     }
   }
 
-  private void claim(JobSpec spec, TaskState task, VmState vm, Sizes sizes, String why) {
+  private void claim(JobSpec spec, TaskState task, VmState vm, Sizes sizes, String reason) {
     TaskRecord.Claimed claim =
         new TaskRecord.Claimed(
             task.name(),
@@ -201,27 +208,27 @@
             context.terms().quota(spec.team()).most());
     onTheirWay.put(task.name(), new Pending(vm, spec.program(), sizes));
     context.record(
-        Event.of(EventKind.TASK_PLACED).withTask(task.name()).withVm(vm.vm()).withDetail(why));
+        Event.of(EventKind.TASK_PLACED).withTask(task.name()).withVm(vm.vm()).withDetail(reason));
     context.append(claim, result -> claimed(claim, spec, result));
   }
 
   private void claimed(TaskRecord.Claimed claim, JobSpec spec, Result<Long> result) {
     onTheirWay.remove(claim.task());
     if (!(result instanceof Result.Ok<Long> ok)) {
-      // Should it have got in after all, the sweep finds it in the table and starts it.
+      // If the claim took effect all the same, the sweep of the start loop starts the task.
       pausedUntil = context.afterMillis(LOG_BACK_OFF_MILLIS);
       return;
     }
     Optional<TaskState> task = context.table().task(claim.task());
-    boolean won = task.isPresent() && task.get().holds(ok.value());
-    EventKind kind = won ? EventKind.TASK_CLAIMED : EventKind.TASK_CLAIM_LOST;
+    boolean accepted = task.isPresent() && task.get().holds(ok.value());
+    EventKind kind = accepted ? EventKind.TASK_CLAIMED : EventKind.TASK_CLAIM_LOST;
     context.record(
         Event.of(kind)
             .withTask(claim.task())
             .withVm(claim.vm())
             .withTeam(spec.team())
             .withDetail("attempt " + claim.attempt() + " token " + ok.value()));
-    if (won) {
+    if (accepted) {
       starts.claimed(task.get(), spec);
     }
   }
@@ -229,12 +236,12 @@
   private Candidates candidatesOf(JobState job) {
     List<TaskState> waiting = context.table().waiting(job.spec().name(), 0, CANDIDATES);
     List<String> live = watch.liveEntries();
-    int own = live.indexOf(context.identity().name());
-    boolean others = context.passed(progress.get(job.spec().name()).othersFrom());
+    int ownIndex = live.indexOf(context.identity().name());
+    boolean takeover = context.passed(progress.get(job.spec().name()).othersFrom());
     Deque<TaskState> tasks = new ArrayDeque<>();
     for (TaskState task : waiting) {
-      boolean mine = Math.floorMod(task.name().hashCode(), live.size()) == own;
-      if ((mine || others) && !onTheirWay.containsKey(task.name())) {
+      boolean isOwn = Math.floorMod(task.name().hashCode(), live.size()) == ownIndex;
+      if ((isOwn || takeover) && !onTheirWay.containsKey(task.name())) {
         tasks.add(task);
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
@@ -14,7 +14,11 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** What the parts of {@link EntryTasks} share; everything runs under one lock. */
+/**
+ * Dependencies that the parts of {@link EntryTasks} share.
+ *
+ * <p>The parts run under one lock; {@link #append} delivers outcomes under it as well.
+ */
 final class EntryContext {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -85,7 +89,7 @@
     recorder.record(event);
   }
 
-  /** Appends a record and takes its outcome in under the lock. */
+  /** Appends a record and passes the outcome to the consumer under the lock. */
   void append(TaskRecord record, Consumer<Result<Long>> outcome) {
     var unused = log.append(record).thenAcceptAsync(outcome, lock);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTasks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTasks.java
@@ -18,16 +18,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The tasks' part of an entry: claims waiting tasks, has them started, keeps VMs vouched for.
+ * Task scheduling of an entry: claims waiting tasks, starts claimed ones and confirms the leases of
+ * VMs.
  *
- * <p>Wiring: feed {@link #onMessage} with every TaskMessage that a side process sends, give a
- * {@link TaskChannel} that sends to side processes by the names used there, and call {@link #start}
- * with a scheduler once the follower of the stream {@code tasks} has caught up once. The table must
- * be the one that the follower folds into, the log one that completes appends after the fold, such
- * as {@link FollowedTaskLog}. Entries keep nothing of their own that another could not read from
- * the log; any of them may die at any point.
+ * <p>The owner passes every TaskMessage of a side process to {@link #onMessage}, provides a {@link
+ * TaskChannel} that uses the same peer names, and calls {@link #start} once the follower of the stream
+ * {@code tasks} has caught up. The follower must fold into the given table, and the given log must
+ * complete appends after the fold, as {@link FollowedTaskLog} does.
  *
- * <p>Safe for any thread; one lock guards everything.
+ * <p>All state that must last is in the log, so that any entry may die at any time.
+ *
+ * <p>Thread-safe; one lock guards everything.
  */
 public final class EntryTasks implements AutoCloseable {
   private static final Logger LOGGER = System.getLogger(EntryTasks.class.getName());
@@ -42,17 +43,17 @@
   private ScheduledFuture<?> ticking;
 
   /**
-   * Creates the tasks' part of an entry; nothing runs before {@link #start}.
+   * Creates a scheduler; nothing runs before {@link #start}.
    *
-   * @param identity which entry this is
-   * @param table what the log says, folded by the follower of the stream
-   * @param log the way to append to the stream
-   * @param channel the way to side processes
-   * @param terms what the configuration in force says, asked anew at each decision
-   * @param clock this process's clock
-   * @param wallClock this VM's clock, for the queue's aging and the time line only
+   * @param identity the name and incarnation of this entry
+   * @param table the task table that the follower of the stream folds into
+   * @param log appends to the stream
+   * @param channel sends messages to side processes
+   * @param terms returns the policy of the configuration in force; called for each decision
+   * @param clock the monotonic clock of this process
+   * @param wallClock the wall clock, used only for the aging of jobs, their deadlines and events
    * @param random breaks ties between VMs
-   * @param recorder the time line
+   * @param recorder receives events
    */
   public EntryTasks(
       EntryIdentity identity,
@@ -77,26 +78,26 @@
             context, watch, starts, new Placer(knowledge.costs(), random), knowledge, preemptions);
   }
 
-  /** Begins to work on the given scheduler. */
+  /** Starts the periodic ticks on the given scheduler. */
   public synchronized void start(ScheduledExecutorService scheduler) {
     ticking =
         scheduler.scheduleWithFixedDelay(
             this::tickSafely, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Takes in a message of a side process. */
+  /** Handles a message of a side process. */
   public synchronized void onMessage(String peer, TaskMessage message) {
     switch (message.getKindCase()) {
       case ASK_VOUCH -> watch.onAsk(peer, message.getAskVouch());
       case REPORT -> starts.onReport(peer, message.getReport());
       case USAGE -> knowledge.onUsage(message.getUsage());
       default -> {
-        // Kinds that only entries send, or that a newer version added.
+        // A kind that only entries send, or one of a newer version.
       }
     }
   }
 
-  /** Does what is due now. Called by the scheduler; tests call it on a virtual clock. */
+  /** Does all work that is due. Called by the scheduler, and by tests with a virtual clock. */
   public synchronized void tick() {
     watch.tick();
     knowledge.tick();
@@ -105,7 +106,7 @@
     claims.tick();
   }
 
-  /** Stops deciding; tasks go on, looked after by the other entries. */
+  /** Stops the ticks. Running tasks go on and are managed by the other entries. */
   @Override
   public synchronized void close() {
     if (ticking != null) {
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Returns why a job's tasks wait, as far as this entry knows; may be empty. */
+  /** Returns the reason for which a job's tasks wait; empty if this entry knows none. */
   synchronized String whyWaiting(String job) {
     return claims.whyWaiting(job);
   }
@@ -122,15 +123,15 @@
     context.table().vm(vm).ifPresent(starts::sweep);
   }
 
-  private synchronized void locked(Runnable step) {
-    step.run();
+  private synchronized void locked(Runnable action) {
+    action.run();
   }
 
   private void tickSafely() {
     try {
       tick();
     } catch (RuntimeException e) {
-      // A thrown exception would end the schedule for good, and with it all claims of this entry.
+      // The executor cancels a periodic task that throws; this entry would then schedule no more.
       LOGGER.log(Level.ERROR, "event=entry-tasks-tick-failed", e);
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/FollowedTaskLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/FollowedTaskLog.java
@@ -12,13 +12,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The stream {@code tasks} through the {@link LogAppender} of a follower that folds into a {@link
- * TaskFold}: an append completes after its fold.
+ * Appends to the stream {@code tasks} through the {@link LogAppender} of a follower that folds into a
+ * {@link TaskFold}. An append completes after its record has been folded.
+ *
+ * <p>Thread-safe; does not block.
  */
 public final class FollowedTaskLog implements TaskLog {
   /**
-   * How long a record may wait for the log. Longer than a slow append, short enough that an outage
-   * does not pile up decisions made on a view from before it.
+   * Time after which a record that was not appended is dropped. Longer than a slow append, but short
+   * enough that decisions made before an outage are not written after it.
    */
   private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(10);
 
@@ -26,7 +28,7 @@
   private final MonotonicClock clock;
 
   /**
-   * Creates the way to append.
+   * Creates a task log.
    *
    * @param appender the appender of the stream
    * @param clock the appender's clock
@@ -41,6 +43,6 @@
     return appender
         .append(
             TaskRecordCodec.type(record), TaskRecordCodec.body(record), clock.nanos() + KEEP_NANOS)
-        .thenApply(result -> result.then(place -> Result.ok(TaskFold.position(place))));
+        .thenApply(result -> result.then(position -> Result.ok(TaskFold.position(position))));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
@@ -22,12 +22,12 @@
 import java.util.List;
 
 /**
- * Carries out what the guard of this VM decides, and passes measured usage on to entries.
+ * Carries out the decisions of the VM's guard, and reports measured usage to entries.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class GuardLoop {
-  /** A change of usage below this part is not worth telling. */
+  /** Relative change of usage below which a measurement is not reported. */
   private static final double WORTH_TELLING = 0.1;
 
   private static final double PERMILLE = 1_000;
@@ -63,7 +63,7 @@
     this.guard = new Guard(service.terms(), clock.nanos());
   }
 
-  /** Decides once and acts. */
+  /** Makes one round of decisions and carries them out. */
   void step() {
     List<GuardedTask> tasks = guarded();
     List<GuardAction> actions =
@@ -81,7 +81,7 @@
     actions.forEach(this::act);
   }
 
-  /** Takes in what the worker measured, and tells entries what changed. */
+  /** Reads the measurements of the worker and reports those that changed to entries. */
   void measure() {
     if (!(worker.usage() instanceof Result.Ok<List<UsageSample>> samples)) {
       return;
@@ -112,8 +112,8 @@
   }
 
   /**
-   * Evicts an attempt for urgent work, as an entry asks. One whose start the worker has not
-   * confirmed may have begun; it is asked for again and goes once that is known.
+   * Evicts an attempt that an entry has preempted for an urgent task. An attempt whose start the
+   * worker has not confirmed is left alone; the entry resends the stop until the state is known.
    */
   void onStopForUrgent(String peer, StopTask stop) {
     SideTask task = attempts.find(stop.getToken());
@@ -121,7 +121,7 @@
       attempts.onStop(peer, stop);
     } else if (task.phase() == SideTask.Phase.RUNNING) {
       guard.recordPreemption(service.terms(), clock.nanos());
-      evict(task, "to make room for urgent work");
+      evict(task, "preempted by an urgent task");
     }
   }
 
@@ -162,17 +162,17 @@
   }
 
   /**
-   * Checkpoint first, then stop. The checkpoint's answer may be lost; the answer to the stop names
-   * the last one that was written, whatever became of this process in between.
+   * Evicts an attempt: writes a checkpoint, then stops it. If the response to the checkpoint is lost,
+   * the response to the stop still names the last checkpoint written.
    */
-  private void evict(SideTask task, String why) {
+  private void evict(SideTask task, String reason) {
     var checkpointed = worker.checkpoint(task.task(), task.token());
     if (checkpointed.isOk()) {
       task.checkpoint(checkpointed.value().checkpoint());
       record(EventKind.TASK_CHECKPOINTED, task, task.checkpoint());
     }
-    record(EventKind.TASK_EVICTED, task, why);
-    attempts.evict(task, why);
+    record(EventKind.TASK_EVICTED, task, reason);
+    attempts.evict(task, reason);
   }
 
   private void record(EventKind kind, SideTask task, String detail) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/JobView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/JobView.java
@@ -5,22 +5,23 @@
 import io.marigoldsail.job.JobState;
 
 /**
- * A job as operators see it; also its JSON form.
+ * State of a job for operators. Its JSON form is part of the operator API.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name the job's name
- * @param team the team it counts against
+ * @param team the team whose quota it uses
  * @param taskClass {@code latency-critical} or {@code batch}
- * @param count how many tasks it has
- * @param waiting how many wait
- * @param running how many are claimed, so run or are about to
- * @param done how many ended with success
- * @param cancelled how many ended as cancelled
- * @param failed how many ended without success
- * @param ended whether all have ended
+ * @param count number of tasks
+ * @param waiting number of waiting tasks
+ * @param running number of claimed tasks, which run or are about to start
+ * @param done number of tasks that ended with success
+ * @param cancelled number of tasks that ended as cancelled
+ * @param failed number of tasks that ended without success
+ * @param ended whether all tasks have ended
  * @param acceptedMillis when it was accepted, in milliseconds since the Unix epoch
- * @param detail why it was cancelled, or why tasks wait, or empty
+ * @param detail the reason of its cancellation, or else the reason for which tasks wait; may be
+ *     empty
  */
 public record JobView(
     String name,
@@ -41,8 +42,8 @@
     requireNonNull(detail, "detail");
   }
 
-  static JobView of(JobState job, String whyWaiting) {
-    String detail = job.cancelReason().isEmpty() ? whyWaiting : job.cancelReason();
+  static JobView of(JobState job, String waitingReason) {
+    String detail = job.cancelReason().isEmpty() ? waitingReason : job.cancelReason();
     return new JobView(
         job.spec().name(),
         job.spec().team(),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementKnowledge.java
@@ -24,8 +24,10 @@
 import java.util.Set;
 
 /**
- * What one entry has learned about VMs and programs. Each entry learns for itself from the same
- * reports; nothing of it has to last.
+ * Learned model of VM health, resource usage and interference that an entry uses for placement.
+ *
+ * <p>Each entry builds its own from the reports that all entries receive; it is not persistent. Not
+ * thread-safe; runs under the lock of {@link EntryTasks}.
  */
 final class PlacementKnowledge {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -62,29 +64,30 @@
   }
 
   /**
-   * Returns what to book for a task of the job. Where no VM could hold what was measured, the
-   * declared sizes count: a task that was accepted must not wait for ever.
+   * Returns the resources to book for a task of the job: the estimate from measurements, or the
+   * declared sizes if no VM could ever hold the estimate. Otherwise an accepted task could wait
+   * forever.
    */
   Sizes booking(JobSpec spec) {
     Sizes booking = estimates.booking(spec);
-    boolean never = Fleet.infeasibilityReason(context.table().vms(), booking).isPresent();
-    return never ? spec.sizes() : booking;
+    boolean infeasible = Fleet.infeasibilityReason(context.table().vms(), booking).isPresent();
+    return infeasible ? spec.sizes() : booking;
   }
 
-  /** Returns how much longer a task of the job is expected to make a service beside it take. */
+  /** Returns the expected relative increase of a service's latency beside a task of the job. */
   double noise(JobSpec spec) {
     return interference.excess(Interference.SERVICE, spec.program());
   }
 
-  /** Keeps room in the fleet open for urgent work, as far as urgent work was seen lately. */
+  /** Reserves capacity in the fleet for urgent jobs if there were any recently. */
   void reserveFor(List<JobState> jobs, Fleet fleet) {
     for (JobState job : jobs) {
       if (job.waiting() > 0) {
         reserve.observe(booking(job.spec()), job.spec().urgent(), steadyMillis());
       }
     }
-    Sizes each = reserve.perVm(fleet.meanCapacity(), steadyMillis());
-    fleet.reserveVms(each, reserve.vmCount(fleet.candidates().size()));
+    Sizes reservedPerVm = reserve.perVm(fleet.meanCapacity(), steadyMillis());
+    fleet.reserveVms(reservedPerVm, reserve.vmCount(fleet.candidates().size()));
   }
 
   boolean usable(VmState vm) {
@@ -96,17 +99,17 @@
     if (vm.isEmpty()) {
       return;
     }
-    Map<Long, TaskUsage> told = new HashMap<>();
-    report.getTasksList().forEach(usage -> told.put(usage.getToken(), usage));
-    List<UsageLearner.TaskMeasurement> measured = new ArrayList<>();
+    Map<Long, TaskUsage> usageByToken = new HashMap<>();
+    report.getTasksList().forEach(usage -> usageByToken.put(usage.getToken(), usage));
+    List<UsageLearner.TaskMeasurement> measurements = new ArrayList<>();
     for (TaskState task : context.table().tasksOn(vm.get().registration())) {
       context
           .table()
           .job(task.job())
-          .map(job -> measured(job.spec().program(), told.get(task.token())))
-          .ifPresent(measured::add);
+          .map(job -> measured(job.spec().program(), usageByToken.get(task.token())))
+          .ifPresent(measurements::add);
     }
-    learning.report(vm.get().vm(), measured, report.getServiceSlowdownPermille() / PERMILLE);
+    learning.report(vm.get().vm(), measurements, report.getServiceSlowdownPermille() / PERMILLE);
   }
 
   private static UsageLearner.TaskMeasurement measured(String program, TaskUsage usage) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -27,30 +27,35 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * One entry's part in making room for urgent tasks: writes who should go, and has those stopped
- * whom the log says go, whichever entry wrote it.
+ * Frees capacity for urgent tasks on behalf of an entry: writes preemptions to the log, and stops the
+ * victims of all preemptions in the log, whichever entry wrote them.
  *
- * <p>It works from the table: an entry that dies after its record was accepted leaves a preemption
- * that every other entry carries on, and the freed room is kept in the fold until the urgent task
- * is claimed. What is under way at once is bounded, so that no wave of evictions results.
+ * <p>It uses the task table, so that other entries carry out the preemptions of an entry that died.
+ * The table reserves the freed capacity until the urgent task is claimed. The number of concurrent
+ * preemptions is bounded to prevent a wave of evictions.
+ *
+ * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
  */
 final class PreemptionLoop {
-  /** A task may end by itself meanwhile; a tenth of what an urgent start may take. */
+  /**
+   * Time for which an urgent task waits for a task to end by itself before it preempts one. A tenth
+   * of the time allowed for the start of an urgent task.
+   */
   private static final long PATIENCE_MILLIS = 300;
 
-  /** A decision looks at every task of the fleet, so it is not taken anew at each tick. */
+  /** Interval between decisions for a task; each one examines every task of the fleet. */
   private static final long AGAIN_MILLIS = 1_000;
 
   private static final long SWEEP_MILLIS = 500;
 
-  /** Victims that have not gone by then are given up for others. */
+  /** Time after which victims that have not stopped are replaced by others. */
   private static final long STUCK_MILLIS = 10_000;
 
   private static final int LEAST_AT_ONCE = 3;
   private static final int VMS_PER_ONE_AT_ONCE = 50;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** An attempt's last checkpoint, and when this entry first saw it. */
+  /** An attempt's last checkpoint, and the time at which this entry first saw it. */
   private record Saved(String checkpoint, long sinceNanos) {}
 
   private final EntryContext context;
@@ -61,7 +66,7 @@
   private final Map<Long, Saved> saved = new HashMap<>();
   private final Set<String> onTheirWay = new HashSet<>();
 
-  /** Filled by the thread that folds, which holds the table and so must not wait for this entry. */
+  /** Filled by the folding thread, which holds the table's lock and must not wait for this entry. */
   private final Queue<String> evictedVms = new ConcurrentLinkedQueue<>();
 
   private long nextSweep;
@@ -83,9 +88,9 @@
     nextSweep = context.afterMillis(SWEEP_MILLIS);
     patientUntil.keySet().removeIf(task -> !waits(task));
     noteCheckpoints();
-    List<Preemption> underWay = context.table().preemptions();
+    List<Preemption> pending = context.table().preemptions();
     Set<Long> positions = new HashSet<>();
-    for (Preemption preemption : underWay) {
+    for (Preemption preemption : pending) {
       positions.add(preemption.position());
       seenSince.putIfAbsent(preemption.position(), now());
       stopVictims(preemption);
@@ -93,17 +98,17 @@
     seenSince.keySet().retainAll(positions);
   }
 
-  /** Makes room for an urgent task that was found none in the fleet, if that may be. */
+  /** Starts a preemption for an urgent task that does not fit, if one is due and permitted. */
   void noRoom(JobSpec spec, TaskState task, Sizes sizes, Fleet fleet) {
-    long from =
+    long deadline =
         patientUntil.computeIfAbsent(task.name(), unused -> context.afterMillis(PATIENCE_MILLIS));
-    if (decided || !context.passed(from) || onTheirWay.contains(task.name())) {
+    if (decided || !context.passed(deadline) || onTheirWay.contains(task.name())) {
       return;
     }
-    List<Preemption> underWay = context.table().preemptions();
-    Optional<Preemption> own =
-        underWay.stream().filter(p -> p.task().equals(task.name())).findFirst();
-    if (own.isPresent() ? !stuck(own.get()) : underWay.size() >= mostAtOnce(fleet)) {
+    List<Preemption> pending = context.table().preemptions();
+    Optional<Preemption> current =
+        pending.stream().filter(p -> p.task().equals(task.name())).findFirst();
+    if (current.isPresent() ? !stuck(current.get()) : pending.size() >= mostAtOnce(fleet)) {
       return;
     }
     decided = true;
@@ -111,12 +116,12 @@
     preemptor
         .decide(context.terms().guard(), sizes, vms(task, fleet), now(), context.wallMillis())
         .ifPresent(
-            choice -> preempt(spec, task, sizes, choice, own.map(Preemption::position).orElse(0L)));
+            choice -> preempt(spec, task, sizes, choice, current.map(Preemption::position).orElse(0L)));
   }
 
   private int mostAtOnce(Fleet fleet) {
-    int most = Math.max(LEAST_AT_ONCE, fleet.candidates().size() / VMS_PER_ONE_AT_ONCE);
-    return most - onTheirWay.size();
+    int limit = Math.max(LEAST_AT_ONCE, fleet.candidates().size() / VMS_PER_ONE_AT_ONCE);
+    return limit - onTheirWay.size();
   }
 
   private boolean stuck(Preemption preemption) {
@@ -126,16 +131,16 @@
 
   private List<PreemptableVm> vms(TaskState task, Fleet fleet) {
     List<PreemptableVm> vms = new ArrayList<>();
-    for (CandidateVm room : fleet.candidates()) {
-      if (room.isPreempting() || task.failedVms().contains(room.vm())) {
+    for (CandidateVm candidate : fleet.candidates()) {
+      if (candidate.isPreempting() || task.failedVms().contains(candidate.vm())) {
         continue;
       }
-      long registration = room.state().registration();
+      long registration = candidate.state().registration();
       List<PreemptableTask> tasks = new ArrayList<>();
       for (TaskState running : context.table().tasksOn(registration)) {
         context.table().job(running.job()).ifPresent(job -> tasks.add(preemptable(job, running)));
       }
-      vms.add(new PreemptableVm(room.vm(), registration, room.free(), tasks));
+      vms.add(new PreemptableVm(candidate.vm(), registration, candidate.free(), tasks));
     }
     return vms;
   }
@@ -143,7 +148,7 @@
   private PreemptableTask preemptable(JobState job, TaskState task) {
     JobSpec spec = job.spec();
     Saved last = saved.get(task.token());
-    long unsaved = last == null ? 0 : (now() - last.sinceNanos()) / NANOS_PER_MILLI;
+    long unsavedMillis = last == null ? 0 : (now() - last.sinceNanos()) / NANOS_PER_MILLI;
     return new PreemptableTask(
         task.name(),
         task.token(),
@@ -151,7 +156,7 @@
         spec.urgent(),
         spec.idempotent() || spec.checkpointIntervalMillis() > 0,
         task.booked(),
-        unsaved,
+        unsavedMillis,
         spec.finishByMillis(),
         task.evictions());
   }
@@ -174,7 +179,7 @@
 
   private void preempted(TaskRecord.Preempted record, JobSpec spec, Result<Long> result) {
     onTheirWay.remove(record.task());
-    // Without an answer it may have got in all the same; the sweep finds it in the table then.
+    // If the outcome is unknown but the record took effect, the sweep finds it in the table.
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
     }
@@ -185,13 +190,13 @@
                 .withTask(record.task())
                 .withVm(record.vm())
                 .withTeam(spec.team())
-                .withDetail("go for it: " + record.victims()));
+                .withDetail("victims: " + record.victims()));
         stopVictims(preemption);
       }
     }
   }
 
-  /** Has the victims stopped that still hold; sides take doubled stops for one. */
+  /** Sends stops for the victims that are still claimed; duplicate stops have no effect. */
   private void stopVictims(Preemption preemption) {
     Optional<VmWatch.Contact> contact = watch.vouched(preemption.vm());
     if (contact.isEmpty()) {
@@ -214,7 +219,7 @@
   }
 
   private void noteCheckpoints() {
-    Set<Long> inForce = new HashSet<>();
+    Set<Long> currentTokens = new HashSet<>();
     Set<String> names = new HashSet<>();
     context
         .table()
@@ -223,14 +228,14 @@
             vm -> {
               names.add(vm.vm());
               for (TaskState task : context.table().tasksOn(vm.registration())) {
-                inForce.add(task.token());
+                currentTokens.add(task.token());
                 Saved last = saved.get(task.token());
                 if (last == null || !last.checkpoint().equals(task.checkpoint())) {
                   saved.put(task.token(), new Saved(task.checkpoint(), now()));
                 }
               }
             });
-    saved.keySet().retainAll(inForce);
+    saved.keySet().retainAll(currentTokens);
     preemptor.retain(names);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RememberedTokens.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RememberedTokens.java
@@ -3,16 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The last so many fencing tokens added. Not safe for use by several threads. */
+/** Bounded set of fencing tokens that evicts the oldest. Not thread-safe. */
 final class RememberedTokens {
   private final Map<Long, Boolean> tokens;
 
-  RememberedTokens(int most) {
+  RememberedTokens(int maxTokens) {
     this.tokens =
         new LinkedHashMap<>() {
           @Override
           protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > most;
+            return size() > maxTokens;
           }
         };
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceWatch.java
@@ -4,15 +4,15 @@
 import io.marigoldsail.guard.ServiceReading;
 import java.util.Optional;
 
-/** What the guard of a VM knows of the service beside its tasks. Safe for any thread. */
+/** Monitors the service that shares a VM with tasks, for the VM's guard. Thread-safe. */
 public interface ServiceWatch {
-  /** Returns how the service does, or empty if there is none or it serves too little to tell. */
+  /** Returns the latest reading, or empty if there is no service or too few requests to measure. */
   Optional<ServiceReading> reading(long nowNanos);
 
-  /** Returns what the configuration in force says about guarding. */
+  /** Returns the guard policy of the configuration in force. */
   GuardPolicy terms();
 
-  /** Returns a watch of no service: nothing is ever throttled for it. */
+  /** Returns a monitor for a VM without a service, on which no task is ever throttled. */
   static ServiceWatch none() {
     return new ServiceWatch() {
       @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
@@ -32,18 +32,18 @@
 import java.util.TreeMap;
 
 /**
- * The attempts of one VM: started, renewed, stopped and watched at the worker, whose calls block.
+ * Starts, renews, stops and monitors the attempts of a VM at its worker. Calls to the worker block.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 final class SideAttempts {
   private static final Logger LOGGER = System.getLogger(SideAttempts.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Ended attempts are remembered, so that a late StartTask cannot start one again. */
+  /** Tokens of acknowledged attempts are kept so that a late StartTask cannot start one again. */
   private static final int MAX_REMEMBERED = 20_000;
 
-  /** A lease is renewed when that would lengthen it by at least this part of itself. */
+  /** A lease is renewed only if that extends it by at least its length divided by this. */
   private static final long RENEWAL_PARTS = 8;
 
   private final SideIdentity identity;
@@ -71,7 +71,7 @@
     this.evidence = new LeaseEvidence(identity.processIncarnation());
   }
 
-  /** Returns the worker's boot, or empty before it has answered once. */
+  /** Returns the worker's boot, or empty before its first response. */
   Optional<WorkerBoot> boot() {
     return Optional.ofNullable(boot);
   }
@@ -85,24 +85,24 @@
     return tasks.get(token);
   }
 
-  /** Stops an attempt for the sake of the VM's service; repeated until the worker confirms. */
-  void evict(SideTask task, String why) {
-    task.stopping(true, why);
+  /** Stops an attempt as evicted. The stop is resent until the worker confirms it. */
+  void evict(SideTask task, String reason) {
+    task.stopping(true, reason);
     stop(task);
   }
 
-  void onVouch(Vouch vouch) {
+  void onVouch(Vouch confirmation) {
     LeaseEvidence.Change change =
         evidence.confirm(
-            vouch.getRegistration(),
-            vouch.getProcessIncarnation(),
-            vouch.getAskedNanos(),
+            confirmation.getRegistration(),
+            confirmation.getProcessIncarnation(),
+            confirmation.getAskedNanos(),
             clock.nanos());
     if (change == LeaseEvidence.Change.NEW_REGISTRATION) {
-      // The VM was revoked and let in again. What it ran before is or may be claimed elsewhere.
+      // The VM was revoked and has joined again. Its earlier tasks may be claimed elsewhere.
       for (SideTask task : tasks.values()) {
         if (task.token() < evidence.registration() && task.phase() != SideTask.Phase.ENDED) {
-          task.stopping(false, "of an earlier registration of the VM");
+          task.stopping(false, "the VM has a new registration");
           stop(task);
         }
       }
@@ -132,22 +132,22 @@
             SideTask.Phase.UNCERTAIN);
     task.told(start, clock.nanos());
     task.checkpoint(start.getCheckpoint());
-    Sizes after = heldRoom().plus(sizes);
+    Sizes occupied = heldRoom().plus(sizes);
     tasks.put(task.token(), task);
-    if (!after.fitsIn(boot.capacity())) {
-      refuse(task, "no room: %s would be held of %s".formatted(after, boot.capacity()));
+    if (!occupied.fitsIn(boot.capacity())) {
+      refuse(task, "insufficient capacity: needs %s of %s".formatted(occupied, boot.capacity()));
       return;
     }
     startAtWorker(task, start);
   }
 
-  /** Returns whether a start that is not known yet may be acted on; if not, it will come again. */
+  /** Returns whether a start of a new attempt is valid. If not, it is ignored; entries resend it. */
   private boolean mayStart(StartTask start) {
-    // A start meant for an earlier side process may have been answered by it: released, and claimed
-    // elsewhere since. An entry that vouched to this process has read all that before.
-    boolean ours = start.getProcessIncarnation() == identity.processIncarnation();
+    // The earlier side process may have handled a start that was sent to it: the task may have been
+    // released and claimed elsewhere since. An entry that has confirmed this process has read that.
+    boolean forThisProcess = start.getProcessIncarnation() == identity.processIncarnation();
     boolean current = evidence.isConfirmed() && start.getRegistration() == evidence.registration();
-    if (!ours || !current || boot == null || acknowledged.contains(start.getToken())) {
+    if (!forThisProcess || !current || boot == null || acknowledged.contains(start.getToken())) {
       return false;
     }
     long deadline = evidence.deadlineNanos(start.getLeaseMillis());
@@ -186,23 +186,23 @@
     switch (failure.kind()) {
       case CONFLICT, TARGET_UNREACHABLE -> refuse(task, failure.detail());
       default -> {
-        // It may run: found out by asking the worker, see settleUncertain.
+        // The attempt may run. It is stopped later, unless the worker's list shows that it runs.
       }
     }
   }
 
-  /** Reports a start as refused, once the worker has confirmed that it cannot start any more. */
-  private void refuse(SideTask task, String why) {
-    task.stopping(false, why);
+  /** Reports a start as refused once the worker has confirmed that it will not run the attempt. */
+  private void refuse(SideTask task, String reason) {
+    task.stopping(false, reason);
     stop(task);
   }
 
   void onStop(String peer, StopTask stop) {
     SideTask task = tasks.get(stop.getToken());
     if (task == null) {
-      boolean unknown = !acknowledged.contains(stop.getToken()) && boot != null;
-      if (unknown) {
-        // Its start may be under way; the worker is told never to start it.
+      boolean neverStarted = !acknowledged.contains(stop.getToken()) && boot != null;
+      if (neverStarted) {
+        // The start may still arrive; stopping the attempt at the worker prevents it.
         task =
             new SideTask(
                 stop.getTask(),
@@ -242,55 +242,54 @@
   }
 
   /**
-   * Asks the worker what runs: on the first look to adopt it, later to see what ended.
+   * Lists the worker's attempts, adopts those that are unknown and applies the state of the others.
    *
-   * @return whether the worker answered
+   * @return whether the worker responded
    */
   boolean look() {
-    long called = clock.nanos();
+    long requestedNanos = clock.nanos();
     if (!(worker.list() instanceof Result.Ok<WorkerListing> ok)) {
       return false;
     }
     WorkerListing listing = ok.value();
-    workerClock = WorkerClock.of(listing.boot().clockMillis(), called, clock.nanos());
-    boolean reborn = boot != null && boot.incarnation() != listing.boot().incarnation();
+    workerClock = WorkerClock.of(listing.boot().clockMillis(), requestedNanos, clock.nanos());
+    boolean rebooted = boot != null && boot.incarnation() != listing.boot().incarnation();
     boot = listing.boot();
-    if (reborn) {
-      // Nothing of the earlier boot runs; the entries see the new boot and clear its tasks. What
-      // had
-      // ended before is still to be reported.
+    if (rebooted) {
+      // No attempt of the earlier boot runs any more; entries see the new boot and clear its tasks.
+      // Attempts that had ended before are still reported.
       tasks.values().removeIf(task -> task.phase() != SideTask.Phase.ENDED);
     }
-    Set<Long> listed = new HashSet<>();
-    for (WorkerTask seen : listing.tasks()) {
-      listed.add(seen.token());
-      SideTask task = tasks.get(seen.token());
-      if (task == null && !acknowledged.contains(seen.token())) {
-        task = SideTask.adopted(seen);
-        tasks.put(seen.token(), task);
+    Set<Long> listedTokens = new HashSet<>();
+    for (WorkerTask workerTask : listing.tasks()) {
+      listedTokens.add(workerTask.token());
+      SideTask task = tasks.get(workerTask.token());
+      if (task == null && !acknowledged.contains(workerTask.token())) {
+        task = SideTask.adopted(workerTask);
+        tasks.put(workerTask.token(), task);
       }
       if (task != null && task.phase() != SideTask.Phase.ENDED) {
-        observe(task, seen);
+        observe(task, workerTask);
       }
     }
-    stopUnlisted(listed);
+    stopUnlisted(listedTokens);
     return true;
   }
 
-  /** Settles attempts that the worker was thought to run but no longer knows. */
-  private void stopUnlisted(Set<Long> listed) {
+  /** Stops running attempts that the worker no longer lists. */
+  private void stopUnlisted(Set<Long> listedTokens) {
     for (SideTask task : tasks.values()) {
-      if (task.phase() == SideTask.Phase.RUNNING && !listed.contains(task.token())) {
-        task.stopping(false, "the worker no longer knows it");
+      if (task.phase() == SideTask.Phase.RUNNING && !listedTokens.contains(task.token())) {
+        task.stopping(false, "the worker no longer lists it");
         stop(task);
       }
     }
   }
 
-  /** Takes in what the worker says about an attempt. */
-  private void observe(SideTask task, WorkerTask seen) {
-    task.checkpointSeen(seen.checkpoint(), clock.nanos());
-    switch (seen.state()) {
+  /** Applies the state of an attempt as the worker reported it. */
+  private void observe(SideTask task, WorkerTask workerTask) {
+    task.checkpointSeen(workerTask.checkpoint(), clock.nanos());
+    switch (workerTask.state()) {
       case RUNNING -> {
         if (task.phase() == SideTask.Phase.UNCERTAIN) {
           task.phase(SideTask.Phase.RUNNING);
@@ -300,12 +299,12 @@
         }
         return;
       }
-      case DONE -> task.ended(TaskReport.State.DONE, seen.detail());
-      case FAILED -> task.ended(TaskReport.State.FAILED, seen.detail());
+      case DONE -> task.ended(TaskReport.State.DONE, workerTask.detail());
+      case FAILED -> task.ended(TaskReport.State.FAILED, workerTask.detail());
       case LAPSED -> lapsed(task);
       case STOPPED -> {
         boolean started =
-            task.phase() == SideTask.Phase.RUNNING || !seen.sizes().equals(Sizes.NONE);
+            task.phase() == SideTask.Phase.RUNNING || !workerTask.sizes().equals(Sizes.NONE);
         task.ended(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
       }
     }
@@ -313,12 +312,12 @@
         Event.of(EventKind.TASK_ENDED)
             .withTask(task.task())
             .withVm(identity.vm())
-            .withDetail(seen.state() + " " + seen.detail()));
+            .withDetail(workerTask.state() + " " + workerTask.detail()));
     reports.sendToOne(task.report());
   }
 
   private void lapsed(SideTask task) {
-    task.ended(TaskReport.State.RELEASED, "its lease passed");
+    task.ended(TaskReport.State.RELEASED, "its lease expired");
     recorder.record(Event.of(EventKind.LEASE_LAPSED).withTask(task.task()).withVm(identity.vm()));
   }
 
@@ -335,14 +334,14 @@
 
   private void renew(SideTask task) {
     long deadline = evidence.deadlineNanos(task.leaseMillis());
-    long worthwhile = task.leaseMillis() * NANOS_PER_MILLI / RENEWAL_PARTS;
+    long minExtensionNanos = task.leaseMillis() * NANOS_PER_MILLI / RENEWAL_PARTS;
     boolean first = task.grantedNanos() == Long.MIN_VALUE;
-    boolean gains = first || deadline - task.grantedNanos() >= worthwhile;
-    if (task.leaseMillis() == 0 || !gains || clock.nanos() - deadline >= 0) {
+    boolean worthwhile = first || deadline - task.grantedNanos() >= minExtensionNanos;
+    if (task.leaseMillis() == 0 || !worthwhile || clock.nanos() - deadline >= 0) {
       return;
     }
-    // The deadline is one of the worker's own clock: should this process freeze right here, the
-    // worker still stops the task in time, and a renewal that arrives too late is refused.
+    // The deadline is given on the worker's clock. If this process is paused at this point, the worker
+    // still stops the task in time, and it refuses a renewal that arrives too late.
     Result<WorkerTask> result =
         worker.renew(task.task(), task.token(), workerClock.deadlineMillis(deadline));
     if (result.isOk()) {
@@ -352,21 +351,21 @@
 
   void settleUncertain() {
     for (SideTask task : List.copyOf(tasks.values())) {
-      boolean unsettled =
+      boolean unconfirmed =
           task.phase() == SideTask.Phase.UNCERTAIN || task.phase() == SideTask.Phase.STOPPING;
-      if (unsettled) {
+      if (unconfirmed) {
         stop(task);
       }
     }
   }
 
   private Sizes heldRoom() {
-    Sizes held = Sizes.NONE;
+    Sizes occupied = Sizes.NONE;
     for (SideTask task : tasks.values()) {
       if (task.holdsRoom()) {
-        held = held.plus(task.sizes());
+        occupied = occupied.plus(task.sizes());
       }
     }
-    return held;
+    return occupied;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideIdentity.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideIdentity.java
@@ -3,12 +3,13 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Which side process this is, and of which VM.
+ * Identity of a side process and its VM.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param vm the VM's name
- * @param processIncarnation this start of the side process; higher than any earlier one
+ * @param processIncarnation identifies the start of the side process; higher than that of any
+ *     earlier start
  * @param zone the VM's availability zone
  * @param rack the VM's rack
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideReports.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideReports.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** How a side process tells entries of its attempts. Not safe for use by several threads. */
+/** Sends the reports of a side process's attempts to entries. Not thread-safe. */
 final class SideReports {
   private final TaskChannel channel;
   private int round;
@@ -16,7 +16,7 @@
     this.channel = requireNonNull(channel, "channel");
   }
 
-  /** Repeats the reports of ended attempts. */
+  /** Resends the reports of ended attempts, which no entry has acknowledged yet. */
   void repeat(Collection<SideTask> tasks) {
     for (SideTask task : tasks) {
       if (task.phase() == SideTask.Phase.ENDED) {
@@ -30,12 +30,12 @@
     channel.peers().forEach(peer -> send(peer, report));
   }
 
-  /** Sends to one entry, another one each round, so that a dead one does not swallow a report. */
+  /** Sends to one entry, a different one each round, so that a dead entry loses no report. */
   void sendToOne(TaskReport report) {
     List<String> peers = channel.peers();
     if (!peers.isEmpty()) {
-      int choice = Math.floorMod(report.getTask().hashCode() + round, peers.size());
-      send(peers.get(choice), report);
+      int index = Math.floorMod(report.getTask().hashCode() + round, peers.size());
+      send(peers.get(index), report);
     }
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTask.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTask.java
@@ -8,17 +8,17 @@
 import io.marigoldsail.protocol.StartTask;
 import io.marigoldsail.protocol.TaskReport;
 
-/** One attempt in a side process, as far as it knows; not safe for use by several threads. */
+/** State of an attempt at its side process. Not thread-safe. */
 final class SideTask {
-  /** Where an attempt stands in its side process. */
+  /** A phase of an attempt's life cycle at its side process. */
   enum Phase {
-    /** The worker was told to start it but has not said that it did. */
+    /** A start was sent to the worker, which has not confirmed it. */
     UNCERTAIN,
     /** The worker runs it. */
     RUNNING,
-    /** It must stop and the worker has not confirmed that it did. */
+    /** It must stop, and the worker has not confirmed the stop. */
     STOPPING,
-    /** It runs no more; its report is repeated until an entry acknowledges it. */
+    /** It no longer runs; its report is resent until an entry acknowledges it. */
     ENDED
   }
 
@@ -65,10 +65,10 @@
     this.used = sizes;
   }
 
-  /** Returns an attempt that the worker runs from before this process's start. */
+  /** Creates an attempt that the worker has been running since before this process started. */
   static SideTask adopted(WorkerTask task) {
-    // Its lease's length is told again by the next StartTask of an entry; until then it is not
-    // renewed. Its class is not known until then, so it is not evicted before.
+    // The next StartTask of an entry gives the length of the lease and the class of the task. Until
+    // then the lease is not renewed, and the attempt counts as latency-critical and is not evicted.
     SideTask adopted =
         new SideTask(
             task.task(), task.attempt(), task.token(), task.sizes(), true, 0, Phase.RUNNING);
@@ -104,7 +104,7 @@
     phase = newPhase;
   }
 
-  /** Returns whether the attempt may still take up its sizes. */
+  /** Returns whether the attempt may still use its resources. */
   boolean holdsRoom() {
     return phase != Phase.ENDED;
   }
@@ -113,7 +113,7 @@
     return leaseMillis;
   }
 
-  /** Takes in what an entry says about the attempt, new or adopted from the worker. */
+  /** Applies an entry's start message, to a new attempt or to one adopted from the worker. */
   void told(StartTask start, long nowNanos) {
     leaseMillis = start.getLeaseMillis();
     latencyCritical = start.getLatencyCritical();
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Returns how much of its processors it may use. */
+  /** Returns the percentage of its processors that it may use. */
   int throttlePercent() {
     return throttlePercent;
   }
@@ -136,7 +136,7 @@
     throttlePercent = percent;
   }
 
-  /** Returns the attempt as its VM's guard sees it. */
+  /** Returns the state that the guard of the VM decides on. */
   GuardedTask guarded() {
     return new GuardedTask(
         token,
@@ -151,13 +151,14 @@
   }
 
   /**
-   * Takes in a measurement and returns whether it differs from the last one by more than a part.
+   * Records a measurement if it differs from the last recorded one by more than the given fraction,
+   * and returns whether it does.
    */
-  boolean measured(UsageSample sample, double part) {
+  boolean measured(UsageSample sample, double fraction) {
     boolean changed =
-        differs(sample.used().milliProcessors(), used.milliProcessors(), part)
-            || differs(sample.used().memoryBytes(), used.memoryBytes(), part)
-            || Math.abs(sample.slowdown() - toldSlowdown) > part;
+        differs(sample.used().milliProcessors(), used.milliProcessors(), fraction)
+            || differs(sample.used().memoryBytes(), used.memoryBytes(), fraction)
+            || Math.abs(sample.slowdown() - toldSlowdown) > fraction;
     if (changed) {
       used = sample.used();
       toldSlowdown = sample.slowdown();
@@ -165,11 +166,11 @@
     return changed;
   }
 
-  private static boolean differs(long now, long before, double part) {
-    return Math.abs(now - before) > part * Math.max(1, before);
+  private static boolean differs(long current, long previous, double fraction) {
+    return Math.abs(current - previous) > fraction * Math.max(1, previous);
   }
 
-  /** Returns the lease's deadline that the worker was last told. */
+  /** Returns the deadline of the lease last sent to the worker, on this process's clock. */
   long grantedNanos() {
     return grantedNanos;
   }
@@ -188,7 +189,7 @@
     }
   }
 
-  /** Takes in the checkpoint that the worker tells of at a moment. */
+  /** Records the checkpoint that the worker reported at the given time. */
   void checkpointSeen(String newCheckpoint, long nowNanos) {
     if (!newCheckpoint.isEmpty() && !newCheckpoint.equals(checkpoint)) {
       checkpoint = newCheckpoint;
@@ -196,17 +197,17 @@
     }
   }
 
-  /** Returns whether the last checkpoint has not been told to an entry, and takes it as told. */
+  /** Returns whether the last checkpoint has not been reported, and marks it as reported. */
   boolean takeUntoldCheckpoint() {
-    boolean untold = !checkpoint.equals(reportedCheckpoint);
+    boolean unreported = !checkpoint.equals(reportedCheckpoint);
     reportedCheckpoint = checkpoint;
-    return untold;
+    return unreported;
   }
 
-  void stopping(boolean byGuard, String why) {
+  void stopping(boolean byEviction, String reason) {
     phase = Phase.STOPPING;
-    evicted = byGuard;
-    detail = why;
+    evicted = byEviction;
+    detail = reason;
   }
 
   void ended(TaskReport.State newEnd, String newDetail) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTasks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTasks.java
@@ -17,15 +17,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The tasks' part of a side process: runs what accepted claims say on the VM's worker, renews
- * leases on evidence only, and reports until acknowledged.
+ * Task execution of a side process: runs claimed tasks on the VM's worker, renews their leases only
+ * while entries confirm the VM's registration, and resends reports until they are acknowledged.
  *
- * <p>Wiring: feed {@link #onMessage} with every TaskMessage that an entry sends, give a {@link
- * TaskChannel} to the entries, call {@link #start}. One thread does all the work, because calls to
- * the worker block; messages wait in a bounded queue, and what overflows it is sent again by its
- * sender.
+ * <p>The owner passes every TaskMessage of an entry to {@link #onMessage}, provides a {@link
+ * TaskChannel} to the entries and calls {@link #start}. One thread does all work, because calls to the
+ * worker block. Messages wait in a bounded queue; those that do not fit are dropped, and their senders
+ * resend them.
  *
- * <p>Keeps nothing that it cannot learn again: after a restart it asks the worker what runs.
+ * <p>Has no persistent state: after a restart it adopts the attempts that the worker lists.
  */
 public final class SideTasks implements AutoCloseable {
   private static final Logger LOGGER = System.getLogger(SideTasks.class.getName());
@@ -38,7 +38,10 @@
   private static final long MEASURE_MILLIS = 2_000;
   private static final long GUARD_MILLIS = 500;
 
-  /** A worker silent for so long is as good as dead: the VM stops asking and so gets revoked. */
+  /**
+   * Time without a response of the worker after which no confirmations are requested, so that entries
+   * revoke the VM.
+   */
   private static final long WORKER_SILENT_MILLIS = 10_000;
 
   private record Incoming(String peer, TaskMessage message) {}
@@ -61,13 +64,13 @@
   private Thread thread;
 
   /**
-   * Creates the tasks' part of a side process; nothing runs before {@link #start}.
+   * Creates a runner for a VM without a service; nothing runs before {@link #start}.
    *
-   * @param identity which side process this is
+   * @param identity the identity of this side process
    * @param worker the VM's worker
-   * @param channel the way to entries
-   * @param clock this process's clock
-   * @param recorder the time line
+   * @param channel sends messages to entries
+   * @param clock the monotonic clock of this process
+   * @param recorder receives events
    */
   public SideTasks(
       SideIdentity identity,
@@ -79,16 +82,15 @@
   }
 
   /**
-   * Creates the tasks' part of a side process whose VM also serves; nothing runs before {@link
-   * #start}.
+   * Creates a runner for a VM that also has a service; nothing runs before {@link #start}.
    *
-   * @param identity which side process this is
+   * @param identity the identity of this side process
    * @param worker the VM's worker
-   * @param channel the way to entries
-   * @param service the service that the guard protects
-   * @param clock this process's clock
-   * @param wallClock this VM's clock, for the tasks' deadlines only
-   * @param recorder the time line
+   * @param channel sends messages to entries
+   * @param service monitors the service that the guard protects
+   * @param clock the monotonic clock of this process
+   * @param wallClock the wall clock, used only for the deadlines of tasks
+   * @param recorder receives events
    */
   public SideTasks(
       SideIdentity identity,
@@ -113,25 +115,25 @@
     this.nextGuard = clock.nanos();
   }
 
-  /** Begins to work in a thread of its own. */
+  /** Starts the thread. */
   public void start() {
     thread = new Thread(this::run, "side-tasks");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Takes in a message of an entry. Never blocks. */
+  /** Queues a message of an entry. Does not block. */
   public void onMessage(String peer, TaskMessage message) {
-    // A full queue drops the message; entries repeat starts and stops, and vouch every second.
+    // A full queue drops the message. Entries resend starts, stops and confirmations.
     boolean unused = queue.offer(new Incoming(peer, message));
   }
 
-  /** Announces from now on that this VM takes no new tasks; running ones go on. */
+  /** Reports from now on that this VM takes no new tasks. Running tasks go on. */
   public void leave() {
     leaving = true;
   }
 
-  /** Stops the thread. What runs goes on under its lease, for the next side process to adopt. */
+  /** Stops the thread. Attempts run on until their leases expire or a new side process adopts them. */
   @Override
   public void close() {
     closed = true;
@@ -140,7 +142,7 @@
     }
   }
 
-  /** Handles what has arrived and what is due. Called by the thread; tests call it. */
+  /** Handles the queued messages and does all work that is due. Called by the thread and tests. */
   void step() {
     Incoming next = queue.poll();
     while (next != null) {
@@ -185,15 +187,15 @@
         Thread.currentThread().interrupt();
         return;
       } catch (RuntimeException e) {
-        // Ending the thread would let every lease on this VM run out.
+        // If the thread ended, every lease on this VM would expire.
         LOGGER.log(Level.ERROR, "event=side-tasks-step-failed", e);
       }
     }
   }
 
   /**
-   * Returns how long there is nothing to do unless a message comes: with no task on the VM, until
-   * the next timer. Leases are renewed on evidence, which comes as a message.
+   * Returns the time to wait for a message: the poll interval if there are attempts, else the time
+   * until the next timer. Leases need no timer, because confirmations arrive as messages.
    */
   private long idleNanos() {
     long poll = POLL_MILLIS * NANOS_PER_MILLI;
@@ -215,7 +217,7 @@
       case STOP -> stop(incoming.peer(), message.getStop());
       case REPORT_ACK -> attempts.onAck(message.getReportAck());
       default -> {
-        // Kinds that only side processes send, or that a newer version added.
+        // A kind that only side processes send, or one of a newer version.
       }
     }
   }
@@ -233,7 +235,7 @@
       return;
     }
     WorkerBoot boot = attempts.boot().get();
-    AskVouch ask =
+    AskVouch request =
         AskVouch.newBuilder()
             .setVm(identity.vm())
             .setBootIncarnation(boot.incarnation())
@@ -246,7 +248,7 @@
             .setAccelerators(boot.capacity().accelerators())
             .setLeaving(leaving)
             .build();
-    TaskMessage message = TaskMessage.newBuilder().setAskVouch(ask).build();
+    TaskMessage message = TaskMessage.newBuilder().setAskVouch(request).build();
     channel.peers().forEach(peer -> channel.send(peer, message));
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
@@ -23,11 +23,14 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * One entry's part in running claimed tasks: sends starts until the side process says that the task
- * runs, stops tasks of cancelled jobs, writes reports to the log and acknowledges them once folded.
+ * Starts and stops claimed tasks on behalf of an entry. Resends starts until the side process reports
+ * that the task runs, stops tasks of cancelled jobs, writes reports to the log and acknowledges them
+ * once they are folded.
  *
- * <p>It works from the table, not from memory of its own claims: an entry that dies between claim
- * and start leaves a claimed task that any other entry's next sweep starts.
+ * <p>It uses the task table and not the entry's own claims, so that any entry starts the tasks of an
+ * entry that died between claim and start.
+ *
+ * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
  */
 final class StartLoop {
   private static final long SWEEP_MILLIS = 2_000;
@@ -37,16 +40,17 @@
   private final VmWatch watch;
   private final ToDoubleFunction<JobSpec> noise;
 
-  /** Tokens that a side process said it runs, with that process's incarnation. */
+  /** Tokens of attempts that are reported as running, with the side process's incarnation. */
   private final Map<Long, Long> running = new HashMap<>();
 
   private final Set<String> reportsOnTheirWay = new HashSet<>();
   private long nextSweep;
 
   /**
-   * Creates a loop that has started nothing.
+   * Creates a loop.
    *
-   * @param noise how much longer a task of a job is expected to make a service take
+   * @param noise returns the expected relative increase of a service's latency beside a task of the
+   *     job
    */
   StartLoop(EntryContext context, VmWatch watch, ToDoubleFunction<JobSpec> noise) {
     this.noise = noise;
@@ -60,17 +64,17 @@
       return;
     }
     nextSweep = context.afterMillis(SWEEP_MILLIS);
-    Set<Long> inForce = new HashSet<>();
+    Set<Long> currentTokens = new HashSet<>();
     for (VmState vm : context.table().vms()) {
       for (TaskState task : context.table().tasksOn(vm.registration())) {
-        inForce.add(task.token());
+        currentTokens.add(task.token());
       }
       sweep(vm);
     }
-    running.keySet().retainAll(inForce);
+    running.keySet().retainAll(currentTokens);
   }
 
-  /** Sends what the VM's side process should know about the tasks claimed on it. */
+  /** Sends starts and stops for the tasks claimed on the VM, as far as they are due. */
   void sweep(VmState vm) {
     Optional<VmWatch.Contact> contact = watch.vouched(vm.vm());
     if (vm.revoked() || contact.isEmpty()) {
@@ -89,18 +93,19 @@
     }
   }
 
-  /** Starts a task whose claim was just read back as accepted. */
+  /** Starts a task whose claim has taken effect. */
   void claimed(TaskState task, JobSpec spec) {
     watch.vouched(task.vm()).ifPresent(contact -> sendStart(contact, task, spec));
   }
 
   void onReport(String peer, TaskReport report) {
     Optional<TaskState> task = context.table().task(report.getTask());
-    boolean inForce = task.isPresent() && task.get().holds(report.getToken());
-    if (!inForce) {
+    boolean isCurrent = task.isPresent() && task.get().holds(report.getToken());
+    if (!isCurrent) {
       if (report.getToken() <= context.table().applied()) {
-        // Its claim has been folded and is no longer in force, so the report has been too, or is
-        // late for good. A claim not read yet must not be acknowledged: the report would be lost.
+        // The claim has been folded and is no longer current, so the report has been folded too or
+        // no longer applies. A report whose claim has not been read yet must not be acknowledged,
+        // because the side process would drop it.
         acknowledge(peer, report);
       }
       return;
@@ -129,8 +134,8 @@
       }
     }
     String checkpoint = report.getCheckpoint();
-    boolean fresh = !checkpoint.isEmpty() && !checkpoint.equals(task.checkpoint());
-    if (fresh && reportsOnTheirWay.add(task.name())) {
+    boolean isNew = !checkpoint.isEmpty() && !checkpoint.equals(task.checkpoint());
+    if (isNew && reportsOnTheirWay.add(task.name())) {
       context.append(
           new TaskRecord.Checkpointed(task.name(), task.token(), checkpoint),
           result -> reportsOnTheirWay.remove(task.name()));
@@ -159,7 +164,7 @@
   private void folded(String peer, TaskReport report, Result<Long> result) {
     reportsOnTheirWay.remove(report.getTask());
     if (!result.isOk()) {
-      // The side process repeats the report; the log may be back by then.
+      // The side process resends the report, and the log may be available by then.
       return;
     }
     running.remove(report.getToken());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskChannel.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskChannel.java
@@ -4,21 +4,20 @@
 import java.util.List;
 
 /**
- * The way to the processes on the other side: side processes for an entry, entries for a side
- * process.
+ * Sends task messages to peers: from an entry to side processes, or from a side process to entries.
  *
- * <p>Messages may be lost, doubled, late and out of order. Implementations are safe for any thread
- * and do not block. Rejects nulls.
+ * <p>Messages may be lost, duplicated, delayed and reordered. Implementations are thread-safe, do not
+ * block and reject nulls.
  */
 public interface TaskChannel {
   /**
-   * Sends a message, as far as there is a connection.
+   * Sends a message if there is a connection to the peer.
    *
-   * @param peer the peer, by the name that {@link #peers()} and arriving messages give it
-   * @return whether it was handed to a connection
+   * @param peer the name of the peer, as in {@link #peers()} and in received messages
+   * @return whether the message was passed to a connection
    */
   boolean send(String peer, TaskMessage message);
 
-  /** Returns the peers that there is a connection to. */
+  /** Returns the names of the connected peers. */
   List<String> peers();
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
@@ -21,11 +21,13 @@
 import java.util.function.Supplier;
 
 /**
- * What operators may ask an entry about jobs and tasks; registered on the operators' server.
+ * Operator API of an entry for jobs and tasks.
  *
- * <p>{@code POST /jobs} is {@link #submit}, {@code DELETE /jobs/{name}} is {@link #cancel}, {@code
- * GET /jobs} is {@link #jobs}, {@code GET /jobs/{name}} is {@link #job}, {@code GET
- * /tasks/{job}/{index}} is {@link #task}. Safe for any thread; nothing blocks.
+ * <p>{@code POST /jobs} calls {@link #submit}, {@code DELETE /jobs/{name}} calls {@link #cancel},
+ * {@code GET /jobs} calls {@link #jobs}, {@code GET /jobs/{name}} calls {@link #job} and {@code GET
+ * /tasks/{job}/{index}} calls {@link #task}.
+ *
+ * <p>Thread-safe; no method blocks.
  */
 public final class TaskRoutes {
   private final TaskTable table;
@@ -38,12 +40,12 @@
   /**
    * Creates the routes.
    *
-   * @param table what the log says
-   * @param log the way to append
-   * @param entryTasks the tasks' part of this entry
-   * @param terms what the configuration in force says
-   * @param wallClock this VM's clock
-   * @param recorder the time line
+   * @param table the task table
+   * @param log appends to the stream of tasks
+   * @param entryTasks the task scheduler of this entry
+   * @param terms returns the policy of the configuration in force
+   * @param wallClock the wall clock
+   * @param recorder receives events
    */
   public TaskRoutes(
       TaskTable table,
@@ -61,15 +63,15 @@
   }
 
   /**
-   * Accepts a job; completes once it has been read back from the log.
+   * Accepts a job and completes once the record has been read back from the log.
    *
-   * <p>Submitting the same job again succeeds and changes nothing. Fails with {@code
-   * INVALID_CONTENT} for a broken file, {@code CONFLICT} where another job has the name, {@code
-   * NEVER_FITS} where no VM or quota could ever hold one of its tasks, {@code LOG_UNAVAILABLE} or
-   * {@code LOG_OUTCOME_UNKNOWN}; after each of these the same file may be submitted again.
+   * <p>Submitting the same job again succeeds and has no effect. Fails with {@code INVALID_CONTENT} for
+   * an invalid file, {@code CONFLICT} if a different job has the name, {@code NEVER_FITS} if a task
+   * exceeds every VM or the team's quota, {@code LOG_UNAVAILABLE} or {@code LOG_OUTCOME_UNKNOWN}. After
+   * any failure the same file may be submitted again.
    *
-   * @param fileName how the file is called in failures
-   * @param file the job file
+   * @param fileName the file's name for failure messages
+   * @param file the content of the job file
    */
   public CompletableFuture<Result<JobView>> submit(String fileName, byte[] file) {
     Result<JobSpec> read = JobFile.read(fileName, file).then(this::possible);
@@ -86,9 +88,11 @@
   }
 
   /**
-   * Cancels a job; completes once that has been read back from the log. Tasks that run are stopped
-   * after that. Fails with {@code NOT_FOUND} for an unknown job; cancelling one that has ended
-   * changes nothing.
+   * Cancels a job and completes once the record has been read back from the log. Running tasks are
+   * stopped after that.
+   *
+   * <p>Fails with {@code NOT_FOUND} for an unknown job. Cancelling a job that has ended or is already
+   * cancelled has no effect.
    */
   public CompletableFuture<Result<JobView>> cancel(String name, String reason) {
     Optional<JobState> job = table.job(name);
@@ -115,14 +119,14 @@
     return job.isPresent() ? Result.ok(view(job.get())) : unknownJob(name);
   }
 
-  /** Returns the jobs that have not ended, oldest first, then those that ended not long ago. */
+  /** Returns the jobs that have not ended, oldest first, followed by those that ended recently. */
   public Result<List<JobView>> jobs() {
     List<JobState> all = new ArrayList<>(table.jobs());
     all.addAll(table.endedJobs());
     return Result.ok(all.stream().map(this::view).toList());
   }
 
-  /** Returns the task with why it is where it is, or a failure of kind {@code NOT_FOUND}. */
+  /** Returns the task with the reason for its state, or a failure of kind {@code NOT_FOUND}. */
   public Result<TaskView> task(String name) {
     return table
         .task(name)
@@ -135,22 +139,22 @@
   }
 
   private Result<JobSpec> possible(JobSpec spec) {
-    Optional<String> never = Fleet.infeasibilityReason(table.vms(), spec.sizes());
-    if (never.isPresent()) {
-      return Result.failed(ErrorKind.NEVER_FITS, "job " + spec.name() + ": " + never.get());
+    Optional<String> infeasible = Fleet.infeasibilityReason(table.vms(), spec.sizes());
+    if (infeasible.isPresent()) {
+      return Result.failed(ErrorKind.NEVER_FITS, "job " + spec.name() + ": " + infeasible.get());
     }
     if (!spec.sizes().fitsIn(terms.get().quota(spec.team()).most())) {
       return Result.failed(
           ErrorKind.NEVER_FITS,
-          "job %s: a task needs more than the whole quota of team %s"
+          "job %s: a task exceeds the quota of team %s"
               .formatted(spec.name(), spec.team()));
     }
     return Result.ok(spec);
   }
 
   private Result<JobView> newlyAccepted(JobSpec spec, long position) {
-    boolean first = table.job(spec.name()).filter(job -> job.accepted() == position).isPresent();
-    if (first) {
+    boolean isNew = table.job(spec.name()).filter(job -> job.accepted() == position).isPresent();
+    if (isNew) {
       recorder.record(
           Event.of(EventKind.JOB_ACCEPTED)
               .withTask(spec.name())
@@ -160,7 +164,7 @@
     return accepted(spec);
   }
 
-  /** Returns the job if it is the one asked for; another of the same name is a conflict. */
+  /** Returns the job if it equals the submitted one; else fails with {@code CONFLICT}. */
   private Result<JobView> accepted(JobSpec spec) {
     Optional<JobState> job = table.job(spec.name());
     if (job.isEmpty()) {
@@ -168,7 +172,7 @@
     }
     if (!job.get().spec().equals(spec)) {
       return Result.failed(
-          ErrorKind.CONFLICT, "another job is called " + spec.name() + "; choose a new name");
+          ErrorKind.CONFLICT, "a different job already has the name " + spec.name() + "; choose a new name");
     }
     return Result.ok(view(job.get()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * What the configuration says about tasks.
+ * Configured policy for tasks.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param leases how long leases last
- * @param quotas what teams may take up, by name
- * @param guard what evictions weigh, and how many there may be
+ * @param leases the lengths of leases
+ * @param quotas the configured quotas by team name
+ * @param guard the weights and limits of evictions
  */
 public record TaskTerms(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
-  /** What holds where no configuration says otherwise. */
+  /** The policy of a configuration without task settings. */
   public static final TaskTerms DEFAULT =
       new TaskTerms(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
 
@@ -28,7 +28,7 @@
     requireNonNull(guard, "guard");
   }
 
-  /** Returns what the team may take up. */
+  /** Returns the team's quota, or {@link TeamQuota#DEFAULT} if none is configured. */
   public TeamQuota quota(String team) {
     return quotas.getOrDefault(team, TeamQuota.DEFAULT);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskView.java
@@ -7,19 +7,19 @@
 import java.util.Locale;
 
 /**
- * A task as operators see it, with why it is where it is; also its JSON form.
+ * State of a task for operators, with its reason. Its JSON form is part of the operator API.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name the task's name
  * @param state {@code waiting}, {@code claimed}, {@code done}, {@code cancelled} or {@code failed}
- * @param attempt the present attempt, or the next one while it waits
- * @param token the fencing token of the present attempt, or 0
- * @param vm the VM it is claimed for, or was last; empty if none
+ * @param attempt the current attempt, or the next one while the task waits
+ * @param token the fencing token of the current attempt, or 0
+ * @param vm the VM of the current claim, or else of the last one; empty if there was none
  * @param checkpoint the last checkpoint, or empty
- * @param evictions how often it was evicted
- * @param failedVms on which VMs an attempt failed by itself
- * @param why the reason in words
+ * @param evictions the number of evictions of the task
+ * @param failedVms VMs on which an attempt failed by itself
+ * @param why the reason for the state, as text
  */
 public record TaskView(
     String name,
@@ -38,7 +38,7 @@
     requireNonNull(why, "why");
   }
 
-  static TaskView of(TaskState task, String whyWaiting) {
+  static TaskView of(TaskState task, String waitingReason) {
     return new TaskView(
         task.name(),
         task.phase().name().toLowerCase(Locale.ROOT),
@@ -48,15 +48,15 @@
         task.checkpoint(),
         task.evictions(),
         task.failedVms(),
-        why(task, whyWaiting));
+        why(task, waitingReason));
   }
 
-  private static String why(TaskState task, String whyWaiting) {
-    String history = task.detail().isEmpty() ? "" : "; before: " + task.detail();
+  private static String why(TaskState task, String waitingReason) {
+    String history = task.detail().isEmpty() ? "" : "; last event: " + task.detail();
     return switch (task.phase()) {
       case WAITING -> {
-        String waits = whyWaiting.isEmpty() ? "waits for its turn" : "waits: " + whyWaiting;
-        yield waits + history;
+        String reason = waitingReason.isEmpty() ? "waiting in the queue" : "waiting: " + waitingReason;
+        yield reason + history;
       }
       case CLAIMED ->
           "claimed for " + task.vm() + " by the log record at " + task.token() + history;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
@@ -26,19 +26,38 @@
 import java.util.function.Consumer;
 
 /**
- * One entry's part in keeping VMs: lets them join, vouches for them by heartbeats read back,
- * revokes those that no entry hears, and clears them once their leases are surely over.
+ * Manages the registrations of VMs on behalf of an entry: writes their joins, confirms them by
+ * heartbeats read back from the log, revokes those that no entry reaches, and clears them once their
+ * leases must have expired.
+ *
+ * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
  */
 final class VmWatch {
   private static final long HEARTBEAT_MILLIS = 1_000;
+
+  /** Time for which a VM counts as reachable after a request of its side process. */
   private static final long HEARD_MILLIS = 3_000;
+
+  /** Time for which an entry counts as alive after a heartbeat was read. */
   private static final long ENTRY_ALIVE_MILLIS = 5_000;
+
   private static final long APPEND_AGAIN_MILLIS = 2_000;
 
-  /** Entries of higher rank wait longer before they revoke or clear, so that mostly one writes. */
+  /**
+   * Additional delay for each rank of an entry before it revokes or clears a VM, so that usually only
+   * the entry of the lowest rank writes the record.
+   */
   private static final long RANK_DELAY_MILLIS = 300;
 
-  /** Where a VM's side process is and what it last said. */
+  /**
+   * Last request of a VM's side process.
+   *
+   * @param peer the side process as the channel names it
+   * @param ask the request
+   * @param leaving whether the VM takes no new tasks
+   * @param heardUntil the time until which the VM counts as reachable
+   * @param silentAt the time from which the side process counts as unresponsive
+   */
   record Contact(
       String peer,
       ConfirmationLedger.Request ask,
@@ -60,9 +79,9 @@
   private long nextHeartbeat;
 
   /**
-   * Creates a watch that has heard nothing yet.
+   * Creates an instance that has received nothing yet.
    *
-   * @param onFirstVouch told the VM's name when its side process is vouched to for the first time
+   * @param onFirstVouch receives the VM's name when its side process is confirmed for the first time
    */
   VmWatch(EntryContext context, Consumer<String> onFirstVouch) {
     this.context = context;
@@ -71,26 +90,26 @@
   }
 
   void onAsk(String peer, AskVouch message) {
-    ConfirmationLedger.Request ask =
+    ConfirmationLedger.Request request =
         new ConfirmationLedger.Request(
             message.getVm(),
             message.getBootIncarnation(),
             message.getProcessIncarnation(),
             message.getAskedNanos());
-    ledger.recordRequest(ask);
+    ledger.recordRequest(request);
     long silence = context.terms().leases().silenceMillis();
     contacts.put(
-        ask.vm(),
+        request.vm(),
         new Contact(
             peer,
-            ask,
+            request,
             message.getLeaving(),
             context.afterMillis(HEARD_MILLIS),
             context.afterMillis(silence)));
-    Optional<VmState> vm = context.table().vm(ask.vm());
+    Optional<VmState> vm = context.table().vm(request.vm());
     boolean joined =
-        vm.isPresent() && vm.get().description().bootIncarnation() == ask.bootIncarnation();
-    if (!joined && mayAppend("join " + ask.vm() + " " + ask.bootIncarnation())) {
+        vm.isPresent() && vm.get().description().bootIncarnation() == request.bootIncarnation();
+    if (!joined && mayAppend("join " + request.vm() + " " + request.bootIncarnation())) {
       join(message);
     }
   }
@@ -108,7 +127,8 @@
   }
 
   /**
-   * Returns the contact of a VM that this entry hears and has vouched to since its process began.
+   * Returns the contact of a VM that is responsive and whose current side process this entry has
+   * confirmed.
    */
   Optional<Contact> vouched(String vm) {
     Contact contact = contacts.get(vm);
@@ -120,19 +140,19 @@
     return current ? Optional.of(contact) : Optional.empty();
   }
 
-  /** Returns whether a VM may be given new tasks: heard by this entry and not leaving. */
+  /** Returns whether a VM may get new tasks: reachable from this entry and not draining. */
   boolean usable(String vm) {
     Contact contact = contacts.get(vm);
     return contact != null && !contact.leaving() && !context.passed(contact.heardUntil());
   }
 
-  /** Returns the entries that have written a heartbeat lately, this one included, by name. */
+  /** Returns the sorted names of the entries with a recent heartbeat, and of this entry. */
   List<String> liveEntries() {
     TreeSet<String> live = new TreeSet<>();
     live.add(context.identity().name());
     entries.forEach(
-        (entry, seen) -> {
-          if (!context.passed(seen.aliveUntil())) {
+        (entry, activity) -> {
+          if (!context.passed(activity.aliveUntil())) {
             live.add(entry);
           }
         });
@@ -160,20 +180,20 @@
   }
 
   private void heartbeat() {
-    Set<String> hears = new HashSet<>();
+    Set<String> reachable = new HashSet<>();
     contacts.forEach(
         (vm, contact) -> {
           if (!context.passed(contact.heardUntil())) {
-            hears.add(vm);
+            reachable.add(vm);
           }
         });
-    Set<String> told = toldBefore();
-    List<String> gained = new ArrayList<>(hears);
-    gained.removeAll(told);
-    List<String> lost = new ArrayList<>(told);
-    lost.removeAll(hears);
+    Set<String> reported = toldBefore();
+    List<String> gained = new ArrayList<>(reachable);
+    gained.removeAll(reported);
+    List<String> lost = new ArrayList<>(reported);
+    lost.removeAll(reachable);
     EntryIdentity identity = context.identity();
-    // The asks that this heartbeat can bear out are those received before it leaves.
+    // This heartbeat can confirm only the requests received before it is sent.
     long number = ledger.recordHeartbeatSent();
     context.append(
         new TaskRecord.Heartbeat(identity.name(), identity.incarnation(), gained, lost),
@@ -182,8 +202,8 @@
 
   private Set<String> toldBefore() {
     for (EntryState entry : context.table().entries()) {
-      boolean same = entry.incarnation() == context.identity().incarnation();
-      if (same && entry.entry().equals(context.identity().name())) {
+      boolean sameIncarnation = entry.incarnation() == context.identity().incarnation();
+      if (sameIncarnation && entry.entry().equals(context.identity().name())) {
         return entry.heard();
       }
     }
@@ -194,37 +214,38 @@
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
     }
-    for (ConfirmationLedger.Request ask : ledger.confirmedBy(number)) {
-      Optional<VmState> vm = context.table().vm(ask.vm());
-      if (vm.isPresent() && vm.get().description().bootIncarnation() == ask.bootIncarnation()) {
-        vouch(ask, vm.get().registration(), ok.value());
+    for (ConfirmationLedger.Request request : ledger.confirmedBy(number)) {
+      Optional<VmState> vm = context.table().vm(request.vm());
+      if (vm.isPresent()
+          && vm.get().description().bootIncarnation() == request.bootIncarnation()) {
+        vouch(request, vm.get().registration(), ok.value());
       }
     }
   }
 
-  private void vouch(ConfirmationLedger.Request ask, long registration, long heartbeat) {
-    Contact contact = contacts.get(ask.vm());
+  private void vouch(ConfirmationLedger.Request request, long registration, long heartbeat) {
+    Contact contact = contacts.get(request.vm());
     if (contact == null) {
       return;
     }
-    Vouch vouch =
+    Vouch confirmation =
         Vouch.newBuilder()
             .setRegistration(registration)
-            .setAskedNanos(ask.requestedNanos())
-            .setProcessIncarnation(ask.processIncarnation())
+            .setAskedNanos(request.requestedNanos())
+            .setProcessIncarnation(request.processIncarnation())
             .setHeartbeat(heartbeat)
             .build();
-    context.channel().send(contact.peer(), TaskMessage.newBuilder().setVouch(vouch).build());
-    Long before = vouchedProcess.put(ask.vm(), ask.processIncarnation());
-    if (before == null || before != ask.processIncarnation()) {
-      onFirstVouch.accept(ask.vm());
+    context.channel().send(contact.peer(), TaskMessage.newBuilder().setVouch(confirmation).build());
+    Long before = vouchedProcess.put(request.vm(), request.processIncarnation());
+    if (before == null || before != request.processIncarnation()) {
+      onFirstVouch.accept(request.vm());
     }
   }
 
   private void noteEntries() {
     for (EntryState entry : context.table().entries()) {
-      Seen seen = entries.get(entry.entry());
-      if (seen == null || seen.heartbeat() != entry.lastHeartbeat()) {
+      Seen activity = entries.get(entry.entry());
+      if (activity == null || activity.heartbeat() != entry.lastHeartbeat()) {
         long aliveUntil = context.afterMillis(ENTRY_ALIVE_MILLIS);
         entries.put(entry.entry(), new Seen(entry.lastHeartbeat(), aliveUntil));
       }
@@ -232,21 +253,21 @@
   }
 
   /**
-   * Revokes VMs that no living entry hears. A VM that only this entry does not hear is cut off from
-   * this entry alone; its tasks go on, vouched for by the others.
+   * Revokes VMs that no live entry reaches. A VM that only this entry does not reach keeps its
+   * registration, because the other entries confirm it.
    */
   private void revokeSilent(List<VmState> vms) {
-    Set<String> heardByOthers = heardByOthers();
+    Set<String> reachableElsewhere = heardByOthers();
     long silence = context.terms().leases().silenceMillis() + rankDelayMillis();
     for (VmState vm : vms) {
       Contact contact = contacts.get(vm.vm());
-      boolean heard = contact != null && !context.passed(contact.heardUntil());
-      if (vm.revoked() || heard || heardByOthers.contains(vm.vm())) {
+      boolean reachable = contact != null && !context.passed(contact.heardUntil());
+      if (vm.revoked() || reachable || reachableElsewhere.contains(vm.vm())) {
         unheardSince.remove(vm.registration());
         continue;
       }
-      // Counted from when this entry first missed it, so that a starting entry revokes nothing
-      // before the VMs have had the time to be heard.
+      // Counted from the time at which this entry first found the VM unreachable, so that an entry
+      // that has just started gives the VMs time to connect.
       long revokeAt =
           unheardSince.computeIfAbsent(vm.registration(), unused -> context.afterMillis(silence));
       if (context.passed(revokeAt) && mayAppend("revoke " + vm.registration())) {
@@ -256,7 +277,7 @@
   }
 
   private void revoke(VmState vm) {
-    String reason = "no entry hears it";
+    String reason = "not reachable from any entry";
     context.append(
         new TaskRecord.VmRevoked(vm.vm(), vm.registration(), reason),
         result -> {
@@ -269,13 +290,13 @@
   private Set<String> heardByOthers() {
     Set<String> live = new HashSet<>(liveEntries());
     live.remove(context.identity().name());
-    Set<String> heard = new HashSet<>();
+    Set<String> reachable = new HashSet<>();
     for (EntryState entry : context.table().entries()) {
       if (live.contains(entry.entry())) {
-        heard.addAll(entry.heard());
+        reachable.addAll(entry.heard());
       }
     }
-    return heard;
+    return reachable;
   }
 
   private void clearRevoked(List<VmState> vms) {
@@ -283,24 +304,24 @@
       if (!vm.revoked()) {
         continue;
       }
-      // This entry has read the revocation by now, perhaps earlier; counting from now is the later,
-      // so the safe choice. An entry that starts counts anew.
+      // The wait starts when this entry first sees the revocation in its table, which is not before
+      // it was read. An entry that restarts waits for the full time again.
       long readNanos = revokedSince.computeIfAbsent(vm.registration(), unused -> context.nanos());
       clear(vm, readNanos);
     }
   }
 
   private void clear(VmState vm, long readNanos) {
-    long longestOver = 0;
+    long longestExpired = 0;
     long waitedMillis = (context.nanos() - readNanos) / 1_000_000 - rankDelayMillis();
     for (TaskState task : context.table().tasksOn(vm.registration())) {
       if (waitedMillis >= LeaseTerms.maxRemainingMillis(task.leaseMillis())) {
-        longestOver = Math.max(longestOver, task.leaseMillis());
+        longestExpired = Math.max(longestExpired, task.leaseMillis());
       }
     }
-    if (longestOver > 0 && mayAppend("clear " + vm.registration() + " " + longestOver)) {
+    if (longestExpired > 0 && mayAppend("clear " + vm.registration() + " " + longestExpired)) {
       context.append(
-          new TaskRecord.VmCleared(vm.vm(), vm.registration(), longestOver), result -> {});
+          new TaskRecord.VmCleared(vm.vm(), vm.registration(), longestExpired), result -> {});
     }
   }
 
@@ -309,7 +330,7 @@
     return rank * RANK_DELAY_MILLIS;
   }
 
-  /** Returns whether an append of that purpose was not tried a moment ago, and notes it. */
+  /** Returns whether no append of that purpose was made recently, and if so records this one. */
   private boolean mayAppend(String purpose) {
     Long notBefore = notAgainBefore.get(purpose);
     if (notBefore != null && !context.passed(notBefore)) {
@@ -333,14 +354,14 @@
         .entrySet()
         .removeIf(
             contact -> {
-              boolean gone =
+              boolean removed =
                   context.passed(contact.getValue().silentAt())
                       && !names.contains(contact.getKey());
-              if (gone) {
+              if (removed) {
                 ledger.remove(contact.getKey());
                 vouchedProcess.remove(contact.getKey());
               }
-              return gone;
+              return removed;
             });
     Set<String> known = new HashSet<>();
     context.table().entries().forEach(entry -> known.add(entry.entry()));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Tasks over processes: entries that claim and start, side processes that run and report.
+ * Distributed execution of tasks: entries claim and start them, side processes run and report them.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.task.EntryTasks} in an entry and {@link
- * io.marigoldsail.daemon.task.SideTasks} in a side process; both meet the other side through a
- * {@link io.marigoldsail.daemon.task.TaskChannel}.
+ * <p>An entry uses {@link io.marigoldsail.daemon.task.EntryTasks}, a side process {@link
+ * io.marigoldsail.daemon.task.SideTasks}. They communicate through a {@link
+ * io.marigoldsail.daemon.task.TaskChannel}.
  */
 package io.marigoldsail.daemon.task;
