--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/QueueOrderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/QueueOrderTest.java
@@ -30,22 +30,22 @@
         jobs, booked, team -> quotas.getOrDefault(team, TeamQuota.DEFAULT), FLEET, nowMillis);
   }
 
-  /** Gives room to so many tasks in turn and returns how many each job got. */
+  /** Allocates capacity to the given number of tasks and returns the number for each job. */
   private Map<String, Integer> serve(QueueOrder order, int tasks) {
-    Map<String, Integer> served = new HashMap<>();
+    Map<String, Integer> allocated = new HashMap<>();
     for (int i = 0; i < tasks; i++) {
       Optional<JobState> next = order.next();
       if (next.isEmpty()) {
         break;
       }
       String name = next.get().spec().name();
-      int count = served.merge(name, 1, Integer::sum);
+      int count = allocated.merge(name, 1, Integer::sum);
       order.took(next.get(), ONE, count < next.get().waiting());
     }
-    return served;
+    return allocated;
   }
 
-  /** One team submits a thousand tasks first; another's few get half of the room, not the rest. */
+  /** A team that has submitted a thousand tasks first gets no larger share than another team. */
   @Test
   void teamsShareWhateverTheirQueueLengths() {
     add("flood", "a", 1_000, false, 0);
@@ -72,7 +72,7 @@
     assertEquals(Map.of("urgent", 10, "usual", 2), serve(order(0), 12));
   }
 
-  /** A team calls all it has urgent, for ever; others wait for their turn, but not for ever. */
+  /** A team that marks all of its jobs urgent must not starve the others. */
   @Test
   void whatHasWaitedLongHasItsTurnEvenBeforeUrgentWork() {
     add("old", "b", 1, false, 0);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/StaleEntriesModel.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/StaleEntriesModel.java
@@ -14,8 +14,9 @@
 import java.util.Set;
 
 /**
- * Three entries on stale views of one log, and the VMs that run what the log accepted: every action
- * is a possible step of real processes, in any order. What must hold is checked at each of them.
+ * Random model of three entries with stale views of one log, and of the VMs that run the accepted
+ * claims. Each step is one that real processes may take at that point. The invariants are checked
+ * after every step.
  */
 final class StaleEntriesModel {
   private static final int ENTRIES = 3;
@@ -47,7 +48,7 @@
     accept();
   }
 
-  /** Takes the step that the number stands for. */
+  /** Takes the step selected by the number and checks the invariants. */
   void act(int choice) {
     switch (choice % 13) {
       case 0, 1, 2 -> claim(random.nextInt(ENTRIES));
@@ -63,7 +64,7 @@
     check();
   }
 
-  /** Lets everything settle with no further faults; every task must end. */
+  /** Runs without further faults until every task has ended. */
   void settle() {
     for (int round = 0; round < 400 && !truth.jobs().isEmpty(); round++) {
       for (int entry = 0; entry < ENTRIES; entry++) {
@@ -83,7 +84,7 @@
     assertTrue(running.isEmpty(), () -> "still running: " + running);
   }
 
-  /** All views at one position are one state, and a snapshot carries all of it. */
+  /** Checks that all views have the same state at one position, also when restored from a snapshot. */
   void checkDeterminism() {
     for (int entry = 0; entry < ENTRIES; entry++) {
       TaskTable restored = new TaskTable();
@@ -131,7 +132,7 @@
     }
   }
 
-  /** An entry claims what its own view lets it, which the log may know better. */
+  /** An entry writes a claim that is valid by its own view, but may be invalid at the log's end. */
   private void claim(int entry) {
     for (JobState job : views[entry].jobs()) {
       for (TaskState task : views[entry].waiting(job.spec().name(), 0, 4)) {
@@ -155,7 +156,7 @@
     }
   }
 
-  /** An entry wants a task to go for an urgent one, by its own view; it may be the wrong one. */
+  /** An entry writes a preemption by its own view; the task need not be urgent. */
   private void preempt(int entry) {
     for (JobState job : views[entry].jobs()) {
       for (TaskState task : views[entry].waiting(job.spec().name(), 0, 2)) {
@@ -164,7 +165,7 @@
         List<Preemption.Victim> victims =
             views[entry].tasksOn(vm.registration()).stream()
                 .limit(2)
-                .map(going -> new Preemption.Victim(going.name(), going.token()))
+                .map(victim -> new Preemption.Victim(victim.name(), victim.token()))
                 .toList();
         if (random.nextBoolean()) {
           append(
@@ -183,7 +184,7 @@
     }
   }
 
-  /** A side process is told to start what an entry has read back as accepted. */
+  /** An entry starts the claims that have taken effect in its own view. */
   private void start(int entry) {
     for (VmState vm : views[entry].vms()) {
       for (TaskState task : views[entry].tasksOn(vm.registration())) {
@@ -200,10 +201,10 @@
   private void startOnWorker(TaskState task) {
     Running other = running.get(task.name());
     assertNull(other, () -> task + " starts while it runs as " + other);
-    int resumes = task.checkpoint().isEmpty() ? 0 : Integer.parseInt(task.checkpoint());
-    assertEquals(lastCheckpoint.getOrDefault(task.name(), 0), resumes, () -> "resumes " + task);
+    int progress = task.checkpoint().isEmpty() ? 0 : Integer.parseInt(task.checkpoint());
+    assertEquals(lastCheckpoint.getOrDefault(task.name(), 0), progress, () -> "resumes " + task);
     running.put(
-        task.name(), new Running(task.vm(), task.registration(), task.token(), resumes + 1));
+        task.name(), new Running(task.vm(), task.registration(), task.token(), progress + 1));
   }
 
   private void evict() {
@@ -239,7 +240,7 @@
     return running.keySet().stream().sorted().findFirst();
   }
 
-  /** Reports reach the log late, and some of them twice, through two entries. */
+  /** Queues a report, which reaches the log late and perhaps twice, through two entries. */
   private void report(TaskRecord record) {
     unsent.add(record);
     if (random.nextInt(3) == 0) {
@@ -270,13 +271,13 @@
     }
   }
 
-  /** A VM dies silently, or is replaced by one that is half as large. */
+  /** Replaces a VM that died by one of the same capacity or a smaller one. */
   private void replaceVm(boolean smaller) {
-    List<VmState> present = truth.vms().stream().filter(vm -> !vm.revoked()).toList();
-    if (present.isEmpty()) {
+    List<VmState> active = truth.vms().stream().filter(vm -> !vm.revoked()).toList();
+    if (active.isEmpty()) {
       return;
     }
-    VmState vm = present.get(random.nextInt(present.size()));
+    VmState vm = active.get(random.nextInt(active.size()));
     append(new TaskRecord.VmRevoked(vm.vm(), vm.registration(), "silent"));
     join(vm.vm(), smaller ? new Sizes(3_100, 2_000, 0) : ROOM);
     clearRevoked();
@@ -285,7 +286,7 @@
   private void clearRevoked() {
     for (VmState vm : truth.vms()) {
       if (vm.revoked()) {
-        // Its leases run out before anybody may write that they are over.
+        // The leases expire before an entry may write the clear record.
         running.values().removeIf(attempt -> attempt.registration() == vm.registration());
         append(new TaskRecord.VmCleared(vm.vm(), vm.registration(), 1_000));
       }
@@ -293,13 +294,13 @@
     forgetLostWork();
   }
 
-  /** What ran on a lost VM resumes from the checkpoint that the log knows. */
+  /** Tasks of a lost VM resume from the last checkpoint in the log. */
   private void forgetLostWork() {
     for (JobState job : truth.jobs()) {
       for (TaskState task : truth.tasksOf(job.spec().name())) {
         if (task.phase() == TaskState.Phase.WAITING) {
-          int known = task.checkpoint().isEmpty() ? 0 : Integer.parseInt(task.checkpoint());
-          lastCheckpoint.put(task.name(), known);
+          int logged = task.checkpoint().isEmpty() ? 0 : Integer.parseInt(task.checkpoint());
+          lastCheckpoint.put(task.name(), logged);
         }
       }
     }
@@ -315,9 +316,9 @@
       }
     }
     for (VmState vm : truth.vms()) {
-      Sizes held = booked.getOrDefault(vm.registration(), Sizes.NONE);
-      assertEquals(held, vm.booked(), vm::toString);
-      assertTrue(held.fitsIn(vm.description().capacity()), vm::toString);
+      Sizes expected = booked.getOrDefault(vm.registration(), Sizes.NONE);
+      assertEquals(expected, vm.booked(), vm::toString);
+      assertTrue(expected.fitsIn(vm.description().capacity()), vm::toString);
     }
     truth.preemptions().forEach(this::checkKept);
     Map<Long, Sizes> run = new HashMap<>();
@@ -330,20 +331,20 @@
     }
   }
 
-  /** What is free and what victims still hold is always enough for the urgent task. */
+  /** Checks that free capacity and the victims' claims together suffice for the urgent task. */
   private void checkKept(Preemption preemption) {
     TaskState urgent = truth.task(preemption.task()).orElseThrow();
     assertEquals(TaskState.Phase.WAITING, urgent.phase(), preemption::toString);
-    Sizes room =
+    Sizes available =
         truth.vms().stream()
             .filter(vm -> vm.registration() == preemption.registration() && !vm.revoked())
             .findFirst()
             .orElseThrow()
             .free();
     for (Preemption.Victim victim : preemption.victims()) {
-      TaskState going = truth.task(victim.task()).orElse(urgent);
-      room = going.holds(victim.token()) ? room.plus(going.booked()) : room;
+      TaskState claimed = truth.task(victim.task()).orElse(urgent);
+      available = claimed.holds(victim.token()) ? available.plus(claimed.booked()) : available;
     }
-    assertTrue(preemption.sizes().fitsIn(room), preemption::toString);
+    assertTrue(preemption.sizes().fitsIn(available), preemption::toString);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskFoldTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskFoldTest.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * An entry is upgraded and reads a snapshot from before preemptions were known. Refusing it would
-   * leave the entry without tasks until the old records are read, which may have expired.
+   * An upgraded entry reads a snapshot of a version without preemptions. If it rejected the snapshot,
+   * it would depend on records that the log may no longer retain.
    */
   @Test
   void aSnapshotFromBeforePreemptionsIsTakenIn() {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
@@ -97,10 +97,10 @@
   }
 
   /**
-   * Three entries race on stale views while VMs die and are replaced by smaller ones, reports come
-   * late and doubled, and jobs are cancelled. At every step no VM holds more than it has, no task
-   * runs in two places, each attempt resumes once from the last checkpoint; in the end every task
-   * has ended and every reader has the same state.
+   * Three entries with stale views write claims and preemptions while VMs die and are replaced by
+   * smaller ones, reports arrive late and twice, and jobs are cancelled. At every step no VM is booked
+   * beyond its capacity, no task runs in two places, and each attempt resumes from the last
+   * checkpoint. In the end every task has ended and all readers have the same state.
    */
   @Property(tries = 400, seed = "4211")
   void holdsUnderAnyInterleaving(
@@ -112,7 +112,7 @@
     model.settle();
   }
 
-  /** Two entries claim the last room on one VM at once; the second claim in the log loses. */
+  /** Entries claim the last capacity of a VM at once. The later claims in the log have no effect. */
   @Test
   void theFirstClaimInTheLogWins() {
     long vm = join("vm-1", 1);
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Two entries see the same urgent task wait and each choose another victim. Were both folded in,
-   * two tasks would lose work for one; the first in the log has its way.
+   * Two entries see the same urgent task wait and choose different victims. If both preemptions took
+   * effect, two tasks would lose work for one; only the first in the log does.
    */
   @Test
   void onlyOnePreemptionForAnUrgentTaskIsAccepted() {
@@ -143,9 +143,9 @@
     preempt("now/1", vm, 1, second, 0);
     assertEquals(List.of(accepted), positions());
 
-    long inItsPlace = preempt("now/0", vm, 1, second, accepted);
+    long replacement = preempt("now/0", vm, 1, second, accepted);
     preempt("now/0", vm, 0, first, accepted);
-    assertEquals(List.of(inItsPlace), positions());
+    assertEquals(List.of(replacement), positions());
   }
 
   private List<Long> positions() {
@@ -153,8 +153,8 @@
   }
 
   /**
-   * A victim has left for an urgent task, and another entry's claim for batch work, made on a stale
-   * view, comes first. It would take the room that work was lost for; it loses.
+   * A victim was evicted for an urgent task, and another entry's claim for a batch task, made on a
+   * stale view, comes first in the log. It must not take the freed capacity.
    */
   @Test
   void freedRoomIsKeptForTheUrgentTask() {
@@ -176,8 +176,8 @@
   }
 
   /**
-   * The urgent task is cancelled, or its VM revoked, while victims leave. The room must not stay
-   * kept for ever.
+   * The urgent task is cancelled, or its VM is revoked, before all victims have stopped. The capacity
+   * must not stay reserved forever.
    */
   @Test
   void aPreemptionEndsWithItsTaskAndItsVm() {
@@ -201,8 +201,8 @@
   }
 
   /**
-   * Two entries claim for one team at once, each within its quota by its own view. Both were
-   * accepted, and the team held more than the configuration allows; now the second claim loses.
+   * Two entries claim tasks of one team at once, each within the quota by its own view. If both
+   * claims took effect, the team would exceed its quota; the second one must not.
    */
   @Test
   void racingClaimsDoNotExceedATeamsQuota() {
@@ -216,8 +216,8 @@
   }
 
   /**
-   * An evicted task runs again elsewhere when its release is written a second time, late. Folding
-   * the second one would free the task while it runs, and let a third attempt start beside it.
+   * The release of an evicted task is written again after its next attempt has started. Applying the
+   * duplicate would release the running attempt and let a third one start beside it.
    */
   @Test
   void aLateReleaseOfAnOlderAttemptChangesNothing() {
@@ -235,7 +235,7 @@
     assertEquals(1, task(0).evictions());
   }
 
-  /** A revoked VM may not join again under the same boot before its leases are surely over. */
+  /** A revoked boot may not join again before its leases must have expired. */
   @Test
   void aRevokedBootJoinsAgainOnlyAfterItIsCleared() {
     long vm = join("vm-1", 1);
@@ -252,8 +252,8 @@
   }
 
   /**
-   * A record of an old boot's joining comes late, or twice. Found by {@link
-   * #holdsUnderAnyInterleaving}: it displaced the new boot, whose tasks lost their leases.
+   * The join record of an old boot is written late or twice. It must not displace the new boot, whose
+   * tasks would lose their leases.
    */
   @Test
   void anOldBootDoesNotDisplaceANewOne() {
@@ -264,7 +264,7 @@
     assertEquals(vm, table.vm("vm-1").orElseThrow().registration());
   }
 
-  /** An entry that has not read a revocation yet claims on that VM; the log knows better. */
+  /** An entry that has not read a revocation yet writes a claim on that VM. */
   @Test
   void aClaimOnARevokedVmLoses() {
     long vm = join("vm-1", 1);
@@ -276,7 +276,7 @@
     assertEquals(TaskState.Phase.WAITING, task(1).phase());
   }
 
-  /** A claim for an attempt that is over, read late or twice, must not start the next one. */
+  /** A late or duplicate claim for an attempt that has ended must not start the next attempt. */
   @Test
   void aClaimForAnEarlierAttemptLoses() {
     long vm = join("vm-1", 1);
@@ -288,7 +288,7 @@
     assertEquals(TaskState.Phase.WAITING, task(0).phase());
   }
 
-  /** Leases that may still last are not cleared by the wait for shorter ones. */
+  /** A clear record for short leases must not release tasks whose longer leases may still last. */
   @Test
   void clearingShortLeasesLeavesLongOnes() {
     long vm = join("vm-1", 1);
@@ -300,7 +300,7 @@
     assertEquals(TaskState.Phase.CLAIMED, task(0).phase());
   }
 
-  /** A task that must not run twice ends, with the reason, when its VM is lost while it may run. */
+  /** A non-idempotent task ends as failed, with the reason, if its VM is lost while it may run. */
   @Test
   void aTaskThatIsNotIdempotentIsNotRunAgain() {
     long vm = join("vm-1", 1);
@@ -331,10 +331,11 @@
   }
 
   /**
-   * A VM is replaced twice while tasks of its first boot wait for their leases. An entry started
-   * from a snapshot had the first boot among the displaced twice, the others once: dropping the
-   * last registration forgot the older one that a restored table still knew. Such doubles push
-   * boots out of the bounded list early, and an old boot could displace a new one there.
+   * A VM is replaced twice while tasks of its first boot wait for their leases to expire. When the
+   * latest registration is removed, the older one must become the latest, as it does in a table
+   * restored from a snapshot. Otherwise the restored table lists the first boot as displaced twice.
+   * Duplicates evict boots from the bounded list early, and an old boot could then displace a new one
+   * in that table only.
    */
   @Test
   void aRestoredTableDisplacesTheSameBoots() {
@@ -362,7 +363,7 @@
     JobSpec other =
         new JobSpec(
             "other", "team", TaskClass.BATCH, 1, HALF, "run", 1, false, 0, true, 0, Spread.NONE);
-    TaskTableSnapshot broken =
+    TaskTableSnapshot inconsistent =
         new TaskTableSnapshot(
             9,
             List.of(new TaskTableSnapshot.Job(other, 1, 0, "", List.of(claimed))),
@@ -371,7 +372,7 @@
             Map.of(),
             List.of());
 
-    assertThrows(IllegalArgumentException.class, () -> table.restore(broken));
+    assertThrows(IllegalArgumentException.class, () -> table.restore(inconsistent));
     assertTrue(table.job("payout").isPresent());
     assertFalse(table.job("other").isPresent());
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/FakeTaskLog.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/FakeTaskLog.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The stream of tasks in memory, down or losing answers as it is told. */
+/** In-memory stream of tasks with simulated outages, lost responses and duplicate records. */
 final class FakeTaskLog {
   private static final long KEEP_NANOS = 10_000_000_000L;
 
@@ -33,7 +33,7 @@
     this.clock = clock;
   }
 
-  /** Returns what an entry without any lag would see. */
+  /** Returns the table of an entry without lag. */
   TaskTable truth() {
     return truth;
   }
@@ -51,7 +51,7 @@
     doubled = count;
   }
 
-  /** Lets the next appends take effect but fail. */
+  /** Lets the next appends take effect but fail with an unknown outcome. */
   void loseNextAnswers(int count) {
     lostAnswers = count;
   }
@@ -81,15 +81,15 @@
     return future;
   }
 
-  /** Takes in what was sent since, or gives up what has waited too long in an outage. */
+  /** Writes the pending appends, or fails those that have timed out in an outage. */
   void settle() {
-    List<Waiting> now = List.copyOf(waiting);
+    List<Waiting> pending = List.copyOf(waiting);
     waiting.clear();
-    for (Waiting append : now) {
+    for (Waiting append : pending) {
       if (!down) {
         accept(append);
       } else if (clock.nanos() > append.deadline()) {
-        append.future().complete(Result.failed(ErrorKind.LOG_UNAVAILABLE, "log is down"));
+        append.future().complete(Result.failed(ErrorKind.LOG_UNAVAILABLE, "log is unavailable"));
       } else {
         waiting.add(append);
       }
@@ -104,7 +104,7 @@
     }
     if (lostAnswers > 0) {
       lostAnswers--;
-      append.future().complete(Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "answer lost"));
+      append.future().complete(Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "response lost"));
       return;
     }
     append.entry().await(position, () -> append.future().complete(Result.ok(position)));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
@@ -26,7 +26,7 @@
     assertEquals(0, world.askedOverCapacity());
   }
 
-  /** Each attempt begins where the one before it had written its last checkpoint, or later. */
+  /** Asserts that each attempt resumes from the checkpoint of the attempt before it or a later one. */
   private static void assertNoWorkRedone(TaskWorld world) {
     Map<String, Long> resumed = new HashMap<>();
     List<WorkerRun> runs = world.runs();
@@ -50,8 +50,8 @@
   }
 
   /**
-   * A service is slow whatever is throttled. Tasks are evicted one after the other; each resumes
-   * once, on the other VM, from the checkpoint that its eviction wrote.
+   * A service stays slow although tasks are throttled. Tasks are evicted one after the other, and each
+   * resumes once from the checkpoint that its eviction wrote.
    */
   @Test
   void evictedTasksResumeOnceFromTheirCheckpoint() {
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Tasks that write no checkpoints by themselves are evicted. The eviction writes one, and the
-   * next attempt begins there, not from the start.
+   * Tasks that write no periodic checkpoints are evicted. The eviction writes a checkpoint, and the
+   * next attempt must resume from it.
    */
   @Test
   void anEvictionWritesTheCheckpointThatTheNextAttemptResumes() {
@@ -83,7 +83,7 @@
     assertSound(world);
   }
 
-  /** The answers to checkpoints and stops are lost while tasks are being evicted. */
+  /** Responses to checkpoints and stops are lost while tasks are evicted. */
   @Test
   void lostAnswersDuringAnEvictionLoseNoWork() {
     TaskWorld world = pressedWorld(2);
@@ -95,7 +95,7 @@
     assertNoWorkRedone(world);
   }
 
-  /** The side process that evicts is killed and started again, at any moment and several times. */
+  /** The side process is restarted several times, at arbitrary points of an eviction. */
   @Property(tries = 40, seed = "91")
   void anEvictionInterruptedAnywhereResumesOnce(
       @ForAll @IntRange(max = 1_000) int seed,
@@ -116,8 +116,8 @@
   }
 
   /**
-   * One of three workers fails everything it starts. It is set apart after a few tasks, and the job
-   * is done by the others.
+   * One of three workers fails every task. It is quarantined after a few failures, and the others
+   * complete the job.
    */
   @Test
   void aWorkerThatFailsEverythingIsSetApart() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a lease's length buys and costs; prints the rows of the table in the operators' page. */
+/**
+ * Measures the outages that tasks survive and the failover time for several lease lengths. Prints the
+ * rows of the table in the operators' documentation.
+ */
 class LeaseTermsTest {
   private static final Sizes ROOM = new Sizes(2_000, 100_000, 0);
   private static final long START_MILLIS = 10_000;
@@ -45,20 +48,20 @@
 
   private static long failoverMillis(long leaseMillis) {
     TaskWorld world = world(leaseMillis);
-    long diedMillis = world.clock().millis();
+    long disconnectedMillis = world.clock().millis();
     world.cut("vm-1");
     while (world.runs().size() == 2) {
       world.run(TaskWorld.STEP_MILLIS);
     }
     List<WorkerRun> runs = world.runs();
     assertEquals(List.of(), world.violations());
-    return runs.get(runs.size() - 1).startMillis() - diedMillis;
+    return runs.get(runs.size() - 1).startMillis() - disconnectedMillis;
   }
 
   /**
-   * The log is down ever longer, until a running task is stopped; and a VM dies silently. Tasks
-   * outlive at least four fifths of a lease, and run elsewhere not much later than a lease after
-   * their VM was missed.
+   * Finds the longest outage of the log that running tasks survive, and the failover time after a VM
+   * becomes unreachable. Tasks must survive an outage of four fifths of a lease less 2 s, and must run
+   * elsewhere at most 10 s after the VM was revoked and its leases have expired.
    */
   @ParameterizedTest
   @ValueSource(longs = {10_000, 20_000, 30_000, 60_000, 120_000, 300_000})
@@ -70,8 +73,8 @@
         leaseMillis / 1_000, survived / 1_000, failover / 1_000.0);
 
     assertTrue(survived < leaseMillis, () -> "survived " + survived);
-    long most =
+    long maxFailover =
         LeaseTerms.DEFAULT.silenceMillis() + LeaseTerms.maxRemainingMillis(leaseMillis) + 10_000;
-    assertTrue(failover > leaseMillis && failover <= most, () -> "failover " + failover);
+    assertTrue(failover > leaseMillis && failover <= maxFailover, () -> "failover " + failover);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTasksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTasksTest.java
@@ -49,20 +49,20 @@
   }
 
   private void run(long millis) {
-    for (long passed = 0; passed < millis; passed += 50) {
+    for (long elapsed = 0; elapsed < millis; elapsed += 50) {
       clock.advance(50 * MILLI);
       side.step();
     }
   }
 
   private void vouch(long registration, long process) {
-    Vouch vouch =
+    Vouch confirmation =
         Vouch.newBuilder()
             .setRegistration(registration)
             .setAskedNanos(clock.nanos())
             .setProcessIncarnation(process)
             .build();
-    side.onMessage("entry-1", TaskMessage.newBuilder().setVouch(vouch).build());
+    side.onMessage("entry-1", TaskMessage.newBuilder().setVouch(confirmation).build());
   }
 
   private StartTask.Builder start(long token) {
@@ -107,7 +107,7 @@
     assertEquals(List.of(TaskReport.State.RUNNING), reports(101));
   }
 
-  /** The third task does not fit, whatever its entry believed; the worker is not even asked. */
+  /** The third task exceeds the capacity. It is rejected without a request to the worker. */
   @Test
   void refusesWhatDoesNotFit() {
     ready();
@@ -121,8 +121,8 @@
   }
 
   /**
-   * The worker refuses a start and its confirmation that it will never run is lost. The refusal is
-   * reported all the same, once the worker has confirmed it.
+   * A start is rejected and the worker's response to the stop is lost. The rejection is reported once
+   * the worker has confirmed that it will not run the attempt.
    */
   @Test
   void aRefusalIsReportedThoughItsConfirmationWasLost() {
@@ -138,8 +138,8 @@
   }
 
   /**
-   * A new side process does not know yet what its worker runs from before. It counts that as taken
-   * room all the same, because it asks the worker before anything else.
+   * A new side process lists the worker's attempts before it handles any start, so that it counts
+   * their resources as occupied.
    */
   @Test
   void aNewSideProcessCountsWhatItsWorkerRuns() {
@@ -156,8 +156,8 @@
   }
 
   /**
-   * A start reaches the side process after it was restarted, sent by an entry that had not vouched
-   * to the new process: the old one may have released the task, which may run elsewhere by now.
+   * A restarted side process receives a start from an entry that has not confirmed the new process.
+   * The old process may have released the task, which may run elsewhere by now.
    */
   @Test
   void aStartForAnEarlierSideProcessIsDropped() {
@@ -179,7 +179,7 @@
     assertEquals(List.of(), worker.runs());
   }
 
-  /** Without evidence younger than the lease nothing starts: the VM may have been revoked. */
+  /** If the last confirmation is older than the lease, nothing starts: the VM may be revoked. */
   @Test
   void nothingStartsOnOldEvidence() {
     ready();
@@ -191,8 +191,9 @@
   }
 
   /**
-   * Entries vouch no more (they are cut off, or the log is down): leases are not renewed and the
-   * worker stops the task when its lease passes; the side process then says so until acknowledged.
+   * No confirmations arrive, because the entries are unreachable or the log is unavailable. Leases are
+   * not renewed, the worker stops the task when its lease expires, and the side process reports the
+   * release until it is acknowledged.
    */
   @Test
   void withoutVouchesTasksStopAtTheirLease() {
@@ -212,7 +213,7 @@
     assertEquals(List.of(), reports(101));
   }
 
-  /** A late copy of a start comes after its task has ended and was acknowledged. */
+  /** A duplicate start arrives after the end of its attempt was acknowledged. */
   @Test
   void anAcknowledgedTaskIsNotStartedAgain() {
     ready();
@@ -227,7 +228,7 @@
     assertEquals(1, worker.runs().size());
   }
 
-  /** A worker that answers nothing makes its VM stop asking, so that entries revoke it. */
+  /** While its worker is unresponsive, a VM requests no confirmations, so that entries revoke it. */
   @Test
   void aVmWithASilentWorkerAsksNoMore() {
     ready();
@@ -243,10 +244,10 @@
   void asksWithItsOwnClock() {
     run(1_100);
 
-    AskVouch ask =
+    AskVouch request =
         sent.messages.stream().filter(TaskMessage::hasAskVouch).findFirst().get().getAskVouch();
-    assertEquals("vm-1", ask.getVm());
-    assertEquals(2_000, ask.getMilliProcessors());
-    assertTrue(ask.getAskedNanos() <= clock.nanos());
+    assertEquals("vm-1", request.getVm());
+    assertEquals(2_000, request.getMilliProcessors());
+    assertTrue(request.getAskedNanos() <= clock.nanos());
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each failure of the list in issue 5, judged by the workers' own records. */
+/** Tests of tasks under failures of processes, network and log, judged by the workers' records. */
 class TaskFaultsTest {
   private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long LONG_MILLIS = 60_000;
@@ -21,15 +21,15 @@
     assertEquals(0, world.askedOverCapacity());
   }
 
-  private static void assertAllDone(TaskWorld world, String job, int count, long mostMillis) {
-    assertTrue(world.runUntilEnded(mostMillis), () -> "not ended: " + world.tasks(job));
+  private static void assertAllDone(TaskWorld world, String job, int count, long maxMillis) {
+    assertTrue(world.runUntilEnded(maxMillis), () -> "not ended: " + world.tasks(job));
     assertEquals(count, world.jobState(job).done());
     assertSound(world);
   }
 
   /**
-   * An operator submits a job and the entry that claimed its tasks dies before it could tell the
-   * VMs to start them. The tasks must not stay claimed for ever: another entry starts them.
+   * An entry claims tasks and dies before its starts reach the VMs. Another entry must start them;
+   * otherwise they stay claimed forever.
    */
   @Test
   void tasksStartThoughTheirEntryDiedBetweenClaimAndStart() {
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Every entry dies at once while tasks run, and new ones start with empty hands. Nothing may be
-   * forgotten and nothing started twice: all that matters stands in the log and in the workers.
+   * All entries die at once while tasks run, and a new entry starts without local state. No task may
+   * be lost or started twice, because the log and the workers hold all of the state.
    */
   @Test
   void nothingIsForgottenWhenEveryEntryDiesAtOnce() {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * The side process of a VM is killed and started again, as in an upgrade. Its tasks go on at the
-   * worker; the new process must adopt them, not run them anew, not let their leases lapse.
+   * The side process of a VM is killed and started again, as in an upgrade, while its tasks run at the
+   * worker. The new process must adopt them: neither start them again nor let their leases expire.
    */
   @Test
   void aNewSideProcessAdoptsWhatItsWorkerRuns() {
@@ -85,8 +85,8 @@
   }
 
   /**
-   * The side process of a VM dies and nobody starts it again. Its worker stops the tasks when their
-   * leases pass; only after that may they run elsewhere.
+   * The side process of a VM dies and is not restarted. Its worker stops the tasks when their leases
+   * expire; only after that may they run elsewhere.
    */
   @Test
   void tasksOfAVmWithoutSideProcessRunElsewhereAfterTheirLeases() {
@@ -100,9 +100,9 @@
   }
 
   /**
-   * A side process is frozen past its leases and woken: its tasks run elsewhere by then. It must
-   * neither renew nor start anything on what it knew before, though messages from before it froze
-   * still wait for it.
+   * A side process is paused until after its leases have expired; its tasks run elsewhere when it
+   * resumes. It must not renew or start anything by its old state, or by messages that were queued
+   * while it was paused.
    */
   @Test
   void aSideProcessThatWakesUpLateRunsNothingTwice() {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * A start that was stuck in a connection arrives after its VM was revoked, cleared and let in
-   * again. The task runs elsewhere by then; the old start names the old registration.
+   * A delayed start arrives after its VM was revoked, cleared and has joined again. The task runs
+   * elsewhere by then. The start names the old registration and must be ignored.
    */
   @Test
   void aStartFromBeforeARevocationIsNotObeyedAfterIt() {
@@ -133,8 +133,8 @@
   }
 
   /**
-   * A VM is cut off from every entry, both ways, while its side process and worker live on. Its
-   * leases lapse, its tasks run elsewhere, and when it is back it takes part again.
+   * A VM loses its connections to all entries while its side process and worker run on. Its leases
+   * expire, its tasks run elsewhere, and the VM joins again once it is reconnected.
    */
   @Test
   void aVmCutOffFromEverythingStopsBeforeOthersStart() {
@@ -150,8 +150,8 @@
   }
 
   /**
-   * One of three entries no longer hears a VM that the others hear. The VM must not be revoked for
-   * it: its tasks run on, each once.
+   * One of three entries no longer reaches a VM that the others reach. The VM must not be revoked, and
+   * its tasks must run on.
    */
   @Test
   void aVmThatOnlyOneEntryMissesIsNotRevoked() {
@@ -166,8 +166,8 @@
   }
 
   /**
-   * The log is down for less than a lease: running work goes on as if nothing had happened, and
-   * what waits starts afterwards.
+   * The log is unavailable for less than a lease. Running tasks must go on, and waiting ones start
+   * afterwards.
    */
   @Test
   void runningTasksOutliveAnOutageShorterThanTheirLease() {
@@ -183,9 +183,8 @@
   }
 
   /**
-   * The log is down for longer than the leases: tasks stop, and resume from their checkpoints once
-   * it is back. None runs twice at once, none is lost, and work before the checkpoint is not
-   * redone.
+   * The log is unavailable for longer than the leases. Tasks stop, and resume from their checkpoints
+   * once the log is back. No task may run in two places, get lost or start from the beginning.
    */
   @Test
   void tasksResumeFromCheckpointsAfterAnOutageLongerThanTheirLease() {
@@ -202,7 +201,7 @@
     assertTrue(second.stream().noneMatch(run -> run.checkpoint().isEmpty()));
   }
 
-  /** Records stand in the log twice; doubled claims, releases and ends count once. */
+  /** Each record is written to the log twice. Duplicate claims, releases and ends have no effect. */
   @Test
   void doubledRecordsCountOnce() {
     TaskWorld world = new TaskWorld(12, 3, 3, ROOM_FOR_FOUR);
@@ -213,7 +212,7 @@
     assertEquals(30, world.runs().size());
   }
 
-  /** The answers to appends are lost after they took effect; claims made so are started anyway. */
+  /** Appends take effect, but their responses are lost. The claims among them must be started. */
   @Test
   void claimsWhoseAnswerWasLostAreStarted() {
     TaskWorld world = new TaskWorld(13, 2, 3, ROOM_FOR_FOUR);
@@ -226,9 +225,9 @@
   }
 
   /**
-   * A VM is replaced by a smaller one under the same name and address, while the old one lives on
-   * unseen with its leases. The old one's tasks wait until those are over; the new one gets no more
-   * than it holds.
+   * A VM is replaced by a smaller one under the same name, while the old one runs on, unreachable but
+   * with valid leases. Tasks of the old VM wait until those have expired, and the new VM gets no more
+   * tasks than fit.
    */
   @Test
   void aSmallerVmUnderTheSameNameIsANewVm() {
@@ -241,7 +240,7 @@
     assertTrue(world.runs().size() > 4);
   }
 
-  /** The worker's answers to starts and stops are lost; nothing runs twice and all tasks end. */
+  /** The worker's responses to starts and stops are lost. No task runs twice, and all tasks end. */
   @Test
   void lostAnswersOfTheWorkerAreSettledByAskingIt() {
     TaskWorld world = new TaskWorld(15, 2, 2, ROOM_FOR_FOUR);
@@ -252,7 +251,7 @@
     assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
   }
 
-  /** A wave of cancellations reaches running tasks and those that wait; all end as cancelled. */
+  /** Cancelling a job ends its running and its waiting tasks as cancelled. */
   @Test
   void cancellationsReachRunningTasks() {
     TaskWorld world = new TaskWorld(16, 2, 2, ROOM_FOR_FOUR);
@@ -266,7 +265,7 @@
     assertSound(world);
   }
 
-  /** Three entries decide on views that lag by half a second; bookings never exceed a VM. */
+  /** Entries decide on views that lag by up to 0.8 s. Claims must never exceed a VM's capacity. */
   @Test
   void entriesWithStaleViewsNeverOverbook() {
     TaskWorld world = new TaskWorld(17, 3, 3, ROOM_FOR_FOUR);
@@ -278,8 +277,8 @@
   }
 
   /**
-   * A task ends before an entry that lags has read its claim. That entry must not acknowledge the
-   * report: the side process would forget the end, and the task would stay claimed for ever.
+   * A task ends before a lagging entry has read its claim. That entry must not acknowledge the report;
+   * otherwise the side process drops it, and the task stays claimed forever.
    */
   @Test
   void anEntryThatLagsAcknowledgesNothingItHasNotRead() {
@@ -292,8 +291,8 @@
   }
 
   /**
-   * One of two entries lives and is cut off from every VM. The tasks that are its to claim are
-   * claimed by the other one after a while.
+   * One of two entries is alive but reaches no VM. The other entry must take over the tasks that the
+   * hash assigns to the first one.
    */
   @Test
   void anEntryWithoutVmsHoldsUpNothing() {
@@ -309,7 +308,7 @@
     assertAllDone(world, "payout", 12, LONG_MILLIS);
   }
 
-  /** A task that fails on every VM ends as failed with the reason; it does not go on for ever. */
+  /** A task that fails on every VM ends as failed with the reason, and is not retried forever. */
   @Test
   void aTaskThatFailsEverywhereEndsWithItsReason() {
     TaskWorld world = new TaskWorld(18, 2, 4, ROOM_FOR_FOUR);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
@@ -31,8 +31,8 @@
 import java.util.function.Supplier;
 
 /**
- * Entries, side processes, fake workers, a fake log and a fake network on one virtual clock; every
- * part but those fakes is the real one.
+ * Test cluster of real entries and side processes on a virtual clock, with simulated workers, services,
+ * log and network.
  */
 final class TaskWorld {
   static final long STEP_MILLIS = 50;
@@ -42,7 +42,7 @@
 
   private record Letter(long dueNanos, String from, String to, TaskMessage message) {}
 
-  /** A VM with its worker, and the side process that is on it now. */
+  /** A VM with its worker and its current side process. */
   final class Vm {
     private final String name;
     private FakeWorker worker;
@@ -61,7 +61,7 @@
       return worker;
     }
 
-    /** Starts a side process, in place of the one before. */
+    /** Starts a side process in place of the current one. */
     void startSide() {
       processes++;
       frozen = false;
@@ -79,7 +79,7 @@
               EventRecorder.none());
     }
 
-    /** Slows the VM's service to so many times its goal. */
+    /** Sets the tail latency of the VM's service, as a multiple of its target. */
     void pressure(double newPressure) {
       pressure = newPressure;
     }
@@ -88,12 +88,12 @@
       side = null;
     }
 
-    /** Freezes or wakes the side process; what reaches it meanwhile waits for it. */
-    void freezeSide(boolean nowFrozen) {
-      frozen = nowFrozen;
+    /** Pauses or resumes the side process. Messages to a paused one are delivered afterwards. */
+    void freezeSide(boolean nowPaused) {
+      frozen = nowPaused;
     }
 
-    /** Puts another machine under this VM's name; the old one lives on, unreachable. */
+    /** Replaces the VM by a new one of the same name; the worker of the old one runs on, unreachable. */
     void replace(Sizes capacity) {
       worker = new FakeWorker(name + "-new", capacity, clock);
       worker.reboot();
@@ -102,7 +102,7 @@
     }
   }
 
-  /** A service whose tail latency is what a test says. */
+  /** A service whose tail latency the test sets. */
   private record PressedService(Vm vm) implements ServiceWatch {
     @Override
     public Optional<ServiceReading> reading(long nowNanos) {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** An entry with its own view of the log. */
+  /** An entry with its own task table, which may lag behind the log. */
   final class Entry {
     private final TaskTable table = new TaskTable();
     private final Map<Long, List<Runnable>> onApplied = new TreeMap<>();
@@ -146,8 +146,8 @@
       lagMillis = millis;
     }
 
-    void await(long position, Runnable step) {
-      onApplied.computeIfAbsent(position, unused -> new ArrayList<>()).add(step);
+    void await(long position, Runnable action) {
+      onApplied.computeIfAbsent(position, unused -> new ArrayList<>()).add(action);
     }
 
     private void follow() {
@@ -158,9 +158,9 @@
         long position = applied;
         table.apply(position, log.record(applied));
         applied++;
-        List<Runnable> steps = onApplied.remove(position);
-        if (steps != null) {
-          steps.forEach(Runnable::run);
+        List<Runnable> actions = onApplied.remove(position);
+        if (actions != null) {
+          actions.forEach(Runnable::run);
         }
       }
     }
@@ -247,13 +247,13 @@
     entries.remove(name);
   }
 
-  /** Loses every message from or to a process, or those of one direction: {@code from>to}. */
-  void cut(String what) {
-    cut.add(what);
+  /** Drops all messages from and to a process, or those of one direction: {@code from>to}. */
+  void cut(String link) {
+    cut.add(link);
   }
 
-  void mend(String what) {
-    cut.remove(what);
+  void mend(String link) {
+    cut.remove(link);
   }
 
   void submit(JobSpec job) {
@@ -291,9 +291,9 @@
     }
   }
 
-  /** Runs until every job has ended, at most so long; returns whether they did. */
-  boolean runUntilEnded(long mostMillis) {
-    long until = clock.nanos() + mostMillis * NANOS_PER_MILLI;
+  /** Runs until all jobs have ended or the time is up, and returns whether they have ended. */
+  boolean runUntilEnded(long maxMillis) {
+    long until = clock.nanos() + maxMillis * NANOS_PER_MILLI;
     while (clock.nanos() < until && !ended()) {
       step();
     }
@@ -308,7 +308,7 @@
     return log.truth().tasksOf(job);
   }
 
-  /** Returns all runs of the workers' own records, by start. */
+  /** Returns all runs in the workers' records, ordered by start. */
   List<WorkerRun> runs() {
     List<WorkerRun> runs = new ArrayList<>();
     workers.forEach(worker -> runs.addAll(worker.runs()));
@@ -316,7 +316,7 @@
     return runs;
   }
 
-  /** Returns what the workers' records show against "every task runs in exactly one place". */
+  /** Returns the cases in the workers' records where a task ran in two places at once. */
   List<String> violations() {
     return TaskHistory.violations(runs(), clock.millis());
   }
@@ -346,22 +346,22 @@
 
   private void deliver() {
     List<Letter> due = new ArrayList<>();
-    for (Letter letter : letters) {
-      Vm vm = vms.get(letter.to());
-      boolean waits = vm != null && vm.frozen;
-      if (letter.dueNanos() <= clock.nanos() && !waits) {
-        due.add(letter);
+    for (Letter message : letters) {
+      Vm vm = vms.get(message.to());
+      boolean isPaused = vm != null && vm.frozen;
+      if (message.dueNanos() <= clock.nanos() && !isPaused) {
+        due.add(message);
       }
     }
     letters.removeAll(due);
     due.sort(Comparator.comparingLong(Letter::dueNanos));
-    for (Letter letter : due) {
-      Vm vm = vms.get(letter.to());
-      Entry entry = entries.get(letter.to());
+    for (Letter message : due) {
+      Vm vm = vms.get(message.to());
+      Entry entry = entries.get(message.to());
       if (vm != null && vm.side != null) {
-        vm.side.onMessage(letter.from(), letter.message());
+        vm.side.onMessage(message.from(), message.message());
       } else if (entry != null) {
-        entry.tasks.onMessage(letter.from(), letter.message());
+        entry.tasks.onMessage(message.from(), message.message());
       }
     }
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Urgent work comes into a fleet that batch work fills for a minute. */
+/** Tests of urgent tasks in a fleet that batch tasks fill for a minute. */
 class UrgentWorkTest {
   private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long URGENT_START_MILLIS = 2_900;
@@ -48,7 +48,7 @@
     return world.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
   }
 
-  /** All is done in the end; one task went for the urgent one and resumed where it had been. */
+  /** Asserts that all tasks complete, and that one was evicted and resumed from its checkpoint. */
   private static void assertOneWentAndResumed(TaskWorld world) {
     assertTrue(world.runUntilEnded(400_000), () -> "not ended: " + world.tasks("payout"));
     assertEquals(8, world.jobState("payout").done());
@@ -62,8 +62,8 @@
   }
 
   /**
-   * An operator submits an urgent job while batch work fills every VM. It waited until something
-   * ended; now one task of the batch work goes for it.
+   * An urgent job is submitted while batch tasks fill every VM. One batch task must be evicted for it;
+   * otherwise it waits until a batch task ends.
    */
   @Test
   void urgentWorkStartsInAFullFleet() {
@@ -76,8 +76,8 @@
   }
 
   /**
-   * The entry that wrote who goes dies before it could have them stopped. The next entry carries it
-   * on from the log and evicts nobody else.
+   * The entry that wrote a preemption dies before its stops reach the victim. The next entry must
+   * carry out the preemption in the log and evict no further task.
    */
   @Test
   void aPreemptionOutlivesTheEntryThatWroteIt() {
@@ -97,8 +97,8 @@
   }
 
   /**
-   * The entry dies after the victim has left, before it claims the room. Waiting batch work must
-   * not take it; the next entry claims it for the urgent task.
+   * The entry dies after the victim was evicted and before it claims the freed capacity. Waiting batch
+   * tasks must not take it; the next entry claims it for the urgent task.
    */
   @Test
   void freedRoomWaitsForTheUrgentTask() {
@@ -119,7 +119,7 @@
     assertEquals(0, world.runs().stream().filter(r -> r.task().startsWith("more")).count());
   }
 
-  /** The answers to the log's appends, to checkpoints and to stops are lost meanwhile. */
+  /** Responses to appends, checkpoints and stops are lost during a preemption. */
   @Test
   void lostAnswersEvictNobodyElse() {
     TaskWorld world = fullWorld(4, 2);
