--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/DisplacedBoots.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/DisplacedBoots.java
@@ -9,10 +9,10 @@
 /**
  * Boots of VMs that a later boot under the same name has displaced; they may not join again.
  *
- * <p>Without this check, a late or duplicate join record of an old boot, or an old machine that still
- * runs under a name given to a new one, would revoke the new boot. The tasks of the new boot would
- * lose their leases, and the two boots could displace each other repeatedly. A worker never returns
- * to an earlier boot, so a displaced boot is rejected for good.
+ * <p>Without this check, a late or duplicate join record of an old boot, or an old machine that
+ * still runs under a name given to a new one, would revoke the new boot. The tasks of the new boot
+ * would lose their leases, and the two boots could displace each other repeatedly. A worker never
+ * returns to an earlier boot, so a displaced boot is rejected for good.
  *
  * <p>Bounded: the oldest boots of a VM, and the VMs displaced first, are evicted. Not thread-safe.
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/QueueOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobQueue.java
@@ -17,38 +17,38 @@
  * fairness.
  *
  * <p>The job with the lowest rank is first. The rank is the dominant share of the job's team (its
- * largest share of any one resource, divided by its weight), minus a bonus for urgent jobs, minus the
- * time that the job has waited in units of {@value #AGING_MILLIS} ms. Jobs of equal rank are ordered
- * by deadline, then by acceptance.
+ * largest share of any one resource, divided by its weight), minus a bonus for urgent jobs, minus
+ * the time that the job has waited in units of {@value #AGING_MILLIS} ms. Jobs of equal rank are
+ * ordered by deadline, then by acceptance.
  *
- * <p>First come, first served would let a team with thousands of waiting tasks hold a full fleet for
- * hours. The waiting time prevents starvation: a job that has waited {@value #AGING_MILLIS} ms goes
- * before a new job of a team that holds nothing.
+ * <p>First come, first served would let a team with thousands of waiting tasks hold a full fleet
+ * for hours. The waiting time prevents starvation: a job that has waited {@value #AGING_MILLIS} ms
+ * goes before a new job of a team that holds nothing.
  *
  * <p>Building the queue takes O(n log n), each pick O(log n). Not thread-safe.
  */
-public final class QueueOrder {
+public final class JobQueue {
   /**
-   * Waiting time that lowers a job's rank by the share of one whole fleet, in milliseconds. One hour
-   * is about ten times the fair waiting time of 400 teams with tasks of a few minutes.
+   * Waiting time that lowers a job's rank by the share of one whole fleet, in milliseconds. One
+   * hour is about ten times the fair waiting time of 400 teams with tasks of a few minutes.
    */
   public static final long AGING_MILLIS = 3_600_000;
 
   /**
    * Reduction of an urgent job's rank, in shares of one whole fleet. Bounded, because a team that
-   * marks all of its jobs urgent would otherwise starve the others. With 2, other jobs go first after
-   * waiting two hours.
+   * marks all of its jobs urgent would otherwise starve the others. With 2, other jobs go first
+   * after waiting two hours.
    */
-  private static final double URGENT_HEAD_START = 2;
+  private static final double URGENT_RANK_BONUS = 2;
 
   private final Function<String, TeamQuota> quotas;
   private final Sizes capacity;
   private final long nowMillis;
   private final Map<String, Sizes> booked;
   private final Set<String> overQuota = new HashSet<>();
-  private final PriorityQueue<Ranked> queue;
+  private final PriorityQueue<RankedJob> queue;
 
-  private record Ranked(JobState job, double rank) {}
+  private record RankedJob(JobState job, double rank) {}
 
   /**
    * Creates the queue of one round.
@@ -60,7 +60,7 @@
    * @param capacity the total capacity of the fleet
    * @param nowMillis the current time, in milliseconds since the Unix epoch
    */
-  public QueueOrder(
+  public JobQueue(
       List<JobState> jobs,
       Map<String, Sizes> bookedByTeam,
       Function<String, TeamQuota> quotas,
@@ -70,31 +70,29 @@
     this.quotas = requireNonNull(quotas, "quotas");
     this.capacity = requireNonNull(capacity, "capacity");
     this.nowMillis = nowMillis;
-    Comparator<Ranked> byRank = Comparator.comparingDouble(Ranked::rank);
+    Comparator<RankedJob> byRank = Comparator.comparingDouble(RankedJob::rank);
     this.queue =
         new PriorityQueue<>(
             byRank
-                .thenComparingLong(ranked -> dueMillis(ranked.job()))
+                .thenComparingLong(ranked -> deadlineMillis(ranked.job()))
                 .thenComparingLong(ranked -> ranked.job().accepted()));
     for (JobState job : jobs) {
       if (job.waiting() > 0) {
-        queue.add(new Ranked(job, rank(job)));
+        queue.add(new RankedJob(job, rank(job)));
       }
     }
   }
 
-  /**
-   * Removes and returns the job of the lowest rank; empty if none is left.
-   */
+  /** Removes and returns the job of the lowest rank; empty if none is left. */
   public Optional<JobState> next() {
-    Ranked head = queue.poll();
+    RankedJob head = queue.poll();
     while (head != null) {
       double rank = rank(head.job());
       if (rank <= head.rank()) {
         return Optional.of(head.job());
       }
       // Its team has been allocated capacity since the job was ranked.
-      queue.add(new Ranked(head.job(), rank));
+      queue.add(new RankedJob(head.job(), rank));
       head = queue.poll();
     }
     return Optional.empty();
@@ -103,7 +101,7 @@
   /** Returns whether the team stays within its limit with the sizes; if not, records the team. */
   public boolean withinQuota(String team, Sizes sizes) {
     Sizes after = booked.getOrDefault(team, Sizes.NONE).plus(sizes);
-    boolean within = after.fitsIn(quotas.apply(team).most());
+    boolean within = after.fitsIn(quotas.apply(team).limit());
     if (!within) {
       overQuota.add(team);
     }
@@ -116,10 +114,10 @@
   }
 
   /** Records an allocation to a task of the job, and requeues the job if it has more tasks. */
-  public void took(JobState job, Sizes sizes, boolean more) {
+  public void recordAllocation(JobState job, Sizes sizes, boolean more) {
     booked.merge(job.spec().team(), sizes, Sizes::plus);
     if (more) {
-      queue.add(new Ranked(job, rank(job)));
+      queue.add(new RankedJob(job, rank(job)));
     }
   }
 
@@ -127,22 +125,22 @@
     String team = job.spec().team();
     double share = dominantShare(booked.getOrDefault(team, Sizes.NONE));
     double waited = (double) Math.max(0, nowMillis - job.acceptedMillis()) / AGING_MILLIS;
-    double urgentBonus = job.spec().urgent() ? URGENT_HEAD_START : 0;
-    return share / quotas.apply(team).share() - waited - urgentBonus;
+    double urgentBonus = job.spec().urgent() ? URGENT_RANK_BONUS : 0;
+    return share / quotas.apply(team).weight() - waited - urgentBonus;
   }
 
   private double dominantShare(Sizes sizes) {
-    double processors = part(sizes.milliProcessors(), capacity.milliProcessors());
-    double memory = part(sizes.memoryBytes(), capacity.memoryBytes());
-    double accelerators = part(sizes.accelerators(), capacity.accelerators());
+    double processors = fraction(sizes.milliProcessors(), capacity.milliProcessors());
+    double memory = fraction(sizes.memoryBytes(), capacity.memoryBytes());
+    double accelerators = fraction(sizes.accelerators(), capacity.accelerators());
     return Math.max(processors, Math.max(memory, accelerators));
   }
 
-  private static double part(long used, long total) {
+  private static double fraction(long used, long total) {
     return total == 0 ? 0 : (double) used / total;
   }
 
-  private static long dueMillis(JobState job) {
+  private static long deadlineMillis(JobState job) {
     long finishBy = job.spec().finishByMillis();
     return finishBy == 0 ? Long.MAX_VALUE : finishBy;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
@@ -20,16 +20,17 @@
   }
 
   /**
-   * Adds a preemption unless another one is pending for the task or on the VM, and returns whether it
-   * was added. The caller has checked that the task waits and that the victims free enough capacity.
+   * Adds a preemption unless another one is pending for the task or on the VM, and returns whether
+   * it was added. The caller has checked that the task waits and that the victims free enough
+   * capacity.
    *
-   * <p>Several entries may choose victims for the same urgent task at once. If more than one of their
-   * preemptions took effect, the further victims would lose work for nothing.
+   * <p>Several entries may choose victims for the same urgent task at once. If more than one of
+   * their preemptions took effect, the further victims would lose work for nothing.
    */
   boolean accept(long position, TaskRecord.Preempted preempted) {
     Preemption previous = byTask.get(preempted.task());
     boolean outdated = (previous == null ? 0 : previous.position()) != preempted.replaces();
-    if (outdated || heldForAnother(preempted.registration(), preempted.task())) {
+    if (outdated || isReservedForOther(preempted.registration(), preempted.task())) {
       return false;
     }
     put(
@@ -44,13 +45,13 @@
   }
 
   /** Returns the resources on the registration that are reserved for a task other than this one. */
-  Sizes keptFrom(String task, long registration) {
-    return heldForAnother(registration, task)
+  Sizes reservedForOthers(String task, long registration) {
+    return isReservedForOther(registration, task)
         ? byRegistration.get(registration).sizes()
         : Sizes.NONE;
   }
 
-  private boolean heldForAnother(long registration, String task) {
+  private boolean isReservedForOther(long registration, String task) {
     Preemption preemption = byRegistration.get(registration);
     return preemption != null && !preemption.task().equals(task);
   }
@@ -70,7 +71,7 @@
   }
 
   /** Removes the preemption on a registration, if there is one. */
-  void endOn(long registration) {
+  void endOnRegistration(long registration) {
     Preemption removed = byRegistration.get(registration);
     if (removed != null) {
       end(removed.task());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
@@ -10,7 +10,7 @@
    * <p>Job names are no suitable key, because recurring jobs use a new name each time while their
    * program stays the same.
    */
-  public static String of(String team, String command) {
+  public static String nameOf(String team, String command) {
     int space = command.indexOf(' ');
     return team + "/" + (space < 0 ? command : command.substring(0, space));
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskFold.java
@@ -29,11 +29,11 @@
   }
 
   /**
-   * Returns a position in the log as one number that increases along the log. The position of a claim
-   * is the fencing token of its attempt.
+   * Returns a position in the log as one number that increases along the log. The position of a
+   * claim is the fencing token of its attempt.
    *
-   * @throws IllegalArgumentException if the index within the platform record needs more than 16 bits;
-   *     no process writes that many entries into one record
+   * @throws IllegalArgumentException if the index within the platform record needs more than 16
+   *     bits; no process writes that many entries into one record
    */
   public static long position(Position position) {
     checkArgument(position.index() < 1 << INDEX_BITS, "index is too large: %s", position.index());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
@@ -87,7 +87,7 @@
         Sizes sizes,
         long leaseMillis,
         String entry) {
-      this(task, attempt, vm, registration, sizes, leaseMillis, entry, TeamQuota.DEFAULT.most());
+      this(task, attempt, vm, registration, sizes, leaseMillis, entry, TeamQuota.DEFAULT.limit());
     }
 
     /** Checks the components. */
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Preempts attempts on a VM to free capacity for a waiting urgent task. The first valid preemption
-   * in the log takes effect; later ones have none.
+   * Preempts attempts on a VM to free capacity for a waiting urgent task. The first valid
+   * preemption in the log takes effect; later ones have none.
    *
    * @param task the urgent task
    * @param attempt the attempt that the task waits for
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Shows that an entry is alive, and names the VMs that became reachable or unreachable for it since
-   * its last heartbeat.
+   * Shows that an entry is alive, and names the VMs that became reachable or unreachable for it
+   * since its last heartbeat.
    *
    * @param entry the entry's name
    * @param incarnation identifies the start of the entry's process; the first heartbeat of a new
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
@@ -15,8 +15,8 @@
 /**
  * Converts task records from and to the JSON that the log stores.
  *
- * <p>Unknown fields, such as those of a newer version, are ignored; a missing or ill-typed field is a
- * failure of kind {@code INVALID_CONTENT}. Thread-safe.
+ * <p>Unknown fields, such as those of a newer version, are ignored; a missing or ill-typed field is
+ * a failure of kind {@code INVALID_CONTENT}. Thread-safe.
  */
 public final class TaskRecordCodec {
   private static final ImmutableBiMap<String, Class<? extends TaskRecord>> TYPES =
@@ -35,7 +35,7 @@
           .buildOrThrow();
 
   private static final String TEAM_MOST = "teamMost";
-  private static final Sizes NO_LIMIT = TeamQuota.DEFAULT.most();
+  private static final Sizes NO_LIMIT = TeamQuota.DEFAULT.limit();
 
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
@@ -91,11 +91,11 @@
   }
 
   /** Returns whether the task is claimed and the token is that of its current attempt. */
-  public boolean holds(long otherToken) {
+  public boolean isClaimedWith(long otherToken) {
     return phase == Phase.CLAIMED && token == otherToken;
   }
 
-  TaskState claimed(TaskRecord.Claimed claim, long newToken) {
+  TaskState asClaimed(TaskRecord.Claimed claim, long newToken) {
     return new TaskState(
         name,
         Phase.CLAIMED,
@@ -148,7 +148,7 @@
         detail);
   }
 
-  TaskState waiting(boolean evicted, String newDetail) {
+  TaskState asWaiting(boolean evicted, String newDetail) {
     return new TaskState(
         name,
         Phase.WAITING,
@@ -164,7 +164,7 @@
         newDetail);
   }
 
-  TaskState ended(Phase end, String newDetail) {
+  TaskState asEnded(Phase end, String newDetail) {
     return new TaskState(
         name, end, attempt, 0, vm, 0, Sizes.NONE, 0, checkpoint, failedVms, evictions, newDetail);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTableSnapshot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTableSnapshot.java
@@ -94,7 +94,9 @@
       for (TaskState task : job.tasks()) {
         boolean claimed = task.phase() == TaskState.Phase.CLAIMED;
         checkArgument(
-            !claimed || known.contains(task.registration()), "%s is claimed on an unknown registration", task.name());
+            !claimed || known.contains(task.registration()),
+            "%s is claimed on an unknown registration",
+            task.name());
       }
     }
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TeamQuota.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TeamQuota.java
@@ -8,18 +8,18 @@
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param share the weight against other teams, positive; if all have waiting tasks, a team with twice
- *     the weight gets twice the share
- * @param most the maximum resources of all claims of the team
+ * @param weight the weight against other teams, positive; if all have waiting tasks, a team with
+ *     twice the weight gets twice the share
+ * @param limit the maximum resources of all claims of the team
  */
-public record TeamQuota(double share, Sizes most) {
+public record TeamQuota(double weight, Sizes limit) {
   /** Quota of a team without a configured one: weight 1, no limit. */
   public static final TeamQuota DEFAULT =
       new TeamQuota(1, new Sizes(Long.MAX_VALUE, Long.MAX_VALUE, Long.MAX_VALUE));
 
   /** Checks the components. */
   public TeamQuota {
-    checkArgument(share > 0, "weight is not positive: %s", share);
-    requireNonNull(most, "limit");
+    checkArgument(weight > 0, "weight is not positive: %s", weight);
+    requireNonNull(limit, "limit");
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class TaskTableTest {
-  private static final Sizes ROOM = new Sizes(2_000, 1_000, 0);
+  private static final Sizes CAPACITY = new Sizes(2_000, 1_000, 0);
   private static final Sizes HALF = new Sizes(1_000, 500, 0);
 
   private long position = -1;
@@ -27,7 +27,7 @@
   }
 
   private long join(String vm, long boot) {
-    return apply(new TaskRecord.VmJoined(new VmDescription(vm, boot, ROOM, "zone", "rack")));
+    return apply(new TaskRecord.VmJoined(new VmDescription(vm, boot, CAPACITY, "zone", "rack")));
   }
 
   private void accept(int count, boolean idempotent) {
@@ -98,23 +98,25 @@
 
   /**
    * Three entries with stale views write claims and preemptions while VMs die and are replaced by
-   * smaller ones, reports arrive late and twice, and jobs are cancelled. At every step no VM is booked
-   * beyond its capacity, no task runs in two places, and each attempt resumes from the last
+   * smaller ones, reports arrive late and twice, and jobs are cancelled. At every step no VM is
+   * booked beyond its capacity, no task runs in two places, and each attempt resumes from the last
    * checkpoint. In the end every task has ended and all readers have the same state.
    */
   @Property(tries = 400, seed = "4211")
-  void holdsUnderAnyInterleaving(
+  void invariantsHoldUnderAnyInterleaving(
       @ForAll long seed,
       @ForAll @Size(max = 300) List<@IntRange(max = 1_000_000) Integer> choices) {
     StaleEntriesModel model = new StaleEntriesModel(seed);
-    choices.forEach(model::act);
+    choices.forEach(model::step);
     model.checkDeterminism();
-    model.settle();
+    model.runToCompletion();
   }
 
-  /** Entries claim the last capacity of a VM at once. The later claims in the log have no effect. */
+  /**
+   * Entries claim the last capacity of a VM at once. The later claims in the log have no effect.
+   */
   @Test
-  void theFirstClaimInTheLogWins() {
+  void theFirstClaimInTheLogIsAccepted() {
     long vm = join("vm-1", 1);
     accept(3, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -122,14 +124,14 @@
     claim(2, 1, "vm-1", vm);
     claim(0, 1, "vm-1", vm);
 
-    assertTrue(task(0).holds(first));
+    assertTrue(task(0).isClaimedWith(first));
     assertEquals(TaskState.Phase.WAITING, task(2).phase());
-    assertEquals(ROOM, table.vm("vm-1").orElseThrow().booked());
+    assertEquals(CAPACITY, table.vm("vm-1").orElseThrow().booked());
   }
 
   /**
-   * Two entries see the same urgent task wait and choose different victims. If both preemptions took
-   * effect, two tasks would lose work for one; only the first in the log does.
+   * Two entries see the same urgent task wait and choose different victims. If both preemptions
+   * took effect, two tasks would lose work for one; only the first in the log does.
    */
   @Test
   void onlyOnePreemptionForAnUrgentTaskIsAccepted() {
@@ -157,7 +159,7 @@
    * stale view, comes first in the log. It must not take the freed capacity.
    */
   @Test
-  void freedRoomIsKeptForTheUrgentTask() {
+  void freedCapacityIsReservedForTheUrgentTask() {
     long vm = join("vm-1", 1);
     accept(3, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -176,8 +178,8 @@
   }
 
   /**
-   * The urgent task is cancelled, or its VM is revoked, before all victims have stopped. The capacity
-   * must not stay reserved forever.
+   * The urgent task is cancelled, or its VM is revoked, before all victims have stopped. The
+   * capacity must not stay reserved forever.
    */
   @Test
   void aPreemptionEndsWithItsTaskAndItsVm() {
@@ -191,7 +193,7 @@
 
     long again = join("vm-1", 2);
     long second = claim(0, 1, "vm-1", again);
-    assertFalse(task(0).holds(second));
+    assertFalse(task(0).isClaimedWith(second));
     preempt("now/0", again, 0, first, 0);
     assertEquals(List.of(), positions());
     apply(new TaskRecord.Preempted("now/0", 1, "vm-1", again, HALF, List.of(), 0, "entry-1"));
@@ -216,8 +218,8 @@
   }
 
   /**
-   * The release of an evicted task is written again after its next attempt has started. Applying the
-   * duplicate would release the running attempt and let a third one start beside it.
+   * The release of an evicted task is written again after its next attempt has started. Applying
+   * the duplicate would release the running attempt and let a third one start beside it.
    */
   @Test
   void aLateReleaseOfAnOlderAttemptChangesNothing() {
@@ -230,7 +232,7 @@
     long second = claim(0, 2, "vm-1", vm);
     apply(release);
 
-    assertTrue(task(0).holds(second));
+    assertTrue(task(0).isClaimedWith(second));
     assertEquals("c1", task(0).checkpoint());
     assertEquals(1, task(0).evictions());
   }
@@ -252,11 +254,11 @@
   }
 
   /**
-   * The join record of an old boot is written late or twice. It must not displace the new boot, whose
-   * tasks would lose their leases.
+   * The join record of an old boot is written late or twice. It must not displace the new boot,
+   * whose tasks would lose their leases.
    */
   @Test
-  void anOldBootDoesNotDisplaceANewOne() {
+  void anEarlierBootDoesNotDisplaceALaterOne() {
     join("vm-1", 1);
     long vm = join("vm-1", 2);
     join("vm-1", 1);
@@ -266,7 +268,7 @@
 
   /** An entry that has not read a revocation yet writes a claim on that VM. */
   @Test
-  void aClaimOnARevokedVmLoses() {
+  void aClaimOnARevokedVmIsRejected() {
     long vm = join("vm-1", 1);
     accept(2, true);
     claim(0, 1, "vm-1", vm);
@@ -278,7 +280,7 @@
 
   /** A late or duplicate claim for an attempt that has ended must not start the next attempt. */
   @Test
-  void aClaimForAnEarlierAttemptLoses() {
+  void aClaimForAnEarlierAttemptIsRejected() {
     long vm = join("vm-1", 1);
     accept(1, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -290,7 +292,7 @@
 
   /** A clear record for short leases must not release tasks whose longer leases may still last. */
   @Test
-  void clearingShortLeasesLeavesLongOnes() {
+  void clearingShortLeasesKeepsLongerOnes() {
     long vm = join("vm-1", 1);
     accept(1, true);
     claim(0, 1, "vm-1", vm);
@@ -302,7 +304,7 @@
 
   /** A non-idempotent task ends as failed, with the reason, if its VM is lost while it may run. */
   @Test
-  void aTaskThatIsNotIdempotentIsNotRunAgain() {
+  void aNonIdempotentTaskIsNotRunAgain() {
     long vm = join("vm-1", 1);
     accept(1, false);
     claim(0, 1, "vm-1", vm);
@@ -322,7 +324,7 @@
   }
 
   @Test
-  void namesThatOnlyLookLikeTasksAreUnknown() {
+  void malformedTaskNamesAreUnknown() {
     accept(2, true);
 
     for (String name : List.of("payout/2", "payout/00", "payout/", "payout", "payout/-1", "x/0")) {
@@ -334,11 +336,11 @@
    * A VM is replaced twice while tasks of its first boot wait for their leases to expire. When the
    * latest registration is removed, the older one must become the latest, as it does in a table
    * restored from a snapshot. Otherwise the restored table lists the first boot as displaced twice.
-   * Duplicates evict boots from the bounded list early, and an old boot could then displace a new one
-   * in that table only.
+   * Duplicates evict boots from the bounded list early, and an old boot could then displace a new
+   * one in that table only.
    */
   @Test
-  void aRestoredTableDisplacesTheSameBoots() {
+  void aRestoredTableHasTheSameDisplacedBoots() {
     long first = join("vm-1", 1);
     accept(1, true);
     claim(0, 1, "vm-1", first);
@@ -348,18 +350,18 @@
     restored.restore(table.snapshot());
     long third = join("vm-1", 3);
     restored.apply(
-        third, new TaskRecord.VmJoined(new VmDescription("vm-1", 3, ROOM, "zone", "rack")));
+        third, new TaskRecord.VmJoined(new VmDescription("vm-1", 3, CAPACITY, "zone", "rack")));
 
     assertEquals(table.snapshot(), restored.snapshot());
     assertEquals(List.of(1L), table.snapshot().displaced().get("vm-1"));
   }
 
   @Test
-  void aSnapshotThatContradictsItselfChangesNothing() {
+  void anInconsistentSnapshotChangesNothing() {
     accept(1, true);
     TaskState claimed =
         TaskState.accepted("other/0")
-            .claimed(new TaskRecord.Claimed("other/0", 1, "vm-9", 7, HALF, 1_000, "entry-1"), 8);
+            .asClaimed(new TaskRecord.Claimed("other/0", 1, "vm-9", 7, HALF, 1_000, "entry-1"), 8);
     JobSpec other =
         new JobSpec(
             "other", "team", TaskClass.BATCH, 1, HALF, "run", 1, false, 0, true, 0, Spread.NONE);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.EntryChannel;
-import io.marigoldsail.daemon.link.KeyListener;
+import io.marigoldsail.daemon.link.KeyFrameListener;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
@@ -121,16 +121,16 @@
     this.responseSender = new ResponseSender(loop, attemptTable, this::report, events);
     this.keyedRequests = new KeyedRequests(loop, processIncarnation, responseSender);
     this.keyFrameHandler =
-        new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isLeaving);
+        new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isDraining);
   }
 
   /** Returns the listener for frames of entries about idempotency keys. */
-  public KeyListener keyListener() {
+  public KeyFrameListener keyListener() {
     return keyFrameHandler;
   }
 
-  /** Sets the listener for changes of {@link #isLeaving}; to be called before {@link #start}. */
-  public void onLeavingChanged(Runnable listener) {
+  /** Sets the listener for changes of {@link #isDraining}; to be called before {@link #start}. */
+  public void onDrainingChanged(Runnable listener) {
     drainingListener = requireNonNull(listener, "listener");
   }
 
@@ -152,11 +152,11 @@
 
   /** Returns the current load of the target. */
   public TargetLoad load() {
-    return new TargetLoad(running, queueLength, entries.entryCount(), isLeaving());
+    return new TargetLoad(running, queueLength, entries.entryCount(), isDraining());
   }
 
   /** Returns whether new requests are rejected because this process or its target is stopping. */
-  public boolean isLeaving() {
+  public boolean isDraining() {
     return stopping || !healthMonitor.acceptsWork();
   }
 
@@ -243,7 +243,7 @@
 
   /** Returns why the request is rejected, or null after reserving the bytes of its body. */
   private Rejection rejection(RequestStart start, long deadline, long now) {
-    if (isLeaving()) {
+    if (isDraining()) {
       return new Rejection(
           ErrorKind.SHUTTING_DOWN, "the target is draining", DRAINING_RETRY_AFTER_MILLIS);
     }
@@ -414,8 +414,8 @@
         discard(request);
         attemptTable.markNotRun(id, loop.now());
       }
-      if (attemptTable.answer(id).isPresent()) {
-        responseSender.resend(connection, id, attemptTable.answer(id).get());
+      if (attemptTable.response(id).isPresent()) {
+        responseSender.resend(connection, id, attemptTable.response(id).get());
         recordResolved(id, "done");
         return;
       }
@@ -444,7 +444,7 @@
   }
 
   private TargetReport report() {
-    return Announcements.write(load(), limits.slots());
+    return AnnouncementCodec.encode(load(), limits.slots());
   }
 
   /** Handles frames and connection changes of entries. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideReports.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptReporter.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /** Sends the reports of a side process's attempts to entries. Not thread-safe. */
-final class SideReports {
+final class AttemptReporter {
   private final TaskChannel channel;
   private int round;
 
-  SideReports(TaskChannel channel) {
+  AttemptReporter(TaskChannel channel) {
     this.channel = requireNonNull(channel, "channel");
   }
 
   /** Resends the reports of ended attempts, which no entry has acknowledged yet. */
-  void repeat(Collection<SideTask> tasks) {
-    for (SideTask task : tasks) {
-      if (task.phase() == SideTask.Phase.ENDED) {
-        sendToOne(task.report());
+  void resendEnded(Collection<SideAttempt> tasks) {
+    for (SideAttempt task : tasks) {
+      if (task.phase() == SideAttempt.Phase.ENDED) {
+        sendToOne(task.toReport());
       }
     }
     round++;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
@@ -36,36 +36,36 @@
  *
  * <p>Not thread-safe.
  */
-final class SideAttempts {
-  private static final Logger LOGGER = System.getLogger(SideAttempts.class.getName());
+final class AttemptSupervisor {
+  private static final Logger LOGGER = System.getLogger(AttemptSupervisor.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Tokens of acknowledged attempts are kept so that a late StartTask cannot start one again. */
-  private static final int MAX_REMEMBERED = 20_000;
+  private static final int MAX_ACKNOWLEDGED_TOKENS = 20_000;
 
   /** A lease is renewed only if that extends it by at least its length divided by this. */
-  private static final long RENEWAL_PARTS = 8;
+  private static final long MIN_RENEWAL_DIVISOR = 8;
 
   private final SideIdentity identity;
   private final Worker worker;
-  private final SideReports reports;
+  private final AttemptReporter reporter;
   private final MonotonicClock clock;
   private final EventRecorder recorder;
   private final LeaseEvidence evidence;
-  private final Map<Long, SideTask> tasks = new TreeMap<>();
-  private final RememberedTokens acknowledged = new RememberedTokens(MAX_REMEMBERED);
+  private final Map<Long, SideAttempt> attempts = new TreeMap<>();
+  private final RecentTokens acknowledgedTokens = new RecentTokens(MAX_ACKNOWLEDGED_TOKENS);
   private WorkerBoot boot;
   private WorkerClock workerClock;
 
-  SideAttempts(
+  AttemptSupervisor(
       SideIdentity identity,
       Worker worker,
-      SideReports reports,
+      AttemptReporter reports,
       MonotonicClock clock,
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.worker = requireNonNull(worker, "worker");
-    this.reports = requireNonNull(reports, "reports");
+    this.reporter = requireNonNull(reports, "reports");
     this.clock = requireNonNull(clock, "clock");
     this.recorder = requireNonNull(recorder, "recorder");
     this.evidence = new LeaseEvidence(identity.processIncarnation());
@@ -76,22 +76,22 @@
     return Optional.ofNullable(boot);
   }
 
-  Collection<SideTask> tasks() {
-    return tasks.values();
+  Collection<SideAttempt> attempts() {
+    return attempts.values();
   }
 
   /** Returns the attempt with the token, or null. */
-  SideTask find(long token) {
-    return tasks.get(token);
+  SideAttempt find(long token) {
+    return attempts.get(token);
   }
 
   /** Stops an attempt as evicted. The stop is resent until the worker confirms it. */
-  void evict(SideTask task, String reason) {
-    task.stopping(true, reason);
-    stop(task);
+  void evict(SideAttempt task, String reason) {
+    task.markStopping(true, reason);
+    stopOnWorker(task);
   }
 
-  void onVouch(Vouch confirmation) {
+  void onConfirmation(Vouch confirmation) {
     LeaseEvidence.Change change =
         evidence.confirm(
             confirmation.getRegistration(),
@@ -100,61 +100,67 @@
             clock.nanos());
     if (change == LeaseEvidence.Change.NEW_REGISTRATION) {
       // The VM was revoked and has joined again. Its earlier tasks may be claimed elsewhere.
-      for (SideTask task : tasks.values()) {
-        if (task.token() < evidence.registration() && task.phase() != SideTask.Phase.ENDED) {
-          task.stopping(false, "the VM has a new registration");
-          stop(task);
+      for (SideAttempt task : attempts.values()) {
+        if (task.token() < evidence.registration() && task.phase() != SideAttempt.Phase.ENDED) {
+          task.markStopping(false, "the VM has a new registration");
+          stopOnWorker(task);
         }
       }
     }
   }
 
   void onStart(String peer, StartTask start) {
-    SideTask known = tasks.get(start.getToken());
+    SideAttempt known = attempts.get(start.getToken());
     if (known != null) {
-      known.told(start, clock.nanos());
-      reports.send(peer, known.report());
+      known.applyStart(start, clock.nanos());
+      reporter.send(peer, known.toReport());
       return;
     }
-    if (!mayStart(start)) {
+    if (!isStartable(start)) {
       return;
     }
     Sizes sizes =
         new Sizes(start.getMilliProcessors(), start.getMemoryBytes(), start.getAccelerators());
-    SideTask task =
-        new SideTask(
+    SideAttempt task =
+        new SideAttempt(
             start.getTask(),
             start.getAttempt(),
             start.getToken(),
             sizes,
             start.getLatencyCritical(),
             start.getLeaseMillis(),
-            SideTask.Phase.UNCERTAIN);
-    task.told(start, clock.nanos());
+            SideAttempt.Phase.UNCERTAIN);
+    task.applyStart(start, clock.nanos());
     task.checkpoint(start.getCheckpoint());
-    Sizes occupied = heldRoom().plus(sizes);
-    tasks.put(task.token(), task);
+    Sizes occupied = occupiedCapacity().plus(sizes);
+    attempts.put(task.token(), task);
     if (!occupied.fitsIn(boot.capacity())) {
-      refuse(task, "insufficient capacity: needs %s of %s".formatted(occupied, boot.capacity()));
+      rejectStart(
+          task, "insufficient capacity: needs %s of %s".formatted(occupied, boot.capacity()));
       return;
     }
-    startAtWorker(task, start);
+    startOnWorker(task, start);
   }
 
-  /** Returns whether a start of a new attempt is valid. If not, it is ignored; entries resend it. */
-  private boolean mayStart(StartTask start) {
+  /**
+   * Returns whether a start of a new attempt is valid. If not, it is ignored; entries resend it.
+   */
+  private boolean isStartable(StartTask start) {
     // The earlier side process may have handled a start that was sent to it: the task may have been
     // released and claimed elsewhere since. An entry that has confirmed this process has read that.
     boolean forThisProcess = start.getProcessIncarnation() == identity.processIncarnation();
     boolean current = evidence.isConfirmed() && start.getRegistration() == evidence.registration();
-    if (!forThisProcess || !current || boot == null || acknowledged.contains(start.getToken())) {
+    if (!forThisProcess
+        || !current
+        || boot == null
+        || acknowledgedTokens.contains(start.getToken())) {
       return false;
     }
     long deadline = evidence.deadlineNanos(start.getLeaseMillis());
     return clock.nanos() - deadline < 0;
   }
 
-  private void startAtWorker(SideTask task, StartTask start) {
+  private void startOnWorker(SideAttempt task, StartTask start) {
     long deadline = evidence.deadlineNanos(task.leaseMillis());
     WorkerStart order =
         new WorkerStart(
@@ -167,13 +173,13 @@
             start.getCheckpoint(),
             start.getCheckpointIntervalMillis(),
             start.getRunMillis());
-    task.granted(deadline);
+    task.setGrantedDeadline(deadline);
     Result<WorkerTask> result = worker.start(order);
     if (result instanceof Result.Ok<WorkerTask> ok) {
-      task.phase(SideTask.Phase.RUNNING);
+      task.phase(SideAttempt.Phase.RUNNING);
       recorder.record(Event.of(EventKind.TASK_STARTED).withTask(task.task()).withVm(identity.vm()));
-      observe(task, ok.value());
-      reports.sendToAll(task.report());
+      applyWorkerState(task, ok.value());
+      reporter.sendToAll(task.toReport());
       return;
     }
     Failure failure = ((Result.Failed<WorkerTask>) result).failure();
@@ -184,7 +190,7 @@
         failure.kind().code(),
         failure.detail());
     switch (failure.kind()) {
-      case CONFLICT, TARGET_UNREACHABLE -> refuse(task, failure.detail());
+      case CONFLICT, TARGET_UNREACHABLE -> rejectStart(task, failure.detail());
       default -> {
         // The attempt may run. It is stopped later, unless the worker's list shows that it runs.
       }
@@ -192,52 +198,52 @@
   }
 
   /** Reports a start as refused once the worker has confirmed that it will not run the attempt. */
-  private void refuse(SideTask task, String reason) {
-    task.stopping(false, reason);
-    stop(task);
+  private void rejectStart(SideAttempt task, String reason) {
+    task.markStopping(false, reason);
+    stopOnWorker(task);
   }
 
   void onStop(String peer, StopTask stop) {
-    SideTask task = tasks.get(stop.getToken());
+    SideAttempt task = attempts.get(stop.getToken());
     if (task == null) {
-      boolean neverStarted = !acknowledged.contains(stop.getToken()) && boot != null;
+      boolean neverStarted = !acknowledgedTokens.contains(stop.getToken()) && boot != null;
       if (neverStarted) {
         // The start may still arrive; stopping the attempt at the worker prevents it.
         task =
-            new SideTask(
+            new SideAttempt(
                 stop.getTask(),
                 stop.getAttempt(),
                 stop.getToken(),
                 Sizes.NONE,
                 false,
                 0,
-                SideTask.Phase.UNCERTAIN);
-        tasks.put(task.token(), task);
-        refuse(task, "stopped before its start");
+                SideAttempt.Phase.UNCERTAIN);
+        attempts.put(task.token(), task);
+        rejectStart(task, "stopped before its start");
       }
       return;
     }
-    if (task.phase() == SideTask.Phase.ENDED) {
-      reports.send(peer, task.report());
+    if (task.phase() == SideAttempt.Phase.ENDED) {
+      reporter.send(peer, task.toReport());
       return;
     }
-    if (task.phase() != SideTask.Phase.STOPPING) {
-      task.stopping(false, "cancelled");
-      stop(task);
+    if (task.phase() != SideAttempt.Phase.STOPPING) {
+      task.markStopping(false, "cancelled");
+      stopOnWorker(task);
     }
   }
 
-  private void stop(SideTask task) {
+  private void stopOnWorker(SideAttempt task) {
     if (worker.stop(task.task(), task.token()) instanceof Result.Ok<WorkerTask> ok) {
-      observe(task, ok.value());
+      applyWorkerState(task, ok.value());
     }
   }
 
   void onAck(TaskReportAck ack) {
-    SideTask task = tasks.get(ack.getToken());
-    if (task != null && task.phase() == SideTask.Phase.ENDED) {
-      tasks.remove(ack.getToken());
-      acknowledged.add(ack.getToken());
+    SideAttempt task = attempts.get(ack.getToken());
+    if (task != null && task.phase() == SideAttempt.Phase.ENDED) {
+      attempts.remove(ack.getToken());
+      acknowledgedTokens.add(ack.getToken());
     }
   }
 
@@ -246,7 +252,7 @@
    *
    * @return whether the worker responded
    */
-  boolean look() {
+  boolean pollWorker() {
     long requestedNanos = clock.nanos();
     if (!(worker.list() instanceof Result.Ok<WorkerListing> ok)) {
       return false;
@@ -258,18 +264,18 @@
     if (rebooted) {
       // No attempt of the earlier boot runs any more; entries see the new boot and clear its tasks.
       // Attempts that had ended before are still reported.
-      tasks.values().removeIf(task -> task.phase() != SideTask.Phase.ENDED);
+      attempts.values().removeIf(task -> task.phase() != SideAttempt.Phase.ENDED);
     }
     Set<Long> listedTokens = new HashSet<>();
     for (WorkerTask workerTask : listing.tasks()) {
       listedTokens.add(workerTask.token());
-      SideTask task = tasks.get(workerTask.token());
-      if (task == null && !acknowledged.contains(workerTask.token())) {
-        task = SideTask.adopted(workerTask);
-        tasks.put(workerTask.token(), task);
+      SideAttempt task = attempts.get(workerTask.token());
+      if (task == null && !acknowledgedTokens.contains(workerTask.token())) {
+        task = SideAttempt.adopted(workerTask);
+        attempts.put(workerTask.token(), task);
       }
-      if (task != null && task.phase() != SideTask.Phase.ENDED) {
-        observe(task, workerTask);
+      if (task != null && task.phase() != SideAttempt.Phase.ENDED) {
+        applyWorkerState(task, workerTask);
       }
     }
     stopUnlisted(listedTokens);
@@ -278,34 +284,34 @@
 
   /** Stops running attempts that the worker no longer lists. */
   private void stopUnlisted(Set<Long> listedTokens) {
-    for (SideTask task : tasks.values()) {
-      if (task.phase() == SideTask.Phase.RUNNING && !listedTokens.contains(task.token())) {
-        task.stopping(false, "the worker no longer lists it");
-        stop(task);
+    for (SideAttempt task : attempts.values()) {
+      if (task.phase() == SideAttempt.Phase.RUNNING && !listedTokens.contains(task.token())) {
+        task.markStopping(false, "the worker no longer lists it");
+        stopOnWorker(task);
       }
     }
   }
 
   /** Applies the state of an attempt as the worker reported it. */
-  private void observe(SideTask task, WorkerTask workerTask) {
-    task.checkpointSeen(workerTask.checkpoint(), clock.nanos());
+  private void applyWorkerState(SideAttempt task, WorkerTask workerTask) {
+    task.observeCheckpoint(workerTask.checkpoint(), clock.nanos());
     switch (workerTask.state()) {
       case RUNNING -> {
-        if (task.phase() == SideTask.Phase.UNCERTAIN) {
-          task.phase(SideTask.Phase.RUNNING);
+        if (task.phase() == SideAttempt.Phase.UNCERTAIN) {
+          task.phase(SideAttempt.Phase.RUNNING);
         }
-        if (task.phase() == SideTask.Phase.RUNNING && task.takeUntoldCheckpoint()) {
-          reports.sendToOne(task.report());
+        if (task.phase() == SideAttempt.Phase.RUNNING && task.takeUnreportedCheckpoint()) {
+          reporter.sendToOne(task.toReport());
         }
         return;
       }
-      case DONE -> task.ended(TaskReport.State.DONE, workerTask.detail());
-      case FAILED -> task.ended(TaskReport.State.FAILED, workerTask.detail());
-      case LAPSED -> lapsed(task);
+      case DONE -> task.markEnded(TaskReport.State.DONE, workerTask.detail());
+      case FAILED -> task.markEnded(TaskReport.State.FAILED, workerTask.detail());
+      case LAPSED -> markLapsed(task);
       case STOPPED -> {
         boolean started =
-            task.phase() == SideTask.Phase.RUNNING || !workerTask.sizes().equals(Sizes.NONE);
-        task.ended(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
+            task.phase() == SideAttempt.Phase.RUNNING || !workerTask.sizes().equals(Sizes.NONE);
+        task.markEnded(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
       }
     }
     recorder.record(
@@ -313,11 +319,11 @@
             .withTask(task.task())
             .withVm(identity.vm())
             .withDetail(workerTask.state() + " " + workerTask.detail()));
-    reports.sendToOne(task.report());
+    reporter.sendToOne(task.toReport());
   }
 
-  private void lapsed(SideTask task) {
-    task.ended(TaskReport.State.RELEASED, "its lease expired");
+  private void markLapsed(SideAttempt task) {
+    task.markEnded(TaskReport.State.RELEASED, "its lease expired");
     recorder.record(Event.of(EventKind.LEASE_LAPSED).withTask(task.task()).withVm(identity.vm()));
   }
 
@@ -325,44 +331,45 @@
     if (!evidence.isConfirmed() || workerClock == null) {
       return;
     }
-    for (SideTask task : tasks.values()) {
-      if (task.phase() == SideTask.Phase.RUNNING && task.token() > evidence.registration()) {
+    for (SideAttempt task : attempts.values()) {
+      if (task.phase() == SideAttempt.Phase.RUNNING && task.token() > evidence.registration()) {
         renew(task);
       }
     }
   }
 
-  private void renew(SideTask task) {
+  private void renew(SideAttempt task) {
     long deadline = evidence.deadlineNanos(task.leaseMillis());
-    long minExtensionNanos = task.leaseMillis() * NANOS_PER_MILLI / RENEWAL_PARTS;
-    boolean first = task.grantedNanos() == Long.MIN_VALUE;
-    boolean worthwhile = first || deadline - task.grantedNanos() >= minExtensionNanos;
+    long minExtensionNanos = task.leaseMillis() * NANOS_PER_MILLI / MIN_RENEWAL_DIVISOR;
+    boolean first = task.grantedDeadlineNanos() == Long.MIN_VALUE;
+    boolean worthwhile = first || deadline - task.grantedDeadlineNanos() >= minExtensionNanos;
     if (task.leaseMillis() == 0 || !worthwhile || clock.nanos() - deadline >= 0) {
       return;
     }
-    // The deadline is given on the worker's clock. If this process is paused at this point, the worker
+    // The deadline is given on the worker's clock. If this process is paused at this point, the
+    // worker
     // still stops the task in time, and it refuses a renewal that arrives too late.
     Result<WorkerTask> result =
         worker.renew(task.task(), task.token(), workerClock.deadlineMillis(deadline));
     if (result.isOk()) {
-      task.granted(deadline);
+      task.setGrantedDeadline(deadline);
     }
   }
 
-  void settleUncertain() {
-    for (SideTask task : List.copyOf(tasks.values())) {
+  void stopUnconfirmed() {
+    for (SideAttempt task : List.copyOf(attempts.values())) {
       boolean unconfirmed =
-          task.phase() == SideTask.Phase.UNCERTAIN || task.phase() == SideTask.Phase.STOPPING;
+          task.phase() == SideAttempt.Phase.UNCERTAIN || task.phase() == SideAttempt.Phase.STOPPING;
       if (unconfirmed) {
-        stop(task);
+        stopOnWorker(task);
       }
     }
   }
 
-  private Sizes heldRoom() {
+  private Sizes occupiedCapacity() {
     Sizes occupied = Sizes.NONE;
-    for (SideTask task : tasks.values()) {
-      if (task.holdsRoom()) {
+    for (SideAttempt task : attempts.values()) {
+      if (task.occupiesCapacity()) {
         occupied = occupied.plus(task.sizes());
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
@@ -15,7 +15,7 @@
 import java.util.function.Supplier;
 
 /**
- * Dependencies that the parts of {@link EntryTasks} share.
+ * Dependencies that the parts of {@link EntryTaskScheduler} share.
  *
  * <p>The parts run under one lock; {@link #append} delivers outcomes under it as well.
  */
@@ -26,7 +26,7 @@
   private final TaskTable table;
   private final TaskLog log;
   private final TaskChannel channel;
-  private final Supplier<TaskTerms> terms;
+  private final Supplier<TaskPolicy> policy;
   private final MonotonicClock clock;
   private final WallClock wallClock;
   private final EventRecorder recorder;
@@ -37,7 +37,7 @@
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskTerms> terms,
+      Supplier<TaskPolicy> terms,
       MonotonicClock clock,
       WallClock wallClock,
       EventRecorder recorder,
@@ -46,7 +46,7 @@
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.channel = requireNonNull(channel, "channel");
-    this.terms = requireNonNull(terms, "terms");
+    this.policy = requireNonNull(terms, "terms");
     this.clock = requireNonNull(clock, "clock");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
@@ -65,19 +65,19 @@
     return channel;
   }
 
-  TaskTerms terms() {
-    return terms.get();
+  TaskPolicy policy() {
+    return policy.get();
   }
 
   long nanos() {
     return clock.nanos();
   }
 
-  long afterMillis(long millis) {
+  long deadlineAfterMillis(long millis) {
     return clock.nanos() + millis * NANOS_PER_MILLI;
   }
 
-  boolean passed(long deadlineNanos) {
+  boolean hasPassed(long deadlineNanos) {
     return clock.nanos() - deadlineNanos >= 0;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTasks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
@@ -22,24 +22,24 @@
  * VMs.
  *
  * <p>The owner passes every TaskMessage of a side process to {@link #onMessage}, provides a {@link
- * TaskChannel} that uses the same peer names, and calls {@link #start} once the follower of the stream
- * {@code tasks} has caught up. The follower must fold into the given table, and the given log must
- * complete appends after the fold, as {@link FollowedTaskLog} does.
+ * TaskChannel} that uses the same peer names, and calls {@link #start} once the follower of the
+ * stream {@code tasks} has caught up. The follower must fold into the given table, and the given
+ * log must complete appends after the fold, as {@link AppenderTaskLog} does.
  *
  * <p>All state that must last is in the log, so that any entry may die at any time.
  *
  * <p>Thread-safe; one lock guards everything.
  */
-public final class EntryTasks implements AutoCloseable {
-  private static final Logger LOGGER = System.getLogger(EntryTasks.class.getName());
+public final class EntryTaskScheduler implements AutoCloseable {
+  private static final Logger LOGGER = System.getLogger(EntryTaskScheduler.class.getName());
   private static final long TICK_MILLIS = 50;
 
   private final EntryContext context;
-  private final VmWatch watch;
-  private final StartLoop starts;
-  private final PreemptionLoop preemptions;
-  private final ClaimLoop claims;
-  private final PlacementKnowledge knowledge;
+  private final VmMembership membership;
+  private final StartLoop startLoop;
+  private final PreemptionLoop preemptionLoop;
+  private final ClaimLoop claimLoop;
+  private final PlacementModel placementModel;
   private ScheduledFuture<?> ticking;
 
   /**
@@ -55,12 +55,12 @@
    * @param random breaks ties between VMs
    * @param recorder receives events
    */
-  public EntryTasks(
+  public EntryTaskScheduler(
       EntryIdentity identity,
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskTerms> terms,
+      Supplier<TaskPolicy> terms,
       MonotonicClock clock,
       WallClock wallClock,
       RandomGenerator random,
@@ -68,14 +68,19 @@
     requireNonNull(random, "random");
     this.context =
         new EntryContext(
-            identity, table, log, channel, terms, clock, wallClock, recorder, this::locked);
-    this.watch = new VmWatch(context, this::onFirstVouch);
-    this.knowledge = new PlacementKnowledge(context);
-    this.starts = new StartLoop(context, watch, knowledge::noise);
-    this.preemptions = new PreemptionLoop(context, watch);
-    this.claims =
+            identity, table, log, channel, terms, clock, wallClock, recorder, this::runLocked);
+    this.membership = new VmMembership(context, this::onFirstConfirmation);
+    this.placementModel = new PlacementModel(context);
+    this.startLoop = new StartLoop(context, membership, placementModel::expectedSlowdown);
+    this.preemptionLoop = new PreemptionLoop(context, membership);
+    this.claimLoop =
         new ClaimLoop(
-            context, watch, starts, new Placer(knowledge.costs(), random), knowledge, preemptions);
+            context,
+            membership,
+            startLoop,
+            new Placer(placementModel.costs(), random),
+            placementModel,
+            preemptionLoop);
   }
 
   /** Starts the periodic ticks on the given scheduler. */
@@ -88,9 +93,9 @@
   /** Handles a message of a side process. */
   public synchronized void onMessage(String peer, TaskMessage message) {
     switch (message.getKindCase()) {
-      case ASK_VOUCH -> watch.onAsk(peer, message.getAskVouch());
-      case REPORT -> starts.onReport(peer, message.getReport());
-      case USAGE -> knowledge.onUsage(message.getUsage());
+      case ASK_VOUCH -> membership.onConfirmationRequest(peer, message.getAskVouch());
+      case REPORT -> startLoop.onReport(peer, message.getReport());
+      case USAGE -> placementModel.onUsage(message.getUsage());
       default -> {
         // A kind that only entries send, or one of a newer version.
       }
@@ -99,11 +104,11 @@
 
   /** Does all work that is due. Called by the scheduler, and by tests with a virtual clock. */
   public synchronized void tick() {
-    watch.tick();
-    knowledge.tick();
-    starts.tick();
-    preemptions.tick();
-    claims.tick();
+    membership.tick();
+    placementModel.tick();
+    startLoop.tick();
+    preemptionLoop.tick();
+    claimLoop.tick();
   }
 
   /** Stops the ticks. Running tasks go on and are managed by the other entries. */
@@ -115,15 +120,15 @@
   }
 
   /** Returns the reason for which a job's tasks wait; empty if this entry knows none. */
-  synchronized String whyWaiting(String job) {
-    return claims.whyWaiting(job);
+  synchronized String waitingReason(String job) {
+    return claimLoop.waitingReason(job);
   }
 
-  private void onFirstVouch(String vm) {
-    context.table().vm(vm).ifPresent(starts::sweep);
+  private void onFirstConfirmation(String vm) {
+    context.table().vm(vm).ifPresent(startLoop::sweep);
   }
 
-  private synchronized void locked(Runnable action) {
+  private synchronized void runLocked(Runnable action) {
     action.run();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -27,109 +27,118 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Frees capacity for urgent tasks on behalf of an entry: writes preemptions to the log, and stops the
- * victims of all preemptions in the log, whichever entry wrote them.
+ * Frees capacity for urgent tasks on behalf of an entry: writes preemptions to the log, and stops
+ * the victims of all preemptions in the log, whichever entry wrote them.
  *
  * <p>It uses the task table, so that other entries carry out the preemptions of an entry that died.
  * The table reserves the freed capacity until the urgent task is claimed. The number of concurrent
  * preemptions is bounded to prevent a wave of evictions.
  *
- * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
+ * <p>Not thread-safe; runs under the lock of {@link EntryTaskScheduler}.
  */
 final class PreemptionLoop {
   /**
    * Time for which an urgent task waits for a task to end by itself before it preempts one. A tenth
    * of the time allowed for the start of an urgent task.
    */
-  private static final long PATIENCE_MILLIS = 300;
+  private static final long PREEMPTION_DELAY_MILLIS = 300;
 
   /** Interval between decisions for a task; each one examines every task of the fleet. */
-  private static final long AGAIN_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 1_000;
 
   private static final long SWEEP_MILLIS = 500;
 
   /** Time after which victims that have not stopped are replaced by others. */
-  private static final long STUCK_MILLIS = 10_000;
+  private static final long VICTIM_STOP_TIMEOUT_MILLIS = 10_000;
 
-  private static final int LEAST_AT_ONCE = 3;
-  private static final int VMS_PER_ONE_AT_ONCE = 50;
+  private static final int MIN_CONCURRENT = 3;
+  private static final int VMS_PER_PREEMPTION = 50;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** An attempt's last checkpoint, and the time at which this entry first saw it. */
-  private record Saved(String checkpoint, long sinceNanos) {}
+  private record CheckpointAge(String checkpoint, long sinceNanos) {}
 
   private final EntryContext context;
-  private final VmWatch watch;
+  private final VmMembership membership;
   private final Preemptor preemptor = new Preemptor();
-  private final Map<String, Long> patientUntil = new HashMap<>();
-  private final Map<Long, Long> seenSince = new HashMap<>();
-  private final Map<Long, Saved> saved = new HashMap<>();
-  private final Set<String> onTheirWay = new HashSet<>();
+  private final Map<String, Long> notBefore = new HashMap<>();
+  private final Map<Long, Long> firstSeenNanos = new HashMap<>();
+  private final Map<Long, CheckpointAge> checkpoints = new HashMap<>();
+  private final Set<String> pendingAppends = new HashSet<>();
 
-  /** Filled by the folding thread, which holds the table's lock and must not wait for this entry. */
+  /**
+   * Filled by the folding thread, which holds the table's lock and must not wait for this entry.
+   */
   private final Queue<String> evictedVms = new ConcurrentLinkedQueue<>();
 
   private long nextSweep;
-  private boolean decided;
+  private boolean decidedThisTick;
 
-  PreemptionLoop(EntryContext context, VmWatch watch) {
+  PreemptionLoop(EntryContext context, VmMembership watch) {
     this.context = context;
-    this.watch = watch;
+    this.membership = watch;
     this.nextSweep = context.nanos();
     context.table().addEvictionListener(evictedVms::add);
   }
 
   void tick() {
-    decided = false;
+    decidedThisTick = false;
     countEvictions();
-    if (!context.passed(nextSweep)) {
+    if (!context.hasPassed(nextSweep)) {
       return;
     }
-    nextSweep = context.afterMillis(SWEEP_MILLIS);
-    patientUntil.keySet().removeIf(task -> !waits(task));
-    noteCheckpoints();
+    nextSweep = context.deadlineAfterMillis(SWEEP_MILLIS);
+    notBefore.keySet().removeIf(task -> !isWaiting(task));
+    updateCheckpoints();
     List<Preemption> pending = context.table().preemptions();
     Set<Long> positions = new HashSet<>();
     for (Preemption preemption : pending) {
       positions.add(preemption.position());
-      seenSince.putIfAbsent(preemption.position(), now());
+      firstSeenNanos.putIfAbsent(preemption.position(), now());
       stopVictims(preemption);
     }
-    seenSince.keySet().retainAll(positions);
+    firstSeenNanos.keySet().retainAll(positions);
   }
 
   /** Starts a preemption for an urgent task that does not fit, if one is due and permitted. */
-  void noRoom(JobSpec spec, TaskState task, Sizes sizes, Fleet fleet) {
+  void onInsufficientCapacity(JobSpec spec, TaskState task, Sizes sizes, Fleet fleet) {
     long deadline =
-        patientUntil.computeIfAbsent(task.name(), unused -> context.afterMillis(PATIENCE_MILLIS));
-    if (decided || !context.passed(deadline) || onTheirWay.contains(task.name())) {
+        notBefore.computeIfAbsent(
+            task.name(), unused -> context.deadlineAfterMillis(PREEMPTION_DELAY_MILLIS));
+    if (decidedThisTick || !context.hasPassed(deadline) || pendingAppends.contains(task.name())) {
       return;
     }
     List<Preemption> pending = context.table().preemptions();
     Optional<Preemption> current =
         pending.stream().filter(p -> p.task().equals(task.name())).findFirst();
-    if (current.isPresent() ? !stuck(current.get()) : pending.size() >= mostAtOnce(fleet)) {
+    if (current.isPresent() ? !isStuck(current.get()) : pending.size() >= concurrencyLimit(fleet)) {
       return;
     }
-    decided = true;
-    patientUntil.put(task.name(), context.afterMillis(AGAIN_MILLIS));
+    decidedThisTick = true;
+    notBefore.put(task.name(), context.deadlineAfterMillis(RETRY_MILLIS));
     preemptor
-        .decide(context.terms().guard(), sizes, vms(task, fleet), now(), context.wallMillis())
+        .decide(
+            context.policy().guard(),
+            sizes,
+            preemptableVms(task, fleet),
+            now(),
+            context.wallMillis())
         .ifPresent(
-            choice -> preempt(spec, task, sizes, choice, current.map(Preemption::position).orElse(0L)));
+            choice ->
+                preempt(spec, task, sizes, choice, current.map(Preemption::position).orElse(0L)));
   }
 
-  private int mostAtOnce(Fleet fleet) {
-    int limit = Math.max(LEAST_AT_ONCE, fleet.candidates().size() / VMS_PER_ONE_AT_ONCE);
-    return limit - onTheirWay.size();
+  private int concurrencyLimit(Fleet fleet) {
+    int limit = Math.max(MIN_CONCURRENT, fleet.candidates().size() / VMS_PER_PREEMPTION);
+    return limit - pendingAppends.size();
   }
 
-  private boolean stuck(Preemption preemption) {
-    Long since = seenSince.get(preemption.position());
-    return since != null && passed(since, STUCK_MILLIS);
+  private boolean isStuck(Preemption preemption) {
+    Long since = firstSeenNanos.get(preemption.position());
+    return since != null && hasPassed(since, VICTIM_STOP_TIMEOUT_MILLIS);
   }
 
-  private List<PreemptableVm> vms(TaskState task, Fleet fleet) {
+  private List<PreemptableVm> preemptableVms(TaskState task, Fleet fleet) {
     List<PreemptableVm> vms = new ArrayList<>();
     for (CandidateVm candidate : fleet.candidates()) {
       if (candidate.isPreempting() || task.failedVms().contains(candidate.vm())) {
@@ -147,7 +156,7 @@
 
   private PreemptableTask preemptable(JobState job, TaskState task) {
     JobSpec spec = job.spec();
-    Saved last = saved.get(task.token());
+    CheckpointAge last = checkpoints.get(task.token());
     long unsavedMillis = last == null ? 0 : (now() - last.sinceNanos()) / NANOS_PER_MILLI;
     return new PreemptableTask(
         task.name(),
@@ -173,12 +182,13 @@
             choice.victims(),
             replaces,
             context.identity().name());
-    onTheirWay.add(task.name());
-    context.append(record, result -> preempted(record, spec, result));
+    pendingAppends.add(task.name());
+    context.append(record, result -> onPreemptionAppended(record, spec, result));
   }
 
-  private void preempted(TaskRecord.Preempted record, JobSpec spec, Result<Long> result) {
-    onTheirWay.remove(record.task());
+  private void onPreemptionAppended(
+      TaskRecord.Preempted record, JobSpec spec, Result<Long> result) {
+    pendingAppends.remove(record.task());
     // If the outcome is unknown but the record took effect, the sweep finds it in the table.
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
@@ -198,13 +208,13 @@
 
   /** Sends stops for the victims that are still claimed; duplicate stops have no effect. */
   private void stopVictims(Preemption preemption) {
-    Optional<VmWatch.Contact> contact = watch.vouched(preemption.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(preemption.vm());
     if (contact.isEmpty()) {
       return;
     }
     for (Preemption.Victim victim : preemption.victims()) {
       Optional<TaskState> task = context.table().task(victim.task());
-      if (task.isPresent() && task.get().holds(victim.token())) {
+      if (task.isPresent() && task.get().isClaimedWith(victim.token())) {
         StopTask stop =
             StopTask.newBuilder()
                 .setTask(victim.task())
@@ -218,7 +228,7 @@
     }
   }
 
-  private void noteCheckpoints() {
+  private void updateCheckpoints() {
     Set<Long> currentTokens = new HashSet<>();
     Set<String> names = new HashSet<>();
     context
@@ -229,29 +239,29 @@
               names.add(vm.vm());
               for (TaskState task : context.table().tasksOn(vm.registration())) {
                 currentTokens.add(task.token());
-                Saved last = saved.get(task.token());
+                CheckpointAge last = checkpoints.get(task.token());
                 if (last == null || !last.checkpoint().equals(task.checkpoint())) {
-                  saved.put(task.token(), new Saved(task.checkpoint(), now()));
+                  checkpoints.put(task.token(), new CheckpointAge(task.checkpoint(), now()));
                 }
               }
             });
-    saved.keySet().retainAll(currentTokens);
+    checkpoints.keySet().retainAll(currentTokens);
     preemptor.retain(names);
   }
 
   private void countEvictions() {
     String vm = evictedVms.poll();
     while (vm != null) {
-      preemptor.recordEviction(context.terms().guard(), vm, now());
+      preemptor.recordEviction(context.policy().guard(), vm, now());
       vm = evictedVms.poll();
     }
   }
 
-  private boolean waits(String name) {
+  private boolean isWaiting(String name) {
     return context.table().task(name).filter(t -> t.phase() == TaskState.Phase.WAITING).isPresent();
   }
 
-  private boolean passed(long sinceNanos, long millis) {
+  private boolean hasPassed(long sinceNanos, long millis) {
     return now() - sinceNanos >= millis * NANOS_PER_MILLI;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RememberedTokens.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RecentTokens.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** Bounded set of fencing tokens that evicts the oldest. Not thread-safe. */
-final class RememberedTokens {
+final class RecentTokens {
   private final Map<Long, Boolean> tokens;
 
-  RememberedTokens(int maxTokens) {
+  RecentTokens(int maxTokens) {
     this.tokens =
         new LinkedHashMap<>() {
           @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ServiceMonitor.java
@@ -5,23 +5,23 @@
 import java.util.Optional;
 
 /** Monitors the service that shares a VM with tasks, for the VM's guard. Thread-safe. */
-public interface ServiceWatch {
+public interface ServiceMonitor {
   /** Returns the latest reading, or empty if there is no service or too few requests to measure. */
   Optional<ServiceReading> reading(long nowNanos);
 
   /** Returns the guard policy of the configuration in force. */
-  GuardPolicy terms();
+  GuardPolicy policy();
 
   /** Returns a monitor for a VM without a service, on which no task is ever throttled. */
-  static ServiceWatch none() {
-    return new ServiceWatch() {
+  static ServiceMonitor none() {
+    return new ServiceMonitor() {
       @Override
       public Optional<ServiceReading> reading(long nowNanos) {
         return Optional.empty();
       }
 
       @Override
-      public GuardPolicy terms() {
+      public GuardPolicy policy() {
         return GuardPolicy.DEFAULT;
       }
     };
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTask.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempt.java
@@ -9,7 +9,7 @@
 import io.marigoldsail.protocol.TaskReport;
 
 /** State of an attempt at its side process. Not thread-safe. */
-final class SideTask {
+final class SideAttempt {
   /** A phase of an attempt's life cycle at its side process. */
   enum Phase {
     /** A start was sent to the worker, which has not confirmed it. */
@@ -31,7 +31,7 @@
   private boolean latencyCritical;
   private Phase phase;
   private long leaseMillis;
-  private long grantedNanos = Long.MIN_VALUE;
+  private long grantedDeadlineNanos = Long.MIN_VALUE;
   private String checkpoint = "";
   private String reportedCheckpoint = "";
   private String detail = "";
@@ -41,13 +41,13 @@
   private long checkpointedNanos;
   private long finishByMillis;
   private boolean evictable;
-  private double noise;
+  private double expectedSlowdown;
   private Sizes used;
-  private double toldSlowdown;
+  private double reportedSlowdown;
   private int throttlePercent = 100;
   private TaskReport.State end = TaskReport.State.STATE_UNSPECIFIED;
 
-  SideTask(
+  SideAttempt(
       String task,
       int attempt,
       long token,
@@ -66,11 +66,11 @@
   }
 
   /** Creates an attempt that the worker has been running since before this process started. */
-  static SideTask adopted(WorkerTask task) {
+  static SideAttempt adopted(WorkerTask task) {
     // The next StartTask of an entry gives the length of the lease and the class of the task. Until
     // then the lease is not renewed, and the attempt counts as latency-critical and is not evicted.
-    SideTask adopted =
-        new SideTask(
+    SideAttempt adopted =
+        new SideAttempt(
             task.task(), task.attempt(), task.token(), task.sizes(), true, 0, Phase.RUNNING);
     adopted.checkpoint = task.checkpoint();
     return adopted;
@@ -105,7 +105,7 @@
   }
 
   /** Returns whether the attempt may still use its resources. */
-  boolean holdsRoom() {
+  boolean occupiesCapacity() {
     return phase != Phase.ENDED;
   }
 
@@ -114,12 +114,12 @@
   }
 
   /** Applies an entry's start message, to a new attempt or to one adopted from the worker. */
-  void told(StartTask start, long nowNanos) {
+  void applyStart(StartTask start, long nowNanos) {
     leaseMillis = start.getLeaseMillis();
     latencyCritical = start.getLatencyCritical();
-    program = Programs.of(start.getTeam(), start.getCommand());
+    program = Programs.nameOf(start.getTeam(), start.getCommand());
     finishByMillis = start.getFinishByMillis();
-    noise = start.getNoisePermille() / PERMILLE;
+    expectedSlowdown = start.getNoisePermille() / PERMILLE;
     evictable = start.getIdempotent() || start.getCheckpointIntervalMillis() > 0;
     if (startedNanos == 0) {
       startedNanos = nowNanos;
@@ -132,12 +132,12 @@
     return throttlePercent;
   }
 
-  void throttled(int percent) {
+  void recordThrottle(int percent) {
     throttlePercent = percent;
   }
 
   /** Returns the state that the guard of the VM decides on. */
-  GuardedTask guarded() {
+  GuardedTask toGuardedTask() {
     return new GuardedTask(
         token,
         program,
@@ -146,7 +146,7 @@
         startedNanos,
         checkpointedNanos,
         finishByMillis,
-        noise,
+        expectedSlowdown,
         evictable);
   }
 
@@ -154,29 +154,29 @@
    * Records a measurement if it differs from the last recorded one by more than the given fraction,
    * and returns whether it does.
    */
-  boolean measured(UsageSample sample, double fraction) {
+  boolean recordUsage(UsageSample sample, double fraction) {
     boolean changed =
-        differs(sample.used().milliProcessors(), used.milliProcessors(), fraction)
-            || differs(sample.used().memoryBytes(), used.memoryBytes(), fraction)
-            || Math.abs(sample.slowdown() - toldSlowdown) > fraction;
+        differsBy(sample.used().milliProcessors(), used.milliProcessors(), fraction)
+            || differsBy(sample.used().memoryBytes(), used.memoryBytes(), fraction)
+            || Math.abs(sample.slowdown() - reportedSlowdown) > fraction;
     if (changed) {
       used = sample.used();
-      toldSlowdown = sample.slowdown();
+      reportedSlowdown = sample.slowdown();
     }
     return changed;
   }
 
-  private static boolean differs(long current, long previous, double fraction) {
+  private static boolean differsBy(long current, long previous, double fraction) {
     return Math.abs(current - previous) > fraction * Math.max(1, previous);
   }
 
   /** Returns the deadline of the lease last sent to the worker, on this process's clock. */
-  long grantedNanos() {
-    return grantedNanos;
+  long grantedDeadlineNanos() {
+    return grantedDeadlineNanos;
   }
 
-  void granted(long deadlineNanos) {
-    grantedNanos = deadlineNanos;
+  void setGrantedDeadline(long deadlineNanos) {
+    grantedDeadlineNanos = deadlineNanos;
   }
 
   String checkpoint() {
@@ -190,7 +190,7 @@
   }
 
   /** Records the checkpoint that the worker reported at the given time. */
-  void checkpointSeen(String newCheckpoint, long nowNanos) {
+  void observeCheckpoint(String newCheckpoint, long nowNanos) {
     if (!newCheckpoint.isEmpty() && !newCheckpoint.equals(checkpoint)) {
       checkpoint = newCheckpoint;
       checkpointedNanos = nowNanos;
@@ -198,19 +198,19 @@
   }
 
   /** Returns whether the last checkpoint has not been reported, and marks it as reported. */
-  boolean takeUntoldCheckpoint() {
+  boolean takeUnreportedCheckpoint() {
     boolean unreported = !checkpoint.equals(reportedCheckpoint);
     reportedCheckpoint = checkpoint;
     return unreported;
   }
 
-  void stopping(boolean byEviction, String reason) {
+  void markStopping(boolean byEviction, String reason) {
     phase = Phase.STOPPING;
     evicted = byEviction;
     detail = reason;
   }
 
-  void ended(TaskReport.State newEnd, String newDetail) {
+  void markEnded(TaskReport.State newEnd, String newDetail) {
     phase = Phase.ENDED;
     end = newEnd;
     if (!newDetail.isEmpty()) {
@@ -218,7 +218,7 @@
     }
   }
 
-  TaskReport report() {
+  TaskReport toReport() {
     TaskReport.State state = phase == Phase.ENDED ? end : TaskReport.State.RUNNING;
     return TaskReport.newBuilder()
         .setTask(task)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
@@ -23,27 +23,27 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Starts and stops claimed tasks on behalf of an entry. Resends starts until the side process reports
- * that the task runs, stops tasks of cancelled jobs, writes reports to the log and acknowledges them
- * once they are folded.
+ * Starts and stops claimed tasks on behalf of an entry. Resends starts until the side process
+ * reports that the task runs, stops tasks of cancelled jobs, writes reports to the log and
+ * acknowledges them once they are folded.
  *
- * <p>It uses the task table and not the entry's own claims, so that any entry starts the tasks of an
- * entry that died between claim and start.
+ * <p>It uses the task table and not the entry's own claims, so that any entry starts the tasks of
+ * an entry that died between claim and start.
  *
- * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
+ * <p>Not thread-safe; runs under the lock of {@link EntryTaskScheduler}.
  */
 final class StartLoop {
   private static final long SWEEP_MILLIS = 2_000;
   private static final double PERMILLE = 1_000;
 
   private final EntryContext context;
-  private final VmWatch watch;
-  private final ToDoubleFunction<JobSpec> noise;
+  private final VmMembership membership;
+  private final ToDoubleFunction<JobSpec> expectedSlowdown;
 
   /** Tokens of attempts that are reported as running, with the side process's incarnation. */
   private final Map<Long, Long> running = new HashMap<>();
 
-  private final Set<String> reportsOnTheirWay = new HashSet<>();
+  private final Set<String> pendingReports = new HashSet<>();
   private long nextSweep;
 
   /**
@@ -52,18 +52,18 @@
    * @param noise returns the expected relative increase of a service's latency beside a task of the
    *     job
    */
-  StartLoop(EntryContext context, VmWatch watch, ToDoubleFunction<JobSpec> noise) {
-    this.noise = noise;
+  StartLoop(EntryContext context, VmMembership watch, ToDoubleFunction<JobSpec> noise) {
+    this.expectedSlowdown = noise;
     this.context = context;
-    this.watch = watch;
+    this.membership = watch;
     this.nextSweep = context.nanos();
   }
 
   void tick() {
-    if (!context.passed(nextSweep)) {
+    if (!context.hasPassed(nextSweep)) {
       return;
     }
-    nextSweep = context.afterMillis(SWEEP_MILLIS);
+    nextSweep = context.deadlineAfterMillis(SWEEP_MILLIS);
     Set<Long> currentTokens = new HashSet<>();
     for (VmState vm : context.table().vms()) {
       for (TaskState task : context.table().tasksOn(vm.registration())) {
@@ -76,7 +76,7 @@
 
   /** Sends starts and stops for the tasks claimed on the VM, as far as they are due. */
   void sweep(VmState vm) {
-    Optional<VmWatch.Contact> contact = watch.vouched(vm.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(vm.vm());
     if (vm.revoked() || contact.isEmpty()) {
       return;
     }
@@ -94,15 +94,15 @@
   }
 
   /** Starts a task whose claim has taken effect. */
-  void claimed(TaskState task, JobSpec spec) {
-    watch.vouched(task.vm()).ifPresent(contact -> sendStart(contact, task, spec));
+  void onClaimAccepted(TaskState task, JobSpec spec) {
+    membership.confirmedContact(task.vm()).ifPresent(contact -> sendStart(contact, task, spec));
   }
 
   void onReport(String peer, TaskReport report) {
     Optional<TaskState> task = context.table().task(report.getTask());
-    boolean isCurrent = task.isPresent() && task.get().holds(report.getToken());
+    boolean isCurrent = task.isPresent() && task.get().isClaimedWith(report.getToken());
     if (!isCurrent) {
-      if (report.getToken() <= context.table().applied()) {
+      if (report.getToken() <= context.table().appliedPosition()) {
         // The claim has been folded and is no longer current, so the report has been folded too or
         // no longer applies. A report whose claim has not been read yet must not be acknowledged,
         // because the side process would drop it.
@@ -114,35 +114,35 @@
       onRunning(task.get(), report);
       return;
     }
-    Optional<TaskRecord> record = recordOf(report);
-    if (record.isPresent() && reportsOnTheirWay.add(report.getTask())) {
-      context.append(record.get(), result -> folded(peer, report, result));
+    Optional<TaskRecord> record = toRecord(report);
+    if (record.isPresent() && pendingReports.add(report.getTask())) {
+      context.append(record.get(), result -> onReportFolded(peer, report, result));
     }
   }
 
-  private boolean isRunning(TaskState task, VmWatch.Contact contact) {
+  private boolean isRunning(TaskState task, VmMembership.Contact contact) {
     Long process = running.get(task.token());
-    return process != null && process == contact.ask().processIncarnation();
+    return process != null && process == contact.request().processIncarnation();
   }
 
   private void onRunning(TaskState task, TaskReport report) {
-    Optional<VmWatch.Contact> contact = watch.vouched(task.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(task.vm());
     if (contact.isPresent()) {
-      long process = contact.get().ask().processIncarnation();
+      long process = contact.get().request().processIncarnation();
       if (running.put(task.token(), process) == null) {
         context.record(Event.of(EventKind.TASK_STARTED).withTask(task.name()).withVm(task.vm()));
       }
     }
     String checkpoint = report.getCheckpoint();
     boolean isNew = !checkpoint.isEmpty() && !checkpoint.equals(task.checkpoint());
-    if (isNew && reportsOnTheirWay.add(task.name())) {
+    if (isNew && pendingReports.add(task.name())) {
       context.append(
           new TaskRecord.Checkpointed(task.name(), task.token(), checkpoint),
-          result -> reportsOnTheirWay.remove(task.name()));
+          result -> pendingReports.remove(task.name()));
     }
   }
 
-  private static Optional<TaskRecord> recordOf(TaskReport report) {
+  private static Optional<TaskRecord> toRecord(TaskReport report) {
     String task = report.getTask();
     long token = report.getToken();
     String checkpoint = report.getCheckpoint();
@@ -161,15 +161,15 @@
     };
   }
 
-  private void folded(String peer, TaskReport report, Result<Long> result) {
-    reportsOnTheirWay.remove(report.getTask());
+  private void onReportFolded(String peer, TaskReport report, Result<Long> result) {
+    pendingReports.remove(report.getTask());
     if (!result.isOk()) {
       // The side process resends the report, and the log may be available by then.
       return;
     }
     running.remove(report.getToken());
     acknowledge(peer, report);
-    EventKind kind = kindOf(report);
+    EventKind kind = eventKind(report);
     context.record(
         Event.of(kind)
             .withTask(report.getTask())
@@ -177,7 +177,7 @@
             .withDetail(report.getState() + " " + report.getDetail()));
   }
 
-  private static EventKind kindOf(TaskReport report) {
+  private static EventKind eventKind(TaskReport report) {
     return switch (report.getState()) {
       case DONE, FAILED -> EventKind.TASK_ENDED;
       default -> report.getEvicted() ? EventKind.TASK_EVICTED : EventKind.TASK_RELEASED;
@@ -195,7 +195,7 @@
     context.channel().send(peer, TaskMessage.newBuilder().setReportAck(ack).build());
   }
 
-  private void sendStart(VmWatch.Contact contact, TaskState task, JobSpec spec) {
+  private void sendStart(VmMembership.Contact contact, TaskState task, JobSpec spec) {
     StartTask start =
         StartTask.newBuilder()
             .setTask(task.name())
@@ -213,15 +213,15 @@
             .setRunMillis(spec.runMillis())
             .setCommand(spec.command())
             .setLeaseMillis(task.leaseMillis())
-            .setProcessIncarnation(contact.ask().processIncarnation())
+            .setProcessIncarnation(contact.request().processIncarnation())
             .setFinishByMillis(spec.finishByMillis())
             .setIdempotent(spec.idempotent())
-            .setNoisePermille((int) (PERMILLE * noise.applyAsDouble(spec)))
+            .setNoisePermille((int) (PERMILLE * expectedSlowdown.applyAsDouble(spec)))
             .build();
     context.channel().send(contact.peer(), TaskMessage.newBuilder().setStart(start).build());
   }
 
-  private void sendStop(VmWatch.Contact contact, TaskState task) {
+  private void sendStop(VmMembership.Contact contact, TaskState task) {
     StopTask stop =
         StopTask.newBuilder()
             .setTask(task.name())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskChannel.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskChannel.java
@@ -6,8 +6,8 @@
 /**
  * Sends task messages to peers: from an entry to side processes, or from a side process to entries.
  *
- * <p>Messages may be lost, duplicated, delayed and reordered. Implementations are thread-safe, do not
- * block and reject nulls.
+ * <p>Messages may be lost, duplicated, delayed and reordered. Implementations are thread-safe, do
+ * not block and reject nulls.
  */
 public interface TaskChannel {
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskPolicy.java
@@ -16,13 +16,13 @@
  * @param quotas the configured quotas by team name
  * @param guard the weights and limits of evictions
  */
-public record TaskTerms(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
+public record TaskPolicy(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
   /** The policy of a configuration without task settings. */
-  public static final TaskTerms DEFAULT =
-      new TaskTerms(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
+  public static final TaskPolicy DEFAULT =
+      new TaskPolicy(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
 
   /** Checks and copies the components. */
-  public TaskTerms {
+  public TaskPolicy {
     requireNonNull(leases, "leases");
     quotas = Map.copyOf(quotas);
     requireNonNull(guard, "guard");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
@@ -32,8 +32,8 @@
 public final class TaskRoutes {
   private final TaskTable table;
   private final TaskLog log;
-  private final EntryTasks entryTasks;
-  private final Supplier<TaskTerms> terms;
+  private final EntryTaskScheduler scheduler;
+  private final Supplier<TaskPolicy> policy;
   private final WallClock wallClock;
   private final EventRecorder recorder;
 
@@ -50,14 +50,14 @@
   public TaskRoutes(
       TaskTable table,
       TaskLog log,
-      EntryTasks entryTasks,
-      Supplier<TaskTerms> terms,
+      EntryTaskScheduler entryTasks,
+      Supplier<TaskPolicy> terms,
       WallClock wallClock,
       EventRecorder recorder) {
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
-    this.entryTasks = requireNonNull(entryTasks, "entryTasks");
-    this.terms = requireNonNull(terms, "terms");
+    this.scheduler = requireNonNull(entryTasks, "entryTasks");
+    this.policy = requireNonNull(terms, "terms");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
   }
@@ -65,34 +65,34 @@
   /**
    * Accepts a job and completes once the record has been read back from the log.
    *
-   * <p>Submitting the same job again succeeds and has no effect. Fails with {@code INVALID_CONTENT} for
-   * an invalid file, {@code CONFLICT} if a different job has the name, {@code NEVER_FITS} if a task
-   * exceeds every VM or the team's quota, {@code LOG_UNAVAILABLE} or {@code LOG_OUTCOME_UNKNOWN}. After
-   * any failure the same file may be submitted again.
+   * <p>Submitting the same job again succeeds and has no effect. Fails with {@code INVALID_CONTENT}
+   * for an invalid file, {@code CONFLICT} if a different job has the name, {@code NEVER_FITS} if a
+   * task exceeds every VM or the team's quota, {@code LOG_UNAVAILABLE} or {@code
+   * LOG_OUTCOME_UNKNOWN}. After any failure the same file may be submitted again.
    *
    * @param fileName the file's name for failure messages
    * @param file the content of the job file
    */
   public CompletableFuture<Result<JobView>> submit(String fileName, byte[] file) {
-    Result<JobSpec> read = JobFile.read(fileName, file).then(this::possible);
+    Result<JobSpec> read = JobFile.read(fileName, file).then(this::checkFeasible);
     if (read instanceof Result.Failed<JobSpec> failed) {
       recorder.record(Event.of(EventKind.JOB_REFUSED).withDetail(failed.failure().detail()));
       return CompletableFuture.completedFuture(Result.failed(failed.failure()));
     }
     JobSpec spec = read.value();
     if (table.job(spec.name()).isPresent()) {
-      return CompletableFuture.completedFuture(accepted(spec));
+      return CompletableFuture.completedFuture(acceptedView(spec));
     }
     return log.append(new TaskRecord.JobAccepted(spec, wallClock.millis()))
-        .thenApply(appended -> appended.then(position -> newlyAccepted(spec, position)));
+        .thenApply(appended -> appended.then(position -> recordAccepted(spec, position)));
   }
 
   /**
    * Cancels a job and completes once the record has been read back from the log. Running tasks are
    * stopped after that.
    *
-   * <p>Fails with {@code NOT_FOUND} for an unknown job. Cancelling a job that has ended or is already
-   * cancelled has no effect.
+   * <p>Fails with {@code NOT_FOUND} for an unknown job. Cancelling a job that has ended or is
+   * already cancelled has no effect.
    */
   public CompletableFuture<Result<JobView>> cancel(String name, String reason) {
     Optional<JobState> job = table.job(name);
@@ -130,29 +130,28 @@
   public Result<TaskView> task(String name) {
     return table
         .task(name)
-        .map(task -> Result.ok(TaskView.of(task, entryTasks.whyWaiting(task.job()))))
+        .map(task -> Result.ok(TaskView.of(task, scheduler.waitingReason(task.job()))))
         .orElseGet(() -> Result.failed(ErrorKind.NOT_FOUND, "no task is called " + name));
   }
 
   private JobView view(JobState job) {
-    return JobView.of(job, entryTasks.whyWaiting(job.spec().name()));
+    return JobView.of(job, scheduler.waitingReason(job.spec().name()));
   }
 
-  private Result<JobSpec> possible(JobSpec spec) {
+  private Result<JobSpec> checkFeasible(JobSpec spec) {
     Optional<String> infeasible = Fleet.infeasibilityReason(table.vms(), spec.sizes());
     if (infeasible.isPresent()) {
       return Result.failed(ErrorKind.NEVER_FITS, "job " + spec.name() + ": " + infeasible.get());
     }
-    if (!spec.sizes().fitsIn(terms.get().quota(spec.team()).most())) {
+    if (!spec.sizes().fitsIn(policy.get().quota(spec.team()).limit())) {
       return Result.failed(
           ErrorKind.NEVER_FITS,
-          "job %s: a task exceeds the quota of team %s"
-              .formatted(spec.name(), spec.team()));
+          "job %s: a task exceeds the quota of team %s".formatted(spec.name(), spec.team()));
     }
     return Result.ok(spec);
   }
 
-  private Result<JobView> newlyAccepted(JobSpec spec, long position) {
+  private Result<JobView> recordAccepted(JobSpec spec, long position) {
     boolean isNew = table.job(spec.name()).filter(job -> job.accepted() == position).isPresent();
     if (isNew) {
       recorder.record(
@@ -161,18 +160,19 @@
               .withTeam(spec.team())
               .withDetail(spec.count() + " tasks"));
     }
-    return accepted(spec);
+    return acceptedView(spec);
   }
 
   /** Returns the job if it equals the submitted one; else fails with {@code CONFLICT}. */
-  private Result<JobView> accepted(JobSpec spec) {
+  private Result<JobView> acceptedView(JobSpec spec) {
     Optional<JobState> job = table.job(spec.name());
     if (job.isEmpty()) {
       return unknownJob(spec.name());
     }
     if (!job.get().spec().equals(spec)) {
       return Result.failed(
-          ErrorKind.CONFLICT, "a different job already has the name " + spec.name() + "; choose a new name");
+          ErrorKind.CONFLICT,
+          "a different job already has the name " + spec.name() + "; choose a new name");
     }
     return Result.ok(view(job.get()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskView.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskView.java
@@ -55,7 +55,8 @@
     String history = task.detail().isEmpty() ? "" : "; last event: " + task.detail();
     return switch (task.phase()) {
       case WAITING -> {
-        String reason = waitingReason.isEmpty() ? "waiting in the queue" : "waiting: " + waitingReason;
+        String reason =
+            waitingReason.isEmpty() ? "waiting in the queue" : "waiting: " + waitingReason;
         yield reason + history;
       }
       case CLAIMED ->
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmMembership.java
@@ -27,25 +27,25 @@
 
 /**
  * Manages the registrations of VMs on behalf of an entry: writes their joins, confirms them by
- * heartbeats read back from the log, revokes those that no entry reaches, and clears them once their
- * leases must have expired.
+ * heartbeats read back from the log, revokes those that no entry reaches, and clears them once
+ * their leases must have expired.
  *
- * <p>Not thread-safe; runs under the lock of {@link EntryTasks}.
+ * <p>Not thread-safe; runs under the lock of {@link EntryTaskScheduler}.
  */
-final class VmWatch {
+final class VmMembership {
   private static final long HEARTBEAT_MILLIS = 1_000;
 
   /** Time for which a VM counts as reachable after a request of its side process. */
-  private static final long HEARD_MILLIS = 3_000;
+  private static final long REACHABLE_MILLIS = 3_000;
 
   /** Time for which an entry counts as alive after a heartbeat was read. */
   private static final long ENTRY_ALIVE_MILLIS = 5_000;
 
-  private static final long APPEND_AGAIN_MILLIS = 2_000;
+  private static final long APPEND_RETRY_MILLIS = 2_000;
 
   /**
-   * Additional delay for each rank of an entry before it revokes or clears a VM, so that usually only
-   * the entry of the lowest rank writes the record.
+   * Additional delay for each rank of an entry before it revokes or clears a VM, so that usually
+   * only the entry of the lowest rank writes the record.
    */
   private static final long RANK_DELAY_MILLIS = 300;
 
@@ -53,43 +53,44 @@
    * Last request of a VM's side process.
    *
    * @param peer the side process as the channel names it
-   * @param ask the request
-   * @param leaving whether the VM takes no new tasks
-   * @param heardUntil the time until which the VM counts as reachable
-   * @param silentAt the time from which the side process counts as unresponsive
+   * @param request the request
+   * @param draining whether the VM takes no new tasks
+   * @param reachableUntil the time until which the VM counts as reachable
+   * @param unresponsiveAt the time from which the side process counts as unresponsive
    */
   record Contact(
       String peer,
-      ConfirmationLedger.Request ask,
-      boolean leaving,
-      long heardUntil,
-      long silentAt) {}
+      ConfirmationLedger.Request request,
+      boolean draining,
+      long reachableUntil,
+      long unresponsiveAt) {}
 
-  private record Seen(long heartbeat, long aliveUntil) {}
+  private record EntryActivity(long lastHeartbeat, long aliveUntil) {}
 
   private final EntryContext context;
   private final ConfirmationLedger ledger = new ConfirmationLedger();
   private final Map<String, Contact> contacts = new HashMap<>();
-  private final Map<String, Long> vouchedProcess = new HashMap<>();
-  private final Map<Long, Long> unheardSince = new HashMap<>();
-  private final Map<Long, Long> revokedSince = new HashMap<>();
-  private final Map<String, Long> notAgainBefore = new HashMap<>();
-  private final Map<String, Seen> entries = new HashMap<>();
-  private final Consumer<String> onFirstVouch;
+  private final Map<String, Long> confirmedProcess = new HashMap<>();
+  private final Map<Long, Long> revocationDue = new HashMap<>();
+  private final Map<Long, Long> revocationReadAt = new HashMap<>();
+  private final Map<String, Long> retryNotBefore = new HashMap<>();
+  private final Map<String, EntryActivity> entries = new HashMap<>();
+  private final Consumer<String> onFirstConfirmation;
   private long nextHeartbeat;
 
   /**
    * Creates an instance that has received nothing yet.
    *
-   * @param onFirstVouch receives the VM's name when its side process is confirmed for the first time
+   * @param onFirstVouch receives the VM's name when its side process is confirmed for the first
+   *     time
    */
-  VmWatch(EntryContext context, Consumer<String> onFirstVouch) {
+  VmMembership(EntryContext context, Consumer<String> onFirstVouch) {
     this.context = context;
-    this.onFirstVouch = onFirstVouch;
+    this.onFirstConfirmation = onFirstVouch;
     this.nextHeartbeat = context.nanos();
   }
 
-  void onAsk(String peer, AskVouch message) {
+  void onConfirmationRequest(String peer, AskVouch message) {
     ConfirmationLedger.Request request =
         new ConfirmationLedger.Request(
             message.getVm(),
@@ -97,32 +98,32 @@
             message.getProcessIncarnation(),
             message.getAskedNanos());
     ledger.recordRequest(request);
-    long silence = context.terms().leases().silenceMillis();
+    long silence = context.policy().leases().silenceMillis();
     contacts.put(
         request.vm(),
         new Contact(
             peer,
             request,
             message.getLeaving(),
-            context.afterMillis(HEARD_MILLIS),
-            context.afterMillis(silence)));
+            context.deadlineAfterMillis(REACHABLE_MILLIS),
+            context.deadlineAfterMillis(silence)));
     Optional<VmState> vm = context.table().vm(request.vm());
     boolean joined =
         vm.isPresent() && vm.get().description().bootIncarnation() == request.bootIncarnation();
-    if (!joined && mayAppend("join " + request.vm() + " " + request.bootIncarnation())) {
+    if (!joined && allowAppend("join " + request.vm() + " " + request.bootIncarnation())) {
       join(message);
     }
   }
 
   void tick() {
-    if (context.passed(nextHeartbeat)) {
-      nextHeartbeat = context.afterMillis(HEARTBEAT_MILLIS);
-      noteEntries();
+    if (context.hasPassed(nextHeartbeat)) {
+      nextHeartbeat = context.deadlineAfterMillis(HEARTBEAT_MILLIS);
+      updateEntryActivity();
       heartbeat();
       List<VmState> vms = context.table().vms();
-      revokeSilent(vms);
+      revokeUnreachable(vms);
       clearRevoked(vms);
-      forgetOld(vms);
+      removeStale(vms);
     }
   }
 
@@ -130,20 +131,20 @@
    * Returns the contact of a VM that is responsive and whose current side process this entry has
    * confirmed.
    */
-  Optional<Contact> vouched(String vm) {
+  Optional<Contact> confirmedContact(String vm) {
     Contact contact = contacts.get(vm);
-    if (contact == null || context.passed(contact.silentAt())) {
+    if (contact == null || context.hasPassed(contact.unresponsiveAt())) {
       return Optional.empty();
     }
-    Long process = vouchedProcess.get(vm);
-    boolean current = process != null && process == contact.ask().processIncarnation();
+    Long process = confirmedProcess.get(vm);
+    boolean current = process != null && process == contact.request().processIncarnation();
     return current ? Optional.of(contact) : Optional.empty();
   }
 
   /** Returns whether a VM may get new tasks: reachable from this entry and not draining. */
-  boolean usable(String vm) {
+  boolean isSchedulable(String vm) {
     Contact contact = contacts.get(vm);
-    return contact != null && !contact.leaving() && !context.passed(contact.heardUntil());
+    return contact != null && !contact.draining() && !context.hasPassed(contact.reachableUntil());
   }
 
   /** Returns the sorted names of the entries with a recent heartbeat, and of this entry. */
@@ -152,7 +153,7 @@
     live.add(context.identity().name());
     entries.forEach(
         (entry, activity) -> {
-          if (!context.passed(activity.aliveUntil())) {
+          if (!context.hasPassed(activity.aliveUntil())) {
             live.add(entry);
           }
         });
@@ -183,11 +184,11 @@
     Set<String> reachable = new HashSet<>();
     contacts.forEach(
         (vm, contact) -> {
-          if (!context.passed(contact.heardUntil())) {
+          if (!context.hasPassed(contact.reachableUntil())) {
             reachable.add(vm);
           }
         });
-    Set<String> reported = toldBefore();
+    Set<String> reported = reportedReachable();
     List<String> gained = new ArrayList<>(reachable);
     gained.removeAll(reported);
     List<String> lost = new ArrayList<>(reported);
@@ -197,10 +198,10 @@
     long number = ledger.recordHeartbeatSent();
     context.append(
         new TaskRecord.Heartbeat(identity.name(), identity.incarnation(), gained, lost),
-        result -> readBack(number, result));
+        result -> onHeartbeatReadBack(number, result));
   }
 
-  private Set<String> toldBefore() {
+  private Set<String> reportedReachable() {
     for (EntryState entry : context.table().entries()) {
       boolean sameIncarnation = entry.incarnation() == context.identity().incarnation();
       if (sameIncarnation && entry.entry().equals(context.identity().name())) {
@@ -210,20 +211,20 @@
     return Set.of();
   }
 
-  private void readBack(long number, Result<Long> result) {
+  private void onHeartbeatReadBack(long number, Result<Long> result) {
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
     }
     for (ConfirmationLedger.Request request : ledger.confirmedBy(number)) {
       Optional<VmState> vm = context.table().vm(request.vm());
-      if (vm.isPresent()
-          && vm.get().description().bootIncarnation() == request.bootIncarnation()) {
-        vouch(request, vm.get().registration(), ok.value());
+      if (vm.isPresent() && vm.get().description().bootIncarnation() == request.bootIncarnation()) {
+        sendConfirmation(request, vm.get().registration(), ok.value());
       }
     }
   }
 
-  private void vouch(ConfirmationLedger.Request request, long registration, long heartbeat) {
+  private void sendConfirmation(
+      ConfirmationLedger.Request request, long registration, long heartbeat) {
     Contact contact = contacts.get(request.vm());
     if (contact == null) {
       return;
@@ -236,18 +237,18 @@
             .setHeartbeat(heartbeat)
             .build();
     context.channel().send(contact.peer(), TaskMessage.newBuilder().setVouch(confirmation).build());
-    Long before = vouchedProcess.put(request.vm(), request.processIncarnation());
+    Long before = confirmedProcess.put(request.vm(), request.processIncarnation());
     if (before == null || before != request.processIncarnation()) {
-      onFirstVouch.accept(request.vm());
+      onFirstConfirmation.accept(request.vm());
     }
   }
 
-  private void noteEntries() {
+  private void updateEntryActivity() {
     for (EntryState entry : context.table().entries()) {
-      Seen activity = entries.get(entry.entry());
-      if (activity == null || activity.heartbeat() != entry.lastHeartbeat()) {
-        long aliveUntil = context.afterMillis(ENTRY_ALIVE_MILLIS);
-        entries.put(entry.entry(), new Seen(entry.lastHeartbeat(), aliveUntil));
+      EntryActivity activity = entries.get(entry.entry());
+      if (activity == null || activity.lastHeartbeat() != entry.lastHeartbeat()) {
+        long aliveUntil = context.deadlineAfterMillis(ENTRY_ALIVE_MILLIS);
+        entries.put(entry.entry(), new EntryActivity(entry.lastHeartbeat(), aliveUntil));
       }
     }
   }
@@ -256,21 +257,22 @@
    * Revokes VMs that no live entry reaches. A VM that only this entry does not reach keeps its
    * registration, because the other entries confirm it.
    */
-  private void revokeSilent(List<VmState> vms) {
-    Set<String> reachableElsewhere = heardByOthers();
-    long silence = context.terms().leases().silenceMillis() + rankDelayMillis();
+  private void revokeUnreachable(List<VmState> vms) {
+    Set<String> reachableElsewhere = reachableByOthers();
+    long silence = context.policy().leases().silenceMillis() + rankDelayMillis();
     for (VmState vm : vms) {
       Contact contact = contacts.get(vm.vm());
-      boolean reachable = contact != null && !context.passed(contact.heardUntil());
+      boolean reachable = contact != null && !context.hasPassed(contact.reachableUntil());
       if (vm.revoked() || reachable || reachableElsewhere.contains(vm.vm())) {
-        unheardSince.remove(vm.registration());
+        revocationDue.remove(vm.registration());
         continue;
       }
       // Counted from the time at which this entry first found the VM unreachable, so that an entry
       // that has just started gives the VMs time to connect.
       long revokeAt =
-          unheardSince.computeIfAbsent(vm.registration(), unused -> context.afterMillis(silence));
-      if (context.passed(revokeAt) && mayAppend("revoke " + vm.registration())) {
+          revocationDue.computeIfAbsent(
+              vm.registration(), unused -> context.deadlineAfterMillis(silence));
+      if (context.hasPassed(revokeAt) && allowAppend("revoke " + vm.registration())) {
         revoke(vm);
       }
     }
@@ -287,7 +289,7 @@
         });
   }
 
-  private Set<String> heardByOthers() {
+  private Set<String> reachableByOthers() {
     Set<String> live = new HashSet<>(liveEntries());
     live.remove(context.identity().name());
     Set<String> reachable = new HashSet<>();
@@ -306,7 +308,8 @@
       }
       // The wait starts when this entry first sees the revocation in its table, which is not before
       // it was read. An entry that restarts waits for the full time again.
-      long readNanos = revokedSince.computeIfAbsent(vm.registration(), unused -> context.nanos());
+      long readNanos =
+          revocationReadAt.computeIfAbsent(vm.registration(), unused -> context.nanos());
       clear(vm, readNanos);
     }
   }
@@ -319,7 +322,7 @@
         longestExpired = Math.max(longestExpired, task.leaseMillis());
       }
     }
-    if (longestExpired > 0 && mayAppend("clear " + vm.registration() + " " + longestExpired)) {
+    if (longestExpired > 0 && allowAppend("clear " + vm.registration() + " " + longestExpired)) {
       context.append(
           new TaskRecord.VmCleared(vm.vm(), vm.registration(), longestExpired), result -> {});
     }
@@ -331,35 +334,35 @@
   }
 
   /** Returns whether no append of that purpose was made recently, and if so records this one. */
-  private boolean mayAppend(String purpose) {
-    Long notBefore = notAgainBefore.get(purpose);
-    if (notBefore != null && !context.passed(notBefore)) {
+  private boolean allowAppend(String purpose) {
+    Long notBefore = retryNotBefore.get(purpose);
+    if (notBefore != null && !context.hasPassed(notBefore)) {
       return false;
     }
-    notAgainBefore.put(purpose, context.afterMillis(APPEND_AGAIN_MILLIS));
+    retryNotBefore.put(purpose, context.deadlineAfterMillis(APPEND_RETRY_MILLIS));
     return true;
   }
 
-  private void forgetOld(List<VmState> vms) {
+  private void removeStale(List<VmState> vms) {
     Set<Long> registrations = new HashSet<>();
     Set<String> names = new HashSet<>();
     for (VmState vm : vms) {
       registrations.add(vm.registration());
       names.add(vm.vm());
     }
-    revokedSince.keySet().retainAll(registrations);
-    unheardSince.keySet().retainAll(registrations);
-    notAgainBefore.values().removeIf(context::passed);
+    revocationReadAt.keySet().retainAll(registrations);
+    revocationDue.keySet().retainAll(registrations);
+    retryNotBefore.values().removeIf(context::hasPassed);
     contacts
         .entrySet()
         .removeIf(
             contact -> {
               boolean removed =
-                  context.passed(contact.getValue().silentAt())
+                  context.hasPassed(contact.getValue().unresponsiveAt())
                       && !names.contains(contact.getKey());
               if (removed) {
                 ledger.remove(contact.getKey());
-                vouchedProcess.remove(contact.getKey());
+                confirmedProcess.remove(contact.getKey());
               }
               return removed;
             });
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
@@ -63,7 +63,7 @@
 
   /** Acknowledges one more complete response with the next frame sent. */
   void acknowledgeResponse() {
-    loop.run(connection.join()::answerRead);
+    loop.run(connection.join()::countResponseRead);
   }
 
   /** Waits for the next frame. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
@@ -93,17 +93,17 @@
       history.add(
           tag, idempotent, outcomeOf(response), !answered || Arrays.equals(body, response.body()));
     } catch (IOException e) {
-      history.add(tag, idempotent, RequestHistory.Told.UNKNOWN, true);
+      history.add(tag, idempotent, RequestHistory.Outcome.UNKNOWN, true);
     }
   }
 
-  private static RequestHistory.Told outcomeOf(HttpResponse<byte[]> response) {
+  private static RequestHistory.Outcome outcomeOf(HttpResponse<byte[]> response) {
     if (response.statusCode() == 200) {
-      return RequestHistory.Told.ANSWERED;
+      return RequestHistory.Outcome.ANSWERED;
     }
     String problem = new String(response.body(), StandardCharsets.UTF_8);
     return problem.contains("\"execution\":\"not_run\"")
-        ? RequestHistory.Told.NOT_RUN
-        : RequestHistory.Told.UNKNOWN;
+        ? RequestHistory.Outcome.NOT_RUN
+        : RequestHistory.Outcome.UNKNOWN;
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
@@ -13,18 +13,18 @@
 
 /** Tests of tasks under failures of processes, network and log, judged by the workers' records. */
 class TaskFaultsTest {
-  private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
+  private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long LONG_MILLIS = 60_000;
 
-  private static void assertSound(TaskWorld world) {
+  private static void assertNoViolations(TaskTestCluster world) {
     assertEquals(List.of(), world.violations());
     assertEquals(0, world.askedOverCapacity());
   }
 
-  private static void assertAllDone(TaskWorld world, String job, int count, long maxMillis) {
+  private static void assertAllDone(TaskTestCluster world, String job, int count, long maxMillis) {
     assertTrue(world.runUntilEnded(maxMillis), () -> "not ended: " + world.tasks(job));
     assertEquals(count, world.jobState(job).done());
-    assertSound(world);
+    assertNoViolations(world);
   }
 
   /**
@@ -32,12 +32,12 @@
    * otherwise they stay claimed forever.
    */
   @Test
-  void tasksStartThoughTheirEntryDiedBetweenClaimAndStart() {
-    TaskWorld world = new TaskWorld(2, 1, 2, ROOM_FOR_FOUR);
+  void anotherEntryStartsTasksClaimedByADeadEntry() {
+    TaskTestCluster world = new TaskTestCluster(2, 1, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
     world.cut("entry-1>vm-1");
     world.cut("entry-1>vm-2");
-    world.submit(TaskWorld.job("payout", 6, 2_000));
+    world.submit(TaskTestCluster.job("payout", 6, 2_000));
     world.run(500);
     world.killEntry("entry-1");
     assertEquals(List.of(), world.runs());
@@ -49,13 +49,13 @@
   }
 
   /**
-   * All entries die at once while tasks run, and a new entry starts without local state. No task may
-   * be lost or started twice, because the log and the workers hold all of the state.
+   * All entries die at once while tasks run, and a new entry starts without local state. No task
+   * may be lost or started twice, because the log and the workers hold all of the state.
    */
   @Test
-  void nothingIsForgottenWhenEveryEntryDiesAtOnce() {
-    TaskWorld world = new TaskWorld(3, 3, 3, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 30, 3_000));
+  void tasksSurviveTheDeathOfEveryEntry() {
+    TaskTestCluster world = new TaskTestCluster(3, 3, 3, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 30, 3_000));
     world.run(4_000);
     world.killEntry("entry-1");
     world.killEntry("entry-2");
@@ -68,13 +68,14 @@
   }
 
   /**
-   * The side process of a VM is killed and started again, as in an upgrade, while its tasks run at the
-   * worker. The new process must adopt them: neither start them again nor let their leases expire.
+   * The side process of a VM is killed and started again, as in an upgrade, while its tasks run at
+   * the worker. The new process must adopt them: neither start them again nor let their leases
+   * expire.
    */
   @Test
-  void aNewSideProcessAdoptsWhatItsWorkerRuns() {
-    TaskWorld world = new TaskWorld(4, 2, 1, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 4, LONG_MILLIS));
+  void aNewSideProcessAdoptsRunningTasks() {
+    TaskTestCluster world = new TaskTestCluster(4, 2, 1, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
     world.run(5_000);
     world.vm(1).killSide();
     world.run(1_000);
@@ -85,13 +86,13 @@
   }
 
   /**
-   * The side process of a VM dies and is not restarted. Its worker stops the tasks when their leases
-   * expire; only after that may they run elsewhere.
+   * The side process of a VM dies and is not restarted. Its worker stops the tasks when their
+   * leases expire; only after that may they run elsewhere.
    */
   @Test
-  void tasksOfAVmWithoutSideProcessRunElsewhereAfterTheirLeases() {
-    TaskWorld world = new TaskWorld(5, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 6, LONG_MILLIS));
+  void tasksMoveAfterTheirLeasesWhenTheSideProcessDies() {
+    TaskTestCluster world = new TaskTestCluster(5, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
     world.run(5_000);
     world.vm(1).killSide();
 
@@ -105,13 +106,13 @@
    * while it was paused.
    */
   @Test
-  void aSideProcessThatWakesUpLateRunsNothingTwice() {
-    TaskWorld world = new TaskWorld(6, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 6, LONG_MILLIS));
+  void aSideProcessResumedAfterItsLeasesRunsNothingTwice() {
+    TaskTestCluster world = new TaskTestCluster(6, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
     world.run(5_000);
-    world.vm(1).freezeSide(true);
+    world.vm(1).pauseSide(true);
     world.run(40_000);
-    world.vm(1).freezeSide(false);
+    world.vm(1).pauseSide(false);
 
     assertAllDone(world, "payout", 6, 4 * LONG_MILLIS);
   }
@@ -121,13 +122,13 @@
    * elsewhere by then. The start names the old registration and must be ignored.
    */
   @Test
-  void aStartFromBeforeARevocationIsNotObeyedAfterIt() {
-    TaskWorld world = new TaskWorld(7, 1, 2, ROOM_FOR_FOUR);
+  void aStartFromBeforeARevocationIsIgnored() {
+    TaskTestCluster world = new TaskTestCluster(7, 1, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.vm(1).freezeSide(true);
-    world.submit(TaskWorld.job("payout", 4, LONG_MILLIS));
+    world.vm(1).pauseSide(true);
+    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
     world.run(30_000);
-    world.vm(1).freezeSide(false);
+    world.vm(1).pauseSide(false);
 
     assertAllDone(world, "payout", 4, 4 * LONG_MILLIS);
   }
@@ -137,26 +138,26 @@
    * expire, its tasks run elsewhere, and the VM joins again once it is reconnected.
    */
   @Test
-  void aVmCutOffFromEverythingStopsBeforeOthersStart() {
-    TaskWorld world = new TaskWorld(8, 3, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, LONG_MILLIS));
+  void anIsolatedVmStopsItsTasksBeforeOthersStartThem() {
+    TaskTestCluster world = new TaskTestCluster(8, 3, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
     world.run(5_000);
     world.cut("vm-1");
     world.run(45_000);
-    world.mend("vm-1");
+    world.reconnect("vm-1");
 
     assertAllDone(world, "payout", 8, 6 * LONG_MILLIS);
     assertTrue(world.runs().stream().anyMatch(run -> run.state().name().equals("LAPSED")));
   }
 
   /**
-   * One of three entries no longer reaches a VM that the others reach. The VM must not be revoked, and
-   * its tasks must run on.
+   * One of three entries no longer reaches a VM that the others reach. The VM must not be revoked,
+   * and its tasks must run on.
    */
   @Test
-  void aVmThatOnlyOneEntryMissesIsNotRevoked() {
-    TaskWorld world = new TaskWorld(9, 3, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, LONG_MILLIS));
+  void aVmUnreachableForOneEntryIsNotRevoked() {
+    TaskTestCluster world = new TaskTestCluster(9, 3, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
     world.run(5_000);
     world.cut("vm-1>entry-2");
     world.cut("entry-2>vm-1");
@@ -171,8 +172,8 @@
    */
   @Test
   void runningTasksOutliveAnOutageShorterThanTheirLease() {
-    TaskWorld world = new TaskWorld(10, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 20_000));
+    TaskTestCluster world = new TaskTestCluster(10, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 20_000));
     world.run(5_000);
     world.log().down(true);
     world.run(6_000);
@@ -183,13 +184,14 @@
   }
 
   /**
-   * The log is unavailable for longer than the leases. Tasks stop, and resume from their checkpoints
-   * once the log is back. No task may run in two places, get lost or start from the beginning.
+   * The log is unavailable for longer than the leases. Tasks stop, and resume from their
+   * checkpoints once the log is back. No task may run in two places, get lost or start from the
+   * beginning.
    */
   @Test
   void tasksResumeFromCheckpointsAfterAnOutageLongerThanTheirLease() {
-    TaskWorld world = new TaskWorld(11, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 20_000));
+    TaskTestCluster world = new TaskTestCluster(11, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 20_000));
     world.run(12_000);
     world.log().down(true);
     world.run(30_000);
@@ -201,12 +203,14 @@
     assertTrue(second.stream().noneMatch(run -> run.checkpoint().isEmpty()));
   }
 
-  /** Each record is written to the log twice. Duplicate claims, releases and ends have no effect. */
+  /**
+   * Each record is written to the log twice. Duplicate claims, releases and ends have no effect.
+   */
   @Test
-  void doubledRecordsCountOnce() {
-    TaskWorld world = new TaskWorld(12, 3, 3, ROOM_FOR_FOUR);
-    world.log().doubleNext(1_000);
-    world.submit(TaskWorld.job("payout", 30, 2_000));
+  void duplicateRecordsAreAppliedOnce() {
+    TaskTestCluster world = new TaskTestCluster(12, 3, 3, CAPACITY_FOR_FOUR);
+    world.log().duplicateNext(1_000);
+    world.submit(TaskTestCluster.job("payout", 30, 2_000));
 
     assertAllDone(world, "payout", 30, LONG_MILLIS);
     assertEquals(30, world.runs().size());
@@ -214,25 +218,25 @@
 
   /** Appends take effect, but their responses are lost. The claims among them must be started. */
   @Test
-  void claimsWhoseAnswerWasLostAreStarted() {
-    TaskWorld world = new TaskWorld(13, 2, 3, ROOM_FOR_FOUR);
+  void claimsWithALostResponseAreStarted() {
+    TaskTestCluster world = new TaskTestCluster(13, 2, 3, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.log().loseNextAnswers(200);
-    world.submit(TaskWorld.job("payout", 12, 2_000));
+    world.log().loseNextResponses(200);
+    world.submit(TaskTestCluster.job("payout", 12, 2_000));
 
     assertAllDone(world, "payout", 12, LONG_MILLIS);
     assertEquals(12, world.runs().size());
   }
 
   /**
-   * A VM is replaced by a smaller one under the same name, while the old one runs on, unreachable but
-   * with valid leases. Tasks of the old VM wait until those have expired, and the new VM gets no more
-   * tasks than fit.
+   * A VM is replaced by a smaller one under the same name, while the old one runs on, unreachable
+   * but with valid leases. Tasks of the old VM wait until those have expired, and the new VM gets
+   * no more tasks than fit.
    */
   @Test
-  void aSmallerVmUnderTheSameNameIsANewVm() {
-    TaskWorld world = new TaskWorld(14, 2, 1, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 4, 20_000));
+  void aSmallerVmUnderTheSameNameGetsItsOwnRegistration() {
+    TaskTestCluster world = new TaskTestCluster(14, 2, 1, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 4, 20_000));
     world.run(5_000);
     world.vm(1).replace(new Sizes(2_000, 100_000, 0));
 
@@ -242,10 +246,10 @@
 
   /** The worker's responses to starts and stops are lost. No task runs twice, and all tasks end. */
   @Test
-  void lostAnswersOfTheWorkerAreSettledByAskingIt() {
-    TaskWorld world = new TaskWorld(15, 2, 2, ROOM_FOR_FOUR);
+  void lostWorkerResponsesAreResolvedByQueryingTheWorker() {
+    TaskTestCluster world = new TaskTestCluster(15, 2, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.submit(TaskWorld.job("payout", 8, 3_000));
+    world.submit(TaskTestCluster.job("payout", 8, 3_000));
     world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(12));
 
     assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
@@ -254,75 +258,75 @@
   /** Cancelling a job ends its running and its waiting tasks as cancelled. */
   @Test
   void cancellationsReachRunningTasks() {
-    TaskWorld world = new TaskWorld(16, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 30, LONG_MILLIS));
+    TaskTestCluster world = new TaskTestCluster(16, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 30, LONG_MILLIS));
     world.run(5_000);
     world.cancel("payout");
 
     assertTrue(world.runUntilEnded(10_000));
     assertEquals(30, world.jobState("payout").cancelled());
     assertTrue(world.runs().stream().noneMatch(run -> run.endMillis() == 0));
-    assertSound(world);
+    assertNoViolations(world);
   }
 
   /** Entries decide on views that lag by up to 0.8 s. Claims must never exceed a VM's capacity. */
   @Test
   void entriesWithStaleViewsNeverOverbook() {
-    TaskWorld world = new TaskWorld(17, 3, 3, ROOM_FOR_FOUR);
-    world.entry(1).lag(500);
-    world.entry(2).lag(800);
-    world.submit(TaskWorld.job("payout", 40, 1_000));
+    TaskTestCluster world = new TaskTestCluster(17, 3, 3, CAPACITY_FOR_FOUR);
+    world.entry(1).setLag(500);
+    world.entry(2).setLag(800);
+    world.submit(TaskTestCluster.job("payout", 40, 1_000));
 
     assertAllDone(world, "payout", 40, 2 * LONG_MILLIS);
   }
 
   /**
-   * A task ends before a lagging entry has read its claim. That entry must not acknowledge the report;
-   * otherwise the side process drops it, and the task stays claimed forever.
+   * A task ends before a lagging entry has read its claim. That entry must not acknowledge the
+   * report; otherwise the side process drops it, and the task stays claimed forever.
    */
   @Test
-  void anEntryThatLagsAcknowledgesNothingItHasNotRead() {
-    TaskWorld world = new TaskWorld(19, 3, 3, ROOM_FOR_FOUR);
-    world.entry(1).lag(4_000);
-    world.entry(2).lag(4_000);
-    world.submit(TaskWorld.job("payout", 30, 200));
+  void aLaggingEntryAcknowledgesOnlyWhatItHasRead() {
+    TaskTestCluster world = new TaskTestCluster(19, 3, 3, CAPACITY_FOR_FOUR);
+    world.entry(1).setLag(4_000);
+    world.entry(2).setLag(4_000);
+    world.submit(TaskTestCluster.job("payout", 30, 200));
 
     assertAllDone(world, "payout", 30, 2 * LONG_MILLIS);
   }
 
   /**
-   * One of two entries is alive but reaches no VM. The other entry must take over the tasks that the
-   * hash assigns to the first one.
+   * One of two entries is alive but reaches no VM. The other entry must take over the tasks that
+   * the hash assigns to the first one.
    */
   @Test
-  void anEntryWithoutVmsHoldsUpNothing() {
-    TaskWorld world = new TaskWorld(20, 2, 3, ROOM_FOR_FOUR);
+  void anIsolatedEntryDoesNotDelayTasks() {
+    TaskTestCluster world = new TaskTestCluster(20, 2, 3, CAPACITY_FOR_FOUR);
     world.run(2_000);
     for (int vm = 1; vm <= 3; vm++) {
       world.cut("entry-2>vm-" + vm);
       world.cut("vm-" + vm + ">entry-2");
     }
     world.run(5_000);
-    world.submit(TaskWorld.job("payout", 12, 1_000));
+    world.submit(TaskTestCluster.job("payout", 12, 1_000));
 
     assertAllDone(world, "payout", 12, LONG_MILLIS);
   }
 
   /** A task that fails on every VM ends as failed with the reason, and is not retried forever. */
   @Test
-  void aTaskThatFailsEverywhereEndsWithItsReason() {
-    TaskWorld world = new TaskWorld(18, 2, 4, ROOM_FOR_FOUR);
+  void aTaskThatFailsOnEveryVmEndsAsFailed() {
+    TaskTestCluster world = new TaskTestCluster(18, 2, 4, CAPACITY_FOR_FOUR);
     world.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(2).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(3).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(4).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.submit(TaskWorld.job("payout", 1, 1_000));
+    world.submit(TaskTestCluster.job("payout", 1, 1_000));
 
     assertTrue(world.runUntilEnded(LONG_MILLIS));
     TaskState task = world.tasks("payout").get(0);
     assertEquals(TaskState.Phase.FAILED, task.phase());
     assertEquals(3, task.failedVms().size());
     assertFalse(task.detail().isEmpty());
-    assertSound(world);
+    assertNoViolations(world);
   }
 }
