--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptReporter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptReporter.java
@@ -17,10 +17,10 @@
   }
 
   /** Resends the reports of ended attempts, which no entry has acknowledged yet. */
-  void resendEnded(Collection<SideAttempt> tasks) {
-    for (SideAttempt task : tasks) {
-      if (task.phase() == SideAttempt.Phase.ENDED) {
-        sendToOne(task.toReport());
+  void resendEnded(Collection<SideAttempt> attempts) {
+    for (SideAttempt attempt : attempts) {
+      if (attempt.phase() == SideAttempt.Phase.ENDED) {
+        sendToOne(attempt.toReport());
       }
     }
     round++;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
@@ -60,12 +60,12 @@
   AttemptSupervisor(
       SideIdentity identity,
       Worker worker,
-      AttemptReporter reports,
+      AttemptReporter reporter,
       MonotonicClock clock,
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.worker = requireNonNull(worker, "worker");
-    this.reporter = requireNonNull(reports, "reports");
+    this.reporter = requireNonNull(reporter, "reporter");
     this.clock = requireNonNull(clock, "clock");
     this.recorder = requireNonNull(recorder, "recorder");
     this.evidence = new LeaseEvidence(identity.processIncarnation());
@@ -86,9 +86,9 @@
   }
 
   /** Stops an attempt as evicted. The stop is resent until the worker confirms it. */
-  void evict(SideAttempt task, String reason) {
-    task.markStopping(true, reason);
-    stopOnWorker(task);
+  void evict(SideAttempt attempt, String reason) {
+    attempt.markStopping(true, reason);
+    stopOnWorker(attempt);
   }
 
   void onConfirmation(Vouch confirmation) {
@@ -100,10 +100,11 @@
             clock.nanos());
     if (change == LeaseEvidence.Change.NEW_REGISTRATION) {
       // The VM was revoked and has joined again. Its earlier tasks may be claimed elsewhere.
-      for (SideAttempt task : attempts.values()) {
-        if (task.token() < evidence.registration() && task.phase() != SideAttempt.Phase.ENDED) {
-          task.markStopping(false, "the VM has a new registration");
-          stopOnWorker(task);
+      for (SideAttempt attempt : attempts.values()) {
+        if (attempt.token() < evidence.registration()
+            && attempt.phase() != SideAttempt.Phase.ENDED) {
+          attempt.markStopping(false, "the VM has a new registration");
+          stopOnWorker(attempt);
         }
       }
     }
@@ -121,7 +122,7 @@
     }
     Sizes sizes =
         new Sizes(start.getMilliProcessors(), start.getMemoryBytes(), start.getAccelerators());
-    SideAttempt task =
+    SideAttempt attempt =
         new SideAttempt(
             start.getTask(),
             start.getAttempt(),
@@ -130,16 +131,16 @@
             start.getLatencyCritical(),
             start.getLeaseMillis(),
             SideAttempt.Phase.UNCERTAIN);
-    task.applyStart(start, clock.nanos());
-    task.checkpoint(start.getCheckpoint());
+    attempt.applyStart(start, clock.nanos());
+    attempt.setCheckpoint(start.getCheckpoint());
     Sizes occupied = occupiedCapacity().plus(sizes);
-    attempts.put(task.token(), task);
+    attempts.put(attempt.token(), attempt);
     if (!occupied.fitsIn(boot.capacity())) {
       rejectStart(
-          task, "insufficient capacity: needs %s of %s".formatted(occupied, boot.capacity()));
+          attempt, "insufficient capacity: needs %s of %s".formatted(occupied, boot.capacity()));
       return;
     }
-    startOnWorker(task, start);
+    startOnWorker(attempt, start);
   }
 
   /**
@@ -160,56 +161,57 @@
     return clock.nanos() - deadline < 0;
   }
 
-  private void startOnWorker(SideAttempt task, StartTask start) {
-    long deadline = evidence.deadlineNanos(task.leaseMillis());
+  private void startOnWorker(SideAttempt attempt, StartTask start) {
+    long deadline = evidence.deadlineNanos(attempt.leaseMillis());
     WorkerStart order =
         new WorkerStart(
-            task.task(),
-            task.attempt(),
-            task.token(),
+            attempt.task(),
+            attempt.attempt(),
+            attempt.token(),
             workerClock.deadlineMillis(deadline),
-            task.sizes(),
+            attempt.sizes(),
             start.getCommand(),
             start.getCheckpoint(),
             start.getCheckpointIntervalMillis(),
             start.getRunMillis());
-    task.setGrantedDeadline(deadline);
+    attempt.setGrantedDeadline(deadline);
     Result<WorkerTask> result = worker.start(order);
     if (result instanceof Result.Ok<WorkerTask> ok) {
-      task.phase(SideAttempt.Phase.RUNNING);
-      recorder.record(Event.of(EventKind.TASK_STARTED).withTask(task.task()).withVm(identity.vm()));
-      applyWorkerState(task, ok.value());
-      reporter.sendToAll(task.toReport());
+      attempt.setPhase(SideAttempt.Phase.RUNNING);
+      recorder.record(
+          Event.of(EventKind.TASK_STARTED).withTask(attempt.task()).withVm(identity.vm()));
+      applyWorkerState(attempt, ok.value());
+      reporter.sendToAll(attempt.toReport());
       return;
     }
     Failure failure = ((Result.Failed<WorkerTask>) result).failure();
     LOGGER.log(
         Level.WARNING,
         "event=task-start-failed task={0} kind={1} detail=\"{2}\"",
-        task.task(),
+        attempt.task(),
         failure.kind().code(),
         failure.detail());
     switch (failure.kind()) {
-      case CONFLICT, TARGET_UNREACHABLE -> rejectStart(task, failure.detail());
+      case CONFLICT, TARGET_UNREACHABLE -> rejectStart(attempt, failure.detail());
       default -> {
-        // The attempt may run. It is stopped later, unless the worker's list shows that it runs.
+        // The attempt may run. It is stopped later unless the worker lists it as running.
       }
     }
   }
 
   /** Reports a start as refused once the worker has confirmed that it will not run the attempt. */
-  private void rejectStart(SideAttempt task, String reason) {
-    task.markStopping(false, reason);
-    stopOnWorker(task);
+  private void rejectStart(SideAttempt attempt, String reason) {
+    attempt.markStopping(false, reason);
+    stopOnWorker(attempt);
   }
 
   void onStop(String peer, StopTask stop) {
-    SideAttempt task = attempts.get(stop.getToken());
-    if (task == null) {
+    SideAttempt attempt = attempts.get(stop.getToken());
+    if (attempt == null) {
       boolean neverStarted = !acknowledgedTokens.contains(stop.getToken()) && boot != null;
       if (neverStarted) {
         // The start may still arrive; stopping the attempt at the worker prevents it.
-        task =
+        attempt =
             new SideAttempt(
                 stop.getTask(),
                 stop.getAttempt(),
@@ -218,30 +220,30 @@
                 false,
                 0,
                 SideAttempt.Phase.UNCERTAIN);
-        attempts.put(task.token(), task);
-        rejectStart(task, "stopped before its start");
+        attempts.put(attempt.token(), attempt);
+        rejectStart(attempt, "stopped before its start");
       }
       return;
     }
-    if (task.phase() == SideAttempt.Phase.ENDED) {
-      reporter.send(peer, task.toReport());
+    if (attempt.phase() == SideAttempt.Phase.ENDED) {
+      reporter.send(peer, attempt.toReport());
       return;
     }
-    if (task.phase() != SideAttempt.Phase.STOPPING) {
-      task.markStopping(false, "cancelled");
-      stopOnWorker(task);
+    if (attempt.phase() != SideAttempt.Phase.STOPPING) {
+      attempt.markStopping(false, "cancelled");
+      stopOnWorker(attempt);
     }
   }
 
-  private void stopOnWorker(SideAttempt task) {
-    if (worker.stop(task.task(), task.token()) instanceof Result.Ok<WorkerTask> ok) {
-      applyWorkerState(task, ok.value());
+  private void stopOnWorker(SideAttempt attempt) {
+    if (worker.stop(attempt.task(), attempt.token()) instanceof Result.Ok<WorkerTask> ok) {
+      applyWorkerState(attempt, ok.value());
     }
   }
 
   void onAck(TaskReportAck ack) {
-    SideAttempt task = attempts.get(ack.getToken());
-    if (task != null && task.phase() == SideAttempt.Phase.ENDED) {
+    SideAttempt attempt = attempts.get(ack.getToken());
+    if (attempt != null && attempt.phase() == SideAttempt.Phase.ENDED) {
       attempts.remove(ack.getToken());
       acknowledgedTokens.add(ack.getToken());
     }
@@ -264,18 +266,18 @@
     if (rebooted) {
       // No attempt of the earlier boot runs any more; entries see the new boot and clear its tasks.
       // Attempts that had ended before are still reported.
-      attempts.values().removeIf(task -> task.phase() != SideAttempt.Phase.ENDED);
+      attempts.values().removeIf(attempt -> attempt.phase() != SideAttempt.Phase.ENDED);
     }
     Set<Long> listedTokens = new HashSet<>();
     for (WorkerTask workerTask : listing.tasks()) {
       listedTokens.add(workerTask.token());
-      SideAttempt task = attempts.get(workerTask.token());
-      if (task == null && !acknowledgedTokens.contains(workerTask.token())) {
-        task = SideAttempt.adopted(workerTask);
-        attempts.put(workerTask.token(), task);
+      SideAttempt attempt = attempts.get(workerTask.token());
+      if (attempt == null && !acknowledgedTokens.contains(workerTask.token())) {
+        attempt = SideAttempt.adopted(workerTask);
+        attempts.put(workerTask.token(), attempt);
       }
-      if (task != null && task.phase() != SideAttempt.Phase.ENDED) {
-        applyWorkerState(task, workerTask);
+      if (attempt != null && attempt.phase() != SideAttempt.Phase.ENDED) {
+        applyWorkerState(attempt, workerTask);
       }
     }
     stopUnlisted(listedTokens);
@@ -284,93 +286,96 @@
 
   /** Stops running attempts that the worker no longer lists. */
   private void stopUnlisted(Set<Long> listedTokens) {
-    for (SideAttempt task : attempts.values()) {
-      if (task.phase() == SideAttempt.Phase.RUNNING && !listedTokens.contains(task.token())) {
-        task.markStopping(false, "the worker no longer lists it");
-        stopOnWorker(task);
+    for (SideAttempt attempt : attempts.values()) {
+      if (attempt.phase() == SideAttempt.Phase.RUNNING && !listedTokens.contains(attempt.token())) {
+        attempt.markStopping(false, "the worker no longer lists it");
+        stopOnWorker(attempt);
       }
     }
   }
 
   /** Applies the state of an attempt as the worker reported it. */
-  private void applyWorkerState(SideAttempt task, WorkerTask workerTask) {
-    task.observeCheckpoint(workerTask.checkpoint(), clock.nanos());
+  private void applyWorkerState(SideAttempt attempt, WorkerTask workerTask) {
+    attempt.observeCheckpoint(workerTask.checkpoint(), clock.nanos());
     switch (workerTask.state()) {
       case RUNNING -> {
-        if (task.phase() == SideAttempt.Phase.UNCERTAIN) {
-          task.phase(SideAttempt.Phase.RUNNING);
+        if (attempt.phase() == SideAttempt.Phase.UNCERTAIN) {
+          attempt.setPhase(SideAttempt.Phase.RUNNING);
         }
-        if (task.phase() == SideAttempt.Phase.RUNNING && task.takeUnreportedCheckpoint()) {
-          reporter.sendToOne(task.toReport());
+        if (attempt.phase() == SideAttempt.Phase.RUNNING && attempt.takeUnreportedCheckpoint()) {
+          reporter.sendToOne(attempt.toReport());
         }
         return;
       }
-      case DONE -> task.markEnded(TaskReport.State.DONE, workerTask.detail());
-      case FAILED -> task.markEnded(TaskReport.State.FAILED, workerTask.detail());
-      case LAPSED -> markLapsed(task);
+      case DONE -> attempt.markEnded(TaskReport.State.DONE, workerTask.detail());
+      case FAILED -> attempt.markEnded(TaskReport.State.FAILED, workerTask.detail());
+      case LAPSED -> markLapsed(attempt);
       case STOPPED -> {
         boolean started =
-            task.phase() == SideAttempt.Phase.RUNNING || !workerTask.sizes().equals(Sizes.NONE);
-        task.markEnded(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
+            attempt.phase() == SideAttempt.Phase.RUNNING || !workerTask.sizes().equals(Sizes.NONE);
+        attempt.markEnded(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
       }
     }
     recorder.record(
         Event.of(EventKind.TASK_ENDED)
-            .withTask(task.task())
+            .withTask(attempt.task())
             .withVm(identity.vm())
             .withDetail(workerTask.state() + " " + workerTask.detail()));
-    reporter.sendToOne(task.toReport());
+    reporter.sendToOne(attempt.toReport());
   }
 
-  private void markLapsed(SideAttempt task) {
-    task.markEnded(TaskReport.State.RELEASED, "its lease expired");
-    recorder.record(Event.of(EventKind.LEASE_LAPSED).withTask(task.task()).withVm(identity.vm()));
+  private void markLapsed(SideAttempt attempt) {
+    attempt.markEnded(TaskReport.State.RELEASED, "its lease expired");
+    recorder.record(
+        Event.of(EventKind.LEASE_LAPSED).withTask(attempt.task()).withVm(identity.vm()));
   }
 
   void renewAll() {
     if (!evidence.isConfirmed() || workerClock == null) {
       return;
     }
-    for (SideAttempt task : attempts.values()) {
-      if (task.phase() == SideAttempt.Phase.RUNNING && task.token() > evidence.registration()) {
-        renew(task);
+    for (SideAttempt attempt : attempts.values()) {
+      if (attempt.phase() == SideAttempt.Phase.RUNNING
+          && attempt.token() > evidence.registration()) {
+        renew(attempt);
       }
     }
   }
 
-  private void renew(SideAttempt task) {
-    long deadline = evidence.deadlineNanos(task.leaseMillis());
-    long minExtensionNanos = task.leaseMillis() * NANOS_PER_MILLI / MIN_RENEWAL_DIVISOR;
-    boolean first = task.grantedDeadlineNanos() == Long.MIN_VALUE;
-    boolean worthwhile = first || deadline - task.grantedDeadlineNanos() >= minExtensionNanos;
-    if (task.leaseMillis() == 0 || !worthwhile || clock.nanos() - deadline >= 0) {
+  private void renew(SideAttempt attempt) {
+    long deadline = evidence.deadlineNanos(attempt.leaseMillis());
+    long minExtensionNanos = attempt.leaseMillis() * NANOS_PER_MILLI / MIN_RENEWAL_DIVISOR;
+    boolean first = attempt.grantedDeadlineNanos() == Long.MIN_VALUE;
+    boolean worthwhile = first || deadline - attempt.grantedDeadlineNanos() >= minExtensionNanos;
+    if (attempt.leaseMillis() == 0 || !worthwhile || clock.nanos() - deadline >= 0) {
       return;
     }
     // The deadline is given on the worker's clock. If this process is paused at this point, the
     // worker
     // still stops the task in time, and it refuses a renewal that arrives too late.
     Result<WorkerTask> result =
-        worker.renew(task.task(), task.token(), workerClock.deadlineMillis(deadline));
+        worker.renew(attempt.task(), attempt.token(), workerClock.deadlineMillis(deadline));
     if (result.isOk()) {
-      task.setGrantedDeadline(deadline);
+      attempt.setGrantedDeadline(deadline);
     }
   }
 
   void stopUnconfirmed() {
-    for (SideAttempt task : List.copyOf(attempts.values())) {
+    for (SideAttempt attempt : List.copyOf(attempts.values())) {
       boolean unconfirmed =
-          task.phase() == SideAttempt.Phase.UNCERTAIN || task.phase() == SideAttempt.Phase.STOPPING;
+          attempt.phase() == SideAttempt.Phase.UNCERTAIN
+              || attempt.phase() == SideAttempt.Phase.STOPPING;
       if (unconfirmed) {
-        stopOnWorker(task);
+        stopOnWorker(attempt);
       }
     }
   }
 
   private Sizes occupiedCapacity() {
     Sizes occupied = Sizes.NONE;
-    for (SideAttempt task : attempts.values()) {
-      if (task.occupiesCapacity()) {
-        occupied = occupied.plus(task.sizes());
+    for (SideAttempt attempt : attempts.values()) {
+      if (attempt.occupiesCapacity()) {
+        occupied = occupied.plus(attempt.sizes());
       }
     }
     return occupied;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -34,8 +34,7 @@
  *
  * <p>Tasks are partitioned among the live entries by a hash of their names. Otherwise all entries
  * would claim the head of the same queue, and all but one append would be wasted. An entry takes
- * over the tasks of others after their job has made no progress for {@value #OTHERS_TASKS_MILLIS}
- * ms.
+ * over the tasks of others after their job has made no progress for {@value #TAKEOVER_MILLIS} ms.
  *
  * <p>Not thread-safe; runs under the lock of {@link EntryTaskScheduler}.
  */
@@ -79,17 +78,17 @@
 
   ClaimLoop(
       EntryContext context,
-      VmMembership watch,
-      StartLoop starts,
+      VmMembership membership,
+      StartLoop startLoop,
       Placer placer,
-      PlacementModel knowledge,
-      PreemptionLoop preemptions) {
+      PlacementModel placementModel,
+      PreemptionLoop preemptionLoop) {
     this.context = context;
-    this.membership = watch;
-    this.startLoop = starts;
+    this.membership = membership;
+    this.startLoop = startLoop;
     this.placer = placer;
-    this.placementModel = knowledge;
-    this.preemptionLoop = preemptions;
+    this.placementModel = placementModel;
+    this.preemptionLoop = preemptionLoop;
     this.pausedUntil = context.nanos();
     this.nextRecheck = context.nanos();
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
@@ -37,7 +37,7 @@
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskPolicy> terms,
+      Supplier<TaskPolicy> policy,
       MonotonicClock clock,
       WallClock wallClock,
       EventRecorder recorder,
@@ -46,7 +46,7 @@
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.channel = requireNonNull(channel, "channel");
-    this.policy = requireNonNull(terms, "terms");
+    this.policy = requireNonNull(policy, "policy");
     this.clock = requireNonNull(clock, "clock");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
@@ -49,7 +49,7 @@
    * @param table the task table that the follower of the stream folds into
    * @param log appends to the stream
    * @param channel sends messages to side processes
-   * @param terms returns the policy of the configuration in force; called for each decision
+   * @param policy returns the policy of the configuration in force; called for each decision
    * @param clock the monotonic clock of this process
    * @param wallClock the wall clock, used only for the aging of jobs, their deadlines and events
    * @param random breaks ties between VMs
@@ -60,7 +60,7 @@
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskPolicy> terms,
+      Supplier<TaskPolicy> policy,
       MonotonicClock clock,
       WallClock wallClock,
       RandomGenerator random,
@@ -68,7 +68,7 @@
     requireNonNull(random, "random");
     this.context =
         new EntryContext(
-            identity, table, log, channel, terms, clock, wallClock, recorder, this::runLocked);
+            identity, table, log, channel, policy, clock, wallClock, recorder, this::runLocked);
     this.membership = new VmMembership(context, this::onFirstConfirmation);
     this.placementModel = new PlacementModel(context);
     this.startLoop = new StartLoop(context, membership, placementModel::expectedSlowdown);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
@@ -46,7 +46,7 @@
   GuardLoop(
       SideIdentity identity,
       Worker worker,
-      AttemptSupervisor attempts,
+      AttemptSupervisor supervisor,
       TaskChannel channel,
       ServiceMonitor service,
       MonotonicClock clock,
@@ -54,7 +54,7 @@
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.worker = requireNonNull(worker, "worker");
-    this.supervisor = requireNonNull(attempts, "attempts");
+    this.supervisor = requireNonNull(supervisor, "supervisor");
     this.channel = requireNonNull(channel, "channel");
     this.service = requireNonNull(service, "service");
     this.clock = requireNonNull(clock, "clock");
@@ -94,9 +94,9 @@
         .ifPresent(
             reading -> report.setServiceSlowdownPermille((int) (reading.pressure() * PERMILLE)));
     for (UsageSample sample : samples.value()) {
-      SideAttempt task = supervisor.find(sample.token());
-      boolean changed = task != null && task.recordUsage(sample, MIN_REPORTED_CHANGE);
-      if (changed || (task != null && task.throttlePercent() < UNTHROTTLED_PERCENT)) {
+      SideAttempt attempt = supervisor.find(sample.token());
+      boolean changed = attempt != null && attempt.recordUsage(sample, MIN_REPORTED_CHANGE);
+      if (changed || (attempt != null && attempt.throttlePercent() < UNTHROTTLED_PERCENT)) {
         report.addTasks(
             TaskUsage.newBuilder()
                 .setTask(sample.task())
@@ -104,7 +104,7 @@
                 .setMilliProcessors(sample.used().milliProcessors())
                 .setMemoryBytes(sample.used().memoryBytes())
                 .setSlowdownPermille((int) (sample.slowdown() * PERMILLE))
-                .setThrottlePercent(task.throttlePercent()));
+                .setThrottlePercent(attempt.throttlePercent()));
       }
     }
     if (report.getTasksCount() > 0 || report.getServiceSlowdownPermille() > 0) {
@@ -118,21 +118,21 @@
    * worker has not confirmed is left alone; the entry resends the stop until the state is known.
    */
   void onPreempted(String peer, StopTask stop) {
-    SideAttempt task = supervisor.find(stop.getToken());
-    if (task == null || task.phase() == SideAttempt.Phase.ENDED) {
+    SideAttempt attempt = supervisor.find(stop.getToken());
+    if (attempt == null || attempt.phase() == SideAttempt.Phase.ENDED) {
       supervisor.onStop(peer, stop);
-    } else if (task.phase() == SideAttempt.Phase.RUNNING) {
+    } else if (attempt.phase() == SideAttempt.Phase.RUNNING) {
       guard.recordPreemption(service.policy(), clock.nanos());
-      evict(task, "preempted by an urgent task");
+      evict(attempt, "preempted by an urgent task");
     }
   }
 
   private List<GuardedTask> guardedTasks() {
     List<GuardedTask> tasks = new ArrayList<>();
-    for (SideAttempt task : supervisor.attempts()) {
-      boolean running = task.phase() == SideAttempt.Phase.RUNNING;
-      if (running && !task.latencyCritical()) {
-        tasks.add(task.toGuardedTask());
+    for (SideAttempt attempt : supervisor.attempts()) {
+      boolean running = attempt.phase() == SideAttempt.Phase.RUNNING;
+      if (running && !attempt.latencyCritical()) {
+        tasks.add(attempt.toGuardedTask());
       }
     }
     return tasks;
@@ -140,44 +140,45 @@
 
   private long latencyCriticalBytes() {
     long bytes = 0;
-    for (SideAttempt task : supervisor.attempts()) {
-      if (task.occupiesCapacity() && task.latencyCritical()) {
-        bytes += task.sizes().memoryBytes();
+    for (SideAttempt attempt : supervisor.attempts()) {
+      if (attempt.occupiesCapacity() && attempt.latencyCritical()) {
+        bytes += attempt.sizes().memoryBytes();
       }
     }
     return bytes;
   }
 
   private void perform(GuardAction action) {
-    SideAttempt task = supervisor.find(action.token());
-    if (task == null || task.phase() != SideAttempt.Phase.RUNNING) {
+    SideAttempt attempt = supervisor.find(action.token());
+    if (attempt == null || attempt.phase() != SideAttempt.Phase.RUNNING) {
       return;
     }
     if (action instanceof GuardAction.Throttle throttle) {
-      if (worker.throttle(task.task(), task.token(), throttle.percent()).isOk()) {
-        task.recordThrottle(throttle.percent());
+      if (worker.throttle(attempt.task(), attempt.token(), throttle.percent()).isOk()) {
+        attempt.recordThrottle(throttle.percent());
       }
-      record(EventKind.TASK_THROTTLED, task, throttle.percent() + "%: " + throttle.reason());
+      record(EventKind.TASK_THROTTLED, attempt, throttle.percent() + "%: " + throttle.reason());
       return;
     }
-    evict(task, action.reason());
+    evict(attempt, action.reason());
   }
 
   /**
    * Evicts an attempt: writes a checkpoint, then stops it. If the response to the checkpoint is
    * lost, the response to the stop still names the last checkpoint written.
    */
-  private void evict(SideAttempt task, String reason) {
-    var checkpointed = worker.checkpoint(task.task(), task.token());
+  private void evict(SideAttempt attempt, String reason) {
+    var checkpointed = worker.checkpoint(attempt.task(), attempt.token());
     if (checkpointed.isOk()) {
-      task.checkpoint(checkpointed.value().checkpoint());
-      record(EventKind.TASK_CHECKPOINTED, task, task.checkpoint());
+      attempt.setCheckpoint(checkpointed.value().checkpoint());
+      record(EventKind.TASK_CHECKPOINTED, attempt, attempt.checkpoint());
     }
-    record(EventKind.TASK_EVICTED, task, reason);
-    supervisor.evict(task, reason);
+    record(EventKind.TASK_EVICTED, attempt, reason);
+    supervisor.evict(attempt, reason);
   }
 
-  private void record(EventKind kind, SideAttempt task, String detail) {
-    recorder.record(Event.of(kind).withTask(task.task()).withVm(identity.vm()).withDetail(detail));
+  private void record(EventKind kind, SideAttempt attempt, String detail) {
+    recorder.record(
+        Event.of(kind).withTask(attempt.task()).withVm(identity.vm()).withDetail(detail));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -74,9 +74,9 @@
   private long nextSweep;
   private boolean decidedThisTick;
 
-  PreemptionLoop(EntryContext context, VmMembership watch) {
+  PreemptionLoop(EntryContext context, VmMembership membership) {
     this.context = context;
-    this.membership = watch;
+    this.membership = membership;
     this.nextSweep = context.nanos();
     context.table().addEvictionListener(evictedVms::add);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempt.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempt.java
@@ -100,7 +100,7 @@
     return phase;
   }
 
-  void phase(Phase newPhase) {
+  void setPhase(Phase newPhase) {
     phase = newPhase;
   }
 
@@ -183,7 +183,7 @@
     return checkpoint;
   }
 
-  void checkpoint(String newCheckpoint) {
+  void setCheckpoint(String newCheckpoint) {
     if (!newCheckpoint.isEmpty()) {
       checkpoint = newCheckpoint;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
@@ -49,13 +49,14 @@
   /**
    * Creates a loop.
    *
-   * @param noise returns the expected relative increase of a service's latency beside a task of the
-   *     job
+   * @param expectedSlowdown returns the expected relative increase of a service's latency beside a
+   *     task of the job
    */
-  StartLoop(EntryContext context, VmMembership watch, ToDoubleFunction<JobSpec> noise) {
-    this.expectedSlowdown = noise;
+  StartLoop(
+      EntryContext context, VmMembership membership, ToDoubleFunction<JobSpec> expectedSlowdown) {
+    this.expectedSlowdown = expectedSlowdown;
     this.context = context;
-    this.membership = watch;
+    this.membership = membership;
     this.nextSweep = context.nanos();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
@@ -42,22 +42,22 @@
    *
    * @param table the task table
    * @param log appends to the stream of tasks
-   * @param entryTasks the task scheduler of this entry
-   * @param terms returns the policy of the configuration in force
+   * @param scheduler the task scheduler of this entry
+   * @param policy returns the policy of the configuration in force
    * @param wallClock the wall clock
    * @param recorder receives events
    */
   public TaskRoutes(
       TaskTable table,
       TaskLog log,
-      EntryTaskScheduler entryTasks,
-      Supplier<TaskPolicy> terms,
+      EntryTaskScheduler scheduler,
+      Supplier<TaskPolicy> policy,
       WallClock wallClock,
       EventRecorder recorder) {
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
-    this.scheduler = requireNonNull(entryTasks, "entryTasks");
-    this.policy = requireNonNull(terms, "terms");
+    this.scheduler = requireNonNull(scheduler, "scheduler");
+    this.policy = requireNonNull(policy, "policy");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmMembership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmMembership.java
@@ -81,12 +81,12 @@
   /**
    * Creates an instance that has received nothing yet.
    *
-   * @param onFirstVouch receives the VM's name when its side process is confirmed for the first
-   *     time
+   * @param onFirstConfirmation receives the VM's name when its side process is confirmed for the
+   *     first time
    */
-  VmMembership(EntryContext context, Consumer<String> onFirstVouch) {
+  VmMembership(EntryContext context, Consumer<String> onFirstConfirmation) {
     this.context = context;
-    this.onFirstConfirmation = onFirstVouch;
+    this.onFirstConfirmation = onFirstConfirmation;
     this.nextHeartbeat = context.nanos();
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/EntryTaskSchedulerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/EntryTaskSchedulerTest.java
@@ -11,21 +11,21 @@
 class EntryTaskSchedulerTest {
   private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
 
-  private static void assertNoViolations(TaskTestCluster world) {
-    assertEquals(List.of(), world.violations());
-    assertEquals(0, world.askedOverCapacity());
+  private static void assertNoViolations(TaskTestCluster cluster) {
+    assertEquals(List.of(), cluster.violations());
+    assertEquals(0, cluster.askedOverCapacity());
   }
 
   @Test
   void completesAJobOnThreeVmsWithTwoEntries() {
-    TaskTestCluster world = new TaskTestCluster(1, 2, 3, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 20, 2_000));
+    TaskTestCluster cluster = new TaskTestCluster(1, 2, 3, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 20, 2_000));
 
-    assertTrue(world.runUntilEnded(30_000));
+    assertTrue(cluster.runUntilEnded(30_000));
 
-    JobState job = world.jobState("payout");
+    JobState job = cluster.jobState("payout");
     assertEquals(20, job.done());
-    assertEquals(20, world.runs().size());
-    assertNoViolations(world);
+    assertEquals(20, cluster.runs().size());
+    assertNoViolations(cluster);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
@@ -21,17 +21,17 @@
 class GuardLoopTest {
   private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
 
-  private static void assertNoViolations(TaskTestCluster world) {
-    assertEquals(List.of(), world.violations());
-    assertEquals(0, world.askedOverCapacity());
+  private static void assertNoViolations(TaskTestCluster cluster) {
+    assertEquals(List.of(), cluster.violations());
+    assertEquals(0, cluster.askedOverCapacity());
   }
 
   /**
    * Asserts that each attempt resumes from the checkpoint of the attempt before it or a later one.
    */
-  private static void assertNoWorkRedone(TaskTestCluster world) {
+  private static void assertNoWorkRedone(TaskTestCluster cluster) {
     Map<String, Long> resumed = new HashMap<>();
-    List<WorkerRun> runs = world.runs();
+    List<WorkerRun> runs = cluster.runs();
     runs.sort(Comparator.comparingLong(WorkerRun::token));
     for (WorkerRun run : runs) {
       long from =
@@ -44,11 +44,11 @@
   }
 
   private static TaskTestCluster clusterUnderPressure(long seed) {
-    TaskTestCluster world = new TaskTestCluster(seed, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, 30_000));
-    world.run(8_000);
-    world.vm(1).pressure(3);
-    return world;
+    TaskTestCluster cluster = new TaskTestCluster(seed, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, 30_000));
+    cluster.run(8_000);
+    cluster.vm(1).pressure(3);
+    return cluster;
   }
 
   /**
@@ -57,14 +57,14 @@
    */
   @Test
   void evictedTasksResumeOnceFromTheirCheckpoint() {
-    TaskTestCluster world = clusterUnderPressure(1);
-    assertTrue(world.runUntilEnded(400_000));
+    TaskTestCluster cluster = clusterUnderPressure(1);
+    assertTrue(cluster.runUntilEnded(400_000));
 
-    assertEquals(8, world.jobState("payout").done());
-    int evictions = world.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
+    assertEquals(8, cluster.jobState("payout").done());
+    int evictions = cluster.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
     assertTrue(evictions > 0 && evictions <= 4, () -> "evictions " + evictions);
-    assertNoViolations(world);
-    assertNoWorkRedone(world);
+    assertNoViolations(cluster);
+    assertNoWorkRedone(cluster);
   }
 
   /**
@@ -73,28 +73,28 @@
    */
   @Test
   void theNextAttemptResumesFromTheEvictionCheckpoint() {
-    TaskTestCluster world = new TaskTestCluster(4, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, 30_000, 0));
-    world.run(8_000);
-    world.vm(1).pressure(3);
-    assertTrue(world.runUntilEnded(400_000));
+    TaskTestCluster cluster = new TaskTestCluster(4, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, 30_000, 0));
+    cluster.run(8_000);
+    cluster.vm(1).pressure(3);
+    assertTrue(cluster.runUntilEnded(400_000));
 
-    List<WorkerRun> resumed = world.runs().stream().filter(run -> run.attempt() > 1).toList();
+    List<WorkerRun> resumed = cluster.runs().stream().filter(run -> run.attempt() > 1).toList();
     assertFalse(resumed.isEmpty());
     assertTrue(resumed.stream().noneMatch(run -> run.checkpoint().isEmpty()));
-    assertNoViolations(world);
+    assertNoViolations(cluster);
   }
 
   /** Responses to checkpoints and stops are lost while tasks are evicted. */
   @Test
   void lostResponsesDuringAnEvictionLoseNoWork() {
-    TaskTestCluster world = clusterUnderPressure(2);
-    world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
-    assertTrue(world.runUntilEnded(400_000));
+    TaskTestCluster cluster = clusterUnderPressure(2);
+    cluster.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
+    assertTrue(cluster.runUntilEnded(400_000));
 
-    assertEquals(8, world.jobState("payout").done());
-    assertNoViolations(world);
-    assertNoWorkRedone(world);
+    assertEquals(8, cluster.jobState("payout").done());
+    assertNoViolations(cluster);
+    assertNoWorkRedone(cluster);
   }
 
   /** The side process is restarted several times, at arbitrary points of an eviction. */
@@ -102,19 +102,19 @@
   void anEvictionInterruptedAnywhereResumesOnce(
       @ForAll @IntRange(max = 1_000) int seed,
       @ForAll @IntRange(min = 1, max = 120) int everySteps) {
-    TaskTestCluster world = clusterUnderPressure(seed);
+    TaskTestCluster cluster = clusterUnderPressure(seed);
     IntStream.range(0, 6)
         .forEach(
             kill -> {
-              world.run(TaskTestCluster.STEP_MILLIS * everySteps);
-              world.vm(1).startSide();
+              cluster.run(TaskTestCluster.STEP_MILLIS * everySteps);
+              cluster.vm(1).startSide();
             });
-    world.vm(1).pressure(0);
+    cluster.vm(1).pressure(0);
 
-    assertTrue(world.runUntilEnded(400_000));
-    assertEquals(8, world.jobState("payout").done());
-    assertNoViolations(world);
-    assertNoWorkRedone(world);
+    assertTrue(cluster.runUntilEnded(400_000));
+    assertEquals(8, cluster.jobState("payout").done());
+    assertNoViolations(cluster);
+    assertNoWorkRedone(cluster);
   }
 
   /**
@@ -123,15 +123,15 @@
    */
   @Test
   void quarantinesAWorkerThatFailsEverything() {
-    TaskTestCluster world = new TaskTestCluster(3, 2, 3, CAPACITY_FOR_FOUR);
-    world.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.submit(TaskTestCluster.job("payout", 60, 2_000));
-    assertTrue(world.runUntilEnded(120_000));
+    TaskTestCluster cluster = new TaskTestCluster(3, 2, 3, CAPACITY_FOR_FOUR);
+    cluster.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
+    cluster.submit(TaskTestCluster.job("payout", 60, 2_000));
+    assertTrue(cluster.runUntilEnded(120_000));
 
-    assertEquals(60, world.jobState("payout").done());
-    long failed = world.runs().stream().filter(run -> run.worker().equals("vm-1")).count();
+    assertEquals(60, cluster.jobState("payout").done());
+    long failed = cluster.runs().stream().filter(run -> run.worker().equals("vm-1")).count();
     assertTrue(failed <= 16, () -> "failed " + failed);
-    assertFalse(world.runs().isEmpty());
-    assertNoViolations(world);
+    assertFalse(cluster.runs().isEmpty());
+    assertNoViolations(cluster);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
@@ -22,19 +22,19 @@
   private static TaskTestCluster newCluster(long leaseMillis) {
     LeaseTerms leases =
         new LeaseTerms(leaseMillis, leaseMillis, LeaseTerms.DEFAULT.silenceMillis());
-    TaskTestCluster world = new TaskTestCluster(21, 2, 2, CAPACITY, leases);
-    world.submit(TaskTestCluster.job("watch", 2, 10_000_000));
-    world.run(START_MILLIS + leaseMillis);
-    return world;
+    TaskTestCluster cluster = new TaskTestCluster(21, 2, 2, CAPACITY, leases);
+    cluster.submit(TaskTestCluster.job("watch", 2, 10_000_000));
+    cluster.run(START_MILLIS + leaseMillis);
+    return cluster;
   }
 
   private static boolean survives(long leaseMillis, long outageMillis) {
-    TaskTestCluster world = newCluster(leaseMillis);
-    world.log().down(true);
-    world.run(outageMillis);
-    world.log().down(false);
-    world.run(5_000);
-    return world.runs().size() == 2;
+    TaskTestCluster cluster = newCluster(leaseMillis);
+    cluster.log().down(true);
+    cluster.run(outageMillis);
+    cluster.log().down(false);
+    cluster.run(5_000);
+    return cluster.runs().size() == 2;
   }
 
   private static long longestSurvived(long leaseMillis) {
@@ -47,14 +47,14 @@
   }
 
   private static long failoverMillis(long leaseMillis) {
-    TaskTestCluster world = newCluster(leaseMillis);
-    long disconnectedMillis = world.clock().millis();
-    world.cut("vm-1");
-    while (world.runs().size() == 2) {
-      world.run(TaskTestCluster.STEP_MILLIS);
+    TaskTestCluster cluster = newCluster(leaseMillis);
+    long disconnectedMillis = cluster.clock().millis();
+    cluster.cut("vm-1");
+    while (cluster.runs().size() == 2) {
+      cluster.run(TaskTestCluster.STEP_MILLIS);
     }
-    List<WorkerRun> runs = world.runs();
-    assertEquals(List.of(), world.violations());
+    List<WorkerRun> runs = cluster.runs();
+    assertEquals(List.of(), cluster.violations());
     return runs.get(runs.size() - 1).startMillis() - disconnectedMillis;
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
@@ -16,15 +16,16 @@
   private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long LONG_MILLIS = 60_000;
 
-  private static void assertNoViolations(TaskTestCluster world) {
-    assertEquals(List.of(), world.violations());
-    assertEquals(0, world.askedOverCapacity());
+  private static void assertNoViolations(TaskTestCluster cluster) {
+    assertEquals(List.of(), cluster.violations());
+    assertEquals(0, cluster.askedOverCapacity());
   }
 
-  private static void assertAllDone(TaskTestCluster world, String job, int count, long maxMillis) {
-    assertTrue(world.runUntilEnded(maxMillis), () -> "not ended: " + world.tasks(job));
-    assertEquals(count, world.jobState(job).done());
-    assertNoViolations(world);
+  private static void assertAllDone(
+      TaskTestCluster cluster, String job, int count, long maxMillis) {
+    assertTrue(cluster.runUntilEnded(maxMillis), () -> "not ended: " + cluster.tasks(job));
+    assertEquals(count, cluster.jobState(job).done());
+    assertNoViolations(cluster);
   }
 
   /**
@@ -33,19 +34,19 @@
    */
   @Test
   void anotherEntryStartsTasksClaimedByADeadEntry() {
-    TaskTestCluster world = new TaskTestCluster(2, 1, 2, CAPACITY_FOR_FOUR);
-    world.run(3_000);
-    world.cut("entry-1>vm-1");
-    world.cut("entry-1>vm-2");
-    world.submit(TaskTestCluster.job("payout", 6, 2_000));
-    world.run(500);
-    world.killEntry("entry-1");
-    assertEquals(List.of(), world.runs());
-    assertEquals(6, world.jobState("payout").claimed());
-
-    world.startEntry("entry-2");
-
-    assertAllDone(world, "payout", 6, 30_000);
+    TaskTestCluster cluster = new TaskTestCluster(2, 1, 2, CAPACITY_FOR_FOUR);
+    cluster.run(3_000);
+    cluster.cut("entry-1>vm-1");
+    cluster.cut("entry-1>vm-2");
+    cluster.submit(TaskTestCluster.job("payout", 6, 2_000));
+    cluster.run(500);
+    cluster.killEntry("entry-1");
+    assertEquals(List.of(), cluster.runs());
+    assertEquals(6, cluster.jobState("payout").claimed());
+
+    cluster.startEntry("entry-2");
+
+    assertAllDone(cluster, "payout", 6, 30_000);
   }
 
   /**
@@ -54,17 +55,17 @@
    */
   @Test
   void tasksSurviveTheDeathOfEveryEntry() {
-    TaskTestCluster world = new TaskTestCluster(3, 3, 3, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 30, 3_000));
-    world.run(4_000);
-    world.killEntry("entry-1");
-    world.killEntry("entry-2");
-    world.killEntry("entry-3");
-    world.run(2_000);
-    world.startEntry("entry-4");
-
-    assertAllDone(world, "payout", 30, 60_000);
-    assertEquals(30, world.runs().size());
+    TaskTestCluster cluster = new TaskTestCluster(3, 3, 3, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 30, 3_000));
+    cluster.run(4_000);
+    cluster.killEntry("entry-1");
+    cluster.killEntry("entry-2");
+    cluster.killEntry("entry-3");
+    cluster.run(2_000);
+    cluster.startEntry("entry-4");
+
+    assertAllDone(cluster, "payout", 30, 60_000);
+    assertEquals(30, cluster.runs().size());
   }
 
   /**
@@ -74,15 +75,15 @@
    */
   @Test
   void aNewSideProcessAdoptsRunningTasks() {
-    TaskTestCluster world = new TaskTestCluster(4, 2, 1, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
-    world.run(5_000);
-    world.vm(1).killSide();
-    world.run(1_000);
-    world.vm(1).startSide();
-
-    assertAllDone(world, "payout", 4, 2 * LONG_MILLIS);
-    assertEquals(4, world.runs().size());
+    TaskTestCluster cluster = new TaskTestCluster(4, 2, 1, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.vm(1).killSide();
+    cluster.run(1_000);
+    cluster.vm(1).startSide();
+
+    assertAllDone(cluster, "payout", 4, 2 * LONG_MILLIS);
+    assertEquals(4, cluster.runs().size());
   }
 
   /**
@@ -91,13 +92,13 @@
    */
   @Test
   void tasksMoveAfterTheirLeasesWhenTheSideProcessDies() {
-    TaskTestCluster world = new TaskTestCluster(5, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
-    world.run(5_000);
-    world.vm(1).killSide();
+    TaskTestCluster cluster = new TaskTestCluster(5, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.vm(1).killSide();
 
-    assertAllDone(world, "payout", 6, 4 * LONG_MILLIS);
-    assertTrue(world.runs().size() > 6);
+    assertAllDone(cluster, "payout", 6, 4 * LONG_MILLIS);
+    assertTrue(cluster.runs().size() > 6);
   }
 
   /**
@@ -107,14 +108,14 @@
    */
   @Test
   void aSideProcessResumedAfterItsLeasesRunsNothingTwice() {
-    TaskTestCluster world = new TaskTestCluster(6, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
-    world.run(5_000);
-    world.vm(1).pauseSide(true);
-    world.run(40_000);
-    world.vm(1).pauseSide(false);
-
-    assertAllDone(world, "payout", 6, 4 * LONG_MILLIS);
+    TaskTestCluster cluster = new TaskTestCluster(6, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.vm(1).pauseSide(true);
+    cluster.run(40_000);
+    cluster.vm(1).pauseSide(false);
+
+    assertAllDone(cluster, "payout", 6, 4 * LONG_MILLIS);
   }
 
   /**
@@ -123,14 +124,14 @@
    */
   @Test
   void aStartFromBeforeARevocationIsIgnored() {
-    TaskTestCluster world = new TaskTestCluster(7, 1, 2, CAPACITY_FOR_FOUR);
-    world.run(3_000);
-    world.vm(1).pauseSide(true);
-    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
-    world.run(30_000);
-    world.vm(1).pauseSide(false);
-
-    assertAllDone(world, "payout", 4, 4 * LONG_MILLIS);
+    TaskTestCluster cluster = new TaskTestCluster(7, 1, 2, CAPACITY_FOR_FOUR);
+    cluster.run(3_000);
+    cluster.vm(1).pauseSide(true);
+    cluster.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
+    cluster.run(30_000);
+    cluster.vm(1).pauseSide(false);
+
+    assertAllDone(cluster, "payout", 4, 4 * LONG_MILLIS);
   }
 
   /**
@@ -139,15 +140,15 @@
    */
   @Test
   void anIsolatedVmStopsItsTasksBeforeOthersStartThem() {
-    TaskTestCluster world = new TaskTestCluster(8, 3, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
-    world.run(5_000);
-    world.cut("vm-1");
-    world.run(45_000);
-    world.reconnect("vm-1");
-
-    assertAllDone(world, "payout", 8, 6 * LONG_MILLIS);
-    assertTrue(world.runs().stream().anyMatch(run -> run.state().name().equals("LAPSED")));
+    TaskTestCluster cluster = new TaskTestCluster(8, 3, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.cut("vm-1");
+    cluster.run(45_000);
+    cluster.reconnect("vm-1");
+
+    assertAllDone(cluster, "payout", 8, 6 * LONG_MILLIS);
+    assertTrue(cluster.runs().stream().anyMatch(run -> run.state().name().equals("LAPSED")));
   }
 
   /**
@@ -156,14 +157,14 @@
    */
   @Test
   void aVmUnreachableForOneEntryIsNotRevoked() {
-    TaskTestCluster world = new TaskTestCluster(9, 3, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
-    world.run(5_000);
-    world.cut("vm-1>entry-2");
-    world.cut("entry-2>vm-1");
-
-    assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
-    assertEquals(8, world.runs().size());
+    TaskTestCluster cluster = new TaskTestCluster(9, 3, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.cut("vm-1>entry-2");
+    cluster.cut("entry-2>vm-1");
+
+    assertAllDone(cluster, "payout", 8, 2 * LONG_MILLIS);
+    assertEquals(8, cluster.runs().size());
   }
 
   /**
@@ -172,15 +173,15 @@
    */
   @Test
   void runningTasksOutliveAnOutageShorterThanTheirLease() {
-    TaskTestCluster world = new TaskTestCluster(10, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, 20_000));
-    world.run(5_000);
-    world.log().down(true);
-    world.run(6_000);
-    world.log().down(false);
-
-    assertAllDone(world, "payout", 8, LONG_MILLIS);
-    assertEquals(8, world.runs().size());
+    TaskTestCluster cluster = new TaskTestCluster(10, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, 20_000));
+    cluster.run(5_000);
+    cluster.log().down(true);
+    cluster.run(6_000);
+    cluster.log().down(false);
+
+    assertAllDone(cluster, "payout", 8, LONG_MILLIS);
+    assertEquals(8, cluster.runs().size());
   }
 
   /**
@@ -190,15 +191,15 @@
    */
   @Test
   void tasksResumeFromCheckpointsAfterAnOutageLongerThanTheirLease() {
-    TaskTestCluster world = new TaskTestCluster(11, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, 20_000));
-    world.run(12_000);
-    world.log().down(true);
-    world.run(30_000);
-    world.log().down(false);
-
-    assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
-    List<WorkerRun> second = world.runs().stream().filter(run -> run.attempt() == 2).toList();
+    TaskTestCluster cluster = new TaskTestCluster(11, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, 20_000));
+    cluster.run(12_000);
+    cluster.log().down(true);
+    cluster.run(30_000);
+    cluster.log().down(false);
+
+    assertAllDone(cluster, "payout", 8, 2 * LONG_MILLIS);
+    List<WorkerRun> second = cluster.runs().stream().filter(run -> run.attempt() == 2).toList();
     assertEquals(8, second.size());
     assertTrue(second.stream().noneMatch(run -> run.checkpoint().isEmpty()));
   }
@@ -208,24 +209,24 @@
    */
   @Test
   void duplicateRecordsAreAppliedOnce() {
-    TaskTestCluster world = new TaskTestCluster(12, 3, 3, CAPACITY_FOR_FOUR);
-    world.log().duplicateNext(1_000);
-    world.submit(TaskTestCluster.job("payout", 30, 2_000));
+    TaskTestCluster cluster = new TaskTestCluster(12, 3, 3, CAPACITY_FOR_FOUR);
+    cluster.log().duplicateNext(1_000);
+    cluster.submit(TaskTestCluster.job("payout", 30, 2_000));
 
-    assertAllDone(world, "payout", 30, LONG_MILLIS);
-    assertEquals(30, world.runs().size());
+    assertAllDone(cluster, "payout", 30, LONG_MILLIS);
+    assertEquals(30, cluster.runs().size());
   }
 
   /** Appends take effect, but their responses are lost. The claims among them must be started. */
   @Test
   void claimsWithALostResponseAreStarted() {
-    TaskTestCluster world = new TaskTestCluster(13, 2, 3, CAPACITY_FOR_FOUR);
-    world.run(3_000);
-    world.log().loseNextResponses(200);
-    world.submit(TaskTestCluster.job("payout", 12, 2_000));
+    TaskTestCluster cluster = new TaskTestCluster(13, 2, 3, CAPACITY_FOR_FOUR);
+    cluster.run(3_000);
+    cluster.log().loseNextResponses(200);
+    cluster.submit(TaskTestCluster.job("payout", 12, 2_000));
 
-    assertAllDone(world, "payout", 12, LONG_MILLIS);
-    assertEquals(12, world.runs().size());
+    assertAllDone(cluster, "payout", 12, LONG_MILLIS);
+    assertEquals(12, cluster.runs().size());
   }
 
   /**
@@ -235,49 +236,49 @@
    */
   @Test
   void aSmallerVmUnderTheSameNameGetsItsOwnRegistration() {
-    TaskTestCluster world = new TaskTestCluster(14, 2, 1, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 4, 20_000));
-    world.run(5_000);
-    world.vm(1).replace(new Sizes(2_000, 100_000, 0));
+    TaskTestCluster cluster = new TaskTestCluster(14, 2, 1, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 4, 20_000));
+    cluster.run(5_000);
+    cluster.vm(1).replace(new Sizes(2_000, 100_000, 0));
 
-    assertAllDone(world, "payout", 4, 4 * LONG_MILLIS);
-    assertTrue(world.runs().size() > 4);
+    assertAllDone(cluster, "payout", 4, 4 * LONG_MILLIS);
+    assertTrue(cluster.runs().size() > 4);
   }
 
   /** The worker's responses to starts and stops are lost. No task runs twice, and all tasks end. */
   @Test
   void lostWorkerResponsesAreResolvedByQueryingTheWorker() {
-    TaskTestCluster world = new TaskTestCluster(15, 2, 2, CAPACITY_FOR_FOUR);
-    world.run(3_000);
-    world.submit(TaskTestCluster.job("payout", 8, 3_000));
-    world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(12));
+    TaskTestCluster cluster = new TaskTestCluster(15, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.run(3_000);
+    cluster.submit(TaskTestCluster.job("payout", 8, 3_000));
+    cluster.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(12));
 
-    assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
+    assertAllDone(cluster, "payout", 8, 2 * LONG_MILLIS);
   }
 
   /** Cancelling a job ends its running and its waiting tasks as cancelled. */
   @Test
   void cancellationsReachRunningTasks() {
-    TaskTestCluster world = new TaskTestCluster(16, 2, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 30, LONG_MILLIS));
-    world.run(5_000);
-    world.cancel("payout");
-
-    assertTrue(world.runUntilEnded(10_000));
-    assertEquals(30, world.jobState("payout").cancelled());
-    assertTrue(world.runs().stream().noneMatch(run -> run.endMillis() == 0));
-    assertNoViolations(world);
+    TaskTestCluster cluster = new TaskTestCluster(16, 2, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 30, LONG_MILLIS));
+    cluster.run(5_000);
+    cluster.cancel("payout");
+
+    assertTrue(cluster.runUntilEnded(10_000));
+    assertEquals(30, cluster.jobState("payout").cancelled());
+    assertTrue(cluster.runs().stream().noneMatch(run -> run.endMillis() == 0));
+    assertNoViolations(cluster);
   }
 
   /** Entries decide on views that lag by up to 0.8 s. Claims must never exceed a VM's capacity. */
   @Test
   void entriesWithStaleViewsNeverOverbook() {
-    TaskTestCluster world = new TaskTestCluster(17, 3, 3, CAPACITY_FOR_FOUR);
-    world.entry(1).setLag(500);
-    world.entry(2).setLag(800);
-    world.submit(TaskTestCluster.job("payout", 40, 1_000));
+    TaskTestCluster cluster = new TaskTestCluster(17, 3, 3, CAPACITY_FOR_FOUR);
+    cluster.entry(1).setLag(500);
+    cluster.entry(2).setLag(800);
+    cluster.submit(TaskTestCluster.job("payout", 40, 1_000));
 
-    assertAllDone(world, "payout", 40, 2 * LONG_MILLIS);
+    assertAllDone(cluster, "payout", 40, 2 * LONG_MILLIS);
   }
 
   /**
@@ -286,12 +287,12 @@
    */
   @Test
   void aLaggingEntryAcknowledgesOnlyWhatItHasRead() {
-    TaskTestCluster world = new TaskTestCluster(19, 3, 3, CAPACITY_FOR_FOUR);
-    world.entry(1).setLag(4_000);
-    world.entry(2).setLag(4_000);
-    world.submit(TaskTestCluster.job("payout", 30, 200));
+    TaskTestCluster cluster = new TaskTestCluster(19, 3, 3, CAPACITY_FOR_FOUR);
+    cluster.entry(1).setLag(4_000);
+    cluster.entry(2).setLag(4_000);
+    cluster.submit(TaskTestCluster.job("payout", 30, 200));
 
-    assertAllDone(world, "payout", 30, 2 * LONG_MILLIS);
+    assertAllDone(cluster, "payout", 30, 2 * LONG_MILLIS);
   }
 
   /**
@@ -300,33 +301,33 @@
    */
   @Test
   void anIsolatedEntryDoesNotDelayTasks() {
-    TaskTestCluster world = new TaskTestCluster(20, 2, 3, CAPACITY_FOR_FOUR);
-    world.run(2_000);
+    TaskTestCluster cluster = new TaskTestCluster(20, 2, 3, CAPACITY_FOR_FOUR);
+    cluster.run(2_000);
     for (int vm = 1; vm <= 3; vm++) {
-      world.cut("entry-2>vm-" + vm);
-      world.cut("vm-" + vm + ">entry-2");
+      cluster.cut("entry-2>vm-" + vm);
+      cluster.cut("vm-" + vm + ">entry-2");
     }
-    world.run(5_000);
-    world.submit(TaskTestCluster.job("payout", 12, 1_000));
+    cluster.run(5_000);
+    cluster.submit(TaskTestCluster.job("payout", 12, 1_000));
 
-    assertAllDone(world, "payout", 12, LONG_MILLIS);
+    assertAllDone(cluster, "payout", 12, LONG_MILLIS);
   }
 
   /** A task that fails on every VM ends as failed with the reason, and is not retried forever. */
   @Test
   void aTaskThatFailsOnEveryVmEndsAsFailed() {
-    TaskTestCluster world = new TaskTestCluster(18, 2, 4, CAPACITY_FOR_FOUR);
-    world.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.vm(2).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.vm(3).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.vm(4).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.submit(TaskTestCluster.job("payout", 1, 1_000));
-
-    assertTrue(world.runUntilEnded(LONG_MILLIS));
-    TaskState task = world.tasks("payout").get(0);
+    TaskTestCluster cluster = new TaskTestCluster(18, 2, 4, CAPACITY_FOR_FOUR);
+    cluster.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
+    cluster.vm(2).worker().setFaults(WorkerFaults.none().withFailEverything(true));
+    cluster.vm(3).worker().setFaults(WorkerFaults.none().withFailEverything(true));
+    cluster.vm(4).worker().setFaults(WorkerFaults.none().withFailEverything(true));
+    cluster.submit(TaskTestCluster.job("payout", 1, 1_000));
+
+    assertTrue(cluster.runUntilEnded(LONG_MILLIS));
+    TaskState task = cluster.tasks("payout").get(0);
     assertEquals(TaskState.Phase.FAILED, task.phase());
     assertEquals(3, task.failedVms().size());
     assertFalse(task.detail().isEmpty());
-    assertNoViolations(world);
+    assertNoViolations(cluster);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
@@ -20,15 +20,15 @@
   private static final long URGENT_START_MILLIS = 2_900;
 
   private static TaskTestCluster fullCluster(long seed, int entries) {
-    TaskTestCluster world = new TaskTestCluster(seed, entries, 2, CAPACITY_FOR_FOUR);
-    world.submit(TaskTestCluster.job("payout", 8, 60_000));
-    world.run(5_000);
-    assertEquals(8, world.jobState("payout").claimed());
-    return world;
+    TaskTestCluster cluster = new TaskTestCluster(seed, entries, 2, CAPACITY_FOR_FOUR);
+    cluster.submit(TaskTestCluster.job("payout", 8, 60_000));
+    cluster.run(5_000);
+    assertEquals(8, cluster.jobState("payout").claimed());
+    return cluster;
   }
 
-  private static void submitUrgent(TaskTestCluster world) {
-    world.submit(
+  private static void submitUrgent(TaskTestCluster cluster) {
+    cluster.submit(
         new JobSpec(
             "now",
             "team",
@@ -44,21 +44,21 @@
             Spread.NONE));
   }
 
-  private static long evictions(TaskTestCluster world) {
-    return world.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
+  private static long evictions(TaskTestCluster cluster) {
+    return cluster.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
   }
 
   /** Asserts that all tasks complete, and that one was evicted and resumed from its checkpoint. */
-  private static void assertOneEvictedAndResumed(TaskTestCluster world) {
-    assertTrue(world.runUntilEnded(400_000), () -> "not ended: " + world.tasks("payout"));
-    assertEquals(8, world.jobState("payout").done());
-    assertEquals(1, world.jobState("now").done());
-    assertEquals(1, evictions(world));
-    List<WorkerRun> resumed = world.runs().stream().filter(run -> run.attempt() > 1).toList();
+  private static void assertOneEvictedAndResumed(TaskTestCluster cluster) {
+    assertTrue(cluster.runUntilEnded(400_000), () -> "not ended: " + cluster.tasks("payout"));
+    assertEquals(8, cluster.jobState("payout").done());
+    assertEquals(1, cluster.jobState("now").done());
+    assertEquals(1, evictions(cluster));
+    List<WorkerRun> resumed = cluster.runs().stream().filter(run -> run.attempt() > 1).toList();
     assertEquals(1, resumed.size());
     assertFalse(resumed.get(0).checkpoint().isEmpty());
-    assertEquals(List.of(), world.violations());
-    assertEquals(0, world.askedOverCapacity());
+    assertEquals(List.of(), cluster.violations());
+    assertEquals(0, cluster.askedOverCapacity());
   }
 
   /**
@@ -67,12 +67,12 @@
    */
   @Test
   void anUrgentTaskStartsInAFullFleet() {
-    TaskTestCluster world = fullCluster(1, 3);
-    submitUrgent(world);
-    world.run(URGENT_START_MILLIS);
+    TaskTestCluster cluster = fullCluster(1, 3);
+    submitUrgent(cluster);
+    cluster.run(URGENT_START_MILLIS);
 
-    assertTrue(world.runs().stream().anyMatch(run -> run.task().equals("now/0")));
-    assertOneEvictedAndResumed(world);
+    assertTrue(cluster.runs().stream().anyMatch(run -> run.task().equals("now/0")));
+    assertOneEvictedAndResumed(cluster);
   }
 
   /**
@@ -81,19 +81,19 @@
    */
   @Test
   void aPreemptionSurvivesTheEntryThatWroteIt() {
-    TaskTestCluster world = fullCluster(2, 1);
-    world.cut("entry-1>vm-1");
-    world.cut("entry-1>vm-2");
-    submitUrgent(world);
-    world.run(1_000);
-    world.killEntry("entry-1");
-    assertEquals(1, world.log().referenceTable().preemptions().size());
-    assertEquals(0, evictions(world));
-    world.startEntry("entry-2");
-    world.run(8_000);
+    TaskTestCluster cluster = fullCluster(2, 1);
+    cluster.cut("entry-1>vm-1");
+    cluster.cut("entry-1>vm-2");
+    submitUrgent(cluster);
+    cluster.run(1_000);
+    cluster.killEntry("entry-1");
+    assertEquals(1, cluster.log().referenceTable().preemptions().size());
+    assertEquals(0, evictions(cluster));
+    cluster.startEntry("entry-2");
+    cluster.run(8_000);
 
-    assertTrue(world.runs().stream().anyMatch(run -> run.task().equals("now/0")));
-    assertOneEvictedAndResumed(world);
+    assertTrue(cluster.runs().stream().anyMatch(run -> run.task().equals("now/0")));
+    assertOneEvictedAndResumed(cluster);
   }
 
   /**
@@ -102,32 +102,32 @@
    */
   @Test
   void freedCapacityIsReservedForTheUrgentTask() {
-    TaskTestCluster world = fullCluster(3, 1);
-    world.submit(TaskTestCluster.job("more", 4, 60_000));
-    submitUrgent(world);
-    while (evictions(world) == 0) {
-      world.run(TaskTestCluster.STEP_MILLIS);
+    TaskTestCluster cluster = fullCluster(3, 1);
+    cluster.submit(TaskTestCluster.job("more", 4, 60_000));
+    submitUrgent(cluster);
+    while (evictions(cluster) == 0) {
+      cluster.run(TaskTestCluster.STEP_MILLIS);
     }
-    world.killEntry("entry-1");
-    assertEquals(0, world.jobState("now").claimed());
-    world.startEntry("entry-2");
-    world.startEntry("entry-3");
-    world.run(8_000);
+    cluster.killEntry("entry-1");
+    assertEquals(0, cluster.jobState("now").claimed());
+    cluster.startEntry("entry-2");
+    cluster.startEntry("entry-3");
+    cluster.run(8_000);
 
-    assertTrue(world.runs().stream().anyMatch(run -> run.task().equals("now/0")));
-    assertEquals(1, evictions(world));
-    assertEquals(0, world.runs().stream().filter(r -> r.task().startsWith("more")).count());
+    assertTrue(cluster.runs().stream().anyMatch(run -> run.task().equals("now/0")));
+    assertEquals(1, evictions(cluster));
+    assertEquals(0, cluster.runs().stream().filter(r -> r.task().startsWith("more")).count());
   }
 
   /** Responses to appends, checkpoints and stops are lost during a preemption. */
   @Test
   void lostResponsesEvictNoFurtherTask() {
-    TaskTestCluster world = fullCluster(4, 2);
-    world.log().loseNextResponses(2);
-    world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
-    world.vm(2).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
-    submitUrgent(world);
+    TaskTestCluster cluster = fullCluster(4, 2);
+    cluster.log().loseNextResponses(2);
+    cluster.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
+    cluster.vm(2).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
+    submitUrgent(cluster);
 
-    assertOneEvictedAndResumed(world);
+    assertOneEvictedAndResumed(cluster);
   }
 }
