--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/JobQueueTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/JobQueueTest.java
@@ -31,16 +31,16 @@
   }
 
   /** Allocates capacity to the given number of tasks and returns the number for each job. */
-  private Map<String, Integer> allocate(JobQueue order, int tasks) {
+  private Map<String, Integer> allocate(JobQueue queue, int tasks) {
     Map<String, Integer> allocated = new HashMap<>();
     for (int i = 0; i < tasks; i++) {
-      Optional<JobState> next = order.next();
+      Optional<JobState> next = queue.next();
       if (next.isEmpty()) {
         break;
       }
       String name = next.get().spec().name();
       int count = allocated.merge(name, 1, Integer::sum);
-      order.recordAllocation(next.get(), ONE, count < next.get().waiting());
+      queue.recordAllocation(next.get(), ONE, count < next.get().waiting());
     }
     return allocated;
   }
@@ -85,10 +85,10 @@
   void aTeamIsLimitedByItsQuota() {
     quotas.put("a", new TeamQuota(1, new Sizes(1_500, 10_000, 0)));
     add("job", "a", 5, false, 0);
-    JobQueue order = queueAt(0);
-    assertEquals(true, order.withinQuota("a", ONE));
-    order.recordAllocation(order.next().orElseThrow(), ONE, true);
+    JobQueue queue = queueAt(0);
+    assertEquals(true, queue.withinQuota("a", ONE));
+    queue.recordAllocation(queue.next().orElseThrow(), ONE, true);
 
-    assertFalse(order.withinQuota("a", ONE));
+    assertFalse(queue.withinQuota("a", ONE));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
@@ -163,7 +163,7 @@
 
   private void startOnWorker(SideAttempt attempt, StartTask start) {
     long deadline = evidence.deadlineNanos(attempt.leaseMillis());
-    WorkerStart order =
+    WorkerStart request =
         new WorkerStart(
             attempt.task(),
             attempt.attempt(),
@@ -175,7 +175,7 @@
             start.getCheckpointIntervalMillis(),
             start.getRunMillis());
     attempt.setGrantedDeadline(deadline);
-    Result<WorkerTask> result = worker.start(order);
+    Result<WorkerTask> result = worker.start(request);
     if (result instanceof Result.Ok<WorkerTask> ok) {
       attempt.setPhase(SideAttempt.Phase.RUNNING);
       recorder.record(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -119,14 +119,14 @@
         .forEach(p -> fleet.allocate(p.vm().registration(), p.program(), p.sizes()));
     placementModel.reserveForUrgentJobs(jobs, fleet);
     placer.beginRound();
-    JobQueue order =
+    JobQueue queue =
         new JobQueue(
             jobs,
             context.table().bookedByTeam(),
             team -> context.policy().quota(team),
             fleet.capacity(),
             context.wallMillis());
-    claimInOrder(order, fleet);
+    claimInOrder(queue, fleet);
   }
 
   /** Returns the reason for which the job's tasks wait; empty if this entry knows none. */
@@ -138,9 +138,9 @@
     return membership.isSchedulable(vm.vm()) && placementModel.isUsable(vm);
   }
 
-  private void claimInOrder(JobQueue order, Fleet fleet) {
+  private void claimInOrder(JobQueue queue, Fleet fleet) {
     Map<String, Candidates> candidates = new HashMap<>();
-    Optional<JobState> next = order.next();
+    Optional<JobState> next = queue.next();
     int placements = 0;
     while (next.isPresent()
         && placements < MAX_PLACEMENTS_PER_ROUND
@@ -152,24 +152,24 @@
       TaskState task = waiting.tasks().poll();
       if (task != null) {
         Sizes sizes = placementModel.booking(job.spec());
-        if (tryClaim(order, fleet, job, task, waiting.tasksByGroup())) {
-          order.recordAllocation(job, sizes, !waiting.tasks().isEmpty());
+        if (tryClaim(queue, fleet, job, task, waiting.tasksByGroup())) {
+          queue.recordAllocation(job, sizes, !waiting.tasks().isEmpty());
         }
       }
-      next = order.next();
+      next = queue.next();
     }
   }
 
   private boolean tryClaim(
-      JobQueue order, Fleet fleet, JobState job, TaskState task, Map<String, Integer> inGroup) {
+      JobQueue queue, Fleet fleet, JobState job, TaskState task, Map<String, Integer> tasksByGroup) {
     JobSpec spec = job.spec();
     Sizes sizes = placementModel.booking(spec);
-    if (!order.withinQuota(spec.team(), sizes)) {
+    if (!queue.withinQuota(spec.team(), sizes)) {
       markWaiting(spec, "team " + spec.team() + " has reached its quota");
       return false;
     }
     PlacementDecision decision =
-        placer.place(new PlacementRequest(spec, task, sizes, inGroup), fleet);
+        placer.place(new PlacementRequest(spec, task, sizes, tasksByGroup), fleet);
     if (decision instanceof PlacementDecision.NoCapacity noCapacity) {
       markWaiting(spec, noCapacity.reason());
       if (spec.urgent()) {
@@ -182,15 +182,15 @@
     VmState vm = chosen.candidate().state();
     fleet.allocate(vm.registration(), spec.program(), sizes);
     if (spec.spread() != Spread.NONE) {
-      inGroup.merge(spec.spread().groupOf(vm.description()), 1, Integer::sum);
+      tasksByGroup.merge(spec.spread().groupOf(vm.description()), 1, Integer::sum);
     }
     claim(spec, task, vm, sizes, chosen.reason());
     return true;
   }
 
   private void markWaiting(JobSpec spec, String reason) {
-    String before = waitingReason.put(spec.name(), reason);
-    if (before == null) {
+    String previous = waitingReason.put(spec.name(), reason);
+    if (previous == null) {
       context.record(
           Event.of(EventKind.TASK_WAITING)
               .withTask(spec.name())
