--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -161,7 +161,11 @@
   }
 
   private boolean tryClaim(
-      JobQueue queue, Fleet fleet, JobState job, TaskState task, Map<String, Integer> tasksByGroup) {
+      JobQueue queue,
+      Fleet fleet,
+      JobState job,
+      TaskState task,
+      Map<String, Integer> tasksByGroup) {
     JobSpec spec = job.spec();
     Sizes sizes = placementModel.booking(spec);
     if (!queue.withinQuota(spec.team(), sizes)) {
