--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Configuration.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Configuration.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 
 /**
- * What is in force at one site: the base with the site's overlay merged in and defaults for the
- * rest.
+ * The configuration in force at one site: the base with the site's overlay merged in, and defaults
+ * for all other keys.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param revision the revision that this was merged at; 0 before the first publish
+ * @param revision the revision of this configuration; 0 before the first publish
  * @param site the site's name
- * @param services the services that a file names
- * @param teams the teams that a file names
- * @param leases how long leases last
- * @param guard how the guard weighs
+ * @param services the services named in a file
+ * @param teams the teams named in a file
+ * @param leases the durations of leases
+ * @param guard the weights and limits of the guard
  */
 public record Configuration(
     long revision,
@@ -34,18 +34,18 @@
     requireNonNull(guard, "guard");
   }
 
-  /** Returns what holds at a site before anything is published. */
+  /** Returns the configuration of a site before the first publish. */
   public static Configuration defaults(String site) {
     return new Configuration(
         0, site, Map.of(), Map.of(), LeaseConfiguration.DEFAULT, GuardConfiguration.DEFAULT);
   }
 
-  /** Returns what holds for a service, also for one that no file names. */
+  /** Returns the configuration of a service; the defaults if no file names it. */
   public ServiceConfiguration service(String name) {
     return services.getOrDefault(name, ServiceConfiguration.DEFAULT);
   }
 
-  /** Returns what holds for a team, also for one that no file names. */
+  /** Returns the configuration of a team; the defaults if no file names it. */
   public TeamConfiguration team(String name) {
     return teams.getOrDefault(name, TeamConfiguration.DEFAULT);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationAppender.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationAppender.java
@@ -5,9 +5,9 @@
 import io.marigoldsail.log.Position;
 import java.util.concurrent.CompletableFuture;
 
-/** Appends an entry to the configuration's stream exactly once, as the log slice does. */
+/** Appends an entry to the configuration's stream exactly once. */
 @FunctionalInterface
 public interface ConfigurationAppender {
-  /** Returns a future that succeeds once the entry was read back at its place. */
+  /** Returns a future that succeeds when the entry has been read back. */
   CompletableFuture<Result<Position>> append(String type, JsonNode body);
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationChange.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationChange.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What a publish would change of one effective value at one site.
+ * Change of one effective value at one site by a publish.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param key the path of keys with dots between them
- * @param before the value now
+ * @param key the path of keys, separated by dots
+ * @param before the current value
  * @param beforeSource the file that sets it now, or {@code default}
  * @param after the value after the publish
  * @param afterSource the file that would set it, or {@code default}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 
 /**
- * Decides whether a file may be published: by its schema, and by rules over what would be effective
- * at every site that it touches.
+ * Checks whether a file may be published: against its schema, and against rules for the effective
+ * configuration of every site that it affects.
  *
- * <p>The verdict depends on nothing but its arguments, because every process must come to the same
- * one for the same record. Safe for any thread; costs some milliseconds for a large file.
+ * <p>The result depends on the arguments alone, because every process must reach the same result
+ * for the same record. Safe for any thread; costs some milliseconds for a large file.
  */
 public final class ConfigurationCheck {
-  /** The largest content of a file in bytes, written in one line. */
+  /** Maximum size of a file's content in bytes, written on one line. */
   public static final int LARGEST_CONTENT = 256 * 1024;
 
   private final SchemaCheck baseSchema =
@@ -25,13 +25,13 @@
   private final SchemaCheck overlaySchema =
       SchemaCheck.ofResource(ConfigurationCheck.class, "overlay.schema.json");
 
-  /** Creates a check; keep it, since compiling the schemas costs some milliseconds. */
+  /** Creates a check. Keep the instance: compiling the schemas costs some milliseconds. */
   public ConfigurationCheck() {}
 
   /**
-   * Returns what is wrong with a file in itself, or empty.
+   * Returns the first violation within the file itself, or empty.
    *
-   * @param origin what opens the failure's line: the file as the operator knows it
+   * @param origin the file's name for the operator, with which the failure starts
    * @param file {@code base} or a site
    */
   public Optional<Failure> checkFile(String origin, String file, JsonNode content) {
@@ -54,12 +54,12 @@
     return Optional.empty();
   }
 
-  /** Returns what would be wrong at a site that the changed file touches, or empty. */
+  /** Returns the first violation at a site that the changed file affects, or empty. */
   Optional<Failure> checkSites(String origin, String file, ConfigurationFiles files) {
     TreeSet<String> sites = new TreeSet<>();
     if (file.equals(ConfigurationFiles.BASE)) {
       sites.addAll(files.sites());
-      // A site without an overlay runs on the base alone.
+      // The base stands for all sites without an overlay.
       sites.add(ConfigurationFiles.BASE);
     } else {
       sites.add(file);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationDiff.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationDiff.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * What a publish would change, by site.
+ * Effective changes of a publish, by site.
  *
- * <p>Immutable. Rejects nulls. The site {@code base} stands for every site without an overlay.
+ * <p>Immutable. Rejects nulls. The site {@code base} represents all sites without an overlay.
  *
- * @param revision the revision that the comparison was made at
- * @param sites the changes at each touched site, also where there are none
+ * @param revision the revision that the publish was compared with
+ * @param sites the changes at each affected site; a list may be empty
  */
 public record ConfigurationDiff(
     long revision, ImmutableSortedMap<String, List<ConfigurationChange>> sites) {
@@ -25,14 +25,14 @@
   static ConfigurationDiff of(ConfigurationState state, String file, JsonNode content) {
     ConfigurationFiles before = state.files();
     ConfigurationFiles after = before.with(file, content);
-    TreeSet<String> touched = new TreeSet<>();
-    touched.add(file);
+    TreeSet<String> affected = new TreeSet<>();
+    affected.add(file);
     if (file.equals(ConfigurationFiles.BASE)) {
-      touched.addAll(before.sites());
+      affected.addAll(before.sites());
     }
     ImmutableSortedMap.Builder<String, List<ConfigurationChange>> sites =
         ImmutableSortedMap.naturalOrder();
-    for (String site : touched) {
+    for (String site : affected) {
       sites.put(site, List.copyOf(ConfigurationView.changes(before, after, site)));
     }
     return new ConfigurationDiff(state.revision(), sites.build());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFiles.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFiles.java
@@ -13,20 +13,20 @@
 /**
  * The contents of all files at one revision.
  *
- * <p>Immutable, as long as nobody changes a node. The base's file is called {@value #BASE}; an
- * overlay's file is called after its site.
+ * <p>Immutable, as long as no node is changed. The file of the base is named {@value #BASE}; the
+ * file of an overlay is named after its site.
  */
 final class ConfigurationFiles {
-  /** The name of the base's file. */
+  /** The name of the base file. */
   static final String BASE = "base";
 
-  /** The key by which an overlay names its site. */
+  /** The key of an overlay that contains its site. */
   static final String SITE_KEY = "site";
 
-  /** No file at all. */
+  /** No files. */
   static final ConfigurationFiles NONE = new ConfigurationFiles(ImmutableSortedMap.of());
 
-  /** Names that are paths of the operators' address, so that no site can be called so. */
+  /** Names that are paths of the operators' API and therefore not allowed as names of sites. */
   private static final Set<String> RESERVED = Set.of("diff", "history", "in-force", "state");
 
   private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
@@ -71,7 +71,7 @@
     return sites;
   }
 
-  /** Returns the base with a site's overlay merged in, without the key that names the site. */
+  /** Returns the base with a site's overlay merged in, without the key of the site. */
   ObjectNode merged(String site) {
     JsonNode base = MergePatch.apply(Json.object(), content(BASE).orElse(Json.object()));
     JsonNode overlay = content(site).orElse(Json.object());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
@@ -19,12 +19,12 @@
 import java.util.function.Consumer;
 
 /**
- * Works the configuration out from its stream; every process comes to the same.
+ * Folds the configuration's stream into its state, with the same result in every process.
  *
- * <p>A record is accepted if the revision that it names is still the current one and its content
- * keeps the rules; then the revision goes up by one. Records of a newer version of this software
- * are accepted by their revision alone, since their content cannot be judged here: the order stays
- * the same in all processes, and what was in force here stays so until it can be understood.
+ * <p>A record is accepted if it was checked against the current revision and its content is valid;
+ * the revision then increases by one. Records of a newer schema version are accepted by revision
+ * alone, because their content cannot be checked here: all processes keep the same order, and the
+ * former configuration stays in force here until all files are supported.
  *
  * <p>{@link #apply} and {@link #restore} may be called by different threads; {@link #state} never
  * blocks.
@@ -36,24 +36,24 @@
   private final AtomicLong broken = new AtomicLong();
   private volatile ConfigurationState state = ConfigurationState.EMPTY;
 
-  /** Creates a fold of an empty stream. */
+  /** Creates an empty state. */
   public ConfigurationFold(ConfigurationCheck check) {
     this.check = requireNonNull(check, "check");
   }
 
-  /** Returns what is known by now. */
+  /** Returns the current state. */
   public ConfigurationState state() {
     return state;
   }
 
-  /** Returns how many records were passed over because they were broken or never checked. */
+  /** Returns the number of records ignored because they were malformed or violated a rule. */
   public long brokenRecords() {
     return broken.get();
   }
 
   /**
-   * Tells of every change of what is in force, in order. The listener is called with the state, now
-   * and then on the thread that applies records; it must be quick.
+   * Registers a listener for changes of the configuration in force. It is called with the current
+   * state at once, and then in order on the thread that applies records; it must return quickly.
    */
   public synchronized void onInForce(Consumer<ConfigurationState> listener) {
     listeners.add(listener);
@@ -62,8 +62,8 @@
 
   @Override
   public synchronized void apply(LogEntry entry) {
-    // A process that took over a peer's state reads records that are in it already. They would be
-    // refused as stale; but one that was refused as premature could be accepted now.
+    // After restoring a peer's state, records that it includes are read again. Most would be refused
+    // as stale, but one refused for a revision that did not exist yet could be accepted now.
     if (entry.position().compareTo(state.nextPosition()) < 0) {
       return;
     }
@@ -89,9 +89,9 @@
     } else if (outcome instanceof PublishOutcome.Invalid) {
       broken.incrementAndGet();
     }
-    CompletableFuture<PublishOutcome> waiting = expected.remove(published.publishId());
-    if (waiting != null) {
-      waiting.complete(outcome);
+    CompletableFuture<PublishOutcome> pending = expected.remove(published.publishId());
+    if (pending != null) {
+      pending.complete(outcome);
     }
   }
 
@@ -111,11 +111,11 @@
   private Optional<Failure> verdict(PublishRecord published) {
     String file = published.file();
     Optional<Failure> failure = check.checkFile(file, file, published.content());
-    boolean restUnderstood =
+    boolean otherFilesSupported =
         state.schemas().entrySet().stream()
             .allMatch(s -> s.getKey().equals(file) || s.getValue() <= understood());
-    // Beside a file of a newer version the merge cannot be judged here, only the file itself.
-    if (failure.isPresent() || !restUnderstood) {
+    // If another file has a newer schema, the merged configuration cannot be checked.
+    if (failure.isPresent() || !otherFilesSupported) {
       return failure;
     }
     return check.checkSites(file, file, state.files().with(file, published.content()));
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Returns a future for the outcome of a try; to be asked for before its record is appended. */
+  /** Returns a future for the outcome of a publish; must be called before its record is appended. */
   CompletableFuture<PublishOutcome> expect(String publishId) {
     return expected.computeIfAbsent(publishId, id -> new CompletableFuture<>());
   }
@@ -152,7 +152,7 @@
     expected.remove(publishId);
   }
 
-  /** The highest revision stays in force, whatever becomes of the stream. */
+  /** The highest revision stays in force in a replaced history. */
   @Override
   public NewHistory onNewHistory() {
     return NewHistory.CARRY_OVER;
@@ -179,18 +179,18 @@
   }
 
   /**
-   * Takes over a snapshot of the log or a peer's state, unless this process knows a later one:
-   * revisions never go down, whatever an old snapshot or a peer that is behind says.
+   * Restores a snapshot of the log or a peer's state, unless the current state is newer: revisions
+   * never decrease, also if the snapshot is old or the peer lags.
    *
-   * @throws IllegalArgumentException if it is no state of the configuration; nothing changed then
+   * @throws IllegalArgumentException if it is not a configuration state; nothing changes then
    */
   @Override
   public synchronized void restore(JsonNode snapshot) {
     Optional<ConfigurationState> read = ConfigurationStateJson.read(snapshot);
     if (read.isEmpty()) {
-      throw new IllegalArgumentException("no state of the configuration");
+      throw new IllegalArgumentException("snapshot is not a configuration state");
     }
-    // A later revision at an earlier place is one that was carried into a stream that began again.
+    // A higher revision at a lower position was carried over into a replaced history.
     boolean later = read.get().revision() > state.revision();
     boolean further =
         read.get().revision() == state.revision()
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationHistory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationHistory.java
@@ -9,10 +9,10 @@
 /**
  * The last accepted publishes, bounded in number and in the bytes of their contents.
  *
- * <p>Immutable. The bound holds in a snapshot and in a side process's small heap too; the oldest
- * contents go first, then the oldest publishes.
+ * <p>Immutable. The bounds also limit the size of a snapshot and of a side process's small heap.
+ * The oldest contents are dropped first, then the oldest publishes.
  *
- * @param versions oldest first
+ * @param versions the publishes, oldest first
  */
 record ConfigurationHistory(List<PublishedVersion> versions) {
   static final int MAX_VERSIONS = 200;
@@ -26,8 +26,8 @@
 
   ConfigurationHistory with(PublishedVersion version) {
     List<PublishedVersion> kept = new ArrayList<>();
-    int skipped = Math.max(0, versions.size() + 1 - MAX_VERSIONS);
-    kept.addAll(versions.subList(skipped, versions.size()));
+    int dropped = Math.max(0, versions.size() + 1 - MAX_VERSIONS);
+    kept.addAll(versions.subList(dropped, versions.size()));
     kept.add(version);
     long bytes = 0;
     for (int i = kept.size() - 1; i >= 0; i--) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationParser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationParser.java
@@ -8,8 +8,8 @@
 import java.util.function.Function;
 
 /**
- * Turns a merged document that passed its checks into a {@link Configuration}, and back with all
- * defaults filled in. Stateless, safe for any thread.
+ * Converts a merged and checked document to a {@link Configuration}, and back with all defaults
+ * filled in. Stateless, safe for any thread.
  */
 final class ConfigurationParser {
   private ConfigurationParser() {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
@@ -18,11 +18,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Publishes files: checks, appends, and says accepted only after reading the record back.
+ * Publishes files: checks, appends, and reports success only after reading the record back.
  *
- * <p>Of two publishers of one file one wins and the other is told; a publish that lost to another
- * file is checked anew and tried again by itself. Publishing the content that a file has already
- * succeeds without a record, so asking again after a lost answer is safe. Safe for any thread.
+ * <p>Of two concurrent publishes of one file one succeeds and the other fails with a conflict. A
+ * publish that lost to another file is checked and attempted again. Publishing the current content
+ * of a file succeeds without a record, so a publish can be repeated after a lost response. Safe for
+ * any thread.
  */
 public final class ConfigurationPublisher {
   private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -40,10 +41,10 @@
   /**
    * Creates a publisher.
    *
-   * @param fold follows the stream that the appender appends to
-   * @param check the same that the fold uses
-   * @param executor runs further tries, so that they do not hold up the thread that reads the log
-   * @param idPrefix unique to this incarnation of the process
+   * @param fold the state of the stream that the appender appends to
+   * @param check the check that the fold uses
+   * @param executor runs further attempts, so that they do not block the thread that reads the log
+   * @param idPrefix unique for this incarnation of the process
    */
   public ConfigurationPublisher(
       ConfigurationFold fold,
@@ -64,7 +65,7 @@
     this.idPrefix = requireNonNull(idPrefix, "idPrefix");
   }
 
-  /** Returns what is wrong with a publish if it were made now, or empty. */
+  /** Returns why a publish would be refused now, or empty. */
   public Optional<Failure> verdict(PublishRequest request) {
     return verdict(request, fold.state());
   }
@@ -72,11 +73,11 @@
   /**
    * Publishes a file.
    *
-   * @param deadlineNanos the reading of the clock at which waiting ends; the outcome is then
-   *     unknown
-   * @return a future for the accepted publish, or a failure: {@code INVALID_CONTENT} names file,
-   *     key and rule, {@code CONFLICT} names who was first, {@code LOG_UNAVAILABLE} says that
-   *     nothing was accepted, {@code LOG_OUTCOME_UNKNOWN} that publishing the same again will tell
+   * @param deadlineNanos when to stop waiting, as a reading of the clock; the outcome is then unknown
+   * @return a future for the accepted publish, or a failure: {@code INVALID_CONTENT} names file, key
+   *     and rule, {@code CONFLICT} names the author of the conflicting publish, {@code
+   *     LOG_UNAVAILABLE} means that nothing was accepted, {@code LOG_OUTCOME_UNKNOWN} that the same
+   *     publish may be repeated to learn the outcome
    */
   public CompletableFuture<Result<Published>> publish(PublishRequest request, long deadlineNanos) {
     requireNonNull(request, "request");
@@ -85,20 +86,20 @@
     if (conflict.isPresent() && !holds(state, request)) {
       return CompletableFuture.completedFuture(refused(request, conflict.get()));
     }
-    long basis = state.fileRevision(request.file());
-    return attempt(request, basis, deadlineNanos, 1);
+    long baseRevision = state.fileRevision(request.file());
+    return attempt(request, baseRevision, deadlineNanos, 1);
   }
 
   private CompletableFuture<Result<Published>> attempt(
-      PublishRequest request, long basis, long deadlineNanos, int tries) {
+      PublishRequest request, long baseRevision, long deadlineNanos, int attempts) {
     ConfigurationState state = fold.state();
     if (holds(state, request)) {
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(state.revision(), false, tries)));
+          Result.ok(new Published(state.revision(), false, attempts)));
     }
-    if (state.fileRevision(request.file()) != basis) {
+    if (state.fileRevision(request.file()) != baseRevision) {
       return CompletableFuture.completedFuture(
-          refused(request, changedMeanwhile(request, state, basis)));
+          refused(request, changedMeanwhile(request, state, baseRevision)));
     }
     Optional<Failure> failure = verdict(request, state);
     if (failure.isPresent()) {
@@ -111,19 +112,22 @@
     PublishRecord published = toRecord(request, state);
     return append(published, remaining)
         .thenComposeAsync(
-            result -> conclude(request, basis, deadlineNanos, tries, result), executor);
+            result -> conclude(request, baseRevision, deadlineNanos, attempts, result), executor);
   }
 
   /**
-   * Whether the file has the wanted content already. Looked at before any conflict: the earlier try
-   * of an operator whose answer was lost may take effect late, between two looks at the state, and
-   * its author must not be told that somebody else was first.
+   * Returns whether the file already has the requested content. Checked before any conflict: an
+   * operator's earlier attempt whose response was lost may take effect between two reads of the
+   * state, and must not be reported as a conflict with another author.
    */
   private static boolean holds(ConfigurationState state, PublishRequest request) {
     return state.files().content(request.file()).equals(Optional.of(request.content()));
   }
 
-  /** The fold is told to expect the record before it can possibly arrive. */
+  /**
+   * Registers the expected outcome before appending, because the record may be read back at any
+   * time after.
+   */
   private CompletableFuture<Result<PublishOutcome>> append(
       PublishRecord published, long remainingNanos) {
     String id = published.publishId();
@@ -135,7 +139,7 @@
         .whenComplete(
             (position, error) -> {
               if (error != null) {
-                result.complete(unknown("the appender failed: " + error));
+                result.complete(unknown("append failed: " + error));
               } else if (position instanceof Result.Failed<Position> failed) {
                 result.complete(Result.failed(failed.failure()));
               } else {
@@ -143,14 +147,14 @@
               }
             });
     result.completeOnTimeout(
-        unknown("the log did not answer in time"), remainingNanos, TimeUnit.NANOSECONDS);
+        unknown("record was not read back before the deadline"), remainingNanos, TimeUnit.NANOSECONDS);
     result.whenComplete((decided, error) -> fold.forget(id));
     return result;
   }
 
   /**
-   * A fold that took over a peer's state past the record never applies it. Its history then tells:
-   * what is not in it was not accepted.
+   * Resolves the outcome of a record that the fold never applies because it restored a later state
+   * from a peer. A publish that is not in the history of that state was not accepted.
    */
   private void resolveSkipped(
       String id, Position position, CompletableFuture<Result<PublishOutcome>> result) {
@@ -169,9 +173,9 @@
 
   private CompletableFuture<Result<Published>> conclude(
       PublishRequest request,
-      long basis,
+      long baseRevision,
       long deadlineNanos,
-      int tries,
+      int attempts,
       Result<PublishOutcome> result) {
     if (result instanceof Result.Failed<PublishOutcome> failed) {
       return CompletableFuture.completedFuture(refused(request, failed.failure()));
@@ -181,13 +185,13 @@
       String detail = request.file() + " in revision " + accepted.revision();
       events.record(Event.of(EventKind.CONFIGURATION_ACCEPTED).withDetail(detail));
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(accepted.revision(), true, tries)));
+          Result.ok(new Published(accepted.revision(), true, attempts)));
     }
     if (outcome instanceof PublishOutcome.Invalid invalid) {
       Failure failure = Failure.of(ErrorKind.INVALID_CONTENT, invalid.reason());
       return CompletableFuture.completedFuture(refused(request, failure));
     }
-    return attempt(request, basis, deadlineNanos, tries + 1);
+    return attempt(request, baseRevision, deadlineNanos, attempts + 1);
   }
 
   private Optional<Failure> verdict(PublishRequest request, ConfigurationState state) {
@@ -217,26 +221,26 @@
   }
 
   private static Failure changedMeanwhile(
-      PublishRequest request, ConfigurationState state, long basis) {
-    String who =
+      PublishRequest request, ConfigurationState state, long baseRevision) {
+    String changedBy =
         state
             .fullHistory()
             .lastOf(request.file())
             .map(last -> " by " + last.author() + " in revision " + last.revision())
             .orElse("");
     String detail =
-        request.file() + ": was changed" + who + "; this publish was made from revision " + basis;
+        request.file() + ": was changed" + changedBy + "; this publish was made from revision " + baseRevision;
     return Failure.of(ErrorKind.CONFLICT, detail);
   }
 
   private static Failure tooManyRaces(PublishRequest request) {
-    String detail = request.file() + ": other publishes were first until the deadline";
+    String detail = request.file() + ": concurrent publishes took precedence until the deadline";
     return new Failure(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS);
   }
 
-  private static Result<PublishOutcome> unknown(String why) {
+  private static Result<PublishOutcome> unknown(String reason) {
     return Result.failed(
-        ErrorKind.LOG_OUTCOME_UNKNOWN, why + "; publish the same again, it takes effect once");
+        ErrorKind.LOG_OUTCOME_UNKNOWN, reason + "; repeat the same publish, it takes effect at most once");
   }
 
   private Result<Published> refused(PublishRequest request, Failure failure) {
@@ -257,7 +261,7 @@
         wallClock.millis());
   }
 
-  /** Returns what a publish would change at each site that it touches. */
+  /** Returns the effective changes of a publish at each affected site. */
   public ConfigurationDiff diff(PublishRequest request) {
     ConfigurationState state = fold.state();
     return ConfigurationDiff.of(state, request.file(), request.content());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationRow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationRow.java
@@ -5,13 +5,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One effective value and where it comes from.
+ * An effective value and its source.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param key the path of keys with dots between them
+ * @param key the path of keys, separated by dots
  * @param value the value
- * @param source the file that set it, or {@value #DEFAULT}
+ * @param source the file that sets it, or {@value #DEFAULT}
  */
 public record ConfigurationRow(String key, JsonNode value, String source) {
   /** The source of values that no file sets. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationState.java
@@ -11,14 +11,14 @@
 import java.util.TreeMap;
 
 /**
- * Everything that is known of the configuration up to one place in the stream.
+ * The state of the configuration up to a position in the stream.
  *
- * <p>Immutable, safe for any thread. Two revisions are told apart: the accepted one, up to which
- * the order of publishes is known, and the one in force, which is lower while a file was written by
- * a newer version of this software and cannot be understood here.
+ * <p>Immutable, safe for any thread. Distinguishes two revisions: the accepted one, up to which the
+ * order of publishes is known, and the one in force. The latter is lower while a file has a newer
+ * schema version than this software supports.
  */
 public final class ConfigurationState {
-  /** The state before anything is published. */
+  /** The state before the first publish. */
   public static final ConfigurationState EMPTY =
       new ConfigurationState(
           0,
@@ -39,7 +39,7 @@
   private final ConfigurationFiles filesInForce;
   private final ConfigurationHistory history;
 
-  @SuppressWarnings("TooManyParameters") // the state's parts, set by the fold and its JSON alone
+  @SuppressWarnings("TooManyParameters") // called by the fold and the JSON reader only
   ConfigurationState(
       long revision,
       Position nextPosition,
@@ -84,22 +84,22 @@
     return files.content(file);
   }
 
-  /** Returns what is in force at a site. */
+  /** Returns the configuration in force at a site. */
   public Configuration configuration(String site) {
     return ConfigurationParser.parse(revisionInForce, site, filesInForce.merged(site));
   }
 
-  /** Returns every effective value at a site and the file that set it. */
+  /** Returns every effective value at a site with its source. */
   public List<ConfigurationRow> rows(String site) {
     return ConfigurationView.rows(filesInForce, site);
   }
 
-  /** Returns the publishes still kept, oldest first. */
+  /** Returns the retained publishes, oldest first. */
   public List<PublishedVersion> history() {
     return history.versions();
   }
 
-  /** Returns the publish that made a revision, if still kept. */
+  /** Returns the publish that created a revision, if retained. */
   public Optional<PublishedVersion> version(long ofRevision) {
     return history.byRevision(ofRevision);
   }
@@ -108,7 +108,7 @@
     return history;
   }
 
-  /** Returns the first place in the stream that this state has not seen. */
+  /** Returns the first position in the stream that this state does not include. */
   Position nextPosition() {
     return nextPosition;
   }
@@ -130,22 +130,22 @@
         revision, next, files, fileRevisions, schemas, revisionInForce, filesInForce, history);
   }
 
-  /** Returns the state after an accepted publish; in force if all files are understood. */
-  ConfigurationState withAccepted(PublishedVersion version, int schema, int understoodSchema) {
+  /** Returns the state after an accepted publish, in force if all files have a supported schema. */
+  ConfigurationState withAccepted(PublishedVersion version, int schema, int supportedSchema) {
     Map<String, Long> newRevisions = new TreeMap<>(fileRevisions);
     newRevisions.put(version.file(), version.revision());
     Map<String, Integer> newSchemas = new TreeMap<>(schemas);
     newSchemas.put(version.file(), schema);
     ConfigurationFiles newFiles = files.with(version.file(), version.content().orElseThrow());
-    boolean understood = newSchemas.values().stream().allMatch(s -> s <= understoodSchema);
+    boolean supported = newSchemas.values().stream().allMatch(s -> s <= supportedSchema);
     return new ConfigurationState(
         version.revision(),
         nextPosition,
         newFiles,
         newRevisions,
         newSchemas,
-        understood ? version.revision() : revisionInForce,
-        understood ? newFiles : filesInForce,
+        supported ? version.revision() : revisionInForce,
+        supported ? newFiles : filesInForce,
         history.with(version));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationStateJson.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationStateJson.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 
 /**
- * A {@link ConfigurationState} as JSON, for snapshots in the log and for peers that start while the
- * log is down. Stateless, safe for any thread.
+ * Converts a {@link ConfigurationState} to and from JSON, for snapshots in the log and for peers
+ * that start during a log outage. Stateless, safe for any thread.
  */
 public final class ConfigurationStateJson {
   private ConfigurationStateJson() {}
 
-  /** Returns the whole state. */
+  /** Returns the complete state as JSON. */
   public static ObjectNode write(ConfigurationState state) {
     ObjectNode node = Json.object();
     node.put("revision", state.revision());
@@ -45,7 +45,7 @@
     return node;
   }
 
-  /** Returns one publish, with its content if that is still kept. */
+  /** Returns one publish, with its content if retained. */
   public static ObjectNode write(PublishedVersion version) {
     ObjectNode node = Json.object();
     node.put("revision", version.revision());
@@ -58,7 +58,7 @@
     return node;
   }
 
-  /** Returns the state, or empty if the document is none. */
+  /** Returns the state, or empty if the document is invalid. */
   static Optional<ConfigurationState> read(JsonNode node) {
     if (!node.path("revision").isIntegralNumber() || !node.path("files").isObject()) {
       return Optional.empty();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationView.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationView.java
@@ -10,7 +10,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Tells people what is effective at a site, which file set it, and what a change would do. */
+/**
+ * Computes the effective values of a site with their sources, and the changes between two versions,
+ * for operators.
+ */
 final class ConfigurationView {
   private static final JsonNode ABSENT = TextNode.valueOf("(absent)");
 
@@ -42,7 +45,10 @@
     }
   }
 
-  /** A null in the overlay removes the base's value, so the default holds and no file is named. */
+  /**
+   * Returns the file that sets a value. A null in the overlay removes the base's value, so the
+   * source is then the default.
+   */
   private static String source(ConfigurationFiles files, String site, JsonPointer pointer) {
     for (String file : List.of(site, ConfigurationFiles.BASE)) {
       JsonNode content = files.content(file).orElse(null);
@@ -65,7 +71,9 @@
     return ConfigurationRow.DEFAULT;
   }
 
-  /** Returns what differs at a site between two contents, by key. */
+  /**
+   * Returns the changes of effective values at a site between two versions of the files, by key.
+   */
   static List<ConfigurationChange> changes(
       ConfigurationFiles before, ConfigurationFiles after, String site) {
     Map<String, ConfigurationRow> old = byKey(rows(before, site));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/MergePatch.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/MergePatch.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 
 /**
- * The rules by which an overlay changes the base: JSON merge patch (RFC 7396).
+ * JSON merge patch (RFC 7396), which applies an overlay to the base.
  *
- * <p>Objects merge key by key; any other value of the overlay replaces the base's; null removes the
- * base's, so that the default holds. Stateless, safe for any thread; changes no argument.
+ * <p>Objects merge key by key; any other value of the overlay replaces that of the base; null
+ * removes it, so that the default applies. Stateless, safe for any thread; does not change its
+ * arguments.
  */
 final class MergePatch {
   private MergePatch() {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishOutcome.java
@@ -2,15 +2,15 @@
 
 import static java.util.Objects.requireNonNull;
 
-/** What the fold decided on one record; the same in every process. */
+/** The fold's decision on one record; the same in every process. */
 sealed interface PublishOutcome {
-  /** The record made a revision. */
+  /** The record created a revision. */
   record Accepted(long revision) implements PublishOutcome {}
 
-  /** Another record came first; the record was checked against a revision that is past. */
+  /** The record was checked against a former revision; another record was accepted first. */
   record Stale(long currentRevision) implements PublishOutcome {}
 
-  /** The record breaks a rule, so it was never checked by a publisher of this version. */
+  /** The record violates a rule, so no publisher of this version has checked it. */
   record Invalid(String reason) implements PublishOutcome {
     public Invalid {
       requireNonNull(reason, "reason");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRecord.java
@@ -10,12 +10,12 @@
  * The body of a publish in the log.
  *
  * @param schema the version of the file's schema
- * @param publishId the try's id
+ * @param publishId the id of this attempt
  * @param checkedAgainst the revision that the publisher checked the content against
  * @param file the changed file
- * @param content the file's whole new content
+ * @param content the complete new content of the file
  * @param author who published
- * @param note why
+ * @param note the reason for the change
  * @param atMillis the publisher's wall clock
  */
 record PublishRecord(
@@ -30,7 +30,7 @@
   /** The entry type in the log. */
   static final String TYPE = "configuration-published";
 
-  /** The schema version that this software writes and understands. */
+  /** The schema version that this software writes and supports. */
   static final int CURRENT_SCHEMA = 1;
 
   ObjectNode write() {
@@ -46,7 +46,7 @@
     return node;
   }
 
-  /** Reads a body; keys that a newer version added are passed over. */
+  /** Reads a body; unknown keys are ignored, since a newer version may add some. */
   static Result<PublishRecord> read(JsonNode node) {
     boolean complete =
         node.path("schema").canConvertToInt()
@@ -56,7 +56,7 @@
             && ConfigurationFiles.isName(node.path("file").asText())
             && node.path("content").isObject();
     if (!complete) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "no publish of a configuration file");
+      return Result.failed(ErrorKind.BAD_REQUEST, "log entry is not a publish of a configuration file");
     }
     return Result.ok(
         new PublishRecord(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRequest.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRequest.java
@@ -6,16 +6,16 @@
 import java.util.OptionalLong;
 
 /**
- * What an operator wants published.
+ * An operator's request to publish a file.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param file {@code base} or a site
- * @param content the file's whole new content
+ * @param content the complete new content of the file
  * @param author who publishes
- * @param note why; may be empty
- * @param expectedRevision the revision of the file that the operator worked from; if it is given
- *     and the file has changed since, the publish conflicts
+ * @param note the reason for the change; may be empty
+ * @param expectedRevision the revision of the file that the operator edited; if present and the
+ *     file has changed since, the publish fails with a conflict
  */
 public record PublishRequest(
     String file, JsonNode content, String author, String note, OptionalLong expectedRevision) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Published.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Published.java
@@ -1,10 +1,10 @@
 package io.marigoldsail.configuration;
 
 /**
- * An accepted publish.
+ * The result of a successful publish.
  *
- * @param revision the revision to wait for: the one made, or the present one if nothing changed
- * @param changed false if the file had this content already
- * @param tries how many records it took; more than one after losing races to other files
+ * @param revision the revision to wait for: the created one, or the current one if nothing changed
+ * @param changed false if the file already had this content
+ * @param tries the number of appended records; more than one after conflicts with other files
  */
 public record Published(long revision, boolean changed, int tries) {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishedVersion.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishedVersion.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 
 /**
- * One accepted publish, as the history tells it.
+ * An accepted publish in the history.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param revision the revision that it made
- * @param file the file that it changed
- * @param publishId the id of the try that was accepted
- * @param author who published, as the operator said
- * @param note why, as the operator said; may be empty
- * @param atMillis when the publisher's wall clock thought it was
- * @param content the file's content, absent once it is too old to be kept
+ * @param revision the revision that it created
+ * @param file the changed file
+ * @param publishId the id of the accepted attempt
+ * @param author the author given by the operator
+ * @param note the reason given by the operator; may be empty
+ * @param atMillis the publisher's wall clock
+ * @param content the file's content, absent once it is no longer retained
  */
 public record PublishedVersion(
     long revision,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ServiceConfiguration.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ServiceConfiguration.java
@@ -1,15 +1,15 @@
 package io.marigoldsail.configuration;
 
 /**
- * What is configured of one service.
+ * Configuration of one service.
  *
  * <p>Immutable.
  *
- * @param targetDelayMillis the waiting time in an entry that is aimed at, in milliseconds
- * @param defaultDeadlineMillis the deadline of a request that names none, in milliseconds
- * @param maxWaiting how many requests may wait in one entry
- * @param targetDetectsRepeats whether the target itself recognises a repeated idempotency key
- * @param tailLatencyGoalMillis the 99th percentile that the guard defends, in milliseconds
+ * @param targetDelayMillis the desired queueing delay in an entry, in milliseconds
+ * @param defaultDeadlineMillis the deadline of a request that sets none, in milliseconds
+ * @param maxWaiting maximum number of requests queued in one entry
+ * @param targetDetectsRepeats whether the target itself detects a repeated idempotency key
+ * @param tailLatencyGoalMillis the 99th percentile latency that the guard protects, in milliseconds
  */
 public record ServiceConfiguration(
     long targetDelayMillis,
@@ -17,7 +17,7 @@
     int maxWaiting,
     boolean targetDetectsRepeats,
     long tailLatencyGoalMillis) {
-  /** What holds for a service, or a key of it, that no file names. */
+  /** The defaults of a service, also for keys that no file sets. */
   public static final ServiceConfiguration DEFAULT =
       new ServiceConfiguration(20, 5_000, 10_000, false, 100);
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/TeamConfiguration.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/TeamConfiguration.java
@@ -1,21 +1,21 @@
 package io.marigoldsail.configuration;
 
 /**
- * What is configured of one team that runs tasks.
+ * Configuration of one team that runs tasks.
  *
- * <p>Immutable. The limits hold for all running tasks of the team together.
+ * <p>Immutable. The limits apply to the sum of the team's running tasks.
  *
- * @param share the team's weight in the queue, in relation to the other teams'
- * @param maxMilliProcessors processors at most, in thousandths
- * @param maxMemoryMebibytes memory at most, in MiB
- * @param maxAccelerators accelerators at most
+ * @param share the team's weight in the queue, relative to other teams
+ * @param maxMilliProcessors maximum processors, in thousandths
+ * @param maxMemoryMebibytes maximum memory, in MiB
+ * @param maxAccelerators maximum accelerators
  */
 public record TeamConfiguration(
     double share, long maxMilliProcessors, long maxMemoryMebibytes, long maxAccelerators) {
-  /** What stands for no limit. */
+  /** Value of a limit that does not apply. */
   public static final long UNLIMITED = Long.MAX_VALUE;
 
-  /** What holds for a team, or a key of it, that no file names. */
+  /** The defaults of a team, also for keys that no file sets. */
   public static final TeamConfiguration DEFAULT =
       new TeamConfiguration(1, UNLIMITED, UNLIMITED, UNLIMITED);
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/json/Json.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/json/Json.java
@@ -15,10 +15,10 @@
 import java.io.UncheckedIOException;
 
 /**
- * The one way in which this system reads and writes JSON.
+ * Reads and writes JSON for the whole system.
  *
- * <p>Strict: doubled keys and anything after the document are errors, because a reader that takes
- * the last of two values hides an operator's slip. Safe for any thread.
+ * <p>Parsing is strict: duplicate keys and trailing content are errors, because accepting the last
+ * of two values would hide an operator's mistake. Safe for any thread.
  */
 public final class Json {
   private static final ObjectMapper MAPPER =
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Reads one document.
+   * Parses one document.
    *
-   * @param origin the file or peer that the bytes came from, named in the failure
+   * @param origin the file or peer that provided the bytes, named in the failure
    * @param bytes the document in UTF-8
    * @return the document, or a failure of kind {@code BAD_REQUEST} in one line with line and column
    */
@@ -58,11 +58,11 @@
     } catch (JsonProcessingException e) {
       return Result.failed(ErrorKind.BAD_REQUEST, origin + ": not JSON: " + oneLine(e));
     } catch (IOException e) {
-      return Result.failed(ErrorKind.BAD_REQUEST, origin + ": unreadable: " + e.getMessage());
+      return Result.failed(ErrorKind.BAD_REQUEST, origin + ": cannot be read: " + e.getMessage());
     }
   }
 
-  /** Returns the document in one line. */
+  /** Returns the document on one line. */
   public static String write(JsonNode node) {
     try {
       return MAPPER.writeValueAsString(node);
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Returns the document over several lines, for people. */
+  /** Returns the document on several lines, for people. */
   public static String writePretty(JsonNode node) {
     try {
       return PRETTY.writeValueAsString(node);
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Returns the document in UTF-8, in one line. */
+  /** Returns the document in UTF-8, on one line. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/json/ProblemDetails.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/json/ProblemDetails.java
@@ -8,12 +8,13 @@
 import java.util.Optional;
 
 /**
- * Failures as {@code application/problem+json} (RFC 9457), the same at every door of the system.
+ * Converts failures to and from {@code application/problem+json} (RFC 9457), the error format of
+ * every HTTP API of the system.
  *
  * <p>Stateless, safe for any thread.
  */
 public final class ProblemDetails {
-  /** The media type of the answer. */
+  /** The media type of the response. */
   public static final String MEDIA_TYPE = "application/problem+json";
 
   private static final String TYPE_PREFIX = "urn:marigoldsail:error:";
@@ -22,16 +23,16 @@
   private ProblemDetails() {}
 
   /**
-   * Returns the answer's document for a failure of one request.
+   * Returns the response document for a failure of one request.
    *
-   * @param failure what went wrong
-   * @param instance the id of the request that it happened to
+   * @param failure the failure
+   * @param instance the id of the failed request
    */
   public static ObjectNode of(Failure failure, String instance) {
     return of(failure).put("instance", instance);
   }
 
-  /** Returns the answer's document for a failure. */
+  /** Returns the response document for a failure. */
   public static ObjectNode of(Failure failure) {
     ErrorKind kind = failure.kind();
     ObjectNode node = Json.object();
@@ -48,7 +49,10 @@
     return node;
   }
 
-  /** Returns the value of {@code Retry-After} in whole seconds, rounded up, if there is a time. */
+  /**
+   * Returns the value of {@code Retry-After} in whole seconds, rounded up, or empty if the failure
+   * has no retry time.
+   */
   public static Optional<String> retryAfter(Failure failure) {
     if (failure.retryAfterMillis() == 0) {
       return Optional.empty();
@@ -57,7 +61,9 @@
     return Optional.of(Long.toString(seconds));
   }
 
-  /** Returns the failure that a document tells of, or empty if it is no document of {@link #of}. */
+  /**
+   * Returns the failure that a document of {@link #of} represents, or empty for any other document.
+   */
   public static Optional<Failure> read(JsonNode node) {
     String type = node.path("type").asText();
     if (!type.startsWith(TYPE_PREFIX)) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/json/SchemaCheck.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/json/SchemaCheck.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 
 /**
- * Holds documents against one published JSON schema and words what is wrong in one line.
+ * Validates documents against a JSON schema and describes a violation in one line.
  *
  * <p>Safe for any thread. Compiling the schema costs some milliseconds; keep the instance.
  */
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Returns a check against a schema that lies beside a class.
+   * Returns a check against a schema in the package of a class.
    *
    * @param anchor the class whose package holds the resource
    * @param resource the file's name
@@ -40,7 +40,7 @@
   public static SchemaCheck ofResource(Class<?> anchor, String resource) {
     try (InputStream in = anchor.getResourceAsStream(resource)) {
       if (in == null) {
-        throw new IllegalArgumentException("no resource " + resource + " beside " + anchor);
+        throw new IllegalArgumentException("resource " + resource + " not found beside " + anchor);
       }
       SchemaRegistry registry =
           SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12);
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Returns what breaks the schema first, or empty if nothing does.
+   * Returns the first violation of the schema, or empty if the document conforms.
    *
-   * @param origin the file's name, which opens the line
+   * @param origin the file's name, with which the line starts
    * @return a failure of kind {@code INVALID_CONTENT} that names file, key and rule
    */
   public Optional<Failure> check(String origin, JsonNode document) {
@@ -71,21 +71,21 @@
   private static String wording(Error error) {
     String key = dotted(error.getInstanceLocation());
     JsonNode rule = error.getSchemaNode();
-    String found = shown(error.getInstanceNode());
+    String actual = shown(error.getInstanceNode());
     String name = error.getProperty();
     return switch (error.getKeyword()) {
       case "additionalProperties" -> child(key, name) + ": unknown key";
       case "required" -> child(key, name) + ": is missing";
-      case "type" -> key + ": must be " + types(rule) + ", is " + found + hint(rule);
-      case "minimum" -> key + ": must be at least " + rule.asText() + ", is " + found;
-      case "maximum" -> key + ": must be at most " + rule.asText() + ", is " + found;
-      case "exclusiveMinimum" -> key + ": must be above " + rule.asText() + ", is " + found;
-      case "enum" -> key + ": must be one of " + rule + ", is " + found;
-      case "const" -> key + ": must be " + rule + ", is " + found;
+      case "type" -> key + ": must be " + types(rule) + ", is " + actual + hint(rule);
+      case "minimum" -> key + ": must be at least " + rule.asText() + ", is " + actual;
+      case "maximum" -> key + ": must be at most " + rule.asText() + ", is " + actual;
+      case "exclusiveMinimum" -> key + ": must be above " + rule.asText() + ", is " + actual;
+      case "enum" -> key + ": must be one of " + rule + ", is " + actual;
+      case "const" -> key + ": must be " + rule + ", is " + actual;
       case "minItems" -> key + ": needs at least " + rule.asText() + " items";
       case "minLength" -> key + ": must not be empty";
       case "propertyNames" -> child(key, name) + ": is no name; names match [a-z0-9-]";
-      case "pattern" -> key + ": must match " + rule.asText() + ", is " + found;
+      case "pattern" -> key + ": must match " + rule.asText() + ", is " + actual;
       default -> key + ": " + error.getMessage();
     };
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/json/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/json/package-info.java
@@ -1,8 +1,8 @@
 /**
- * JSON shared by all slices: one strict reader, checks against a schema, and problem details.
+ * Shared JSON support: a strict reader, schema validation and problem details.
  *
- * <p>Reach for {@link io.marigoldsail.json.Json} to read and write, for {@link
- * io.marigoldsail.json.SchemaCheck} to hold a document against a published schema, and for {@link
- * io.marigoldsail.json.ProblemDetails} to answer an error.
+ * <p>Use {@link io.marigoldsail.json.Json} to read and write, {@link
+ * io.marigoldsail.json.SchemaCheck} to validate a document against a schema, and {@link
+ * io.marigoldsail.json.ProblemDetails} for error responses.
  */
 package io.marigoldsail.json;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
@@ -14,39 +14,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides when one writer's entries go to the log, which go together, and what became of each.
+ * Batches the entries of one writer into log records and tracks the outcome of each entry.
  *
- * <p>Load pattern: starts and ends of tasks come in bursts of many a second, while the log takes
- * several hundred appends a second from all writers together. One append is under way at a time;
- * what comes meanwhile shares the next one, so batches grow with the load and an idle writer waits
- * for nothing. Without this a burst of 90 starts a second would take three appends for each.
+ * <p>One append is in flight at a time; entries offered meanwhile share the next one. Task starts
+ * and ends come in bursts, and the log takes several hundred appends a second from all writers
+ * together: without batching, 90 starts a second would cost three appends each. An idle writer
+ * sends at once.
  *
- * <p>An entry is done when it was read back. An append whose answer was lost is held until a later
- * read has reached the end of the stream: then it was seen, or its entries go first into the next
- * record. Appending them again is safe even when the read was stale, because readers drop the copy
- * ({@link WriterMarks}); it must only come before this writer's later entries, or readers would
- * drop it as if it were a copy. That is why nothing else is sent in between.
+ * <p>An entry is complete when it has been read back. If the response to an append is lost, nothing
+ * else is sent until a read has reached the end of the stream: entries that were not read back by
+ * then are sent first in the next record. Readers drop duplicates ({@link WriterMarks}), so sending
+ * again is safe even if that read was stale. The entry must precede later entries of this writer,
+ * because readers would otherwise drop it as a duplicate.
  *
- * <p>Bounded in entries and bytes; knows neither thread nor clock; guarded by {@link LogAppender}.
+ * <p>The number of entries and their bytes are bounded. Not thread-safe; guarded by {@link
+ * LogAppender}. Times are readings of its clock, in nanoseconds.
  */
 final class AppendQueue {
-  /** An entry on its way. */
+  /** An entry that has not completed yet. */
   record Pending(String id, long sequence, byte[] encoded, long deadline, Outcome outcome) {}
 
-  /** Where the one who appends hears of the end. */
+  /** Receives the result of an append. */
   interface Outcome {
     /** Called exactly once. */
     void complete(Result<Position> result);
   }
 
-  /** Entries that go into one platform record. */
+  /** Entries that share one log record. */
   record Batch(List<Pending> entries) {
     byte[] record() {
       return RecordCodec.record(entries.stream().map(Pending::encoded).toList());
     }
   }
 
-  /** An end to be told once no lock is held. */
+  /** A result to pass to the callback without holding a lock. */
   record Completion(Pending entry, Result<Position> result) {
     void tell() {
       entry.outcome().complete(result);
@@ -61,10 +62,10 @@
   private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
   private final Map<String, Pending> unresolved = new LinkedHashMap<>();
 
-  /** Ids of entries that may stand in the log: sent, and not refused each time. */
+  /** Ids of entries that may be in the log: sent, and not refused in every attempt. */
   private final Set<String> maybeStored = new HashSet<>();
 
-  /** Entries whose first append is under way: not stored if that one is refused. */
+  /** Entries whose first append is in flight; they are not stored if it is refused. */
   private final List<Pending> underWay = new ArrayList<>();
 
   private int openBytes;
@@ -79,18 +80,18 @@
     this.backoff = backoff;
   }
 
-  /** Takes an entry in, or says why not; in that case it will never be sent. */
+  /** Accepts an entry, or returns why it is refused; a refused entry is never sent. */
   Optional<Failure> offer(Pending entry, long now) {
     int bytes = entry.encoded().length;
     if (bytes + RecordCodec.overhead(1) > settings.maxBatchBytes()) {
-      return Optional.of(Failure.of(ErrorKind.BODY_TOO_LARGE, "log entry of " + bytes + " bytes"));
+      return Optional.of(Failure.of(ErrorKind.BODY_TOO_LARGE, "log entry has " + bytes + " bytes, more than a record holds"));
     }
     if (backoff.failing() && entry.deadline() <= nextTryAt) {
-      return Optional.of(refusal("the log does not answer", nextTryAt - now));
+      return Optional.of(refusal("log is unavailable and the deadline is before the next append", nextTryAt - now));
     }
     if (open.size() >= settings.maxOpen() || openBytes + bytes > settings.maxOpenBytes()) {
       long wait = TimeUnit.MILLISECONDS.toNanos(FULL_RETRY_MILLIS);
-      return Optional.of(refusal(open.size() + " entries wait already", wait));
+      return Optional.of(refusal("append queue is full with " + open.size() + " entries", wait));
     }
     open.put(entry.id(), entry);
     openBytes += bytes;
@@ -104,7 +105,7 @@
     return new Failure(ErrorKind.LOG_UNAVAILABLE, detail, millis);
   }
 
-  /** Returns the next record's entries, if it is time to append. */
+  /** Returns the entries of the next record if an append is due. */
   Optional<Batch> takeBatch(long now) {
     if (inFlight || !unresolved.isEmpty() || waiting.isEmpty() || now < nextTryAt) {
       return Optional.empty();
@@ -132,7 +133,7 @@
     return Optional.of(new Batch(entries));
   }
 
-  /** Tells how an append ended. */
+  /** Records the result of an append and returns the entries that completed by it. */
   List<Completion> appended(Batch batch, Result<Long> result, long now) {
     inFlight = false;
     if (!(result instanceof Result.Failed<Long> failed)) {
@@ -148,17 +149,17 @@
       }
       case BODY_TOO_LARGE -> {
         if (batch.entries().size() > 1) {
-          // This log takes less than expected; what is too large together may be fine apart.
+          // The platform's limit is lower than configured; smaller batches may still fit.
           batchLimit = batch.entries().size() / 2;
           underWay.forEach(entry -> maybeStored.remove(entry.id()));
           putBack(batch.entries());
           yield List.of();
         }
-        List<Completion> refused = new ArrayList<>();
+        List<Completion> completions = new ArrayList<>();
         for (Pending entry : batch.entries()) {
-          finish(entry, Result.failed(failed.failure())).ifPresent(refused::add);
+          finish(entry, Result.failed(failed.failure())).ifPresent(completions::add);
         }
-        yield refused;
+        yield completions;
       }
       default -> {
         nextTryAt = now + backoff.failed();
@@ -170,13 +171,16 @@
     };
   }
 
-  /** Tells that an entry was read at the place where it counts. */
+  /** Records that the follower read an entry that is not a duplicate. */
   Optional<Completion> readBack(String id, Position position) {
     Pending entry = open.get(id);
     return entry == null ? Optional.empty() : finish(entry, Result.ok(position));
   }
 
-  /** Tells that a read reached the end of the stream; what it did not show goes out again. */
+  /**
+   * Records that a read reached the end of the stream. Entries of unknown outcome that it did not
+   * return are sent again.
+   */
   void reachedEnd() {
     if (!unresolved.isEmpty()) {
       putBack(List.copyOf(unresolved.values()));
@@ -185,68 +189,69 @@
   }
 
   /**
-   * Tells that the reader now stands behind a snapshot that includes this writer's entries up to a
-   * sequence number, without having seen each.
+   * Records that the follower restored a snapshot that covers the entries of this writer up to a
+   * sequence number. Their outcome is unknown, because they were not read one by one.
    */
   List<Completion> passed(long sequence) {
-    List<Completion> ended = new ArrayList<>();
+    List<Completion> completions = new ArrayList<>();
     for (Pending entry : List.copyOf(open.values())) {
       if (entry.sequence() <= sequence) {
         Failure unknown =
-            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "the reader passed it in a snapshot");
-        finish(entry, Result.failed(unknown)).ifPresent(ended::add);
+            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "skipped by a snapshot before it was read back");
+        finish(entry, Result.failed(unknown)).ifPresent(completions::add);
       }
     }
-    return ended;
+    return completions;
   }
 
   /**
-   * Tells that the stream is another one than what was sent may stand in; it will not be read back.
+   * Records that the history of the stream was replaced. Entries that may be stored in the former
+   * history cannot be read back any more.
    */
   List<Completion> historyReplaced() {
-    List<Completion> ended = new ArrayList<>();
+    List<Completion> completions = new ArrayList<>();
     for (Pending entry : List.copyOf(open.values())) {
       if (maybeStored.contains(entry.id())) {
         Failure unknown =
-            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "the log's history was replaced");
-        finish(entry, Result.failed(unknown)).ifPresent(ended::add);
+            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "history of the stream was replaced before the entry was read back");
+        finish(entry, Result.failed(unknown)).ifPresent(completions::add);
       }
     }
-    return ended;
+    return completions;
   }
 
-  /** Gives up what has passed its deadline. */
+  /** Fails the entries whose deadline has passed. */
   List<Completion> expire(long now) {
     if (now < earliestDeadline) {
       return List.of();
     }
-    List<Completion> expired = new ArrayList<>();
+    List<Completion> completions = new ArrayList<>();
     earliestDeadline = Long.MAX_VALUE;
     for (Pending entry : List.copyOf(open.values())) {
       if (entry.deadline() <= now) {
-        finish(entry, Result.failed(late(entry, now))).ifPresent(expired::add);
+        finish(entry, Result.failed(late(entry, now))).ifPresent(completions::add);
       } else {
         earliestDeadline = Math.min(earliestDeadline, entry.deadline());
       }
     }
     waiting.removeIf(entry -> !isOpen(entry));
-    return expired;
+    return completions;
   }
 
   private Failure late(Pending entry, long now) {
-    // An entry that may be stored counts wherever it is read; any other is never sent from here on.
+    // An entry that may be stored can still take effect; any other is not sent any more.
     return !maybeStored.contains(entry.id())
-        ? refusal("the log did not answer in time", Math.max(0, nextTryAt - now))
-        : Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "not read back in time");
+        ? refusal("log did not confirm the entry before its deadline", Math.max(0, nextTryAt - now))
+        : Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "entry was not read back before its deadline");
   }
 
-  /** Gives up everything, for a planned stop. */
+  /** Fails all entries, for a graceful shutdown. */
   List<Completion> giveUp(long now) {
-    List<Completion> ended = new ArrayList<>();
+    List<Completion> completions = new ArrayList<>();
     for (Pending entry : List.copyOf(open.values())) {
-      finish(entry, Result.failed(late(entry, now))).ifPresent(ended::add);
+      finish(entry, Result.failed(late(entry, now))).ifPresent(completions::add);
     }
-    return ended;
+    return completions;
   }
 
   /** Returns when {@link #takeBatch} or {@link #expire} is due next, or {@link Long#MAX_VALUE}. */
@@ -255,7 +260,7 @@
     return Math.min(earliestDeadline, ready ? nextTryAt : Long.MAX_VALUE);
   }
 
-  /** Returns how many entries are held. */
+  /** Returns the number of entries that have not completed. */
   int size() {
     return open.size();
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendSettings.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How a {@link LogAppender} appends. Immutable.
+ * Limits and timing of a {@link LogAppender}. Immutable.
  *
- * @param maxOpen how many entries it holds at the most, from being offered to being read back
- * @param maxOpenBytes how many bytes they may have together
- * @param maxBatch how many entries go into one platform record
- * @param maxBatchBytes how many bytes a platform record may have
- * @param paceMillis the least time between two appends, in milliseconds; entries that come
- *     meanwhile share the next one
- * @param keepMillis how long an entry is kept whose caller names no deadline, in milliseconds
- * @param retryFirstMillis the span of the first wait during an outage, in milliseconds
- * @param retryLimitMillis the longest such span, in milliseconds
+ * @param maxOpen maximum number of entries that have been offered but not read back
+ * @param maxOpenBytes maximum total size of these entries, in bytes
+ * @param maxBatch maximum number of entries in one platform record
+ * @param maxBatchBytes maximum size of a platform record, in bytes
+ * @param paceMillis minimum interval between two appends, in milliseconds; entries offered
+ *     meanwhile share the next append
+ * @param keepMillis timeout of an entry whose caller gives no deadline, in milliseconds
+ * @param retryFirstMillis initial backoff during an outage, in milliseconds
+ * @param retryLimitMillis maximum backoff, in milliseconds
  */
 public record AppendSettings(
     int maxOpen,
@@ -35,17 +35,17 @@
 
   /** Checks the components. */
   public AppendSettings {
-    checkArgument(maxOpen > 0, "maxOpen is not positive: %s", maxOpen);
-    checkArgument(maxBatch > 0, "maxBatch is not positive: %s", maxBatch);
-    checkArgument(maxOpenBytes >= maxBatchBytes, "maxOpenBytes below maxBatchBytes");
-    checkArgument(paceMillis >= 0, "paceMillis is negative: %s", paceMillis);
-    checkArgument(keepMillis > 0, "keepMillis is not positive: %s", keepMillis);
+    checkArgument(maxOpen > 0, "maxPending is not positive: %s", maxOpen);
+    checkArgument(maxBatch > 0, "maxBatchEntries is not positive: %s", maxBatch);
+    checkArgument(maxOpenBytes >= maxBatchBytes, "maxPendingBytes is below maxBatchBytes");
+    checkArgument(paceMillis >= 0, "minIntervalMillis is negative: %s", paceMillis);
+    checkArgument(keepMillis > 0, "entryTimeoutMillis is not positive: %s", keepMillis);
   }
 
   /**
-   * Returns the usual settings. The pace of 20 ms bounds an entry to 50 appends a second and
-   * stream, so that nine entries stay within "several hundred a second" whatever they are asked
-   * for.
+   * Returns the default settings. The interval of 20 ms limits an entry to 50 appends a second per
+   * stream, so that nine entries stay within the several hundred appends a second that the log
+   * takes.
    */
   public static AppendSettings usual() {
     return new AppendSettings(
@@ -59,23 +59,23 @@
         USUAL_RETRY_LIMIT_MILLIS);
   }
 
-  /** Returns these settings with another least time between two appends. */
-  public AppendSettings withPaceMillis(long newPaceMillis) {
+  /** Returns these settings with another minimum interval between two appends. */
+  public AppendSettings withPaceMillis(long newMinIntervalMillis) {
     return new AppendSettings(
         maxOpen,
         maxOpenBytes,
         maxBatch,
         maxBatchBytes,
-        newPaceMillis,
+        newMinIntervalMillis,
         keepMillis,
         retryFirstMillis,
         retryLimitMillis);
   }
 
-  /** Returns these settings with another bound on the entries held. */
-  public AppendSettings withMaxOpen(int newMaxOpen) {
+  /** Returns these settings with another limit on pending entries. */
+  public AppendSettings withMaxOpen(int newMaxPending) {
     return new AppendSettings(
-        newMaxOpen,
+        newMaxPending,
         maxOpenBytes,
         maxBatch,
         maxBatchBytes,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
@@ -6,12 +6,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before the next try, after so many failures in a row.
+ * Exponential backoff with jitter for consecutive failures.
  *
- * <p>Answers the pattern that a service comes back from an outage while hundreds of processes wait
- * for it: tries in step would knock it over again. Each wait is drawn evenly from the upper half of
- * a span that doubles up to a limit, so that tries spread over half that limit, and the first one
- * after the outage still comes within the limit. Not safe for use by several threads at once.
+ * <p>Each delay is drawn uniformly from the upper half of a range that doubles up to a maximum.
+ * Hundreds of processes wait for a service during an outage; retries in step would overload it
+ * again on recovery. With jitter they spread over half the maximum delay, and the first one still
+ * comes within the maximum. Not thread-safe.
  */
 public final class Backoff {
   private static final int MAX_DOUBLINGS = 30;
@@ -24,33 +24,33 @@
   /**
    * Creates a backoff without failures.
    *
-   * @param firstNanos the span after the first failure, in nanoseconds
-   * @param limitNanos the longest span, in nanoseconds
-   * @param random where the jitter comes from
+   * @param firstNanos the upper bound of the first delay, in nanoseconds
+   * @param limitNanos the maximum delay, in nanoseconds
+   * @param random the source of the jitter
    */
   public Backoff(long firstNanos, long limitNanos, RandomGenerator random) {
-    checkArgument(firstNanos > 1, "firstNanos is too small: %s", firstNanos);
-    checkArgument(limitNanos >= firstNanos, "limit %s below first %s", limitNanos, firstNanos);
+    checkArgument(firstNanos > 1, "initialNanos is not above 1: %s", firstNanos);
+    checkArgument(limitNanos >= firstNanos, "maxNanos %s is below initialNanos %s", limitNanos, firstNanos);
     this.firstNanos = firstNanos;
     this.limitNanos = limitNanos;
     this.random = requireNonNull(random, "random");
   }
 
-  /** Counts a failure and returns how long to wait, in nanoseconds. */
+  /** Records a failure and returns the delay before the next attempt, in nanoseconds. */
   public long failed() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
     boolean atLimit = firstNanos > limitNanos >> doublings;
-    long span = atLimit ? limitNanos : firstNanos << doublings;
-    return random.nextLong(span / 2, span + 1);
+    long rangeNanos = atLimit ? limitNanos : firstNanos << doublings;
+    return random.nextLong(rangeNanos / 2, rangeNanos + 1);
   }
 
-  /** Forgets all failures. */
+  /** Records a success, which resets the delay. */
   public void succeeded() {
     failures = 0;
   }
 
-  /** Returns whether the last try failed. */
+  /** Returns whether the last attempt failed. */
   public boolean failing() {
     return failures > 0;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/EntryIds.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/EntryIds.java
@@ -5,16 +5,16 @@
 import java.util.Optional;
 
 /**
- * Makes the ids of one process's entries: {@code PROCESS/INCARNATION/SEQUENCE}, such as {@code
- * entry-1/5f3a9c/17}.
+ * Generates the ids of the entries of one process: {@code PROCESS/INCARNATION/SEQUENCE}, such as
+ * {@code entry-1/5f3a9c/17}.
  *
- * <p>The sequence rises with each id, which is what lets readers tell a late copy from a new entry.
- * Not safe for use by several threads at once; {@link LogAppender} guards it. The incarnation must
- * differ between two lives of a process: after a restart with the same one, readers would drop all
- * that the new life appends.
+ * <p>The sequence number increases with each id, so that readers can distinguish a late duplicate
+ * from a new entry. Each start of a process needs its own incarnation: with a reused one, readers
+ * would drop all entries of the new process as duplicates. Not thread-safe; guarded by {@link
+ * LogAppender}.
  */
 public final class EntryIds {
-  /** The parts of an id that matter to readers. */
+  /** The parts of an id that readers use. */
   record Parts(String writer, long sequence) {}
 
   private static final int HEXADECIMAL = 16;
@@ -30,14 +30,14 @@
    * Returns a generator whose first id has the sequence number 1.
    *
    * @param process the process's name, without a slash
-   * @param incarnation this life of the process, such as a random number
+   * @param incarnation the incarnation of the process, such as a random number
    */
   public static EntryIds of(String process, long incarnation) {
-    checkArgument(!process.isEmpty() && process.indexOf('/') < 0, "bad process name: %s", process);
+    checkArgument(!process.isEmpty() && process.indexOf('/') < 0, "process name is empty or contains a slash: %s", process);
     return new EntryIds(process + "/" + Long.toUnsignedString(incarnation, HEXADECIMAL));
   }
 
-  /** Returns what all ids of this generator start with, without the last slash. */
+  /** Returns the common prefix of all ids of this generator, without the last slash. */
   public String writer() {
     return writer;
   }
@@ -48,7 +48,7 @@
     return writer + "/" + last;
   }
 
-  /** Returns the parts of an id, or empty if it is none. */
+  /** Returns the parts of an id, or empty if the text is not an id. */
   static Optional<Parts> parse(String id) {
     int slash = id.lastIndexOf('/');
     if (slash <= 0 || slash == id.length() - 1) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
@@ -3,47 +3,47 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * State that follows from a stream's entries alone, the same in every process.
+ * State computed from the entries of a stream alone, and therefore equal in every process.
  *
- * <p>All methods are called by one thread at a time, the follower's; a fold that other threads read
- * guards itself. They must not use a clock, a random source or anything else that differs between
- * processes. An entry that makes no sense folds to nothing; an exception is counted as such an
- * entry by the follower, and must leave the state as it was.
+ * <p>Methods are called by the follower's thread, one at a time; a fold that other threads read
+ * synchronizes itself. An implementation must be deterministic: no clock, no random source, nothing
+ * else that differs between processes. It ignores invalid entries. If it throws, the follower
+ * counts the entry as skipped; the state must then be unchanged.
  */
 public interface Fold {
   /** Applies the next entry. */
   void apply(LogEntry entry);
 
-  /** Returns the whole state, as {@link #restore} takes it. */
+  /** Returns the complete state in the format that {@link #restore} accepts. */
   JsonNode snapshot();
 
   /**
-   * Replaces the state by one that another process's {@link #snapshot} returned.
+   * Replaces the state by a {@link #snapshot} of another process.
    *
-   * @throws IllegalArgumentException if it makes no sense; the state is then as it was
+   * @throws IllegalArgumentException if the snapshot is invalid; the state is then unchanged
    */
   void restore(JsonNode snapshot);
 
-  /** Returns what becomes of this state when the stream turns out to be another one. */
+  /** Returns how to proceed when the history of the stream has been replaced. */
   default NewHistory onNewHistory() {
     return NewHistory.HALT;
   }
 
   /**
-   * Tells that offsets count from the beginning of another stream from now on. Only called under
-   * {@link NewHistory#READ_ON} and {@link NewHistory#CARRY_OVER}; the state stays.
+   * Called when offsets restart in a replaced history, only under {@link NewHistory#READ_ON} and
+   * {@link NewHistory#CARRY_OVER}. The state stays.
    */
   default void beginNewHistory() {}
 
   /**
-   * Returns a number that only grows as entries are applied, also across histories of the stream,
-   * or 0. Under {@link NewHistory#CARRY_OVER} the state with the highest one prevails.
+   * Returns a number that never decreases as entries are applied, also across histories of the
+   * stream, or 0. Under {@link NewHistory#CARRY_OVER} the state with the highest revision wins.
    */
   default long revision() {
     return 0;
   }
 
-  /** Returns the {@link #revision} of another process's {@link #snapshot}, or 0. */
+  /** Returns the {@link #revision} in a {@link #snapshot} of another process, or 0. */
   default long revisionOf(JsonNode snapshot) {
     return 0;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/FollowerSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/FollowerSettings.java
@@ -3,17 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How a {@link StreamFollower} reads. Immutable.
+ * Limits and timing of a {@link StreamFollower}. Immutable.
  *
- * @param pageRecords how many records it asks for at once
- * @param waitMillis how long a read waits for a record, in milliseconds; also how long it may take
- *     to see that an append whose answer was lost did not happen
- * @param paceMillis the least time between the beginnings of two reads, in milliseconds; records
- *     that come meanwhile share the next one
- * @param retryFirstMillis the span of the first wait during an outage, in milliseconds
- * @param retryLimitMillis the longest such span, in milliseconds
- * @param beginAnew whether to begin with an empty state if the stream's beginning has expired; for
- *     one process, when an operator knows that all state is lost
+ * @param pageRecords maximum number of records in one read
+ * @param waitMillis how long a read waits for a record, in milliseconds; also bounds the time until
+ *     an append whose response was lost is known not to be stored
+ * @param paceMillis minimum interval between the starts of two reads, in milliseconds; records
+ *     appended meanwhile share the next read
+ * @param retryFirstMillis initial backoff during an outage, in milliseconds
+ * @param retryLimitMillis maximum backoff, in milliseconds
+ * @param beginAnew whether to start with an empty state if the beginning of the stream has expired;
+ *     for one process, when an operator knows that all state is lost
  */
 public record FollowerSettings(
     int pageRecords,
@@ -32,15 +32,15 @@
   public FollowerSettings {
     checkArgument(pageRecords > 0, "pageRecords is not positive: %s", pageRecords);
     checkArgument(waitMillis >= 0, "waitMillis is negative: %s", waitMillis);
-    checkArgument(paceMillis >= 0, "paceMillis is negative: %s", paceMillis);
-    checkArgument(retryFirstMillis > 0, "retryFirstMillis is not positive: %s", retryFirstMillis);
-    checkArgument(retryLimitMillis >= retryFirstMillis, "retryLimitMillis below retryFirstMillis");
+    checkArgument(paceMillis >= 0, "minIntervalMillis is negative: %s", paceMillis);
+    checkArgument(retryFirstMillis > 0, "initialBackoffMillis is not positive: %s", retryFirstMillis);
+    checkArgument(retryLimitMillis >= retryFirstMillis, "maxBackoffMillis is below initialBackoffMillis");
   }
 
   /**
-   * Returns the usual settings: an outage's end is noticed within a second by all, spread over half
-   * of it. Without the pace each record of a busy stream costs every reader a request of its own; a
-   * record of a quiet stream is still seen at once.
+   * Returns the default settings. All readers notice the end of an outage within a second, spread
+   * over half of it. Without the minimum interval every record of a busy stream would cost each
+   * reader a request; a record of a quiet stream is still read at once.
    */
   public static FollowerSettings usual() {
     return new FollowerSettings(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
@@ -20,11 +20,12 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Appends entries to one stream, each exactly once, and tells where each stands.
+ * Appends entries to one stream exactly once and reports the position of each.
  *
- * <p>One for each process and stream. Many entries share a platform record when they come quickly.
- * Safe for any thread. Rejects nulls. Holds a bounded number of entries and bytes, whatever the log
- * does. Futures complete in the follower's or the appender's thread: dependent steps must be short.
+ * <p>Use one instance per process and stream. Entries that are appended in quick succession share a
+ * platform record. Safe for any thread. Rejects nulls. Pending entries and their bytes are bounded,
+ * also during an outage. Futures complete on the follower's or the appender's thread, so dependent
+ * stages must be short.
  */
 public final class LogAppender implements AutoCloseable {
   private final LogService log;
@@ -37,20 +38,22 @@
   private final ReentrantLock lock = new ReentrantLock();
   private final Condition changed = lock.newCondition();
 
-  /** What the follower has read but not published yet; its thread alone uses it. */
+  /**
+   * Completions of entries in the page that is being applied; used by the follower's thread only.
+   */
   private final List<Completion> readBack = new ArrayList<>();
 
   private boolean closed;
 
   /**
-   * Creates an appender that is not started yet, and listens to the follower.
+   * Creates an appender, not started yet, and registers it with the follower.
    *
-   * @param log where to append
+   * @param log the log to append to
    * @param follower the reader of the same stream, not started yet
-   * @param ids the ids of this process's entries, used by this appender alone
-   * @param settings how to append
+   * @param ids generates entry ids; used by this appender only
+   * @param settings limits and timing
    * @param clock the clock of the deadlines
-   * @param random where the backoff's jitter comes from
+   * @param random the source of the backoff's jitter
    */
   public LogAppender(
       LogService log,
@@ -75,40 +78,41 @@
     follower.addListener(new ReadBack());
   }
 
-  /** Starts to append. */
+  /** Starts the appender's thread. */
   public void start() {
     thread.start();
   }
 
-  /** Appends an entry that is kept for {@link AppendSettings#keepMillis} at the most. */
+  /** Appends an entry with the timeout {@link AppendSettings#keepMillis}. */
   public CompletableFuture<Result<Position>> append(String type, JsonNode body) {
-    long keep = TimeUnit.MILLISECONDS.toNanos(settings.keepMillis());
-    return append(type, body, clock.nanos() + keep);
+    long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.keepMillis());
+    return append(type, body, clock.nanos() + timeoutNanos);
   }
 
   /**
-   * Appends an entry; the future completes once the follower has applied it, or with a failure.
+   * Appends an entry. The future completes when the follower has applied it, or with a failure.
    *
-   * <p>{@code LOG_UNAVAILABLE} and {@code BODY_TOO_LARGE} mean that the entry does not count and
-   * never will. {@code LOG_OUTCOME_UNKNOWN} means that it may; it is settled once a later entry of
-   * this appender is read back, because this one cannot count behind that.
+   * <p>{@code LOG_UNAVAILABLE} and {@code BODY_TOO_LARGE} mean that the entry is not stored and
+   * never will be. {@code LOG_OUTCOME_UNKNOWN} means that it may be. Its outcome is final once a
+   * later entry of this appender has been read back, because readers drop an entry that follows a
+   * later one.
    *
-   * @param type what the entry means to the fold
-   * @param body its content; must not be changed afterwards
-   * @param deadline when to give up, a reading of the clock
+   * @param type the entry type, interpreted by the fold
+   * @param body the content; must not be changed afterwards
+   * @param deadline when to give up, as a reading of the clock in nanoseconds
    */
   public CompletableFuture<Result<Position>> append(String type, JsonNode body, long deadline) {
     requireNonNull(type, "type");
     requireNonNull(body, "body");
     CompletableFuture<Result<Position>> future = new CompletableFuture<>();
     if (!follower.mayAppend(type)) {
-      return refused(future, "this process has not read the log far enough");
+      return refused(future, "stream is not read up to a usable state yet");
     }
     Optional<Failure> refusal;
     lock.lock();
     try {
       if (closed) {
-        return refused(future, "this process is stopping");
+        return refused(future, "appender is closed because the process is stopping");
       }
       String id = ids.next();
       Pending entry =
@@ -133,12 +137,12 @@
     return future;
   }
 
-  /** Returns what the ids of this appender's entries start with. */
+  /** Returns the common prefix of this appender's entry ids. */
   String writer() {
     return ids.writer();
   }
 
-  /** Returns how many entries are on their way. */
+  /** Returns the number of entries that have not completed. */
   public int size() {
     lock.lock();
     try {
@@ -148,20 +152,20 @@
     }
   }
 
-  /** Stops; entries that are still on their way end with a failure that says what is known. */
+  /** Stops the appender. Pending entries complete with a failure that says whether they may be stored. */
   @Override
   public void close() {
-    List<Completion> ended;
+    List<Completion> completions;
     lock.lock();
     try {
       closed = true;
-      ended = queue.giveUp(clock.nanos());
+      completions = queue.giveUp(clock.nanos());
       changed.signalAll();
     } finally {
       lock.unlock();
     }
     thread.interrupt();
-    ended.forEach(Completion::tell);
+    completions.forEach(Completion::tell);
   }
 
   private void run() {
@@ -203,20 +207,20 @@
     try {
       result = log.append(follower.stream(), batch.record());
     } catch (RuntimeException e) {
-      // A fault of the client must not end the thread; whether the append happened is unknown.
+      // An exception of the client must not end the thread; the outcome of the append is unknown.
       result = Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, e.toString());
     }
-    List<Completion> ended;
+    List<Completion> completions;
     lock.lock();
     try {
-      ended = queue.appended(batch, result, clock.nanos());
+      completions = queue.appended(batch, result, clock.nanos());
     } finally {
       lock.unlock();
     }
-    ended.forEach(Completion::tell);
+    completions.forEach(Completion::tell);
   }
 
-  /** Hears from the follower what stands in the stream. */
+  /** Completes entries as the follower reads them. */
   private final class ReadBack implements StreamListener {
     @Override
     public void applied(LogEntry entry) {
@@ -232,10 +236,10 @@
 
     @Override
     public void restored(StreamSnapshot snapshot) {
-      long passed = WriterMarks.fromJson(snapshot.writers()).of(ids.writer());
+      long sequence = WriterMarks.fromJson(snapshot.writers()).of(ids.writer());
       lock.lock();
       try {
-        readBack.addAll(queue.passed(passed));
+        readBack.addAll(queue.passed(sequence));
       } finally {
         lock.unlock();
       }
@@ -253,10 +257,10 @@
 
     @Override
     public void pageApplied(StreamStatus status) {
-      // Told only now, so that whoever waits finds the follower at least where its entry stands.
-      List<Completion> told = List.copyOf(readBack);
+      // Completed after the page, so that the follower has applied the entry for any waiter.
+      List<Completion> completions = List.copyOf(readBack);
       readBack.clear();
-      told.forEach(Completion::tell);
+      completions.forEach(Completion::tell);
       if (status.caughtUp()) {
         lock.lock();
         try {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One entry of a stream, at the place where it counts.
+ * One entry of a stream, at the position where it takes effect.
  *
- * @param position where it stands
- * @param id its writer's id for it; see {@link EntryIds}
- * @param type what it means to the fold
- * @param body its content; not copied, must not be changed
+ * @param position the position in the stream
+ * @param id the id assigned by its writer; see {@link EntryIds}
+ * @param type the entry type, interpreted by the fold
+ * @param body the content; not copied, must not be changed
  */
 public record LogEntry(Position position, String id, String type, JsonNode body) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogPage.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogPage.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Consecutive records of a stream, and where the stream begins and ends by now.
+ * Consecutive records of a stream, with the current bounds of the stream.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param records the records, by ascending offset
- * @param firstOffset the oldest offset that retention has left; greater than the one asked for
- *     where records have expired unread
- * @param nextOffset the offset that the next append would get, as far as the answering replica of
- *     the platform knows; may be stale
+ * @param firstOffset the oldest retained offset; greater than the requested one if records expired
+ *     before they were read
+ * @param nextOffset the offset of the next append, as known to the platform replica that responded;
+ *     may be stale
  */
 public record LogPage(List<LogRecord> records, long firstOffset, long nextOffset) {
   /** Checks and copies the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogRecord.java
@@ -5,7 +5,7 @@
 /**
  * One record of a stream.
  *
- * @param offset the record's place in its stream
+ * @param offset the offset in its stream
  * @param bytes the record as appended; not copied, callers must not change it
  */
 @SuppressWarnings("ArrayRecordComponent") // bytes are handed through unread; equality is not used
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/NewHistory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/NewHistory.java
@@ -1,21 +1,24 @@
 package io.marigoldsail.log;
 
-/** What a reader does when its stream turns out to be another one than it has read so far. */
+/**
+ * How a reader proceeds when the history of its stream has been replaced: other records are stored
+ * at the offsets that it has read.
+ */
 public enum NewHistory {
   /**
-   * Reads the new stream from its beginning and keeps its state: for a stream whose entries are
-   * repeated all the time, so that what is old expires.
+   * Reads the new history from its beginning and keeps the state. For streams whose entries are
+   * appended periodically, so that outdated state expires.
    */
   READ_ON,
   /**
-   * Keeps its state in force and offers it to the new stream by a snapshot, from which all readers
-   * go on: for a state whose versions are numbered, so that the latest one can be told.
+   * Keeps the state and appends it to the new history as a snapshot, from which all readers
+   * continue. For state with numbered revisions, where the latest one can be determined.
    */
   CARRY_OVER,
   /**
-   * Keeps its state, applies and appends nothing, and goes on once the former history is back: for
-   * a state that decides who may run what. Records of the old history that only a process now dead
-   * had read may have let something run; whoever carried an older state over would run it twice.
+   * Keeps the state, applies and appends nothing, and resumes when the former history is back. For
+   * state that decides which process may run a task: a lost record may have allowed a run, known
+   * only to a process that has ended, and carrying over an older state would run the task twice.
    */
   HALT
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Position.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Position.java
@@ -5,10 +5,10 @@
 import java.util.Comparator;
 
 /**
- * The place of one entry in its stream. Immutable; ordered as the stream is.
+ * The position of an entry in its stream. Immutable; ordered as the stream is.
  *
- * @param offset the offset of the platform record that holds the entry
- * @param index the entry's place in that record, from 0
+ * @param offset the offset of the platform record that contains the entry
+ * @param index the index of the entry in that record, from 0
  */
 public record Position(long offset, int index) implements Comparable<Position> {
   private static final Comparator<Position> ORDER =
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
@@ -15,28 +15,28 @@
 import java.util.List;
 
 /**
- * Turns batches of entries into platform records and back.
+ * Encodes batches of entries as platform records and decodes them.
  *
- * <p>A record is {@code {"v":1,"entries":[{"id":...,"type":...,"body":...}]}}. Unknown fields pass.
- * Nothing that a record holds makes {@link #decode} throw.
+ * <p>A record is {@code {"v":1,"entries":[{"id":...,"type":...,"body":...}]}}. Unknown fields are
+ * ignored. {@link #decode} never throws, whatever the record contains.
  */
 final class RecordCodec {
-  /** Why a record, or an entry of one, was passed over. */
+  /** Why a record, or an entry of one, was skipped. Logged by name. */
   enum Skip {
-    /** The bytes are no JSON object. */
+    /** The record is not a JSON object. */
     NOT_JSON,
-    /** The record is of a version that this software does not know. */
+    /** The record has a version that this software does not support. */
     NEWER_VERSION,
-    /** The record, or an entry of it, has not the fields that it must have. */
+    /** A required field of the record or of an entry is missing or has the wrong type. */
     MALFORMED,
-    /** The fold threw on the entry. */
+    /** The fold threw an exception on the entry. */
     REFUSED_BY_FOLD
   }
 
-  /** An entry as it stands in a record. */
+  /** An entry as decoded from a record. */
   record Raw(int index, String id, EntryIds.Parts parts, String type, JsonNode body) {}
 
-  /** What a record holds: good entries, and why others were passed over. */
+  /** The valid entries of a record, and the reasons why others were skipped. */
   record Decoded(List<Raw> entries, List<Skip> skips) {}
 
   static final int VERSION = 1;
@@ -60,7 +60,7 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Returns one entry as JSON, to be put into a record by {@link #record}. */
+  /** Returns one entry as JSON, for use in {@link #record}. */
   static byte[] entry(String id, String type, JsonNode body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = MAPPER.createGenerator(bytes)) {
@@ -76,7 +76,7 @@
     return bytes.toByteArray();
   }
 
-  /** Returns a record of entries that {@link #entry} made. */
+  /** Returns a record of entries encoded by {@link #entry}. */
   static byte[] record(List<byte[]> entries) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.writeBytes(START);
@@ -90,7 +90,7 @@
     return bytes.toByteArray();
   }
 
-  /** Returns how much longer a record is than its entries, at most. */
+  /** Returns an upper bound on the bytes that a record adds to its entries. */
   static int overhead(int entries) {
     return START.length + END.length + entries;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
@@ -19,12 +19,12 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Splits snapshots into entries that fit a platform record, and puts them together again.
+ * Splits snapshots into entries that fit a platform record, and reassembles them.
  *
- * <p>A part is {@code {"snapshot":ID,"through":N,"part":I,"parts":N,"data":BASE64}}; the data
- * together are the gzipped JSON of a {@link StreamSnapshot}. Parts of several snapshots may
- * interleave and repeat. An instance collects parts; it holds at most {@value #MAX_OPEN} unfinished
- * snapshots, and is confined to one thread.
+ * <p>A part is {@code {"snapshot":ID,"through":N,"part":I,"parts":N,"data":BASE64}}; the
+ * concatenated data are the gzipped JSON of a {@link StreamSnapshot}. Parts of several snapshots
+ * may interleave and repeat. An instance collects parts of at most {@value #MAX_OPEN} incomplete
+ * snapshots. Confined to one thread.
  */
 final class SnapshotParts {
   static final String TYPE = "snapshot-part";
@@ -35,7 +35,7 @@
   private static final int MAX_SNAPSHOT_BYTES = 128 << 20;
   private static final JsonMapper MAPPER = new JsonMapper();
 
-  /** What is known of a snapshot after one of its parts was seen. */
+  /** The state of a snapshot after one of its parts was added. */
   record Seen(long through, boolean complete, Optional<StreamSnapshot> snapshot) {}
 
   private static final class Open {
@@ -52,7 +52,7 @@
 
   SnapshotParts() {}
 
-  /** Returns the bodies of the parts of a snapshot. */
+  /** Returns the entry bodies of the parts of a snapshot. */
   static List<JsonNode> split(StreamSnapshot snapshot, String id) {
     byte[] bytes = compress(snapshot);
     int count = (bytes.length + PART_BYTES - 1) / PART_BYTES;
@@ -73,38 +73,38 @@
   }
 
   /**
-   * Takes a part in, or returns empty if it makes no sense.
+   * Adds a part, or returns empty if it is invalid.
    *
-   * @param keep whether the caller wants the snapshot; else only its completeness is told
+   * @param keep whether to assemble the snapshot; otherwise only its completeness is tracked
    */
   Optional<Seen> add(JsonNode body, boolean keep) {
     String id = body.path("snapshot").asText();
     int count = body.path("parts").asInt();
     int part = body.path("part").asInt(-1);
-    boolean sound = !id.isEmpty() && count > 0 && count <= MAX_PARTS && part >= 0 && part < count;
-    if (!sound || !body.path("through").canConvertToLong() || !body.path("data").isTextual()) {
+    boolean valid = !id.isEmpty() && count > 0 && count <= MAX_PARTS && part >= 0 && part < count;
+    if (!valid || !body.path("through").canConvertToLong() || !body.path("data").isTextual()) {
       return Optional.empty();
     }
     long through = body.path("through").longValue();
-    Open collecting = open.computeIfAbsent(id, unused -> new Open(count));
-    if (collecting.parts.length != count) {
+    Open partial = open.computeIfAbsent(id, unused -> new Open(count));
+    if (partial.parts.length != count) {
       return Optional.empty();
     }
-    if (collecting.parts[part] == null) {
-      collecting.parts[part] = keep ? body.path("data").textValue() : "";
-      collecting.missing--;
+    if (partial.parts[part] == null) {
+      partial.parts[part] = keep ? body.path("data").textValue() : "";
+      partial.missing--;
     }
-    if (collecting.missing > 0) {
+    if (partial.missing > 0) {
       dropOldest();
       return Optional.of(new Seen(through, false, Optional.empty()));
     }
     open.remove(id);
     return keep
-        ? join(collecting, through)
+        ? join(partial, through)
         : Optional.of(new Seen(through, true, Optional.empty()));
   }
 
-  /** Forgets what was collected, such as parts whose data were not kept. */
+  /** Discards all collected parts, also those whose data were not kept. */
   void clear() {
     open.clear();
   }
@@ -115,10 +115,10 @@
     }
   }
 
-  private static Optional<Seen> join(Open collected, long through) {
+  private static Optional<Seen> join(Open partial, long through) {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-      for (String data : collected.parts) {
+      for (String data : partial.parts) {
         bytes.writeBytes(Base64.getDecoder().decode(data));
       }
       StreamSnapshot snapshot = expand(bytes.toByteArray());
@@ -142,14 +142,14 @@
 
   private static StreamSnapshot expand(byte[] bytes) throws IOException {
     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
-      // A small record must not be able to fill the memory by expanding without end.
+      // Limits the memory that a small compressed record can claim.
       byte[] expanded = gzip.readNBytes(MAX_SNAPSHOT_BYTES + 1);
       if (expanded.length > MAX_SNAPSHOT_BYTES) {
         throw new IOException("snapshot exceeds " + MAX_SNAPSHOT_BYTES + " bytes");
       }
       return StreamSnapshot.fromJson(MAPPER.readTree(expanded));
     } catch (JsonProcessingException e) {
-      throw new IOException("snapshot is no JSON", e);
+      throw new IOException("snapshot is not JSON", e);
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
@@ -6,25 +6,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when this process writes a snapshot, so that one of many does, well within retention.
+ * Decides when this process writes a snapshot, so that few of many processes write one and always
+ * well within retention.
  *
- * <p>A snapshot is due when many records have come since the last one, when that one is old, or
- * when it stands in the older half of what retention has left. How long retention is shows only
- * once something has expired, which is too late for what was written first: so a young stream gets
- * its first snapshot after some records or some seconds, and another whenever it has grown by the
- * factor {@link #GROWTH}. Every process finds that out at about the same moment; if each wrote at
- * once, the log would take as many copies of the state as there are processes. So each draws a
- * moment within a span, and gives way to any that began before; if that one dies halfway, the next
- * one's moment comes. Knows neither thread nor clock; confined to one thread.
+ * <p>A snapshot is due when many records follow the last one, when the last one is old, or when it
+ * is in the older half of the retained records. The retention time is unknown until something has
+ * expired, which is too late for the first records. A new stream therefore gets its first snapshot
+ * after a few records or seconds, and another one whenever it has grown by the factor {@link
+ * #GROWTH}.
+ *
+ * <p>All processes find a snapshot due at about the same time; if each wrote one, the log would
+ * receive as many copies of the state as there are processes. Each process waits for a random time
+ * and defers to any other that has started. If that one ends halfway, the next process writes.
+ * Times are in nanoseconds. Confined to one thread.
  */
 final class SnapshotSchedule {
-  /** Records after which a stream without a snapshot gets its first. */
+  /** Number of records after which a stream gets its first snapshot. */
   static final long FIRST_RECORDS = 16;
 
-  /** How long after its first record a stream with fewer gets its first, in milliseconds. */
+  /**
+   * Delay after the first record before a shorter stream gets its first snapshot, in milliseconds.
+   */
   static final long FIRST_MILLIS = 5_000;
 
-  /** A stream this many times as long as what its last snapshot covers gets another one. */
+  /** A new snapshot is due when the stream has grown by this factor since the last one. */
   static final long GROWTH = 8;
 
   private final SnapshotSettings settings;
@@ -41,14 +46,14 @@
     this.lastSeenAt = now;
   }
 
-  /** Tells of a complete snapshot in the stream. */
+  /** Records a complete snapshot in the stream. */
   void saw(long through, long now) {
     lastThrough = Math.max(lastThrough, through);
     lastSeenAt = now;
     writeAt = Long.MAX_VALUE;
   }
 
-  /** Tells that the stream is another one, which holds no snapshot yet. */
+  /** Records that the history of the stream was replaced; the new one holds no snapshot yet. */
   void historyReplaced(long now) {
     lastThrough = -1;
     lastSeenAt = now;
@@ -57,16 +62,18 @@
     firstSeenAt = Long.MAX_VALUE;
   }
 
-  /** Tells of a part, of whichever snapshot. */
+  /** Records a part of any snapshot. */
   void sawPart(long now) {
     heldUntil = now + TimeUnit.MILLISECONDS.toNanos(settings.holdMillis());
   }
 
-  /** Returns whether this process writes one now; if so, the next one is at another moment. */
+  /**
+   * Returns whether this process writes a snapshot now; if so, draws a new time for the next one.
+   */
   boolean shouldWrite(StreamStatus status, long now) {
     if (!status.offering() && !isWhole(status)) {
-      // The moment drawn stays: on a busy stream every few pages are read while more has come, and
-      // drawing anew each time put off the first snapshot until all it was for had expired.
+      // Keeps the drawn time: a busy stream often has unread records, and drawing again each time
+      // would delay the first snapshot until the records that it covers have expired.
       return false;
     }
     if (!status.offering() && !isDue(status, now)) {
@@ -87,24 +94,27 @@
     return now + random.nextLong(TimeUnit.MILLISECONDS.toNanos(settings.spreadMillis()));
   }
 
-  /** A state that passed over records of a newer version is not what newer readers have. */
+  /**
+   * Returns whether the state includes all records. A state without the records of a newer version
+   * differs from that of newer readers.
+   */
   private static boolean isWhole(StreamStatus status) {
     return status.caughtUp() && status.newerVersions() == 0 && status.applied() > 0;
   }
 
   private boolean isDue(StreamStatus status, long now) {
-    long since = status.applied() - Math.max(lastThrough, 0);
-    boolean many = since >= settings.everyRecords();
-    boolean old = now - lastSeenAt >= TimeUnit.MILLISECONDS.toNanos(settings.everyMillis());
+    long recordsSince = status.applied() - Math.max(lastThrough, 0);
+    boolean enoughRecords = recordsSince >= settings.everyRecords();
+    boolean tooOld = now - lastSeenAt >= TimeUnit.MILLISECONDS.toNanos(settings.everyMillis());
     long middle = status.firstOffset() + (status.applied() - status.firstOffset()) / 2;
     boolean expiring = status.firstOffset() > 0 && lastThrough < middle;
-    return many || old || expiring || isYoung(status.applied(), now);
+    return enoughRecords || tooOld || expiring || isYoung(status.applied(), now);
   }
 
   /**
-   * Guards against a state that nobody can read any more: all processes die after the records of a
-   * young stream expired and before its first snapshot. A job of eight tasks is some 13 records, so
-   * their number alone does not tell.
+   * Returns whether a short stream needs a snapshot. Without it the state would be lost if the
+   * first records expire and all processes end before the first snapshot. A job of eight tasks is
+   * about 13 records, so the number of records alone does not suffice.
    */
   private boolean isYoung(long applied, long now) {
     if (lastThrough >= 0) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSettings.java
@@ -5,11 +5,12 @@
 /**
  * When snapshots are written. Immutable.
  *
- * @param everyRecords how many records may follow the last snapshot
- * @param everyMillis how old the last snapshot may be, in milliseconds; well within the retention
- * @param spreadMillis the span over which the processes that find one due draw their moment, in
+ * @param everyRecords maximum number of records after the last snapshot
+ * @param everyMillis maximum age of the last snapshot, in milliseconds; well below the retention
+ * @param spreadMillis range of the random delay before a process writes a due snapshot, in
  *     milliseconds
- * @param holdMillis how long another process's part keeps this one from writing, in milliseconds
+ * @param holdMillis how long a part of another process's snapshot keeps this process from writing,
+ *     in milliseconds
  */
 public record SnapshotSettings(
     long everyRecords, long everyMillis, long spreadMillis, long holdMillis) {
@@ -20,13 +21,13 @@
 
   /** Checks the components. */
   public SnapshotSettings {
-    checkArgument(everyRecords > 0, "everyRecords is not positive: %s", everyRecords);
-    checkArgument(everyMillis > 0, "everyMillis is not positive: %s", everyMillis);
-    checkArgument(spreadMillis > 0, "spreadMillis is not positive: %s", spreadMillis);
-    checkArgument(holdMillis >= 0, "holdMillis is negative: %s", holdMillis);
+    checkArgument(everyRecords > 0, "maxRecordsBetween is not positive: %s", everyRecords);
+    checkArgument(everyMillis > 0, "maxAgeMillis is not positive: %s", everyMillis);
+    checkArgument(spreadMillis > 0, "jitterMillis is not positive: %s", spreadMillis);
+    checkArgument(holdMillis >= 0, "suppressionMillis is negative: %s", holdMillis);
   }
 
-  /** Returns the usual settings, for a retention of an hour or more. */
+  /** Returns the default settings, for a retention of an hour or more. */
   public static SnapshotSettings usual() {
     return new SnapshotSettings(
         USUAL_RECORDS, USUAL_MILLIS, USUAL_SPREAD_MILLIS, USUAL_HOLD_MILLIS);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
@@ -10,10 +10,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Writes a stream's snapshots into the stream itself when it is this process's turn.
+ * Appends snapshots of a stream's state to the stream itself when the schedule selects this
+ * process.
  *
- * <p>Works in the follower's thread, so that state, marks and offset belong together. Reads go on
- * after as long as it takes to turn the state into JSON.
+ * <p>Runs on the follower's thread, so that state, writer sequences and offset are consistent.
+ * Reading pauses while the state is converted to JSON.
  */
 public final class SnapshotWriter implements StreamListener {
   private static final Logger LOGGER = System.getLogger(SnapshotWriter.class.getName());
@@ -37,13 +38,13 @@
   }
 
   /**
-   * Lets a process take its turn from now on.
+   * Registers a snapshot writer with the follower.
    *
    * @param follower the stream's reader, not started yet
    * @param appender the stream's appender
-   * @param settings when to write
+   * @param settings when snapshots are due
    * @param clock the clock of the schedule
-   * @param random where the moments are drawn from
+   * @param random the source of the random delays
    */
   public static void attach(
       StreamFollower follower,
@@ -84,7 +85,7 @@
     String id = appender.writer() + "/snapshot/" + written;
     List<JsonNode> parts = SnapshotParts.split(snapshot, id);
     for (JsonNode part : parts) {
-      // A part that is refused or lost leaves the snapshot incomplete: it stays due.
+      // If a part is refused or lost, the snapshot stays incomplete and due.
       var unused = appender.append(SnapshotParts.TYPE, part);
     }
     LOGGER.log(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamAnchors.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamAnchors.java
@@ -5,20 +5,21 @@
 import java.util.Arrays;
 
 /**
- * Remembers what stood at the offsets read last, to tell the stream read so far from another one.
+ * Hashes of the records read last, to detect that the history of a stream was replaced.
  *
- * <p>An offset alone proves nothing: a log that lost its newest records, or began again, gives the
- * same offsets to other records. Two records with the same bytes are the same one, because entries
- * carry ids that no process uses twice. Bounded at {@value #KEPT} records. Confined to one thread.
+ * <p>An offset alone does not identify a record: a log that lost its newest records, or was set up
+ * again, assigns the same offsets to other records. Equal bytes mean the same record, because
+ * entries carry ids that are never reused. Keeps at most {@value #KEPT} records. Confined to one
+ * thread.
  */
 final class StreamAnchors {
-  /** What a comparison showed. */
+  /** Result of comparing a record with the one read before at its offset. */
   enum Match {
-    /** The same record stood there before. */
+    /** The same record was read at this offset. */
     SAME,
-    /** Another record stood there before. */
+    /** A different record was read at this offset. */
     OTHER,
-    /** What stood there is not remembered. */
+    /** No hash is kept for this offset. */
     UNKNOWN
   }
 
@@ -33,14 +34,14 @@
     clear();
   }
 
-  /** Keeps what stands at the record's offset. */
+  /** Adds the record's hash. */
   void remember(LogRecord record) {
     int slot = slot(record.offset());
     offsets[slot] = record.offset();
     hashes[slot] = hash(record);
   }
 
-  /** Returns whether what stood at an offset is remembered. */
+  /** Returns whether a hash is kept for the offset. */
   boolean knows(long offset) {
     return offset >= 0 && offsets[slot(offset)] == offset;
   }
@@ -52,7 +53,7 @@
     return hashes[slot(record.offset())] == hash(record) ? Match.SAME : Match.OTHER;
   }
 
-  /** Forgets everything. */
+  /** Removes all hashes. */
   void clear() {
     Arrays.fill(offsets, -1);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
@@ -10,30 +10,35 @@
 import java.util.Optional;
 
 /**
- * Turns pages of a stream into applied entries: what counts, what is passed over, when to start
- * over from a snapshot. Knows neither thread nor time. Confined to one thread.
+ * Applies pages of a stream to a fold: skips duplicates and unreadable records, detects replaced
+ * histories, and restores snapshots. Uses neither threads nor clocks. Confined to one thread.
  */
 final class StreamCursor {
-  /** Told of what is passed over, so that it can be logged. */
+  /** Notified of skipped records, for logging. */
   interface SkipObserver {
-    /** One record or entry was passed over; the count includes it. */
+    /** Called for each skipped record or entry; the count includes it. */
     void skipped(long offset, Skip reason, long count);
   }
 
-  /** What a reader asks for. */
+  /** How the next read is made. */
   enum NextRead {
-    /** Records from an offset whose predecessor is not known here. */
+    /** Records from an offset whose predecessor is unknown. */
     BEGIN,
-    /** The last record read, to see that this is still the same stream, and what follows it. */
+    /**
+     * The last record read, to verify that the history is still the same, and the records after it.
+     */
     CONTINUE,
-    /** Whether anything has come. */
+    /** Waits for a new record. */
     AWAIT,
-    /** The last record of a stream that ends before what was read: a lagging replica or another. */
+    /**
+     * The last record of a stream that ends before the records already read: a lagging replica or a
+     * replaced history.
+     */
     COMPARE_LOWER_END,
-    /** The last record read before another stream took the place of this one. */
+    /** The last record read before the history was replaced. */
     COMPARE_LAST;
 
-    /** Returns how many records are wanted. */
+    /** Returns the maximum number of records to request. */
     int maxRecords(int pageRecords) {
       return switch (this) {
         case BEGIN -> pageRecords;
@@ -42,16 +47,16 @@
       };
     }
 
-    /** Returns whether the log is asked to wait for a record. */
+    /** Returns whether the log should wait for a record. */
     boolean waits() {
       return this == BEGIN || this == AWAIT;
     }
   }
 
-  /** After how many waits in a row for an empty stream it is another one. */
+  /** Consecutive waits on an empty stream after which its history counts as replaced. */
   private static final int EMPTY_WAITS = 3;
 
-  /** How many new records in a read tell that the next will find some without waiting. */
+  /** Number of new records in a read from which the next read is made without waiting. */
   private static final int BUSY_RECORDS = 2;
 
   private final Fold fold;
@@ -67,7 +72,7 @@
   private boolean seeking;
   private final StreamAnchors anchors = new StreamAnchors();
 
-  /** The end that a page told of below what was read; 0 if none did. */
+  /** The end reported by a page if it is below the records already read; otherwise 0. */
   private long lowerEnd;
 
   private int emptyWaits;
@@ -93,7 +98,7 @@
     return nextOffset;
   }
 
-  /** Returns what to ask the log for next. */
+  /** Returns how the next read is made. */
   NextRead nextRead() {
     if (halted) {
       return NextRead.COMPARE_LAST;
@@ -107,7 +112,7 @@
     return anchors.knows(nextOffset - 1) && !alone ? NextRead.CONTINUE : NextRead.BEGIN;
   }
 
-  /** Returns the offset that a read begins at. */
+  /** Returns the first offset of a read. */
   long offsetOf(NextRead read) {
     return switch (read) {
       case BEGIN, AWAIT -> nextOffset;
@@ -116,19 +121,19 @@
     };
   }
 
-  /** Takes the answer to a read in. */
+  /** Processes the response to a read. */
   void accept(NextRead read, LogPage page) {
     if (read == NextRead.AWAIT && !page.records().isEmpty()) {
-      // What has come is not known to continue what was read: it is asked for with its predecessor.
+      // The new record may belong to another history; it is read again with its predecessor.
       idle = false;
       end = Math.max(end, page.nextOffset());
       return;
     }
     emptyWaits = read == NextRead.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
     if (emptyWaits >= EMPTY_WAITS && nextOffset > 0) {
-      // Nothing to compare with, and nobody may append before this is told. A replica that was
-      // empty only for a while does no harm: what is kept here is read again or found again.
-      replaced(page, "it is empty");
+      // There is no record to compare with, and appends must not continue before the replacement is
+      // reported. A replica that is empty only for a while is harmless: its records are read again.
+      replaced(page, "stream is empty");
       idle = false;
       return;
     }
@@ -139,26 +144,26 @@
       idle = true;
       return;
     }
-    long found = nextOffset - before;
+    long newRecords = nextOffset - before;
     boolean atEnd = lowerEnd == 0 && nextOffset >= page.nextOffset();
-    idle = atEnd && found < BUSY_RECORDS;
-    // The record that follows may be one that fits no page together with its predecessor.
-    alone = read == NextRead.CONTINUE && !atEnd && found == 0;
+    idle = atEnd && newRecords < BUSY_RECORDS;
+    // The next record may be too large for a page that also contains its predecessor.
+    alone = read == NextRead.CONTINUE && !atEnd && newRecords == 0;
   }
 
-  /** Returns whether all waits for the former history. */
+  /** Returns whether reading is halted until the former history is back. */
   boolean halted() {
     return halted;
   }
 
-  /** Tells that reads failed: what answers after an outage may be another stream. */
+  /** Records a failed read; after an outage the history may have been replaced. */
   void failed() {
     idle = false;
   }
 
   /**
-   * Takes the records of a page in; those before {@link #nextOffset} are compared with what stood
-   * there.
+   * Applies the records of a page; those before {@link #nextOffset} are compared with the records
+   * read there.
    */
   void accept(LogPage page) {
     if (halted) {
@@ -167,13 +172,13 @@
     }
     for (LogRecord record : page.records()) {
       if (record.offset() < nextOffset && anchors.compare(record) == Match.OTHER) {
-        replaced(page, "another record at offset " + record.offset());
+        replaced(page, "record at offset " + record.offset() + " differs from the one read");
         return;
       }
     }
     if (page.nextOffset() > 0 && page.nextOffset() < firstOffset) {
-      // No replica lags by more than the whole retention.
-      replaced(page, "it ends at " + page.nextOffset() + " before the retained " + firstOffset);
+      // A replica never lags by more than the retention.
+      replaced(page, "stream ends at " + page.nextOffset() + ", before retained offset " + firstOffset);
       return;
     }
     lowerEnd = page.nextOffset() < nextOffset ? page.nextOffset() : 0;
@@ -189,7 +194,7 @@
       nextOffset++;
       anchors.remember(record);
       if (readRecord(record)) {
-        // The state now stands elsewhere in the stream; the rest of the page is read again there.
+        // A snapshot was restored; reading continues at its offset.
         return;
       }
     }
@@ -239,15 +244,15 @@
   private void expiredUnread() {
     nextOffset = firstOffset;
     parts.clear();
-    // A reader that went on here with what it has would miss what expired, and come to another
-    // state than the rest. Only an operator may say that there was nothing to miss.
+    // Continuing with this state would miss the expired records and diverge from other readers. Only
+    // an operator can decide that they held no state.
     seeking = !(beginAnew && applied == 0);
     if (!seeking) {
       applied = nextOffset;
     }
   }
 
-  /** Returns whether the state was replaced. */
+  /** Applies a record and returns whether a snapshot was restored. */
   private boolean readRecord(LogRecord record) {
     Decoded decoded = RecordCodec.decode(record.bytes());
     decoded.skips().forEach(reason -> skip(record.offset(), reason));
@@ -273,7 +278,7 @@
     try {
       fold.apply(entry);
     } catch (RuntimeException e) {
-      // A single entry that a fold cannot bear must not keep all processes from reading on.
+      // One entry on which the fold fails must not stop the stream in all processes.
       skip(entry.position().offset(), Skip.REFUSED_BY_FOLD);
     }
     listener.applied(entry);
@@ -294,32 +299,32 @@
   }
 
   private boolean consider(StreamSnapshot snapshot) {
-    long offered = fold.revisionOf(snapshot.state());
-    ahead = ahead && fold.revision() > offered;
-    // Within one history no snapshot is later than a reader that stands behind it; one that is
-    // was carried over from the history before.
-    boolean later = offered > fold.revision() && snapshot.through() >= firstOffset;
+    long snapshotRevision = fold.revisionOf(snapshot.state());
+    ahead = ahead && fold.revision() > snapshotRevision;
+    // Within one history a snapshot is never newer than a reader that has passed it; a newer one was
+    // carried over from the former history.
+    boolean later = snapshotRevision > fold.revision() && snapshot.through() >= firstOffset;
     if (!usable(snapshot) && !later) {
       return false;
     }
-    boolean overtaken = fold.revision() > offered;
+    boolean newerThanSnapshot = fold.revision() > snapshotRevision;
     if (!restore(snapshot)) {
       return false;
     }
-    ahead = overtaken;
+    ahead = newerThanSnapshot;
     return true;
   }
 
   private boolean usable(StreamSnapshot snapshot) {
-    // One that begins before what is retained leaves a gap. Any other is newer than this state, for
-    // a reader seeks only once retention has passed it.
+    // A snapshot from before the retained records leaves a gap. Any other is newer than this state,
+    // because a reader looks for a snapshot only after records expired unread.
     return seeking && snapshot.through() >= firstOffset;
   }
 
   /**
-   * Replaces the state; the next read goes on from the snapshot's offset.
+   * Replaces the state; the next read starts at the snapshot's offset.
    *
-   * @return whether the snapshot made sense; if not, nothing changed
+   * @return whether the snapshot was valid; if not, nothing changed
    */
   boolean restore(StreamSnapshot snapshot) {
     try {
@@ -340,7 +345,7 @@
     return true;
   }
 
-  /** Returns the present state. */
+  /** Returns the current state. */
   StreamSnapshot snapshot() {
     long through = carrying ? nextOffset : applied;
     return new StreamSnapshot(through, marks.toJson(), fold.snapshot());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
@@ -18,12 +18,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Folds one stream into state, in a thread of its own, from its beginning or a snapshot.
+ * Reads one stream on its own thread and folds it into state, from its beginning or from a
+ * snapshot.
  *
- * <p>Reads on through outages (with backoff), copies, records that it cannot read, and expiry;
- * after an expiry it goes on with its old state until it finds a snapshot, and says so. Safe for
- * any thread. Rejects nulls. Holds one page of records and the fold's state, nothing that grows
- * with an outage. Example:
+ * <p>Continues through outages (with backoff), duplicates, unreadable records and expired records.
+ * If records expire unread, keeps the old state until it finds a snapshot, and reports this in its
+ * status. Safe for any thread. Rejects nulls. Memory is bounded by one page of records and the
+ * fold's state, also during an outage. Example:
  *
  * <pre>{@code
  * StreamFollower follower =
@@ -48,7 +49,10 @@
   private long nextReadAt = Long.MIN_VALUE;
   private long nextWaitAt = Long.MIN_VALUE;
 
-  /** Whether the state is newer than the status tells; others may act on the state already. */
+  /**
+   * Whether a snapshot is being restored: the state is newer than the published status, and
+   * listeners may already act on it.
+   */
   private volatile boolean restoring;
 
   private volatile boolean closed;
@@ -57,12 +61,12 @@
   /**
    * Creates a follower that is not started yet.
    *
-   * @param log where to read
+   * @param log the log to read from
    * @param stream the stream's name
-   * @param fold the state, still empty; from now on called by the follower alone
-   * @param settings how to read
-   * @param clock what {@link #awaitApplied} measures by
-   * @param random where the backoff's jitter comes from
+   * @param fold the empty state; called by the follower only
+   * @param settings limits and timing
+   * @param clock the clock of the deadlines
+   * @param random the source of the backoff's jitter
    */
   public StreamFollower(
       LogService log,
@@ -88,27 +92,27 @@
     thread.setDaemon(true);
   }
 
-  /** Adds a listener; call it before {@link #start} to miss nothing. */
+  /** Adds a listener; one added before {@link #start} receives every call. */
   public void addListener(StreamListener listener) {
     listeners.add(requireNonNull(listener, "listener"));
   }
 
   /**
-   * Starts from a snapshot that a peer gave, for a process that starts while the log is down. Only
-   * before {@link #start}.
+   * Restores a snapshot received from a peer, for a process that starts during a log outage. Must be
+   * called before {@link #start}.
    *
-   * @return whether the snapshot made sense; if not, nothing changed
+   * @return whether the snapshot was valid; if not, nothing changed
    */
   public boolean seed(StreamSnapshot snapshot) {
     if (thread.isAlive()) {
-      throw new IllegalStateException("follower of " + stream + " runs already");
+      throw new IllegalStateException("follower of stream " + stream + " is already started");
     }
     boolean restored = cursor.restore(requireNonNull(snapshot, "snapshot"));
     status = cursor.status(false);
     return restored;
   }
 
-  /** Starts to read. */
+  /** Starts the follower's thread. */
   public void start() {
     thread.start();
   }
@@ -118,12 +122,12 @@
     return stream;
   }
 
-  /** Returns how far this is. */
+  /** Returns the current status. */
   public StreamStatus status() {
     return status;
   }
 
-  /** Returns the offset that is applied next; all before it are in the fold. */
+  /** Returns the offset that is applied next; all records before it are in the state. */
   public long applied() {
     return status.applied();
   }
@@ -132,17 +136,17 @@
    * Waits until {@link #applied} is at least an offset.
    *
    * @param offset the offset to wait for
-   * @param deadline when to give up, a reading of the clock
+   * @param deadline when to give up, as a reading of the clock in nanoseconds
    * @return whether it was reached in time
    * @throws InterruptedException if the calling thread is interrupted
    */
   public boolean awaitApplied(long offset, long deadline) throws InterruptedException {
     lock.lock();
     try {
-      long left = deadline - clock.nanos();
-      while (status.applied() < offset && left > 0 && !closed) {
-        progress.awaitNanos(left);
-        left = deadline - clock.nanos();
+      long remaining = deadline - clock.nanos();
+      while (status.applied() < offset && remaining > 0 && !closed) {
+        progress.awaitNanos(remaining);
+        remaining = deadline - clock.nanos();
       }
       return status.applied() >= offset;
     } finally {
@@ -150,14 +154,14 @@
     }
   }
 
-  /** Returns whether an entry of the type may be appended by a process that has read so far. */
+  /** Returns whether this process may append an entry of the type in its current state. */
   boolean mayAppend(String type) {
     StreamStatus now = status;
-    boolean offer = now.offering() && type.equals(SnapshotParts.TYPE);
-    return !now.seeking() || restoring || offer;
+    boolean offeredSnapshot = now.offering() && type.equals(SnapshotParts.TYPE);
+    return !now.seeking() || restoring || offeredSnapshot;
   }
 
-  /** Returns the state at {@link #applied}; only to be called by a listener, in its callback. */
+  /** Returns the state at {@link #applied}; only for listeners, within a callback. */
   StreamSnapshot snapshotInCallback() {
     return cursor.snapshot();
   }
@@ -176,28 +180,28 @@
 
   private void run() {
     while (!closed) {
-      NextRead asked = cursor.nextRead();
-      Result<LogPage> result = read(asked);
+      NextRead mode = cursor.nextRead();
+      Result<LogPage> result = read(mode);
       if (closed) {
         return;
       }
       if (result instanceof Result.Failed<LogPage> failed) {
         failedRead(failed.failure().detail());
       } else {
-        goodRead(asked, result.value());
+        goodRead(mode, result.value());
       }
     }
   }
 
-  private Result<LogPage> read(NextRead asked) {
+  private Result<LogPage> read(NextRead mode) {
     long now = clock.nanos();
-    long due = asked.waits() ? nextWaitAt : nextReadAt;
+    long due = mode.waits() ? nextWaitAt : nextReadAt;
     if (now < due) {
       pause(due - now);
     }
-    long pace = cursor.halted() ? settings.retryLimitMillis() : settings.paceMillis();
-    long next = Math.max(now, due) + TimeUnit.MILLISECONDS.toNanos(pace);
-    if (asked.waits()) {
+    long intervalMillis = cursor.halted() ? settings.retryLimitMillis() : settings.paceMillis();
+    long next = Math.max(now, due) + TimeUnit.MILLISECONDS.toNanos(intervalMillis);
+    if (mode.waits()) {
       nextWaitAt = next;
     } else {
       nextReadAt = next;
@@ -205,22 +209,22 @@
     try {
       return log.read(
           stream,
-          cursor.offsetOf(asked),
-          asked.maxRecords(settings.pageRecords()),
-          asked.waits() ? settings.waitMillis() : 0);
+          cursor.offsetOf(mode),
+          mode.maxRecords(settings.pageRecords()),
+          mode.waits() ? settings.waitMillis() : 0);
     } catch (RuntimeException e) {
-      // A fault of the client must not end the thread: the process would run on with old state.
+      // An exception of the client must not end the thread: the state would become stale.
       return Result.failed(ErrorKind.INTERNAL, e.toString());
     }
   }
 
-  private void goodRead(NextRead asked, LogPage page) {
+  private void goodRead(NextRead mode, LogPage page) {
     if (backoff.failing()) {
       backoff.succeeded();
       tell(StreamListener::outageEnded);
     }
     StreamStatus before = status;
-    cursor.accept(asked, page);
+    cursor.accept(mode, page);
     publish(false);
     StreamStatus now = status;
     boolean expired = now.histories() == before.histories();
@@ -258,9 +262,9 @@
   private void pause(long nanos) {
     lock.lock();
     try {
-      long left = nanos;
-      while (left > 0 && !closed) {
-        left = progress.awaitNanos(left);
+      long remaining = nanos;
+      while (remaining > 0 && !closed) {
+        remaining = progress.awaitNanos(remaining);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -274,7 +278,7 @@
       try {
         call.accept(listener);
       } catch (RuntimeException e) {
-        // A fault of one listener must not stop the stream for the fold and for the others.
+        // An exception of one listener must not stop the fold and the other listeners.
         LOGGER.log(Level.ERROR, "event=log-listener-failed stream=" + stream, e);
       }
     }
@@ -292,7 +296,7 @@
     }
   }
 
-  /** Hands what the cursor tells to all listeners. */
+  /** Passes the cursor's notifications to all listeners. */
   private final class Fanout implements StreamListener {
     @Override
     public void applied(LogEntry entry) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
@@ -1,37 +1,44 @@
 package io.marigoldsail.log;
 
 /**
- * What a {@link StreamFollower} tells as it reads. All methods are called by its thread, one at a
- * time, and must return soon: the stream stands still meanwhile.
+ * Callbacks of a {@link StreamFollower}. Called on its thread, one at a time; must return quickly,
+ * because reading pauses meanwhile.
  */
 public interface StreamListener {
-  /** An entry was applied to the fold. */
+  /** Called after an entry was applied to the fold. */
   default void applied(LogEntry entry) {}
 
-  /** A read succeeded, whether or not it found anything, and what it found was applied. */
+  /** Called after a successful read, when its records, if any, have been applied. */
   default void pageApplied(StreamStatus status) {}
 
-  /** A complete snapshot stands in the stream. */
+  /**
+   * Called when a complete snapshot was read; {@code through} is the offset that it continues from.
+   */
   default void sawSnapshot(long through) {}
 
-  /** A part of a snapshot stands in the stream: some process is writing one. */
+  /** Called when a part of a snapshot was read: some process is writing one. */
   default void sawSnapshotPart() {}
 
-  /** The state is about to be replaced by a snapshot's. */
+  /** Called before the state is replaced by a snapshot. */
   default void restoring() {}
 
-  /** The state was replaced by a snapshot's; entries before its offset are not told one by one. */
+  /**
+   * Called after the state was replaced by a snapshot; {@link #applied} is not called for the
+   * entries that it covers.
+   */
   default void restored(StreamSnapshot snapshot) {}
 
-  /** The stream is another one than was read so far; nothing more of it is applied before this. */
+  /**
+   * Called when the history of the stream was replaced, before any entry of the new one is applied.
+   */
   default void historyReplaced(NewHistory reaction, String detail) {}
 
-  /** The stream that was read before is back after {@link NewHistory#HALT}. */
+  /** Called when the former history is back after {@link NewHistory#HALT}. */
   default void historyReturned() {}
 
-  /** The log service stopped answering. */
+  /** Called when the log service becomes unavailable. */
   default void outageBegan(String detail) {}
 
-  /** The log service answers again. */
+  /** Called when the log service is available again. */
   default void outageEnded() {}
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
@@ -8,24 +8,25 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * All that a reader has to know to go on from an offset as if it had read everything before.
+ * The state of a stream at an offset, sufficient to continue reading from there.
  *
- * <p>Immutable as long as the nodes are left alone. Carries the marks of writers besides the fold's
- * state: without them a reader that starts here would count a late copy that others drop.
+ * <p>Immutable as long as the nodes are not changed. Includes the last sequence number of each
+ * writer besides the fold's state: without them a reader that starts here would apply a late
+ * duplicate that other readers drop.
  *
- * @param through the offset to read on from
- * @param writers the marks of writers, as {@code WriterMarks} describes them
+ * @param through the offset to continue reading from
+ * @param writers the last sequence numbers of the writers, in the format of {@code WriterMarks}
  * @param state the fold's state
  */
 public record StreamSnapshot(long through, JsonNode writers, JsonNode state) {
   /** Checks the components. */
   public StreamSnapshot {
-    checkArgument(through >= 0, "through is negative: %s", through);
+    checkArgument(through >= 0, "nextOffset is negative: %s", through);
     requireNonNull(writers, "writers");
     requireNonNull(state, "state");
   }
 
-  /** Returns this as one JSON object, as {@link #fromJson} takes it. */
+  /** Returns this as a JSON object for {@link #fromJson}. */
   public JsonNode toJson() {
     return JsonNodeFactory.instance
         .objectNode()
@@ -36,14 +37,14 @@
   }
 
   /**
-   * Returns the snapshot that a node describes.
+   * Returns the snapshot that the node represents.
    *
-   * @throws IllegalArgumentException if it describes none, or one of a newer version
+   * @throws IllegalArgumentException if it is not a snapshot of the supported version
    */
   public static StreamSnapshot fromJson(JsonNode node) {
     checkArgument(node.path("v").asLong() == RecordCodec.VERSION, "not a snapshot of version 1");
-    checkArgument(node.path("through").canConvertToLong(), "snapshot without through");
-    checkArgument(node.has("state"), "snapshot without state");
+    checkArgument(node.path("through").canConvertToLong(), "snapshot has no integer field through");
+    checkArgument(node.has("state"), "snapshot has no field state");
     return new StreamSnapshot(
         node.path("through").longValue(), node.path("writers"), node.path("state"));
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamStatus.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamStatus.java
@@ -1,18 +1,19 @@
 package io.marigoldsail.log;
 
 /**
- * How far a reader is. Immutable.
+ * The progress of a stream's reader. Immutable.
  *
- * @param applied the offset that it applies next; all before it are in its state
- * @param end the end of the stream as the log service last told it, at least {@code applied}
- * @param firstOffset the oldest offset that retention has left, as last told
- * @param seeking whether records expired unread and it looks for a snapshot to go on from; its
- *     state is then an old one
+ * @param applied the offset that is applied next; all records before it are in the state
+ * @param end the end of the stream as last reported by the log service, at least {@code applied}
+ * @param firstOffset the oldest retained offset, as last reported
+ * @param seeking whether records expired unread and the reader looks for a snapshot; its state is
+ *     then outdated
  * @param outage whether the last read failed
- * @param skipped how many records and entries it passed over so far
- * @param newerVersions how many of them were records of a newer version
- * @param histories how often the stream turned out to be another one than was read so far
- * @param offering whether the stream lacks this reader's state and is to be offered it
+ * @param skipped the number of skipped records and entries
+ * @param newerVersions the number of skipped records of a newer version
+ * @param histories how often the history of the stream was replaced
+ * @param offering whether the stream lacks this reader's state and it should be appended as a
+ *     snapshot
  */
 public record StreamStatus(
     long applied,
@@ -25,7 +26,7 @@
     long histories,
     boolean offering) {
 
-  /** Returns whether the state holds all that the log service told of. */
+  /** Returns whether the state includes all records reported by the log service. */
   public boolean caughtUp() {
     return !seeking && !outage && applied >= end;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterMarks.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterMarks.java
@@ -10,32 +10,32 @@
 import java.util.Map;
 
 /**
- * Tells a stream's new entries from copies, by the highest sequence number of each writer so far.
+ * Detects duplicate entries of a stream by the highest sequence number of each writer.
  *
- * <p>A copy arises when the answer to an append is lost and the writer appends again, or when the
- * log stores a record twice; it may turn up any time later. A window of the last ids would count a
- * copy again that comes after the window has moved on. A writer's mark never moves back, so however
- * late a copy comes it is dropped; and since the rule looks at the stream alone, each reader drops
- * the same ones. An entry that a writer gave up counts only if it stands before all later ones of
- * that writer.
+ * <p>A duplicate arises when the response to an append is lost and the writer appends again, or
+ * when the log stores a record twice. It may follow any time later, so a window of recent ids would
+ * not suffice. The last sequence number of a writer never decreases, so a duplicate is dropped
+ * however late it is, and since it depends on the stream alone, all readers drop the same entries.
+ * An entry that its writer gave up takes effect only if it precedes all later entries of that
+ * writer.
  *
- * <p>Bounded: of more than {@value #MAX_WRITERS} writers the one that has been silent longest in
- * the stream is forgotten, by every reader at the same place. A writer is one life of an entry; at
- * 70 replaced processes a day that many are weeks of silence, and a copy is minutes late. Confined
- * to one thread.
+ * <p>Keeps at most {@value #MAX_WRITERS} writers and evicts the one without an entry for longest,
+ * at the same position in every reader. A writer is one incarnation of an entry process; at 70
+ * replaced processes a day an evicted writer has been inactive for weeks, while duplicates are
+ * minutes late. Confined to one thread.
  */
 final class WriterMarks {
   static final int MAX_WRITERS = 1_024;
 
-  /** By writer, the longest silent one first. */
+  /** Last sequence numbers by writer, least recently active first. */
   private final LinkedHashMap<String, Long> marks = new LinkedHashMap<>(16, 0.75f, true);
 
   WriterMarks() {}
 
-  /** Returns whether the entry counts, and keeps its number if so. */
+  /** Returns whether the entry is new, and records its sequence number if so. */
   boolean accept(Parts id) {
-    Long mark = marks.get(id.writer());
-    if (mark != null && id.sequence() <= mark) {
+    Long last = marks.get(id.writer());
+    if (last != null && id.sequence() <= last) {
       return false;
     }
     marks.put(id.writer(), id.sequence());
@@ -45,11 +45,11 @@
     return true;
   }
 
-  /** Returns the highest number of a writer so far, or 0. */
+  /** Returns the last sequence number of a writer, or 0. */
   long of(String writer) {
-    for (Map.Entry<String, Long> mark : marks.entrySet()) {
-      if (mark.getKey().equals(writer)) {
-        return mark.getValue();
+    for (Map.Entry<String, Long> entry : marks.entrySet()) {
+      if (entry.getKey().equals(writer)) {
+        return entry.getValue();
       }
     }
     return 0;
@@ -59,24 +59,24 @@
     return marks.size();
   }
 
-  /** Returns the marks with their order, which decides who is forgotten next. */
+  /** Returns the sequence numbers in order of activity, which decides the eviction. */
   JsonNode toJson() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    marks.forEach((writer, mark) -> all.addArray().add(writer).add(mark));
+    marks.forEach((writer, last) -> all.addArray().add(writer).add(last));
     return all;
   }
 
   /**
-   * Returns the marks that {@link #toJson} described.
+   * Returns the sequence numbers that {@link #toJson} wrote.
    *
-   * @throws IllegalArgumentException if the node does not describe any
+   * @throws IllegalArgumentException if the node is invalid
    */
   static WriterMarks fromJson(JsonNode all) {
-    checkArgument(all.isArray() && all.size() <= MAX_WRITERS, "no marks of writers");
+    checkArgument(all.isArray() && all.size() <= MAX_WRITERS, "writers is not an array, or is too long");
     WriterMarks restored = new WriterMarks();
     for (JsonNode pair : all) {
-      boolean good = pair.size() == 2 && pair.get(0).isTextual() && pair.get(1).isIntegralNumber();
-      checkArgument(good, "no mark of a writer: %s", pair);
+      boolean valid = pair.size() == 2 && pair.get(0).isTextual() && pair.get(1).isIntegralNumber();
+      checkArgument(valid, "not a pair of writer and sequence number: %s", pair);
       restored.marks.put(pair.get(0).textValue(), pair.get(1).longValue());
     }
     return restored;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
@@ -7,21 +7,21 @@
 import io.marigoldsail.dispatch.TargetState;
 
 /**
- * What the side process of a VM says of it and of its target.
+ * State of a VM and its target, as announced by the VM's side process.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param vm the VM's name
- * @param processIncarnation the side process's own incarnation; a higher one is a later process
+ * @param processIncarnation the incarnation of the side process; a later process has a higher one
  * @param zone the VM's availability zone
  * @param rack the VM's rack
- * @param address where entries may dial the side process, {@code host:port}
+ * @param address where entries connect to the side process, {@code host:port}
  * @param operatorsAddress where operators reach the side process, {@code host:port}, or empty
- * @param service the service of the VM's target, or empty where it has none
- * @param slots how many requests the target runs at once, or 0 where there is none
- * @param leaving whether the target takes nothing new
- * @param load what the target has to do now
- * @param configurationRevision the revision in force in the side process
+ * @param service the service of the VM's target, or empty if the VM has no target
+ * @param slots how many requests the target runs concurrently, or 0 if there is no target
+ * @param leaving whether the target is draining and accepts no new requests
+ * @param load the target's current load
+ * @param configurationRevision the configuration revision in force in the side process
  */
 public record Announcement(
     String vm,
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Returns the target as decisions see it.
+   * Returns the target's state for dispatch decisions.
    *
-   * @throws IllegalArgumentException if the VM has none
+   * @throws IllegalArgumentException if the VM has no target
    */
   public TargetState targetState() {
     return new TargetState(vm, processIncarnation, service, zone, slots, leaving);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
@@ -15,12 +15,12 @@
 import java.util.TreeMap;
 
 /**
- * The entries that exist, folded from the stream {@code members}.
+ * The running entries, folded from the stream {@code members}.
  *
- * <p>Each entry appends a {@link EntryPresence} every few seconds and when it changes. What is not
- * appended again expires at a stored deadline, unless the log itself is away: then nobody can be
- * heard, and dropping all would cut side processes off from entries that are well. Safe for any
- * thread.
+ * <p>Each entry appends an {@link EntryPresence} every few seconds and whenever it changes. An
+ * entry expires a fixed time after its last record was read. While the log itself is unavailable
+ * nothing can be received, and expiring all entries would disconnect side processes from healthy
+ * ones; call {@link #extendAll} after an outage. Safe for any thread.
  */
 public final class EntryDirectory implements Fold {
   /** The name of the stream. */
@@ -36,26 +36,26 @@
    * Creates an empty directory.
    *
    * @param clock the process's clock
-   * @param keepNanos how long an entry is kept after its last record was read
+   * @param keepNanos how long an entry is kept after its last record was read, in nanoseconds
    */
   public EntryDirectory(MonotonicClock clock, long keepNanos) {
     this.clock = requireNonNull(clock, "clock");
     this.keepNanos = keepNanos;
   }
 
-  /** Returns the entries that are kept now, by name. */
+  /** Returns the entries that have not expired, by name. */
   public synchronized List<EntryPresence> entries() {
     long now = clock.nanos();
     return entries.values().stream()
-        .filter(held -> held.expiresAt() > now)
+        .filter(kept -> kept.expiresAt() > now)
         .map(Held::presence)
         .toList();
   }
 
-  /** Counts all entries as heard now, after the log was away. */
+  /** Restarts the timeout of all entries, after a log outage. */
   public synchronized void extendAll() {
     long expiresAt = clock.nanos() + keepNanos;
-    entries.replaceAll((name, held) -> new Held(held.presence(), expiresAt));
+    entries.replaceAll((name, kept) -> new Held(kept.presence(), expiresAt));
   }
 
   @Override
@@ -65,10 +65,10 @@
     }
   }
 
-  /** An earlier life's record, appended late, must not hide the later life. */
+  /** Ignores a late record of an earlier incarnation, which must not replace a later one. */
   private void take(EntryPresence presence) {
-    Held held = entries.get(presence.name());
-    if (held != null && held.presence().incarnation() > presence.incarnation()) {
+    Held kept = entries.get(presence.name());
+    if (kept != null && kept.presence().incarnation() > presence.incarnation()) {
       return;
     }
     if (presence.gone()) {
@@ -78,7 +78,7 @@
     entries.put(presence.name(), new Held(presence, clock.nanos() + keepNanos));
   }
 
-  /** Every entry appends again within seconds, in whichever stream. */
+  /** Every entry appends its presence again within seconds, in any history. */
   @Override
   public NewHistory onNewHistory() {
     return NewHistory.READ_ON;
@@ -87,7 +87,7 @@
   @Override
   public synchronized JsonNode snapshot() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    entries.values().forEach(held -> all.add(held.presence().write()));
+    entries.values().forEach(kept -> all.add(kept.presence().write()));
     return all;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryIdentity.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryIdentity.java
@@ -3,10 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Who an entry is.
+ * Identity of an entry process.
  *
- * @param name its name in the settings
- * @param incarnation this process's own number; a later process has a higher one
+ * @param name the name in its settings
+ * @param incarnation the incarnation of this process; a later process has a higher one
  */
 public record EntryIdentity(String name, long incarnation) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryPresence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryPresence.java
@@ -8,18 +8,18 @@
 import java.util.Optional;
 
 /**
- * What an entry says of itself in the stream {@code members}.
+ * State of an entry, as appended by itself to the stream {@code members}.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name the entry's name
- * @param incarnation this start of it; a later one is higher
- * @param zone its availability zone
- * @param processesAddress where side processes dial in, host:port
- * @param operatorsAddress where operators reach it, host:port
+ * @param incarnation the incarnation of the process; a later process has a higher one
+ * @param zone the availability zone
+ * @param processesAddress where side processes connect, {@code host:port}
+ * @param operatorsAddress where operators reach it, {@code host:port}
  * @param revision the configuration revision in force in it
- * @param leaving whether it is in a planned stop
- * @param gone whether this is the last that is heard of it
+ * @param leaving whether it is draining for a graceful shutdown
+ * @param gone whether it has stopped; the last record of this incarnation
  */
 public record EntryPresence(
     String name,
@@ -30,7 +30,7 @@
     long revision,
     boolean leaving,
     boolean gone) {
-  /** The type of its log entries. */
+  /** The type of the log entries. */
   public static final String TYPE = "entry-presence";
 
   /** Checks the components. */
@@ -55,11 +55,11 @@
         .put("gone", gone);
   }
 
-  /** Returns what a log entry's body says, or empty if it is no presence. */
+  /** Returns the presence in the body of a log entry, or empty if it is invalid. */
   public static Optional<EntryPresence> read(JsonNode body) {
     String name = body.path("name").asText("");
-    boolean sound = !name.isEmpty() && body.path("incarnation").canConvertToLong();
-    if (!sound || !body.path("processes").isTextual()) {
+    boolean valid = !name.isEmpty() && body.path("incarnation").canConvertToLong();
+    if (!valid || !body.path("processes").isTextual()) {
       return Optional.empty();
     }
     return Optional.of(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
@@ -12,29 +12,29 @@
 import java.util.TreeMap;
 
 /**
- * The VMs that one entry believes to be there, by their announcements.
+ * The VMs that one entry considers alive, from their announcements.
  *
- * <p>An announcement counts until its deadline, the silence after it was read. A pure state
+ * <p>An announcement is valid until its deadline, a timeout after it was received. A pure state
  * machine: times are readings of one monotonic clock, in nanoseconds, passed as arguments. Confined
- * to one thread. No method takes or returns null. Cost is logarithmic in the number of VMs, but for
- * the methods that list all.
+ * to one thread. No method accepts or returns null. Cost is logarithmic in the number of VMs, and
+ * linear for the methods that list all.
  */
 public final class MemberTable {
-  /** How an announcement changed the table. */
+  /** Effect of an announcement on the table. */
   public enum Change {
-    /** The VM was not known, or its side process is a new one. */
+    /** The VM was unknown, or its side process was replaced by a new one. */
     JOINED,
-    /** The target began to leave. */
+    /** The target started draining. */
     LEAVING,
-    /** The same process with other facts: load, address, or taking work again. */
+    /** Other data of the same process changed: load, address, or accepting requests again. */
     UPDATED,
-    /** Said by a process older than the one known; without effect. */
+    /** The announcement is from an older process than the known one and was ignored. */
     STALE
   }
 
   /**
-   * How long the incarnation of a silent VM is remembered, so that its predecessor, thawed, cannot
-   * take its place. Bounded, for a VM whose clock went back must be able to come back at all.
+   * How long the incarnation of an expired VM is kept, so that a paused predecessor that resumes
+   * cannot take its place. Limited, so that a VM whose clock was set back can join again.
    */
   private static final long REMEMBERED_NANOS = 60_000_000_000L;
 
@@ -49,20 +49,20 @@
   /**
    * Creates an empty table.
    *
-   * @param silenceNanos how long after its last announcement a VM is dropped
+   * @param silenceNanos how long after its last announcement a VM expires, in nanoseconds
    */
   public MemberTable(long silenceNanos) {
-    checkArgument(silenceNanos > 0, "silenceNanos is not positive: %s", silenceNanos);
+    checkArgument(silenceNanos > 0, "timeoutNanos is not positive: %s", silenceNanos);
     this.silenceNanos = silenceNanos;
   }
 
-  /** Takes an announcement read now. */
+  /** Applies an announcement received now. */
   public Change announced(Announcement announcement, long now) {
     String vm = announcement.vm();
     Member known = members.get(vm);
-    // A side process frozen by its VM and woken after its successor started still announces itself.
-    // Taking that would send requests to an address that may be dead, and start the successor
-    // slowly again and again; incarnations only grow, so the older voice is told from the newer.
+    // A side process that was paused with its VM may resume after its successor started and announce
+    // itself. Accepting this would send requests to an address that may be unreachable, and restart
+    // the slow start of the successor each time. Incarnations only increase.
     if (announcement.processIncarnation() < highestIncarnation(vm, known)) {
       return Change.STALE;
     }
@@ -78,46 +78,49 @@
     return Change.UPDATED;
   }
 
-  /** Drops the VMs whose deadline has passed and returns them, in the order of their names. */
+  /**
+   * Removes the VMs whose deadline has passed and returns their last announcements, by VM name.
+   */
   public List<Announcement> expire(long now) {
-    ImmutableList.Builder<Announcement> lost = ImmutableList.builder();
+    ImmutableList.Builder<Announcement> expiredNow = ImmutableList.builder();
     Iterator<Map.Entry<String, Member>> all = members.entrySet().iterator();
     while (all.hasNext()) {
       Map.Entry<String, Member> entry = all.next();
       if (entry.getValue().deadline() - now <= 0) {
         Announcement last = entry.getValue().announcement();
-        lost.add(last);
+        expiredNow.add(last);
         formers.put(entry.getKey(), new Former(last.processIncarnation(), now + REMEMBERED_NANOS));
         all.remove();
       }
     }
-    formers.values().removeIf(former -> former.forgetAt() - now <= 0);
-    return lost.build();
+    formers.values().removeIf(expired -> expired.forgetAt() - now <= 0);
+    return expiredNow.build();
   }
 
   /**
-   * Gives every VM the whole silence anew, for a process that was itself frozen.
+   * Restarts the timeout of every VM, for a process that was itself paused.
    *
-   * <p>Without this an entry woken after some seconds finds all deadlines passed, drops every
-   * target at once and refuses everything, though their announcements wait in its sockets.
+   * <p>After a pause of some seconds all deadlines have passed while the announcements are still
+   * unread in the sockets. Without this the process would drop every target at once and refuse all
+   * requests.
    */
   public void extendAll(long now) {
     members.replaceAll((vm, member) -> new Member(member.announcement(), now + silenceNanos));
   }
 
-  /** Returns the last announcement of the VM, if it is still there. */
+  /** Returns the last announcement of the VM, unless it has expired. */
   public Optional<Announcement> member(String vm) {
     return Optional.ofNullable(members.get(vm)).map(Member::announcement);
   }
 
-  /** Returns the last announcements of all VMs, in the order of their names. */
+  /** Returns the last announcements of all VMs, by VM name. */
   public List<Announcement> members() {
     return members.values().stream()
         .map(Member::announcement)
         .collect(ImmutableList.toImmutableList());
   }
 
-  /** Returns the targets as decisions see them, in the order of their VMs' names. */
+  /** Returns the targets' states for dispatch decisions, by VM name. */
   public List<TargetState> targets() {
     return members.values().stream()
         .map(Member::announcement)
@@ -130,7 +133,7 @@
     if (known != null) {
       return known.announcement().processIncarnation();
     }
-    Former former = formers.get(vm);
-    return former == null ? Long.MIN_VALUE : former.processIncarnation();
+    Former expired = formers.get(vm);
+    return expired == null ? Long.MIN_VALUE : expired.processIncarnation();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Who is there: announcements of VMs and their targets, with incarnations and deadlines.
+ * Membership: announcements of VMs and their targets, with incarnations and deadlines.
  *
- * <p>Reach for {@link io.marigoldsail.membership.MemberTable} to learn which targets may get work.
+ * <p>Use {@link io.marigoldsail.membership.MemberTable} to find the targets that requests may be
+ * sent to.
  */
 package io.marigoldsail.membership;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/EntrySettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/EntrySettings.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * Settings of an entry process, which callers reach through the platform's balancer.
+ * Settings of an entry process, which callers reach through the platform's load balancer.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param name the process's name
- * @param site the site, which chooses the configuration overlay
+ * @param site the site, which selects the configuration overlay
  * @param zone the availability zone
- * @param callersAddress where callers are served
- * @param operatorsAddress where operators, metrics and events are served
- * @param processesAddress where side processes connect
- * @param logService the log service's base address
- * @param peers operators' addresses to ask for the configuration while the log is down
+ * @param callersAddress the listening address for callers
+ * @param operatorsAddress the listening address for operators, metrics and events
+ * @param processesAddress the listening address for side processes
+ * @param logService the log service's base URI
+ * @param peers operators' addresses of processes that provide the configuration during a log outage
  */
 public record EntrySettings(
     String name,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/HostPort.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/HostPort.java
@@ -7,11 +7,11 @@
 import java.util.Optional;
 
 /**
- * A TCP address as settings write it, {@code host:port}. IPv6 numbers stand in brackets.
+ * A TCP address in the format {@code host:port}. IPv6 addresses are enclosed in brackets.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param host an IP number or name, without brackets
+ * @param host an IP address or name, without brackets
  * @param port 0 (any free port) to 65535
  */
 public record HostPort(String host, int port) {
@@ -21,10 +21,10 @@
   public HostPort {
     requireNonNull(host, "host");
     checkArgument(!host.isEmpty(), "host is empty");
-    checkArgument(port >= 0 && port <= HIGHEST_PORT, "port is out of range: %s", port);
+    checkArgument(port >= 0 && port <= HIGHEST_PORT, "port is not in 0 to 65535: %s", port);
   }
 
-  /** Returns the address that the text writes, or empty if it writes none. */
+  /** Returns the address that the text represents, or empty if it is invalid. */
   public static Optional<HostPort> parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
@@ -53,12 +53,12 @@
     return port <= HIGHEST_PORT ? Optional.of(port) : Optional.empty();
   }
 
-  /** Returns the address for a socket; looks a name up. */
+  /** Returns the socket address; resolves a host name. */
   public InetSocketAddress socketAddress() {
     return new InetSocketAddress(host, port);
   }
 
-  /** Returns the address as settings write it. */
+  /** Returns the address in the format of settings files. */
   @Override
   public String toString() {
     return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + port;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/ProcessSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/ProcessSettings.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * What every process is told on start, whatever its role.
+ * Settings common to all processes, whatever their role.
  *
  * <p>Implementations are immutable.
  */
@@ -12,24 +12,26 @@
   /** Returns the process's name, unique among all processes. */
   String name();
 
-  /** Returns the site, which chooses the configuration overlay. */
+  /** Returns the site, which selects the configuration overlay. */
   String site();
 
   /** Returns the availability zone. */
   String zone();
 
-  /** Returns where operators, metrics and events are served. */
+  /** Returns the listening address for operators, metrics and events. */
   HostPort operatorsAddress();
 
-  /** Returns where other processes of the system are served. */
+  /** Returns the listening address for other processes of the system. */
   HostPort processesAddress();
 
-  /** Returns the log service's base address. */
+  /** Returns the log service's base URI. */
   URI logService();
 
-  /** Returns the operators' addresses to ask for the configuration while the log is down. */
+  /**
+   * Returns operators' addresses of processes that provide the configuration during a log outage.
+   */
   List<HostPort> peers();
 
-  /** Returns the role as settings write it. */
+  /** Returns the role's name in a settings file. */
   String role();
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
@@ -17,10 +17,11 @@
 import java.util.Optional;
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
- * <p>Every failure is one line that opens with the file and names the key and the rule. The schema
- * of a role is published beside this class. Stateless, safe for any thread; blocks on the file.
+ * <p>Every failure is one line that starts with the file and names the key and the rule. The schema
+ * of each role is a resource beside this class. Stateless, safe for any thread; blocks while
+ * reading the file.
  */
 public final class SettingsReader {
   private static final String ENTRY_SCHEMA = "entry-settings.schema.json";
@@ -31,8 +32,8 @@
   /**
    * Reads the file.
    *
-   * @return the settings, or a failure of kind {@code BAD_REQUEST} (no file, no JSON) or {@code
-   *     INVALID_CONTENT} (a broken rule)
+   * @return the settings, or a failure of kind {@code BAD_REQUEST} (file unreadable or not JSON) or
+   *     {@code INVALID_CONTENT} (a violated rule)
    */
   public static Result<ProcessSettings> read(Path file) {
     byte[] bytes;
@@ -45,9 +46,9 @@
   }
 
   /**
-   * Checks a document that was read already.
+   * Validates a parsed document.
    *
-   * @param origin the file's name, which opens every failure
+   * @param origin the file's name, with which every failure starts
    */
   public static Result<ProcessSettings> parse(String origin, JsonNode node) {
     String role = node.path("role").asText();
@@ -56,10 +57,10 @@
       return invalid(origin, "role", "must be \"entry\" or \"side\", is " + node.get("role"));
     }
     String schema = side ? SIDE_SCHEMA : ENTRY_SCHEMA;
-    Optional<Failure> broken =
+    Optional<Failure> violation =
         SchemaCheck.ofResource(SettingsReader.class, schema).check(origin, node);
-    if (broken.isPresent()) {
-      return Result.failed(broken.get());
+    if (violation.isPresent()) {
+      return Result.failed(violation.get());
     }
     try {
       Fields fields = new Fields(origin, node);
@@ -105,16 +106,16 @@
         fields.node.at("/target/connections").asInt());
   }
 
-  /** Two servers of one process on one address would fail on start with a less clear message. */
+  /** Returns a failure if two servers of the process share an address; binding would fail later with a less specific message. */
   private static Optional<Result<ProcessSettings>> clash(String origin, ProcessSettings settings) {
     Map<HostPort, String> keys = new HashMap<>();
-    Map<String, HostPort> own = new java.util.LinkedHashMap<>();
+    Map<String, HostPort> listeners = new java.util.LinkedHashMap<>();
     if (settings instanceof EntrySettings entry) {
-      own.put("addresses.callers", entry.callersAddress());
+      listeners.put("addresses.callers", entry.callersAddress());
     }
-    own.put("addresses.operators", settings.operatorsAddress());
-    own.put("addresses.processes", settings.processesAddress());
-    for (Map.Entry<String, HostPort> address : own.entrySet()) {
+    listeners.put("addresses.operators", settings.operatorsAddress());
+    listeners.put("addresses.processes", settings.processesAddress());
+    for (Map.Entry<String, HostPort> address : listeners.entrySet()) {
       String other =
           address.getValue().port() == 0 ? null : keys.put(address.getValue(), address.getKey());
       if (other != null) {
@@ -128,7 +129,7 @@
     return Result.failed(ErrorKind.INVALID_CONTENT, origin + ": " + key + ": " + rule);
   }
 
-  /** Carries a broken rule out of the typed reading; never leaves this class. */
+  /** Signals an invalid value while fields are read; does not leave this class. */
   private static final class BrokenRuleException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -137,7 +138,7 @@
     }
   }
 
-  /** Typed access to a document that passed its schema. */
+  /** Typed access to a document that conforms to its schema. */
   private record Fields(String origin, JsonNode node) {
     boolean has(String pointer) {
       return !node.at(pointer).isMissingNode();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/SideSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/SideSettings.java
@@ -7,21 +7,21 @@
 import java.util.Optional;
 
 /**
- * Settings of a side process, which runs on a VM beside its target and worker.
+ * Settings of a side process, which runs on a VM with its target and worker.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param name the VM's name, which is also the process's
- * @param site the site, which chooses the configuration overlay
+ * @param name the VM's name, also used as the process's name
+ * @param site the site, which selects the configuration overlay
  * @param zone the availability zone
- * @param rack the rack that the VM sits in
- * @param operatorsAddress where operators, metrics and events are served
- * @param processesAddress where entries connect
- * @param logService the log service's base address
- * @param target the target beside it, if there is one
- * @param worker the worker's base address, if there is one
- * @param entries entries to announce to at first; they tell of the others
- * @param peers operators' addresses to ask for the configuration while the log is down
+ * @param rack the rack of the VM
+ * @param operatorsAddress the listening address for operators, metrics and events
+ * @param processesAddress the listening address for entries
+ * @param logService the log service's base URI
+ * @param target the target on the VM, if there is one
+ * @param worker the worker's base URI, if there is one
+ * @param entries the entries to announce to initially; they provide the addresses of the others
+ * @param peers operators' addresses of processes that provide the configuration during a log outage
  */
 public record SideSettings(
     String name,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/TargetSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/TargetSettings.java
@@ -6,14 +6,14 @@
 import java.net.URI;
 
 /**
- * The target beside a side process.
+ * Settings of the target on a side process's VM.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param service the service that the target belongs to
- * @param address the target's base address
- * @param slots how many requests it serves at once, at least 1
- * @param connections how many connections it takes, at least 1
+ * @param address the target's base URI
+ * @param slots how many requests it handles concurrently, at least 1
+ * @param connections how many connections it accepts, at least 1
  */
 public record TargetSettings(String service, URI address, int slots, int connections) {
   /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/package-info.java
@@ -1,7 +1,7 @@
 /**
- * What one process is told on start: its name, place, addresses and neighbours.
+ * Settings of one process: its name, location, addresses and peers.
  *
- * <p>Reach for {@link io.marigoldsail.settings.SettingsReader} to read a file. Settings differ from
- * configuration: they belong to one process and never change while it runs.
+ * <p>Use {@link io.marigoldsail.settings.SettingsReader} to read a file. Unlike the configuration,
+ * settings belong to one process and never change while it runs.
  */
 package io.marigoldsail.settings;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/time/MonotonicClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/time/MonotonicClock.java
@@ -1,10 +1,10 @@
 package io.marigoldsail.time;
 
 /**
- * The time of one process, in nanoseconds from an arbitrary origin, never running backwards.
+ * A clock of one process, in nanoseconds from an arbitrary origin, that never runs backwards.
  *
- * <p>Deadlines all over the code are readings of this clock plus a span; they mean nothing in
- * another process. Safe for any thread.
+ * <p>Deadlines are readings of this clock plus a duration; they have no meaning in another process.
+ * Safe for any thread.
  */
 @FunctionalInterface
 public interface MonotonicClock {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/time/WallClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/time/WallClock.java
@@ -1,11 +1,10 @@
 package io.marigoldsail.time;
 
 /**
- * Milliseconds since the Unix epoch as this VM believes them; may jump and may disagree with
- * others.
+ * Milliseconds since the Unix epoch according to this VM; may jump and may differ from other VMs.
  *
- * <p>Used only for what people read and for the time line, never to decide who may run what. Safe
- * for any thread.
+ * <p>Used only for display and for the event timeline, never to decide which process may run a
+ * task. Safe for any thread.
  */
 @FunctionalInterface
 public interface WallClock {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/time/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/time/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Clocks as interfaces, so that everything that decides by time can be driven by a virtual clock.
- */
+/** Clocks as interfaces, so that tests can drive time-dependent code with a virtual clock. */
 package io.marigoldsail.time;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/Event.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/Event.java
@@ -3,22 +3,21 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One thing that happened in one process, as its author tells it; the recorder adds time and
- * process.
+ * An event in one process; the recorder adds time and process.
  *
- * <p>Immutable. Empty strings stand for subjects that the event has not. Example:
+ * <p>Immutable. An empty string means that the event has no such subject. Example:
  *
  * <pre>{@code
  * recorder.record(Event.of(EventKind.TASK_CLAIMED).withTask("payout/3").withVm("vm-2"));
  * }</pre>
  *
- * @param kind what happened
+ * @param kind the kind of event
  * @param request the request's id, or empty
  * @param task the task's name, or empty
  * @param vm the VM's name, or empty
  * @param team the team's name, or empty
  * @param caller the caller's name, or empty
- * @param detail the reason, or whatever else explains the event, or empty
+ * @param detail the reason or another explanation, or empty
  */
 public record Event(
     EventKind kind,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventBuffer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventBuffer.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.atomic.AtomicReferenceArray;
 
 /**
- * Keeps a process's last events in a ring of fixed size.
+ * Ring buffer of a process's most recent events.
  *
- * <p>Recording takes no lock, waits for nobody and costs two atomic updates and one small object,
- * since it stands in the path of every request. Safe for any thread.
+ * <p>Recording is on the path of every request: it takes no lock, never waits, and costs two atomic
+ * updates and one small object. Safe for any thread.
  */
 public final class EventBuffer implements EventRecorder {
   private static final int MAX_CAPACITY = 1 << 20;
@@ -28,13 +28,13 @@
    * Creates an empty buffer.
    *
    * @param process the process's name
-   * @param clock what stamps the events
-   * @param capacity how many events are kept, a power of two
+   * @param clock the source of the events' stamps
+   * @param capacity the number of retained events, a power of two
    */
   public EventBuffer(String process, HybridClock clock, int capacity) {
     checkArgument(
         Integer.bitCount(capacity) == 1 && capacity <= MAX_CAPACITY,
-        "capacity is no power of two up to %s: %s",
+        "capacity is not a power of two up to %s: %s",
         MAX_CAPACITY,
         capacity);
     this.process = requireNonNull(process, "process");
@@ -51,35 +51,35 @@
   }
 
   /**
-   * Returns the oldest events after a number.
+   * Returns the oldest events after a sequence number.
    *
-   * @param after the {@code next} of the last page, or 0 for the oldest kept
-   * @param limit how many events at the most, at least 1
-   * @param filter which events are wanted; the others are passed over and do not count
+   * @param after the {@code next} of the previous page, or 0 for the oldest retained event
+   * @param limit maximum number of events, at least 1
+   * @param filter which events to return; others are skipped and do not count towards the limit
    */
   public EventPage page(long after, int limit, EventFilter filter) {
     checkArgument(limit >= 1, "limit is below 1: %s", limit);
     requireNonNull(filter, "filter");
-    // Read before the number: whoever takes a later number also takes a later stamp.
+    // Read before the sequence number: an event with a later number also has a later stamp.
     long now = clock.now();
     long last = lastSequence.get();
-    // A number past the end is one of an earlier incarnation: begin anew.
+    // A number past the end is from an earlier incarnation: start from the oldest event.
     long from = after < 0 || after > last ? 0 : after;
     long oldest = Math.max(0, last - ring.length());
     long lost = Math.max(0, oldest - from);
     long next = Math.max(from, oldest);
     List<TimedEvent> events = new ArrayList<>();
     while (next < last && events.size() < limit) {
-      TimedEvent found = ring.get(slot(next + 1));
-      if (found == null || found.sequence() < next + 1) {
-        // Its author has the number but has not stored the event yet; the next page has it.
+      TimedEvent timed = ring.get(slot(next + 1));
+      if (timed == null || timed.sequence() < next + 1) {
+        // The number is assigned but the event is not stored yet; the next page returns it.
         break;
       }
       next++;
-      if (found.sequence() > next) {
+      if (timed.sequence() > next) {
         lost++;
-      } else if (filter.matches(found.event())) {
-        events.add(found);
+      } else if (filter.matches(timed.event())) {
+        events.add(timed);
       }
     }
     long asOf = next == last ? now : 0;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventFilter.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventFilter.java
@@ -3,18 +3,18 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Which events a reader wants; empty strings stand for any.
+ * Selects events; an empty string matches any value.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param request the request's id
- * @param task a task's name, or a job's for all of its tasks
+ * @param task a task's name, or a job's name for all of its tasks
  * @param vm the VM's name
  * @param team the team's name
  * @param caller the caller's name
  */
 public record EventFilter(String request, String task, String vm, String team, String caller) {
-  /** Lets every event through. */
+  /** Matches every event. */
   public static final EventFilter ALL = new EventFilter("", "", "", "", "");
 
   /** Checks the components. */
@@ -26,7 +26,7 @@
     requireNonNull(caller, "caller");
   }
 
-  /** Returns whether the event is wanted. */
+  /** Returns whether the event matches. */
   public boolean matches(Event event) {
     return fits(request, event.request())
         && fitsTask(event.task())
@@ -39,7 +39,7 @@
     return fits(task, name) || name.startsWith(task + "/");
   }
 
-  private static boolean fits(String wanted, String found) {
-    return wanted.isEmpty() || wanted.equals(found);
+  private static boolean fits(String expected, String actual) {
+    return expected.isEmpty() || expected.equals(actual);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventJson.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventJson.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * Pages of events as JSON, as {@code GET /events} answers them.
+ * Converts pages of events to and from JSON, as returned by {@code GET /events}.
  *
- * <p>Subjects that an event has not are left out. Stateless, safe for any thread.
+ * <p>Empty fields of an event are omitted. Stateless, safe for any thread.
  */
 public final class EventJson {
   private EventJson() {}
@@ -49,12 +49,12 @@
   }
 
   /**
-   * Reads a page. Events of a kind that this version does not know are passed over, since a newer
-   * process may tell of more.
+   * Reads a page. Events of an unknown kind are skipped, since a newer process may record more
+   * kinds.
    */
   public static Result<EventPage> read(JsonNode node) {
     if (!node.path("process").isTextual() || !node.path("events").isArray()) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "events: not a page of events");
+      return Result.failed(ErrorKind.BAD_REQUEST, "events: not a page of events; process or events is missing");
     }
     String process = node.get("process").asText();
     List<TimedEvent> events = new ArrayList<>();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventRecorder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventRecorder.java
@@ -1,16 +1,17 @@
 package io.marigoldsail.timeline;
 
 /**
- * Where a process puts its events. Never blocks and never throws; the oldest events give way.
+ * Records the events of a process. Never blocks and never throws; the oldest events are
+ * overwritten.
  *
  * <p>Safe for any thread.
  */
 @FunctionalInterface
 public interface EventRecorder {
-  /** Keeps the event, stamped with this process's name and time. */
+  /** Records the event with this process's name and time. */
   void record(Event event);
 
-  /** Returns a recorder that keeps nothing. */
+  /** Returns a recorder that discards all events. */
   static EventRecorder none() {
     return event -> {};
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/HybridClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/HybridClock.java
@@ -7,23 +7,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A hybrid logical clock: stamps that follow cause and effect over processes and stay near the wall
+ * A hybrid logical clock: its stamps follow causality across processes and stay close to the wall
  * clock (Kulkarni et al., 2014).
  *
  * <p>A stamp is one long: milliseconds since the Unix epoch in the upper 48 bits, a counter in the
- * lower 16. An overflow of the counter carries into the milliseconds, which keeps the order. Stamps
- * of one clock are all different. Safe for any thread; costs one compare-and-set and one reading of
+ * lower 16. An overflow of the counter carries into the milliseconds, which preserves the order.
+ * Stamps of one clock are unique. Safe for any thread; costs one compare-and-set and one reading of
  * the wall clock.
  *
- * <p>Guards against wall clocks that disagree by seconds or step back: without the exchange of
- * stamps an answer is shown before its request, because the answering VM's clock is behind. With
- * it, whoever has observed a stamp gives only greater ones.
+ * <p>Wall clocks of VMs differ by seconds and step back. If processes did not exchange stamps, a
+ * response from a VM whose clock lags would be shown before its request. After observing a stamp, a
+ * clock returns only greater ones.
  */
 public final class HybridClock {
   /**
-   * The farthest that a foreign stamp may lie ahead of the own wall clock, in milliseconds. One VM
-   * whose clock is a year ahead would otherwise drag all others there for good; a minute is far
-   * more than synchronised clocks disagree.
+   * Maximum lead of a received stamp over the local wall clock, in milliseconds. Without a limit
+   * one VM whose clock is a year ahead would move all others there permanently. Synchronised clocks
+   * differ by far less than a minute.
    */
   public static final long MAX_LEAD_MILLIS = 60_000;
 
@@ -33,12 +33,12 @@
   private final WallClock wallClock;
   private final AtomicLong last = new AtomicLong();
 
-  /** Creates a clock near the given wall clock. */
+  /** Creates a clock that stays close to the given wall clock. */
   public HybridClock(WallClock wallClock) {
     this.wallClock = requireNonNull(wallClock, "wallClock");
   }
 
-  /** Returns a stamp greater than every one given or observed so far. */
+  /** Returns a stamp greater than all returned or observed so far. */
   public long now() {
     long wall = wallStamp();
     while (true) {
@@ -51,10 +51,10 @@
   }
 
   /**
-   * Takes note of a stamp that came with a message, so that later ones here are greater.
+   * Observes a stamp received with a message, so that later stamps of this clock are greater.
    *
-   * @return false if the stamp lies more than {@link #MAX_LEAD_MILLIS} ahead or is negative, and
-   *     was ignored; order with that process is then by wall clock only
+   * @return false if the stamp was ignored because it is negative or more than {@link
+   *     #MAX_LEAD_MILLIS} ahead; events of that process are then ordered by wall clock only
    */
   public boolean observe(long stamp) {
     if (stamp < 0 || millis(stamp) > wallClock.millis() + MAX_LEAD_MILLIS) {
@@ -64,14 +64,14 @@
     return true;
   }
 
-  /** Returns the milliseconds since the Unix epoch that a stamp stands for. */
+  /** Returns the milliseconds since the Unix epoch of a stamp. */
   public static long millis(long stamp) {
     return stamp >> COUNTER_BITS;
   }
 
   /** Returns the earliest stamp of a millisecond. */
   public static long stampOf(long millis) {
-    checkArgument(millis >= 0 && millis <= MAX_MILLIS, "millis out of range: %s", millis);
+    checkArgument(millis >= 0 && millis <= MAX_MILLIS, "millis is not in 0 to 2^47 - 1: %s", millis);
     return millis << COUNTER_BITS;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/TimedEvent.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/TimedEvent.java
@@ -5,15 +5,15 @@
 import java.util.Comparator;
 
 /**
- * An event with its place on the time line.
+ * An event with its position on the event timeline.
  *
- * <p>Immutable. Ordered by stamp, which follows cause and effect; events of equal stamp have no
- * cause in common and are ordered by process, so that every reader sees one order.
+ * <p>Immutable. Ordered by stamp, which follows causality. Events with equal stamps are causally
+ * unrelated and are ordered by process, so that every reader sees the same order.
  *
- * @param sequence the event's number in its process, from 1
+ * @param sequence the event's sequence number in its process, from 1
  * @param stamp the reading of the process's {@link HybridClock}
  * @param process the process's name
- * @param event what happened
+ * @param event the event
  */
 public record TimedEvent(long sequence, long stamp, String process, Event event)
     implements Comparable<TimedEvent> {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCheckTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCheckTest.java
@@ -50,10 +50,10 @@
                 SITE,
                 ConfigurationTesting.json(
                     "{'site':'vatulele','services':{'parking':" + "{'targetDelayMillis':1500}}}"));
-    JsonNode shorter =
+    JsonNode shorterDeadline =
         ConfigurationTesting.json("{'services':{'parking':{'defaultDeadlineMillis':1000}}}");
     Optional<Failure> failure =
-        check.checkSites("base", "base", files.with(ConfigurationFiles.BASE, shorter));
+        check.checkSites("base", "base", files.with(ConfigurationFiles.BASE, shorterDeadline));
     assertEquals(
         "base: at site vatulele: services.parking.defaultDeadlineMillis: must be above"
             + " targetDelayMillis, 1500, is 1000",
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCost.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCost.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 
 /**
- * Measures what the configuration costs a process by its number of teams; run by {@code
+ * Measures the cost of the configuration in a process by the number of teams. Run by {@code
  * bin/measure-configuration-size}, not by the build. Prints CSV.
  */
 public final class ConfigurationCost {
@@ -19,11 +19,11 @@
   public static void main(String[] arguments) {
     System.out.println("teams,content_bytes,snapshot_bytes,apply_micros,merge_micros,state_bytes");
     for (int round = 0; round < 2; round++) {
-      // The first round only warms up.
-      boolean shown = round == 1;
+      // The first round is for warm-up.
+      boolean printed = round == 1;
       for (int teams : TEAMS) {
         String row = measure(teams);
-        if (shown) {
+        if (printed) {
           System.out.println(row);
         }
       }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Story: an operator writes a record into the stream by hand, past the publisher's checks.
-   * Without a check in the fold every process would take a negative limit over, or die parsing it.
+   * An operator appends a record to the stream directly, without the publisher's checks. Without a
+   * check in the fold every process would apply a negative limit, or fail parsing it.
    */
   @Test
   void recordThatWasNeverCheckedChangesNothing() {
@@ -57,13 +57,13 @@
     assertEquals(1, fold.state().revision());
     assertEquals(bodies.size(), fold.brokenRecords());
     fold.apply(entry(offset, publish("b", 1, "base", baseWithWaiting(8))));
-    assertEquals(2, fold.state().revision(), "reading goes on");
+    assertEquals(2, fold.state().revision(), "later records are applied");
   }
 
   /**
-   * Story: during an upgrade a newer process publishes a file with keys that the older ones do not
-   * know. If the older ones refused the record, they would count one revision less than the newer
-   * ones for ever, and accept what those refuse.
+   * During an upgrade a newer process publishes a file with keys that older processes do not know.
+   * If they refused the record, their revision would stay one below that of the newer processes,
+   * and they would accept records that those refuse.
    */
   @Test
   void recordOfANewerVersionCountsButWhatWasInForceStays() {
@@ -82,16 +82,16 @@
 
     fold.apply(entry(2, publish("c", 2, "vatulele", overlayWithWaiting("vatulele", 3))));
     assertEquals(3, fold.state().revision());
-    assertEquals(1, fold.state().revisionInForce(), "the base is still not understood");
+    assertEquals(1, fold.state().revisionInForce(), "the schema of the base is still not supported");
     fold.apply(entry(3, publish("d", 3, "base", baseWithWaiting(9))));
     assertEquals(List.of(0L, 1L, 4L), inForce);
     assertEquals(3, fold.state().configuration("vatulele").service("parking").maxWaiting());
   }
 
   /**
-   * Story: a process starts while the log is down and takes a peer's state. When the log is back it
-   * reads the stream from the start: a record that was refused then because it named a revision
-   * that did not exist yet must not be accepted now because the revision exists.
+   * A process starts during a log outage and restores a peer's state. When the log recovers it
+   * reads the stream from the start. A record that was refused because its revision did not exist
+   * yet must not be accepted now that it exists.
    */
   @Test
   void readingOldRecordsAgainChangesNothing() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Story: a process was frozen for minutes; then a snapshot that another frozen process wrote late
-   * arrives. Taking it over would put an old configuration in force again.
+   * A process was paused for minutes and then reads a snapshot written late by another paused
+   * process. Restoring it would put an old configuration in force again.
    */
   @Test
   void olderSnapshotIsNotTakenOver() {
