--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationTesting.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationTesting.java
@@ -6,11 +6,11 @@
 import io.marigoldsail.log.Position;
 import java.nio.charset.StandardCharsets;
 
-/** Short ways to write contents and records in the tests of this package. */
+/** Factories for contents and records in the tests of this package. */
 final class ConfigurationTesting {
   private ConfigurationTesting() {}
 
-  /** Returns JSON written with single quotes. */
+  /** Parses JSON that is written with single quotes. */
   static JsonNode json(String text) {
     byte[] bytes = text.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
     return Json.parse("test", bytes).value();
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/MergePatchTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/MergePatchTest.java
@@ -64,7 +64,7 @@
       @ForAll("documents") JsonNode document, @ForAll("patches") JsonNode patch) {
     JsonNode before = document.deepCopy();
     checkDecided(document, patch, MergePatch.apply(document, patch));
-    assertEquals(before, document, "the arguments stay as they were");
+    assertEquals(before, document, "the arguments are unchanged");
   }
 
   private static void checkDecided(JsonNode document, JsonNode patch, JsonNode merged) {
@@ -81,7 +81,7 @@
     }
   }
 
-  /** As in a schema: what is an object under a key in one document is one in all. */
+  /** Documents of one schema: a key holds an object in all documents or in none. */
   @Provide
   Arbitrary<JsonNode> sameShapes() {
     Arbitrary<JsonNode> numbers =
@@ -106,8 +106,8 @@
       @ForAll("sameShapes") JsonNode document,
       @ForAll("sameShapes") JsonNode first,
       @ForAll("sameShapes") JsonNode second) {
-    JsonNode inTurn = MergePatch.apply(MergePatch.apply(document, first), second);
-    JsonNode atOnce = MergePatch.apply(document, MergePatch.apply(first, second));
-    assertEquals(inTurn, atOnce);
+    JsonNode successive = MergePatch.apply(MergePatch.apply(document, first), second);
+    JsonNode combined = MergePatch.apply(document, MergePatch.apply(first, second));
+    assertEquals(successive, combined);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/PublisherRacesTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/PublisherRacesTest.java
@@ -25,8 +25,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Publishers in several processes race over one log, step by step in a drawn order; what they were
- * told is then held against the one order of the log.
+ * Publishers in several processes publish concurrently to one log, in a random order of steps;
+ * their results are checked against the order of the log.
  */
 final class PublisherRacesTest {
   private static final int PROCESSES = 4;
@@ -36,7 +36,7 @@
 
   private final ConfigurationCheck check = new ConfigurationCheck();
 
-  /** The log and the processes that read it, each at its own pace. */
+  /** The log and the processes that read it, each at its own speed. */
   private final class World {
     final Random random;
     final List<LogEntry> log = new ArrayList<>();
@@ -51,7 +51,7 @@
       }
     }
 
-    /** Takes one step that is possible: an append takes effect, or a process reads one entry. */
+    /** Runs one random step: an append takes effect, or a process reads one entry. */
     void step() {
       int choice = random.nextInt(PROCESSES + 1);
       if (choice == PROCESSES) {
@@ -85,9 +85,9 @@
     }
   }
 
-  /** One process: its fold, its place in the log, its publisher, and what operators were told. */
+  /** A process with its fold, read position, publisher and the revisions that were in force. */
   private final class Process {
-    final World world;
+    final World cluster;
     final Map<Position, CompletableFuture<Result<Position>>> readBack = new TreeMap<>();
     final List<Long> revisions = new ArrayList<>();
     final String name;
@@ -95,13 +95,13 @@
     ConfigurationPublisher publisher;
     int next;
 
-    Process(World world, String name) {
-      this.world = world;
+    Process(World cluster, String name) {
+      this.cluster = cluster;
       this.name = name;
       start(0);
     }
 
-    void start(int life) {
+    void start(int incarnation) {
       fold = new ConfigurationFold(check);
       next = 0;
       publisher =
@@ -113,21 +113,21 @@
               () -> 0,
               () -> 0,
               Runnable::run,
-              name + "/" + life);
+              name + "/" + incarnation);
     }
 
     /**
-     * As the log slice appends: the record takes effect later; now and then its answer is lost,
-     * then it is found by its id or stored a second time.
+     * Appends as the log package does: the record takes effect later. Sometimes the response is
+     * lost, and the record is stored a second time.
      */
     CompletableFuture<Result<Position>> append(String type, JsonNode body) {
       CompletableFuture<Result<Position>> result = new CompletableFuture<>();
-      world.appends.add(
+      cluster.appends.add(
           () -> {
             Position first = store(type, body);
             readBack.put(first, result);
-            if (world.random.nextInt(4) == 0) {
-              world.lostAnswers++;
+            if (cluster.random.nextInt(4) == 0) {
+              cluster.lostAnswers++;
               store(type, body);
             }
           });
@@ -135,72 +135,73 @@
     }
 
     Position store(String type, JsonNode body) {
-      Position position = new Position(world.log.size(), 0);
-      world.log.add(new LogEntry(position, name + "/1/" + position.offset(), type, body));
+      Position position = new Position(cluster.log.size(), 0);
+      cluster.log.add(new LogEntry(position, name + "/1/" + position.offset(), type, body));
       return position;
     }
 
     boolean read() {
-      if (next >= world.log.size()) {
+      if (next >= cluster.log.size()) {
         return false;
       }
-      LogEntry entry = world.log.get(next);
+      LogEntry entry = cluster.log.get(next);
       next++;
       fold.apply(entry);
       revisions.add(fold.state().revisionInForce());
-      CompletableFuture<Result<Position>> waiting = readBack.remove(entry.position());
-      if (waiting != null) {
-        waiting.complete(Result.ok(entry.position()));
+      CompletableFuture<Result<Position>> pending = readBack.remove(entry.position());
+      if (pending != null) {
+        pending.complete(Result.ok(entry.position()));
       }
       return true;
     }
   }
 
-  /** One publish, the file's revision that it was made from, and what its operator was told. */
+  /** A publish, the file's revision that it is based on, and its result. */
   private record Asked(
       PublishRequest request, long basis, CompletableFuture<Result<Published>> told) {}
 
   /**
-   * Story: ten operators publish at the same moment through four entries, some of them the same
-   * file, and the log loses answers after storing records. Each is told accepted or who was first;
-   * what they were told fits one order, and all processes hold the same in the end.
+   * Ten operators publish concurrently through four entries, some of them the same file, and the
+   * log loses responses after storing records. Each publish is accepted or fails with a conflict
+   * that names the author; the results match the order of the log, and all processes reach the same
+   * state.
    */
   @Property(seed = "31", tries = 150)
   void whatOperatorsAreToldFitsOneOrder(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
-    World world = new World(seed);
-    List<Asked> asked = new ArrayList<>();
+    World cluster = new World(seed);
+    List<Asked> publishes = new ArrayList<>();
     for (int i = 0; i < OPERATORS; i++) {
-      asked.add(publish(world, i));
-      world.run(world.random.nextInt(gap + 1));
+      publishes.add(publish(cluster, i));
+      cluster.run(cluster.random.nextInt(gap + 1));
     }
-    world.finish();
-    checkHistory(world, asked);
+    cluster.finish();
+    checkHistory(cluster, publishes);
   }
 
-  private Asked publish(World world, int operator) {
-    String file = FILES.get(world.random.nextInt(FILES.size()));
+  private Asked publish(World cluster, int operator) {
+    String file = FILES.get(cluster.random.nextInt(FILES.size()));
     JsonNode content =
         file.equals("base")
             ? ConfigurationTesting.baseWithWaiting(operator + 1)
             : ConfigurationTesting.overlayWithWaiting(file, operator + 1);
-    Process process = world.processes.get(world.random.nextInt(PROCESSES));
+    Process process = cluster.processes.get(cluster.random.nextInt(PROCESSES));
     PublishRequest request =
         new PublishRequest(file, content, "operator-" + operator, "", OptionalLong.empty());
     long basis = process.fold.state().fileRevision(file);
     return new Asked(request, basis, process.publisher.publish(request, FAR));
   }
 
-  private void checkHistory(World world, List<Asked> asked) {
-    ConfigurationState end = world.processes.get(0).fold.state();
-    for (Process process : world.processes) {
+  private void checkHistory(World cluster, List<Asked> publishes) {
+    ConfigurationState end = cluster.processes.get(0).fold.state();
+    for (Process process : cluster.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
       assertEquals(end.revision(), process.fold.state().revision());
       List<Long> sorted = process.revisions.stream().sorted().toList();
-      assertEquals(sorted, process.revisions, "revisions never go down");
+      assertEquals(sorted, process.revisions, "revisions never decrease");
     }
     long accepted = 0;
-    for (Asked one : asked) {
-      assertTrue(one.told().isDone(), "nobody is left without an answer");
+    for (Asked one : publishes) {
+      assertTrue(one.told().isDone(), "every publish has a result");
       Result<Published> told = one.told().join();
       if (told.isOk()) {
         accepted++;
@@ -209,11 +210,11 @@
         checkConflict(end, one.request(), ((Result.Failed<Published>) told).failure());
       }
     }
-    assertEquals(end.revision(), accepted, "nothing but what was told as accepted is in force");
+    assertEquals(end.revision(), accepted, "every revision is a publish reported as accepted");
   }
 
-  private void checkAccepted(ConfigurationState end, Asked asked, Published published) {
-    PublishRequest request = asked.request();
+  private void checkAccepted(ConfigurationState end, Asked publish, Published published) {
+    PublishRequest request = publish.request();
     PublishedVersion version = end.version(published.revision()).orElseThrow();
     assertEquals(request.file(), version.file());
     assertEquals(request.author(), version.author());
@@ -221,8 +222,8 @@
     boolean lostUpdate =
         end.history().stream()
             .filter(v -> v.file().equals(request.file()))
-            .anyMatch(v -> v.revision() > asked.basis() && v.revision() < published.revision());
-    assertFalse(lostUpdate, "a change that the operator never saw was overwritten");
+            .anyMatch(v -> v.revision() > publish.basis() && v.revision() < published.revision());
+    assertFalse(lostUpdate, "a change was overwritten that the operator had not seen");
   }
 
   private void checkConflict(ConfigurationState end, PublishRequest request, Failure failure) {
@@ -239,18 +240,17 @@
   }
 
   /**
-   * Story: entries die and come back while operators publish; one of them starts with a peer's
-   * state because the log is down at that moment. No process may ever show an older revision than
-   * before.
+   * Entries restart while operators publish; a restarted one begins with a peer's state, as during
+   * a log outage. The revision in force never decreases in any process.
    */
   @Property(seed = "32", tries = 100)
   void restartedProcessesNeverGoBack(@ForAll long seed) {
-    World world = new World(seed);
+    World cluster = new World(seed);
     for (int i = 0; i < OPERATORS; i++) {
-      publish(world, i);
-      world.run(20);
-      Process restarted = world.processes.get(world.random.nextInt(PROCESSES));
-      Process peer = world.processes.get(world.random.nextInt(PROCESSES));
+      publish(cluster, i);
+      cluster.run(20);
+      Process restarted = cluster.processes.get(cluster.random.nextInt(PROCESSES));
+      Process peer = cluster.processes.get(cluster.random.nextInt(PROCESSES));
       JsonNode peerState = peer.fold.snapshot();
       long known = peer.fold.state().revisionInForce();
       restarted.start(i + 1);
@@ -258,9 +258,9 @@
       restarted.revisions.clear();
       assertEquals(known, restarted.fold.state().revisionInForce());
     }
-    world.finish();
-    ConfigurationState end = world.processes.get(0).fold.state();
-    for (Process process : world.processes) {
+    cluster.finish();
+    ConfigurationState end = cluster.processes.get(0).fold.state();
+    for (Process process : cluster.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
       assertEquals(process.revisions.stream().sorted().toList(), process.revisions);
     }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/json/BadFiles.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/json/BadFiles.java
@@ -11,18 +11,21 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of bad files and, in {@code expected.txt}, what the error of each must name: one line
- * {@code file | key | rule}.
+ * Invalid files in a folder with the expected error of each.
+ *
+ * <p>{@code expected.txt} has one line {@code file | key | rule} for each file.
+ *
+ * @param folder the folder of the files
  */
 public record BadFiles(Path folder) {
-  /** What is expected of one file. */
+  /** The expected error of one file. */
   public record Case(Path file, String key, String rule) {
     @Override
     public String toString() {
       return file.getFileName().toString();
     }
 
-    /** Holds an error against the expectation: one line that names file, key and rule. */
+    /** Asserts that the error is one line that names the file, the key and the rule. */
     public void check(String error) {
       assertEquals(1, error.lines().count(), error);
       assertTrue(error.contains(file.getFileName().toString()), error);
@@ -31,7 +34,7 @@
     }
   }
 
-  /** Returns all cases; fails if a file has no expectation or an expectation no file. */
+  /** Returns all cases; fails if a file has no expected error or an expected error has no file. */
   public Stream<Case> cases() {
     try {
       List<String> lines = Files.readAllLines(folder.resolve("expected.txt"));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/AppendQueueTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/AppendQueueTest.java
@@ -38,8 +38,8 @@
 
   @Test
   void letsABurstShareRecords() {
-    // 90 starts come within a second while the log takes several hundred appends a second from
-    // all. Were each sent alone, one entry alone would take half of that.
+    // 90 starts a second while the log takes several hundred appends a second from all writers.
+    // Without batching, one entry process would use half of that.
     int appends = 0;
     int sent = 0;
     for (int i = 0; i < 90; i++) {
@@ -59,14 +59,14 @@
 
   @Test
   void appendsAgainOnlyWhatAReadDidNotShow() {
-    // The answers to two appends are lost: the first had been stored, the second had not. The
-    // caller of each must get one entry in the log, told at its place.
+    // The responses to two appends are lost: the first entry was stored, the second was not. Each
+    // must end up in the log once, and each caller must receive its position.
     String stored = offer(FAR);
     Batch first = take();
     String lost = offer(FAR);
     fail(first, ErrorKind.LOG_OUTCOME_UNKNOWN);
     now += 2_000 * MILLI;
-    assertTrue(queue.takeBatch(now).isEmpty(), "later entries must not overtake");
+    assertTrue(queue.takeBatch(now).isEmpty(), "later entries are not sent first");
 
     tell(queue.readBack(stored, new Position(5, 0)));
     queue.reachedEnd();
@@ -76,15 +76,15 @@
     now += 2_000 * MILLI;
     queue.reachedEnd();
 
-    Batch again = take();
-    assertEquals(List.of(lost), idsOf(again));
+    Batch resent = take();
+    assertEquals(List.of(lost), idsOf(resent));
     assertEquals(Result.ok(new Position(5, 0)), ends.get(stored));
   }
 
   @Test
   void keepsTheOrderWhenItAppendsAgain() {
-    // Readers drop an entry that comes behind a later one of its writer. So what is appended again
-    // has to stand in front of what came meanwhile.
+    // Readers drop an entry that follows a later one of its writer, so entries that are sent again
+    // must precede those offered meanwhile.
     String one = offer(FAR);
     String two = offer(FAR);
     fail(take(), ErrorKind.LOG_UNAVAILABLE);
@@ -102,8 +102,8 @@
 
   @Test
   void saysNotRunOnlyOfWhatWasNeverStored() {
-    // The log is down past the callers' deadlines. One entry was refused each time, the other's
-    // answer was lost: only the first is known not to be there.
+    // The log is unavailable past the callers' deadlines. One entry was refused in each attempt, the
+    // response for the other was lost: only the first is known not to be stored.
     String refused = offer(now + 500 * MILLI);
     fail(take(), ErrorKind.LOG_UNAVAILABLE);
     now += 600 * MILLI;
@@ -119,7 +119,7 @@
     now += 10_000 * MILLI;
     queue.expire(now).forEach(Completion::tell);
     assertEquals(ErrorKind.LOG_OUTCOME_UNKNOWN, kind(unknown));
-    assertTrue(queue.takeBatch(now).isEmpty(), "what was given up must not be sent");
+    assertTrue(queue.takeBatch(now).isEmpty(), "expired entries are not sent");
     assertEquals(0, queue.size());
   }
 
@@ -136,8 +136,8 @@
 
   @Test
   void staysBoundedDuringAnOutage() {
-    // The log is down for minutes while entries come on. They are refused once the bound is
-    // reached, and those that pass their deadline make room; nothing grows with the outage.
+    // The log is unavailable for minutes while entries are offered. They are refused at the limit,
+    // and expired entries free capacity; the queue does not grow with the outage.
     fail(takeAfterOffer(), ErrorKind.LOG_UNAVAILABLE);
     int refused = 0;
     for (int second = 0; second < 300; second++) {
@@ -163,8 +163,8 @@
 
   @Test
   void splitsABatchThatTheLogFindsTooLarge() {
-    // This platform's limit for a record is lower than expected. Refusing the whole batch would
-    // refuse a hundred small entries because they came together.
+    // The platform's record limit is lower than configured. Refusing the whole batch would refuse a
+    // hundred small entries because they were offered together.
     String one = offer(FAR);
     String two = offer(FAR);
     fail(take(), ErrorKind.BODY_TOO_LARGE);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/BackoffTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/BackoffTest.java
@@ -17,32 +17,32 @@
       @ForAll @LongRange(min = 0, max = 1_000_000_000_000L) long more,
       @ForAll @IntRange(min = 1, max = 80) int failures) {
     Backoff backoff = new Backoff(first, first + more, new Random(1));
-    long wait = 0;
+    long delay = 0;
     for (int i = 0; i < failures; i++) {
-      wait = backoff.failed();
+      delay = backoff.failed();
     }
 
-    assertTrue(wait >= first / 2 && wait <= first + more, "wait " + wait);
+    assertTrue(delay >= first / 2 && delay <= first + more, "delay " + delay);
   }
 
   @Test
   void spreadsTheTriesOfManyAfterAnOutage() {
-    // The log comes back while 1,000 readers wait for it. Were all waits alike, all would ask in
-    // the same millisecond and the log would go down again.
+    // The log recovers while 1,000 readers wait for it. With equal delays all would retry in the
+    // same millisecond and overload it again.
     long limit = 1_000_000_000L;
     int tenths = 10;
     int[] inTenth = new int[tenths];
     for (int reader = 0; reader < 1_000; reader++) {
       Backoff backoff = new Backoff(50_000_000L, limit, new Random(reader));
-      long wait = 0;
+      long delay = 0;
       for (int i = 0; i < 10; i++) {
-        wait = backoff.failed();
+        delay = backoff.failed();
       }
-      inTenth[(int) Math.min(tenths - 1, (wait - limit / 2) * tenths / (limit / 2))]++;
+      inTenth[(int) Math.min(tenths - 1, (delay - limit / 2) * tenths / (limit / 2))]++;
     }
 
     for (int count : inTenth) {
-      assertTrue(count > 50 && count < 150, "readers in a tenth of the span: " + count);
+      assertTrue(count > 50 && count < 150, "readers in a tenth of the range: " + count);
     }
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/ListFold.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/ListFold.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A fold that keeps the ids of its entries in order; an entry of type {@code broken} throws. */
+/** A fold that stores the ids of its entries in order; an entry of type {@code broken} throws. */
 final class ListFold implements Fold {
   private final List<String> ids = new ArrayList<>();
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/RecordCodecTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/RecordCodecTest.java
@@ -27,8 +27,8 @@
 
   @Test
   void passesOverRecordsOfNewerVersions() {
-    // One entry is upgraded first and writes records that the others cannot read yet. They have to
-    // read on, or the upgrade of one process stops all others.
+    // An upgraded process writes records that the others cannot decode yet. They must skip them, or
+    // the upgrade of one process would stop all others.
     assertEquals(List.of(Skip.NEWER_VERSION), skips("{\"v\":2,\"sealed\":\"x\"}"));
   }
 
@@ -72,16 +72,16 @@
   @Property(seed = "3102")
   void neverReadsHalfARecord(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
     byte[] whole = record("entry-1/a/1", "entry-1/a/2", "entry-1/a/3");
-    byte[] half = Arrays.copyOf(whole, cut % whole.length);
+    byte[] truncated = Arrays.copyOf(whole, cut % whole.length);
 
-    assertTrue(RecordCodec.decode(half).entries().isEmpty());
+    assertTrue(RecordCodec.decode(truncated).entries().isEmpty());
   }
 
   @Property(seed = "3103")
   void survivesAnyChangedByte(
-      @ForAll @IntRange(min = 0, max = 10_000) int place, @ForAll byte changed) {
+      @ForAll @IntRange(min = 0, max = 10_000) int index, @ForAll byte changed) {
     byte[] record = record("entry-1/a/1", "entry-1/a/2");
-    record[place % record.length] = changed;
+    record[index % record.length] = changed;
 
     Decoded decoded = RecordCodec.decode(record);
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/SnapshotScheduleTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/SnapshotScheduleTest.java
@@ -28,9 +28,9 @@
   void oneOrTwoOfManyWrite(
       @ForAll @IntRange(min = 0, max = 100_000) int seed,
       @ForAll @IntRange(min = 1, max = 9) int processes) {
-    // Nine entries see at the same moment that a snapshot is due. If each wrote one, the log would
-    // take nine copies of the state at once. A part is seen by the others 20 ms after it was
-    // written, so two may begin in one such gap.
+    // Nine entries find a snapshot due at the same time. If each wrote one, the log would receive
+    // nine copies of the state at once. Others read a part 20 ms after it was written, so two may
+    // start within that time.
     List<SnapshotSchedule> all = new ArrayList<>();
     for (int i = 0; i < processes; i++) {
       all.add(schedule(seed + i));
@@ -54,8 +54,8 @@
 
   @Test
   void writesAgainWhenTheOneThatBeganDied() {
-    // The process whose turn it was dies between two parts. The snapshot stays incomplete, and
-    // unless another takes over the records before it expire without one.
+    // The process that writes the snapshot ends between two parts. The snapshot stays incomplete;
+    // unless another process writes one, the records expire without a snapshot.
     SnapshotSchedule schedule = schedule(1);
     assertFalse(schedule.shouldWrite(at(100, 0), 0));
     schedule.sawPart(0);
@@ -75,9 +75,9 @@
   }
 
   /**
-   * A job is accepted on a young stream. Its records expire, and both entries die before the first
-   * snapshot was due: nobody knows of the job any more. What retention keeps cannot be known before
-   * something expired, so the first snapshot must not wait for that.
+   * A job is accepted on a new stream. Its records expire, and both entries end before the first
+   * snapshot is due: the job is lost. The retention is unknown until something has expired, so the
+   * first snapshot must not wait for that.
    */
   @Test
   void coversAYoungStreamBeforeAnythingExpired() {
@@ -93,8 +93,8 @@
   }
 
   /**
-   * The same with a job so small that its records never reach the number that makes a first
-   * snapshot due: they expired 20 s after they were written, and the job was lost.
+   * As above, for a job with fewer records than the number that makes a first snapshot due: they
+   * expired 20 s after they were written, and the job was lost.
    */
   @Test
   void coversAFewRecordsWithinSeconds() {
@@ -107,8 +107,8 @@
   }
 
   /**
-   * Tasks report each 100 ms, and every other page is read while one more record has come. The
-   * moment to write was drawn anew each time, and the records of a job expired without a snapshot.
+   * Tasks report every 100 ms, and every other page leaves one record unread. If the write time is
+   * drawn again each time, the records of a job expire without a snapshot.
    */
   @Test
   void writesOnABusyStreamWithinTheSpan() {
@@ -142,7 +142,9 @@
     assertEquals(false, due(schedule, older, 200_000));
   }
 
-  /** Asks at a time in milliseconds, and again after the whole span in which a moment is drawn. */
+  /**
+   * Returns whether a snapshot is written at a time in milliseconds, or after the whole jitter.
+   */
   private static boolean due(SnapshotSchedule schedule, StreamStatus status, long millis) {
     boolean first = schedule.shouldWrite(status, millis * MILLI);
     return first || schedule.shouldWrite(status, (millis + 4_001) * MILLI);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
@@ -20,14 +20,14 @@
   private final StreamCursor cursor = cursor(fold, false);
 
   private static StreamCursor cursor(Fold fold, boolean beginAnew) {
-    return new StreamCursor(fold, beginAnew, new StreamListener() {}, (offset, why, count) -> {});
+    return new StreamCursor(fold, beginAnew, new StreamListener() {}, (offset, reason, count) -> {});
   }
 
   @Test
   void dropsACopyHoweverLateItComes() {
-    // The answer to a publish is lost, so the entry appends it again. The first copy sat in a
-    // network buffer and arrives thousands of records later. A window of the last ids would have
-    // moved on by then, and the old configuration would be in force again.
+    // The response to a publish is lost, so the entry appends it again. The first copy was held in a
+    // network buffer and is stored thousands of records later. A window of recent ids would not
+    // include it any more, and the old configuration would be in force again.
     append("entry-1/a/1");
     for (int i = 1; i <= 5_000; i++) {
       append("entry-2/b/" + i);
@@ -57,14 +57,14 @@
 
   @Test
   void keepsItsStateUntilItFindsASnapshotBehindAnExpiry() {
-    // A process is frozen while retention drops records that it has not read. If it went on with
-    // what is left, it would miss what was accepted meanwhile and differ from all others.
+    // A process is paused while records expire that it has not read. If it continued with the
+    // retained ones, it would miss entries and diverge from all others.
     append("entry-1/a/1");
     read(cursor, 0);
     append("entry-1/a/2");
     append("entry-1/a/3");
-    ListFold others = new ListFold();
-    StreamCursor other = cursor(others, false);
+    ListFold otherState = new ListFold();
+    StreamCursor other = cursor(otherState, false);
     read(other, 0);
     int expired = records.size();
     append("entry-1/a/4");
@@ -81,16 +81,16 @@
     read(other, expired);
 
     assertTrue(cursor.status(false).caughtUp());
-    assertEquals(others.ids(), fold.ids());
+    assertEquals(otherState.ids(), fold.ids());
     assertEquals(5, fold.ids().size());
   }
 
   @Test
   void doesNotGoBackToAnOlderSnapshot() {
-    // A snapshot that was begun before an expiry is older than the state of the reader that looks
-    // for one. Taking it would put an older configuration in force again.
-    ListFold early = new ListFold();
-    StreamCursor slow = cursor(early, false);
+    // A snapshot that was started before an expiry is older than the state of the reader that looks
+    // for one. Restoring it would put an older configuration in force again.
+    ListFold slowState = new ListFold();
+    StreamCursor slow = cursor(slowState, false);
     append("entry-1/a/1");
     read(slow, 0);
     append("entry-1/a/2");
@@ -108,25 +108,25 @@
 
   @Test
   void beginsAnewOnlyWhenTold() {
-    ListFold anew = new ListFold();
-    StreamCursor told = cursor(anew, true);
+    ListFold emptyState = new ListFold();
+    StreamCursor startingEmpty = cursor(emptyState, true);
     LogPage nothingLeft = new LogPage(List.of(), 7, 7);
 
     cursor.accept(nothingLeft);
-    told.accept(nothingLeft);
+    startingEmpty.accept(nothingLeft);
 
     assertTrue(cursor.status(false).seeking());
-    assertTrue(told.status(false).caughtUp());
-    assertEquals(7, told.nextOffset());
+    assertTrue(startingEmpty.status(false).caughtUp());
+    assertEquals(7, startingEmpty.nextOffset());
   }
 
   @Test
   void passesOverSnapshotsThatMakeNoSense() {
     append("entry-1/a/1");
-    StreamSnapshot wrong =
+    StreamSnapshot invalid =
         new StreamSnapshot(
             1, JsonNodeFactory.instance.textNode("x"), JsonNodeFactory.instance.arrayNode());
-    appendSnapshot(wrong);
+    appendSnapshot(invalid);
     String part = "{\"snapshot\":\"s\",\"through\":1,\"part\":0,\"parts\":1,\"data\":\"####\"}";
     records.add(
         ("{\"v\":1,\"entries\":[{\"id\":\"e/1/1\",\"type\":\"snapshot-part\",\"body\":"
@@ -142,9 +142,9 @@
 
   @Test
   void doesNotContinueWithAnotherHistory() {
-    // The platform goes on from a copy that lacks the last record; another writer's record takes
-    // its offset before this reader asks again. Before, the reader applied what came behind it and
-    // differed from all others for ever, without a word.
+    // The platform fails over to a replica that lacks the last record, and another writer's record
+    // gets its offset before the next read. A reader that applies the records after it would diverge
+    // from all others permanently and unnoticed.
     append("entry-1/a/1");
     append("entry-1/a/2");
     read(cursor, 0);
@@ -191,7 +191,7 @@
 
   @Test
   void takesAStreamThatEndsBeforeTheRetainedOneForAnother() {
-    // A log set up anew long after the beginning of the old one expired: nothing can be compared.
+    // A log is set up again after the first records of the old one expired: nothing can be compared.
     for (int i = 1; i <= 9; i++) {
       append("entry-1/a/" + i);
     }
@@ -210,8 +210,8 @@
       @ForAll @IntRange(min = 1, max = 120) int length) {
     Random random = new Random(seed);
     records.clear();
-    ListFold all = new ListFold();
-    StreamCursor first = cursor(all, false);
+    ListFold firstState = new ListFold();
+    StreamCursor first = cursor(firstState, false);
     List<StreamSnapshot> snapshots = new ArrayList<>();
     int[] last = new int[4];
     for (int i = 0; i < length; i++) {
@@ -224,24 +224,24 @@
     }
 
     for (StreamSnapshot snapshot : snapshots) {
-      ListFold late = new ListFold();
-      StreamCursor reader = cursor(late, false);
+      ListFold lateState = new ListFold();
+      StreamCursor reader = cursor(lateState, false);
       assertTrue(reader.restore(StreamSnapshot.fromJson(snapshot.toJson())));
       read(reader, 0);
-      assertEquals(all.ids(), late.ids());
+      assertEquals(firstState.ids(), lateState.ids());
     }
   }
 
-  /** Lets a reader ask once for what it wants next. */
+  /** Makes the next read of a reader. */
   private void ask(StreamCursor reader) {
-    StreamCursor.NextRead wanted = reader.nextRead();
+    StreamCursor.NextRead mode = reader.nextRead();
     List<LogRecord> page = new ArrayList<>();
-    for (long at = reader.offsetOf(wanted);
-        at < records.size() && page.size() < wanted.maxRecords(50);
+    for (long at = reader.offsetOf(mode);
+        at < records.size() && page.size() < mode.maxRecords(50);
         at++) {
       page.add(new LogRecord(at, records.get((int) at)));
     }
-    reader.accept(wanted, new LogPage(page, 0, records.size()));
+    reader.accept(mode, new LogPage(page, 0, records.size()));
   }
 
   private void append(String... ids) {
@@ -265,11 +265,11 @@
     }
   }
 
-  /** Reads to the end in pages of 50 while everything before an offset has expired. */
+  /** Reads to the end in pages of 50, with all records before an offset expired. */
   private void read(StreamCursor reader, long firstOffset) {
     boolean more = true;
     for (int pages = 0; more; pages++) {
-      assertTrue(pages < 10_000, "the reader goes round in circles");
+      assertTrue(pages < 10_000, "the reader makes no progress");
       long from = Math.max(firstOffset, reader.nextOffset());
       List<LogRecord> page = new ArrayList<>();
       for (long at = from; at < records.size() && page.size() < 50; at++) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
@@ -48,9 +48,9 @@
   }
 
   /**
-   * A VM is frozen and its side process replaced; when the old one wakes it announces itself again.
-   * Entries that believe it send requests to a process whose successor holds the slots: twice as
-   * many run as the target has slots, and every turn of the two starts the target slowly anew.
+   * A VM is paused and its side process replaced; the old one resumes and announces itself again.
+   * Entries that accept this send requests to a process whose slots its successor uses: twice as
+   * many run as the target has slots, and each change between the two restarts the slow start.
    */
   @Test
   void wokenPredecessorDoesNotReplaceItsSuccessor() {
@@ -64,7 +64,7 @@
     assertEquals(1, table.expire(SILENCE + 1).size());
   }
 
-  /** The same, with the successor already silent and dropped when the predecessor wakes. */
+  /** As above, with the successor already expired when the predecessor resumes. */
   @Test
   void wokenPredecessorDoesNotReplaceALostSuccessor() {
     table.announced(announcement(2, false), 0);
@@ -85,18 +85,18 @@
   }
 
   /**
-   * An entry is frozen for ten seconds. When it wakes, its clock has passed every deadline while
-   * the announcements of all those seconds lie unread in its sockets; without mercy it drops all
-   * targets and refuses every caller.
+   * An entry is paused for ten seconds. When it resumes, every deadline has passed while the
+   * announcements are unread in its sockets. Without a restart of the timeouts it would drop all
+   * targets and refuse every caller.
    */
   @Test
   void frozenEntryGivesEveryoneTheSilenceAnew() {
     table.announced(announcement(1, false), 0);
-    long woken = 10_000_000_000L;
+    long resumed = 10_000_000_000L;
 
-    table.extendAll(woken);
+    table.extendAll(resumed);
 
-    assertEquals(List.of(), table.expire(woken));
-    assertEquals(1, table.expire(woken + SILENCE).size());
+    assertEquals(List.of(), table.expire(resumed));
+    assertEquals(1, table.expire(resumed + SILENCE).size());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Story: a side process restarts while an operator follows the time line; its numbers start again
-   * below the one that the operator's tool asks after. The tool would wait for ever.
+   * A side process restarts while an operator follows the event timeline; its sequence numbers
+   * restart below the one that the operator's tool requests. The tool would never receive another
+   * event.
    */
   @Test
   void numberOfAnEarlierIncarnationBeginsAnew() {
@@ -66,8 +67,8 @@
   }
 
   /**
-   * Story: many requests are recorded at once while the time line is followed. A reader that skips
-   * a number whose event is not stored yet would lose it for good.
+   * Many requests are recorded concurrently while the event timeline is read. A reader that skips a
+   * number whose event is not stored yet would lose the event.
    */
   @Test
   void followerMissesNothingThatIsStillKept() throws InterruptedException {
@@ -105,30 +106,28 @@
     assertEquals((long) writers * each, read);
   }
 
-  /**
-   * Story: as above, but held still at the very moment: the number is taken, the event not stored.
-   */
+  /** As above, paused at the critical point: the number is assigned, the event is not stored. */
   @Test
   void readerStopsAtAnEventThatIsNotStoredYet() {
-    List<EventPage> meanwhile = new ArrayList<>();
-    List<EventBuffer> made = new ArrayList<>();
-    // Recording reads the wall clock between taking the number and storing the event.
-    HybridClock looksInBetween =
+    List<EventPage> pagesWhileRecording = new ArrayList<>();
+    List<EventBuffer> buffers = new ArrayList<>();
+    // Recording reads the wall clock after assigning the number and before storing the event.
+    HybridClock readingClock =
         new HybridClock(
             () -> {
-              if (!made.isEmpty()) {
-                // Reading a page reads the clock too; look once.
-                meanwhile.add(made.remove(0).page(0, 10, EventFilter.ALL));
+              if (!buffers.isEmpty()) {
+                // Reading a page reads the clock too, so it is done once.
+                pagesWhileRecording.add(buffers.remove(0).page(0, 10, EventFilter.ALL));
               }
               return 1;
             });
-    EventBuffer buffer = new EventBuffer("vm-1", looksInBetween, 8);
+    EventBuffer buffer = new EventBuffer("vm-1", readingClock, 8);
     buffer.record(Event.of(EventKind.PROCESS_STARTED));
-    made.add(buffer);
+    buffers.add(buffer);
     buffer.record(Event.of(EventKind.TASK_STARTED));
-    assertEquals(1, meanwhile.get(0).next(), "the second event is still to come");
-    assertEquals(0, meanwhile.get(0).asOf(), "so the page cannot say that it told all");
-    EventPage page = buffer.page(meanwhile.get(0).next(), 10, EventFilter.ALL);
+    assertEquals(1, pagesWhileRecording.get(0).next(), "the second event is not returned yet");
+    assertEquals(0, pagesWhileRecording.get(0).asOf(), "the page does not claim to be complete");
+    EventPage page = buffer.page(pagesWhileRecording.get(0).next(), 10, EventFilter.ALL);
     assertEquals(EventKind.TASK_STARTED, page.events().get(0).event().kind());
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventCost.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventCost.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * Measures what recording one event costs, by number of threads; run by {@code
+ * Measures the cost of recording one event by number of threads. Run by {@code
  * bin/measure-timeline}, not by the build.
  */
 public final class EventCost {
@@ -49,7 +49,10 @@
     ended.countDown();
   }
 
-  /** With strings of their own, as requests have them, and one detail in three. */
+  /**
+   * Returns the heap per event. Ids are separate strings, as in requests, and every third event has
+   * a detail.
+   */
   private static double bytesPerEvent() {
     long before = usedBytes();
     int capacity = 1 << 16;
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/HybridClockTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/HybridClockTest.java
@@ -17,14 +17,14 @@
   private static final long NOON = 1_790_000_000_000L;
   private static final int PROCESSES = 4;
 
-  /** A wall clock that is set by hand, backwards too. */
+  /** A wall clock that tests set, also backwards. */
   private static final class SettableClock {
     private long millis;
   }
 
   /**
-   * Story: the wall clocks of the VMs disagree by seconds and are stepped back now and then. An
-   * answer stamped by a clock that is behind would be shown before its request.
+   * The wall clocks of the VMs differ by seconds and step back. A response stamped by a clock that
+   * lags would be shown before its request.
    */
   @Property(seed = "41", tries = 100)
   void causeIsBeforeItsEffect(@ForAll long seed, @ForAll @IntRange(max = 30_000) int disagreement) {
@@ -43,12 +43,12 @@
       int receiver = random.nextInt(PROCESSES);
       walls.get(sender).millis += random.nextInt(20) - 5;
       long sent = clocks.get(sender).now();
-      assertTrue(sent > lastOf[sender], "stamps of one process rise");
+      assertTrue(sent > lastOf[sender], "stamps of one process increase");
       lastOf[sender] = sent;
       if (sender != receiver) {
         assertTrue(clocks.get(receiver).observe(sent));
         long received = clocks.get(receiver).now();
-        assertTrue(received > sent, "the effect is after its cause");
+        assertTrue(received > sent, "the effect has a higher stamp than its cause");
         assertTrue(received > lastOf[receiver]);
         lastOf[receiver] = received;
       }
@@ -56,7 +56,7 @@
     long latestWall = walls.stream().mapToLong(w -> w.millis).max().orElseThrow();
     long latestStamp =
         HybridClock.millis(clocks.stream().mapToLong(HybridClock::now).max().orElse(0));
-    assertTrue(latestStamp <= latestWall + 1_600, "stamps stay near the wall clocks");
+    assertTrue(latestStamp <= latestWall + 1_600, "stamps stay close to the wall clocks");
   }
 
   @Test
