--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
@@ -6,8 +6,8 @@
 import io.marigoldsail.error.Failure;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.log.Fold;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogEntry;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.log.Position;
 import java.util.List;
 import java.util.Map;
@@ -31,9 +31,10 @@
  */
 public final class ConfigurationFold implements Fold {
   private final ConfigurationCheck check;
-  private final Map<String, CompletableFuture<PublishOutcome>> expected = new ConcurrentHashMap<>();
+  private final Map<String, CompletableFuture<PublishOutcome>> pendingOutcomes =
+      new ConcurrentHashMap<>();
   private final List<Consumer<ConfigurationState>> listeners = new CopyOnWriteArrayList<>();
-  private final AtomicLong broken = new AtomicLong();
+  private final AtomicLong invalidRecords = new AtomicLong();
   private volatile ConfigurationState state = ConfigurationState.EMPTY;
 
   /** Creates an empty state. */
@@ -47,22 +48,23 @@
   }
 
   /** Returns the number of records ignored because they were malformed or violated a rule. */
-  public long brokenRecords() {
-    return broken.get();
+  public long invalidRecordCount() {
+    return invalidRecords.get();
   }
 
   /**
    * Registers a listener for changes of the configuration in force. It is called with the current
    * state at once, and then in order on the thread that applies records; it must return quickly.
    */
-  public synchronized void onInForce(Consumer<ConfigurationState> listener) {
+  public synchronized void addInForceListener(Consumer<ConfigurationState> listener) {
     listeners.add(listener);
     listener.accept(state);
   }
 
   @Override
   public synchronized void apply(LogEntry entry) {
-    // After restoring a peer's state, records that it includes are read again. Most would be refused
+    // After restoring a peer's state, records that it includes are read again. Most would be
+    // refused
     // as stale, but one refused for a revision that did not exist yet could be accepted now.
     if (entry.position().compareTo(state.nextPosition()) < 0) {
       return;
@@ -70,37 +72,38 @@
     Position next = new Position(entry.position().offset(), entry.position().index() + 1);
     long before = state.revisionInForce();
     if (entry.type().equals(PublishRecord.TYPE)) {
-      decide(entry);
+      applyPublish(entry);
     }
     state = state.withNextPosition(next);
-    tellIfChanged(before);
+    notifyIfChanged(before);
   }
 
-  private void decide(LogEntry entry) {
+  private void applyPublish(LogEntry entry) {
     Result<PublishRecord> read = PublishRecord.read(entry.body());
     if (!read.isOk()) {
-      broken.incrementAndGet();
+      invalidRecords.incrementAndGet();
       return;
     }
     PublishRecord published = read.value();
-    PublishOutcome outcome = outcome(published);
+    PublishOutcome outcome = decideOutcome(published);
     if (outcome instanceof PublishOutcome.Accepted accepted) {
-      state = state.withAccepted(version(published, accepted), published.schema(), understood());
+      state =
+          state.withAccepted(toVersion(published, accepted), published.schema(), supportedSchema());
     } else if (outcome instanceof PublishOutcome.Invalid) {
-      broken.incrementAndGet();
+      invalidRecords.incrementAndGet();
     }
-    CompletableFuture<PublishOutcome> pending = expected.remove(published.publishId());
+    CompletableFuture<PublishOutcome> pending = pendingOutcomes.remove(published.publishId());
     if (pending != null) {
       pending.complete(outcome);
     }
   }
 
-  private PublishOutcome outcome(PublishRecord published) {
+  private PublishOutcome decideOutcome(PublishRecord published) {
     if (published.checkedAgainst() != state.revision()) {
       return new PublishOutcome.Stale(state.revision());
     }
-    if (published.schema() <= understood()) {
-      Optional<Failure> failure = verdict(published);
+    if (published.schema() <= supportedSchema()) {
+      Optional<Failure> failure = validate(published);
       if (failure.isPresent()) {
         return new PublishOutcome.Invalid(failure.get().detail());
       }
@@ -108,12 +111,12 @@
     return new PublishOutcome.Accepted(state.revision() + 1);
   }
 
-  private Optional<Failure> verdict(PublishRecord published) {
+  private Optional<Failure> validate(PublishRecord published) {
     String file = published.file();
     Optional<Failure> failure = check.checkFile(file, file, published.content());
     boolean otherFilesSupported =
         state.schemas().entrySet().stream()
-            .allMatch(s -> s.getKey().equals(file) || s.getValue() <= understood());
+            .allMatch(s -> s.getKey().equals(file) || s.getValue() <= supportedSchema());
     // If another file has a newer schema, the merged configuration cannot be checked.
     if (failure.isPresent() || !otherFilesSupported) {
       return failure;
@@ -121,11 +124,11 @@
     return check.checkSites(file, file, state.files().with(file, published.content()));
   }
 
-  private static int understood() {
+  private static int supportedSchema() {
     return PublishRecord.CURRENT_SCHEMA;
   }
 
-  private static PublishedVersion version(
+  private static PublishedVersion toVersion(
       PublishRecord published, PublishOutcome.Accepted accepted) {
     return new PublishedVersion(
         accepted.revision(),
@@ -137,25 +140,27 @@
         Optional.of(published.content()));
   }
 
-  private void tellIfChanged(long before) {
+  private void notifyIfChanged(long before) {
     if (state.revisionInForce() != before) {
       listeners.forEach(listener -> listener.accept(state));
     }
   }
 
-  /** Returns a future for the outcome of a publish; must be called before its record is appended. */
-  CompletableFuture<PublishOutcome> expect(String publishId) {
-    return expected.computeIfAbsent(publishId, id -> new CompletableFuture<>());
+  /**
+   * Returns a future for the outcome of a publish; must be called before its record is appended.
+   */
+  CompletableFuture<PublishOutcome> expectOutcome(String publishId) {
+    return pendingOutcomes.computeIfAbsent(publishId, id -> new CompletableFuture<>());
   }
 
-  void forget(String publishId) {
-    expected.remove(publishId);
+  void cancelExpectedOutcome(String publishId) {
+    pendingOutcomes.remove(publishId);
   }
 
   /** The highest revision stays in force in a replaced history. */
   @Override
-  public NewHistory onNewHistory() {
-    return NewHistory.CARRY_OVER;
+  public HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.CARRY_OVER;
   }
 
   @Override
@@ -200,6 +205,6 @@
     }
     long before = state.revisionInForce();
     state = read.get();
-    tellIfChanged(before);
+    notifyIfChanged(before);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
@@ -66,53 +66,56 @@
   }
 
   /** Returns why a publish would be refused now, or empty. */
-  public Optional<Failure> verdict(PublishRequest request) {
-    return verdict(request, fold.state());
+  public Optional<Failure> validate(PublishRequest request) {
+    return validate(request, fold.state());
   }
 
   /**
    * Publishes a file.
    *
-   * @param deadlineNanos when to stop waiting, as a reading of the clock; the outcome is then unknown
-   * @return a future for the accepted publish, or a failure: {@code INVALID_CONTENT} names file, key
-   *     and rule, {@code CONFLICT} names the author of the conflicting publish, {@code
+   * @param deadlineNanos when to stop waiting, as a reading of the clock; the outcome is then
+   *     unknown
+   * @return a future for the accepted publish, or a failure: {@code INVALID_CONTENT} names file,
+   *     key and rule, {@code CONFLICT} names the author of the conflicting publish, {@code
    *     LOG_UNAVAILABLE} means that nothing was accepted, {@code LOG_OUTCOME_UNKNOWN} that the same
    *     publish may be repeated to learn the outcome
    */
-  public CompletableFuture<Result<Published>> publish(PublishRequest request, long deadlineNanos) {
+  public CompletableFuture<Result<PublishResult>> publish(
+      PublishRequest request, long deadlineNanos) {
     requireNonNull(request, "request");
     ConfigurationState state = fold.state();
     Optional<Failure> conflict = conflict(request, state);
-    if (conflict.isPresent() && !holds(state, request)) {
-      return CompletableFuture.completedFuture(refused(request, conflict.get()));
+    if (conflict.isPresent() && !hasContent(state, request)) {
+      return CompletableFuture.completedFuture(recordRefusal(request, conflict.get()));
     }
     long baseRevision = state.fileRevision(request.file());
     return attempt(request, baseRevision, deadlineNanos, 1);
   }
 
-  private CompletableFuture<Result<Published>> attempt(
+  private CompletableFuture<Result<PublishResult>> attempt(
       PublishRequest request, long baseRevision, long deadlineNanos, int attempts) {
     ConfigurationState state = fold.state();
-    if (holds(state, request)) {
+    if (hasContent(state, request)) {
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(state.revision(), false, attempts)));
+          Result.ok(new PublishResult(state.revision(), false, attempts)));
     }
     if (state.fileRevision(request.file()) != baseRevision) {
       return CompletableFuture.completedFuture(
-          refused(request, changedMeanwhile(request, state, baseRevision)));
+          recordRefusal(request, conflictFailure(request, state, baseRevision)));
     }
-    Optional<Failure> failure = verdict(request, state);
+    Optional<Failure> failure = validate(request, state);
     if (failure.isPresent()) {
-      return CompletableFuture.completedFuture(refused(request, failure.get()));
+      return CompletableFuture.completedFuture(recordRefusal(request, failure.get()));
     }
     long remaining = deadlineNanos - clock.nanos();
     if (remaining <= 0) {
-      return CompletableFuture.completedFuture(refused(request, tooManyRaces(request)));
+      return CompletableFuture.completedFuture(recordRefusal(request, contentionFailure(request)));
     }
     PublishRecord published = toRecord(request, state);
     return append(published, remaining)
         .thenComposeAsync(
-            result -> conclude(request, baseRevision, deadlineNanos, attempts, result), executor);
+            result -> handleOutcome(request, baseRevision, deadlineNanos, attempts, result),
+            executor);
   }
 
   /**
@@ -120,7 +123,7 @@
    * operator's earlier attempt whose response was lost may take effect between two reads of the
    * state, and must not be reported as a conflict with another author.
    */
-  private static boolean holds(ConfigurationState state, PublishRequest request) {
+  private static boolean hasContent(ConfigurationState state, PublishRequest request) {
     return state.files().content(request.file()).equals(Optional.of(request.content()));
   }
 
@@ -131,7 +134,7 @@
   private CompletableFuture<Result<PublishOutcome>> append(
       PublishRecord published, long remainingNanos) {
     String id = published.publishId();
-    CompletableFuture<PublishOutcome> outcome = fold.expect(id);
+    CompletableFuture<PublishOutcome> outcome = fold.expectOutcome(id);
     CompletableFuture<Result<PublishOutcome>> result = new CompletableFuture<>();
     outcome.thenAccept(decided -> result.complete(Result.ok(decided)));
     appender
@@ -139,16 +142,18 @@
         .whenComplete(
             (position, error) -> {
               if (error != null) {
-                result.complete(unknown("append failed: " + error));
+                result.complete(outcomeUnknown("append failed: " + error));
               } else if (position instanceof Result.Failed<Position> failed) {
                 result.complete(Result.failed(failed.failure()));
               } else {
-                resolveSkipped(id, position.value(), result);
+                resolveFromHistory(id, position.value(), result);
               }
             });
     result.completeOnTimeout(
-        unknown("record was not read back before the deadline"), remainingNanos, TimeUnit.NANOSECONDS);
-    result.whenComplete((decided, error) -> fold.forget(id));
+        outcomeUnknown("record was not read back before the deadline"),
+        remainingNanos,
+        TimeUnit.NANOSECONDS);
+    result.whenComplete((decided, error) -> fold.cancelExpectedOutcome(id));
     return result;
   }
 
@@ -156,7 +161,7 @@
    * Resolves the outcome of a record that the fold never applies because it restored a later state
    * from a peer. A publish that is not in the history of that state was not accepted.
    */
-  private void resolveSkipped(
+  private void resolveFromHistory(
       String id, Position position, CompletableFuture<Result<PublishOutcome>> result) {
     ConfigurationState state = fold.state();
     if (position.compareTo(state.nextPosition()) >= 0) {
@@ -171,30 +176,30 @@
     result.complete(Result.ok(outcome));
   }
 
-  private CompletableFuture<Result<Published>> conclude(
+  private CompletableFuture<Result<PublishResult>> handleOutcome(
       PublishRequest request,
       long baseRevision,
       long deadlineNanos,
       int attempts,
       Result<PublishOutcome> result) {
     if (result instanceof Result.Failed<PublishOutcome> failed) {
-      return CompletableFuture.completedFuture(refused(request, failed.failure()));
+      return CompletableFuture.completedFuture(recordRefusal(request, failed.failure()));
     }
     PublishOutcome outcome = result.value();
     if (outcome instanceof PublishOutcome.Accepted accepted) {
       String detail = request.file() + " in revision " + accepted.revision();
       events.record(Event.of(EventKind.CONFIGURATION_ACCEPTED).withDetail(detail));
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(accepted.revision(), true, attempts)));
+          Result.ok(new PublishResult(accepted.revision(), true, attempts)));
     }
     if (outcome instanceof PublishOutcome.Invalid invalid) {
       Failure failure = Failure.of(ErrorKind.INVALID_CONTENT, invalid.reason());
-      return CompletableFuture.completedFuture(refused(request, failure));
+      return CompletableFuture.completedFuture(recordRefusal(request, failure));
     }
     return attempt(request, baseRevision, deadlineNanos, attempts + 1);
   }
 
-  private Optional<Failure> verdict(PublishRequest request, ConfigurationState state) {
+  private Optional<Failure> validate(PublishRequest request, ConfigurationState state) {
     String file = request.file();
     Optional<Failure> failure = check.checkFile(file, file, request.content());
     if (failure.isPresent()) {
@@ -216,34 +221,39 @@
     boolean stale =
         request.expectedRevision().isPresent() && request.expectedRevision().getAsLong() != current;
     return stale
-        ? Optional.of(changedMeanwhile(request, state, request.expectedRevision().getAsLong()))
+        ? Optional.of(conflictFailure(request, state, request.expectedRevision().getAsLong()))
         : Optional.empty();
   }
 
-  private static Failure changedMeanwhile(
+  private static Failure conflictFailure(
       PublishRequest request, ConfigurationState state, long baseRevision) {
     String changedBy =
         state
             .fullHistory()
-            .lastOf(request.file())
+            .lastChangeOf(request.file())
             .map(last -> " by " + last.author() + " in revision " + last.revision())
             .orElse("");
     String detail =
-        request.file() + ": was changed" + changedBy + "; this publish was made from revision " + baseRevision;
+        request.file()
+            + ": was changed"
+            + changedBy
+            + "; this publish was made from revision "
+            + baseRevision;
     return Failure.of(ErrorKind.CONFLICT, detail);
   }
 
-  private static Failure tooManyRaces(PublishRequest request) {
+  private static Failure contentionFailure(PublishRequest request) {
     String detail = request.file() + ": concurrent publishes took precedence until the deadline";
     return new Failure(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS);
   }
 
-  private static Result<PublishOutcome> unknown(String reason) {
+  private static Result<PublishOutcome> outcomeUnknown(String reason) {
     return Result.failed(
-        ErrorKind.LOG_OUTCOME_UNKNOWN, reason + "; repeat the same publish, it takes effect at most once");
+        ErrorKind.LOG_OUTCOME_UNKNOWN,
+        reason + "; repeat the same publish, it takes effect at most once");
   }
 
-  private Result<Published> refused(PublishRequest request, Failure failure) {
+  private Result<PublishResult> recordRefusal(PublishRequest request, Failure failure) {
     String detail = request.file() + ": " + failure.kind().code() + ": " + failure.detail();
     events.record(Event.of(EventKind.CONFIGURATION_REFUSED).withDetail(detail));
     return Result.failed(failure);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishRecord.java
@@ -56,7 +56,8 @@
             && ConfigurationFiles.isName(node.path("file").asText())
             && node.path("content").isObject();
     if (!complete) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "log entry is not a publish of a configuration file");
+      return Result.failed(
+          ErrorKind.BAD_REQUEST, "log entry is not a publish of a configuration file");
     }
     return Result.ok(
         new PublishRecord(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Published.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishResult.java
@@ -5,6 +5,6 @@
  *
  * @param revision the revision to wait for: the created one, or the current one if nothing changed
  * @param changed false if the file already had this content
- * @param tries the number of appended records; more than one after conflicts with other files
+ * @param attempts the number of appended records; more than one after conflicts with other files
  */
-public record Published(long revision, boolean changed, int tries) {}
+public record PublishResult(long revision, boolean changed, int attempts) {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
@@ -23,19 +23,20 @@
  *
  * <p>An entry is complete when it has been read back. If the response to an append is lost, nothing
  * else is sent until a read has reached the end of the stream: entries that were not read back by
- * then are sent first in the next record. Readers drop duplicates ({@link WriterMarks}), so sending
- * again is safe even if that read was stale. The entry must precede later entries of this writer,
- * because readers would otherwise drop it as a duplicate.
+ * then are sent first in the next record. Readers drop duplicates ({@link WriterSequences}), so
+ * sending again is safe even if that read was stale. The entry must precede later entries of this
+ * writer, because readers would otherwise drop it as a duplicate.
  *
  * <p>The number of entries and their bytes are bounded. Not thread-safe; guarded by {@link
  * LogAppender}. Times are readings of its clock, in nanoseconds.
  */
 final class AppendQueue {
   /** An entry that has not completed yet. */
-  record Pending(String id, long sequence, byte[] encoded, long deadline, Outcome outcome) {}
+  record Pending(
+      String id, long sequence, byte[] encoded, long deadline, CompletionCallback outcome) {}
 
   /** Receives the result of an append. */
-  interface Outcome {
+  interface CompletionCallback {
     /** Called exactly once. */
     void complete(Result<Position> result);
   }
@@ -43,13 +44,13 @@
   /** Entries that share one log record. */
   record Batch(List<Pending> entries) {
     byte[] record() {
-      return RecordCodec.record(entries.stream().map(Pending::encoded).toList());
+      return RecordCodec.encodeRecord(entries.stream().map(Pending::encoded).toList());
     }
   }
 
   /** A result to pass to the callback without holding a lock. */
   record Completion(Pending entry, Result<Position> result) {
-    void tell() {
+    void notifyCallback() {
       entry.outcome().complete(result);
     }
   }
@@ -58,43 +59,50 @@
 
   private final AppendSettings settings;
   private final Backoff backoff;
-  private final Map<String, Pending> open = new LinkedHashMap<>();
+  private final Map<String, Pending> pendingById = new LinkedHashMap<>();
   private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-  private final Map<String, Pending> unresolved = new LinkedHashMap<>();
+  private final Map<String, Pending> unknownOutcomes = new LinkedHashMap<>();
 
   /** Ids of entries that may be in the log: sent, and not refused in every attempt. */
   private final Set<String> maybeStored = new HashSet<>();
 
   /** Entries whose first append is in flight; they are not stored if it is refused. */
-  private final List<Pending> underWay = new ArrayList<>();
+  private final List<Pending> firstAttempts = new ArrayList<>();
 
-  private int openBytes;
+  private int pendingBytes;
   private int batchLimit;
   private boolean inFlight;
-  private long nextTryAt = Long.MIN_VALUE;
+  private long nextAppendAt = Long.MIN_VALUE;
   private long earliestDeadline = Long.MAX_VALUE;
 
   AppendQueue(AppendSettings settings, Backoff backoff) {
     this.settings = settings;
-    this.batchLimit = settings.maxBatch();
+    this.batchLimit = settings.maxBatchEntries();
     this.backoff = backoff;
   }
 
   /** Accepts an entry, or returns why it is refused; a refused entry is never sent. */
   Optional<Failure> offer(Pending entry, long now) {
     int bytes = entry.encoded().length;
-    if (bytes + RecordCodec.overhead(1) > settings.maxBatchBytes()) {
-      return Optional.of(Failure.of(ErrorKind.BODY_TOO_LARGE, "log entry has " + bytes + " bytes, more than a record holds"));
+    if (bytes + RecordCodec.overheadBytes(1) > settings.maxBatchBytes()) {
+      return Optional.of(
+          Failure.of(
+              ErrorKind.BODY_TOO_LARGE,
+              "log entry has " + bytes + " bytes, more than a record holds"));
     }
-    if (backoff.failing() && entry.deadline() <= nextTryAt) {
-      return Optional.of(refusal("log is unavailable and the deadline is before the next append", nextTryAt - now));
+    if (backoff.isFailing() && entry.deadline() <= nextAppendAt) {
+      return Optional.of(
+          refusal(
+              "log is unavailable and the deadline is before the next append", nextAppendAt - now));
     }
-    if (open.size() >= settings.maxOpen() || openBytes + bytes > settings.maxOpenBytes()) {
+    if (pendingById.size() >= settings.maxPending()
+        || pendingBytes + bytes > settings.maxPendingBytes()) {
       long wait = TimeUnit.MILLISECONDS.toNanos(FULL_RETRY_MILLIS);
-      return Optional.of(refusal("append queue is full with " + open.size() + " entries", wait));
+      return Optional.of(
+          refusal("append queue is full with " + pendingById.size() + " entries", wait));
     }
-    open.put(entry.id(), entry);
-    openBytes += bytes;
+    pendingById.put(entry.id(), entry);
+    pendingBytes += bytes;
     waiting.add(entry);
     earliestDeadline = Math.min(earliestDeadline, entry.deadline());
     return Optional.empty();
@@ -107,18 +115,18 @@
 
   /** Returns the entries of the next record if an append is due. */
   Optional<Batch> takeBatch(long now) {
-    if (inFlight || !unresolved.isEmpty() || waiting.isEmpty() || now < nextTryAt) {
+    if (inFlight || !unknownOutcomes.isEmpty() || waiting.isEmpty() || now < nextAppendAt) {
       return Optional.empty();
     }
     List<Pending> entries = new ArrayList<>();
     int bytes = 0;
     while (!waiting.isEmpty() && entries.size() < batchLimit) {
-      if (!isOpen(waiting.peek())) {
+      if (!isPending(waiting.peek())) {
         waiting.poll();
         continue;
       }
       bytes += waiting.peek().encoded().length;
-      if (bytes + RecordCodec.overhead(entries.size() + 1) > settings.maxBatchBytes()) {
+      if (bytes + RecordCodec.overheadBytes(entries.size() + 1) > settings.maxBatchBytes()) {
         break;
       }
       entries.add(waiting.poll());
@@ -127,64 +135,64 @@
       return Optional.empty();
     }
     inFlight = true;
-    underWay.clear();
-    entries.stream().filter(entry -> maybeStored.add(entry.id())).forEach(underWay::add);
-    nextTryAt = now + TimeUnit.MILLISECONDS.toNanos(settings.paceMillis());
+    firstAttempts.clear();
+    entries.stream().filter(entry -> maybeStored.add(entry.id())).forEach(firstAttempts::add);
+    nextAppendAt = now + TimeUnit.MILLISECONDS.toNanos(settings.minIntervalMillis());
     return Optional.of(new Batch(entries));
   }
 
   /** Records the result of an append and returns the entries that completed by it. */
-  List<Completion> appended(Batch batch, Result<Long> result, long now) {
+  List<Completion> recordAppendResult(Batch batch, Result<Long> result, long now) {
     inFlight = false;
     if (!(result instanceof Result.Failed<Long> failed)) {
-      backoff.succeeded();
+      backoff.recordSuccess();
       return List.of();
     }
     return switch (failed.failure().kind()) {
       case LOG_UNAVAILABLE -> {
-        nextTryAt = now + backoff.failed();
-        underWay.forEach(entry -> maybeStored.remove(entry.id()));
-        putBack(batch.entries());
+        nextAppendAt = now + backoff.recordFailure();
+        firstAttempts.forEach(entry -> maybeStored.remove(entry.id()));
+        requeue(batch.entries());
         yield List.of();
       }
       case BODY_TOO_LARGE -> {
         if (batch.entries().size() > 1) {
           // The platform's limit is lower than configured; smaller batches may still fit.
           batchLimit = batch.entries().size() / 2;
-          underWay.forEach(entry -> maybeStored.remove(entry.id()));
-          putBack(batch.entries());
+          firstAttempts.forEach(entry -> maybeStored.remove(entry.id()));
+          requeue(batch.entries());
           yield List.of();
         }
         List<Completion> completions = new ArrayList<>();
         for (Pending entry : batch.entries()) {
-          finish(entry, Result.failed(failed.failure())).ifPresent(completions::add);
+          complete(entry, Result.failed(failed.failure())).ifPresent(completions::add);
         }
         yield completions;
       }
       default -> {
-        nextTryAt = now + backoff.failed();
+        nextAppendAt = now + backoff.recordFailure();
         batch.entries().stream()
-            .filter(this::isOpen)
-            .forEach(entry -> unresolved.put(entry.id(), entry));
+            .filter(this::isPending)
+            .forEach(entry -> unknownOutcomes.put(entry.id(), entry));
         yield List.of();
       }
     };
   }
 
   /** Records that the follower read an entry that is not a duplicate. */
-  Optional<Completion> readBack(String id, Position position) {
-    Pending entry = open.get(id);
-    return entry == null ? Optional.empty() : finish(entry, Result.ok(position));
+  Optional<Completion> recordReadBack(String id, Position position) {
+    Pending entry = pendingById.get(id);
+    return entry == null ? Optional.empty() : complete(entry, Result.ok(position));
   }
 
   /**
    * Records that a read reached the end of the stream. Entries of unknown outcome that it did not
    * return are sent again.
    */
-  void reachedEnd() {
-    if (!unresolved.isEmpty()) {
-      putBack(List.copyOf(unresolved.values()));
-      unresolved.clear();
+  void recordEndOfStream() {
+    if (!unknownOutcomes.isEmpty()) {
+      requeue(List.copyOf(unknownOutcomes.values()));
+      unknownOutcomes.clear();
     }
   }
 
@@ -192,13 +200,14 @@
    * Records that the follower restored a snapshot that covers the entries of this writer up to a
    * sequence number. Their outcome is unknown, because they were not read one by one.
    */
-  List<Completion> passed(long sequence) {
+  List<Completion> recordSkippedThrough(long sequence) {
     List<Completion> completions = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (entry.sequence() <= sequence) {
         Failure unknown =
-            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "skipped by a snapshot before it was read back");
-        finish(entry, Result.failed(unknown)).ifPresent(completions::add);
+            Failure.of(
+                ErrorKind.LOG_OUTCOME_UNKNOWN, "skipped by a snapshot before it was read back");
+        complete(entry, Result.failed(unknown)).ifPresent(completions::add);
       }
     }
     return completions;
@@ -210,11 +219,13 @@
    */
   List<Completion> historyReplaced() {
     List<Completion> completions = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (maybeStored.contains(entry.id())) {
         Failure unknown =
-            Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "history of the stream was replaced before the entry was read back");
-        finish(entry, Result.failed(unknown)).ifPresent(completions::add);
+            Failure.of(
+                ErrorKind.LOG_OUTCOME_UNKNOWN,
+                "history of the stream was replaced before the entry was read back");
+        complete(entry, Result.failed(unknown)).ifPresent(completions::add);
       }
     }
     return completions;
@@ -227,63 +238,64 @@
     }
     List<Completion> completions = new ArrayList<>();
     earliestDeadline = Long.MAX_VALUE;
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (entry.deadline() <= now) {
-        finish(entry, Result.failed(late(entry, now))).ifPresent(completions::add);
+        complete(entry, Result.failed(timeoutFailure(entry, now))).ifPresent(completions::add);
       } else {
         earliestDeadline = Math.min(earliestDeadline, entry.deadline());
       }
     }
-    waiting.removeIf(entry -> !isOpen(entry));
+    waiting.removeIf(entry -> !isPending(entry));
     return completions;
   }
 
-  private Failure late(Pending entry, long now) {
+  private Failure timeoutFailure(Pending entry, long now) {
     // An entry that may be stored can still take effect; any other is not sent any more.
     return !maybeStored.contains(entry.id())
-        ? refusal("log did not confirm the entry before its deadline", Math.max(0, nextTryAt - now))
+        ? refusal(
+            "log did not confirm the entry before its deadline", Math.max(0, nextAppendAt - now))
         : Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "entry was not read back before its deadline");
   }
 
   /** Fails all entries, for a graceful shutdown. */
-  List<Completion> giveUp(long now) {
+  List<Completion> failAll(long now) {
     List<Completion> completions = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
-      finish(entry, Result.failed(late(entry, now))).ifPresent(completions::add);
+    for (Pending entry : List.copyOf(pendingById.values())) {
+      complete(entry, Result.failed(timeoutFailure(entry, now))).ifPresent(completions::add);
     }
     return completions;
   }
 
   /** Returns when {@link #takeBatch} or {@link #expire} is due next, or {@link Long#MAX_VALUE}. */
-  long nextWake() {
-    boolean ready = !inFlight && unresolved.isEmpty() && !waiting.isEmpty();
-    return Math.min(earliestDeadline, ready ? nextTryAt : Long.MAX_VALUE);
+  long nextWakeAt() {
+    boolean ready = !inFlight && unknownOutcomes.isEmpty() && !waiting.isEmpty();
+    return Math.min(earliestDeadline, ready ? nextAppendAt : Long.MAX_VALUE);
   }
 
   /** Returns the number of entries that have not completed. */
   int size() {
-    return open.size();
+    return pendingById.size();
   }
 
-  private boolean isOpen(Pending entry) {
-    return open.containsKey(entry.id());
+  private boolean isPending(Pending entry) {
+    return pendingById.containsKey(entry.id());
   }
 
-  private void putBack(List<Pending> entries) {
+  private void requeue(List<Pending> entries) {
     for (int i = entries.size() - 1; i >= 0; i--) {
-      if (isOpen(entries.get(i))) {
+      if (isPending(entries.get(i))) {
         waiting.addFirst(entries.get(i));
       }
     }
   }
 
-  private Optional<Completion> finish(Pending entry, Result<Position> result) {
-    if (open.remove(entry.id()) == null) {
+  private Optional<Completion> complete(Pending entry, Result<Position> result) {
+    if (pendingById.remove(entry.id()) == null) {
       return Optional.empty();
     }
-    openBytes -= entry.encoded().length;
+    pendingBytes -= entry.encoded().length;
     maybeStored.remove(entry.id());
-    unresolved.remove(entry.id());
+    unknownOutcomes.remove(entry.id());
     return Optional.of(new Completion(entry, result));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
@@ -16,8 +16,8 @@
 public final class Backoff {
   private static final int MAX_DOUBLINGS = 30;
 
-  private final long firstNanos;
-  private final long limitNanos;
+  private final long initialNanos;
+  private final long maxNanos;
   private final RandomGenerator random;
   private int failures;
 
@@ -30,28 +30,29 @@
    */
   public Backoff(long firstNanos, long limitNanos, RandomGenerator random) {
     checkArgument(firstNanos > 1, "initialNanos is not above 1: %s", firstNanos);
-    checkArgument(limitNanos >= firstNanos, "maxNanos %s is below initialNanos %s", limitNanos, firstNanos);
-    this.firstNanos = firstNanos;
-    this.limitNanos = limitNanos;
+    checkArgument(
+        limitNanos >= firstNanos, "maxNanos %s is below initialNanos %s", limitNanos, firstNanos);
+    this.initialNanos = firstNanos;
+    this.maxNanos = limitNanos;
     this.random = requireNonNull(random, "random");
   }
 
   /** Records a failure and returns the delay before the next attempt, in nanoseconds. */
-  public long failed() {
+  public long recordFailure() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
-    boolean atLimit = firstNanos > limitNanos >> doublings;
-    long rangeNanos = atLimit ? limitNanos : firstNanos << doublings;
+    boolean atLimit = initialNanos > maxNanos >> doublings;
+    long rangeNanos = atLimit ? maxNanos : initialNanos << doublings;
     return random.nextLong(rangeNanos / 2, rangeNanos + 1);
   }
 
   /** Records a success, which resets the delay. */
-  public void succeeded() {
+  public void recordSuccess() {
     failures = 0;
   }
 
   /** Returns whether the last attempt failed. */
-  public boolean failing() {
+  public boolean isFailing() {
     return failures > 0;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
@@ -25,19 +25,21 @@
   void restore(JsonNode snapshot);
 
   /** Returns how to proceed when the history of the stream has been replaced. */
-  default NewHistory onNewHistory() {
-    return NewHistory.HALT;
+  default HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.HALT;
   }
 
   /**
-   * Called when offsets restart in a replaced history, only under {@link NewHistory#READ_ON} and
-   * {@link NewHistory#CARRY_OVER}. The state stays.
+   * Called when offsets restart in a replaced history, only under {@link
+   * HistoryReplacementPolicy#READ_ON} and {@link HistoryReplacementPolicy#CARRY_OVER}. The state
+   * stays.
    */
   default void beginNewHistory() {}
 
   /**
    * Returns a number that never decreases as entries are applied, also across histories of the
-   * stream, or 0. Under {@link NewHistory#CARRY_OVER} the state with the highest revision wins.
+   * stream, or 0. Under {@link HistoryReplacementPolicy#CARRY_OVER} the state with the highest
+   * revision wins.
    */
   default long revision() {
     return 0;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/NewHistory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/HistoryReplacementPolicy.java
@@ -4,7 +4,7 @@
  * How a reader proceeds when the history of its stream has been replaced: other records are stored
  * at the offsets that it has read.
  */
-public enum NewHistory {
+public enum HistoryReplacementPolicy {
   /**
    * Reads the new history from its beginning and keeps the state. For streams whose entries are
    * appended periodically, so that outdated state expires.
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
@@ -30,7 +30,7 @@
 public final class LogAppender implements AutoCloseable {
   private final LogService log;
   private final StreamFollower follower;
-  private final EntryIds ids;
+  private final EntryIdGenerator ids;
   private final AppendSettings settings;
   private final MonotonicClock clock;
   private final AppendQueue queue;
@@ -41,7 +41,7 @@
   /**
    * Completions of entries in the page that is being applied; used by the follower's thread only.
    */
-  private final List<Completion> readBack = new ArrayList<>();
+  private final List<Completion> pendingCompletions = new ArrayList<>();
 
   private boolean closed;
 
@@ -58,7 +58,7 @@
   public LogAppender(
       LogService log,
       StreamFollower follower,
-      EntryIds ids,
+      EntryIdGenerator ids,
       AppendSettings settings,
       MonotonicClock clock,
       RandomGenerator random) {
@@ -69,13 +69,13 @@
     this.clock = requireNonNull(clock, "clock");
     Backoff backoff =
         new Backoff(
-            TimeUnit.MILLISECONDS.toNanos(settings.retryFirstMillis()),
-            TimeUnit.MILLISECONDS.toNanos(settings.retryLimitMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.initialBackoffMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.maxBackoffMillis()),
             random);
     this.queue = new AppendQueue(settings, backoff);
     this.thread = new Thread(this::run, "append-" + follower.stream());
     thread.setDaemon(true);
-    follower.addListener(new ReadBack());
+    follower.addListener(new FollowerListener());
   }
 
   /** Starts the appender's thread. */
@@ -83,9 +83,9 @@
     thread.start();
   }
 
-  /** Appends an entry with the timeout {@link AppendSettings#keepMillis}. */
+  /** Appends an entry with the timeout {@link AppendSettings#entryTimeoutMillis}. */
   public CompletableFuture<Result<Position>> append(String type, JsonNode body) {
-    long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.keepMillis());
+    long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(settings.entryTimeoutMillis());
     return append(type, body, clock.nanos() + timeoutNanos);
   }
 
@@ -118,8 +118,8 @@
       Pending entry =
           new Pending(
               id,
-              EntryIds.parse(id).orElseThrow().sequence(),
-              RecordCodec.entry(id, type, body),
+              EntryIdGenerator.parse(id).orElseThrow().sequence(),
+              RecordCodec.encodeEntry(id, type, body),
               deadline,
               future::complete);
       refusal = queue.offer(entry, clock.nanos());
@@ -138,12 +138,12 @@
   }
 
   /** Returns the common prefix of this appender's entry ids. */
-  String writer() {
-    return ids.writer();
+  String writerId() {
+    return ids.writerId();
   }
 
   /** Returns the number of entries that have not completed. */
-  public int size() {
+  public int pendingCount() {
     lock.lock();
     try {
       return queue.size();
@@ -152,20 +152,23 @@
     }
   }
 
-  /** Stops the appender. Pending entries complete with a failure that says whether they may be stored. */
+  /**
+   * Stops the appender. Pending entries complete with a failure that says whether they may be
+   * stored.
+   */
   @Override
   public void close() {
     List<Completion> completions;
     lock.lock();
     try {
       closed = true;
-      completions = queue.giveUp(clock.nanos());
+      completions = queue.failAll(clock.nanos());
       changed.signalAll();
     } finally {
       lock.unlock();
     }
     thread.interrupt();
-    completions.forEach(Completion::tell);
+    completions.forEach(Completion::notifyCallback);
   }
 
   private void run() {
@@ -188,13 +191,13 @@
       } finally {
         lock.unlock();
       }
-      expired.forEach(Completion::tell);
+      expired.forEach(Completion::notifyCallback);
       batch.ifPresent(this::send);
     }
   }
 
   private void awaitWake(long now) throws InterruptedException {
-    long wake = queue.nextWake();
+    long wake = queue.nextWakeAt();
     if (wake == Long.MAX_VALUE) {
       changed.await();
     } else if (wake > now) {
@@ -213,21 +216,21 @@
     List<Completion> completions;
     lock.lock();
     try {
-      completions = queue.appended(batch, result, clock.nanos());
+      completions = queue.recordAppendResult(batch, result, clock.nanos());
     } finally {
       lock.unlock();
     }
-    completions.forEach(Completion::tell);
+    completions.forEach(Completion::notifyCallback);
   }
 
   /** Completes entries as the follower reads them. */
-  private final class ReadBack implements StreamListener {
+  private final class FollowerListener implements StreamListener {
     @Override
-    public void applied(LogEntry entry) {
-      if (entry.id().startsWith(ids.writer() + "/")) {
+    public void entryApplied(LogEntry entry) {
+      if (entry.id().startsWith(ids.writerId() + "/")) {
         lock.lock();
         try {
-          queue.readBack(entry.id(), entry.position()).ifPresent(readBack::add);
+          queue.recordReadBack(entry.id(), entry.position()).ifPresent(pendingCompletions::add);
         } finally {
           lock.unlock();
         }
@@ -236,20 +239,21 @@
 
     @Override
     public void restored(StreamSnapshot snapshot) {
-      long sequence = WriterMarks.fromJson(snapshot.writers()).of(ids.writer());
+      long sequence =
+          WriterSequences.fromJson(snapshot.writerSequences()).lastSequence(ids.writerId());
       lock.lock();
       try {
-        readBack.addAll(queue.passed(sequence));
+        pendingCompletions.addAll(queue.recordSkippedThrough(sequence));
       } finally {
         lock.unlock();
       }
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
       lock.lock();
       try {
-        readBack.addAll(queue.historyReplaced());
+        pendingCompletions.addAll(queue.historyReplaced());
       } finally {
         lock.unlock();
       }
@@ -258,13 +262,13 @@
     @Override
     public void pageApplied(StreamStatus status) {
       // Completed after the page, so that the follower has applied the entry for any waiter.
-      List<Completion> completions = List.copyOf(readBack);
-      readBack.clear();
-      completions.forEach(Completion::tell);
+      List<Completion> completions = List.copyOf(pendingCompletions);
+      pendingCompletions.clear();
+      completions.forEach(Completion::notifyCallback);
       if (status.caughtUp()) {
         lock.lock();
         try {
-          queue.reachedEnd();
+          queue.recordEndOfStream();
           changed.signalAll();
         } finally {
           lock.unlock();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
@@ -8,7 +8,7 @@
  * One entry of a stream, at the position where it takes effect.
  *
  * @param position the position in the stream
- * @param id the id assigned by its writer; see {@link EntryIds}
+ * @param id the id assigned by its writer; see {@link EntryIdGenerator}
  * @param type the entry type, interpreted by the fold
  * @param body the content; not copied, must not be changed
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogService.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogService.java
@@ -20,8 +20,8 @@
   Result<Long> append(String stream, byte[] record);
 
   /**
-   * Reads records in order, starting at an offset. Returns an empty page if none is available within
-   * the wait.
+   * Reads records in order, starting at an offset. Returns an empty page if none is available
+   * within the wait.
    *
    * @param stream the stream's name
    * @param fromOffset the first offset to read
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamAnchors.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecentRecordHashes.java
@@ -12,45 +12,45 @@
  * entries carry ids that are never reused. Keeps at most {@value #KEPT} records. Confined to one
  * thread.
  */
-final class StreamAnchors {
+final class RecentRecordHashes {
   /** Result of comparing a record with the one read before at its offset. */
   enum Match {
     /** The same record was read at this offset. */
     SAME,
     /** A different record was read at this offset. */
-    OTHER,
+    DIFFERENT,
     /** No hash is kept for this offset. */
     UNKNOWN
   }
 
-  static final int KEPT = 4_096;
+  static final int CAPACITY = 4_096;
 
   private static final HashFunction HASH = Hashing.sipHash24();
 
-  private final long[] offsets = new long[KEPT];
-  private final long[] hashes = new long[KEPT];
+  private final long[] offsets = new long[CAPACITY];
+  private final long[] hashes = new long[CAPACITY];
 
-  StreamAnchors() {
+  RecentRecordHashes() {
     clear();
   }
 
   /** Adds the record's hash. */
-  void remember(LogRecord record) {
+  void add(LogRecord record) {
     int slot = slot(record.offset());
     offsets[slot] = record.offset();
     hashes[slot] = hash(record);
   }
 
   /** Returns whether a hash is kept for the offset. */
-  boolean knows(long offset) {
+  boolean contains(long offset) {
     return offset >= 0 && offsets[slot(offset)] == offset;
   }
 
   Match compare(LogRecord record) {
-    if (!knows(record.offset())) {
+    if (!contains(record.offset())) {
       return Match.UNKNOWN;
     }
-    return hashes[slot(record.offset())] == hash(record) ? Match.SAME : Match.OTHER;
+    return hashes[slot(record.offset())] == hash(record) ? Match.SAME : Match.DIFFERENT;
   }
 
   /** Removes all hashes. */
@@ -59,7 +59,7 @@
   }
 
   private static int slot(long offset) {
-    return (int) (offset % KEPT);
+    return (int) (offset % CAPACITY);
   }
 
   private static long hash(LogRecord record) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
@@ -1,10 +1,10 @@
 package io.marigoldsail.log;
 
+import io.marigoldsail.log.RecentRecordHashes.Match;
 import io.marigoldsail.log.RecordCodec.Decoded;
-import io.marigoldsail.log.RecordCodec.Raw;
-import io.marigoldsail.log.RecordCodec.Skip;
-import io.marigoldsail.log.SnapshotParts.Seen;
-import io.marigoldsail.log.StreamAnchors.Match;
+import io.marigoldsail.log.RecordCodec.RawEntry;
+import io.marigoldsail.log.RecordCodec.SkipReason;
+import io.marigoldsail.log.SnapshotParts.PartResult;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Optional;
@@ -17,11 +17,11 @@
   /** Notified of skipped records, for logging. */
   interface SkipObserver {
     /** Called for each skipped record or entry; the count includes it. */
-    void skipped(long offset, Skip reason, long count);
+    void skipped(long offset, SkipReason reason, long count);
   }
 
   /** How the next read is made. */
-  enum NextRead {
+  enum ReadMode {
     /** Records from an offset whose predecessor is unknown. */
     BEGIN,
     /**
@@ -54,41 +54,41 @@
   }
 
   /** Consecutive waits on an empty stream after which its history counts as replaced. */
-  private static final int EMPTY_WAITS = 3;
+  private static final int MAX_EMPTY_WAITS = 3;
 
   /** Number of new records in a read from which the next read is made without waiting. */
-  private static final int BUSY_RECORDS = 2;
+  private static final int BUSY_STREAM_RECORDS = 2;
 
   private final Fold fold;
   private final StreamListener listener;
   private final SkipObserver skipObserver;
   private final SnapshotParts parts = new SnapshotParts();
-  private final Map<Skip, Long> skips = new EnumMap<>(Skip.class);
-  private WriterMarks marks = new WriterMarks();
-  private long applied;
+  private final Map<SkipReason, Long> skips = new EnumMap<>(SkipReason.class);
+  private WriterSequences writerSequences = new WriterSequences();
+  private long appliedOffset;
   private long nextOffset;
-  private long end;
+  private long endOffset;
   private long firstOffset;
-  private boolean seeking;
-  private final StreamAnchors anchors = new StreamAnchors();
+  private boolean seekingSnapshot;
+  private final RecentRecordHashes recentHashes = new RecentRecordHashes();
 
   /** The end reported by a page if it is below the records already read; otherwise 0. */
-  private long lowerEnd;
+  private long lowerEndOffset;
 
   private int emptyWaits;
   private boolean idle;
-  private boolean alone;
-  private boolean halted;
-  private boolean soughtBeforeHalt;
-  private boolean carrying;
-  private boolean ahead;
-  private long histories;
+  private boolean withoutPredecessor;
+  private boolean isHalted;
+  private boolean seekingBeforeHalt;
+  private boolean carryingOver;
+  private boolean aheadOfSnapshot;
+  private long historyReplacementCount;
 
-  private final boolean beginAnew;
+  private final boolean startEmptyAfterExpiry;
 
   StreamCursor(Fold fold, boolean beginAnew, StreamListener listener, SkipObserver skipObserver) {
     this.fold = fold;
-    this.beginAnew = beginAnew;
+    this.startEmptyAfterExpiry = beginAnew;
     this.listener = listener;
     this.skipObserver = skipObserver;
   }
@@ -99,65 +99,67 @@
   }
 
   /** Returns how the next read is made. */
-  NextRead nextRead() {
-    if (halted) {
-      return NextRead.COMPARE_LAST;
+  ReadMode nextReadMode() {
+    if (isHalted) {
+      return ReadMode.COMPARE_LAST;
     }
-    if (lowerEnd > 0 && !idle) {
-      return NextRead.COMPARE_LOWER_END;
+    if (lowerEndOffset > 0 && !idle) {
+      return ReadMode.COMPARE_LOWER_END;
     }
     if (idle) {
-      return NextRead.AWAIT;
+      return ReadMode.AWAIT;
     }
-    return anchors.knows(nextOffset - 1) && !alone ? NextRead.CONTINUE : NextRead.BEGIN;
+    return recentHashes.contains(nextOffset - 1) && !withoutPredecessor
+        ? ReadMode.CONTINUE
+        : ReadMode.BEGIN;
   }
 
   /** Returns the first offset of a read. */
-  long offsetOf(NextRead read) {
+  long offsetOf(ReadMode read) {
     return switch (read) {
       case BEGIN, AWAIT -> nextOffset;
       case CONTINUE, COMPARE_LAST -> nextOffset - 1;
-      case COMPARE_LOWER_END -> lowerEnd - 1;
+      case COMPARE_LOWER_END -> lowerEndOffset - 1;
     };
   }
 
   /** Processes the response to a read. */
-  void accept(NextRead read, LogPage page) {
-    if (read == NextRead.AWAIT && !page.records().isEmpty()) {
+  void accept(ReadMode read, LogPage page) {
+    if (read == ReadMode.AWAIT && !page.records().isEmpty()) {
       // The new record may belong to another history; it is read again with its predecessor.
       idle = false;
-      end = Math.max(end, page.nextOffset());
+      endOffset = Math.max(endOffset, page.nextOffset());
       return;
     }
-    emptyWaits = read == NextRead.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
-    if (emptyWaits >= EMPTY_WAITS && nextOffset > 0) {
+    emptyWaits = read == ReadMode.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
+    if (emptyWaits >= MAX_EMPTY_WAITS && nextOffset > 0) {
       // There is no record to compare with, and appends must not continue before the replacement is
       // reported. A replica that is empty only for a while is harmless: its records are read again.
-      replaced(page, "stream is empty");
+      replaceHistory(page, "stream is empty");
       idle = false;
       return;
     }
     long before = nextOffset;
     accept(page);
-    if (read == NextRead.COMPARE_LOWER_END) {
-      lowerEnd = 0;
+    if (read == ReadMode.COMPARE_LOWER_END) {
+      lowerEndOffset = 0;
       idle = true;
       return;
     }
     long newRecords = nextOffset - before;
-    boolean atEnd = lowerEnd == 0 && nextOffset >= page.nextOffset();
-    idle = atEnd && newRecords < BUSY_RECORDS;
+    boolean atEnd = lowerEndOffset == 0 && nextOffset >= page.nextOffset();
+    idle = atEnd && newRecords < BUSY_STREAM_RECORDS;
     // The next record may be too large for a page that also contains its predecessor.
-    alone = read == NextRead.CONTINUE && !atEnd && newRecords == 0;
+    withoutPredecessor = read == ReadMode.CONTINUE && !atEnd && newRecords == 0;
   }
 
   /** Returns whether reading is halted until the former history is back. */
-  boolean halted() {
-    return halted;
+  boolean isHalted() {
+    return isHalted;
   }
 
   /** Records a failed read; after an outage the history may have been replaced. */
-  void failed() {
+  void recordReadFailure() {
     idle = false;
   }
 
@@ -166,110 +168,113 @@
    * read there.
    */
   void accept(LogPage page) {
-    if (halted) {
+    if (isHalted) {
       compareHalted(page);
       return;
     }
     for (LogRecord record : page.records()) {
-      if (record.offset() < nextOffset && anchors.compare(record) == Match.OTHER) {
-        replaced(page, "record at offset " + record.offset() + " differs from the one read");
+      if (record.offset() < nextOffset && recentHashes.compare(record) == Match.DIFFERENT) {
+        replaceHistory(page, "record at offset " + record.offset() + " differs from the one read");
         return;
       }
     }
     if (page.nextOffset() > 0 && page.nextOffset() < firstOffset) {
       // A replica never lags by more than the retention.
-      replaced(page, "stream ends at " + page.nextOffset() + ", before retained offset " + firstOffset);
+      replaceHistory(
+          page, "stream ends at " + page.nextOffset() + ", before retained offset " + firstOffset);
       return;
     }
-    lowerEnd = page.nextOffset() < nextOffset ? page.nextOffset() : 0;
+    lowerEndOffset = page.nextOffset() < nextOffset ? page.nextOffset() : 0;
     firstOffset = Math.max(firstOffset, page.firstOffset());
-    end = page.nextOffset();
+    endOffset = page.nextOffset();
     if (page.firstOffset() > nextOffset) {
-      expiredUnread();
+      skipExpiredRecords();
     }
     for (LogRecord record : page.records()) {
       if (record.offset() != nextOffset) {
         continue;
       }
       nextOffset++;
-      anchors.remember(record);
-      if (readRecord(record)) {
+      recentHashes.add(record);
+      if (applyRecord(record)) {
         // A snapshot was restored; reading continues at its offset.
         return;
       }
     }
-    if (!seeking) {
-      applied = nextOffset;
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
   }
 
   private void compareHalted(LogPage page) {
     for (LogRecord record : page.records()) {
-      if (record.offset() == nextOffset - 1 && anchors.compare(record) == Match.SAME) {
-        halted = false;
-        seeking = soughtBeforeHalt;
+      if (record.offset() == nextOffset - 1 && recentHashes.compare(record) == Match.SAME) {
+        isHalted = false;
+        seekingSnapshot = seekingBeforeHalt;
         listener.historyReturned();
       }
     }
   }
 
-  private void replaced(LogPage page, String detail) {
-    histories++;
-    lowerEnd = 0;
-    NewHistory reaction = fold.onNewHistory();
-    if (reaction == NewHistory.HALT) {
-      halted = true;
-      soughtBeforeHalt = seeking;
-      seeking = true;
+  private void replaceHistory(LogPage page, String detail) {
+    historyReplacementCount++;
+    lowerEndOffset = 0;
+    HistoryReplacementPolicy reaction = fold.historyReplacementPolicy();
+    if (reaction == HistoryReplacementPolicy.HALT) {
+      isHalted = true;
+      seekingBeforeHalt = seekingSnapshot;
+      seekingSnapshot = true;
     } else {
       beginNewHistory(page, reaction);
     }
     listener.historyReplaced(reaction, detail);
   }
 
-  private void beginNewHistory(LogPage page, NewHistory reaction) {
+  private void beginNewHistory(LogPage page, HistoryReplacementPolicy reaction) {
     fold.beginNewHistory();
-    marks = new WriterMarks();
-    anchors.clear();
+    writerSequences = new WriterSequences();
+    recentHashes.clear();
     parts.clear();
     firstOffset = page.firstOffset();
     nextOffset = firstOffset;
-    applied = firstOffset;
-    end = page.nextOffset();
-    carrying = reaction == NewHistory.CARRY_OVER && fold.revision() > 0;
-    seeking = carrying || (reaction == NewHistory.CARRY_OVER && firstOffset > 0);
-    ahead = false;
+    appliedOffset = firstOffset;
+    endOffset = page.nextOffset();
+    carryingOver = reaction == HistoryReplacementPolicy.CARRY_OVER && fold.revision() > 0;
+    seekingSnapshot =
+        carryingOver || (reaction == HistoryReplacementPolicy.CARRY_OVER && firstOffset > 0);
+    aheadOfSnapshot = false;
   }
 
-  private void expiredUnread() {
+  private void skipExpiredRecords() {
     nextOffset = firstOffset;
     parts.clear();
-    // Continuing with this state would miss the expired records and diverge from other readers. Only
+    // Continuing with this state would miss the expired records and diverge from other readers.
+    // Only
     // an operator can decide that they held no state.
-    seeking = !(beginAnew && applied == 0);
-    if (!seeking) {
-      applied = nextOffset;
+    seekingSnapshot = !(startEmptyAfterExpiry && appliedOffset == 0);
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
   }
 
   /** Applies a record and returns whether a snapshot was restored. */
-  private boolean readRecord(LogRecord record) {
+  private boolean applyRecord(LogRecord record) {
     Decoded decoded = RecordCodec.decode(record.bytes());
-    decoded.skips().forEach(reason -> skip(record.offset(), reason));
-    for (Raw raw : decoded.entries()) {
-      boolean counts = seeking || marks.accept(raw.parts());
+    decoded.skips().forEach(reason -> recordSkip(record.offset(), reason));
+    for (RawEntry raw : decoded.entries()) {
+      boolean counts = seekingSnapshot || writerSequences.accept(raw.parts());
       if (raw.type().equals(SnapshotParts.TYPE)) {
-        if (readSnapshotPart(raw)) {
+        if (addSnapshotPart(raw)) {
           return true;
         }
-      } else if (!seeking && counts) {
+      } else if (!seekingSnapshot && counts) {
         apply(
             new LogEntry(
                 new Position(record.offset(), raw.index()), raw.id(), raw.type(), raw.body()));
       }
     }
-    if (!seeking) {
-      applied = nextOffset;
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
     return false;
   }
@@ -279,46 +284,48 @@
       fold.apply(entry);
     } catch (RuntimeException e) {
       // One entry on which the fold fails must not stop the stream in all processes.
-      skip(entry.position().offset(), Skip.REFUSED_BY_FOLD);
+      recordSkip(entry.position().offset(), SkipReason.REFUSED_BY_FOLD);
     }
-    listener.applied(entry);
+    listener.entryApplied(entry);
   }
 
-  private boolean readSnapshotPart(Raw raw) {
-    boolean keep = seeking || fold.onNewHistory() == NewHistory.CARRY_OVER;
-    Optional<Seen> seen = parts.add(raw.body(), keep);
+  private boolean addSnapshotPart(RawEntry raw) {
+    boolean keep =
+        seekingSnapshot || fold.historyReplacementPolicy() == HistoryReplacementPolicy.CARRY_OVER;
+    Optional<PartResult> seen = parts.add(raw.body(), keep);
     if (seen.isEmpty()) {
       return false;
     }
-    listener.sawSnapshotPart();
+    listener.snapshotPartRead();
     if (!seen.get().complete()) {
       return false;
     }
-    listener.sawSnapshot(seen.get().through());
-    return seen.get().snapshot().map(this::consider).orElse(false);
+    listener.snapshotRead(seen.get().nextOffset());
+    return seen.get().snapshot().map(this::restoreIfNewer).orElse(false);
   }
 
-  private boolean consider(StreamSnapshot snapshot) {
+  private boolean restoreIfNewer(StreamSnapshot snapshot) {
     long snapshotRevision = fold.revisionOf(snapshot.state());
-    ahead = ahead && fold.revision() > snapshotRevision;
-    // Within one history a snapshot is never newer than a reader that has passed it; a newer one was
+    aheadOfSnapshot = aheadOfSnapshot && fold.revision() > snapshotRevision;
+    // Within one history a snapshot is never newer than a reader that has passed it; a newer one
+    // was
     // carried over from the former history.
-    boolean later = snapshotRevision > fold.revision() && snapshot.through() >= firstOffset;
-    if (!usable(snapshot) && !later) {
+    boolean later = snapshotRevision > fold.revision() && snapshot.nextOffset() >= firstOffset;
+    if (!isUsable(snapshot) && !later) {
       return false;
     }
     boolean newerThanSnapshot = fold.revision() > snapshotRevision;
     if (!restore(snapshot)) {
       return false;
     }
-    ahead = newerThanSnapshot;
+    aheadOfSnapshot = newerThanSnapshot;
     return true;
   }
 
-  private boolean usable(StreamSnapshot snapshot) {
+  private boolean isUsable(StreamSnapshot snapshot) {
     // A snapshot from before the retained records leaves a gap. Any other is newer than this state,
     // because a reader looks for a snapshot only after records expired unread.
-    return seeking && snapshot.through() >= firstOffset;
+    return seekingSnapshot && snapshot.nextOffset() >= firstOffset;
   }
 
   /**
@@ -328,18 +335,18 @@
    */
   boolean restore(StreamSnapshot snapshot) {
     try {
-      WriterMarks restored = WriterMarks.fromJson(snapshot.writers());
+      WriterSequences restored = WriterSequences.fromJson(snapshot.writerSequences());
       listener.restoring();
       fold.restore(snapshot.state());
-      marks = restored;
+      writerSequences = restored;
     } catch (RuntimeException e) {
-      skip(snapshot.through(), Skip.REFUSED_BY_FOLD);
+      recordSkip(snapshot.nextOffset(), SkipReason.REFUSED_BY_FOLD);
       return false;
     }
-    nextOffset = snapshot.through();
-    applied = snapshot.through();
-    seeking = false;
-    carrying = false;
+    nextOffset = snapshot.nextOffset();
+    appliedOffset = snapshot.nextOffset();
+    seekingSnapshot = false;
+    carryingOver = false;
     parts.clear();
     listener.restored(snapshot);
     return true;
@@ -347,27 +354,27 @@
 
   /** Returns the current state. */
   StreamSnapshot snapshot() {
-    long through = carrying ? nextOffset : applied;
-    return new StreamSnapshot(through, marks.toJson(), fold.snapshot());
+    long through = carryingOver ? nextOffset : appliedOffset;
+    return new StreamSnapshot(through, writerSequences.toJson(), fold.snapshot());
   }
 
   StreamStatus status(boolean outage) {
     long skipped = skips.values().stream().mapToLong(Long::longValue).sum();
-    long newer = skips.getOrDefault(Skip.NEWER_VERSION, 0L);
-    boolean offering = (carrying || ahead) && !outage && nextOffset >= end;
+    long newer = skips.getOrDefault(SkipReason.NEWER_VERSION, 0L);
+    boolean offering = (carryingOver || aheadOfSnapshot) && !outage && nextOffset >= endOffset;
     return new StreamStatus(
-        applied,
-        Math.max(end, applied),
+        appliedOffset,
+        Math.max(endOffset, appliedOffset),
         firstOffset,
-        seeking,
+        seekingSnapshot,
         outage,
         skipped,
         newer,
-        histories,
+        historyReplacementCount,
         offering);
   }
 
-  private void skip(long offset, Skip reason) {
+  private void recordSkip(long offset, SkipReason reason) {
     long count = skips.merge(reason, 1L, Long::sum);
     skipObserver.skipped(offset, reason, count);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
@@ -6,7 +6,7 @@
  */
 public interface StreamListener {
   /** Called after an entry was applied to the fold. */
-  default void applied(LogEntry entry) {}
+  default void entryApplied(LogEntry entry) {}
 
   /** Called after a successful read, when its records, if any, have been applied. */
   default void pageApplied(StreamStatus status) {}
@@ -14,16 +14,16 @@
   /**
    * Called when a complete snapshot was read; {@code through} is the offset that it continues from.
    */
-  default void sawSnapshot(long through) {}
+  default void snapshotRead(long through) {}
 
   /** Called when a part of a snapshot was read: some process is writing one. */
-  default void sawSnapshotPart() {}
+  default void snapshotPartRead() {}
 
   /** Called before the state is replaced by a snapshot. */
   default void restoring() {}
 
   /**
-   * Called after the state was replaced by a snapshot; {@link #applied} is not called for the
+   * Called after the state was replaced by a snapshot; {@link #entryApplied} is not called for the
    * entries that it covers.
    */
   default void restored(StreamSnapshot snapshot) {}
@@ -31,9 +31,9 @@
   /**
    * Called when the history of the stream was replaced, before any entry of the new one is applied.
    */
-  default void historyReplaced(NewHistory reaction, String detail) {}
+  default void historyReplaced(HistoryReplacementPolicy reaction, String detail) {}
 
-  /** Called when the former history is back after {@link NewHistory#HALT}. */
+  /** Called when the former history is back after {@link HistoryReplacementPolicy#HALT}. */
   default void historyReturned() {}
 
   /** Called when the log service becomes unavailable. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
@@ -14,15 +14,16 @@
  * writer besides the fold's state: without them a reader that starts here would apply a late
  * duplicate that other readers drop.
  *
- * @param through the offset to continue reading from
- * @param writers the last sequence numbers of the writers, in the format of {@code WriterMarks}
+ * @param nextOffset the offset to continue reading from
+ * @param writerSequences the last sequence numbers of the writers, in the format of {@code
+ *     WriterSequences}
  * @param state the fold's state
  */
-public record StreamSnapshot(long through, JsonNode writers, JsonNode state) {
+public record StreamSnapshot(long nextOffset, JsonNode writerSequences, JsonNode state) {
   /** Checks the components. */
   public StreamSnapshot {
-    checkArgument(through >= 0, "nextOffset is negative: %s", through);
-    requireNonNull(writers, "writers");
+    checkArgument(nextOffset >= 0, "nextOffset is negative: %s", nextOffset);
+    requireNonNull(writerSequences, "writers");
     requireNonNull(state, "state");
   }
 
@@ -31,8 +32,8 @@
     return JsonNodeFactory.instance
         .objectNode()
         .put("v", RecordCodec.VERSION)
-        .put("through", through)
-        .<ObjectNode>set("writers", writers)
+        .put("through", nextOffset)
+        .<ObjectNode>set("writers", writerSequences)
         .set("state", state);
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterMarks.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterSequences.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import io.marigoldsail.log.EntryIds.Parts;
+import io.marigoldsail.log.EntryIdGenerator.Parts;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -24,30 +24,30 @@
  * replaced processes a day an evicted writer has been inactive for weeks, while duplicates are
  * minutes late. Confined to one thread.
  */
-final class WriterMarks {
+final class WriterSequences {
   static final int MAX_WRITERS = 1_024;
 
   /** Last sequence numbers by writer, least recently active first. */
-  private final LinkedHashMap<String, Long> marks = new LinkedHashMap<>(16, 0.75f, true);
+  private final LinkedHashMap<String, Long> sequences = new LinkedHashMap<>(16, 0.75f, true);
 
-  WriterMarks() {}
+  WriterSequences() {}
 
   /** Returns whether the entry is new, and records its sequence number if so. */
   boolean accept(Parts id) {
-    Long last = marks.get(id.writer());
+    Long last = sequences.get(id.writerId());
     if (last != null && id.sequence() <= last) {
       return false;
     }
-    marks.put(id.writer(), id.sequence());
-    if (marks.size() > MAX_WRITERS) {
-      marks.remove(marks.keySet().iterator().next());
+    sequences.put(id.writerId(), id.sequence());
+    if (sequences.size() > MAX_WRITERS) {
+      sequences.remove(sequences.keySet().iterator().next());
     }
     return true;
   }
 
   /** Returns the last sequence number of a writer, or 0. */
-  long of(String writer) {
-    for (Map.Entry<String, Long> entry : marks.entrySet()) {
+  long lastSequence(String writer) {
+    for (Map.Entry<String, Long> entry : sequences.entrySet()) {
       if (entry.getKey().equals(writer)) {
         return entry.getValue();
       }
@@ -56,13 +56,13 @@
   }
 
   int size() {
-    return marks.size();
+    return sequences.size();
   }
 
   /** Returns the sequence numbers in order of activity, which decides the eviction. */
   JsonNode toJson() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    marks.forEach((writer, last) -> all.addArray().add(writer).add(last));
+    sequences.forEach((writer, last) -> all.addArray().add(writer).add(last));
     return all;
   }
 
@@ -71,13 +71,14 @@
    *
    * @throws IllegalArgumentException if the node is invalid
    */
-  static WriterMarks fromJson(JsonNode all) {
-    checkArgument(all.isArray() && all.size() <= MAX_WRITERS, "writers is not an array, or is too long");
-    WriterMarks restored = new WriterMarks();
+  static WriterSequences fromJson(JsonNode all) {
+    checkArgument(
+        all.isArray() && all.size() <= MAX_WRITERS, "writers is not an array, or is too long");
+    WriterSequences restored = new WriterSequences();
     for (JsonNode pair : all) {
       boolean valid = pair.size() == 2 && pair.get(0).isTextual() && pair.get(1).isIntegralNumber();
       checkArgument(valid, "not a pair of writer and sequence number: %s", pair);
-      restored.marks.put(pair.get(0).textValue(), pair.get(1).longValue());
+      restored.sequences.put(pair.get(0).textValue(), pair.get(1).longValue());
     }
     return restored;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/package-info.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/package-info.java
@@ -9,7 +9,7 @@
  * <p>Every process folds a stream on its own, and all must reach the same state. Which entries take
  * effect therefore depends on the content of the stream alone, never on where a reader started: an
  * entry takes effect if its sequence number is above those of all earlier entries of its writer
- * ({@link io.marigoldsail.log.WriterMarks}), and a snapshot includes these numbers. Only {@code
+ * ({@link io.marigoldsail.log.WriterSequences}), and a snapshot includes these numbers. Only {@code
  * StreamFollower}, {@code LogAppender} and {@code SnapshotWriter} use threads and clocks; the
  * decisions are in {@code StreamCursor}, {@code AppendQueue}, {@code SnapshotSchedule} and {@code
  * Backoff}, which receive the time as an argument.
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
@@ -19,7 +19,7 @@
  * @param operatorsAddress where operators reach the side process, {@code host:port}, or empty
  * @param service the service of the VM's target, or empty if the VM has no target
  * @param slots how many requests the target runs concurrently, or 0 if there is no target
- * @param leaving whether the target is draining and accepts no new requests
+ * @param draining whether the target is draining and accepts no new requests
  * @param load the target's current load
  * @param configurationRevision the configuration revision in force in the side process
  */
@@ -32,7 +32,7 @@
     String operatorsAddress,
     String service,
     int slots,
-    boolean leaving,
+    boolean draining,
     TargetLoad load,
     long configurationRevision) {
   /** Checks the components. */
@@ -58,6 +58,6 @@
    * @throws IllegalArgumentException if the VM has no target
    */
   public TargetState targetState() {
-    return new TargetState(vm, processIncarnation, service, zone, slots, leaving);
+    return new TargetState(vm, processIncarnation, service, zone, slots, draining);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import io.marigoldsail.log.Fold;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogEntry;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.time.MonotonicClock;
 import java.util.List;
 import java.util.Map;
@@ -20,17 +20,17 @@
  * <p>Each entry appends an {@link EntryPresence} every few seconds and whenever it changes. An
  * entry expires a fixed time after its last record was read. While the log itself is unavailable
  * nothing can be received, and expiring all entries would disconnect side processes from healthy
- * ones; call {@link #extendAll} after an outage. Safe for any thread.
+ * ones; call {@link #restartTimeouts} after an outage. Safe for any thread.
  */
 public final class EntryDirectory implements Fold {
   /** The name of the stream. */
   public static final String STREAM = "members";
 
-  private record Held(EntryPresence presence, long expiresAt) {}
+  private record KeptEntry(EntryPresence presence, long expiresAt) {}
 
   private final MonotonicClock clock;
-  private final long keepNanos;
-  private final Map<String, Held> entries = new TreeMap<>();
+  private final long timeoutNanos;
+  private final Map<String, KeptEntry> entries = new TreeMap<>();
 
   /**
    * Creates an empty directory.
@@ -40,7 +40,7 @@
    */
   public EntryDirectory(MonotonicClock clock, long keepNanos) {
     this.clock = requireNonNull(clock, "clock");
-    this.keepNanos = keepNanos;
+    this.timeoutNanos = keepNanos;
   }
 
   /** Returns the entries that have not expired, by name. */
@@ -48,46 +48,46 @@
     long now = clock.nanos();
     return entries.values().stream()
         .filter(kept -> kept.expiresAt() > now)
-        .map(Held::presence)
+        .map(KeptEntry::presence)
         .toList();
   }
 
   /** Restarts the timeout of all entries, after a log outage. */
-  public synchronized void extendAll() {
-    long expiresAt = clock.nanos() + keepNanos;
-    entries.replaceAll((name, kept) -> new Held(kept.presence(), expiresAt));
+  public synchronized void restartTimeouts() {
+    long expiresAt = clock.nanos() + timeoutNanos;
+    entries.replaceAll((name, kept) -> new KeptEntry(kept.presence(), expiresAt));
   }
 
   @Override
   public synchronized void apply(LogEntry entry) {
     if (entry.type().equals(EntryPresence.TYPE)) {
-      EntryPresence.read(entry.body()).ifPresent(this::take);
+      EntryPresence.fromJson(entry.body()).ifPresent(this::update);
     }
   }
 
   /** Ignores a late record of an earlier incarnation, which must not replace a later one. */
-  private void take(EntryPresence presence) {
-    Held kept = entries.get(presence.name());
+  private void update(EntryPresence presence) {
+    KeptEntry kept = entries.get(presence.name());
     if (kept != null && kept.presence().incarnation() > presence.incarnation()) {
       return;
     }
-    if (presence.gone()) {
+    if (presence.removed()) {
       entries.remove(presence.name());
       return;
     }
-    entries.put(presence.name(), new Held(presence, clock.nanos() + keepNanos));
+    entries.put(presence.name(), new KeptEntry(presence, clock.nanos() + timeoutNanos));
   }
 
   /** Every entry appends its presence again within seconds, in any history. */
   @Override
-  public NewHistory onNewHistory() {
-    return NewHistory.READ_ON;
+  public HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.READ_ON;
   }
 
   @Override
   public synchronized JsonNode snapshot() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    entries.values().forEach(kept -> all.add(kept.presence().write()));
+    entries.values().forEach(kept -> all.add(kept.presence().toJson()));
     return all;
   }
 
@@ -95,8 +95,8 @@
   public synchronized void restore(JsonNode snapshot) {
     entries.clear();
     for (JsonNode node : snapshot) {
-      Optional<EntryPresence> presence = EntryPresence.read(node);
-      presence.ifPresent(this::take);
+      Optional<EntryPresence> presence = EntryPresence.fromJson(node);
+      presence.ifPresent(this::update);
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
@@ -25,7 +25,7 @@
     /** The VM was unknown, or its side process was replaced by a new one. */
     JOINED,
     /** The target started draining. */
-    LEAVING,
+    DRAINING,
     /** Other data of the same process changed: load, address, or accepting requests again. */
     UPDATED,
     /** The announcement is from an older process than the known one and was ignored. */
@@ -36,15 +36,15 @@
    * How long the incarnation of an expired VM is kept, so that a paused predecessor that resumes
    * cannot take its place. Limited, so that a VM whose clock was set back can join again.
    */
-  private static final long REMEMBERED_NANOS = 60_000_000_000L;
+  private static final long INCARNATION_RETENTION_NANOS = 60_000_000_000L;
 
   private record Member(Announcement announcement, long deadline) {}
 
-  private record Former(long processIncarnation, long forgetAt) {}
+  private record ExpiredMember(long processIncarnation, long retainedUntil) {}
 
-  private final long silenceNanos;
+  private final long timeoutNanos;
   private final TreeMap<String, Member> members = new TreeMap<>();
-  private final Map<String, Former> formers = new HashMap<>();
+  private final Map<String, ExpiredMember> expiredMembers = new HashMap<>();
 
   /**
    * Creates an empty table.
@@ -53,34 +53,33 @@
    */
   public MemberTable(long silenceNanos) {
     checkArgument(silenceNanos > 0, "timeoutNanos is not positive: %s", silenceNanos);
-    this.silenceNanos = silenceNanos;
+    this.timeoutNanos = silenceNanos;
   }
 
   /** Applies an announcement received now. */
-  public Change announced(Announcement announcement, long now) {
+  public Change update(Announcement announcement, long now) {
     String vm = announcement.vm();
     Member known = members.get(vm);
-    // A side process that was paused with its VM may resume after its successor started and announce
+    // A side process that was paused with its VM may resume after its successor started and
+    // announce
     // itself. Accepting this would send requests to an address that may be unreachable, and restart
     // the slow start of the successor each time. Incarnations only increase.
     if (announcement.processIncarnation() < highestIncarnation(vm, known)) {
       return Change.STALE;
     }
-    formers.remove(vm);
-    members.put(vm, new Member(announcement, now + silenceNanos));
+    expiredMembers.remove(vm);
+    members.put(vm, new Member(announcement, now + timeoutNanos));
     if (known == null
         || known.announcement().processIncarnation() != announcement.processIncarnation()) {
       return Change.JOINED;
     }
-    if (announcement.leaving() && !known.announcement().leaving()) {
-      return Change.LEAVING;
+    if (announcement.draining() && !known.announcement().draining()) {
+      return Change.DRAINING;
     }
     return Change.UPDATED;
   }
 
-  /**
-   * Removes the VMs whose deadline has passed and returns their last announcements, by VM name.
-   */
+  /** Removes the VMs whose deadline has passed and returns their last announcements, by VM name. */
   public List<Announcement> expire(long now) {
     ImmutableList.Builder<Announcement> expiredNow = ImmutableList.builder();
     Iterator<Map.Entry<String, Member>> all = members.entrySet().iterator();
@@ -89,11 +88,13 @@
       if (entry.getValue().deadline() - now <= 0) {
         Announcement last = entry.getValue().announcement();
         expiredNow.add(last);
-        formers.put(entry.getKey(), new Former(last.processIncarnation(), now + REMEMBERED_NANOS));
+        expiredMembers.put(
+            entry.getKey(),
+            new ExpiredMember(last.processIncarnation(), now + INCARNATION_RETENTION_NANOS));
         all.remove();
       }
     }
-    formers.values().removeIf(expired -> expired.forgetAt() - now <= 0);
+    expiredMembers.values().removeIf(expired -> expired.retainedUntil() - now <= 0);
     return expiredNow.build();
   }
 
@@ -104,8 +105,8 @@
    * unread in the sockets. Without this the process would drop every target at once and refuse all
    * requests.
    */
-  public void extendAll(long now) {
-    members.replaceAll((vm, member) -> new Member(member.announcement(), now + silenceNanos));
+  public void restartTimeouts(long now) {
+    members.replaceAll((vm, member) -> new Member(member.announcement(), now + timeoutNanos));
   }
 
   /** Returns the last announcement of the VM, unless it has expired. */
@@ -133,7 +134,7 @@
     if (known != null) {
       return known.announcement().processIncarnation();
     }
-    Former expired = formers.get(vm);
+    ExpiredMember expired = expiredMembers.get(vm);
     return expired == null ? Long.MIN_VALUE : expired.processIncarnation();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
@@ -65,8 +65,8 @@
     try {
       Fields fields = new Fields(origin, node);
       ProcessSettings settings = side ? sideSettings(fields) : entrySettings(fields);
-      return clash(origin, settings).orElse(Result.ok(settings));
-    } catch (BrokenRuleException e) {
+      return addressConflict(origin, settings).orElse(Result.ok(settings));
+    } catch (InvalidValueException e) {
       return Result.failed(ErrorKind.INVALID_CONTENT, e.getMessage());
     }
   }
@@ -106,8 +106,12 @@
         fields.node.at("/target/connections").asInt());
   }
 
-  /** Returns a failure if two servers of the process share an address; binding would fail later with a less specific message. */
-  private static Optional<Result<ProcessSettings>> clash(String origin, ProcessSettings settings) {
+  /**
+   * Returns a failure if two servers of the process share an address; binding would fail later with
+   * a less specific message.
+   */
+  private static Optional<Result<ProcessSettings>> addressConflict(
+      String origin, ProcessSettings settings) {
     Map<HostPort, String> keys = new HashMap<>();
     Map<String, HostPort> listeners = new java.util.LinkedHashMap<>();
     if (settings instanceof EntrySettings entry) {
@@ -130,10 +134,10 @@
   }
 
   /** Signals an invalid value while fields are read; does not leave this class. */
-  private static final class BrokenRuleException extends RuntimeException {
+  private static final class InvalidValueException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BrokenRuleException(String message) {
+    InvalidValueException(String message) {
       super(message);
     }
   }
@@ -168,18 +172,18 @@
           return uri;
         }
       } catch (java.net.URISyntaxException e) {
-        throw broken(key(pointer), text, "an http address such as http://127.0.0.1:7000");
+        throw invalidValue(key(pointer), text, "an http address such as http://127.0.0.1:7000");
       }
-      throw broken(key(pointer), text, "an http address such as http://127.0.0.1:7000");
+      throw invalidValue(key(pointer), text, "an http address such as http://127.0.0.1:7000");
     }
 
     private HostPort hostPort(String key, String text) {
       return HostPort.parse(text)
-          .orElseThrow(() -> broken(key, text, "host:port such as 127.0.0.1:8080"));
+          .orElseThrow(() -> invalidValue(key, text, "host:port such as 127.0.0.1:8080"));
     }
 
-    private BrokenRuleException broken(String key, String text, String rule) {
-      return new BrokenRuleException(
+    private InvalidValueException invalidValue(String key, String text, String rule) {
+      return new InvalidValueException(
           origin + ": " + key + ": must be " + rule + ", is \"" + text + "\"");
     }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventJson.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventJson.java
@@ -54,7 +54,8 @@
    */
   public static Result<EventPage> read(JsonNode node) {
     if (!node.path("process").isTextual() || !node.path("events").isArray()) {
-      return Result.failed(ErrorKind.BAD_REQUEST, "events: not a page of events; process or events is missing");
+      return Result.failed(
+          ErrorKind.BAD_REQUEST, "events: not a page of events; process or events is missing");
     }
     String process = node.get("process").asText();
     List<TimedEvent> events = new ArrayList<>();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/HybridClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/HybridClock.java
@@ -71,7 +71,8 @@
 
   /** Returns the earliest stamp of a millisecond. */
   public static long stampOf(long millis) {
-    checkArgument(millis >= 0 && millis <= MAX_MILLIS, "millis is not in 0 to 2^47 - 1: %s", millis);
+    checkArgument(
+        millis >= 0 && millis <= MAX_MILLIS, "millis is not in 0 to 2^47 - 1: %s", millis);
     return millis << COUNTER_BITS;
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/PublisherRacesTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConcurrentPublishTest.java
@@ -28,23 +28,23 @@
  * Publishers in several processes publish concurrently to one log, in a random order of steps;
  * their results are checked against the order of the log.
  */
-final class PublisherRacesTest {
+final class ConcurrentPublishTest {
   private static final int PROCESSES = 4;
   private static final int OPERATORS = 10;
-  private static final long FAR = Long.MAX_VALUE / 2;
+  private static final long NO_DEADLINE = Long.MAX_VALUE / 2;
   private static final List<String> FILES = List.of("base", "vatulele", "kitamizora");
 
   private final ConfigurationCheck check = new ConfigurationCheck();
 
   /** The log and the processes that read it, each at its own speed. */
-  private final class World {
+  private final class TestCluster {
     final Random random;
     final List<LogEntry> log = new ArrayList<>();
     final List<Process> processes = new ArrayList<>();
     final Queue<Runnable> appends = new ArrayDeque<>();
-    int lostAnswers;
+    int lostResponses;
 
-    World(long seed) {
+    TestCluster(long seed) {
       random = new Random(seed);
       for (int i = 0; i < PROCESSES; i++) {
         processes.add(new Process(this, "entry-" + i));
@@ -87,7 +87,7 @@
 
   /** A process with its fold, read position, publisher and the revisions that were in force. */
   private final class Process {
-    final World cluster;
+    final TestCluster cluster;
     final Map<Position, CompletableFuture<Result<Position>>> readBack = new TreeMap<>();
     final List<Long> revisions = new ArrayList<>();
     final String name;
@@ -95,7 +95,7 @@
     ConfigurationPublisher publisher;
     int next;
 
-    Process(World cluster, String name) {
+    Process(TestCluster cluster, String name) {
       this.cluster = cluster;
       this.name = name;
       start(0);
@@ -127,7 +127,7 @@
             Position first = store(type, body);
             readBack.put(first, result);
             if (cluster.random.nextInt(4) == 0) {
-              cluster.lostAnswers++;
+              cluster.lostResponses++;
               store(type, body);
             }
           });
@@ -157,8 +157,8 @@
   }
 
   /** A publish, the file's revision that it is based on, and its result. */
-  private record Asked(
-      PublishRequest request, long basis, CompletableFuture<Result<Published>> told) {}
+  private record PendingPublish(
+      PublishRequest request, long basis, CompletableFuture<Result<PublishResult>> result) {}
 
   /**
    * Ten operators publish concurrently through four entries, some of them the same file, and the
@@ -167,18 +167,18 @@
    * state.
    */
   @Property(seed = "31", tries = 150)
-  void whatOperatorsAreToldFitsOneOrder(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
-    World cluster = new World(seed);
-    List<Asked> publishes = new ArrayList<>();
+  void publishResultsMatchTheOrderOfTheLog(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
+    TestCluster cluster = new TestCluster(seed);
+    List<PendingPublish> publishes = new ArrayList<>();
     for (int i = 0; i < OPERATORS; i++) {
       publishes.add(publish(cluster, i));
       cluster.run(cluster.random.nextInt(gap + 1));
     }
     cluster.finish();
-    checkHistory(cluster, publishes);
+    assertResultsMatchHistory(cluster, publishes);
   }
 
-  private Asked publish(World cluster, int operator) {
+  private PendingPublish publish(TestCluster cluster, int operator) {
     String file = FILES.get(cluster.random.nextInt(FILES.size()));
     JsonNode content =
         file.equals("base")
@@ -188,10 +188,10 @@
     PublishRequest request =
         new PublishRequest(file, content, "operator-" + operator, "", OptionalLong.empty());
     long basis = process.fold.state().fileRevision(file);
-    return new Asked(request, basis, process.publisher.publish(request, FAR));
+    return new PendingPublish(request, basis, process.publisher.publish(request, NO_DEADLINE));
   }
 
-  private void checkHistory(World cluster, List<Asked> publishes) {
+  private void assertResultsMatchHistory(TestCluster cluster, List<PendingPublish> publishes) {
     ConfigurationState end = cluster.processes.get(0).fold.state();
     for (Process process : cluster.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
@@ -200,20 +200,21 @@
       assertEquals(sorted, process.revisions, "revisions never decrease");
     }
     long accepted = 0;
-    for (Asked one : publishes) {
-      assertTrue(one.told().isDone(), "every publish has a result");
-      Result<Published> told = one.told().join();
+    for (PendingPublish one : publishes) {
+      assertTrue(one.result().isDone(), "every publish has a result");
+      Result<PublishResult> told = one.result().join();
       if (told.isOk()) {
         accepted++;
-        checkAccepted(end, one, told.value());
+        assertAccepted(end, one, told.value());
       } else {
-        checkConflict(end, one.request(), ((Result.Failed<Published>) told).failure());
+        assertConflict(end, one.request(), ((Result.Failed<PublishResult>) told).failure());
       }
     }
     assertEquals(end.revision(), accepted, "every revision is a publish reported as accepted");
   }
 
-  private void checkAccepted(ConfigurationState end, Asked publish, Published published) {
+  private void assertAccepted(
+      ConfigurationState end, PendingPublish publish, PublishResult published) {
     PublishRequest request = publish.request();
     PublishedVersion version = end.version(published.revision()).orElseThrow();
     assertEquals(request.file(), version.file());
@@ -226,7 +227,7 @@
     assertFalse(lostUpdate, "a change was overwritten that the operator had not seen");
   }
 
-  private void checkConflict(ConfigurationState end, PublishRequest request, Failure failure) {
+  private void assertConflict(ConfigurationState end, PublishRequest request, Failure failure) {
     assertEquals(ErrorKind.CONFLICT, failure.kind());
     boolean winnerNamed =
         end.history().stream()
@@ -244,8 +245,8 @@
    * a log outage. The revision in force never decreases in any process.
    */
   @Property(seed = "32", tries = 100)
-  void restartedProcessesNeverGoBack(@ForAll long seed) {
-    World cluster = new World(seed);
+  void revisionsNeverDecreaseAcrossRestarts(@ForAll long seed) {
+    TestCluster cluster = new TestCluster(seed);
     for (int i = 0; i < OPERATORS; i++) {
       publish(cluster, i);
       cluster.run(20);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
@@ -37,7 +37,7 @@
    * check in the fold every process would apply a negative limit, or fail parsing it.
    */
   @Test
-  void recordThatWasNeverCheckedChangesNothing() {
+  void uncheckedRecordIsIgnored() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(7))));
     List<JsonNode> bodies =
         List.of(
@@ -55,7 +55,7 @@
       offset++;
     }
     assertEquals(1, fold.state().revision());
-    assertEquals(bodies.size(), fold.brokenRecords());
+    assertEquals(bodies.size(), fold.invalidRecordCount());
     fold.apply(entry(offset, publish("b", 1, "base", baseWithWaiting(8))));
     assertEquals(2, fold.state().revision(), "later records are applied");
   }
@@ -66,9 +66,9 @@
    * and they would accept records that those refuse.
    */
   @Test
-  void recordOfANewerVersionCountsButWhatWasInForceStays() {
+  void newerVersionRecordIncreasesTheRevisionButIsNotInForce() {
     List<Long> inForce = new ArrayList<>();
-    fold.onInForce(state -> inForce.add(state.revisionInForce()));
+    fold.addInForceListener(state -> inForce.add(state.revisionInForce()));
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(7))));
     fold.apply(entry(1, newer(publish("b", 1, "base", json("{'colours':{'sky':'green'}}")))));
     assertEquals(2, fold.state().revision());
@@ -82,7 +82,8 @@
 
     fold.apply(entry(2, publish("c", 2, "vatulele", overlayWithWaiting("vatulele", 3))));
     assertEquals(3, fold.state().revision());
-    assertEquals(1, fold.state().revisionInForce(), "the schema of the base is still not supported");
+    assertEquals(
+        1, fold.state().revisionInForce(), "the schema of the base is still not supported");
     fold.apply(entry(3, publish("d", 3, "base", baseWithWaiting(9))));
     assertEquals(List.of(0L, 1L, 4L), inForce);
     assertEquals(3, fold.state().configuration("vatulele").service("parking").maxWaiting());
@@ -94,7 +95,7 @@
    * yet must not be accepted now that it exists.
    */
   @Test
-  void readingOldRecordsAgainChangesNothing() {
+  void rereadRecordsAreIgnored() {
     List<LogEntry> stream =
         List.of(
             entry(0, publish("early", 2, "base", baseWithWaiting(99))),
@@ -114,7 +115,7 @@
    * process. Restoring it would put an old configuration in force again.
    */
   @Test
-  void olderSnapshotIsNotTakenOver() {
+  void olderSnapshotIsNotRestored() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(1))));
     JsonNode old = fold.snapshot();
     fold.apply(entry(1, publish("b", 1, "base", baseWithWaiting(2))));
@@ -124,14 +125,14 @@
   }
 
   @Test
-  void brokenSnapshotChangesNothing() {
+  void invalidSnapshotIsRejected() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(1))));
     assertThrows(IllegalArgumentException.class, () -> fold.restore(json("{'revision':'9'}")));
     assertEquals(1, fold.state().revision());
   }
 
   @Test
-  void historyKeepsABoundedAmountOfContents() {
+  void historyIsBoundedInVersionsAndBytes() {
     StringBuilder teams = new StringBuilder();
     for (int i = 0; i < 1000; i++) {
       teams.append(i == 0 ? "" : ",").append("'team-").append(i).append("':{'share':2}");
@@ -155,7 +156,7 @@
   }
 
   @Property(seed = "21")
-  void anyBodyIsPassedOverWithoutAnException(@ForAll String text, @ForAll long number) {
+  void arbitraryBodyDoesNotThrow(@ForAll String text, @ForAll long number) {
     ConfigurationFold any = new ConfigurationFold(check);
     JsonNode body =
         Json.object()
--- a/marigoldsail-core/src/test/java/io/marigoldsail/json/BadFiles.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/json/InvalidFileCases.java
@@ -17,7 +17,7 @@
  *
  * @param folder the folder of the files
  */
-public record BadFiles(Path folder) {
+public record InvalidFileCases(Path folder) {
   /** The expected error of one file. */
   public record Case(Path file, String key, String rule) {
     @Override
@@ -26,7 +26,7 @@
     }
 
     /** Asserts that the error is one line that names the file, the key and the rule. */
-    public void check(String error) {
+    public void assertMatches(String error) {
       assertEquals(1, error.lines().count(), error);
       assertTrue(error.contains(file.getFileName().toString()), error);
       assertTrue(error.contains(key), () -> "no key " + key + " in: " + error);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
@@ -20,12 +20,14 @@
   private final StreamCursor cursor = cursor(fold, false);
 
   private static StreamCursor cursor(Fold fold, boolean beginAnew) {
-    return new StreamCursor(fold, beginAnew, new StreamListener() {}, (offset, reason, count) -> {});
+    return new StreamCursor(
+        fold, beginAnew, new StreamListener() {}, (offset, reason, count) -> {});
   }
 
   @Test
-  void dropsACopyHoweverLateItComes() {
-    // The response to a publish is lost, so the entry appends it again. The first copy was held in a
+  void lateDuplicateIsDropped() {
+    // The response to a publish is lost, so the entry appends it again. The first copy was held in
+    // a
     // network buffer and is stored thousands of records later. A window of recent ids would not
     // include it any more, and the old configuration would be in force again.
     append("entry-1/a/1");
@@ -34,51 +36,51 @@
     }
     append("entry-1/a/1");
 
-    read(cursor, 0);
+    readToEnd(cursor, 0);
 
     assertEquals(5_001, fold.ids().size());
   }
 
   @Test
-  void readsOnBehindWhatItCannotRead() {
+  void unreadableRecordsAreSkipped() {
     append("entry-1/a/1");
     records.add("not json".getBytes(StandardCharsets.UTF_8));
     records.add("{\"v\":9}".getBytes(StandardCharsets.UTF_8));
     appendOfType("broken", "entry-1/a/2");
     append("entry-1/a/3");
 
-    read(cursor, 0);
+    readToEnd(cursor, 0);
 
     assertEquals(List.of("entry-1/a/1", "entry-1/a/3"), fold.ids());
-    assertEquals(3, cursor.status(false).skipped());
-    assertEquals(1, cursor.status(false).newerVersions());
+    assertEquals(3, cursor.status(false).skippedCount());
+    assertEquals(1, cursor.status(false).newerVersionCount());
     assertTrue(cursor.status(false).caughtUp());
   }
 
   @Test
-  void keepsItsStateUntilItFindsASnapshotBehindAnExpiry() {
+  void stateIsKeptAfterExpiryUntilASnapshotIsFound() {
     // A process is paused while records expire that it has not read. If it continued with the
     // retained ones, it would miss entries and diverge from all others.
     append("entry-1/a/1");
-    read(cursor, 0);
+    readToEnd(cursor, 0);
     append("entry-1/a/2");
     append("entry-1/a/3");
     ListFold otherState = new ListFold();
     StreamCursor other = cursor(otherState, false);
-    read(other, 0);
+    readToEnd(other, 0);
     int expired = records.size();
     append("entry-1/a/4");
 
-    read(cursor, expired);
-    assertTrue(cursor.status(false).seeking());
+    readToEnd(cursor, expired);
+    assertTrue(cursor.status(false).seekingSnapshot());
     assertFalse(cursor.status(false).caughtUp());
     assertEquals(List.of("entry-1/a/1"), fold.ids());
 
     appendSnapshot(other.snapshot());
     append("entry-1/a/5");
     append("entry-1/a/3");
-    read(cursor, expired);
-    read(other, expired);
+    readToEnd(cursor, expired);
+    readToEnd(other, expired);
 
     assertTrue(cursor.status(false).caughtUp());
     assertEquals(otherState.ids(), fold.ids());
@@ -86,28 +88,28 @@
   }
 
   @Test
-  void doesNotGoBackToAnOlderSnapshot() {
+  void olderSnapshotIsNotRestored() {
     // A snapshot that was started before an expiry is older than the state of the reader that looks
     // for one. Restoring it would put an older configuration in force again.
     ListFold slowState = new ListFold();
     StreamCursor slow = cursor(slowState, false);
     append("entry-1/a/1");
-    read(slow, 0);
+    readToEnd(slow, 0);
     append("entry-1/a/2");
     append("entry-1/a/3");
-    read(cursor, 0);
+    readToEnd(cursor, 0);
     int expired = records.size() + 1;
     append("entry-1/a/4");
     appendSnapshot(slow.snapshot());
 
-    read(cursor, expired);
+    readToEnd(cursor, expired);
 
-    assertTrue(cursor.status(false).seeking());
+    assertTrue(cursor.status(false).seekingSnapshot());
     assertEquals(3, fold.ids().size());
   }
 
   @Test
-  void beginsAnewOnlyWhenTold() {
+  void startsEmptyAfterExpiryOnlyIfConfigured() {
     ListFold emptyState = new ListFold();
     StreamCursor startingEmpty = cursor(emptyState, true);
     LogPage nothingLeft = new LogPage(List.of(), 7, 7);
@@ -115,13 +117,13 @@
     cursor.accept(nothingLeft);
     startingEmpty.accept(nothingLeft);
 
-    assertTrue(cursor.status(false).seeking());
+    assertTrue(cursor.status(false).seekingSnapshot());
     assertTrue(startingEmpty.status(false).caughtUp());
     assertEquals(7, startingEmpty.nextOffset());
   }
 
   @Test
-  void passesOverSnapshotsThatMakeNoSense() {
+  void invalidSnapshotsAreSkipped() {
     append("entry-1/a/1");
     StreamSnapshot invalid =
         new StreamSnapshot(
@@ -134,78 +136,80 @@
                 + "}]}")
             .getBytes(StandardCharsets.UTF_8));
 
-    read(cursor, 1);
+    readToEnd(cursor, 1);
 
-    assertTrue(cursor.status(false).seeking());
+    assertTrue(cursor.status(false).seekingSnapshot());
     assertEquals(3, cursor.nextOffset());
   }
 
   @Test
-  void doesNotContinueWithAnotherHistory() {
+  void haltsOnReplacedHistoryAndResumesOnTheFormerOne() {
     // The platform fails over to a replica that lacks the last record, and another writer's record
-    // gets its offset before the next read. A reader that applies the records after it would diverge
+    // gets its offset before the next read. A reader that applies the records after it would
+    // diverge
     // from all others permanently and unnoticed.
     append("entry-1/a/1");
     append("entry-1/a/2");
-    read(cursor, 0);
+    readToEnd(cursor, 0);
     byte[] lost = records.remove(1);
     append("entry-2/b/1");
     append("entry-2/b/2");
 
-    ask(cursor);
+    readOnce(cursor);
 
     assertEquals(List.of("entry-1/a/1", "entry-1/a/2"), fold.ids());
-    assertEquals(1, cursor.status(false).histories());
+    assertEquals(1, cursor.status(false).historyReplacementCount());
     assertFalse(cursor.status(false).caughtUp());
 
     records.subList(1, records.size()).clear();
     records.add(lost);
     append("entry-1/a/3");
-    ask(cursor);
-    ask(cursor);
+    readOnce(cursor);
+    readOnce(cursor);
 
     assertEquals(List.of("entry-1/a/1", "entry-1/a/2", "entry-1/a/3"), fold.ids());
     assertTrue(cursor.status(false).caughtUp());
   }
 
   @Test
-  void takesALaggingReplicaForNoOtherHistory() {
+  void laggingReplicaIsNotAReplacedHistory() {
     append("entry-1/a/1");
     append("entry-1/a/2");
-    read(cursor, 0);
+    readToEnd(cursor, 0);
     byte[] unseen = records.remove(1);
 
     for (int i = 0; i < 5; i++) {
-      ask(cursor);
+      readOnce(cursor);
     }
-    assertEquals(0, cursor.status(false).histories());
+    assertEquals(0, cursor.status(false).historyReplacementCount());
 
     records.add(unseen);
     append("entry-1/a/3");
     for (int i = 0; i < 3; i++) {
-      ask(cursor);
+      readOnce(cursor);
     }
     assertEquals(3, fold.ids().size());
-    assertEquals(0, cursor.status(false).histories());
+    assertEquals(0, cursor.status(false).historyReplacementCount());
   }
 
   @Test
-  void takesAStreamThatEndsBeforeTheRetainedOneForAnother() {
-    // A log is set up again after the first records of the old one expired: nothing can be compared.
+  void streamThatEndsBeforeTheRetainedRecordsIsAReplacedHistory() {
+    // A log is set up again after the first records of the old one expired: nothing can be
+    // compared.
     for (int i = 1; i <= 9; i++) {
       append("entry-1/a/" + i);
     }
-    read(cursor, 0);
+    readToEnd(cursor, 0);
     cursor.accept(new LogPage(List.of(), 7, 9));
 
     cursor.accept(new LogPage(List.of(), 0, 2));
 
-    assertEquals(1, cursor.status(false).histories());
+    assertEquals(1, cursor.status(false).historyReplacementCount());
     assertEquals(9, fold.ids().size());
   }
 
   @Property(seed = "3301", tries = 100)
-  void everyReaderComesToTheSameState(
+  void everyReaderReachesTheSameState(
       @ForAll @IntRange(min = 0, max = 1_000_000) int seed,
       @ForAll @IntRange(min = 1, max = 120) int length) {
     Random random = new Random(seed);
@@ -219,7 +223,7 @@
       int sequence = random.nextInt(3) > 0 ? ++last[writer] : 1 + random.nextInt(last[writer] + 1);
       last[writer] = Math.max(last[writer], sequence);
       append("entry-" + writer + "/a/" + sequence);
-      read(first, 0);
+      readToEnd(first, 0);
       snapshots.add(first.snapshot());
     }
 
@@ -227,14 +231,14 @@
       ListFold lateState = new ListFold();
       StreamCursor reader = cursor(lateState, false);
       assertTrue(reader.restore(StreamSnapshot.fromJson(snapshot.toJson())));
-      read(reader, 0);
+      readToEnd(reader, 0);
       assertEquals(firstState.ids(), lateState.ids());
     }
   }
 
   /** Makes the next read of a reader. */
-  private void ask(StreamCursor reader) {
-    StreamCursor.NextRead mode = reader.nextRead();
+  private void readOnce(StreamCursor reader) {
+    StreamCursor.ReadMode mode = reader.nextReadMode();
     List<LogRecord> page = new ArrayList<>();
     for (long at = reader.offsetOf(mode);
         at < records.size() && page.size() < mode.maxRecords(50);
@@ -251,9 +255,9 @@
   private void appendOfType(String type, String... ids) {
     List<byte[]> entries = new ArrayList<>();
     for (String id : ids) {
-      entries.add(RecordCodec.entry(id, type, JsonNodeFactory.instance.objectNode()));
+      entries.add(RecordCodec.encodeEntry(id, type, JsonNodeFactory.instance.objectNode()));
     }
-    records.add(RecordCodec.record(entries));
+    records.add(RecordCodec.encodeRecord(entries));
   }
 
   private void appendSnapshot(StreamSnapshot snapshot) {
@@ -261,12 +265,13 @@
     for (var part : SnapshotParts.split(snapshot, "s" + records.size())) {
       sequence++;
       String id = "writer-" + records.size() + "/1/" + sequence;
-      records.add(RecordCodec.record(List.of(RecordCodec.entry(id, SnapshotParts.TYPE, part))));
+      records.add(
+          RecordCodec.encodeRecord(List.of(RecordCodec.encodeEntry(id, SnapshotParts.TYPE, part))));
     }
   }
 
   /** Reads to the end in pages of 50, with all records before an offset expired. */
-  private void read(StreamCursor reader, long firstOffset) {
+  private void readToEnd(StreamCursor reader, long firstOffset) {
     boolean more = true;
     for (int pages = 0; more; pages++) {
       assertTrue(pages < 10_000, "the reader makes no progress");
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
@@ -15,7 +15,7 @@
   private final HybridClock clock = new HybridClock(() -> 1);
 
   @Test
-  void oldestGiveWayAndAreCounted() {
+  void oldestEventsAreOverwrittenAndCountedAsLost() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 4);
     for (int i = 0; i < 10; i++) {
       buffer.record(Event.of(EventKind.TASK_STARTED).withTask("t/" + i));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void pagesFollowOnEachOther() {
+  void pagesAreConsecutive() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 8);
     for (int i = 0; i < 5; i++) {
       buffer.record(Event.of(EventKind.TASK_STARTED).withTask("t/" + i));
@@ -45,7 +45,7 @@
    * event.
    */
   @Test
-  void numberOfAnEarlierIncarnationBeginsAnew() {
+  void sequenceOfAnEarlierIncarnationStartsFromTheOldest() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 8);
     buffer.record(Event.of(EventKind.PROCESS_STARTED));
     EventPage page = buffer.page(1_000, 10, EventFilter.ALL);
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void filterPassesOverOthersWithoutStopping() {
+  void filteredEventsDoNotCountTowardsTheLimit() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 64);
     for (int i = 0; i < 30; i++) {
       buffer.record(
@@ -71,7 +71,7 @@
    * number whose event is not stored yet would lose the event.
    */
   @Test
-  void followerMissesNothingThatIsStillKept() throws InterruptedException {
+  void concurrentFollowerReadsEveryBufferedEvent() throws InterruptedException {
     int writers = 4;
     int each = 20_000;
     EventBuffer buffer = new EventBuffer("vm-1", clock, 1 << 17);
@@ -108,7 +108,7 @@
 
   /** As above, paused at the critical point: the number is assigned, the event is not stored. */
   @Test
-  void readerStopsAtAnEventThatIsNotStoredYet() {
+  void readerStopsAtAnEventNotStoredYet() {
     List<EventPage> pagesWhileRecording = new ArrayList<>();
     List<EventBuffer> buffers = new ArrayList<>();
     // Recording reads the wall clock after assigning the number and before storing the event.
@@ -132,7 +132,7 @@
   }
 
   @Property(seed = "43")
-  void pageSurvivesJson(@ForAll String text, @ForAll EventKind kind) {
+  void pageRoundTripsThroughJson(@ForAll String text, @ForAll EventKind kind) {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 2);
     buffer.record(new Event(kind, text, text, text, text, text, text));
     EventPage page = buffer.page(0, 10, EventFilter.ALL);
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void foreignKindsArePassedOver() {
+  void unknownEventKindsAreSkipped() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 2);
     buffer.record(Event.of(EventKind.TASK_STARTED));
     buffer.record(Event.of(EventKind.TASK_ENDED));
