--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/EffectiveValue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/EffectiveValue.java
@@ -11,7 +11,7 @@
  *
  * @param key the path of keys, separated by dots
  * @param value the value
- * @param source the file that sets it, or {@value #DEFAULT}
+ * @param source the file that sets it, or {@value #DEFAULT_SOURCE}
  */
 public record EffectiveValue(String key, JsonNode value, String source) {
   /** The source of values that no file sets. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
@@ -24,16 +24,16 @@
   /**
    * Creates a backoff without failures.
    *
-   * @param firstNanos the upper bound of the first delay, in nanoseconds
-   * @param limitNanos the maximum delay, in nanoseconds
+   * @param initialNanos the upper bound of the first delay, in nanoseconds
+   * @param maxNanos the maximum delay, in nanoseconds
    * @param random the source of the jitter
    */
-  public Backoff(long firstNanos, long limitNanos, RandomGenerator random) {
-    checkArgument(firstNanos > 1, "initialNanos is not above 1: %s", firstNanos);
+  public Backoff(long initialNanos, long maxNanos, RandomGenerator random) {
+    checkArgument(initialNanos > 1, "initialNanos is not above 1: %s", initialNanos);
     checkArgument(
-        limitNanos >= firstNanos, "maxNanos %s is below initialNanos %s", limitNanos, firstNanos);
-    this.initialNanos = firstNanos;
-    this.maxNanos = limitNanos;
+        maxNanos >= initialNanos, "maxNanos %s is below initialNanos %s", maxNanos, initialNanos);
+    this.initialNanos = initialNanos;
+    this.maxNanos = maxNanos;
     this.random = requireNonNull(random, "random");
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/RecentRecordHashes.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecentRecordHashes.java
@@ -9,8 +9,8 @@
  *
  * <p>An offset alone does not identify a record: a log that lost its newest records, or was set up
  * again, assigns the same offsets to other records. Equal bytes mean the same record, because
- * entries carry ids that are never reused. Keeps at most {@value #KEPT} records. Confined to one
- * thread.
+ * entries carry ids that are never reused. Keeps at most {@value #CAPACITY} records. Confined to
+ * one thread.
  */
 final class RecentRecordHashes {
   /** Result of comparing a record with the one read before at its offset. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
@@ -23,8 +23,8 @@
  *
  * <p>A part is {@code {"snapshot":ID,"through":N,"part":I,"parts":N,"data":BASE64}}; the
  * concatenated data are the gzipped JSON of a {@link StreamSnapshot}. Parts of several snapshots
- * may interleave and repeat. An instance collects parts of at most {@value #MAX_OPEN} incomplete
- * snapshots. Confined to one thread.
+ * may interleave and repeat. An instance collects parts of at most {@value #MAX_PARTIAL_SNAPSHOTS}
+ * incomplete snapshots. Confined to one thread.
  */
 final class SnapshotParts {
   static final String TYPE = "snapshot-part";
@@ -85,7 +85,7 @@
     if (!valid || !body.path("through").canConvertToLong() || !body.path("data").isTextual()) {
       return Optional.empty();
     }
-    long through = body.path("through").longValue();
+    long nextOffset = body.path("through").longValue();
     PartialSnapshot partial =
         partialSnapshots.computeIfAbsent(id, unused -> new PartialSnapshot(count));
     if (partial.parts.length != count) {
@@ -97,12 +97,12 @@
     }
     if (partial.missing > 0) {
       evictOldest();
-      return Optional.of(new PartResult(through, false, Optional.empty()));
+      return Optional.of(new PartResult(nextOffset, false, Optional.empty()));
     }
     partialSnapshots.remove(id);
     return keep
-        ? assemble(partial, through)
-        : Optional.of(new PartResult(through, true, Optional.empty()));
+        ? assemble(partial, nextOffset)
+        : Optional.of(new PartResult(nextOffset, true, Optional.empty()));
   }
 
   /** Discards all collected parts, also those whose data were not kept. */
@@ -116,15 +116,15 @@
     }
   }
 
-  private static Optional<PartResult> assemble(PartialSnapshot partial, long through) {
+  private static Optional<PartResult> assemble(PartialSnapshot partial, long nextOffset) {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       for (String data : partial.parts) {
         bytes.writeBytes(Base64.getDecoder().decode(data));
       }
       StreamSnapshot snapshot = decompress(bytes.toByteArray());
-      return snapshot.nextOffset() == through
-          ? Optional.of(new PartResult(through, true, Optional.of(snapshot)))
+      return snapshot.nextOffset() == nextOffset
+          ? Optional.of(new PartResult(nextOffset, true, Optional.of(snapshot)))
           : Optional.empty();
     } catch (IOException | IllegalArgumentException e) {
       return Optional.empty();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
@@ -47,8 +47,8 @@
   }
 
   /** Records a complete snapshot in the stream. */
-  void recordSnapshot(long through, long now) {
-    lastSnapshotOffset = Math.max(lastSnapshotOffset, through);
+  void recordSnapshot(long nextOffset, long now) {
+    lastSnapshotOffset = Math.max(lastSnapshotOffset, nextOffset);
     lastSnapshotAt = now;
     writeAt = Long.MAX_VALUE;
   }
@@ -116,12 +116,12 @@
    * first records expire and all processes end before the first snapshot. A job of eight tasks is
    * about 13 records, so the number of records alone does not suffice.
    */
-  private boolean isEarlySnapshotDue(long applied, long now) {
+  private boolean isEarlySnapshotDue(long appliedOffset, long now) {
     if (lastSnapshotOffset >= 0) {
-      return applied >= GROWTH_FACTOR * Math.max(lastSnapshotOffset, 1);
+      return appliedOffset >= GROWTH_FACTOR * Math.max(lastSnapshotOffset, 1);
     }
     firstRecordAt = Math.min(firstRecordAt, now);
-    return applied >= FIRST_SNAPSHOT_RECORDS
+    return appliedOffset >= FIRST_SNAPSHOT_RECORDS
         || now - firstRecordAt >= TimeUnit.MILLISECONDS.toNanos(FIRST_SNAPSHOT_MILLIS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
@@ -56,8 +56,8 @@
   }
 
   @Override
-  public void snapshotRead(long through) {
-    schedule.recordSnapshot(through, clock.nanos());
+  public void snapshotRead(long nextOffset) {
+    schedule.recordSnapshot(nextOffset, clock.nanos());
   }
 
   @Override
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
@@ -86,9 +86,13 @@
 
   private final boolean startEmptyAfterExpiry;
 
-  StreamCursor(Fold fold, boolean beginAnew, StreamListener listener, SkipObserver skipObserver) {
+  StreamCursor(
+      Fold fold,
+      boolean startEmptyAfterExpiry,
+      StreamListener listener,
+      SkipObserver skipObserver) {
     this.fold = fold;
-    this.startEmptyAfterExpiry = beginAnew;
+    this.startEmptyAfterExpiry = startEmptyAfterExpiry;
     this.listener = listener;
     this.skipObserver = skipObserver;
   }
@@ -354,8 +358,8 @@
 
   /** Returns the current state. */
   StreamSnapshot snapshot() {
-    long through = carryingOver ? nextOffset : appliedOffset;
-    return new StreamSnapshot(through, writerSequences.toJson(), fold.snapshot());
+    long offset = carryingOver ? nextOffset : appliedOffset;
+    return new StreamSnapshot(offset, writerSequences.toJson(), fold.snapshot());
   }
 
   StreamStatus status(boolean outage) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
@@ -308,8 +308,8 @@
     }
 
     @Override
-    public void snapshotRead(long through) {
-      notifyListeners(listener -> listener.snapshotRead(through));
+    public void snapshotRead(long nextOffset) {
+      notifyListeners(listener -> listener.snapshotRead(nextOffset));
     }
 
     @Override
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
@@ -12,9 +12,10 @@
   default void pageApplied(StreamStatus status) {}
 
   /**
-   * Called when a complete snapshot was read; {@code through} is the offset that it continues from.
+   * Called when a complete snapshot was read; {@code nextOffset} is the offset that it continues
+   * from.
    */
-  default void snapshotRead(long through) {}
+  default void snapshotRead(long nextOffset) {}
 
   /** Called when a part of a snapshot was read: some process is writing one. */
   default void snapshotPartRead() {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
@@ -36,11 +36,11 @@
    * Creates an empty directory.
    *
    * @param clock the process's clock
-   * @param keepNanos how long an entry is kept after its last record was read, in nanoseconds
+   * @param timeoutNanos how long an entry is kept after its last record was read, in nanoseconds
    */
-  public EntryDirectory(MonotonicClock clock, long keepNanos) {
+  public EntryDirectory(MonotonicClock clock, long timeoutNanos) {
     this.clock = requireNonNull(clock, "clock");
-    this.timeoutNanos = keepNanos;
+    this.timeoutNanos = timeoutNanos;
   }
 
   /** Returns the entries that have not expired, by name. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
@@ -49,11 +49,11 @@
   /**
    * Creates an empty table.
    *
-   * @param silenceNanos how long after its last announcement a VM expires, in nanoseconds
+   * @param timeoutNanos how long after its last announcement a VM expires, in nanoseconds
    */
-  public MemberTable(long silenceNanos) {
-    checkArgument(silenceNanos > 0, "timeoutNanos is not positive: %s", silenceNanos);
-    this.timeoutNanos = silenceNanos;
+  public MemberTable(long timeoutNanos) {
+    checkArgument(timeoutNanos > 0, "timeoutNanos is not positive: %s", timeoutNanos);
+    this.timeoutNanos = timeoutNanos;
   }
 
   /** Applies an announcement received now. */
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
@@ -19,9 +19,9 @@
   private final ListFold fold = new ListFold();
   private final StreamCursor cursor = cursor(fold, false);
 
-  private static StreamCursor cursor(Fold fold, boolean beginAnew) {
+  private static StreamCursor cursor(Fold fold, boolean startEmptyAfterExpiry) {
     return new StreamCursor(
-        fold, beginAnew, new StreamListener() {}, (offset, reason, count) -> {});
+        fold, startEmptyAfterExpiry, new StreamListener() {}, (offset, reason, count) -> {});
   }
 
   @Test
