--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
@@ -64,8 +64,8 @@
   @Override
   public synchronized void apply(LogEntry entry) {
     // After restoring a peer's state, records that it includes are read again. Most would be
-    // refused
-    // as stale, but one refused for a revision that did not exist yet could be accepted now.
+    // refused as stale, but one refused for a revision that did not exist yet could be accepted
+    // now.
     if (entry.position().compareTo(state.nextPosition()) < 0) {
       return;
     }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
@@ -78,7 +78,7 @@
   private int emptyWaits;
   private boolean idle;
   private boolean withoutPredecessor;
-  private boolean isHalted;
+  private boolean halted;
   private boolean seekingBeforeHalt;
   private boolean carryingOver;
   private boolean aheadOfSnapshot;
@@ -104,7 +104,7 @@
 
   /** Returns how the next read is made. */
   ReadMode nextReadMode() {
-    if (isHalted) {
+    if (halted) {
       return ReadMode.COMPARE_LAST;
     }
     if (lowerEndOffset > 0 && !idle) {
@@ -119,8 +119,8 @@
   }
 
   /** Returns the first offset of a read. */
-  long offsetOf(ReadMode read) {
-    return switch (read) {
+  long offsetOf(ReadMode mode) {
+    return switch (mode) {
       case BEGIN, AWAIT -> nextOffset;
       case CONTINUE, COMPARE_LAST -> nextOffset - 1;
       case COMPARE_LOWER_END -> lowerEndOffset - 1;
@@ -128,14 +128,14 @@
   }
 
   /** Processes the response to a read. */
-  void accept(ReadMode read, LogPage page) {
-    if (read == ReadMode.AWAIT && !page.records().isEmpty()) {
+  void accept(ReadMode mode, LogPage page) {
+    if (mode == ReadMode.AWAIT && !page.records().isEmpty()) {
       // The new record may belong to another history; it is read again with its predecessor.
       idle = false;
       endOffset = Math.max(endOffset, page.nextOffset());
       return;
     }
-    emptyWaits = read == ReadMode.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
+    emptyWaits = mode == ReadMode.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
     if (emptyWaits >= MAX_EMPTY_WAITS && nextOffset > 0) {
       // There is no record to compare with, and appends must not continue before the replacement is
       // reported. A replica that is empty only for a while is harmless: its records are read again.
@@ -145,7 +145,7 @@
     }
     long before = nextOffset;
     accept(page);
-    if (read == ReadMode.COMPARE_LOWER_END) {
+    if (mode == ReadMode.COMPARE_LOWER_END) {
       lowerEndOffset = 0;
       idle = true;
       return;
@@ -154,12 +154,12 @@
     boolean atEnd = lowerEndOffset == 0 && nextOffset >= page.nextOffset();
     idle = atEnd && newRecords < BUSY_STREAM_RECORDS;
     // The next record may be too large for a page that also contains its predecessor.
-    withoutPredecessor = read == ReadMode.CONTINUE && !atEnd && newRecords == 0;
+    withoutPredecessor = mode == ReadMode.CONTINUE && !atEnd && newRecords == 0;
   }
 
   /** Returns whether reading is halted until the former history is back. */
   boolean isHalted() {
-    return isHalted;
+    return halted;
   }
 
   /** Records a failed read; after an outage the history may have been replaced. */
@@ -172,7 +172,7 @@
    * read there.
    */
   void accept(LogPage page) {
-    if (isHalted) {
+    if (halted) {
       compareHalted(page);
       return;
     }
@@ -213,7 +213,7 @@
   private void compareHalted(LogPage page) {
     for (LogRecord record : page.records()) {
       if (record.offset() == nextOffset - 1 && recentHashes.compare(record) == Match.SAME) {
-        isHalted = false;
+        halted = false;
         seekingSnapshot = seekingBeforeHalt;
         listener.historyReturned();
       }
@@ -225,7 +225,7 @@
     lowerEndOffset = 0;
     HistoryReplacementPolicy reaction = fold.historyReplacementPolicy();
     if (reaction == HistoryReplacementPolicy.HALT) {
-      isHalted = true;
+      halted = true;
       seekingBeforeHalt = seekingSnapshot;
       seekingSnapshot = true;
     } else {
@@ -253,8 +253,7 @@
     nextOffset = firstOffset;
     parts.clear();
     // Continuing with this state would miss the expired records and diverge from other readers.
-    // Only
-    // an operator can decide that they held no state.
+    // Only an operator can decide that they held no state.
     seekingSnapshot = !(startEmptyAfterExpiry && appliedOffset == 0);
     if (!seekingSnapshot) {
       appliedOffset = nextOffset;
@@ -312,8 +311,7 @@
     long snapshotRevision = fold.revisionOf(snapshot.state());
     aheadOfSnapshot = aheadOfSnapshot && fold.revision() > snapshotRevision;
     // Within one history a snapshot is never newer than a reader that has passed it; a newer one
-    // was
-    // carried over from the former history.
+    // was carried over from the former history.
     boolean later = snapshotRevision > fold.revision() && snapshot.nextOffset() >= firstOffset;
     if (!isUsable(snapshot) && !later) {
       return false;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
@@ -61,9 +61,8 @@
     String vm = announcement.vm();
     Member known = members.get(vm);
     // A side process that was paused with its VM may resume after its successor started and
-    // announce
-    // itself. Accepting this would send requests to an address that may be unreachable, and restart
-    // the slow start of the successor each time. Incarnations only increase.
+    // announce itself. Accepting this would send requests to an address that may be unreachable,
+    // and restart the slow start of the successor each time. Incarnations only increase.
     if (announcement.processIncarnation() < highestIncarnation(vm, known)) {
       return Change.STALE;
     }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/AppendQueueTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/AppendQueueTest.java
@@ -104,8 +104,7 @@
   @Test
   void onlyEntriesThatWereNeverStoredAreReportedAsNotStored() {
     // The log is unavailable past the callers' deadlines. One entry was refused in each attempt,
-    // the
-    // response for the other was lost: only the first is known not to be stored.
+    // the response for the other was lost: only the first is known not to be stored.
     String refused = offer(now + 500 * NANOS_PER_MILLI);
     failAppend(take(), ErrorKind.LOG_UNAVAILABLE);
     now += 600 * NANOS_PER_MILLI;
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/StreamCursorTest.java
@@ -27,8 +27,7 @@
   @Test
   void lateDuplicateIsDropped() {
     // The response to a publish is lost, so the entry appends it again. The first copy was held in
-    // a
-    // network buffer and is stored thousands of records later. A window of recent ids would not
+    // a network buffer and is stored thousands of records later. A window of recent ids would not
     // include it any more, and the old configuration would be in force again.
     append("entry-1/a/1");
     for (int i = 1; i <= 5_000; i++) {
@@ -146,8 +145,7 @@
   void haltsOnReplacedHistoryAndResumesOnTheFormerOne() {
     // The platform fails over to a replica that lacks the last record, and another writer's record
     // gets its offset before the next read. A reader that applies the records after it would
-    // diverge
-    // from all others permanently and unnoticed.
+    // diverge from all others permanently and unnoticed.
     append("entry-1/a/1");
     append("entry-1/a/2");
     readToEnd(cursor, 0);
