--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendSettings.java
@@ -3,18 +3,17 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How a {@link LogAppender} appends. Immutable.
+ * Limits and timing of a {@link LogAppender}. Immutable.
  *
- * @param maxPending how many entries it holds at the most, from being offered to being read back
- * @param maxPendingBytes how many bytes they may have together
- * @param maxBatchEntries how many entries go into one platform record
- * @param maxBatchBytes how many bytes a platform record may have
- * @param minIntervalMillis the least time between two appends, in milliseconds; entries that come
- *     meanwhile share the next one
- * @param entryTimeoutMillis how long an entry is kept whose caller names no deadline, in
- *     milliseconds
- * @param initialBackoffMillis the span of the first wait during an outage, in milliseconds
- * @param maxBackoffMillis the longest such span, in milliseconds
+ * @param maxPending maximum number of entries that have been offered but not read back
+ * @param maxPendingBytes maximum total size of these entries, in bytes
+ * @param maxBatchEntries maximum number of entries in one platform record
+ * @param maxBatchBytes maximum size of a platform record, in bytes
+ * @param minIntervalMillis minimum interval between two appends, in milliseconds; entries offered
+ *     meanwhile share the next append
+ * @param entryTimeoutMillis timeout of an entry whose caller gives no deadline, in milliseconds
+ * @param initialBackoffMillis initial backoff during an outage, in milliseconds
+ * @param maxBackoffMillis maximum backoff, in milliseconds
  */
 public record AppendSettings(
     int maxPending,
@@ -36,17 +35,18 @@
 
   /** Checks the components. */
   public AppendSettings {
-    checkArgument(maxPending > 0, "maxOpen is not positive: %s", maxPending);
-    checkArgument(maxBatchEntries > 0, "maxBatch is not positive: %s", maxBatchEntries);
-    checkArgument(maxPendingBytes >= maxBatchBytes, "maxOpenBytes below maxBatchBytes");
-    checkArgument(minIntervalMillis >= 0, "paceMillis is negative: %s", minIntervalMillis);
-    checkArgument(entryTimeoutMillis > 0, "keepMillis is not positive: %s", entryTimeoutMillis);
+    checkArgument(maxPending > 0, "maxPending is not positive: %s", maxPending);
+    checkArgument(maxBatchEntries > 0, "maxBatchEntries is not positive: %s", maxBatchEntries);
+    checkArgument(maxPendingBytes >= maxBatchBytes, "maxPendingBytes is below maxBatchBytes");
+    checkArgument(minIntervalMillis >= 0, "minIntervalMillis is negative: %s", minIntervalMillis);
+    checkArgument(
+        entryTimeoutMillis > 0, "entryTimeoutMillis is not positive: %s", entryTimeoutMillis);
   }
 
   /**
-   * Returns the usual settings. The pace of 20 ms bounds an entry to 50 appends a second and
-   * stream, so that nine entries stay within "several hundred a second" whatever they are asked
-   * for.
+   * Returns the default settings. The interval of 20 ms limits an entry to 50 appends a second per
+   * stream, so that nine entries stay within the several hundred appends a second that the log
+   * takes.
    */
   public static AppendSettings defaults() {
     return new AppendSettings(
@@ -60,23 +60,23 @@
         DEFAULT_MAX_BACKOFF_MILLIS);
   }
 
-  /** Returns these settings with another least time between two appends. */
-  public AppendSettings withMinIntervalMillis(long newPaceMillis) {
+  /** Returns these settings with another minimum interval between two appends. */
+  public AppendSettings withMinIntervalMillis(long newMinIntervalMillis) {
     return new AppendSettings(
         maxPending,
         maxPendingBytes,
         maxBatchEntries,
         maxBatchBytes,
-        newPaceMillis,
+        newMinIntervalMillis,
         entryTimeoutMillis,
         initialBackoffMillis,
         maxBackoffMillis);
   }
 
-  /** Returns these settings with another bound on the entries held. */
-  public AppendSettings withMaxPending(int newMaxOpen) {
+  /** Returns these settings with another limit on pending entries. */
+  public AppendSettings withMaxPending(int newMaxPending) {
     return new AppendSettings(
-        newMaxOpen,
+        newMaxPending,
         maxPendingBytes,
         maxBatchEntries,
         maxBatchBytes,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
@@ -15,28 +15,28 @@
 import java.util.List;
 
 /**
- * Turns batches of entries into platform records and back.
+ * Encodes batches of entries as platform records and decodes them.
  *
- * <p>A record is {@code {"v":1,"entries":[{"id":...,"type":...,"body":...}]}}. Unknown fields pass.
- * Nothing that a record holds makes {@link #decode} throw.
+ * <p>A record is {@code {"v":1,"entries":[{"id":...,"type":...,"body":...}]}}. Unknown fields are
+ * ignored. {@link #decode} never throws, whatever the record contains.
  */
 final class RecordCodec {
-  /** Why a record, or an entry of one, was passed over. */
+  /** Why a record, or an entry of one, was skipped. Logged by name. */
   enum SkipReason {
-    /** The bytes are no JSON object. */
+    /** The record is not a JSON object. */
     NOT_JSON,
-    /** The record is of a version that this software does not know. */
+    /** The record has a version that this software does not support. */
     NEWER_VERSION,
-    /** The record, or an entry of it, has not the fields that it must have. */
+    /** A required field of the record or of an entry is missing or has the wrong type. */
     MALFORMED,
-    /** The fold threw on the entry. */
+    /** The fold threw an exception on the entry. */
     REFUSED_BY_FOLD
   }
 
-  /** An entry as it stands in a record. */
+  /** An entry as decoded from a record. */
   record RawEntry(int index, String id, EntryIdGenerator.Parts parts, String type, JsonNode body) {}
 
-  /** What a record holds: good entries, and why others were passed over. */
+  /** The valid entries of a record, and the reasons why others were skipped. */
   record Decoded(List<RawEntry> entries, List<SkipReason> skips) {}
 
   static final int VERSION = 1;
@@ -60,7 +60,7 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Returns one entry as JSON, to be put into a record by {@link #encodeRecord}. */
+  /** Returns one entry as JSON, for use in {@link #encodeRecord}. */
   static byte[] encodeEntry(String id, String type, JsonNode body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = MAPPER.createGenerator(bytes)) {
@@ -76,7 +76,7 @@
     return bytes.toByteArray();
   }
 
-  /** Returns a record of entries that {@link #encodeEntry} made. */
+  /** Returns a record of entries encoded by {@link #encodeEntry}. */
   static byte[] encodeRecord(List<byte[]> entries) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.writeBytes(RECORD_PREFIX);
@@ -90,7 +90,7 @@
     return bytes.toByteArray();
   }
 
-  /** Returns how much longer a record is than its entries, at most. */
+  /** Returns an upper bound on the bytes that a record adds to its entries. */
   static int overheadBytes(int entries) {
     return RECORD_PREFIX.length + RECORD_SUFFIX.length + entries;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
@@ -19,12 +19,12 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Splits snapshots into entries that fit a platform record, and puts them together again.
+ * Splits snapshots into entries that fit a platform record, and reassembles them.
  *
- * <p>A part is {@code {"snapshot":ID,"through":N,"part":I,"parts":N,"data":BASE64}}; the data
- * together are the gzipped JSON of a {@link StreamSnapshot}. Parts of several snapshots may
- * interleave and repeat. An instance collects parts; it holds at most {@value #MAX_OPEN} unfinished
- * snapshots, and is confined to one thread.
+ * <p>A part is {@code {"snapshot":ID,"through":N,"part":I,"parts":N,"data":BASE64}}; the
+ * concatenated data are the gzipped JSON of a {@link StreamSnapshot}. Parts of several snapshots
+ * may interleave and repeat. An instance collects parts of at most {@value #MAX_PARTIAL_SNAPSHOTS}
+ * incomplete snapshots. Confined to one thread.
  */
 final class SnapshotParts {
   static final String TYPE = "snapshot-part";
@@ -35,7 +35,7 @@
   private static final int MAX_SNAPSHOT_BYTES = 128 << 20;
   private static final JsonMapper MAPPER = new JsonMapper();
 
-  /** What is known of a snapshot after one of its parts was seen. */
+  /** The state of a snapshot after one of its parts was added. */
   record PartResult(long nextOffset, boolean complete, Optional<StreamSnapshot> snapshot) {}
 
   private static final class PartialSnapshot {
@@ -52,7 +52,7 @@
 
   SnapshotParts() {}
 
-  /** Returns the bodies of the parts of a snapshot. */
+  /** Returns the entry bodies of the parts of a snapshot. */
   static List<JsonNode> split(StreamSnapshot snapshot, String id) {
     byte[] bytes = compress(snapshot);
     int count = (bytes.length + MAX_PART_BYTES - 1) / MAX_PART_BYTES;
@@ -73,39 +73,39 @@
   }
 
   /**
-   * Takes a part in, or returns empty if it makes no sense.
+   * Adds a part, or returns empty if it is invalid.
    *
-   * @param keep whether the caller wants the snapshot; else only its completeness is told
+   * @param keep whether to assemble the snapshot; otherwise only its completeness is tracked
    */
   Optional<PartResult> add(JsonNode body, boolean keep) {
     String id = body.path("snapshot").asText();
     int count = body.path("parts").asInt();
     int part = body.path("part").asInt(-1);
-    boolean sound = !id.isEmpty() && count > 0 && count <= MAX_PARTS && part >= 0 && part < count;
-    if (!sound || !body.path("through").canConvertToLong() || !body.path("data").isTextual()) {
+    boolean valid = !id.isEmpty() && count > 0 && count <= MAX_PARTS && part >= 0 && part < count;
+    if (!valid || !body.path("through").canConvertToLong() || !body.path("data").isTextual()) {
       return Optional.empty();
     }
-    long through = body.path("through").longValue();
-    PartialSnapshot collecting =
+    long nextOffset = body.path("through").longValue();
+    PartialSnapshot partial =
         partialSnapshots.computeIfAbsent(id, unused -> new PartialSnapshot(count));
-    if (collecting.parts.length != count) {
+    if (partial.parts.length != count) {
       return Optional.empty();
     }
-    if (collecting.parts[part] == null) {
-      collecting.parts[part] = keep ? body.path("data").textValue() : "";
-      collecting.missing--;
+    if (partial.parts[part] == null) {
+      partial.parts[part] = keep ? body.path("data").textValue() : "";
+      partial.missing--;
     }
-    if (collecting.missing > 0) {
+    if (partial.missing > 0) {
       evictOldest();
-      return Optional.of(new PartResult(through, false, Optional.empty()));
+      return Optional.of(new PartResult(nextOffset, false, Optional.empty()));
     }
     partialSnapshots.remove(id);
     return keep
-        ? assemble(collecting, through)
-        : Optional.of(new PartResult(through, true, Optional.empty()));
+        ? assemble(partial, nextOffset)
+        : Optional.of(new PartResult(nextOffset, true, Optional.empty()));
   }
 
-  /** Forgets what was collected, such as parts whose data were not kept. */
+  /** Discards all collected parts, also those whose data were not kept. */
   void clear() {
     partialSnapshots.clear();
   }
@@ -116,15 +116,15 @@
     }
   }
 
-  private static Optional<PartResult> assemble(PartialSnapshot collected, long through) {
+  private static Optional<PartResult> assemble(PartialSnapshot partial, long nextOffset) {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-      for (String data : collected.parts) {
+      for (String data : partial.parts) {
         bytes.writeBytes(Base64.getDecoder().decode(data));
       }
       StreamSnapshot snapshot = decompress(bytes.toByteArray());
-      return snapshot.nextOffset() == through
-          ? Optional.of(new PartResult(through, true, Optional.of(snapshot)))
+      return snapshot.nextOffset() == nextOffset
+          ? Optional.of(new PartResult(nextOffset, true, Optional.of(snapshot)))
           : Optional.empty();
     } catch (IOException | IllegalArgumentException e) {
       return Optional.empty();
@@ -143,14 +143,14 @@
 
   private static StreamSnapshot decompress(byte[] bytes) throws IOException {
     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
-      // A small record must not be able to fill the memory by expanding without end.
+      // Limits the memory that a small compressed record can claim.
       byte[] expanded = gzip.readNBytes(MAX_SNAPSHOT_BYTES + 1);
       if (expanded.length > MAX_SNAPSHOT_BYTES) {
         throw new IOException("snapshot exceeds " + MAX_SNAPSHOT_BYTES + " bytes");
       }
       return StreamSnapshot.fromJson(MAPPER.readTree(expanded));
     } catch (JsonProcessingException e) {
-      throw new IOException("snapshot is no JSON", e);
+      throw new IOException("snapshot is not JSON", e);
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSchedule.java
@@ -6,25 +6,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when this process writes a snapshot, so that one of many does, well within retention.
+ * Decides when this process writes a snapshot, so that few of many processes write one and always
+ * well within retention.
  *
- * <p>A snapshot is due when many records have come since the last one, when that one is old, or
- * when it stands in the older half of what retention has left. How long retention is shows only
- * once something has expired, which is too late for what was written first: so a young stream gets
- * its first snapshot after some records or some seconds, and another whenever it has grown by the
- * factor {@link #GROWTH_FACTOR}. Every process finds that out at about the same moment; if each
- * wrote at once, the log would take as many copies of the state as there are processes. So each
- * draws a moment within a span, and gives way to any that began before; if that one dies halfway,
- * the next one's moment comes. Knows neither thread nor clock; confined to one thread.
+ * <p>A snapshot is due when many records follow the last one, when the last one is old, or when it
+ * is in the older half of the retained records. The retention time is unknown until something has
+ * expired, which is too late for the first records. A new stream therefore gets its first snapshot
+ * after a few records or seconds, and another one whenever it has grown by the factor {@link
+ * #GROWTH_FACTOR}.
+ *
+ * <p>All processes find a snapshot due at about the same time; if each wrote one, the log would
+ * receive as many copies of the state as there are processes. Each process waits for a random time
+ * and defers to any other that has started. If that one ends halfway, the next process writes.
+ * Times are in nanoseconds. Confined to one thread.
  */
 final class SnapshotSchedule {
-  /** Records after which a stream without a snapshot gets its first. */
+  /** Number of records after which a stream gets its first snapshot. */
   static final long FIRST_SNAPSHOT_RECORDS = 16;
 
-  /** How long after its first record a stream with fewer gets its first, in milliseconds. */
+  /**
+   * Delay after the first record before a shorter stream gets its first snapshot, in milliseconds.
+   */
   static final long FIRST_SNAPSHOT_MILLIS = 5_000;
 
-  /** A stream this many times as long as what its last snapshot covers gets another one. */
+  /** A new snapshot is due when the stream has grown by this factor since the last one. */
   static final long GROWTH_FACTOR = 8;
 
   private final SnapshotSettings settings;
@@ -41,14 +46,14 @@
     this.lastSnapshotAt = now;
   }
 
-  /** Tells of a complete snapshot in the stream. */
-  void recordSnapshot(long through, long now) {
-    lastSnapshotOffset = Math.max(lastSnapshotOffset, through);
+  /** Records a complete snapshot in the stream. */
+  void recordSnapshot(long nextOffset, long now) {
+    lastSnapshotOffset = Math.max(lastSnapshotOffset, nextOffset);
     lastSnapshotAt = now;
     writeAt = Long.MAX_VALUE;
   }
 
-  /** Tells that the stream is another one, which holds no snapshot yet. */
+  /** Records that the history of the stream was replaced; the new one holds no snapshot yet. */
   void historyReplaced(long now) {
     lastSnapshotOffset = -1;
     lastSnapshotAt = now;
@@ -57,16 +62,18 @@
     firstRecordAt = Long.MAX_VALUE;
   }
 
-  /** Tells of a part, of whichever snapshot. */
+  /** Records a part of any snapshot. */
   void recordSnapshotPart(long now) {
     suppressedUntil = now + TimeUnit.MILLISECONDS.toNanos(settings.suppressionMillis());
   }
 
-  /** Returns whether this process writes one now; if so, the next one is at another moment. */
+  /**
+   * Returns whether this process writes a snapshot now; if so, draws a new time for the next one.
+   */
   boolean shouldWrite(StreamStatus status, long now) {
     if (!status.offeringSnapshot() && !isComplete(status)) {
-      // The moment drawn stays: on a busy stream every few pages are read while more has come, and
-      // drawing anew each time put off the first snapshot until all it was for had expired.
+      // Keeps the drawn time: a busy stream often has unread records, and drawing again each time
+      // would delay the first snapshot until the records that it covers have expired.
       return false;
     }
     if (!status.offeringSnapshot() && !isDue(status, now)) {
@@ -87,31 +94,34 @@
     return now + random.nextLong(TimeUnit.MILLISECONDS.toNanos(settings.jitterMillis()));
   }
 
-  /** A state that passed over records of a newer version is not what newer readers have. */
+  /**
+   * Returns whether the state includes all records. A state without the records of a newer version
+   * differs from that of newer readers.
+   */
   private static boolean isComplete(StreamStatus status) {
     return status.caughtUp() && status.newerVersionCount() == 0 && status.appliedOffset() > 0;
   }
 
   private boolean isDue(StreamStatus status, long now) {
-    long since = status.appliedOffset() - Math.max(lastSnapshotOffset, 0);
-    boolean many = since >= settings.maxRecordsBetween();
-    boolean old = now - lastSnapshotAt >= TimeUnit.MILLISECONDS.toNanos(settings.maxAgeMillis());
+    long recordsSince = status.appliedOffset() - Math.max(lastSnapshotOffset, 0);
+    boolean enoughRecords = recordsSince >= settings.maxRecordsBetween();
+    boolean tooOld = now - lastSnapshotAt >= TimeUnit.MILLISECONDS.toNanos(settings.maxAgeMillis());
     long middle = status.firstOffset() + (status.appliedOffset() - status.firstOffset()) / 2;
     boolean expiring = status.firstOffset() > 0 && lastSnapshotOffset < middle;
-    return many || old || expiring || isEarlySnapshotDue(status.appliedOffset(), now);
+    return enoughRecords || tooOld || expiring || isEarlySnapshotDue(status.appliedOffset(), now);
   }
 
   /**
-   * Guards against a state that nobody can read any more: all processes die after the records of a
-   * young stream expired and before its first snapshot. A job of eight tasks is some 13 records, so
-   * their number alone does not tell.
+   * Returns whether a short stream needs a snapshot. Without it the state would be lost if the
+   * first records expire and all processes end before the first snapshot. A job of eight tasks is
+   * about 13 records, so the number of records alone does not suffice.
    */
-  private boolean isEarlySnapshotDue(long applied, long now) {
+  private boolean isEarlySnapshotDue(long appliedOffset, long now) {
     if (lastSnapshotOffset >= 0) {
-      return applied >= GROWTH_FACTOR * Math.max(lastSnapshotOffset, 1);
+      return appliedOffset >= GROWTH_FACTOR * Math.max(lastSnapshotOffset, 1);
     }
     firstRecordAt = Math.min(firstRecordAt, now);
-    return applied >= FIRST_SNAPSHOT_RECORDS
+    return appliedOffset >= FIRST_SNAPSHOT_RECORDS
         || now - firstRecordAt >= TimeUnit.MILLISECONDS.toNanos(FIRST_SNAPSHOT_MILLIS);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotSettings.java
@@ -5,12 +5,12 @@
 /**
  * When snapshots are written. Immutable.
  *
- * @param maxRecordsBetween how many records may follow the last snapshot
- * @param maxAgeMillis how old the last snapshot may be, in milliseconds; well within the retention
- * @param jitterMillis the span over which the processes that find one due draw their moment, in
- *     milliseconds
- * @param suppressionMillis how long another process's part keeps this one from writing, in
+ * @param maxRecordsBetween maximum number of records after the last snapshot
+ * @param maxAgeMillis maximum age of the last snapshot, in milliseconds; well below the retention
+ * @param jitterMillis range of the random delay before a process writes a due snapshot, in
  *     milliseconds
+ * @param suppressionMillis how long a part of another process's snapshot keeps this process from
+ *     writing, in milliseconds
  */
 public record SnapshotSettings(
     long maxRecordsBetween, long maxAgeMillis, long jitterMillis, long suppressionMillis) {
@@ -21,13 +21,14 @@
 
   /** Checks the components. */
   public SnapshotSettings {
-    checkArgument(maxRecordsBetween > 0, "everyRecords is not positive: %s", maxRecordsBetween);
-    checkArgument(maxAgeMillis > 0, "everyMillis is not positive: %s", maxAgeMillis);
-    checkArgument(jitterMillis > 0, "spreadMillis is not positive: %s", jitterMillis);
-    checkArgument(suppressionMillis >= 0, "holdMillis is negative: %s", suppressionMillis);
+    checkArgument(
+        maxRecordsBetween > 0, "maxRecordsBetween is not positive: %s", maxRecordsBetween);
+    checkArgument(maxAgeMillis > 0, "maxAgeMillis is not positive: %s", maxAgeMillis);
+    checkArgument(jitterMillis > 0, "jitterMillis is not positive: %s", jitterMillis);
+    checkArgument(suppressionMillis >= 0, "suppressionMillis is negative: %s", suppressionMillis);
   }
 
-  /** Returns the usual settings, for a retention of an hour or more. */
+  /** Returns the default settings, for a retention of an hour or more. */
   public static SnapshotSettings defaults() {
     return new SnapshotSettings(
         DEFAULT_MAX_RECORDS_BETWEEN,
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConcurrentPublishTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConcurrentPublishTest.java
@@ -25,8 +25,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Publishers in several processes race over one log, step by step in a drawn order; what they were
- * told is then held against the one order of the log.
+ * Publishers in several processes publish concurrently to one log, in a random order of steps;
+ * their results are checked against the order of the log.
  */
 final class ConcurrentPublishTest {
   private static final int PROCESSES = 4;
@@ -36,7 +36,7 @@
 
   private final ConfigurationCheck check = new ConfigurationCheck();
 
-  /** The log and the processes that read it, each at its own pace. */
+  /** The log and the processes that read it, each at its own speed. */
   private final class TestCluster {
     final Random random;
     final List<LogEntry> log = new ArrayList<>();
@@ -51,7 +51,7 @@
       }
     }
 
-    /** Takes one step that is possible: an append takes effect, or a process reads one entry. */
+    /** Runs one random step: an append takes effect, or a process reads one entry. */
     void step() {
       int choice = random.nextInt(PROCESSES + 1);
       if (choice == PROCESSES) {
@@ -85,9 +85,9 @@
     }
   }
 
-  /** One process: its fold, its place in the log, its publisher, and what operators were told. */
+  /** A process with its fold, read position, publisher and the revisions that were in force. */
   private final class Process {
-    final TestCluster world;
+    final TestCluster cluster;
     final Map<Position, CompletableFuture<Result<Position>>> readBack = new TreeMap<>();
     final List<Long> revisions = new ArrayList<>();
     final String name;
@@ -95,13 +95,13 @@
     ConfigurationPublisher publisher;
     int next;
 
-    Process(TestCluster world, String name) {
-      this.world = world;
+    Process(TestCluster cluster, String name) {
+      this.cluster = cluster;
       this.name = name;
       start(0);
     }
 
-    void start(int life) {
+    void start(int incarnation) {
       fold = new ConfigurationFold(check);
       next = 0;
       publisher =
@@ -113,21 +113,21 @@
               () -> 0,
               () -> 0,
               Runnable::run,
-              name + "/" + life);
+              name + "/" + incarnation);
     }
 
     /**
-     * As the log slice appends: the record takes effect later; now and then its answer is lost,
-     * then it is found by its id or stored a second time.
+     * Appends as the log package does: the record takes effect later. Sometimes the response is
+     * lost, and the record is stored a second time.
      */
     CompletableFuture<Result<Position>> append(String type, JsonNode body) {
       CompletableFuture<Result<Position>> result = new CompletableFuture<>();
-      world.appends.add(
+      cluster.appends.add(
           () -> {
             Position first = store(type, body);
             readBack.put(first, result);
-            if (world.random.nextInt(4) == 0) {
-              world.lostResponses++;
+            if (cluster.random.nextInt(4) == 0) {
+              cluster.lostResponses++;
               store(type, body);
             }
           });
@@ -135,72 +135,73 @@
     }
 
     Position store(String type, JsonNode body) {
-      Position position = new Position(world.log.size(), 0);
-      world.log.add(new LogEntry(position, name + "/1/" + position.offset(), type, body));
+      Position position = new Position(cluster.log.size(), 0);
+      cluster.log.add(new LogEntry(position, name + "/1/" + position.offset(), type, body));
       return position;
     }
 
     boolean read() {
-      if (next >= world.log.size()) {
+      if (next >= cluster.log.size()) {
         return false;
       }
-      LogEntry entry = world.log.get(next);
+      LogEntry entry = cluster.log.get(next);
       next++;
       fold.apply(entry);
       revisions.add(fold.state().revisionInForce());
-      CompletableFuture<Result<Position>> waiting = readBack.remove(entry.position());
-      if (waiting != null) {
-        waiting.complete(Result.ok(entry.position()));
+      CompletableFuture<Result<Position>> pending = readBack.remove(entry.position());
+      if (pending != null) {
+        pending.complete(Result.ok(entry.position()));
       }
       return true;
     }
   }
 
-  /** One publish, the file's revision that it was made from, and what its operator was told. */
+  /** A publish, the file's revision that it is based on, and its result. */
   private record PendingPublish(
       PublishRequest request, long basis, CompletableFuture<Result<PublishResult>> result) {}
 
   /**
-   * Story: ten operators publish at the same moment through four entries, some of them the same
-   * file, and the log loses answers after storing records. Each is told accepted or who was first;
-   * what they were told fits one order, and all processes hold the same in the end.
+   * Ten operators publish concurrently through four entries, some of them the same file, and the
+   * log loses responses after storing records. Each publish is accepted or fails with a conflict
+   * that names the author; the results match the order of the log, and all processes reach the same
+   * state.
    */
   @Property(seed = "31", tries = 150)
   void publishResultsMatchTheOrderOfTheLog(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
-    TestCluster world = new TestCluster(seed);
-    List<PendingPublish> asked = new ArrayList<>();
+    TestCluster cluster = new TestCluster(seed);
+    List<PendingPublish> publishes = new ArrayList<>();
     for (int i = 0; i < OPERATORS; i++) {
-      asked.add(publish(world, i));
-      world.run(world.random.nextInt(gap + 1));
+      publishes.add(publish(cluster, i));
+      cluster.run(cluster.random.nextInt(gap + 1));
     }
-    world.finish();
-    assertResultsMatchHistory(world, asked);
+    cluster.finish();
+    assertResultsMatchHistory(cluster, publishes);
   }
 
-  private PendingPublish publish(TestCluster world, int operator) {
-    String file = FILES.get(world.random.nextInt(FILES.size()));
+  private PendingPublish publish(TestCluster cluster, int operator) {
+    String file = FILES.get(cluster.random.nextInt(FILES.size()));
     JsonNode content =
         file.equals("base")
             ? ConfigurationTesting.baseWithWaiting(operator + 1)
             : ConfigurationTesting.overlayWithWaiting(file, operator + 1);
-    Process process = world.processes.get(world.random.nextInt(PROCESSES));
+    Process process = cluster.processes.get(cluster.random.nextInt(PROCESSES));
     PublishRequest request =
         new PublishRequest(file, content, "operator-" + operator, "", OptionalLong.empty());
     long basis = process.fold.state().fileRevision(file);
     return new PendingPublish(request, basis, process.publisher.publish(request, NO_DEADLINE));
   }
 
-  private void assertResultsMatchHistory(TestCluster world, List<PendingPublish> asked) {
-    ConfigurationState end = world.processes.get(0).fold.state();
-    for (Process process : world.processes) {
+  private void assertResultsMatchHistory(TestCluster cluster, List<PendingPublish> publishes) {
+    ConfigurationState end = cluster.processes.get(0).fold.state();
+    for (Process process : cluster.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
       assertEquals(end.revision(), process.fold.state().revision());
       List<Long> sorted = process.revisions.stream().sorted().toList();
-      assertEquals(sorted, process.revisions, "revisions never go down");
+      assertEquals(sorted, process.revisions, "revisions never decrease");
     }
     long accepted = 0;
-    for (PendingPublish one : asked) {
-      assertTrue(one.result().isDone(), "nobody is left without an answer");
+    for (PendingPublish one : publishes) {
+      assertTrue(one.result().isDone(), "every publish has a result");
       Result<PublishResult> told = one.result().join();
       if (told.isOk()) {
         accepted++;
@@ -209,12 +210,12 @@
         assertConflict(end, one.request(), ((Result.Failed<PublishResult>) told).failure());
       }
     }
-    assertEquals(end.revision(), accepted, "nothing but what was told as accepted is in force");
+    assertEquals(end.revision(), accepted, "every revision is a publish reported as accepted");
   }
 
   private void assertAccepted(
-      ConfigurationState end, PendingPublish asked, PublishResult published) {
-    PublishRequest request = asked.request();
+      ConfigurationState end, PendingPublish publish, PublishResult published) {
+    PublishRequest request = publish.request();
     PublishedVersion version = end.version(published.revision()).orElseThrow();
     assertEquals(request.file(), version.file());
     assertEquals(request.author(), version.author());
@@ -222,8 +223,8 @@
     boolean lostUpdate =
         end.history().stream()
             .filter(v -> v.file().equals(request.file()))
-            .anyMatch(v -> v.revision() > asked.basis() && v.revision() < published.revision());
-    assertFalse(lostUpdate, "a change that the operator never saw was overwritten");
+            .anyMatch(v -> v.revision() > publish.basis() && v.revision() < published.revision());
+    assertFalse(lostUpdate, "a change was overwritten that the operator had not seen");
   }
 
   private void assertConflict(ConfigurationState end, PublishRequest request, Failure failure) {
@@ -240,18 +241,17 @@
   }
 
   /**
-   * Story: entries die and come back while operators publish; one of them starts with a peer's
-   * state because the log is down at that moment. No process may ever show an older revision than
-   * before.
+   * Entries restart while operators publish; a restarted one begins with a peer's state, as during
+   * a log outage. The revision in force never decreases in any process.
    */
   @Property(seed = "32", tries = 100)
   void revisionsNeverDecreaseAcrossRestarts(@ForAll long seed) {
-    TestCluster world = new TestCluster(seed);
+    TestCluster cluster = new TestCluster(seed);
     for (int i = 0; i < OPERATORS; i++) {
-      publish(world, i);
-      world.run(20);
-      Process restarted = world.processes.get(world.random.nextInt(PROCESSES));
-      Process peer = world.processes.get(world.random.nextInt(PROCESSES));
+      publish(cluster, i);
+      cluster.run(20);
+      Process restarted = cluster.processes.get(cluster.random.nextInt(PROCESSES));
+      Process peer = cluster.processes.get(cluster.random.nextInt(PROCESSES));
       JsonNode peerState = peer.fold.snapshot();
       long known = peer.fold.state().revisionInForce();
       restarted.start(i + 1);
@@ -259,9 +259,9 @@
       restarted.revisions.clear();
       assertEquals(known, restarted.fold.state().revisionInForce());
     }
-    world.finish();
-    ConfigurationState end = world.processes.get(0).fold.state();
-    for (Process process : world.processes) {
+    cluster.finish();
+    ConfigurationState end = cluster.processes.get(0).fold.state();
+    for (Process process : cluster.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
       assertEquals(process.revisions.stream().sorted().toList(), process.revisions);
     }
