--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
@@ -14,7 +14,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Turns the configuration in force into what the decision modules take. */
+/** Converts the configuration in force into the settings of the scheduling modules. */
 final class ConfiguredPolicies {
 
   private ConfiguredPolicies() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** The service of this VM's target, held against the goal that the configuration sets. */
+/** Compares the tail latency of this VM's target with the goal in the configuration. */
 final class ConfiguredServiceWatch implements ServiceWatch {
   private final String service;
   private final TailWindow window;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/CountedEvents.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/CountedEvents.java
@@ -11,7 +11,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts events by kind on their way to the time line: {@code marigoldsail_events_total}. */
+/** Counts events by kind in {@code marigoldsail_events_total} and passes them on. */
 final class CountedEvents implements EventRecorder {
   private final EventRecorder next;
   private final Map<EventKind, CounterDataPoint> counters = new EnumMap<>(EventKind.class);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonProcess.java
@@ -2,12 +2,15 @@
 
 import io.marigoldsail.error.Result;
 
-/** A process of either role, from its start to its planned stop. */
+/** A daemon process of either role: entry or side process. */
 interface DaemonProcess extends AutoCloseable {
-  /** Starts everything; after a failure there is nothing to stop gracefully, only to exit. */
+  /** Starts the process. After a failure the caller must exit; a graceful shutdown is not needed. */
   Result<Boolean> start();
 
-  /** Stops gracefully: takes nothing new, ends what is in progress, then frees everything. */
+  /**
+   * Shuts down gracefully: accepts no new work, completes the work in progress, then releases all
+   * resources.
+   */
   @Override
   void close();
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonThreads.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonThreads.java
@@ -3,11 +3,11 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Makes threads that do not keep the process alive. */
+/** Creates daemon threads, which do not keep the process alive. */
 final class DaemonThreads {
   private DaemonThreads() {}
 
-  /** Returns a factory of threads called by the name and a number. */
+  /** Returns a factory of daemon threads that are named after the given name and numbered. */
   static ThreadFactory named(String name) {
     AtomicInteger count = new AtomicInteger();
     return task -> {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Drain.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Drain.java
@@ -7,14 +7,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** Waits, in a planned stop of either role, for what is in progress to end. */
+/** Waits for work in progress to complete during a graceful shutdown. */
 final class Drain {
   private static final EventLog LOG = EventLog.of(Drain.class);
   private static final long LIMIT_SECONDS = 60;
 
   private Drain() {}
 
-  /** Waits until the future completes, a minute at the most; what cut it short is logged. */
+  /** Waits up to a minute until the future completes. Logs a timeout or failure and returns. */
   static void await(CompletableFuture<Void> drained) {
     try {
       drained.get(LIMIT_SECONDS, TimeUnit.SECONDS);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -33,18 +33,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** An entry: serves callers and operators, decides about requests, claims tasks. */
+/** An entry process: serves callers and operators, schedules requests, and claims tasks. */
 final class EntryProcess implements DaemonProcess {
   private static final int KEPT_EVENTS = 1 << 16;
   private static final int MAX_SIDE_PROCESSES = 2_000;
 
-  /** How long the balancer may take to notice the bad health; it asks every second. */
+  /** Time for the load balancer, which polls every second, to notice the failing health check. */
   private static final long STOP_GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /**
-   * How long a publish waits for the log. Shorter than the operator's wait: else that ends first,
-   * and all it can say during an outage is that the outcome is unknown, though nothing was
-   * accepted.
+   * How long a publish waits for the log. Must be shorter than the timeout of the operator's request:
+   * otherwise that one ends first and during a log outage reports an unknown outcome, although
+   * nothing was accepted.
    */
   private static final long PUBLISH_KEEP_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -107,13 +107,13 @@
   }
 
   private EntryDispatcher newDispatcher(EntryIdentity identity, RequestScheduler policy) {
-    long answerBytes = Runtime.getRuntime().maxMemory() / 4;
+    long responseBytes = Runtime.getRuntime().maxMemory() / 4;
     return new EntryDispatcher(
         loop,
         identity,
         policy,
         LinkSettings.DEFAULT,
-        new ByteBudget(answerBytes),
+        new ByteBudget(responseBytes),
         Optional.of(keyTable),
         service -> base.configuration().service(service).targetDetectsRepeats(),
         base.events(),
@@ -201,8 +201,9 @@
   }
 
   /**
-   * The planned stop: the health turns bad at once, so the balancer stops sending callers; those it
-   * still sends are served for a grace time, and what is in progress ends.
+   * Shuts down gracefully. The health check fails immediately, so that the load balancer stops
+   * sending callers. Callers that still arrive are served for a grace period, and requests in
+   * progress are completed.
    */
   @Override
   public void close() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryReadiness.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryReadiness.java
@@ -10,12 +10,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Whether a new entry knows enough targets for the balancer to send callers to it.
+ * Decides when a new entry knows enough targets for the load balancer to send callers to it.
  *
- * <p>Guards against an entry that is replaced under load and refuses its first callers for want of
- * targets, while the others could have served them. All live targets announce themselves within one
- * period after the first one did; where none comes at all, callers are let in after a while, to be
- * told so. Safe for any thread.
+ * <p>Without it, an entry that is replaced under load refuses its first callers because it knows no
+ * targets, although other entries could serve them. All live targets announce themselves within one
+ * period after the first one. If no target announces itself, the entry becomes ready after a
+ * timeout, so that callers receive an error instead of no response. Thread-safe.
  */
 final class EntryReadiness implements MemberListener {
   private static final long AFTER_FIRST_NANOS =
@@ -31,7 +31,7 @@
     this.clock = requireNonNull(clock, "clock");
   }
 
-  /** Tells that the process listens. */
+  /** Called when the process has started listening. */
   synchronized void started() {
     long latest = clock.nanos() + WITHOUT_ANY_NANOS;
     readyAt = heard ? Math.min(readyAt, latest) : latest;
@@ -53,6 +53,6 @@
 
   @Override
   public void lost(Announcement last) {
-    // An entry that was ready stays so: whom it cannot serve it tells, as any other entry would.
+    // A ready entry stays ready: without targets it refuses callers, as any other entry would.
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryRoster.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryRoster.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells the other entries of this one and knows them, over the stream {@code members}.
+ * Publishes the presence of this entry on the stream {@code members} and tracks the other entries.
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 final class EntryRoster implements AutoCloseable {
-  /** How often this entry says that it is there; three may be lost before others drop it. */
+  /** The announcement period. Others remove this entry after three lost announcements. */
   private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(16);
@@ -37,11 +37,11 @@
   private long toldRevision = -1;
   private boolean leaving;
 
-  EntryRoster(EntrySettings settings, ProcessBase base) {
+  EntryRoster(EntrySettings settings, ProcessBase runtime) {
     this.settings = requireNonNull(settings, "settings");
-    this.base = requireNonNull(base, "base");
-    this.directory = new EntryDirectory(base.clock(), KEEP_NANOS);
-    this.stream = StreamClient.writer(base.shared(), EntryDirectory.STREAM, directory);
+    this.base = requireNonNull(runtime, "runtime");
+    this.directory = new EntryDirectory(runtime.clock(), KEEP_NANOS);
+    this.stream = StreamClient.writer(runtime.shared(), EntryDirectory.STREAM, directory);
     stream.follower().addListener(new AfterOutage());
   }
 
@@ -53,7 +53,7 @@
             this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** A change of the revision is told at once, since operators wait for it. */
+  /** Announces periodically, and immediately on a new revision because operators wait for it. */
   private synchronized void look() {
     long now = base.clock().nanos();
     long revision = base.configurationRevision();
@@ -64,7 +64,7 @@
     }
   }
 
-  private void tell(boolean gone) {
+  private void tell(boolean stopped) {
     EntryPresence presence =
         new EntryPresence(
             settings.name(),
@@ -74,21 +74,21 @@
             settings.operatorsAddress().toString(),
             base.configurationRevision(),
             leaving,
-            gone);
-    // Lost ones are repeated; one kept past its time would only tell what is no longer so.
+            stopped);
+    // Expires after one period: a lost announcement is repeated, and a delayed one is stale.
     var unused =
         stream
             .appender()
             .append(EntryPresence.TYPE, presence.write(), base.clock().nanos() + REPEAT_NANOS);
   }
 
-  /** Tells that this entry is in a planned stop. */
+  /** Announces that this entry is shutting down. */
   synchronized void leave() {
     leaving = true;
     tell(true);
   }
 
-  /** Returns where side processes reach the other entries. */
+  /** Returns the addresses on which the other entries accept side processes. */
   List<String> otherProcessesAddresses() {
     return directory.entries().stream()
         .filter(entry -> !entry.name().equals(settings.name()))
@@ -96,7 +96,7 @@
         .toList();
   }
 
-  /** Returns all processes that this entry knows to live, itself first. */
+  /** Returns all live processes known to this entry, itself first. Waits for the loop. */
   List<ProcessMember> members(EntryLinks links, LinkLoop loop) {
     List<ProcessMember> members = new ArrayList<>();
     members.add(
@@ -113,7 +113,7 @@
     CompletableFuture<List<Announcement>> sides = new CompletableFuture<>();
     loop.run(() -> sides.complete(links.members().members()));
     sides
-        // Without the side processes the list would say "in force everywhere" too early.
+        // A list without side processes would report a revision as in force everywhere too early.
         .orTimeout(MEMBERS_WAIT_MILLIS, TimeUnit.MILLISECONDS)
         .join()
         .forEach(side -> members.add(member(side)));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/JobRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/JobRoutes.java
@@ -13,7 +13,7 @@
 import io.marigoldsail.json.Json;
 import java.util.concurrent.CompletableFuture;
 
-/** Serves {@link TaskRoutes} over HTTP on the operators' server. */
+/** Registers {@link TaskRoutes} as HTTP routes on the operators' server. */
 final class JobRoutes {
   private static final String DEFAULT_REASON = "cancelled by an operator";
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/LinkTaskChannel.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/LinkTaskChannel.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.protocol.TaskMessage;
 import java.util.List;
 
-/** Carries messages about tasks over the control links. */
+/** Sends task messages over the control links. */
 final class LinkTaskChannel implements TaskChannel {
   private final PeerLinks links;
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Listening.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Listening.java
@@ -5,18 +5,18 @@
 import io.marigoldsail.settings.HostPort;
 import java.io.IOException;
 
-/** Starts servers such that an address that cannot be had becomes one clear line. */
+/** Starts servers and reports an address that cannot be bound as a one-line failure. */
 final class Listening {
-  /** Something that begins to listen. */
+  /** Starts listening on an address. */
   @FunctionalInterface
   interface Start {
-    /** Begins to listen, or says why it cannot. */
+    /** Starts listening, or throws if the address cannot be bound. */
     void start() throws IOException;
   }
 
   private Listening() {}
 
-  /** Returns true, or a failure that names the settings key and the address. */
+  /** Returns true if the server listens, or a failure that names the settings key and the address. */
   static Result<Boolean> at(String key, HostPort address, Start start) {
     try {
       start.start();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Main.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Main.java
@@ -19,11 +19,11 @@
 import picocli.CommandLine.Option;
 
 /**
- * The daemon's command: reads the settings, starts the process of their role, and runs it until it
- * is told to stop by a signal, which it does gracefully.
+ * The daemon's command. Reads the settings, starts a process of the configured role, and shuts it
+ * down gracefully on a termination signal.
  *
- * <p>Exit codes: 0 after a planned stop, 2 for bad arguments or settings (an address in use among
- * them), 1 for an internal error.
+ * <p>Exit codes: 0 after a graceful shutdown, 1 for an internal error, 2 for invalid arguments or
+ * settings, such as an address in use.
  */
 @Command(
     name = "marigoldsaild",
@@ -34,8 +34,7 @@
   static final int EXIT_BAD_SETTINGS = 2;
 
   static {
-    // Before anything logs; a class literal does not yet initialize the class and so the log
-    // system.
+    // Must be set before the log system is initialized; a class literal does not initialize it.
     System.setProperty("java.util.logging.manager", PatientLogManager.class.getName());
   }
 
@@ -49,18 +48,18 @@
 
   private Main() {}
 
-  /** Runs the command and ends the Java virtual machine with its exit code. */
+  /** Runs the command and exits the Java virtual machine with its exit code. */
   public static void main(String[] arguments) {
     System.exit(new CommandLine(new Main()).execute(arguments));
   }
 
   @Override
   public Integer call() throws InterruptedException {
-    Result<ProcessSettings> read = SettingsReader.read(settingsFile);
-    if (read instanceof Result.Failed<ProcessSettings> failed) {
+    Result<ProcessSettings> result = SettingsReader.read(settingsFile);
+    if (result instanceof Result.Failed<ProcessSettings> failed) {
       return refuse(failed.failure());
     }
-    ProcessSettings settings = read.value();
+    ProcessSettings settings = result.value();
     if (checkOnly) {
       System.out.println(settingsFile + ": correct settings of " + settings.role());
       return 0;
@@ -86,8 +85,9 @@
   }
 
   /**
-   * Runs on the signal. The virtual machine halts once this returns, so the stop is done here and
-   * not in the main thread, the rest of the log included.
+   * Shuts down the process; runs in the shutdown hook. The Java virtual machine halts when the hook
+   * returns, so the whole shutdown, including writing the remaining log lines, is done here instead
+   * of on the main thread.
    */
   private static void stop(DaemonProcess process, LogWriter log, CountDownLatch ended) {
     LOG.info(LogLine.of("planned-stop-began"));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessBase.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessBase.java
@@ -24,7 +24,10 @@
 import io.prometheus.metrics.instrumentation.jvm.JvmMemoryMetrics;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** What processes of both roles have: clocks, events, metrics, operators' server, configuration. */
+/**
+ * The components common to both roles: clocks, events, metrics, the operators' server, and the
+ * configuration.
+ */
 final class ProcessBase implements AutoCloseable {
   /** The name of the configuration's stream. */
   static final String CONFIGURATION_STREAM = "configuration";
@@ -43,20 +46,20 @@
   private final ConfigurationCheck configurationCheck = new ConfigurationCheck();
   private final ConfigurationFold configuration = new ConfigurationFold(configurationCheck);
 
-  /** Kept merged, since every request asks for it. */
+  /** The merged configuration of this site, cached because every request reads it. */
   private volatile Configuration current;
 
   private PeerCatchUp peerCatchUp;
 
   /**
-   * Creates the parts; nothing listens yet.
+   * Creates the components without listening yet.
    *
    * @param settings the process's settings
-   * @param keptEvents how many events of the time line are kept
+   * @param eventCapacity the maximum number of events kept in the event timeline
    */
-  ProcessBase(ProcessSettings settings, int keptEvents) {
+  ProcessBase(ProcessSettings settings, int eventCapacity) {
     this.settings = settings;
-    EventBuffer buffer = new EventBuffer(settings.name(), hybridClock, keptEvents);
+    EventBuffer buffer = new EventBuffer(settings.name(), hybridClock, eventCapacity);
     this.events = new CountedEvents(buffer, metrics);
     this.operators = new OperatorServer(settings.operatorsAddress(), metrics);
     this.platform = PlatformClient.start(settings.name());
@@ -116,7 +119,7 @@
     return platform;
   }
 
-  /** Returns what streams need; its incarnation is the process's own. */
+  /** Returns the dependencies of stream clients. */
   StreamClient.Shared shared() {
     return shared;
   }
@@ -133,7 +136,7 @@
     return configuration;
   }
 
-  /** Returns what is in force at this process's site. */
+  /** Returns the configuration in force at this process's site. */
   Configuration configuration() {
     return current;
   }
@@ -142,7 +145,7 @@
     return configuration.state().revisionInForce();
   }
 
-  /** Takes the configuration from the peers in the settings while the log does not answer. */
+  /** Starts fetching the configuration from the configured peers during log outages. */
   void catchUpFromPeers(StreamFollower configurationFollower) {
     PeerClient client = new PeerClient(platform);
     peerCatchUp =
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessIncarnations.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessIncarnations.java
@@ -4,15 +4,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Names the lives of processes.
+ * Generates process incarnations: the start time in milliseconds followed by random bits.
  *
- * <p>Guards against two processes that start in the same millisecond: ids of requests are made of
- * the life of their entry and a number, and two entries of one life made the same ids, so that a
- * side process took one's requests for the other's and callers were told of unknown outcomes. The
- * time comes first, so that a later life of a process has a higher number.
+ * <p>A later incarnation of a process has a higher number because the time is in the high bits. The
+ * random bits distinguish processes that start in the same millisecond. Request ids consist of the
+ * entry's incarnation and a counter, so two entries with the same incarnation would create the same
+ * ids; a side process would confuse their requests and callers would receive unknown outcomes.
  */
 final class ProcessIncarnations {
-  /** Random bits beside the time; together they stay within 53 bits, which JSON numbers carry. */
+  /** The number of random bits; time and random bits fit into the 53 bits of a JSON number. */
   private static final int RANDOM_BITS = 11;
 
   private ProcessIncarnations() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -26,15 +26,18 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A side process: stands between the entries and the target and worker of its VM. */
+/** A side process: connects the entries to the target and the worker of its VM. */
 final class SideProcess implements DaemonProcess {
   private static final int KEPT_EVENTS = 1 << 13;
   private static final long WORKER_TIMEOUT_MILLIS = 2_000;
 
-  /** How far back the guard looks: long enough for a tail, short enough to see a wave's begin. */
+  /**
+   * The window of the tail latency that the guard uses: long enough to measure a tail, short enough
+   * to react to the start of a load wave.
+   */
   private static final long GUARD_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** The part of a VM's target, where it has one. */
+  /** The components that serve the VM's target, if it has one. */
   private record TargetPart(
       TargetSettings settings,
       TargetClient client,
@@ -67,7 +70,7 @@
     this.target = settings.target().map(this::newTargetPart);
     this.tasks = settings.worker().map(this::newTasks);
     ConfigurationRoutes.registerStateOn(base.operators(), base.configurationFold());
-    // Operators wait for it, so it is told at once instead of with the next announcement.
+    // Operators wait for the new revision, so it is announced immediately.
     base.configurationFold()
         .onInForce(
             state -> {
@@ -160,8 +163,9 @@
   }
 
   /**
-   * The planned stop: leaving is announced, newcomers are turned away as not run, and requests in
-   * progress end. Tasks go on under their leases for the next side process to adopt.
+   * Shuts down gracefully: announces that this process is draining, rejects new requests as not run,
+   * and completes requests in progress. Tasks keep running under their leases until the next side
+   * process adopts them.
    */
   @Override
   public void close() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -19,11 +19,11 @@
 import io.marigoldsail.timeline.EventRecorder;
 import java.util.SplittableRandom;
 
-/** One stream as a process uses it: a follower and, in an entry, an appender and snapshots. */
+/** A process's access to one stream: a follower and, in an entry, an appender and snapshots. */
 final class StreamClient implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(StreamClient.class);
 
-  /** What the streams of one process have in common. */
+  /** The dependencies common to all stream clients of a process. */
   record Shared(
       LogService log,
       String process,
@@ -40,38 +40,38 @@
     this.appender = appender;
   }
 
-  /** Returns a client that only reads. */
-  static StreamClient reader(Shared shared, String stream, Fold fold) {
-    return new StreamClient(newFollower(shared, stream, fold), null);
+  /** Returns a client that only reads the stream. */
+  static StreamClient reader(Shared dependencies, String stream, Fold fold) {
+    return new StreamClient(newFollower(dependencies, stream, fold), null);
   }
 
-  /** Returns a client that also appends, and takes its turn at writing snapshots. */
-  static StreamClient writer(Shared shared, String stream, Fold fold) {
-    StreamFollower follower = newFollower(shared, stream, fold);
+  /** Returns a client that also appends records and takes part in writing snapshots. */
+  static StreamClient writer(Shared dependencies, String stream, Fold fold) {
+    StreamFollower follower = newFollower(dependencies, stream, fold);
     LogAppender appender =
         new LogAppender(
-            shared.log(),
+            dependencies.log(),
             follower,
-            EntryIds.of(shared.process(), shared.incarnation()),
+            EntryIds.of(dependencies.process(), dependencies.incarnation()),
             AppendSettings.usual(),
-            shared.clock(),
+            dependencies.clock(),
             new SplittableRandom());
     SnapshotWriter.attach(
-        follower, appender, SnapshotSettings.usual(), shared.clock(), new SplittableRandom());
+        follower, appender, SnapshotSettings.usual(), dependencies.clock(), new SplittableRandom());
     return new StreamClient(follower, appender);
   }
 
-  private static StreamFollower newFollower(Shared shared, String stream, Fold fold) {
+  private static StreamFollower newFollower(Shared dependencies, String stream, Fold fold) {
     StreamFollower follower =
         new StreamFollower(
-            shared.log(),
+            dependencies.log(),
             stream,
             fold,
             FollowerSettings.usual(),
-            shared.clock(),
+            dependencies.clock(),
             new SplittableRandom());
-    follower.addListener(new Outages(stream, shared));
-    shared.streams().add(follower);
+    follower.addListener(new Outages(stream, dependencies));
+    dependencies.streams().add(follower);
     return follower;
   }
 
@@ -98,10 +98,10 @@
     follower.close();
   }
 
-  /** Puts outages and other histories into the log, the metrics and on the time line. */
-  private record Outages(String stream, Shared shared) implements StreamListener {
+  /** Records outages and replaced histories in the log, the metrics and the event timeline. */
+  private record Outages(String stream, Shared dependencies) implements StreamListener {
     private void record(EventKind kind, String detail) {
-      shared.events().record(Event.of(kind).withDetail("stream " + stream + detail));
+      dependencies.events().record(Event.of(kind).withDetail("stream " + stream + detail));
     }
 
     @Override
@@ -118,7 +118,7 @@
 
     @Override
     public void historyReplaced(NewHistory reaction, String detail) {
-      shared.streams().countReplaced(stream);
+      dependencies.streams().countReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamsStatus.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamsStatus.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Tells how far this process has read each stream: {@code GET /streams} and metrics. */
+/** Reports how far this process has read each stream, in {@code GET /streams} and in metrics. */
 final class StreamsStatus {
   private final List<StreamFollower> followers = new CopyOnWriteArrayList<>();
   private final Counter replaced;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
@@ -32,12 +32,12 @@
 import java.util.function.Supplier;
 
 /**
- * The routes by which operators publish, read and compare the configuration.
+ * The routes with which operators publish, read and compare the configuration.
  *
- * <p>Safe for any thread; a publish waits for the log without holding one.
+ * <p>Thread-safe. A publish waits for the log asynchronously, without blocking a thread.
  */
 public final class ConfigurationRoutes {
-  /** How long a publish waits for the log at the most, in milliseconds. */
+  /** The maximum time that a publish waits for the log, in milliseconds. */
   private static final long PUBLISH_WAIT_MILLIS = 10_000;
 
   private static final String ANONYMOUS = "unknown";
@@ -50,7 +50,10 @@
   /**
    * Creates the routes.
    *
-   * @param members gives what every live process, this one included, said last
+   * @param fold the configuration state of this process
+   * @param publisher publishes and validates changes
+   * @param members supplies all live processes, this one included, with their last reported revisions
+   * @param clock the process's monotonic clock
    */
   public ConfigurationRoutes(
       ConfigurationFold fold,
@@ -63,7 +66,7 @@
     this.clock = requireNonNull(clock, "clock");
   }
 
-  /** Serves all routes on an entry's server. */
+  /** Registers all routes on an entry's server. */
   public void registerOn(OperatorServer server) {
     server.register("POST", "/configuration/{file}", this::publish);
     server.registerImmediate("POST", "/configuration/diff", this::diff);
@@ -76,9 +79,9 @@
   }
 
   /**
-   * Serves the state alone, which every process gives to peers that start during an outage. With
-   * {@code ?after=N} the answer is an empty object unless the revision is above N, so that asking
-   * again and again costs little.
+   * Registers only the route that returns the state. Every process serves it for peers that start
+   * while the log is unavailable. With {@code ?after=N} the response is an empty object unless the
+   * revision is above N, which keeps repeated polls cheap.
    */
   public static void registerStateOn(OperatorServer server, ConfigurationFold fold) {
     server.registerImmediate(
@@ -96,17 +99,17 @@
   }
 
   private CompletableFuture<Result<OperatorAnswer>> publish(OperatorRequest request) {
-    Result<PublishRequest> read = publishRequest(request);
-    if (read instanceof Result.Failed<PublishRequest> failed) {
+    Result<PublishRequest> parsed = publishRequest(request);
+    if (parsed instanceof Result.Failed<PublishRequest> failed) {
       return CompletableFuture.completedFuture(Result.failed(failed.failure()));
     }
     if (request.query("check").isPresent()) {
-      return CompletableFuture.completedFuture(checkOnly(read.value()));
+      return CompletableFuture.completedFuture(checkOnly(parsed.value()));
     }
     long deadline = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(PUBLISH_WAIT_MILLIS);
     return publisher
-        .publish(read.value(), deadline)
-        .thenApply(result -> result.then(published -> Result.ok(answer(read.value(), published))));
+        .publish(parsed.value(), deadline)
+        .thenApply(result -> result.then(published -> Result.ok(answer(parsed.value(), published))));
   }
 
   private Result<OperatorAnswer> checkOnly(PublishRequest request) {
@@ -228,7 +231,7 @@
     ConfigurationState state = fold.state();
     Optional<JsonNode> content = state.content(file);
     if (content.isEmpty()) {
-      return Result.failed(ErrorKind.NOT_FOUND, "no configuration file " + file);
+      return Result.failed(ErrorKind.NOT_FOUND, "no configuration file named " + file);
     }
     ObjectNode node = Json.object();
     node.put("file", file);
@@ -259,7 +262,7 @@
             .findFirst();
     return version.isPresent()
         ? Result.ok(OperatorAnswer.ok(ConfigurationStateJson.write(version.get())))
-        : Result.failed(ErrorKind.NOT_FOUND, "no revision " + text + " in the history kept");
+        : Result.failed(ErrorKind.NOT_FOUND, "revision " + text + " is not in the retained history");
   }
 
   private Result<OperatorAnswer> inForce(OperatorRequest request) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
@@ -16,12 +16,13 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Takes the configuration from other processes while the log does not answer.
+ * Fetches the configuration from peer processes while the log is unavailable.
  *
- * <p>Guards against a process that starts during an outage and serves on the defaults, or one that
- * was just behind when the outage began: it asks its peers and takes the highest revision. Peers
- * that are behind do no harm, since a fold never goes back. Once the log answers it is the only
- * source again; what was taken over is passed over there.
+ * <p>Without it, a process that starts during a log outage would run with the defaults, and one that
+ * was behind when the outage began would keep an old revision. The process restores the highest
+ * revision of its peers; peers that are behind have no effect because a fold never goes back. When
+ * the log is available again it is the only source, and records that the restored state already
+ * contains are skipped.
  */
 public final class PeerCatchUp implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(PeerCatchUp.class);
@@ -35,30 +36,30 @@
   private boolean toldUnknown;
 
   /**
-   * Creates one that does nothing yet.
+   * Creates an instance that does not poll yet.
    *
-   * @param peers operators' addresses of other processes
-   * @param ask reads a path and query from an address; may block
-   * @param fold what is caught up
-   * @param logOutage whether the log does not answer at present
+   * @param peers the operators' addresses of other processes
+   * @param fetch fetches a path with query from a peer; may block
+   * @param fold the configuration state to update
+   * @param logOutage returns whether the log is currently unavailable
    */
   public PeerCatchUp(
       List<HostPort> peers,
-      BiFunction<HostPort, String, Result<JsonNode>> ask,
+      BiFunction<HostPort, String, Result<JsonNode>> fetch,
       ConfigurationFold fold,
       BooleanSupplier logOutage) {
     this.peers = List.copyOf(peers);
-    this.ask = requireNonNull(ask, "ask");
+    this.ask = requireNonNull(fetch, "fetch");
     this.fold = requireNonNull(fold, "fold");
     this.logOutage = requireNonNull(logOutage, "logOutage");
   }
 
-  /** Looks after the log every second from now on, on a thread of its own. */
+  /** Starts polling every second on a separate daemon thread. */
   public synchronized void start() {
     scheduler =
         Executors.newSingleThreadScheduledExecutor(
-            work -> {
-              Thread thread = new Thread(work, "peer-catch-up");
+            task -> {
+              Thread thread = new Thread(task, "peer-catch-up");
               thread.setDaemon(true);
               return thread;
             });
@@ -67,7 +68,7 @@
             this::look, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Asks all peers if the log does not answer. */
+  /** Fetches the configuration from all peers if the log is unavailable. */
   void look() {
     if (!logOutage.getAsBoolean()) {
       toldUnknown = false;
@@ -89,12 +90,12 @@
 
   private void takeFrom(HostPort peer) {
     String path = "/configuration/state?after=" + fold.state().revision();
-    Result<JsonNode> answer = ask.apply(peer, path);
-    if (!answer.isOk() || answer.value().isEmpty()) {
+    Result<JsonNode> response = ask.apply(peer, path);
+    if (!response.isOk() || response.value().isEmpty()) {
       return;
     }
     try {
-      fold.restore(answer.value());
+      fold.restore(response.value());
     } catch (IllegalArgumentException e) {
       LOG.warning(LogLine.of("peer-state-refused").with("peer", peer).withError(e));
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The configuration over HTTP: operators' routes, and asking peers on start while the log is down.
+ * The configuration over HTTP: the operators' routes, and fetching the configuration from peers
+ * while the log is unavailable.
  */
 package io.marigoldsail.daemon.configuration;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/Announcements.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/Announcements.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.protocol.Announce;
 import io.marigoldsail.protocol.TargetReport;
 
-/** Translates announcements and reports between frames and the types of decisions. */
+/** Encodes announcements and load reports as protocol messages and decodes them. */
 public final class Announcements {
   private Announcements() {}
 
@@ -57,7 +57,7 @@
           load(message.getReport()),
           message.getConfigurationRevision());
     } catch (IllegalArgumentException e) {
-      throw new BrokenFrameException("announcement: " + e.getMessage());
+      throw new BrokenFrameException("invalid announcement: " + e.getMessage());
     }
   }
 
@@ -70,7 +70,7 @@
     try {
       return load(message);
     } catch (IllegalArgumentException e) {
-      throw new BrokenFrameException("report: " + e.getMessage());
+      throw new BrokenFrameException("invalid load report: " + e.getMessage());
     }
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/BrokenFrameException.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/BrokenFrameException.java
@@ -1,10 +1,13 @@
 package io.marigoldsail.daemon.link;
 
-/** A peer sent what it may not send; ends the connection it came on and nothing else. */
+/**
+ * Thrown when a peer sends a frame that violates the protocol. Closes the connection that received
+ * it and has no other effect.
+ */
 public final class BrokenFrameException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception whose message says what is wrong with the frame. */
+  /** Creates an exception with a message that describes the violation. */
   public BrokenFrameException(String message) {
     super(message);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryChannel.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryChannel.java
@@ -3,17 +3,20 @@
 import io.marigoldsail.protocol.Frame;
 import java.util.Set;
 
-/** A side process's way to the entries that hear it. Safe for any thread. */
+/** Sends frames from a side process to the entries it is connected to. Thread-safe. */
 public interface EntryChannel {
-  /** Returns how many entries are known to hear this process; at least 1. */
+  /** Returns the number of entries with an established link; at least 1. */
   int entryCount();
 
-  /** Returns the names of the entries that there is a link to. */
+  /** Returns the names of the entries with a link. */
   Set<String> peers();
 
-  /** Sends a frame to the entry; without effect where there is no link to it. */
+  /** Sends a frame to the entry; does nothing if there is no link to it. */
   void sendTo(String entry, Frame frame);
 
-  /** Sends frames to the entry one by one while it takes them. */
+  /**
+   * Streams frames to the entry as fast as its connection accepts them; does nothing if there is no
+   * link to it.
+   */
   void sendAllTo(String entry, FrameStream frames);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLink.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLink.java
@@ -10,9 +10,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 
-/** A side process's link to one entry: dialled, announced on, watched and dialled again. */
+/**
+ * A side process's control link to one entry. Dials the entry, sends announcements, closes the
+ * connection when the entry stops responding, and dials again after a backoff.
+ *
+ * <p>Confined to the loop's thread.
+ */
 final class EntryLink {
-  /** Told of what comes over the link. */
+  /** Receives the events of the link, on the loop's thread. */
   interface Listener {
     void opened(EntryLink link);
 
@@ -27,7 +32,7 @@
 
   private static final System.Logger LOG = System.getLogger(EntryLink.class.getName());
 
-  /** A link whose announcements are not answered for this long is taken for dead. */
+  /** The link is closed if the entry sends nothing for this long. */
   private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
   private static final long BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -67,7 +72,10 @@
     this.lastTurn = loop.now();
   }
 
-  /** Announces on the link, or dials it where it is down and due. */
+  /**
+   * Sends the announcement if the link is up, or dials the entry if it is down and the backoff has
+   * passed.
+   */
   void announce(Frame announcement, long now) {
     boolean wasFrozen = now - lastTurn > FROZEN_NANOS;
     lastTurn = now;
@@ -80,8 +88,9 @@
     if (wasFrozen) {
       connection.excuseSilence(now);
     }
-    // A connection that something between the two ends has lost track of takes bytes and answers
-    // nothing, for good; the entry would drop this VM while it goes on announcing into the void.
+    // When a device between the two ends drops its connection state, the local socket still accepts
+    // writes but no response ever arrives. Without this check the entry would remove this VM while
+    // its announcements keep going to the dead connection.
     if (now - connection.lastReceived() > SILENCE_NANOS) {
       connection.close("silent");
       return;
@@ -141,7 +150,7 @@
     backOffNanos = Math.min(MAX_BACK_OFF_NANOS, backOffNanos * 2);
   }
 
-  /** Frames of the entry. */
+  /** Handles the frames that the entry sends. */
   private final class Incoming implements LinkListener {
     @Override
     public void opened(LinkConnection opened) {
@@ -164,7 +173,8 @@
         }
         case TASK -> listener.task(entry, frame.getTask());
         case KEY_LEASES, KEY_HANDOVER, KEY_HANDOVER_RESULT -> listener.keys(entry, frame);
-        default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
+        default -> throw new BrokenFrameException(
+                "entry sent a frame of unexpected type " + frame.getBodyCase());
       }
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
@@ -25,14 +25,13 @@
 import java.util.function.Supplier;
 
 /**
- * The control links of an entry: side processes dial in, announce themselves and exchange messages
- * about tasks.
+ * The control links of an entry. Accepts connections from side processes, receives their
+ * announcements and exchanges task messages with them.
  *
- * <p>Keeps the {@link MemberTable} up to date on the loop's thread. Safe for any thread where not
- * said otherwise.
+ * <p>Updates the {@link MemberTable} on the loop's thread. Thread-safe unless stated otherwise.
  */
 public final class EntryLinks implements PeerLinks, AutoCloseable {
-  /** How long after its last announcement a VM is dropped. */
+  /** How long after its last announcement a VM is removed from the members. */
   public static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -53,15 +52,15 @@
   private Future<?> tick;
 
   /**
-   * Creates links that are not started.
+   * Creates links without listening yet.
    *
-   * @param loop the thread
-   * @param address where side processes dial in
-   * @param maxConnections how many side processes at most
-   * @param identity who this entry is
-   * @param configurationRevision the revision in force here
-   * @param otherEntries addresses of the other entries known, {@code host:port}
-   * @param events the time line
+   * @param loop the event loop that runs all callbacks
+   * @param address the address that side processes connect to
+   * @param maxConnections the maximum number of connected side processes
+   * @param identity the identity of this entry
+   * @param configurationRevision supplies the configuration revision in force in this process
+   * @param otherEntries supplies the addresses of the other known entries, {@code host:port}
+   * @param events the event timeline
    */
   public EntryLinks(
       LinkLoop loop,
@@ -81,9 +80,9 @@
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @throws IOException if the address cannot be had
+   * @throws IOException if the address cannot be bound
    */
   public void start() throws IOException {
     server.start();
@@ -91,17 +90,17 @@
     tick = loop.repeat(this::tick, TICK_NANOS);
   }
 
-  /** Returns the port that is listened on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return server.port();
   }
 
-  /** Returns the members; to be read on the loop's thread only. */
+  /** Returns the member table, which may be accessed on the loop's thread only. */
   public MemberTable members() {
     return members;
   }
 
-  /** Adds a listener for changes of members; to be called before {@link #start}. */
+  /** Adds a listener for membership changes. Must be called before {@link #start}. */
   public void addMemberListener(MemberListener listener) {
     memberListeners.add(requireNonNull(listener, "listener"));
   }
@@ -127,7 +126,7 @@
     keyListeners.add(requireNonNull(listener, "listener"));
   }
 
-  /** Hands a frame to the link to the VM, if there is one. */
+  /** Sends a frame to the VM's side process; does nothing if there is no link to it. */
   public void sendTo(String vm, Frame frame) {
     LinkConnection connection = byVm.get(vm);
     if (connection != null) {
@@ -140,7 +139,7 @@
     return ImmutableSet.copyOf(byVm.keySet());
   }
 
-  /** Stops listening and ends all links. */
+  /** Stops listening and closes all links. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -149,8 +148,9 @@
 
   private void tick() {
     long now = loop.now();
-    // An entry frozen for seconds finds all deadlines passed before it has read what waits in its
-    // sockets; the lateness of its own tick tells that it was the one who was away.
+    // After this process was paused for seconds, all member deadlines have passed although
+    // announcements wait unread in the sockets. A late tick shows that this process was paused, so
+    // the deadlines are extended.
     if (now - lastTick > FROZEN_NANOS) {
       members.extendAll(now);
     }
@@ -165,7 +165,12 @@
   private void announced(LinkConnection connection, Announcement announcement) {
     MemberTable.Change change = members.announced(announcement, loop.now());
     if (change == MemberTable.Change.STALE) {
-      connection.close("a later process of " + announcement.vm() + " is known");
+      connection.close(
+          "stale incarnation "
+              + announcement.processIncarnation()
+              + ": a later side process of VM "
+              + announcement.vm()
+              + " is known");
       return;
     }
     byVm.put(announcement.vm(), connection);
@@ -185,12 +190,12 @@
   }
 
   private void record(Announcement announcement, MemberTable.Change change) {
-    Event about =
+    Event joined =
         Event.of(EventKind.MEMBER_JOINED)
             .withVm(announcement.vm())
             .withDetail("incarnation " + announcement.processIncarnation());
     if (change == MemberTable.Change.JOINED) {
-      events.record(about);
+      events.record(joined);
     }
     if (change == MemberTable.Change.LEAVING) {
       events.record(Event.of(EventKind.MEMBER_LEAVING).withVm(announcement.vm()));
@@ -203,10 +208,10 @@
         return entry.getKey();
       }
     }
-    throw new BrokenFrameException("a message before any announcement");
+    throw new BrokenFrameException("message received before the first announcement");
   }
 
-  /** Frames of side processes. */
+  /** Handles the frames that side processes send. */
   private final class Incoming implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {}
@@ -223,7 +228,8 @@
           String vm = vmOf(connection);
           keyListeners.forEach(listener -> listener.received(vm, frame));
         }
-        default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
+        default -> throw new BrokenFrameException(
+                "side process sent a frame of unexpected type " + frame.getBodyCase());
       }
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/FrameStream.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/FrameStream.java
@@ -3,8 +3,10 @@
 import io.marigoldsail.protocol.Frame;
 import java.util.Iterator;
 
-/** The frames of one long body, made one by one as they are sent; holds at least one frame. */
+/**
+ * The frames of one long body, created one at a time as they are sent. Contains at least one frame.
+ */
 public interface FrameStream extends Iterator<Frame> {
-  /** Told once that the last frame was handed on or that the rest never will be. */
+  /** Called once, after the last frame was taken or when the remaining frames are discarded. */
   void ended();
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyListener.java
@@ -2,13 +2,13 @@
 
 import io.marigoldsail.protocol.Frame;
 
-/** Told of frames about idempotency keys that came over a control link. */
+/** Receives frames about idempotency keys from the control links. */
 @FunctionalInterface
 public interface KeyListener {
   /**
-   * Takes a frame; called on the loop's thread.
+   * Handles a frame. Called on the loop's thread; must not block.
    *
-   * @param peer the entry, or the VM of the side process, that sent it
+   * @param peer the sender: the VM's name in an entry, the entry's name in a side process
    * @param frame the frame
    */
   void received(String peer, Frame frame);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
@@ -6,11 +6,12 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection between two of our processes.
+ * A connection between two marigoldsail processes.
  *
- * <p>Confined to the loop's thread, but for {@link #toString}. Frames sent one by one keep their
- * order. A long body goes by {@link #sendAll}, chunk by chunk as the peer takes them, so that it
- * neither fills this process's memory nor holds up the small frames of other requests.
+ * <p>Confined to the loop's thread, except {@link #toString}. Frames passed to {@link #send} keep
+ * their order. Long bodies are sent with {@link #sendAll}, one chunk at a time as the connection
+ * accepts them, so that they neither fill this process's memory nor delay the small frames of other
+ * requests.
  */
 public final class LinkConnection {
   private final Channel channel;
@@ -30,22 +31,22 @@
     this.lastReceived = loop.now();
   }
 
-  /** Sends the frame; without effect on a closed connection. */
+  /** Sends a frame that the peer responds to; does nothing if the connection is closed. */
   public void send(Frame frame) {
     write(frame);
   }
 
   /**
-   * Sends a frame that nothing answers; without effect on a closed connection.
+   * Sends a frame that the peer does not respond to; does nothing if the connection is closed.
    *
-   * <p>Guards against a sound connection that is taken for silent: what is sent between two frames
-   * that ask for an answer says nothing of the peer.
+   * <p>Does not start the timer of {@link #unansweredNanos}: a healthy connection would otherwise
+   * look unresponsive after a frame to which no response is due.
    */
   public void tell(Frame frame) {
     writeStamped(frame);
   }
 
-  /** Sends the frames one after another while the peer takes them. */
+  /** Sends the frames one at a time as the connection accepts them. */
   public void sendAll(FrameStream frames) {
     if (!channel.isActive()) {
       frames.ended();
@@ -56,14 +57,14 @@
   }
 
   /**
-   * Sends the frame after the first frame of everything that was given to {@link #sendAll} before;
-   * {@link #send} may overtake bodies that have not begun.
+   * Sends the frame after the first frame of every stream passed to {@link #sendAll} before. A frame
+   * passed to {@link #send} may overtake streams that have not started.
    */
   public void sendInTurn(Frame frame) {
     sendAll(new SingleFrame(frame));
   }
 
-  /** Ends the connection; the listener is told the reason. */
+  /** Closes the connection; the listener receives the reason. */
   public void close(String reason) {
     if (channel.isOpen()) {
       closeReason = reason;
@@ -71,33 +72,39 @@
     }
   }
 
-  /** Returns whether everything that was sent has been handed to the operating system. */
+  /** Returns whether all sent frames have been written to the socket. */
   boolean isFlushed() {
     ChannelOutboundBuffer unsent = channel.unsafe().outboundBuffer();
     return streams.isEmpty() && (unsent == null || unsent.totalPendingWriteBytes() == 0);
   }
 
-  /** Returns whether frames can be sent. */
+  /** Returns whether the connection is open. */
   public boolean isOpen() {
     return channel.isActive();
   }
 
-  /** Returns when the last frame was read, in nanoseconds of the loop's clock. */
+  /** Returns the time of the last received frame, in nanoseconds of the loop's clock. */
   public long lastReceived() {
     return lastReceived;
   }
 
-  /** Counts a whole answer that was read; the next frame sent tells the peer. */
+  /** Counts a completely read response. The next sent frame carries the count to the peer. */
   public void answerRead() {
     answersRead++;
   }
 
-  /** Returns for how long nothing came after something was sent, in nanoseconds; else 0. */
+  /**
+   * Returns how long ago the oldest unanswered frame was sent, in nanoseconds; 0 if a frame was
+   * received since.
+   */
   public long unansweredNanos(long now) {
     return unanswered ? now - unansweredSince : 0;
   }
 
-  /** Takes now for the time of the last frame, after this process was itself frozen. */
+  /**
+   * Restarts the silence timers at the given time. Used after this process was paused, when the peer
+   * is not to blame for the time without frames.
+   */
   public void excuseSilence(long now) {
     lastReceived = now;
     unansweredSince = now;
@@ -112,7 +119,7 @@
     return closeReason;
   }
 
-  /** Sends one chunk of each long body in turn until the connection has enough to write. */
+  /** Writes chunks of the queued streams in round-robin order while the channel is writable. */
   void pump() {
     while (!streams.isEmpty() && channel.isActive() && channel.isWritable()) {
       FrameStream stream = streams.poll();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkHandler.java
@@ -5,7 +5,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import java.io.IOException;
 
-/** Hands frames and the end of one connection to its listener. */
+/** Passes the frames and the close of one connection to its listener. */
 final class LinkHandler extends SimpleChannelInboundHandler<Frame> {
   private static final System.Logger LOG = System.getLogger(LinkHandler.class.getName());
 
@@ -52,7 +52,7 @@
     }
   }
 
-  /** A broken frame costs its own connection and one line in the log, nothing else. */
+  /** Logs an invalid frame and closes its connection; other connections are not affected. */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     String reason = cause.getClass().getSimpleName() + ": " + cause.getMessage();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkInitializer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkInitializer.java
@@ -10,11 +10,11 @@
 import io.netty.handler.codec.protobuf.ProtobufEncoder;
 import io.netty.handler.flush.FlushConsolidationHandler;
 
-/** Lays the handlers of a connection: frames with a hard limit, protobuf, the listener. */
+/** Builds the channel pipeline: frames of limited length, protobuf, and the listener. */
 final class LinkInitializer extends ChannelInitializer<Channel> {
   /**
-   * The longest frame that is read, in bytes: a chunk of a body and the longest headers that a
-   * caller's or target's message may have, with room for the rest.
+   * The maximum length of a received frame, in bytes. Leaves space for one body chunk plus the
+   * longest headers allowed in a caller's or target's message.
    */
   static final int MAX_FRAME_BYTES = 192 * 1024;
 
@@ -36,7 +36,7 @@
     channel.config().setWriteBufferWaterMark(WRITE_MARKS);
     channel
         .pipeline()
-        // Frames written while one batch is read leave in one system call.
+        // Frames written while one batch is read are flushed in one system call.
         .addLast(new FlushConsolidationHandler(FLUSH_AFTER_FRAMES, true))
         .addLast(
             new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkListener.java
@@ -2,18 +2,18 @@
 
 import io.marigoldsail.protocol.Frame;
 
-/** Told on the loop's thread what happens on connections; must not block. */
+/** Receives connection events. Called on the loop's thread; must not block. */
 public interface LinkListener {
-  /** The connection is open. */
+  /** Called when a connection has opened. */
   void opened(LinkConnection connection);
 
   /**
-   * A whole frame was read.
+   * Called for each received frame.
    *
-   * @throws BrokenFrameException if the peer may not send such a frame; closes the connection
+   * @throws BrokenFrameException if the peer may not send this frame; closes the connection
    */
   void received(LinkConnection connection, Frame frame) throws BrokenFrameException;
 
-  /** The connection has ended; called once for each that was opened. */
+  /** Called once for each opened connection, when it has closed. */
   void closed(LinkConnection connection, String reason);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkLoop.java
@@ -24,11 +24,11 @@
 import java.util.function.Consumer;
 
 /**
- * The one event loop thread of a process on which links are read and requests are decided.
+ * The single event loop thread of a process. Reads all links and runs the request scheduling.
  *
- * <p>One thread owns both, so that an answer read from a link is matched, decided on and passed on
- * without a hop to another thread and without locks. Whatever runs here must not block. The methods
- * may be called from any thread.
+ * <p>Both run on one thread so that a response from a link is matched and forwarded without locks or
+ * a switch to another thread. Code that runs on the loop must not block. The methods are
+ * thread-safe.
  */
 public final class LinkLoop implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(LinkLoop.class.getName());
@@ -55,7 +55,7 @@
    *
    * @param name the thread's name
    * @param clock the process's monotonic clock
-   * @param hybridClock stamps every frame that is sent and observes every one that is read
+   * @param hybridClock timestamps sent frames and is advanced by the timestamps of received ones
    */
   public LinkLoop(String name, MonotonicClock clock, HybridClock hybridClock) {
     this(
@@ -66,11 +66,11 @@
   }
 
   /**
-   * Runs on the only thread of a group.
+   * Uses the only thread of an event loop group.
    *
-   * @param group its end is this loop's
+   * @param group the group; closed together with this loop
    * @param clock the process's monotonic clock
-   * @param hybridClock stamps every frame that is sent and observes every one that is read
+   * @param hybridClock timestamps sent frames and is advanced by the timestamps of received ones
    */
   public LinkLoop(EventLoopGroup group, MonotonicClock clock, HybridClock hybridClock) {
     this.clock = requireNonNull(clock, "clock");
@@ -79,17 +79,17 @@
     this.loop = group.next();
   }
 
-  /** Returns the process's monotonic clock in nanoseconds. */
+  /** Returns the time of the process's monotonic clock, in nanoseconds. */
   public long now() {
     return clock.nanos();
   }
 
-  /** Returns the clock that stamps frames. */
+  /** Returns the clock that timestamps frames. */
   HybridClock hybridClock() {
     return hybridClock;
   }
 
-  /** Runs the task on the loop: at once where the caller is on it, else soon. */
+  /** Runs the task on the loop: immediately if called on its thread, otherwise queued. */
   public void run(Runnable task) {
     if (loop.inEventLoop()) {
       task.run();
@@ -98,7 +98,7 @@
     loop.execute(task);
   }
 
-  /** Runs the task on the loop, after what runs there now. */
+  /** Queues the task on the loop, also if called on its thread. */
   public void runLater(Runnable task) {
     loop.execute(task);
   }
@@ -108,7 +108,10 @@
     return loop.schedule(task, delayNanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Runs the task on the loop again and again, first after one period, also after it threw. */
+  /**
+   * Runs the task on the loop periodically, first after one period. An exception of the task is
+   * logged and does not stop the repetition.
+   */
   public Future<?> repeat(Runnable task, long periodNanos) {
     return loop.scheduleWithFixedDelay(
         () ->
@@ -120,13 +123,13 @@
   }
 
   /**
-   * Runs the task now and goes on also after it threw.
+   * Runs the task and passes a runtime exception to the handler instead of throwing it.
    *
-   * <p>Guards against a process that lives on without what comes after the task: an exception would
-   * end a repetition or a chain for good, and with it leases, orders, and the ends of runs out of
-   * reach.
+   * <p>Without this, an exception would end a periodic task or a chain of tasks for good while the
+   * process stays up: leases would no longer be renewed, attempts no longer started, and the ends of
+   * runs on unreachable VMs never recorded.
    *
-   * @param failed told of the exception, to log it
+   * @param failed receives the exception, to log it
    */
   public static void runGuarded(Runnable task, Consumer<RuntimeException> failed) {
     try {
@@ -136,7 +139,7 @@
     }
   }
 
-  /** Returns whether the calling thread is the loop's. */
+  /** Returns whether the calling thread is the loop's thread. */
   public boolean inLoop() {
     return loop.inEventLoop();
   }
@@ -144,9 +147,9 @@
   /**
    * Opens a connection.
    *
-   * @param address where to
-   * @param listener told on the loop when the connection opens, of its frames and of its end
-   * @param failed told on the loop why it could not be opened
+   * @param address the address to connect to
+   * @param listener receives the connection's events, on the loop
+   * @param failed receives the cause if the connection cannot be opened, on the loop
    */
   public void dial(InetSocketAddress address, LinkListener listener, Consumer<Throwable> failed) {
     Bootstrap bootstrap =
@@ -167,12 +170,12 @@
   }
 
   /**
-   * Tries whether somebody listens at the address.
+   * Checks whether the address accepts connections. The test connection is closed immediately.
    *
-   * @param address where
-   * @param heard told on the loop whether a connection was accepted; it is closed at once
+   * @param address the address to connect to
+   * @param result receives whether a connection was accepted, on the loop
    */
-  public void probe(InetSocketAddress address, Consumer<Boolean> heard) {
+  public void probe(InetSocketAddress address, Consumer<Boolean> result) {
     new Bootstrap()
         .group(group)
         .channel(NioSocketChannel.class)
@@ -182,11 +185,11 @@
         .addListener(
             (ChannelFuture connected) -> {
               connected.channel().close();
-              heard.accept(connected.isSuccess());
+              result.accept(connected.isSuccess());
             });
   }
 
-  /** Listens on the address; package-private, see {@link LinkServer}. */
+  /** Listens on the address. Used by {@link LinkServer}. */
   Channel listen(InetSocketAddress address, LinkInitializer initializer)
       throws InterruptedException {
     return new ServerBootstrap()
@@ -201,7 +204,7 @@
         .channel();
   }
 
-  /** Stops the thread; tasks that have not run are dropped. Waits for its end. */
+  /** Stops the thread and waits for its end. Tasks that have not run are discarded. */
   @Override
   public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkServer.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Accepts connections from our other processes.
+ * Accepts connections from other marigoldsail processes.
  *
- * <p>Connections beyond the limit are closed at once, and connections on which nothing came for a
- * while too: a flood of connections, or peers that vanished without a word, must not use up the
- * process's descriptors and memory. Safe for any thread.
+ * <p>Closes connections beyond the limit immediately and idle connections after a timeout, so that
+ * neither a flood of connections nor peers that disappeared without closing can exhaust the
+ * process's file descriptors and memory. Thread-safe.
  */
 public final class LinkServer implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(LinkServer.class.getName());
@@ -37,10 +37,10 @@
   /**
    * Creates a server that does not listen yet.
    *
-   * @param loop the thread
-   * @param address where to listen; port 0 takes any
-   * @param maxConnections how many connections are open at most
-   * @param listener told what happens on them
+   * @param loop the event loop
+   * @param address the address to listen on; port 0 selects any free port
+   * @param maxConnections the maximum number of open connections
+   * @param listener receives the events of the connections within the limit
    */
   public LinkServer(
       LinkLoop loop, InetSocketAddress address, int maxConnections, LinkListener listener) {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @throws IOException if the address cannot be had, such as a port in use
+   * @throws IOException if the address cannot be bound, for example because the port is in use
    */
   public void start() throws IOException {
     try {
@@ -68,20 +68,20 @@
     sweep = loop.repeat(this::sweep, SWEEP_NANOS);
   }
 
-  /** Returns the port that is listened on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return ((InetSocketAddress) acceptor.localAddress()).getPort();
   }
 
   /**
-   * Returns whether everything that was sent has been handed to the operating system; to be called
-   * on the loop's thread.
+   * Returns whether all sent frames have been written to their sockets. Must be called on the loop's
+   * thread.
    */
   public boolean isFlushed() {
     return open.stream().allMatch(LinkConnection::isFlushed);
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   @Override
   public void close() {
     sweep.cancel(false);
@@ -107,7 +107,7 @@
     }
   }
 
-  /** Passes on what happens on connections within the limit. */
+  /** Refuses connections beyond the limit and forwards the events of all others. */
   private final class Bounded implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/MemberListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/MemberListener.java
@@ -3,11 +3,11 @@
 import io.marigoldsail.membership.Announcement;
 import io.marigoldsail.membership.MemberTable;
 
-/** Told in an entry, on the loop's thread, how its members change; must not block. */
+/** Receives membership changes in an entry. Called on the loop's thread; must not block. */
 public interface MemberListener {
-  /** An announcement was read and taken. */
+  /** Called for each announcement that the member table accepted. */
   void announced(Announcement announcement, MemberTable.Change change);
 
-  /** A VM was dropped for its silence. */
+  /** Called when a VM was removed because its announcements stopped. */
   void lost(Announcement last);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/PeerLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/PeerLinks.java
@@ -4,23 +4,23 @@
 import java.util.Set;
 
 /**
- * The control links of a process, over which it exchanges messages about tasks with its peers.
+ * The control links of a process, over which it exchanges task messages with its peers.
  *
- * <p>Delivery is not promised: a message may be lost with its link, so whoever needs an effect
- * repeats until it sees it. Safe for any thread.
+ * <p>Delivery is at most once: a message may be lost with its link. Senders that need the effect
+ * must resend until they observe it. Thread-safe.
  */
 public interface PeerLinks {
   /**
-   * Hands a message to the link to the peer.
+   * Queues a message on the peer's link.
    *
    * @param peer the VM's name in an entry, the entry's name in a side process
-   * @return whether there was a link to hand it to
+   * @return whether there is a link to the peer
    */
   boolean send(String peer, TaskMessage message);
 
-  /** Returns the names of the peers that there are links to now. */
+  /** Returns the names of the peers that currently have a link. */
   Set<String> peers();
 
-  /** Adds a listener for messages from peers; to be called before the links are started. */
+  /** Adds a listener for messages from peers. Must be called before the links are started. */
   void addTaskListener(TaskListener listener);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SideLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SideLinks.java
@@ -23,14 +23,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The control links of a side process: it dials every entry that it knows, announces itself and
- * exchanges messages about tasks.
+ * The control links of a side process. Dials every known entry, announces the VM periodically and
+ * exchanges task messages.
  *
- * <p>Entries come from the settings and from what entries tell of each other. Safe for any thread
- * where not said otherwise.
+ * <p>The known entries are those of the settings and those that other entries list in their
+ * acknowledgements. Thread-safe unless stated otherwise.
  */
 public final class SideLinks implements PeerLinks, EntryChannel, AutoCloseable {
-  /** How often the VM is announced; a sixth of the entry's {@link EntryLinks#SILENCE_NANOS}. */
+  /** The announcement period: a sixth of the entry's {@link EntryLinks#SILENCE_NANOS}. */
   public static final long ANNOUNCE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private static final int MAX_ENTRIES = 64;
@@ -48,13 +48,13 @@
   private volatile int openCount;
 
   /**
-   * Creates links that are not started.
+   * Creates links without dialling yet.
    *
-   * @param loop the thread
-   * @param announcement what is announced now; called on the loop
-   * @param seeds the entries of the settings, never forgotten
-   * @param events the time line
-   * @param random for the back-off's jitter
+   * @param loop the event loop that runs all callbacks
+   * @param announcement supplies the current announcement; called on the loop
+   * @param seeds the entries of the settings, which never expire
+   * @param events the event timeline
+   * @param random the source of the backoff jitter
    */
   public SideLinks(
       LinkLoop loop,
@@ -71,13 +71,13 @@
     }
   }
 
-  /** Begins to dial and to announce. */
+  /** Starts dialling and announcing. */
   public void start() {
     tick = loop.repeat(this::tick, ANNOUNCE_NANOS);
     loop.runLater(this::tick);
   }
 
-  /** Announces now instead of at the next turn; for news that must not wait, such as leaving. */
+  /** Announces immediately instead of at the next period, such as when draining begins. */
   public void announceNow() {
     loop.run(this::tick);
   }
@@ -92,7 +92,7 @@
     taskListeners.add(requireNonNull(listener, "listener"));
   }
 
-  /** Adds a listener for frames about keys; to be called before the start. */
+  /** Adds a listener for frames about idempotency keys. Must be called before {@link #start}. */
   public void addKeyListener(KeyListener listener) {
     keyListeners.add(requireNonNull(listener, "listener"));
   }
@@ -129,7 +129,7 @@
     return ImmutableSet.copyOf(byEntry.keySet());
   }
 
-  /** Ends all links. */
+  /** Closes all links. */
   @Override
   public void close() {
     tick.cancel(false);
@@ -151,27 +151,27 @@
         .values()
         .removeIf(
             link -> {
-              boolean forgotten = link.mayBeForgotten(now, FORGET_ENTRY_NANOS);
-              if (forgotten) {
+              boolean expired = link.mayBeForgotten(now, FORGET_ENTRY_NANOS);
+              if (expired) {
                 link.close();
               }
-              return forgotten;
+              return expired;
             });
-    int heard = 0;
+    int established = 0;
     for (EntryLink link : links.values()) {
       link.announce(frame, now);
       if (link.isHeard()) {
-        heard++;
+        established++;
       }
     }
-    openCount = heard;
+    openCount = established;
   }
 
   private Frame frame() {
     return Frame.newBuilder().setAnnounce(Announcements.write(announcement.get())).build();
   }
 
-  /** Learns what the links tell. */
+  /** Handles the events of the links. */
   private final class Listener implements EntryLink.Listener {
     @Override
     public void opened(EntryLink link) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SingleFrame.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SingleFrame.java
@@ -3,7 +3,7 @@
 import io.marigoldsail.protocol.Frame;
 import java.util.NoSuchElementException;
 
-/** A stream of one frame. */
+/** A stream that contains a single frame. */
 final class SingleFrame implements FrameStream {
   private final Frame frame;
   private boolean taken;
@@ -20,7 +20,7 @@
   @Override
   public Frame next() {
     if (taken) {
-      throw new NoSuchElementException("the only frame was taken");
+      throw new NoSuchElementException("the stream's single frame was already taken");
     }
     taken = true;
     return frame;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskListener.java
@@ -2,13 +2,13 @@
 
 import io.marigoldsail.protocol.TaskMessage;
 
-/** Told of messages about tasks, on the loop's thread; must not block. */
+/** Receives task messages from the control links. */
 @FunctionalInterface
 public interface TaskListener {
   /**
-   * A message came.
+   * Handles a message. Called on the loop's thread; must not block.
    *
-   * @param peer the VM's name in an entry, the entry's name in a side process
+   * @param peer the sender: the VM's name in an entry, the entry's name in a side process
    * @param message the message
    */
   void received(String peer, TaskMessage message);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Connections between our own processes: length-prefixed protobuf frames over TCP.
+ * Connections between marigoldsail processes: length-prefixed protobuf frames over TCP.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.link.LinkLoop} first: it is the one thread on which
- * everything here runs. An entry uses {@link io.marigoldsail.daemon.link.EntryLinks} to hear
- * announcements and to exchange messages about tasks, a side process {@link
- * io.marigoldsail.daemon.link.SideLinks} to announce itself. Requests travel on connections of
- * their own, which {@link io.marigoldsail.daemon.link.LinkServer} accepts in the side process and
- * {@link io.marigoldsail.daemon.link.LinkLoop#dial} opens in the entry.
+ * <p>{@link io.marigoldsail.daemon.link.LinkLoop} is the single thread that runs everything in this
+ * package. An entry uses {@link io.marigoldsail.daemon.link.EntryLinks} to receive announcements and
+ * exchange task messages; a side process uses {@link io.marigoldsail.daemon.link.SideLinks} to
+ * announce itself. Requests use separate connections, accepted by {@link
+ * io.marigoldsail.daemon.link.LinkServer} in the side process and opened with {@link
+ * io.marigoldsail.daemon.link.LinkLoop#dial} in the entry.
  */
 package io.marigoldsail.daemon.link;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/EventLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/EventLog.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Logs events, one {@link LogLine} each, over {@link System.Logger}.
+ * Logs events to a {@link System.Logger}, one {@link LogLine} per event.
  *
- * <p>Safe for any thread. Levels: error for what an operator must look at, warning for what the
- * system got over, info for what happens seldom, debug for the rest.
+ * <p>Thread-safe. Levels: error if an operator must act, warning for faults that the system recovered
+ * from, info for rare events, debug for everything else.
  */
 public final class EventLog {
   private final System.Logger logger;
@@ -15,32 +15,32 @@
     this.logger = logger;
   }
 
-  /** Returns the log of a class. */
+  /** Returns the event log of a class. */
   public static EventLog of(Class<?> owner) {
     return new EventLog(System.getLogger(owner.getName()));
   }
 
-  /** Returns a log over the given logger. */
+  /** Returns an event log that writes to the given logger. */
   public static EventLog of(System.Logger logger) {
     return new EventLog(requireNonNull(logger, "logger"));
   }
 
-  /** Logs what an operator must look at. */
+  /** Logs an event on which an operator must act. */
   public void error(LogLine line) {
     logger.log(System.Logger.Level.ERROR, line::toString);
   }
 
-  /** Logs what the system got over. */
+  /** Logs a fault that the system recovered from. */
   public void warning(LogLine line) {
     logger.log(System.Logger.Level.WARNING, line::toString);
   }
 
-  /** Logs what happens seldom. */
+  /** Logs a rare event. */
   public void info(LogLine line) {
     logger.log(System.Logger.Level.INFO, line::toString);
   }
 
-  /** Logs the rest. */
+  /** Logs any other event. */
   public void debug(LogLine line) {
     logger.log(System.Logger.Level.DEBUG, line::toString);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/FoldedLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/FoldedLog.java
@@ -8,22 +8,23 @@
 import java.util.function.Consumer;
 
 /**
- * Writes lines that repeat as few: the first of a kind at once, and of those that follow within a
- * span only the last, with {@code folded=N} for how many lines it stands for, itself among them.
+ * Aggregates repeated log lines. The first line of a kind is written immediately. Of the lines that
+ * follow within a time window only the last is written, at the end of the window, with {@code
+ * folded=N} for the number of lines it represents, itself included.
  *
- * <p>A kind that goes on has one line a span; one that was quiet for a span begins anew. At most
- * {@link #MOST_KINDS} kinds are told apart at a time, all further ones count as one. A process that
- * ends keeps the lines of the last span to itself.
+ * <p>While a kind repeats, one line is written per window; after a window without lines the next
+ * line is written immediately again. At most {@link #MOST_KINDS} kinds are tracked at a time; all
+ * others share one kind. Lines of a window that has not ended are lost when the process ends.
  *
  * <p>Confined to the timer's thread. Rejects nulls.
  */
 public final class FoldedLog {
-  /** The most kinds that are told apart at a time. */
+  /** The maximum number of kinds tracked at a time. */
   static final int MOST_KINDS = 32;
 
   private static final String ALL_OTHERS = "";
 
-  /** Runs what is due later on the thread that also tells the lines. */
+  /** Schedules tasks on the thread that also logs the lines. */
   @FunctionalInterface
   public interface Timer {
     /** Runs the task once after the delay. */
@@ -41,38 +42,38 @@
   private final Map<String, Span> spans = new HashMap<>();
 
   /**
-   * Creates a log without a line yet.
+   * Creates an aggregating log.
    *
-   * @param out takes the lines that are written
-   * @param timer ends spans
-   * @param spanNanos how long lines of a kind are gathered
+   * @param out receives the lines to write
+   * @param timer schedules the end of each window
+   * @param windowNanos the length of a window, in nanoseconds
    */
-  public FoldedLog(Consumer<LogLine> out, Timer timer, long spanNanos) {
-    checkArgument(spanNanos > 0, "spanNanos is not positive: %s", spanNanos);
+  public FoldedLog(Consumer<LogLine> out, Timer timer, long windowNanos) {
+    checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.out = requireNonNull(out, "out");
     this.timer = requireNonNull(timer, "timer");
-    this.spanNanos = spanNanos;
+    this.spanNanos = windowNanos;
   }
 
   /**
-   * Tells a line.
+   * Logs a line, or adds it to the current window of its kind.
    *
-   * @param kind what makes lines repeats of each other; not empty
+   * @param kind the aggregation key: lines of the same kind are aggregated; not empty
    */
   public void tell(String kind, LogLine line) {
-    checkArgument(!kind.isEmpty(), "no kind");
+    checkArgument(!kind.isEmpty(), "kind is empty");
     requireNonNull(line, "line");
     boolean known = spans.containsKey(kind) || spans.size() < MOST_KINDS;
-    String told = known ? kind : ALL_OTHERS;
-    Span span = spans.get(told);
-    if (span == null) {
+    String key = known ? kind : ALL_OTHERS;
+    Span window = spans.get(key);
+    if (window == null) {
       out.accept(line);
-      spans.put(told, new Span());
-      timer.schedule(() -> end(told), spanNanos);
+      spans.put(key, new Span());
+      timer.schedule(() -> end(key), spanNanos);
       return;
     }
-    span.folded++;
-    span.last = line;
+    window.folded++;
+    window.last = line;
   }
 
   private void end(String kind) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
@@ -6,14 +6,14 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes every log record, also those of libraries, as one line of key=value pairs.
+ * Formats every log record, including those of libraries, as one line of key=value pairs.
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 public final class KeyValueFormatter extends Formatter {
   private static final int NANOS_A_MILLI = 1_000_000;
 
-  /** Characters of a line before its event, about. */
+  /** The approximate length of a line before its event, in characters. */
   private static final int USUAL_HEAD = 160;
 
   private record Second(long epochSecond, String text) {}
@@ -46,17 +46,17 @@
   }
 
   /**
-   * Returns a record that is formatted to the same line, whatever becomes of what the given one
-   * refers to: its parameters and what was thrown.
+   * Returns a record with the message already formatted, so that later changes to the parameters or
+   * the exception of the given record do not affect the line.
    */
   LogRecord settled(LogRecord logRecord) {
     if (isSettled(logRecord)) {
       return logRecord;
     }
-    LogRecord settled = new LogRecord(logRecord.getLevel(), body(logRecord));
-    settled.setLoggerName(logRecord.getLoggerName());
-    settled.setInstant(logRecord.getInstant());
-    return settled;
+    LogRecord preformatted = new LogRecord(logRecord.getLevel(), body(logRecord));
+    preformatted.setLoggerName(logRecord.getLoggerName());
+    preformatted.setInstant(logRecord.getInstant());
+    return preformatted;
   }
 
   private static boolean isSettled(LogRecord logRecord) {
@@ -77,21 +77,21 @@
     return body + LogLine.of("x").withError(thrown).toString().substring("event=x".length());
   }
 
-  /** Returns the date and time of a second, which many lines share. */
+  /** Returns the formatted date and time of a second. Caches the last one, as many lines share it. */
   private String second(long epochSecond) {
-    Second known = lastSecond;
-    if (known.epochSecond() != epochSecond) {
+    Second cached = lastSecond;
+    if (cached.epochSecond() != epochSecond) {
       String text = Instant.ofEpochSecond(epochSecond).toString();
-      known = new Second(epochSecond, text.substring(0, text.length() - 1));
-      lastSecond = known;
+      cached = new Second(epochSecond, text.substring(0, text.length() - 1));
+      lastSecond = cached;
     }
-    return known.text();
+    return cached.text();
   }
 
-  /** {@link Instant#toString} leaves out zero milliseconds; columns stay aligned with them. */
+  /** Keeps columns aligned; {@link Instant#toString} would omit zero milliseconds. */
   private static String millis(int nanos) {
-    int beyondThousand = 1_000 + nanos / NANOS_A_MILLI;
-    return '.' + Integer.toString(beyondThousand).substring(1) + 'Z';
+    int padded = 1_000 + nanos / NANOS_A_MILLI;
+    return '.' + Integer.toString(padded).substring(1) + 'Z';
   }
 
   private static String level(LogRecord logRecord) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
@@ -4,11 +4,11 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One event as a line of key=value pairs, {@code event=} first.
+ * A log event as a line of key=value pairs, starting with {@code event=}.
  *
- * <p>Values with spaces, quotes, equals signs or control characters are quoted and escaped, so a
- * line is always one line and splits back into its pairs, whatever a caller sent. Immutable.
- * Rejects nulls.
+ * <p>Values that contain spaces, quotes, equals signs or control characters are quoted and escaped,
+ * so that a line never contains a line break and can always be parsed back into its pairs, even if a
+ * value was sent by a caller. Immutable. Rejects nulls.
  *
  * <pre>{@code
  * log.info(LogLine.of("log-outage-began").with("stream", stream).with("offset", offset));
@@ -17,7 +17,7 @@
 public final class LogLine {
   private static final int LONGEST_VALUE = 2000;
 
-  /** The last character of ASCII that is shown. */
+  /** The last printable ASCII character. */
   private static final int LAST_PRINTABLE = '~';
 
   private final String text;
@@ -26,36 +26,36 @@
     this.text = text;
   }
 
-  /** Returns a line about an event, named in lower case with hyphens. */
+  /** Returns a line for an event. The event's name is in lower case with hyphens. */
   public static LogLine of(String event) {
     return new LogLine("event=" + quoted(event));
   }
 
-  /** Returns this line with one more pair. */
+  /** Returns this line with a pair appended. */
   public LogLine with(String key, Object value) {
-    checkArgument(isKey(key), "not a key: %s", key);
+    checkArgument(isKey(key), "invalid log key: %s", key);
     return withShown(key, quoted(String.valueOf(value)));
   }
 
-  /** Returns this line with one more pair. */
+  /** Returns this line with a pair appended. */
   public LogLine with(String key, long value) {
-    checkArgument(isKey(key), "not a key: %s", key);
+    checkArgument(isKey(key), "invalid log key: %s", key);
     return withShown(key, Long.toString(value));
   }
 
-  private LogLine withShown(String key, String shown) {
-    int length = text.length() + key.length() + shown.length() + 2;
+  private LogLine withShown(String key, String formatted) {
+    int length = text.length() + key.length() + formatted.length() + 2;
     return new LogLine(
         new StringBuilder(length)
             .append(text)
             .append(' ')
             .append(key)
             .append('=')
-            .append(shown)
+            .append(formatted)
             .toString());
   }
 
-  /** Returns this line with what an exception tells, and where it was thrown. */
+  /** Returns this line with the exception and the location that threw it. */
   public LogLine withError(Throwable error) {
     requireNonNull(error, "error");
     StackTraceElement[] trace = error.getStackTrace();
@@ -63,7 +63,7 @@
     return trace.length == 0 ? line : line.with("at", trace[0]);
   }
 
-  /** Returns the line, without a line end. */
+  /** Returns the line without a line terminator. */
   @Override
   public String toString() {
     return text;
@@ -79,23 +79,23 @@
     return !key.isEmpty();
   }
 
-  /** Returns the value as it stands after the equals sign. */
+  /** Returns the value as written after the equals sign: truncated, and quoted if needed. */
   static String quoted(String value) {
-    String shown = value;
-    if (shown.length() > LONGEST_VALUE) {
-      shown = shown.substring(0, LONGEST_VALUE) + "...";
+    String truncated = value;
+    if (truncated.length() > LONGEST_VALUE) {
+      truncated = truncated.substring(0, LONGEST_VALUE) + "...";
     }
-    if (!shown.isEmpty() && isPlain(shown)) {
-      return shown;
+    if (!truncated.isEmpty() && isPlain(truncated)) {
+      return truncated;
     }
-    StringBuilder quoted = new StringBuilder(shown.length() + 2).append('"');
-    for (int i = 0; i < shown.length(); i++) {
-      appendEscaped(quoted, shown.charAt(i));
+    StringBuilder quoted = new StringBuilder(truncated.length() + 2).append('"');
+    for (int i = 0; i < truncated.length(); i++) {
+      appendEscaped(quoted, truncated.charAt(i));
     }
     return quoted.append('"').toString();
   }
 
-  /** A loop and not a stream: each value of each line comes by here. */
+  /** Uses a loop instead of a stream because it runs for every value of every line. */
   private static boolean isPlain(String value) {
     for (int i = 0; i < value.length(); i++) {
       if (!isPlain(value.charAt(i))) {
@@ -109,7 +109,7 @@
     return c > ' ' && c != '"' && c != '=' && c != '\\' && !isControl(c);
   }
 
-  /** Line and paragraph separators end a line for some readers, as control characters do. */
+  /** Includes line and paragraph separators, which some log readers treat as line breaks. */
   private static boolean isControl(int c) {
     if (c >= ' ' && c <= LAST_PRINTABLE) {
       return c == ' ';
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
@@ -11,27 +11,28 @@
 import java.util.logging.LogRecord;
 
 /**
- * The records that wait to be written: bounded in lines and in bytes, in the order they came.
+ * A FIFO queue of log records to write, bounded in records and in bytes.
  *
- * <p>A record that has no room takes that of the youngest record of a lower rank, errors before
- * warnings before the rest; without one it is dropped itself. What is dropped is counted by rank
- * and told by one record, which {@link #take} returns in the place of the first that is missing.
+ * <p>When the queue is full, a new record displaces the newest record of a lower severity (errors
+ * rank above warnings, warnings above the rest); if there is none, the new record is dropped.
+ * Dropped records are counted by severity and reported by one record, which {@link #take} returns
+ * at the position of the first dropped record.
  *
- * <p>Not safe for threads. Rejects nulls.
+ * <p>Not thread-safe. Rejects nulls.
  */
 final class LogQueue {
-  /** Counted for each record beside its text: the record itself and its place here, in bytes. */
+  /** The memory counted per record in addition to its text, in bytes. */
   static final int BYTES_A_RECORD = 128;
 
   private static final int BYTES_A_CHARACTER = 2;
 
-  /** What is dropped last comes first. */
+  /** The severity of a record, highest first; the highest is dropped last. */
   enum Rank {
-    /** What an operator must look at. */
+    /** An operator must act. */
     ERROR,
-    /** What the system got over. */
+    /** The system recovered from a fault. */
     WARNING,
-    /** All else. */
+    /** Everything else. */
     INFO;
 
     static Rank of(LogRecord logRecord) {
@@ -45,17 +46,17 @@
 
   private record Queued(long sequence, LogRecord logRecord, int bytes) {}
 
-  /** What is missing between two records that were taken. */
+  /** Counts the records dropped between two records that were taken. */
   private static final class Gap {
     private final int[] dropped = new int[Rank.values().length];
     private long firstSequence = Long.MAX_VALUE;
     private Instant since = Instant.MAX;
     private Instant until = Instant.MIN;
 
-    void add(Queued missing) {
-      dropped[Rank.of(missing.logRecord()).ordinal()]++;
-      firstSequence = Math.min(firstSequence, missing.sequence());
-      Instant time = missing.logRecord().getInstant();
+    void add(Queued queued) {
+      dropped[Rank.of(queued.logRecord()).ordinal()]++;
+      firstSequence = Math.min(firstSequence, queued.sequence());
+      Instant time = queued.logRecord().getInstant();
       since = time.isBefore(since) ? time : since;
       until = time.isAfter(until) ? time : until;
     }
@@ -67,10 +68,10 @@
               .with("warning", dropped[Rank.WARNING.ordinal()])
               .with("info", dropped[Rank.INFO.ordinal()])
               .with("since", since);
-      LogRecord told = new LogRecord(Level.WARNING, line.toString());
-      told.setLoggerName(LogWriter.class.getName());
-      told.setInstant(until);
-      return told;
+      LogRecord logRecord = new LogRecord(Level.WARNING, line.toString());
+      logRecord.setLoggerName(LogWriter.class.getName());
+      logRecord.setInstant(until);
+      return logRecord;
     }
   }
 
@@ -85,23 +86,23 @@
   /**
    * Creates an empty queue.
    *
-   * @param mostLines how many records wait at most
-   * @param mostBytes how much memory they take at most, by {@link #bytes}
+   * @param maxLines the maximum number of records
+   * @param maxBytes the maximum memory of the records in bytes, as counted by {@link #bytes}
    */
-  LogQueue(int mostLines, int mostBytes) {
-    checkArgument(mostLines > 0, "mostLines is not positive: %s", mostLines);
-    checkArgument(mostBytes > 0, "mostBytes is not positive: %s", mostBytes);
-    this.mostLines = mostLines;
-    this.mostBytes = mostBytes;
+  LogQueue(int maxLines, int maxBytes) {
+    checkArgument(maxLines > 0, "maxLines is not positive: %s", maxLines);
+    checkArgument(maxBytes > 0, "maxBytes is not positive: %s", maxBytes);
+    this.mostLines = maxLines;
+    this.mostBytes = maxBytes;
     this.byRank = ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
   }
 
-  /** Returns the memory that a record is counted with, in bytes. */
+  /** Returns the memory counted for a record, in bytes. */
   static int bytes(LogRecord logRecord) {
     return BYTES_A_RECORD + BYTES_A_CHARACTER * logRecord.getMessage().length();
   }
 
-  /** Adds a record behind all others, or drops it, or drops others for it. */
+  /** Adds a record at the end. If the queue is full, drops lower-severity records or this one. */
   void add(LogRecord logRecord) {
     Queued added = new Queued(nextSequence++, logRecord, bytes(logRecord));
     Rank rank = Rank.of(logRecord);
@@ -133,10 +134,14 @@
     gap.add(dropped);
   }
 
-  /** Returns the oldest records, at most so many, and removes them. */
-  List<LogRecord> take(int most) {
-    List<LogRecord> taken = new ArrayList<>(Math.min(most, lines + 1));
-    while (taken.size() < most && !isEmpty()) {
+  /**
+   * Removes and returns the oldest records.
+   *
+   * @param maxRecords the maximum number of records to return
+   */
+  List<LogRecord> take(int maxRecords) {
+    List<LogRecord> taken = new ArrayList<>(Math.min(maxRecords, lines + 1));
+    while (taken.size() < maxRecords && !isEmpty()) {
       taken.add(takeOne());
     }
     return taken;
@@ -150,9 +155,9 @@
       }
     }
     if (gap != null && (oldest == null || gap.firstSequence < first(oldest))) {
-      LogRecord told = gap.told();
+      LogRecord report = gap.told();
       gap = null;
-      return told;
+      return report;
     }
     return counted(oldest.removeFirst()).logRecord();
   }
@@ -167,12 +172,12 @@
     return removed;
   }
 
-  /** Returns whether there is nothing to take. */
+  /** Returns whether there are neither records nor dropped records to report. */
   boolean isEmpty() {
     return lines == 0 && gap == null;
   }
 
-  /** Returns whether half of the room is taken. */
+  /** Returns whether half of the record or byte limit is used. */
   boolean isHalfFull() {
     return lines >= mostLines / 2 || bytes >= mostBytes / 2;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
@@ -5,21 +5,21 @@
 import java.util.logging.LogManager;
 import java.util.logging.Logger;
 
-/** Sends all logs of the process to one stream, one line an event. */
+/** Configures logging: all logs of the process go to one stream, one line per event. */
 public final class LogSetup {
   private LogSetup() {}
 
   /**
-   * Replaces the platform's log handlers. Call once, before anything logs.
+   * Replaces the default log handlers of the JDK. Must be called once, before anything logs.
    *
    * @param process the process's name
-   * @param out where the lines go; a stream that blocks delays nobody
-   * @return what writes the lines, to be closed before the process halts
+   * @param out the stream to write to; a stream that blocks does not delay logging threads
+   * @return the writer, to be closed before the process halts
    */
   public static LogWriter install(String process, PrintStream out) {
     LogManager manager = LogManager.getLogManager();
-    if (manager instanceof PatientLogManager patient) {
-      patient.resetOnce();
+    if (manager instanceof PatientLogManager shutdownSafe) {
+      shutdownSafe.resetOnce();
     } else {
       manager.reset();
     }
@@ -31,7 +31,10 @@
     return writer;
   }
 
-  /** Kept in a field, since the log manager holds loggers weakly and would forget the level. */
+  /**
+   * Returns Jetty's logger, which is held in a field because the log manager references loggers
+   * weakly and would lose the level.
+   */
   private static Logger libraries() {
     return JETTY;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
@@ -14,32 +14,32 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log records to a stream from a thread of its own, so that a stream that nobody reads
- * delays no thread that logs.
+ * Writes log records to a stream on a separate thread, so that a stream that blocks does not delay
+ * the threads that log.
  *
- * <p>Records wait in a {@link LogQueue}. The first of them waits up to {@link #GATHER_MILLIS} for
- * more, so that many lines cost one write; an error, a warning or a queue that is half full is
- * written at once. What was logged in the last of these spans is lost when the process is killed.
- * The lines of one thread keep their order, and their times are those of the logging.
+ * <p>Records are held in a {@link LogQueue} for up to {@link #GATHER_MILLIS}, so that many lines are
+ * written in one call. An error, a warning or a half-full queue is written immediately. Records
+ * logged within that delay before the process is killed are lost. The lines of one thread keep their
+ * order and have the time of logging.
  *
- * <p>Safe for any thread. Rejects nulls.
+ * <p>Thread-safe. Rejects nulls.
  */
 public final class LogWriter extends Handler {
-  /** How many lines wait at most. */
+  /** The maximum number of queued lines. */
   static final int MOST_LINES = 4_096;
 
-  /** How much memory lines that wait take at most, in bytes. */
+  /** The maximum memory of queued lines, in bytes. */
   static final int MOST_BYTES = 2 << 20;
 
-  /** How many lines are written at a time; as many are out of the queue while a write blocks. */
+  /** The maximum number of lines per write; held outside the queue while a write blocks. */
   static final int MOST_LINES_A_WRITE = 64;
 
-  /** How long a line waits for others, in milliseconds. */
+  /** How long the first queued line is delayed to batch it with others, in milliseconds. */
   static final long GATHER_MILLIS = 100;
 
   private static final long GATHER_NANOS = TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS);
 
-  /** How long the end of a process waits for the rest to be written, in milliseconds. */
+  /** How long {@link #close} waits for queued lines to be written, in milliseconds. */
   private static final long LONGEST_END_MILLIS = 500;
 
   private final KeyValueFormatter formatter;
@@ -58,10 +58,10 @@
   }
 
   /**
-   * Returns a writer whose thread runs; the thread does not keep the process from ending.
+   * Creates a writer and starts its daemon thread.
    *
    * @param process the process's name
-   * @param out where the lines go; only this writer's thread touches it
+   * @param out the stream to write to; used by the writer's thread only
    */
   public static LogWriter start(String process, PrintStream out) {
     LogWriter writer =
@@ -78,15 +78,15 @@
     if (!isLoggable(logRecord)) {
       return;
     }
-    LogRecord settled = formatter.settled(logRecord);
+    LogRecord preformatted = formatter.settled(logRecord);
     lock.lock();
     try {
       boolean idle = queue.isEmpty();
-      queue.add(settled);
-      boolean hurries =
-          !urgent && (LogQueue.Rank.of(settled) != LogQueue.Rank.INFO || queue.isHalfFull());
-      urgent |= hurries;
-      if (idle || hurries) {
+      queue.add(preformatted);
+      boolean flushNow =
+          !urgent && (LogQueue.Rank.of(preformatted) != LogQueue.Rank.INFO || queue.isHalfFull());
+      urgent |= flushNow;
+      if (idle || flushNow) {
         work.signal();
       }
     } finally {
@@ -94,7 +94,7 @@
     }
   }
 
-  /** Has all that was logged written soon, without waiting for it. */
+  /** Requests that all queued lines are written without delay. Does not wait for it. */
   @Override
   public void flush() {
     lock.lock();
@@ -107,7 +107,8 @@
   }
 
   /**
-   * Waits until all is written, for half a second at most; what is logged later is still written.
+   * Waits up to half a second until all queued lines are written. Records published later are still
+   * written.
    */
   @Override
   public void close() {
@@ -115,10 +116,10 @@
   }
 
   /**
-   * Waits until all that was logged is written.
+   * Waits until all queued lines are written.
    *
-   * @param deadline when to give up, by {@link System#nanoTime}
-   * @return whether all is written
+   * @param deadline when to stop waiting, as a value of {@link System#nanoTime}
+   * @return whether all lines are written
    */
   boolean awaitWritten(long deadline) {
     lock.lock();
@@ -195,7 +196,7 @@
         work.awaitNanos(left);
       }
     } catch (InterruptedException e) {
-      // Nobody interrupts this thread; what was gathered so far is written.
+      // Not expected on this thread; the lines queued so far are written immediately.
       urgent = true;
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/Metrics.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/Metrics.java
@@ -13,11 +13,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The metrics of one process, over the Prometheus client.
+ * The metrics of one process, based on the Prometheus client.
  *
- * <p>Names start with {@code marigoldsail_} and end in their unit. Label values come from small
- * closed sets (error kinds, services), never from what callers send. Safe for any thread; keep the
- * returned metrics in fields.
+ * <p>Names start with {@code marigoldsail_} and end in their unit. Label values must come from small
+ * fixed sets (error kinds, services), never from data sent by callers, to bound the number of time
+ * series. Thread-safe. Keep the returned metrics in fields.
  */
 public final class Metrics {
   /** The media type of {@link #text}. */
@@ -28,10 +28,10 @@
   private final PrometheusRegistry registry = new PrometheusRegistry();
   private final PrometheusTextFormatWriter writer = PrometheusTextFormatWriter.create();
 
-  /** Creates metrics without any entries. */
+  /** Creates an empty set of metrics. */
   public Metrics() {}
 
-  /** Returns the registry, for instrumentation that comes with the client. */
+  /** Returns the registry, to register the instrumentation that the client library provides. */
   public PrometheusRegistry registry() {
     return registry;
   }
@@ -39,18 +39,18 @@
   /**
    * Registers a counter.
    *
-   * @param name the name after the prefix, without {@code _total}
+   * @param name the name without the prefix and without {@code _total}
    */
   public Counter counter(String name, String help, String... labels) {
     return Counter.builder().name(PREFIX + name).help(help).labelNames(labels).register(registry);
   }
 
-  /** Registers a gauge that is set from outside. */
+  /** Registers a gauge that is set by its owner. */
   public Gauge gauge(String name, String help, String... labels) {
     return Gauge.builder().name(PREFIX + name).help(help).labelNames(labels).register(registry);
   }
 
-  /** Registers a gauge that is read when asked for; the supplier must be quick and thread safe. */
+  /** Registers a gauge that is read on each scrape. The supplier must be fast and thread-safe. */
   public void gauge(String name, String help, DoubleSupplier value) {
     GaugeWithCallback.builder()
         .name(PREFIX + name)
@@ -74,7 +74,7 @@
         .register(registry);
   }
 
-  /** Returns all metrics in Prometheus's text format. */
+  /** Returns all metrics in the Prometheus text format. */
   public byte[] text() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/PatientLogManager.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/PatientLogManager.java
@@ -3,19 +3,19 @@
 import java.util.logging.LogManager;
 
 /**
- * A log manager that goes on logging while the process stops.
+ * A log manager that keeps its handlers during shutdown.
  *
- * <p>The usual one closes all handlers in a shutdown hook of its own, which runs beside ours: the
- * lines of a planned stop are lost, which shows as a log that ends at the signal. This one ignores
- * that reset; whoever ends the process closes the {@link LogWriter}.
+ * <p>The default log manager closes all handlers in its own shutdown hook, which runs concurrently
+ * with the graceful shutdown, so that the log would end at the signal. This one ignores that reset;
+ * the code that ends the process must close the {@link LogWriter}.
  */
 public final class PatientLogManager extends LogManager {
   private volatile boolean patient;
 
-  /** Called by the platform, by name. */
+  /** Called by the JDK, which loads this class by name. */
   public PatientLogManager() {}
 
-  /** Removes all handlers; from then on nothing removes them again. */
+  /** Removes all handlers and makes later calls of {@link #reset} do nothing. */
   void resetOnce() {
     super.reset();
     patient = true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What a process tells of itself: log lines of key=value pairs, and metrics.
+ * Observability: structured logging as key=value lines, and metrics.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.observe.EventLog} to log, for {@link
- * io.marigoldsail.daemon.observe.Metrics} to count, and call {@link
+ * <p>Use {@link io.marigoldsail.daemon.observe.EventLog} to log and {@link
+ * io.marigoldsail.daemon.observe.Metrics} to register metrics. Call {@link
  * io.marigoldsail.daemon.observe.LogSetup#install} once on start.
  */
 package io.marigoldsail.daemon.observe;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/EventRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/EventRoutes.java
@@ -9,7 +9,7 @@
 
 /**
  * Serves {@code GET /events?after=N&limit=M} with the filters {@code request}, {@code task}, {@code
- * vm}, {@code team} and {@code caller}: the events of this process, oldest first.
+ * vm}, {@code team} and {@code caller}: returns the events of this process, oldest first.
  */
 public final class EventRoutes {
   private static final long DEFAULT_LIMIT = 500;
@@ -17,12 +17,12 @@
 
   private final EventBuffer events;
 
-  /** Creates the routes over a process's events. */
+  /** Creates the route over the event buffer of this process. */
   public EventRoutes(EventBuffer events) {
     this.events = requireNonNull(events, "events");
   }
 
-  /** Serves the route on the given server. */
+  /** Registers the route on the server. */
   public void registerOn(OperatorServer server) {
     server.registerImmediate("GET", "/events", this::events);
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/MemberRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/MemberRoutes.java
@@ -9,16 +9,16 @@
 import java.util.List;
 import java.util.function.Supplier;
 
-/** Serves {@code GET /members}: all live processes that an entry knows of, itself included. */
+/** Serves {@code GET /members}: returns all live processes known to an entry, itself included. */
 public final class MemberRoutes {
   private final Supplier<List<ProcessMember>> members;
 
-  /** Creates the routes over what gives the live processes. */
+  /** Creates the route with a supplier of the live processes. */
   public MemberRoutes(Supplier<List<ProcessMember>> members) {
     this.members = requireNonNull(members, "members");
   }
 
-  /** Serves the route on the given server. */
+  /** Registers the route on the server. */
   public void registerOn(OperatorServer server) {
     server.registerImmediate("GET", "/members", request -> Result.ok(answer()));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorAnswer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorAnswer.java
@@ -6,37 +6,35 @@
 import io.marigoldsail.json.Json;
 
 /**
- * The answer to an operator's request.
- *
- * <p>Rejects nulls.
+ * The HTTP response to an operator's request. Rejects nulls.
  *
  * @param status the HTTP status
  * @param mediaType the body's media type
- * @param body the body; not copied, must not be changed
+ * @param body the body; not copied, so it must not be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // handed to the connection unread; equality is not used
+@SuppressWarnings("ArrayRecordComponent") // only written to the connection; equals is not used
 public record OperatorAnswer(int status, String mediaType, byte[] body) {
   private static final int STATUS_OK = 200;
   private static final int STATUS_ACCEPTED = 202;
   private static final String JSON_TYPE = "application/json";
 
-  /** Checks the components. */
+  /** Checks that no component is null. */
   public OperatorAnswer {
     requireNonNull(mediaType, "mediaType");
     requireNonNull(body, "body");
   }
 
-  /** Returns an answer with status 200. */
+  /** Returns a response with status 200 and a JSON body. */
   public static OperatorAnswer ok(JsonNode body) {
     return new OperatorAnswer(STATUS_OK, JSON_TYPE, Json.bytes(body));
   }
 
-  /** Returns an answer with status 200 from records or lists of them. */
+  /** Returns a response with status 200 whose body is a record, or a list of records, as JSON. */
   public static OperatorAnswer okOf(Object value) {
     return ok(Json.mapper().valueToTree(value));
   }
 
-  /** Returns an answer with status 202: taken on, not ended. */
+  /** Returns a response with status 202: the request was accepted but is not completed. */
   public static OperatorAnswer accepted(JsonNode body) {
     return new OperatorAnswer(STATUS_ACCEPTED, JSON_TYPE, Json.bytes(body));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
@@ -4,24 +4,24 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Serves one route of the operators' address.
+ * Handles the requests of one route on the operators' address.
  *
- * <p>Called on one of a few threads: a handler that waits for the log or a peer returns a future
- * that others complete, and never blocks.
+ * <p>Runs on a small thread pool and must not block: a handler that waits for the log or a peer
+ * returns an incomplete future.
  */
 @FunctionalInterface
 public interface OperatorHandler {
-  /** Returns the answer, or a future for it; a future that fails is answered as internal error. */
+  /** Returns a future of the response. A future that fails becomes an internal error response. */
   CompletableFuture<Result<OperatorAnswer>> handle(OperatorRequest request);
 
-  /** A handler that has its answer at once. */
+  /** A handler that returns its response without a future. */
   @FunctionalInterface
   interface Immediate {
-    /** Returns the answer. */
+    /** Returns the response. */
     Result<OperatorAnswer> handle(OperatorRequest request);
   }
 
-  /** Returns a handler that answers at once. */
+  /** Adapts a synchronous handler. */
   static OperatorHandler immediate(Immediate handler) {
     return request -> CompletableFuture.completedFuture(handler.handle(request));
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
@@ -23,7 +23,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.Fields;
 
-/** Reads a request, finds its route and writes the answer or the problem details. */
+/** Reads a request, finds its route, and writes the response or the problem details. */
 final class OperatorJettyHandler extends Handler.Abstract.NonBlocking {
   private static final EventLog LOG = EventLog.of(OperatorJettyHandler.class);
 
@@ -35,7 +35,7 @@
 
   @Override
   public boolean handle(Request request, Response response, Callback callback) {
-    // The raw path: Jetty's own decoding would make a percent sign in a name ambiguous.
+    // Uses the raw path: in Jetty's decoded path a percent sign in a name would be ambiguous.
     Result<RouteTable.Match> match = routes.find(request.getMethod(), path(request));
     if (match instanceof Result.Failed<RouteTable.Match> failed) {
       writeProblem(response, callback, failed.failure());
@@ -55,15 +55,15 @@
 
   private static void serve(
       RouteTable.Match match, Request request, byte[] body, Response response, Callback callback) {
-    CompletableFuture<Result<OperatorAnswer>> answer;
+    CompletableFuture<Result<OperatorAnswer>> future;
     try {
       OperatorRequest operatorRequest =
           new OperatorRequest(match.parameters(), query(request), body);
-      answer = match.handler().handle(operatorRequest);
+      future = match.handler().handle(operatorRequest);
     } catch (RuntimeException e) {
-      answer = CompletableFuture.failedFuture(e);
+      future = CompletableFuture.failedFuture(e);
     }
-    answer.whenComplete(
+    future.whenComplete(
         (result, error) -> {
           if (error != null) {
             LOG.error(
@@ -90,21 +90,21 @@
     return parameters;
   }
 
-  /** Answers what Jetty refuses by itself, such as a broken header, as problem details too. */
+  /** Writes problem details for requests that Jetty itself rejects, such as an invalid header. */
   static boolean writeJettyError(Request request, Response response, Callback callback) {
     Object message = request.getAttribute(ErrorHandler.ERROR_MESSAGE);
-    boolean ours = response.getStatus() >= HttpStatus.INTERNAL_SERVER_ERROR_500;
-    ErrorKind kind = ours ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
-    String detail = ours ? "see the process's log" : String.valueOf(message);
+    boolean internal = response.getStatus() >= HttpStatus.INTERNAL_SERVER_ERROR_500;
+    ErrorKind kind = internal ? ErrorKind.INTERNAL : ErrorKind.BAD_REQUEST;
+    String detail = internal ? "see the process's log" : String.valueOf(message);
     writeProblem(response, callback, Failure.of(kind, detail));
     return true;
   }
 
-  private static void write(Response response, Callback callback, OperatorAnswer answer) {
-    response.setStatus(answer.status());
-    response.getHeaders().put(HttpHeader.CONTENT_TYPE, answer.mediaType());
-    response.getHeaders().put(HttpHeader.CONTENT_LENGTH, answer.body().length);
-    response.write(true, ByteBuffer.wrap(answer.body()), callback);
+  private static void write(Response response, Callback callback, OperatorAnswer content) {
+    response.setStatus(content.status());
+    response.getHeaders().put(HttpHeader.CONTENT_TYPE, content.mediaType());
+    response.getHeaders().put(HttpHeader.CONTENT_LENGTH, content.body().length);
+    response.write(true, ByteBuffer.wrap(content.body()), callback);
   }
 
   private static void writeProblem(Response response, Callback callback, Failure failure) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorRequest.java
@@ -11,9 +11,9 @@
 import java.util.Optional;
 
 /**
- * One request of an operator, matched to a route.
+ * An operator's request that was matched to a route.
  *
- * <p>Immutable but for the body, which callers must not change. Rejects nulls.
+ * <p>Immutable except for the body, which must not be modified. Rejects nulls.
  */
 public final class OperatorRequest {
   private final Map<String, String> pathParameters;
@@ -28,24 +28,28 @@
   }
 
   /**
-   * Returns what stands for a name in braces of the route's template.
+   * Returns the decoded value of a path parameter.
    *
-   * @throws IllegalArgumentException if the template has no such name
+   * @param name the name in braces in the route's template
+   * @throws IllegalArgumentException if the template has no such parameter
    */
   public String path(String name) {
     String value = pathParameters.get(name);
     if (value == null) {
-      throw new IllegalArgumentException("the route has no parameter " + name);
+      throw new IllegalArgumentException("the route's template has no path parameter " + name);
     }
     return value;
   }
 
-  /** Returns a parameter of the query, if it was given. */
+  /** Returns a query parameter, or empty if the request has none of this name. */
   public Optional<String> query(String name) {
     return Optional.ofNullable(queryParameters.get(name));
   }
 
-  /** Returns a whole number from the query, the default if absent, or a {@code BAD_REQUEST}. */
+  /**
+   * Returns an integer query parameter, the default if it is absent, or a {@code BAD_REQUEST} failure
+   * if it is not an integer.
+   */
   public Result<Long> queryNumber(String name, long defaultValue) {
     Optional<String> text = query(name);
     if (text.isEmpty()) {
@@ -59,12 +63,15 @@
     }
   }
 
-  /** Returns the body as it came; callers must not change it. */
+  /** Returns the unparsed body, which callers must not modify. */
   public byte[] body() {
     return body;
   }
 
-  /** Returns the body as JSON; a missing node if the body is empty. */
+  /**
+   * Returns the body parsed as JSON, a missing node if the body is empty, or a failure if it is not
+   * JSON.
+   */
   public Result<JsonNode> json() {
     if (body.length == 0) {
       return Result.ok(MissingNode.getInstance());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
@@ -20,12 +20,12 @@
 /**
  * The HTTP server on the operators' address.
  *
- * <p>Bodies are at most {@link #LARGEST_BODY} bytes, errors are problem details. Few threads and no
- * reserved ones, since the side process shares its VM: a handler must not block. Safe for any
- * thread; start and close once.
+ * <p>Request bodies are limited to {@link #LARGEST_BODY} bytes; errors are returned as problem
+ * details. The thread pool is small and has no reserved threads because a side process shares its VM
+ * with other work, so handlers must not block. Thread-safe; start and close it once.
  */
 public final class OperatorServer implements AutoCloseable {
-  /** The largest body taken, in bytes. */
+  /** The maximum size of a request body, in bytes. */
   public static final int LARGEST_BODY = 1 << 20;
 
   private static final EventLog LOG = EventLog.of(OperatorServer.class);
@@ -35,9 +35,9 @@
   private static final int ACCEPT_QUEUE = 128;
 
   /**
-   * The most connections held open. Guards a side process's small heap against a flood: past it
-   * nothing is accepted until one closes, and idle ones are closed after {@link
-   * #FLOODED_IDLE_MILLIS}, so that operators get in again.
+   * The maximum number of open connections. Protects the small heap of a side process against a flood
+   * of connections. At the limit no connection is accepted until another one closes, and idle
+   * connections are closed after {@link #FLOODED_IDLE_MILLIS}, so that operators can connect again.
    */
   static final int MAX_CONNECTIONS = 128;
 
@@ -49,10 +49,10 @@
   private final ServerConnector connector;
 
   /**
-   * Creates a server that does not listen yet; {@code GET /metrics} is there from the start.
+   * Creates a server that does not listen yet. {@code GET /metrics} is already registered.
    *
-   * @param address where to listen; port 0 for any free one
-   * @param metrics what {@code /metrics} shows
+   * @param address the address to listen on; port 0 selects any free port
+   * @param metrics the metrics that {@code /metrics} returns
    */
   public OperatorServer(HostPort address, Metrics metrics) {
     this.address = requireNonNull(address, "address");
@@ -60,7 +60,7 @@
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, IDLE_MILLIS);
     threads.setReservedThreads(0);
     threads.setName("operators");
-    // Pooled buffers can be mixed up beside garbage: see docs/decisions/0205.
+    // Not pooled: malformed requests can make Jetty mix up pooled buffers (docs/decisions/0205).
     server = new Server(threads, null, new ByteBufferPool.NonPooling());
     HttpConfiguration http = new HttpConfiguration();
     http.setSendServerVersion(false);
@@ -82,25 +82,26 @@
   }
 
   /**
-   * Serves a route from now on.
+   * Registers a route.
    *
    * @param method the HTTP method
-   * @param template the path, with names in braces for what varies, such as {@code /jobs/{name}}
-   * @throws IllegalArgumentException if the route is registered already
+   * @param template the path, with path parameters in braces, such as {@code /jobs/{name}}
+   * @param handler handles the requests
+   * @throws IllegalArgumentException if the route is already registered
    */
   public void register(String method, String template, OperatorHandler handler) {
     routes.add(method, template, handler);
   }
 
-  /** Serves a route whose answers are there at once. */
+  /** Registers a route with a synchronous handler. */
   public void registerImmediate(String method, String template, OperatorHandler.Immediate handler) {
     register(method, template, OperatorHandler.immediate(handler));
   }
 
   /**
-   * Begins to listen.
+   * Starts listening.
    *
-   * @return the port, or a failure that names the address, such as when it is in use
+   * @return the port, or a failure that names the settings key and the address
    */
   public Result<Integer> start() {
     try {
@@ -115,17 +116,17 @@
     return Result.ok(port());
   }
 
-  /** Returns the port listened on. */
+  /** Returns the port that the server listens on. */
   public int port() {
     return connector.getLocalPort();
   }
 
-  /** Returns how many connections are open. */
+  /** Returns the number of open connections. */
   int openConnections() {
     return connector.getConnectedEndPoints().size();
   }
 
-  /** Stops listening and ends all connections. */
+  /** Stops listening and closes all connections. */
   @Override
   public void close() {
     try {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
@@ -3,16 +3,16 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * One live process as operators see it, and what it said last of the configuration.
+ * A live process as shown to operators, with the configuration revision that it last reported.
  *
  * <p>Immutable. Rejects nulls.
  *
  * @param process the process's name
  * @param role {@code entry} or {@code side}
  * @param zone its availability zone
- * @param operatorsAddress where operators reach it, host:port; empty if it never said
- * @param revision the configuration revision in force there
- * @param leaving whether it announced that it leaves
+ * @param operatorsAddress its operators' address, {@code host:port}; empty if not reported
+ * @param revision the configuration revision in force in the process
+ * @param leaving whether it reported that it is draining
  */
 public record ProcessMember(
     String process,
@@ -21,7 +21,7 @@
     String operatorsAddress,
     long revision,
     boolean leaving) {
-  /** Checks the components. */
+  /** Checks that no component is null. */
   public ProcessMember {
     requireNonNull(process, "process");
     requireNonNull(role, "role");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
@@ -12,11 +12,11 @@
 import java.util.TreeSet;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Finds the handler of a method and path. Safe for any thread. */
+/** Finds the handler for a method and path. Thread-safe. */
 final class RouteTable {
   private final List<Route> routes = new CopyOnWriteArrayList<>();
 
-  /** A handler and what the path's braces stood for. */
+  /** A matched handler and the decoded values of the path parameters. */
   record Match(OperatorHandler handler, Map<String, String> parameters) {}
 
   private record Route(String method, List<String> template, OperatorHandler handler) {
@@ -25,15 +25,15 @@
         return false;
       }
       for (int i = 0; i < path.size(); i++) {
-        boolean fixed = !isParameter(template.get(i));
-        if (fixed && !template.get(i).equals(path.get(i))) {
+        boolean literal = !isParameter(template.get(i));
+        if (literal && !template.get(i).equals(path.get(i))) {
           return false;
         }
       }
       return true;
     }
 
-    /** A route without braces goes before one with, whichever was registered first. */
+    /** The route with fewer parameters has precedence, regardless of registration order. */
     long parameterCount() {
       return template.stream().filter(RouteTable::isParameter).count();
     }
@@ -44,7 +44,7 @@
     List<String> segments = segments(template);
     for (Route route : routes) {
       boolean same = route.method.equals(method) && route.template.equals(segments);
-      checkArgument(!same, "registered twice: %s %s", method, template);
+      checkArgument(!same, "route is already registered: %s %s", method, template);
     }
     routes.add(new Route(method, segments, handler));
   }
@@ -68,9 +68,9 @@
     }
     if (!otherMethods.isEmpty()) {
       return Result.failed(
-          ErrorKind.METHOD_NOT_ALLOWED, path + " takes " + String.join(", ", otherMethods));
+          ErrorKind.METHOD_NOT_ALLOWED, path + ": method not allowed; allowed: " + String.join(", ", otherMethods));
     }
-    return Result.failed(ErrorKind.NOT_FOUND, "no route " + path);
+    return Result.failed(ErrorKind.NOT_FOUND, "no route for path " + path);
   }
 
   private static Result<Match> match(Route route, List<String> path) {
@@ -79,11 +79,11 @@
       String name = route.template.get(i);
       if (isParameter(name)) {
         try {
-          // A plus sign in a path is itself; only in a query it stands for a space.
+          // URLDecoder decodes a plus sign to a space, which applies to queries but not to paths.
           String value = URLDecoder.decode(path.get(i).replace("+", "%2B"), StandardCharsets.UTF_8);
           parameters.put(name.substring(1, name.length() - 1), value);
         } catch (IllegalArgumentException e) {
-          return Result.failed(ErrorKind.BAD_REQUEST, "broken escape in path: " + path.get(i));
+          return Result.failed(ErrorKind.BAD_REQUEST, "invalid percent-encoding in path segment: " + path.get(i));
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The operators' HTTP address: routes with JSON in and out, metrics, and the process's events.
+ * The HTTP API for operators: JSON routes, metrics, and the events of the process.
  *
- * <p>Reach for {@link io.marigoldsail.daemon.operators.OperatorServer#register} to serve a route.
- * Callers are never served here, and operators never on the callers' address.
+ * <p>Use {@link io.marigoldsail.daemon.operators.OperatorServer#register} to add a route. The
+ * operators' address does not serve callers, and the callers' address does not serve operators.
  */
 package io.marigoldsail.daemon.operators;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The daemon: reads its settings, builds the processes' parts and runs them until it is stopped.
+ * The daemon: reads the settings, creates the components of an entry or side process and runs them
+ * until it is stopped.
  */
 package io.marigoldsail.daemon;
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationUnderFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationUnderFaultsTest.java
@@ -38,19 +38,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The configuration over the real follower and appender, on a log that fails as it is told. */
+/** Tests the configuration with the real follower and appender on a log with injected faults. */
 final class ConfigurationUnderFaultsTest {
   private static final String STREAM = ProcessBase.CONFIGURATION_STREAM;
   private static final long PATIENCE_SECONDS = 30;
 
-  /** A snapshot after every fifth record, at once. */
+  /** Writes a snapshot after every fifth record, without delay. */
   private static final SnapshotSettings SNAPSHOTS = new SnapshotSettings(5, 600_000, 1, 0);
 
   private final FakeLogService log = new FakeLogService();
   private final ExecutorService executor = Executors.newCachedThreadPool();
   private final List<Member> members = new ArrayList<>();
 
-  /** One process's part: fold, stream, publisher, and every revision that was in force. */
+  /** The components of one process, and every revision that was in force in it. */
   private final class Member implements AutoCloseable {
     final ConfigurationCheck check = new ConfigurationCheck();
     final ConfigurationFold fold = new ConfigurationFold(check);
@@ -133,8 +133,9 @@
     return member;
   }
 
-  private static Result<Published> get(CompletableFuture<Result<Published>> told) throws Exception {
-    return told.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+  private static Result<Published> get(CompletableFuture<Result<Published>> outcome)
+      throws Exception {
+    return outcome.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
@@ -145,29 +146,27 @@
   }
 
   /**
-   * Story: ten operators publish at once through three entries while the log stores records and
-   * loses every second answer. One order comes out; what was told as accepted is in it, each once.
+   * The platform recreates the log as an empty stream. Followers that do not detect this read
+   * nothing until the new stream is as long as the old one, then continue in its middle as if it were
+   * the old one, and a process that starts later has no configuration.
    */
   @Test
   void staysInForceWhenTheLogBeginsAgain() throws Exception {
-    // The platform sets the log up anew, empty. Without a guard every process stayed deaf until the
-    // new stream was as long as the old one, then went on in its middle as if it were the old one;
-    // a process that started later knew no configuration at all.
     Member first = start("entry-1", 1);
     Member second = start("entry-2", 2);
     for (int waiting = 1; waiting <= 3; waiting++) {
       assertTrue(get(first.publish("base", waiting)).isOk());
     }
     second.awaitRevision(3);
-    CompletableFuture<StreamStatus> firstWentOn = wentOn(first);
-    CompletableFuture<StreamStatus> secondWentOn = wentOn(second);
+    CompletableFuture<StreamStatus> firstResumed = wentOn(first);
+    CompletableFuture<StreamStatus> secondResumed = wentOn(second);
 
     log.loseNewest(Integer.MAX_VALUE);
     assertTrue(
         log.append(STREAM, "{\"v\":1,\"entries\":[]}".getBytes(StandardCharsets.UTF_8)).isOk());
 
-    firstWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-    secondWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    firstResumed.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    secondResumed.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
     assertEquals(3, first.fold.state().revisionInForce());
     Result<Published> next = get(second.publish("base", 4));
     assertEquals(4, next.value().revision());
@@ -177,33 +176,38 @@
     assertEquals(1, first.follower.status().histories());
   }
 
-  /** Completes once the member reads on in another history. */
+  /** Returns a future that completes when the member reads the new history of the stream. */
   private static CompletableFuture<StreamStatus> wentOn(Member member) {
-    CompletableFuture<StreamStatus> wentOn = new CompletableFuture<>();
+    CompletableFuture<StreamStatus> resumed = new CompletableFuture<>();
     member.follower.addListener(
         new StreamListener() {
           @Override
           public void pageApplied(StreamStatus status) {
             if (status.histories() > 0 && !status.seeking()) {
-              wentOn.complete(status);
+              resumed.complete(status);
             }
           }
         });
-    return wentOn;
+    return resumed;
   }
 
+  /**
+   * Ten operators publish concurrently through three entries while the log stores the records but
+   * loses responses. All entries must agree on one order that contains each publish reported as
+   * accepted exactly once.
+   */
   @Test
   void tenOperatorsRaceOverLostAnswers() throws Exception {
     List<Member> entries = List.of(start("e-1", 1), start("e-2", 2), start("e-3", 3));
     log.setFaults(LogFaults.none().withLoseAnswers(8).withDoubleAppends(4));
-    List<CompletableFuture<Result<Published>>> told = new ArrayList<>();
+    List<CompletableFuture<Result<Published>>> outcomes = new ArrayList<>();
     String[] files = {"base", "vatulele", "kitamizora", "suva"};
     for (int i = 0; i < 10; i++) {
-      told.add(entries.get(i % 3).publish(files[i % files.length], i + 1));
+      outcomes.add(entries.get(i % 3).publish(files[i % files.length], i + 1));
     }
     List<Long> accepted = new ArrayList<>();
-    for (CompletableFuture<Result<Published>> one : told) {
-      Result<Published> result = get(one);
+    for (CompletableFuture<Result<Published>> outcome : outcomes) {
+      Result<Published> result = get(outcome);
       if (result.isOk()) {
         accepted.add(result.value().revision());
       } else {
@@ -216,7 +220,7 @@
     for (long revision = 1; revision <= accepted.size(); revision++) {
       expected.add(revision);
     }
-    assertEquals(expected, accepted, "each accepted publish made a revision of its own");
+    assertEquals(expected, accepted, "revisions of the accepted publishes");
     for (Member entry : entries) {
       entry.awaitRevision(accepted.size());
       assertEquals(
@@ -225,8 +229,8 @@
   }
 
   /**
-   * Story: the log is down for a while; a publish is refused or its outcome unknown, never
-   * accepted. When the log is back the same publish gets in once, and all entries have it.
+   * During a log outage a publish must be refused or have an unknown outcome, but must not be
+   * reported as accepted. After the outage the same publish must be applied once in all entries.
    */
   @Test
   void publishDuringAnOutageIsNeverToldAsAccepted() throws Exception {
@@ -237,7 +241,7 @@
     log.setFaults(LogFaults.none().withDown(true));
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
     Result<Published> during = get(first.publisher.publish(request("base", 2), deadline));
-    assertTrue(!during.isOk(), () -> "accepted while the log was down: " + during);
+    assertTrue(!during.isOk(), () -> "publish was accepted during a log outage: " + during);
     log.setFaults(LogFaults.none());
     Result<Published> after = get(first.publish("base", 2));
     assertEquals(2, after.value().revision());
@@ -246,9 +250,9 @@
   }
 
   /**
-   * Story: the log keeps records for a while only; the publishes that made the configuration
-   * expire. An entry that is replaced afterwards must come to the same configuration from a
-   * snapshot in the stream, and not serve on what the few remaining records say.
+   * The log retains records for a limited time, so the publishes that made up the configuration
+   * expire. An entry that starts afterwards must restore the same configuration from a snapshot in
+   * the stream instead of using only the remaining records.
    */
   @Test
   void entryStartsFromASnapshotAfterRecordsExpired() throws Exception {
@@ -257,8 +261,8 @@
       assertTrue(get(first.publish(i % 2 == 0 ? "base" : "vatulele", i)).isOk());
     }
     log.setFaults(LogFaults.none().withRetainedRecords(7));
-    long kept = log.read(STREAM, 0, 1, 0).value().firstOffset();
-    assertTrue(kept > 0, "the first publishes are gone");
+    long firstRetained = log.read(STREAM, 0, 1, 0).value().firstOffset();
+    assertTrue(firstRetained > 0, "the first publishes have expired");
     Member late = start("e-2", 2);
     late.awaitRevision(12);
     assertEquals(first.fold.snapshot().path("files"), late.fold.snapshot().path("files"));
@@ -268,33 +272,34 @@
   }
 
   /**
-   * Story: a process was frozen while the others published on and its next records expired. Awake,
-   * it goes on with its old configuration until it finds a snapshot, and never below what it had.
+   * A process is paused while others publish, and the records that it would read next expire. After
+   * it resumes it must keep its old configuration until it finds a snapshot, and must never go back
+   * to an older revision.
    */
   @Test
   void frozenProcessCatchesUpFromASnapshot() throws Exception {
     Member first = start("e-1", 1);
-    Member frozen = start("e-2", 2);
+    Member paused = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
-    frozen.awaitRevision(1);
-    JsonNode known = frozen.fold.snapshot();
-    frozen.close();
+    paused.awaitRevision(1);
+    JsonNode snapshot = paused.fold.snapshot();
+    paused.close();
     for (int i = 2; i <= 12; i++) {
       assertTrue(get(first.publish("base", i)).isOk());
     }
     log.setFaults(LogFaults.none().withRetainedRecords(7));
-    Member awake = new Member("e-2", 3);
-    members.add(awake);
-    awake.fold.restore(known);
-    awake.follower.start();
-    awake.appender.start();
-    awake.awaitRevision(12);
-    assertEquals(first.fold.snapshot().path("files"), awake.fold.snapshot().path("files"));
+    Member resumed = new Member("e-2", 3);
+    members.add(resumed);
+    resumed.fold.restore(snapshot);
+    resumed.follower.start();
+    resumed.appender.start();
+    resumed.awaitRevision(12);
+    assertEquals(first.fold.snapshot().path("files"), resumed.fold.snapshot().path("files"));
   }
 
   /**
-   * Story: two entries are told different ends of the log by its replicas. The one that reads the
-   * stale end publishes over what it has not seen: it must be told, not accepted.
+   * Two entries read different ends of the log from its replicas. The entry that reads the stale end
+   * publishes over a record that it has not read; this publish must fail.
    */
   @Test
   void publisherThatReadsAStaleEndIsToldWhoWasFirst() throws Exception {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
@@ -11,17 +11,18 @@
   private static final long TODAY = 1_796_000_000_000L;
 
   /**
-   * Two entries are started by one script in the same millisecond. Both named their requests alike,
-   * a side process mixed them up, and 38 of 1,000 callers read that their outcome was unknown.
+   * Two entries started in the same millisecond must not have the same incarnation. With equal
+   * incarnations they create equal request ids, a side process confuses their requests, and callers
+   * receive an unknown outcome (38 of 1,000 callers).
    */
   @Test
   void processesOfOneMillisecondAreToldApart() {
     SplittableRandom random = new SplittableRandom(3);
-    Set<Long> seen = new HashSet<>();
+    Set<Long> incarnations = new HashSet<>();
     for (int i = 0; i < 20; i++) {
-      seen.add(ProcessIncarnations.next(() -> TODAY, random));
+      incarnations.add(ProcessIncarnations.next(() -> TODAY, random));
     }
-    assertTrue(seen.size() >= 19, "different ones: " + seen.size());
+    assertTrue(incarnations.size() >= 19, "distinct incarnations: " + incarnations.size());
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/configuration/PeerCatchUpTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/configuration/PeerCatchUpTest.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Story: the log is down and an entry is replaced. Its peers are at different revisions and one
-   * is dead; on the defaults it would refuse what the configuration allows.
+   * An entry starts during a log outage. Its peers have different revisions and one is unreachable.
+   * With the defaults the entry would refuse requests that the configuration allows.
    */
   @Test
   void takesTheHighestRevisionOfThosePeersThatAnswer() {
@@ -62,8 +62,8 @@
 
   @Test
   void nonsenseOfAPeerChangesNothing() {
-    byte[] nonsense = "{\"revision\":\"9\"}".getBytes(StandardCharsets.UTF_8);
-    answers.put(FIRST, Json.parse("x", nonsense));
+    byte[] invalid = "{\"revision\":\"9\"}".getBytes(StandardCharsets.UTF_8);
+    answers.put(FIRST, Json.parse("x", invalid));
     answers.put(SECOND, Result.ok(Json.object()));
     answers.put(THIRD, Result.ok(peerAt(2).snapshot()));
     catchUp.look();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkConnectionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkConnectionTest.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * A sound connection on which news went out between two questions was closed as silent, and the
-   * peer had no room there until it was dialled anew.
+   * A one-way frame must not start the silence timer: a healthy connection would be closed as
+   * unresponsive, and the peer would have no capacity until it is dialled again.
    */
   @Test
   void whatNothingAnswersLeavesNothingUnanswered() {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
@@ -12,8 +12,8 @@
   private int runs;
 
   /**
-   * A repeated task met a state that it did not expect and threw. The process lived on without it:
-   * leases were renewed no more, and the ends of tasks on VMs out of reach never came.
+   * A periodic task that throws must keep running periodically. Otherwise the process stays up
+   * without it: leases are no longer renewed, and tasks on unreachable VMs never end.
    */
   @Test
   void aRepeatedTaskThatThrowsIsRepeated() {
@@ -31,7 +31,7 @@
   private void throwOnce() {
     runs++;
     if (runs == 1) {
-      throw new IllegalStateException("told to throw");
+      throw new IllegalStateException("thrown by the test");
     }
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockedStream.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockedStream.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A stream that nobody reads until it is released: writes block. A thread that would block for good
- * releases it itself after a while, and is told of.
+ * A stream whose writes block until {@link #release} is called. A write that blocks for too long
+ * releases the stream itself, which {@link #isPatienceLost} reports.
  */
 public final class BlockedStream extends OutputStream {
   private static final long PATIENCE_SECONDS = 20;
@@ -50,27 +50,27 @@
     }
   }
 
-  /** Returns a stream that passes on each write at once. */
+  /** Returns a print stream that writes to this stream without buffering. */
   public PrintStream printed() {
     return new PrintStream(this, true, StandardCharsets.UTF_8);
   }
 
-  /** Waits until a write blocks, and returns whether one does. */
+  /** Waits until a write blocks. Returns false on timeout. */
   public boolean awaitReached() {
     return isDown(reached);
   }
 
-  /** Lets writes through from now on. */
+  /** Unblocks all current and later writes. */
   public void release() {
     released.countDown();
   }
 
-  /** Returns whether a write went on without being released. */
+  /** Returns whether a write timed out before the stream was released. */
   public boolean isPatienceLost() {
     return patienceLost;
   }
 
-  /** Returns what was written. */
+  /** Returns the written lines. */
   public List<String> lines() {
     synchronized (written) {
       return written.toString(StandardCharsets.UTF_8).lines().toList();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/FoldedLogTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/FoldedLogTest.java
@@ -15,7 +15,7 @@
 class FoldedLogTest {
   private static final long SPAN = 1_000;
 
-  /** Runs what is due when its time is moved on. */
+  /** Runs scheduled tasks when its time is advanced. */
   private static final class FakeTimer implements FoldedLog.Timer {
     private record Due(long at, Runnable task) {}
 
@@ -89,17 +89,17 @@
     assertEquals(2, written.size());
   }
 
-  /** Refusals for a minute on end: one line a span, and none is lost from the count. */
+  /** A kind that repeats for 60 windows writes one line per window, and counts include all lines. */
   @Test
   void aKindThatGoesOnHasOneLineASpanAndEveryLineIsCounted() {
-    int told = 0;
+    int logged = 0;
     for (long now = 0; now < 60 * SPAN; now += SPAN / 25) {
       timer.advanceTo(now);
-      tell("room", ++told);
+      tell("room", ++logged);
     }
     timer.advanceTo(100 * SPAN);
     assertTrue(written.size() <= 61, written.size() + " lines");
-    assertEquals(told, written.stream().mapToInt(FoldedLogTest::standsFor).sum());
+    assertEquals(logged, written.stream().mapToInt(FoldedLogTest::standsFor).sum());
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/KeyValueFormatterTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/KeyValueFormatterTest.java
@@ -13,7 +13,7 @@
 class KeyValueFormatterTest {
   private static final int LINES = 2_000;
 
-  /** The most that one line of {@link #line} may allocate. */
+  /** The maximum allocation for one line of {@link #line}, in bytes. */
   private static final long LINE_BYTES = 4_096;
 
   private final KeyValueFormatter formatter = new KeyValueFormatter("edge 1");
@@ -49,7 +49,7 @@
         "time=2026-12-03T10:00:00.000Z" + rest, formatted("2026-12-03T10:00:00Z", "event=x"));
   }
 
-  /** The time of day may be set back; a line must not keep the second of the one before. */
+  /** The wall clock may be set back; the cached second must not be used for another second. */
   @Test
   void timesFollowAClockThatIsSetBack() {
     formatted("2026-12-03T10:00:05.100Z", "event=x");
@@ -68,7 +68,7 @@
             .endsWith(" event=log message=\"two words\"\n"));
   }
 
-  /** A line of an order or an end allocated 9 KB, most of it for streams over its characters. */
+  /** Guards against per-character streams in the formatter, with which a line allocated 9 KB. */
   @Test
   void aLineTakesLittleMemoryToWrite() {
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -78,7 +78,7 @@
     for (int i = 0; i < LINES; i++) {
       formatter.format(logged(at, line(i).toString()));
     }
-    long each = (threads.getCurrentThreadAllocatedBytes() - before) / LINES;
-    assertTrue(each <= LINE_BYTES, each + " bytes a line");
+    long bytesPerLine = (threads.getCurrentThreadAllocatedBytes() - before) / LINES;
+    assertTrue(bytesPerLine <= LINE_BYTES, bytesPerLine + " bytes per line");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogLineTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogLineTest.java
@@ -20,8 +20,8 @@
   }
 
   /**
-   * Story: a caller names itself with a line feed and a forged event. Unescaped, the log would show
-   * an event that never happened, and whatever reads the log would act on it.
+   * A caller's name contains a line feed and a forged event. If it is not escaped, the log contains
+   * an event that never happened, and log readers act on it.
    */
   @Test
   void callerCannotForgeAnEvent() {
@@ -39,7 +39,8 @@
   }
 
   /**
-   * Splits a line as its readers do: at spaces outside quotes, keys before the first equals sign.
+   * Parses a line as log readers do: splits it at spaces outside quotes and takes the text before the
+   * first equals sign as the key.
    */
   private static List<String> keys(String line) {
     List<String> keys = new ArrayList<>();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogMeasure.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogMeasure.java
@@ -7,11 +7,11 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Measures what a log line costs the thread that logs and the whole process. Lines go to standard
- * output, the figures to standard error, as CSV.
+ * Measures the CPU cost of a log line for the logging thread and for the whole process. Writes the
+ * lines to standard output and the results to standard error as CSV.
  *
- * <p>Arguments: lines a second (0 for as many as can be), lines a burst, seconds. The first fifth
- * of the time is not counted.
+ * <p>Arguments: lines per second (0 for no limit), lines per burst, seconds. The first fifth of the
+ * lines is warm-up and not measured.
  */
 public final class LogMeasure {
   private static final EventLog LOG = EventLog.of(LogMeasure.class);
@@ -19,7 +19,7 @@
 
   private LogMeasure() {}
 
-  /** Runs to its end. */
+  /** Runs the measurement. */
   public static void main(String[] arguments) {
     int perSecond = Integer.parseInt(arguments[0]);
     int burst = Integer.parseInt(arguments[1]);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogQueueTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogQueueTest.java
@@ -41,7 +41,7 @@
         .formatted(errors, warnings, infos, Instant.ofEpochSecond(since));
   }
 
-  /** Guards against lines of one thread written in another order, ranks apart. */
+  /** Guards against lines of one thread being reordered because they differ in severity. */
   @Test
   void orderIsKeptAcrossRanks() {
     add(queue, Level.INFO, "1");
@@ -53,7 +53,7 @@
     assertTrue(queue.isEmpty());
   }
 
-  /** Guards against a gap that nobody can see or place: it is told where lines are missing. */
+  /** Guards against unreported drops: the report is at the position of the dropped records. */
   @Test
   void whatIsDroppedIsToldOnceInItsPlace() {
     add(queue, Level.INFO, "1", "2", "3", "4", "5", "6");
@@ -68,7 +68,7 @@
     assertTrue(queue.isEmpty());
   }
 
-  /** Guards against a gap at the end that stays untold because no line follows. */
+  /** Guards against drops at the end that are not reported because no line follows. */
   @Test
   void aGapAtTheEndIsTold() {
     add(queue, Level.INFO, "1", "2", "3", "4", "5");
@@ -78,7 +78,7 @@
     assertEquals(List.of(told(0, 0, 1, 5)), takeAll(queue));
   }
 
-  /** Guards against lines of info that crowd out what an operator must look at. */
+  /** Guards against info lines displacing warnings and errors that an operator must see. */
   @Test
   void infoGivesWayToWarningsAndBothToErrors() {
     add(queue, Level.INFO, "i1", "i2", "i3", "i4");
@@ -88,7 +88,7 @@
     assertEquals(List.of(told(0, 2, 5, 1), "w5", "w6", "w7", "e10"), takeAll(queue));
   }
 
-  /** Guards against an error dropped while anything less waits, and errors dropped uncounted. */
+  /** Guards against errors dropped while less severe records are queued, or dropped uncounted. */
   @Test
   void errorsAreDroppedOnlyForErrors() {
     add(queue, Level.SEVERE, "e1", "e2", "e3", "e4", "e5");
@@ -96,7 +96,7 @@
     assertEquals(List.of("e1", "e2", "e3", "e4", told(1, 1, 0, 5)), takeAll(queue));
   }
 
-  /** Guards against few long lines that take all memory, and one that is longer than the room. */
+  /** Guards against a few long lines, or one line above the limit, exhausting the memory. */
   @Test
   void memoryIsBoundedToo() {
     int bytes = 3 * LogQueue.BYTES_A_RECORD;
@@ -109,7 +109,7 @@
     assertEquals(List.of("later"), takeAll(small));
   }
 
-  /** Guards against room that is not given back, and lines neither written nor counted. */
+  /** Guards against capacity that is not released, and lines neither written nor counted. */
   @Test
   void everyLineIsTakenOrCounted() {
     Random random = new Random(11);
@@ -125,22 +125,22 @@
     }
     taken.addAll(small.take(added));
     int counted = 0;
-    int gaps = 0;
+    int reports = 0;
     for (LogRecord each : taken) {
       if (each.getMessage().startsWith("event=log-lines-dropped")) {
-        gaps++;
+        reports++;
         counted += droppedBy(each.getMessage());
       }
     }
-    assertTrue(gaps > 1, gaps + " gaps");
-    assertEquals(added, taken.size() - gaps + counted);
+    assertTrue(reports > 1, reports + " reports of dropped lines");
+    assertEquals(added, taken.size() - reports + counted);
     add(small, Level.INFO, "1", "2");
     assertEquals(List.of("1", "2"), takeAll(small));
   }
 
-  private static int droppedBy(String told) {
+  private static int droppedBy(String line) {
     int sum = 0;
-    for (String pair : told.split(" ", -1)) {
+    for (String pair : line.split(" ", -1)) {
       String value = pair.substring(pair.indexOf('=') + 1);
       sum += value.chars().allMatch(Character::isDigit) ? Integer.parseInt(value) : 0;
     }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogWriterTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogWriterTest.java
@@ -50,7 +50,7 @@
     return lines;
   }
 
-  /** Guards against a standard output that nobody reads and that stops whoever logs. */
+  /** Guards against a blocked standard output stopping the threads that log. */
   @Test
   void aBlockedStreamDelaysNoCallAndWhatIsDroppedIsTold() {
     log("t", 0);
@@ -79,7 +79,7 @@
     assertEquals(kept + 3, lines.size());
   }
 
-  /** Guards against lines of one thread that change places on their way. */
+  /** Guards against reordered lines of one thread. */
   @Test
   void linesOfEachThreadKeepTheirOrder() throws InterruptedException {
     int each = LogWriter.MOST_LINES / 8;
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Guards against a planned stop that halts before its last lines are written. */
+  /** Guards against a graceful shutdown that halts before the last lines are written. */
   @Test
   void closingWritesAllThatWasLogged() {
     stream.release();
@@ -122,7 +122,7 @@
     assertEquals(expected("t", 0, 501), stream.lines());
   }
 
-  /** Guards against a planned stop that waits for a stream that nobody reads. */
+  /** Guards against a graceful shutdown that waits for a blocked stream. */
   @Test
   void waitingForABlockedStreamEndsAtItsDeadline() {
     log("t", 0);
@@ -132,7 +132,7 @@
     assertFalse(stream.isPatienceLost());
   }
 
-  /** Guards against a line that shows what its parameters and its error have become since. */
+  /** Guards against lines that show changes to parameters or errors after the time of logging. */
   @Test
   void linesShowWhatWasTheCaseWhenTheyWereLogged() {
     StringBuilder parameter = new StringBuilder("before");
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/operators/OperatorServerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/operators/OperatorServerTest.java
@@ -132,9 +132,9 @@
   }
 
   /**
-   * Story: a client sends a long body without a length, in chunks. Without a limit while reading,
-   * the side process's small heap would fill up; answered too early, the client would see a reset
-   * connection and not the reason.
+   * A client sends a long chunked body without a content length. Without a limit while reading, the
+   * body would fill the small heap of a side process. If the response is sent before the body is
+   * read, the client sees a connection reset instead of the reason.
    */
   @Test
   void bodyWithoutALengthIsCutOffAtTheLimit() throws Exception {
@@ -196,7 +196,7 @@
         out.write(bytes);
         out.flush();
       } catch (java.io.IOException e) {
-        // The server may close on us while we write; that is its good right.
+        // The server may close the connection while the test still writes.
         continue;
       }
     }
@@ -204,9 +204,9 @@
   }
 
   /**
-   * Story: a broken tool opens connections and never closes them. Each holds buffers in a heap of
-   * 40 MB; without a limit the side process dies. With one, an operator still gets in, since idle
-   * connections are closed soon once there are too many.
+   * A faulty tool opens connections and never closes them. Each holds buffers in a heap of 40 MB, so
+   * without a limit the side process runs out of memory. At the limit, idle connections must be
+   * closed soon, so that an operator can still connect.
    */
   @Test
   void floodOfConnectionsIsBoundedAndOperatorsGetIn() throws Exception {
