--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
@@ -25,11 +25,11 @@
     try (OperatorClient client = connection.connect()) {
       String route =
           "/jobs/" + ConnectionOptions.encode(job) + "?reason=" + ConnectionOptions.encode(reason);
-      JsonNode answer = ConnectionOptions.require(client.delete(route));
+      JsonNode answer = ConnectionOptions.valueOrThrow(client.delete(route));
       if (connection.json()) {
         connection.printJson(answer);
       } else {
-        connection.print(JobLines.line(answer));
+        connection.print(JobFormatter.formatLine(answer));
       }
       return ExitCode.OK.code();
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FollowMerge.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CausalEventMerger.java
@@ -13,8 +13,8 @@
  * Every process says with its events up to which stamp it has told all; an event is held until all
  * of them have told all up to its own. Not safe for use by several threads.
  */
-final class FollowMerge {
-  private List<TimedEvent> held = new ArrayList<>();
+final class CausalEventMerger {
+  private List<TimedEvent> pending = new ArrayList<>();
 
   /**
    * Takes what a read gave and returns what may be shown by now, in causal order.
@@ -22,14 +22,14 @@
    * @param completeUpTo the stamp up to which all events of all processes have been read
    */
   List<TimedEvent> add(List<TimedEvent> read, long completeUpTo) {
-    held.addAll(read);
-    Collections.sort(held);
+    pending.addAll(read);
+    Collections.sort(pending);
     int ready = 0;
-    while (ready < held.size() && held.get(ready).stamp() <= completeUpTo) {
+    while (ready < pending.size() && pending.get(ready).stamp() <= completeUpTo) {
       ready++;
     }
-    List<TimedEvent> shown = List.copyOf(held.subList(0, ready));
-    held = new ArrayList<>(held.subList(ready, held.size()));
+    List<TimedEvent> shown = List.copyOf(pending.subList(0, ready));
+    pending = new ArrayList<>(pending.subList(ready, pending.size()));
     return shown;
   }
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
@@ -84,9 +84,9 @@
   }
 
   /** Returns the value, or ends the command with the failure's line and exit code. */
-  static <T> T require(Result<T> result) {
+  static <T> T valueOrThrow(Result<T> result) {
     if (result instanceof Result.Failed<T> failed) {
-      throw CommandFailure.of(failed.failure());
+      throw CommandException.of(failed.failure());
     }
     return result.value();
   }
@@ -95,7 +95,7 @@
     try {
       return Files.readAllBytes(file);
     } catch (IOException e) {
-      throw new CommandFailure(ExitCode.USAGE, file + ": cannot be read: " + e);
+      throw new CommandException(ExitCode.USAGE, file + ": cannot be read: " + e);
     }
   }
 
@@ -103,7 +103,7 @@
   static JsonNode readJson(Path file) {
     Result<JsonNode> parsed = Json.parse(file.toString(), readFile(file));
     if (parsed instanceof Result.Failed<JsonNode> failed) {
-      throw new CommandFailure(ExitCode.USAGE, failed.failure().detail());
+      throw new CommandException(ExitCode.USAGE, failed.failure().detail());
     }
     return parsed.value();
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
@@ -29,7 +29,7 @@
     body.set("content", ConnectionOptions.readJson(path));
     try (OperatorClient client = connection.connect()) {
       byte[] bytes = Json.bytes(body);
-      JsonNode answer = ConnectionOptions.require(client.post("/configuration/diff", bytes));
+      JsonNode answer = ConnectionOptions.valueOrThrow(client.post("/configuration/diff", bytes));
       if (connection.json()) {
         connection.printJson(answer);
         return ExitCode.OK.code();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
@@ -20,7 +20,7 @@
   @Override
   public Integer call() {
     try (OperatorClient client = connection.connect()) {
-      JsonNode answer = ConnectionOptions.require(client.get("/configuration/history"));
+      JsonNode answer = ConnectionOptions.valueOrThrow(client.get("/configuration/history"));
       if (connection.json()) {
         connection.printJson(answer);
         return ExitCode.OK.code();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
@@ -55,7 +55,7 @@
 
   /** Returns the answer of the first entry that gives one. */
   Result<JsonNode> get(String pathAndQuery) {
-    return ask("GET", pathAndQuery, Optional.empty());
+    return sendToAny("GET", pathAndQuery, Optional.empty());
   }
 
   /**
@@ -70,17 +70,17 @@
   }
 
   Result<JsonNode> post(String pathAndQuery, byte[] body) {
-    return ask("POST", pathAndQuery, Optional.of(body));
+    return sendToAny("POST", pathAndQuery, Optional.of(body));
   }
 
   Result<JsonNode> delete(String pathAndQuery) {
-    return ask("DELETE", pathAndQuery, Optional.empty());
+    return sendToAny("DELETE", pathAndQuery, Optional.empty());
   }
 
-  private Result<JsonNode> ask(String method, String pathAndQuery, Optional<byte[]> body) {
+  private Result<JsonNode> sendToAny(String method, String pathAndQuery, Optional<byte[]> body) {
     Result<JsonNode> last = Result.failed(ErrorKind.TARGET_UNREACHABLE, "no entry was given");
     for (HostPort entry : entries) {
-      last = askOne(entry, method, pathAndQuery, body);
+      last = sendTo(entry, method, pathAndQuery, body);
       if (!(last instanceof Result.Failed<JsonNode> failed)) {
         return last;
       }
@@ -95,7 +95,7 @@
   }
 
   /** Returns the answer of one process. */
-  Result<JsonNode> askOne(
+  Result<JsonNode> sendTo(
       HostPort process, String method, String pathAndQuery, Optional<byte[]> body) {
     Request request =
         http.newRequest("http://" + process + pathAndQuery)
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Waiting.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Polling.java
@@ -10,10 +10,10 @@
 import java.util.function.Supplier;
 
 /** Asks again and again until there is an answer. Stateless, safe for any thread. */
-final class Waiting {
+final class Polling {
   private static final long PERIOD_MILLIS = 100;
 
-  private Waiting() {}
+  private Polling() {}
 
   /**
    * Returns the first value that the question gives, or empty if it gives none in time.
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
@@ -23,14 +23,14 @@
  * and in the events of the others. Not safe for use by several threads.
  */
 final class TimelineReader {
-  private static final int PAGE = 2_000;
+  private static final int PAGE_SIZE = 2_000;
 
-  private record Place(long incarnation, long next) {}
+  private record Position(long incarnation, long next) {}
 
   private final OperatorClient client;
   private final EventFilter filter;
   private final Consumer<String> warnings;
-  private final Map<String, Place> places = new HashMap<>();
+  private final Map<String, Position> positions = new HashMap<>();
   private final Map<String, Long> completeUpTo = new HashMap<>();
 
   TimelineReader(OperatorClient client, EventFilter filter, Consumer<String> warnings) {
@@ -55,7 +55,7 @@
   }
 
   private Map<String, HostPort> processes() {
-    JsonNode members = ConnectionOptions.require(client.get("/members")).path("processes");
+    JsonNode members = ConnectionOptions.valueOrThrow(client.get("/members")).path("processes");
     Map<String, HostPort> processes = new TreeMap<>();
     for (JsonNode member : members) {
       HostPort.parse(member.path("operators").asText())
@@ -67,11 +67,11 @@
   private void readProcess(String process, HostPort address, List<TimedEvent> events) {
     boolean more = true;
     while (more) {
-      Place place = places.getOrDefault(process, new Place(0, 0));
+      Position place = positions.getOrDefault(process, new Position(0, 0));
       String route =
-          "/events?after=" + place.next() + "&limit=" + PAGE + FilterOptions.query(filter);
+          "/events?after=" + place.next() + "&limit=" + PAGE_SIZE + FilterOptions.query(filter);
       Result<EventPage> answer =
-          client.askOne(address, "GET", route, Optional.empty()).then(EventJson::read);
+          client.sendTo(address, "GET", route, Optional.empty()).then(EventJson::read);
       if (answer instanceof Result.Failed<EventPage> failed) {
         warnings.accept("no events of " + process + ": " + failed.failure().detail());
         completeUpTo.remove(process);
@@ -81,17 +81,17 @@
       boolean anew = place.incarnation() != 0 && place.incarnation() != page.incarnation();
       if (anew && place.next() != 0) {
         // Numbers of the earlier incarnation mean nothing to this one: read it from its start.
-        places.put(process, new Place(page.incarnation(), 0));
+        positions.put(process, new Position(page.incarnation(), 0));
         continue;
       }
       // What gave way before the first read is no loss of this reader.
       if (page.lost() > 0 && place.next() > 0) {
         warnings.accept(page.lost() + " events of " + process + " gave way before being read");
       }
-      places.put(process, new Place(page.incarnation(), page.next()));
+      positions.put(process, new Position(page.incarnation(), page.next()));
       completeUpTo.merge(process, page.asOf(), Math::max);
       events.addAll(page.events());
-      more = page.events().size() == PAGE;
+      more = page.events().size() == PAGE_SIZE;
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
@@ -56,7 +56,7 @@
   private long durationMillis;
 
   @Option(names = "--even", description = "At even distances instead of as a Poisson process.")
-  private boolean evenly;
+  private boolean evenlySpaced;
 
   @Option(
       names = "--callers",
@@ -161,10 +161,10 @@
       }
       long start = pacer.nanos();
       run.sendAll();
-      awaitAnswers(progress, run);
+      awaitResponses(progress, run);
       long tookMillis = TimeUnit.NANOSECONDS.toMillis(pacer.nanos() - start);
       LoadReport report =
-          new LoadReport(run.reported(), tookMillis - warmupMillis, run.loadRecord());
+          new LoadReport(run.reported(), tookMillis - warmupMillis, run.statistics());
       return report(report, run).code();
     } finally {
       progress.shutdownNow();
@@ -181,7 +181,7 @@
           targets,
           rate,
           durationMillis,
-          evenly,
+          evenlySpaced,
           callers,
           nonIdempotentShare,
           deadlineMillis,
@@ -211,15 +211,15 @@
     var unused =
         scheduler.scheduleAtFixedRate(
             () -> {
-              LoadRecord counts = run.loadRecord();
+              LoadStatistics counts = run.statistics();
               err.printf(
                   Locale.ROOT,
                   "sent %d, served %d, not served %d, open %d, p99 %.1f ms%n",
                   run.sent(),
                   counts.served(),
-                  counts.answered() - counts.served(),
+                  counts.completed() - counts.served(),
                   run.open(),
-                  counts.fromPlan().getValueAtPercentile(99) / 1000.0);
+                  counts.latencyFromPlan().getValueAtPercentile(99) / 1000.0);
               err.flush();
             },
             PROGRESS_MILLIS,
@@ -228,7 +228,7 @@
   }
 
   /** Every request has a timeout of its own, so all answers come in bounded time. */
-  private void awaitAnswers(ScheduledExecutorService scheduler, LoadRun run)
+  private void awaitResponses(ScheduledExecutorService scheduler, LoadRun run)
       throws InterruptedException {
     CountDownLatch allAnswered = new CountDownLatch(1);
     var unused =
@@ -255,7 +255,7 @@
       report.lines().forEach(out::println);
     }
     out.flush();
-    Map<String, Long> kinds = run.loadRecord().byKind();
+    Map<String, Long> kinds = run.statistics().byKind();
     long refused = kinds.getOrDefault("connection-refused", 0L);
     return refused > 0 && refused == run.reported() ? ExitCode.TRY_LATER : ExitCode.OK;
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
@@ -13,7 +13,7 @@
  * @param urls where requests go, in turn
  * @param ratePerSecond how many requests leave in a second, on average
  * @param durationMillis for how long, in milliseconds
- * @param evenly whether requests leave at even distances; otherwise as a Poisson process
+ * @param evenlySpaced whether requests leave at even distances; otherwise as a Poisson process
  * @param callers the callers and their weights
  * @param nonIdempotentShare which share of requests is a POST, 0 to 1
  * @param deadlineMillis the deadline that a request carries, in milliseconds
@@ -26,7 +26,7 @@
     List<String> urls,
     double ratePerSecond,
     long durationMillis,
-    boolean evenly,
+    boolean evenlySpaced,
     Map<String, Double> callers,
     double nonIdempotentShare,
     long deadlineMillis,
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadAnswer.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadResult.java
@@ -7,20 +7,20 @@
  *     so on
  * @param served whether the caller got what it asked for
  */
-record LoadAnswer(String kind, boolean served) {
+record LoadResult(String kind, boolean served) {
   /** The caller got its answer. */
-  static final LoadAnswer SERVED = new LoadAnswer("served", true);
+  static final LoadResult SERVED = new LoadResult("served", true);
 
   /** The answer's body was not the request's, though the target echoes. */
-  static final LoadAnswer WRONG_BODY = failed("wrong-body");
+  static final LoadResult WRONG_BODY = failed("wrong-body");
 
   /** No answer came until well after the deadline. */
-  static final LoadAnswer NO_ANSWER = failed("no-answer");
+  static final LoadResult NO_RESPONSE = failed("no-answer");
 
   /** Not sent, because too many were open already: the tool's own limit. */
-  static final LoadAnswer NOT_SENT = failed("not-sent-too-many-open");
+  static final LoadResult NOT_SENT = failed("not-sent-too-many-open");
 
-  static LoadAnswer failed(String kind) {
-    return new LoadAnswer(kind, false);
+  static LoadResult failed(String kind) {
+    return new LoadResult(kind, false);
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
@@ -15,7 +15,7 @@
   private final LoadSender sender;
   private final Pacer pacer;
   private final int maxOpen;
-  private final LoadRecord loadRecord = new LoadRecord();
+  private final LoadStatistics statistics = new LoadStatistics();
   private final AtomicLong open = new AtomicLong();
   private final long warmupNanos;
   private volatile long sent;
@@ -58,26 +58,26 @@
     }
     if (open.incrementAndGet() > maxOpen) {
       open.decrementAndGet();
-      note(counts, LoadAnswer.NOT_SENT, planned, leaves, leaves);
+      record(counts, LoadResult.NOT_SENT, planned, leaves, leaves);
       return;
     }
     sender
         .send(request)
         .thenAccept(
             answer -> {
-              note(counts, answer, planned, leaves, pacer.nanos());
+              record(counts, answer, planned, leaves, pacer.nanos());
               open.decrementAndGet();
             });
   }
 
-  private void note(boolean counts, LoadAnswer answer, long planned, long leaves, long now) {
+  private void record(boolean counts, LoadResult answer, long planned, long leaves, long now) {
     if (counts) {
-      loadRecord.note(answer, planned, leaves, now);
+      statistics.record(answer, planned, leaves, now);
     }
   }
 
-  LoadRecord loadRecord() {
-    return loadRecord;
+  LoadStatistics statistics() {
+    return statistics;
   }
 
   long sent() {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
@@ -5,5 +5,5 @@
 /** Sends a request and tells how it ended; never throws, never fails the future. */
 @FunctionalInterface
 interface LoadSender {
-  CompletableFuture<LoadAnswer> send(LoadRequest request);
+  CompletableFuture<LoadResult> send(LoadRequest request);
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogStory.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/CausalLogSorter.java
@@ -22,7 +22,7 @@
  *
  * <p>Stateless; takes time in lines times the logarithm of lines.
  */
-public final class LogStory {
+public final class CausalLogSorter {
   /** Where in the life of a run an event stands. */
   private enum Stage {
     ACCEPTED,
@@ -45,24 +45,24 @@
     private final LogEntry entry;
     private final int position;
     private final List<Node> effects = new ArrayList<>();
-    private int causesLeft;
+    private int pendingCauses;
 
     Node(LogEntry entry, int position) {
       this.entry = entry;
       this.position = position;
     }
 
-    void before(Node effect) {
+    void addEffect(Node effect) {
       effects.add(effect);
-      effect.causesLeft++;
+      effect.pendingCauses++;
     }
   }
 
-  private static final Comparator<Node> BY_CLOCK =
+  private static final Comparator<Node> BY_TIMESTAMP =
       Comparator.comparing((Node node) -> node.entry.time())
           .thenComparingInt(node -> node.position);
 
-  private LogStory() {}
+  private CausalLogSorter() {}
 
   /**
    * Returns the entries that concern the subject, causes before effects.
@@ -70,7 +70,7 @@
    * @param subject the id of a workflow, task or run, as in the log
    * @param entries of all processes; those of one process in the order in which it wrote them
    */
-  public static ImmutableList<LogEntry> of(String subject, Collection<LogEntry> entries) {
+  public static ImmutableList<LogEntry> sort(String subject, Collection<LogEntry> entries) {
     checkArgument(!subject.isEmpty(), "no subject");
     List<Node> nodes = new ArrayList<>();
     for (LogEntry entry : entries) {
@@ -81,7 +81,7 @@
     linkProcesses(nodes);
     linkStages(nodes);
     linkAttempts(nodes);
-    return inOrder(nodes);
+    return topologicalOrder(nodes);
   }
 
   private static void linkProcesses(List<Node> nodes) {
@@ -89,14 +89,14 @@
     for (Node node : nodes) {
       Node before = last.put(node.entry.process(), node);
       if (before != null) {
-        before.before(node);
+        before.addEffect(node);
       }
     }
   }
 
   private static void linkStages(List<Node> nodes) {
     Map<String, List<Node>> byRun = new HashMap<>();
-    Optional<Node> accepted = nodes.stream().filter(LogStory::isAcceptance).findFirst();
+    Optional<Node> accepted = nodes.stream().filter(CausalLogSorter::isAcceptance).findFirst();
     for (Node node : nodes) {
       if (Stage.of(node.entry.event()).isPresent() && !node.entry.run().isEmpty()) {
         byRun.computeIfAbsent(node.entry.run(), unused -> new ArrayList<>()).add(node);
@@ -144,26 +144,29 @@
   /** Lines of one process stand in its order already; a second link could only close a circle. */
   private static void linkUnlessSameProcess(Node cause, Node effect) {
     if (!cause.entry.process().equals(effect.entry.process())) {
-      cause.before(effect);
+      cause.addEffect(effect);
     }
   }
 
-  private static ImmutableList<LogEntry> inOrder(List<Node> nodes) {
-    PriorityQueue<Node> free = new PriorityQueue<>(BY_CLOCK);
-    nodes.stream().filter(node -> node.causesLeft == 0).forEach(free::add);
+  private static ImmutableList<LogEntry> topologicalOrder(List<Node> nodes) {
+    PriorityQueue<Node> free = new PriorityQueue<>(BY_TIMESTAMP);
+    nodes.stream().filter(node -> node.pendingCauses == 0).forEach(free::add);
     List<Node> ordered = new ArrayList<>();
     while (!free.isEmpty()) {
       Node next = free.remove();
       ordered.add(next);
       for (Node effect : next.effects) {
-        effect.causesLeft--;
-        if (effect.causesLeft == 0) {
+        effect.pendingCauses--;
+        if (effect.pendingCauses == 0) {
           free.add(effect);
         }
       }
     }
     // Lines that contradict each other, as from logs of two lives in one file, are told by clock.
-    nodes.stream().filter(node -> node.causesLeft > 0).sorted(BY_CLOCK).forEach(ordered::add);
+    nodes.stream()
+        .filter(node -> node.pendingCauses > 0)
+        .sorted(BY_TIMESTAMP)
+        .forEach(ordered::add);
     return ordered.stream().map(node -> node.entry).collect(ImmutableList.toImmutableList());
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogProfile.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogProfile.java
@@ -26,9 +26,9 @@
  */
 public final class LogProfile {
   /** Longer times are counted as this long, in milliseconds. */
-  private static final long LONGEST_MILLIS = Duration.ofHours(24).toMillis();
+  private static final long MAX_MILLIS = Duration.ofHours(24).toMillis();
 
-  private static final int DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   /**
    * The distribution of some times.
@@ -37,9 +37,9 @@
    * @param medianMillis half are at most this long
    * @param p95Millis all but a twentieth are at most this long
    */
-  public record Times(long count, long medianMillis, long p95Millis) {
-    private static Times of(Histogram histogram) {
-      return new Times(
+  public record LatencySummary(long count, long medianMillis, long p95Millis) {
+    private static LatencySummary of(Histogram histogram) {
+      return new LatencySummary(
           histogram.getTotalCount(),
           histogram.getValueAtPercentile(50),
           histogram.getValueAtPercentile(95));
@@ -52,65 +52,73 @@
    * @param name of the queue
    * @param workflows how many had a task ordered
    * @param tasks how many tasks had a run ordered
-   * @param firstOrder from accepting a workflow to the first order for it
+   * @param firstStart from accepting a workflow to the first order for it
    * @param runs from an order to its end, by how it ended
    */
   public record QueueProfile(
-      String name, int workflows, int tasks, Times firstOrder, ImmutableMap<String, Times> runs) {
+      String name,
+      int workflows,
+      int tasks,
+      LatencySummary firstStart,
+      ImmutableMap<String, LatencySummary> runs) {
     /** Checks the components. */
     public QueueProfile {
       requireNonNull(name, "name");
-      requireNonNull(firstOrder, "firstOrder");
+      requireNonNull(firstStart, "firstOrder");
       requireNonNull(runs, "runs");
     }
   }
 
   /** What is gathered of one queue. */
-  private static final class Gathered {
+  private static final class QueueStatistics {
     private final Set<String> workflows = new HashSet<>();
     private final Set<String> tasks = new HashSet<>();
-    private final Histogram firstOrder = histogram();
+    private final Histogram firstStart = histogram();
     private final Map<String, Histogram> runs = new TreeMap<>();
 
     QueueProfile profile(String name) {
-      ImmutableMap.Builder<String, Times> times = ImmutableMap.builder();
-      runs.forEach((outcome, histogram) -> times.put(outcome, Times.of(histogram)));
+      ImmutableMap.Builder<String, LatencySummary> times = ImmutableMap.builder();
+      runs.forEach((outcome, histogram) -> times.put(outcome, LatencySummary.of(histogram)));
       return new QueueProfile(
-          name, workflows.size(), tasks.size(), Times.of(firstOrder), times.buildOrThrow());
+          name,
+          workflows.size(),
+          tasks.size(),
+          LatencySummary.of(firstStart),
+          times.buildOrThrow());
     }
   }
 
   private LogProfile() {}
 
   private static Histogram histogram() {
-    return new Histogram(LONGEST_MILLIS, DIGITS);
+    return new Histogram(MAX_MILLIS, SIGNIFICANT_DIGITS);
   }
 
   private static void record(Histogram histogram, String millis) {
     // Clocks of two entries may put an order before its accepting.
     long value = Math.max(0, Long.parseLong(millis));
-    histogram.recordValue(Math.min(value, LONGEST_MILLIS));
+    histogram.recordValue(Math.min(value, MAX_MILLIS));
   }
 
   /** Returns a profile of each queue that had an order, by name. */
   public static ImmutableList<QueueProfile> of(Collection<LogEntry> entries) {
-    Map<String, Gathered> queues = new TreeMap<>();
-    Map<String, Gathered> queueOfRun = new HashMap<>();
+    Map<String, QueueStatistics> queues = new TreeMap<>();
+    Map<String, QueueStatistics> queueOfRun = new HashMap<>();
     List<LogEntry> ends = new ArrayList<>();
     for (LogEntry entry : entries) {
       if (entry.event().equals("run-ordered")) {
         String queue = entry.fields().getOrDefault("queue", "");
-        Gathered gathered = queues.computeIfAbsent(queue, unused -> new Gathered());
+        QueueStatistics gathered = queues.computeIfAbsent(queue, unused -> new QueueStatistics());
         queueOfRun.put(entry.run(), gathered);
-        takeOrder(gathered, entry);
+        recordStart(gathered, entry);
       } else if (entry.event().equals("run-ended")) {
         ends.add(entry);
       }
     }
     for (LogEntry end : ends) {
-      Gathered gathered = queueOfRun.get(end.run());
+      QueueStatistics gathered = queueOfRun.get(end.run());
       if (gathered != null) {
-        takeEnd(gathered, end);
+        recordEnd(gathered, end);
       }
     }
     ImmutableList.Builder<QueueProfile> profiles = ImmutableList.builder();
@@ -118,17 +126,17 @@
     return profiles.build();
   }
 
-  private static void takeOrder(Gathered gathered, LogEntry order) {
+  private static void recordStart(QueueStatistics gathered, LogEntry order) {
     String run = order.run();
     gathered.tasks.add(run.substring(0, Math.max(0, run.indexOf('#'))));
     boolean first = gathered.workflows.add(run.substring(0, Math.max(0, run.indexOf('.'))));
     String waited = order.fields().get("waited_ms");
     if (first && waited != null) {
-      record(gathered.firstOrder, waited);
+      record(gathered.firstStart, waited);
     }
   }
 
-  private static void takeEnd(Gathered gathered, LogEntry end) {
+  private static void recordEnd(QueueStatistics gathered, LogEntry end) {
     String millis = end.fields().get("ms");
     String outcome = end.fields().getOrDefault("outcome", "");
     if (millis != null) {
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogStoryTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/CausalLogSorterTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LogStoryTest {
+class CausalLogSorterTest {
   private static final String TASK = "e96be147d361a657.0.0.0";
 
   private final List<LogEntry> entries = new ArrayList<>();
@@ -21,8 +21,8 @@
     entries.add(new LogEntry(Instant.ofEpochSecond(second), process, event, fields.buildOrThrow()));
   }
 
-  private List<String> story(String subject) {
-    return LogStory.of(subject, entries).stream()
+  private List<String> sorted(String subject) {
+    return CausalLogSorter.sort(subject, entries).stream()
         .map(entry -> entry.process() + " " + entry.event() + entry.run().replace(TASK, " "))
         .toList();
   }
@@ -51,17 +51,17 @@
             "owner-2 run-ordered #2",
             "side run-over #2",
             "owner-2 run-ended #2");
-    assertEquals(wanted, story("e96be147d361a657"));
-    assertEquals(wanted, story(TASK));
-    assertEquals(wanted.subList(4, 7), story(TASK + "#2").subList(1, 4));
+    assertEquals(wanted, sorted("e96be147d361a657"));
+    assertEquals(wanted, sorted(TASK));
+    assertEquals(wanted.subList(4, 7), sorted(TASK + "#2").subList(1, 4));
   }
 
   /** Two files of one process given the wrong way round contradict the rest; nothing is lost. */
   @Test
-  void linesThatContradictEachOtherAreAllTold() {
+  void contradictoryLinesAreAllReturned() {
     add(103, "owner", "run-ended", "run", TASK + "#1");
     add(101, "owner", "run-ordered", "run", TASK + "#1");
     add(102, "side", "run-over", "run", TASK + "#1");
-    assertEquals(3, story(TASK).size());
+    assertEquals(3, sorted(TASK).size());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -57,7 +57,7 @@
   private final LinkedHashMap<AttemptId, Long> answerSizes = new LinkedHashMap<>();
   private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
   private final Map<Long, Long> highestForgotten = new HashMap<>();
-  private long answerBytes;
+  private long responseBytes;
 
   /**
    * Creates an empty ledger.
@@ -94,7 +94,7 @@
   }
 
   /** Returns the answer of an attempt that is done, if it is still kept. */
-  public Optional<A> answer(AttemptId id) {
+  public Optional<A> response(AttemptId id) {
     EndedAttempt<A> kept = ended.get(id);
     return kept == null ? Optional.empty() : kept.answer();
   }
@@ -206,15 +206,15 @@
   }
 
   /** Returns how many bytes of answers are kept. */
-  public long answerBytes() {
-    return answerBytes;
+  public long responseBytes() {
+    return responseBytes;
   }
 
   private void end(AttemptId id, EndedAttempt<A> kept, long now) {
     ended.put(id, kept);
     if (kept.bytes() > 0) {
       answerSizes.put(id, kept.bytes());
-      answerBytes += kept.bytes();
+      responseBytes += kept.bytes();
       evictResponses();
     }
     expireEnded(now);
@@ -223,13 +223,13 @@
   /** Drops the oldest answers but not their ids: what they were about is known to have run. */
   private void evictResponses() {
     Iterator<Map.Entry<AttemptId, Long>> oldest = answerSizes.entrySet().iterator();
-    while (answerBytes > maxAnswerBytes && oldest.hasNext()) {
+    while (responseBytes > maxAnswerBytes && oldest.hasNext()) {
       Map.Entry<AttemptId, Long> entry = oldest.next();
       EndedAttempt<A> kept = ended.get(entry.getKey());
       ended.replace(
           entry.getKey(),
           new EndedAttempt<>(State.FORGOTTEN, Optional.empty(), 0, kept.expiresAt()));
-      answerBytes -= entry.getValue();
+      responseBytes -= entry.getValue();
       oldest.remove();
     }
   }
@@ -241,7 +241,7 @@
 
   private void removeResponseSize(AttemptId id, EndedAttempt<A> kept) {
     if (answerSizes.remove(id) != null) {
-      answerBytes -= kept.bytes();
+      responseBytes -= kept.bytes();
     }
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/DaemonProcess.java
@@ -4,7 +4,9 @@
 
 /** A daemon process of either role: entry or side process. */
 interface DaemonProcess extends AutoCloseable {
-  /** Starts the process. After a failure the caller must exit; a graceful shutdown is not needed. */
+  /**
+   * Starts the process. After a failure the caller must exit; a graceful shutdown is not needed.
+   */
   Result<Boolean> start();
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryRoster.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
@@ -21,71 +21,75 @@
  *
  * <p>Thread-safe.
  */
-final class EntryRoster implements AutoCloseable {
+final class EntryMembership implements AutoCloseable {
   /** The announcement period. Others remove this entry after three lost announcements. */
-  private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long ANNOUNCE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(16);
-  private static final long LOOK_MILLIS = 100;
-  private static final long MEMBERS_WAIT_MILLIS = 1_000;
+  private static final long ENTRY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(16);
+  private static final long POLL_PERIOD_MILLIS = 100;
+  private static final long SIDE_PROCESSES_TIMEOUT_MILLIS = 1_000;
 
   private final EntrySettings settings;
-  private final ProcessBase base;
+  private final ProcessRuntime runtime;
   private final EntryDirectory directory;
   private final StreamClient stream;
-  private long repeatAt;
-  private long toldRevision = -1;
-  private boolean leaving;
+  private long nextAnnounceAt;
+  private long announcedRevision = -1;
+  private boolean draining;
 
-  EntryRoster(EntrySettings settings, ProcessBase runtime) {
+  EntryMembership(EntrySettings settings, ProcessRuntime runtime) {
     this.settings = requireNonNull(settings, "settings");
-    this.base = requireNonNull(runtime, "runtime");
-    this.directory = new EntryDirectory(runtime.clock(), KEEP_NANOS);
-    this.stream = StreamClient.writer(runtime.shared(), EntryDirectory.STREAM, directory);
-    stream.follower().addListener(new AfterOutage());
+    this.runtime = requireNonNull(runtime, "runtime");
+    this.directory = new EntryDirectory(runtime.clock(), ENTRY_TIMEOUT_NANOS);
+    this.stream =
+        StreamClient.writer(runtime.streamDependencies(), EntryDirectory.STREAM, directory);
+    stream.follower().addListener(new OutageListener());
   }
 
   void start(ScheduledExecutorService scheduler) {
-    repeatAt = base.clock().nanos();
+    nextAnnounceAt = runtime.clock().nanos();
     stream.start();
     var unused =
         scheduler.scheduleWithFixedDelay(
-            this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            this::announceIfDue, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Announces periodically, and immediately on a new revision because operators wait for it. */
-  private synchronized void look() {
-    long now = base.clock().nanos();
-    long revision = base.configurationRevision();
-    if (now >= repeatAt || revision != toldRevision) {
-      repeatAt = now + REPEAT_NANOS;
-      toldRevision = revision;
-      tell(false);
+  private synchronized void announceIfDue() {
+    long now = runtime.clock().nanos();
+    long revision = runtime.configurationRevision();
+    if (now >= nextAnnounceAt || revision != announcedRevision) {
+      nextAnnounceAt = now + ANNOUNCE_PERIOD_NANOS;
+      announcedRevision = revision;
+      announce(false);
     }
   }
 
-  private void tell(boolean stopped) {
+  private void announce(boolean stopped) {
     EntryPresence presence =
         new EntryPresence(
             settings.name(),
-            base.incarnation(),
+            runtime.incarnation(),
             settings.zone(),
             settings.processesAddress().toString(),
             settings.operatorsAddress().toString(),
-            base.configurationRevision(),
-            leaving,
+            runtime.configurationRevision(),
+            draining,
             stopped);
     // Expires after one period: a lost announcement is repeated, and a delayed one is stale.
     var unused =
         stream
             .appender()
-            .append(EntryPresence.TYPE, presence.write(), base.clock().nanos() + REPEAT_NANOS);
+            .append(
+                EntryPresence.TYPE,
+                presence.toJson(),
+                runtime.clock().nanos() + ANNOUNCE_PERIOD_NANOS);
   }
 
   /** Announces that this entry is shutting down. */
-  synchronized void leave() {
-    leaving = true;
-    tell(true);
+  synchronized void announceDraining() {
+    draining = true;
+    announce(true);
   }
 
   /** Returns the addresses on which the other entries accept side processes. */
@@ -105,8 +109,8 @@
             settings.role(),
             settings.zone(),
             settings.operatorsAddress().toString(),
-            base.configurationRevision(),
-            leavingNow()));
+            runtime.configurationRevision(),
+            isDraining()));
     directory.entries().stream()
         .filter(entry -> !entry.name().equals(settings.name()))
         .forEach(entry -> members.add(member(entry)));
@@ -114,14 +118,14 @@
     loop.run(() -> sides.complete(links.members().members()));
     sides
         // A list without side processes would report a revision as in force everywhere too early.
-        .orTimeout(MEMBERS_WAIT_MILLIS, TimeUnit.MILLISECONDS)
+        .orTimeout(SIDE_PROCESSES_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .join()
         .forEach(side -> members.add(member(side)));
     return members;
   }
 
-  private synchronized boolean leavingNow() {
-    return leaving;
+  private synchronized boolean isDraining() {
+    return draining;
   }
 
   private static ProcessMember member(EntryPresence entry) {
@@ -131,7 +135,7 @@
         entry.zone(),
         entry.operatorsAddress(),
         entry.revision(),
-        entry.leaving());
+        entry.draining());
   }
 
   private static ProcessMember member(Announcement side) {
@@ -141,7 +145,7 @@
         side.zone(),
         side.operatorsAddress(),
         side.configurationRevision(),
-        side.leaving());
+        side.draining());
   }
 
   @Override
@@ -149,10 +153,10 @@
     stream.close();
   }
 
-  private final class AfterOutage implements StreamListener {
+  private final class OutageListener implements StreamListener {
     @Override
     public void outageEnded() {
-      directory.extendAll();
+      directory.restartTimeouts();
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessBase.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessRuntime.java
@@ -28,11 +28,11 @@
  * The components common to both roles: clocks, events, metrics, the operators' server, and the
  * configuration.
  */
-final class ProcessBase implements AutoCloseable {
+final class ProcessRuntime implements AutoCloseable {
   /** The name of the configuration's stream. */
   static final String CONFIGURATION_STREAM = "configuration";
 
-  private static final EventLog LOG = EventLog.of(ProcessBase.class);
+  private static final EventLog LOG = EventLog.of(ProcessRuntime.class);
   private static final long LOG_TIMEOUT_MILLIS = 3_000;
 
   private final ProcessSettings settings;
@@ -42,12 +42,12 @@
   private final EventRecorder events;
   private final OperatorServer operators;
   private final PlatformClient platform;
-  private final StreamClient.Shared shared;
+  private final StreamClient.Dependencies streamDependencies;
   private final ConfigurationCheck configurationCheck = new ConfigurationCheck();
   private final ConfigurationFold configuration = new ConfigurationFold(configurationCheck);
 
   /** The merged configuration of this site, cached because every request reads it. */
-  private volatile Configuration current;
+  private volatile Configuration currentConfiguration;
 
   private PeerCatchUp peerCatchUp;
 
@@ -57,21 +57,21 @@
    * @param settings the process's settings
    * @param eventCapacity the maximum number of events kept in the event timeline
    */
-  ProcessBase(ProcessSettings settings, int eventCapacity) {
+  ProcessRuntime(ProcessSettings settings, int eventCapacity) {
     this.settings = settings;
     EventBuffer buffer = new EventBuffer(settings.name(), hybridClock, eventCapacity);
-    this.events = new CountedEvents(buffer, metrics);
+    this.events = new CountingEventRecorder(buffer, metrics);
     this.operators = new OperatorServer(settings.operatorsAddress(), metrics);
     this.platform = PlatformClient.start(settings.name());
     long incarnation = ProcessIncarnations.next(WallClock.system(), ThreadLocalRandom.current());
-    this.shared =
-        new StreamClient.Shared(
+    this.streamDependencies =
+        new StreamClient.Dependencies(
             new HttpLogService(platform, settings.logService().toString(), LOG_TIMEOUT_MILLIS),
             settings.name(),
             incarnation,
             clock,
             events,
-            new StreamsStatus(metrics, operators));
+            new StreamStatusReporter(metrics, operators));
     new EventRoutes(buffer).registerOn(operators);
     JvmMemoryMetrics.builder().register(metrics.registry());
     metrics.gauge(
@@ -81,10 +81,10 @@
     metrics.gauge(
         "configuration_broken_records",
         "Configuration records passed over since the start, broken or never checked",
-        configuration::brokenRecords);
-    configuration.onInForce(
+        configuration::invalidRecordCount);
+    configuration.addInForceListener(
         state -> {
-          current = state.configuration(settings.site());
+          currentConfiguration = state.configuration(settings.site());
           if (state.revisionInForce() > 0) {
             events.record(
                 Event.of(EventKind.CONFIGURATION_IN_FORCE)
@@ -120,12 +120,12 @@
   }
 
   /** Returns the dependencies of stream clients. */
-  StreamClient.Shared shared() {
-    return shared;
+  StreamClient.Dependencies streamDependencies() {
+    return streamDependencies;
   }
 
   long incarnation() {
-    return shared.incarnation();
+    return streamDependencies.incarnation();
   }
 
   ConfigurationCheck configurationCheck() {
@@ -138,7 +138,7 @@
 
   /** Returns the configuration in force at this process's site. */
   Configuration configuration() {
-    return current;
+    return currentConfiguration;
   }
 
   long configurationRevision() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Listening.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ServerStarter.java
@@ -6,20 +6,22 @@
 import java.io.IOException;
 
 /** Starts servers and reports an address that cannot be bound as a one-line failure. */
-final class Listening {
+final class ServerStarter {
   /** Starts listening on an address. */
   @FunctionalInterface
-  interface Start {
+  interface ListenAction {
     /** Starts listening, or throws if the address cannot be bound. */
-    void start() throws IOException;
+    void listen() throws IOException;
   }
 
-  private Listening() {}
+  private ServerStarter() {}
 
-  /** Returns true if the server listens, or a failure that names the settings key and the address. */
-  static Result<Boolean> at(String key, HostPort address, Start start) {
+  /**
+   * Returns true if the server listens, or a failure that names the settings key and the address.
+   */
+  static Result<Boolean> start(String key, HostPort address, ListenAction start) {
     try {
-      start.start();
+      start.listen();
       return Result.ok(true);
     } catch (IOException e) {
       Throwable cause = e.getCause() == null ? e : e.getCause();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -3,12 +3,12 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.Fold;
 import io.marigoldsail.log.FollowerSettings;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.LogService;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.log.SnapshotSettings;
 import io.marigoldsail.log.SnapshotWriter;
 import io.marigoldsail.log.StreamFollower;
@@ -24,13 +24,13 @@
   private static final EventLog LOG = EventLog.of(StreamClient.class);
 
   /** The dependencies common to all stream clients of a process. */
-  record Shared(
+  record Dependencies(
       LogService log,
       String process,
       long incarnation,
       MonotonicClock clock,
       EventRecorder events,
-      StreamsStatus streams) {}
+      StreamStatusReporter streams) {}
 
   private final StreamFollower follower;
   private final LogAppender appender;
@@ -41,36 +41,40 @@
   }
 
   /** Returns a client that only reads the stream. */
-  static StreamClient reader(Shared dependencies, String stream, Fold fold) {
+  static StreamClient reader(Dependencies dependencies, String stream, Fold fold) {
     return new StreamClient(newFollower(dependencies, stream, fold), null);
   }
 
   /** Returns a client that also appends records and takes part in writing snapshots. */
-  static StreamClient writer(Shared dependencies, String stream, Fold fold) {
+  static StreamClient writer(Dependencies dependencies, String stream, Fold fold) {
     StreamFollower follower = newFollower(dependencies, stream, fold);
     LogAppender appender =
         new LogAppender(
             dependencies.log(),
             follower,
-            EntryIds.of(dependencies.process(), dependencies.incarnation()),
-            AppendSettings.usual(),
+            EntryIdGenerator.of(dependencies.process(), dependencies.incarnation()),
+            AppendSettings.defaults(),
             dependencies.clock(),
             new SplittableRandom());
     SnapshotWriter.attach(
-        follower, appender, SnapshotSettings.usual(), dependencies.clock(), new SplittableRandom());
+        follower,
+        appender,
+        SnapshotSettings.defaults(),
+        dependencies.clock(),
+        new SplittableRandom());
     return new StreamClient(follower, appender);
   }
 
-  private static StreamFollower newFollower(Shared dependencies, String stream, Fold fold) {
+  private static StreamFollower newFollower(Dependencies dependencies, String stream, Fold fold) {
     StreamFollower follower =
         new StreamFollower(
             dependencies.log(),
             stream,
             fold,
-            FollowerSettings.usual(),
+            FollowerSettings.defaults(),
             dependencies.clock(),
             new SplittableRandom());
-    follower.addListener(new Outages(stream, dependencies));
+    follower.addListener(new StreamEventRecorder(stream, dependencies));
     dependencies.streams().add(follower);
     return follower;
   }
@@ -99,7 +103,8 @@
   }
 
   /** Records outages and replaced histories in the log, the metrics and the event timeline. */
-  private record Outages(String stream, Shared dependencies) implements StreamListener {
+  private record StreamEventRecorder(String stream, Dependencies dependencies)
+      implements StreamListener {
     private void record(EventKind kind, String detail) {
       dependencies.events().record(Event.of(kind).withDetail("stream " + stream + detail));
     }
@@ -117,8 +122,8 @@
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
-      dependencies.streams().countReplaced(stream);
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
+      dependencies.streams().countHistoryReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
@@ -18,22 +18,22 @@
 /**
  * Fetches the configuration from peer processes while the log is unavailable.
  *
- * <p>Without it, a process that starts during a log outage would run with the defaults, and one that
- * was behind when the outage began would keep an old revision. The process restores the highest
- * revision of its peers; peers that are behind have no effect because a fold never goes back. When
- * the log is available again it is the only source, and records that the restored state already
- * contains are skipped.
+ * <p>Without it, a process that starts during a log outage would run with the defaults, and one
+ * that was behind when the outage began would keep an old revision. The process restores the
+ * highest revision of its peers; peers that are behind have no effect because a fold never goes
+ * back. When the log is available again it is the only source, and records that the restored state
+ * already contains are skipped.
  */
 public final class PeerCatchUp implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(PeerCatchUp.class);
-  private static final long PERIOD_MILLIS = 1_000;
+  private static final long POLL_PERIOD_MILLIS = 1_000;
 
   private final List<HostPort> peers;
-  private final BiFunction<HostPort, String, Result<JsonNode>> ask;
+  private final BiFunction<HostPort, String, Result<JsonNode>> fetch;
   private final ConfigurationFold fold;
   private final BooleanSupplier logOutage;
   private ScheduledExecutorService scheduler;
-  private boolean toldUnknown;
+  private boolean unknownLogged;
 
   /**
    * Creates an instance that does not poll yet.
@@ -49,7 +49,7 @@
       ConfigurationFold fold,
       BooleanSupplier logOutage) {
     this.peers = List.copyOf(peers);
-    this.ask = requireNonNull(fetch, "fetch");
+    this.fetch = requireNonNull(fetch, "fetch");
     this.fold = requireNonNull(fold, "fold");
     this.logOutage = requireNonNull(logOutage, "logOutage");
   }
@@ -65,32 +65,32 @@
             });
     var unused =
         scheduler.scheduleWithFixedDelay(
-            this::look, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+            this::poll, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Fetches the configuration from all peers if the log is unavailable. */
-  void look() {
+  void poll() {
     if (!logOutage.getAsBoolean()) {
-      toldUnknown = false;
+      unknownLogged = false;
       return;
     }
     long before = fold.state().revision();
     for (HostPort peer : peers) {
-      takeFrom(peer);
+      restoreFrom(peer);
     }
     long now = fold.state().revision();
     if (now > before) {
       LOG.info(LogLine.of("configuration-taken-from-peers").with("revision", now));
     }
-    if (now == 0 && !toldUnknown) {
-      toldUnknown = true;
+    if (now == 0 && !unknownLogged) {
+      unknownLogged = true;
       LOG.warning(LogLine.of("configuration-unknown").with("peers", peers.size()));
     }
   }
 
-  private void takeFrom(HostPort peer) {
+  private void restoreFrom(HostPort peer) {
     String path = "/configuration/state?after=" + fold.state().revision();
-    Result<JsonNode> response = ask.apply(peer, path);
+    Result<JsonNode> response = fetch.apply(peer, path);
     if (!response.isOk() || response.value().isEmpty()) {
       return;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
@@ -32,10 +32,10 @@
  */
 public final class EntryLinks implements PeerLinks, AutoCloseable {
   /** How long after its last announcement a VM is removed from the members. */
-  public static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  public static final long MEMBER_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-  private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  private static final long PAUSE_THRESHOLD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
@@ -44,9 +44,9 @@
   private final Supplier<List<String>> otherEntries;
   private final EventRecorder events;
   private final LinkServer server;
-  private final Map<String, LinkConnection> byVm = new ConcurrentHashMap<>();
-  private final List<TaskListener> taskListeners = new CopyOnWriteArrayList<>();
-  private final List<KeyListener> keyListeners = new CopyOnWriteArrayList<>();
+  private final Map<String, LinkConnection> connectionsByVm = new ConcurrentHashMap<>();
+  private final List<TaskMessageListener> taskListeners = new CopyOnWriteArrayList<>();
+  private final List<KeyFrameListener> keyListeners = new CopyOnWriteArrayList<>();
   private final List<MemberListener> memberListeners = new CopyOnWriteArrayList<>();
   private long lastTick;
   private Future<?> tick;
@@ -72,11 +72,11 @@
       EventRecorder events) {
     this.loop = requireNonNull(loop, "loop");
     this.identity = requireNonNull(identity, "identity");
-    this.members = new MemberTable(SILENCE_NANOS);
+    this.members = new MemberTable(MEMBER_TIMEOUT_NANOS);
     this.configurationRevision = requireNonNull(configurationRevision, "configurationRevision");
     this.otherEntries = requireNonNull(otherEntries, "otherEntries");
     this.events = requireNonNull(events, "events");
-    this.server = new LinkServer(loop, address, maxConnections, new Incoming());
+    this.server = new LinkServer(loop, address, maxConnections, new SideProcessListener());
   }
 
   /**
@@ -87,7 +87,7 @@
   public void start() throws IOException {
     server.start();
     lastTick = loop.now();
-    tick = loop.repeat(this::tick, TICK_NANOS);
+    tick = loop.repeat(this::tick, TICK_PERIOD_NANOS);
   }
 
   /** Returns the port that the server listens on. */
@@ -106,13 +106,13 @@
   }
 
   @Override
-  public void addTaskListener(TaskListener listener) {
+  public void addTaskListener(TaskMessageListener listener) {
     taskListeners.add(requireNonNull(listener, "listener"));
   }
 
   @Override
   public boolean send(String peer, TaskMessage message) {
-    LinkConnection connection = byVm.get(peer);
+    LinkConnection connection = connectionsByVm.get(peer);
     if (connection == null) {
       return false;
     }
@@ -122,13 +122,13 @@
   }
 
   /** Adds a listener for frames about idempotency keys. */
-  public void addKeyListener(KeyListener listener) {
+  public void addKeyListener(KeyFrameListener listener) {
     keyListeners.add(requireNonNull(listener, "listener"));
   }
 
   /** Sends a frame to the VM's side process; does nothing if there is no link to it. */
   public void sendTo(String vm, Frame frame) {
-    LinkConnection connection = byVm.get(vm);
+    LinkConnection connection = connectionsByVm.get(vm);
     if (connection != null) {
       loop.run(() -> connection.send(frame));
     }
@@ -136,7 +136,7 @@
 
   @Override
   public Set<String> peers() {
-    return ImmutableSet.copyOf(byVm.keySet());
+    return ImmutableSet.copyOf(connectionsByVm.keySet());
   }
 
   /** Stops listening and closes all links. */
@@ -151,19 +151,19 @@
     // After this process was paused for seconds, all member deadlines have passed although
     // announcements wait unread in the sockets. A late tick shows that this process was paused, so
     // the deadlines are extended.
-    if (now - lastTick > FROZEN_NANOS) {
-      members.extendAll(now);
+    if (now - lastTick > PAUSE_THRESHOLD_NANOS) {
+      members.restartTimeouts(now);
     }
     lastTick = now;
     for (Announcement lost : members.expire(now)) {
-      byVm.remove(lost.vm());
+      connectionsByVm.remove(lost.vm());
       events.record(Event.of(EventKind.MEMBER_LOST).withVm(lost.vm()).withDetail("silent"));
       memberListeners.forEach(listener -> listener.lost(lost));
     }
   }
 
-  private void announced(LinkConnection connection, Announcement announcement) {
-    MemberTable.Change change = members.announced(announcement, loop.now());
+  private void handleAnnouncement(LinkConnection connection, Announcement announcement) {
+    MemberTable.Change change = members.update(announcement, loop.now());
     if (change == MemberTable.Change.STALE) {
       connection.close(
           "stale incarnation "
@@ -173,13 +173,13 @@
               + " is known");
       return;
     }
-    byVm.put(announcement.vm(), connection);
-    connection.send(ack());
-    record(announcement, change);
+    connectionsByVm.put(announcement.vm(), connection);
+    connection.send(ackFrame());
+    recordChange(announcement, change);
     memberListeners.forEach(listener -> listener.announced(announcement, change));
   }
 
-  private Frame ack() {
+  private Frame ackFrame() {
     AnnounceAck.Builder ack =
         AnnounceAck.newBuilder()
             .setEntry(identity.name())
@@ -189,7 +189,7 @@
     return Frame.newBuilder().setAnnounceAck(ack).build();
   }
 
-  private void record(Announcement announcement, MemberTable.Change change) {
+  private void recordChange(Announcement announcement, MemberTable.Change change) {
     Event joined =
         Event.of(EventKind.MEMBER_JOINED)
             .withVm(announcement.vm())
@@ -197,13 +197,13 @@
     if (change == MemberTable.Change.JOINED) {
       events.record(joined);
     }
-    if (change == MemberTable.Change.LEAVING) {
+    if (change == MemberTable.Change.DRAINING) {
       events.record(Event.of(EventKind.MEMBER_LEAVING).withVm(announcement.vm()));
     }
   }
 
   private String vmOf(LinkConnection connection) throws BrokenFrameException {
-    for (Map.Entry<String, LinkConnection> entry : byVm.entrySet()) {
+    for (Map.Entry<String, LinkConnection> entry : connectionsByVm.entrySet()) {
       if (entry.getValue() == connection) {
         return entry.getKey();
       }
@@ -212,14 +212,15 @@
   }
 
   /** Handles the frames that side processes send. */
-  private final class Incoming implements LinkListener {
+  private final class SideProcessListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {}
 
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       switch (frame.getBodyCase()) {
-        case ANNOUNCE -> announced(connection, Announcements.read(frame.getAnnounce()));
+        case ANNOUNCE ->
+            handleAnnouncement(connection, AnnouncementCodec.decode(frame.getAnnounce()));
         case TASK -> {
           String vm = vmOf(connection);
           taskListeners.forEach(listener -> listener.received(vm, frame.getTask()));
@@ -228,14 +229,15 @@
           String vm = vmOf(connection);
           keyListeners.forEach(listener -> listener.received(vm, frame));
         }
-        default -> throw new BrokenFrameException(
+        default ->
+            throw new BrokenFrameException(
                 "side process sent a frame of unexpected type " + frame.getBodyCase());
       }
     }
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      byVm.values().removeIf(known -> known == connection);
+      connectionsByVm.values().removeIf(known -> known == connection);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyFrameListener.java
@@ -4,7 +4,7 @@
 
 /** Receives frames about idempotency keys from the control links. */
 @FunctionalInterface
-public interface KeyListener {
+public interface KeyFrameListener {
   /**
    * Handles a frame. Called on the loop's thread; must not block.
    *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
@@ -19,7 +19,7 @@
   private final String remote;
   private final ArrayDeque<FrameStream> streams = new ArrayDeque<>();
   private long lastReceived;
-  private long answersRead;
+  private long responsesRead;
   private boolean unanswered;
   private long unansweredSince;
   private String closeReason = "closed by peer";
@@ -42,7 +42,7 @@
    * <p>Does not start the timer of {@link #unansweredNanos}: a healthy connection would otherwise
    * look unresponsive after a frame to which no response is due.
    */
-  public void tell(Frame frame) {
+  public void sendOneWay(Frame frame) {
     writeStamped(frame);
   }
 
@@ -53,15 +53,15 @@
       return;
     }
     streams.add(frames);
-    pump();
+    writePending();
   }
 
   /**
-   * Sends the frame after the first frame of every stream passed to {@link #sendAll} before. A frame
-   * passed to {@link #send} may overtake streams that have not started.
+   * Sends the frame after the first frame of every stream passed to {@link #sendAll} before. A
+   * frame passed to {@link #send} may overtake streams that have not started.
    */
-  public void sendInTurn(Frame frame) {
-    sendAll(new SingleFrame(frame));
+  public void sendAfterQueued(Frame frame) {
+    sendAll(new SingleFrameStream(frame));
   }
 
   /** Closes the connection; the listener receives the reason. */
@@ -89,8 +89,8 @@
   }
 
   /** Counts a completely read response. The next sent frame carries the count to the peer. */
-  public void answerRead() {
-    answersRead++;
+  public void countResponseRead() {
+    responsesRead++;
   }
 
   /**
@@ -102,15 +102,15 @@
   }
 
   /**
-   * Restarts the silence timers at the given time. Used after this process was paused, when the peer
-   * is not to blame for the time without frames.
+   * Restarts the silence timers at the given time. Used after this process was paused, when the
+   * peer is not to blame for the time without frames.
    */
-  public void excuseSilence(long now) {
+  public void resetSilenceTimer(long now) {
     lastReceived = now;
     unansweredSince = now;
   }
 
-  void touched(long now) {
+  void frameReceived(long now) {
     lastReceived = now;
     unanswered = false;
   }
@@ -120,7 +120,7 @@
   }
 
   /** Writes chunks of the queued streams in round-robin order while the channel is writable. */
-  void pump() {
+  void writePending() {
     while (!streams.isEmpty() && channel.isActive() && channel.isWritable()) {
       FrameStream stream = streams.poll();
       write(stream.next());
@@ -142,11 +142,11 @@
 
   private void writeStamped(Frame frame) {
     Frame stamped =
-        frame.toBuilder().setStamp(loop.hybridClock().now()).setAnswersRead(answersRead).build();
+        frame.toBuilder().setStamp(loop.hybridClock().now()).setAnswersRead(responsesRead).build();
     channel.writeAndFlush(stamped, channel.voidPromise());
   }
 
-  void dropStreams() {
+  void discardStreams() {
     while (!streams.isEmpty()) {
       streams.poll().ended();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkLoop.java
@@ -26,8 +26,8 @@
 /**
  * The single event loop thread of a process. Reads all links and runs the request scheduling.
  *
- * <p>Both run on one thread so that a response from a link is matched and forwarded without locks or
- * a switch to another thread. Code that runs on the loop must not block. The methods are
+ * <p>Both run on one thread so that a response from a link is matched and forwarded without locks
+ * or a switch to another thread. Code that runs on the loop must not block. The methods are
  * thread-safe.
  */
 public final class LinkLoop implements AutoCloseable {
@@ -126,8 +126,8 @@
    * Runs the task and passes a runtime exception to the handler instead of throwing it.
    *
    * <p>Without this, an exception would end a periodic task or a chain of tasks for good while the
-   * process stays up: leases would no longer be renewed, attempts no longer started, and the ends of
-   * runs on unreachable VMs never recorded.
+   * process stays up: leases would no longer be renewed, attempts no longer started, and the ends
+   * of runs on unreachable VMs never recorded.
    *
    * @param failed receives the exception, to log it
    */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskMessageListener.java
@@ -4,7 +4,7 @@
 
 /** Receives task messages from the control links. */
 @FunctionalInterface
-public interface TaskListener {
+public interface TaskMessageListener {
   /**
    * Handles a message. Called on the loop's thread; must not block.
    *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/FoldedLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/AggregatingLog.java
@@ -13,16 +13,16 @@
  * folded=N} for the number of lines it represents, itself included.
  *
  * <p>While a kind repeats, one line is written per window; after a window without lines the next
- * line is written immediately again. At most {@link #MOST_KINDS} kinds are tracked at a time; all
+ * line is written immediately again. At most {@link #MAX_KINDS} kinds are tracked at a time; all
  * others share one kind. Lines of a window that has not ended are lost when the process ends.
  *
  * <p>Confined to the timer's thread. Rejects nulls.
  */
-public final class FoldedLog {
+public final class AggregatingLog {
   /** The maximum number of kinds tracked at a time. */
-  static final int MOST_KINDS = 32;
+  static final int MAX_KINDS = 32;
 
-  private static final String ALL_OTHERS = "";
+  private static final String OVERFLOW_KIND = "";
 
   /** Schedules tasks on the thread that also logs the lines. */
   @FunctionalInterface
@@ -31,15 +31,15 @@
     void schedule(Runnable task, long delayNanos);
   }
 
-  private static final class Span {
-    private int folded;
+  private static final class Window {
+    private int aggregatedCount;
     private LogLine last;
   }
 
   private final Consumer<LogLine> out;
   private final Timer timer;
-  private final long spanNanos;
-  private final Map<String, Span> spans = new HashMap<>();
+  private final long windowNanos;
+  private final Map<String, Window> windows = new HashMap<>();
 
   /**
    * Creates an aggregating log.
@@ -48,11 +48,11 @@
    * @param timer schedules the end of each window
    * @param windowNanos the length of a window, in nanoseconds
    */
-  public FoldedLog(Consumer<LogLine> out, Timer timer, long windowNanos) {
+  public AggregatingLog(Consumer<LogLine> out, Timer timer, long windowNanos) {
     checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.out = requireNonNull(out, "out");
     this.timer = requireNonNull(timer, "timer");
-    this.spanNanos = windowNanos;
+    this.windowNanos = windowNanos;
   }
 
   /**
@@ -60,29 +60,30 @@
    *
    * @param kind the aggregation key: lines of the same kind are aggregated; not empty
    */
-  public void tell(String kind, LogLine line) {
+  public void log(String kind, LogLine line) {
     checkArgument(!kind.isEmpty(), "kind is empty");
     requireNonNull(line, "line");
-    boolean known = spans.containsKey(kind) || spans.size() < MOST_KINDS;
-    String key = known ? kind : ALL_OTHERS;
-    Span window = spans.get(key);
+    boolean known = windows.containsKey(kind) || windows.size() < MAX_KINDS;
+    String key = known ? kind : OVERFLOW_KIND;
+    Window window = windows.get(key);
     if (window == null) {
       out.accept(line);
-      spans.put(key, new Span());
-      timer.schedule(() -> end(key), spanNanos);
+      windows.put(key, new Window());
+      timer.schedule(() -> endWindow(key), windowNanos);
       return;
     }
-    window.folded++;
+    window.aggregatedCount++;
     window.last = line;
   }
 
-  private void end(String kind) {
-    Span ended = spans.remove(kind);
-    if (ended.folded == 0) {
+  private void endWindow(String kind) {
+    Window ended = windows.remove(kind);
+    if (ended.aggregatedCount == 0) {
       return;
     }
-    out.accept(ended.folded == 1 ? ended.last : ended.last.with("folded", ended.folded));
-    spans.put(kind, new Span());
-    timer.schedule(() -> end(kind), spanNanos);
+    out.accept(
+        ended.aggregatedCount == 1 ? ended.last : ended.last.with("folded", ended.aggregatedCount));
+    windows.put(kind, new Window());
+    timer.schedule(() -> endWindow(kind), windowNanos);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/EventLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/EventLog.java
@@ -5,8 +5,8 @@
 /**
  * Logs events to a {@link System.Logger}, one {@link LogLine} per event.
  *
- * <p>Thread-safe. Levels: error if an operator must act, warning for faults that the system recovered
- * from, info for rare events, debug for everything else.
+ * <p>Thread-safe. Levels: error if an operator must act, warning for faults that the system
+ * recovered from, info for rare events, debug for everything else.
  */
 public final class EventLog {
   private final System.Logger logger;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
@@ -11,15 +11,15 @@
  * <p>Thread-safe.
  */
 public final class KeyValueFormatter extends Formatter {
-  private static final int NANOS_A_MILLI = 1_000_000;
+  private static final int NANOS_PER_MILLI = 1_000_000;
 
   /** The approximate length of a line before its event, in characters. */
-  private static final int USUAL_HEAD = 160;
+  private static final int TYPICAL_PREFIX_LENGTH = 160;
 
-  private record Second(long epochSecond, String text) {}
+  private record FormattedSecond(long epochSecond, String text) {}
 
   private final String process;
-  private volatile Second lastSecond = new Second(Long.MIN_VALUE, "");
+  private volatile FormattedSecond lastSecond = new FormattedSecond(Long.MIN_VALUE, "");
 
   /** Creates a formatter that names the given process on every line. */
   public KeyValueFormatter(String process) {
@@ -29,12 +29,12 @@
   @Override
   public String format(LogRecord logRecord) {
     String body = body(logRecord);
-    return new StringBuilder(body.length() + USUAL_HEAD)
+    return new StringBuilder(body.length() + TYPICAL_PREFIX_LENGTH)
         .append("time=")
-        .append(second(logRecord.getInstant().getEpochSecond()))
-        .append(millis(logRecord.getInstant().getNano()))
+        .append(formatSecond(logRecord.getInstant().getEpochSecond()))
+        .append(formatMillis(logRecord.getInstant().getNano()))
         .append(" level=")
-        .append(level(logRecord))
+        .append(levelName(logRecord))
         .append(" process=")
         .append(process)
         .append(" logger=")
@@ -49,8 +49,8 @@
    * Returns a record with the message already formatted, so that later changes to the parameters or
    * the exception of the given record do not affect the line.
    */
-  LogRecord settled(LogRecord logRecord) {
-    if (isSettled(logRecord)) {
+  LogRecord preformat(LogRecord logRecord) {
+    if (isPreformatted(logRecord)) {
       return logRecord;
     }
     LogRecord preformatted = new LogRecord(logRecord.getLevel(), body(logRecord));
@@ -59,7 +59,7 @@
     return preformatted;
   }
 
-  private static boolean isSettled(LogRecord logRecord) {
+  private static boolean isPreformatted(LogRecord logRecord) {
     return logRecord.getParameters() == null
         && logRecord.getThrown() == null
         && logRecord.getResourceBundle() == null
@@ -77,24 +77,26 @@
     return body + LogLine.of("x").withError(thrown).toString().substring("event=x".length());
   }
 
-  /** Returns the formatted date and time of a second. Caches the last one, as many lines share it. */
-  private String second(long epochSecond) {
-    Second cached = lastSecond;
+  /**
+   * Returns the formatted date and time of a second. Caches the last one, as many lines share it.
+   */
+  private String formatSecond(long epochSecond) {
+    FormattedSecond cached = lastSecond;
     if (cached.epochSecond() != epochSecond) {
       String text = Instant.ofEpochSecond(epochSecond).toString();
-      cached = new Second(epochSecond, text.substring(0, text.length() - 1));
+      cached = new FormattedSecond(epochSecond, text.substring(0, text.length() - 1));
       lastSecond = cached;
     }
     return cached.text();
   }
 
   /** Keeps columns aligned; {@link Instant#toString} would omit zero milliseconds. */
-  private static String millis(int nanos) {
-    int padded = 1_000 + nanos / NANOS_A_MILLI;
+  private static String formatMillis(int nanos) {
+    int padded = 1_000 + nanos / NANOS_PER_MILLI;
     return '.' + Integer.toString(padded).substring(1) + 'Z';
   }
 
-  private static String level(LogRecord logRecord) {
+  private static String levelName(LogRecord logRecord) {
     return switch (logRecord.getLevel().intValue()) {
       case 1000 -> "error";
       case 900 -> "warning";
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
@@ -7,18 +7,18 @@
  * A log event as a line of key=value pairs, starting with {@code event=}.
  *
  * <p>Values that contain spaces, quotes, equals signs or control characters are quoted and escaped,
- * so that a line never contains a line break and can always be parsed back into its pairs, even if a
- * value was sent by a caller. Immutable. Rejects nulls.
+ * so that a line never contains a line break and can always be parsed back into its pairs, even if
+ * a value was sent by a caller. Immutable. Rejects nulls.
  *
  * <pre>{@code
  * log.info(LogLine.of("log-outage-began").with("stream", stream).with("offset", offset));
  * }</pre>
  */
 public final class LogLine {
-  private static final int LONGEST_VALUE = 2000;
+  private static final int MAX_VALUE_LENGTH = 2000;
 
   /** The last printable ASCII character. */
-  private static final int LAST_PRINTABLE = '~';
+  private static final int LAST_PRINTABLE_ASCII = '~';
 
   private final String text;
 
@@ -34,16 +34,16 @@
   /** Returns this line with a pair appended. */
   public LogLine with(String key, Object value) {
     checkArgument(isKey(key), "invalid log key: %s", key);
-    return withShown(key, quoted(String.valueOf(value)));
+    return withFormatted(key, quoted(String.valueOf(value)));
   }
 
   /** Returns this line with a pair appended. */
   public LogLine with(String key, long value) {
     checkArgument(isKey(key), "invalid log key: %s", key);
-    return withShown(key, Long.toString(value));
+    return withFormatted(key, Long.toString(value));
   }
 
-  private LogLine withShown(String key, String formatted) {
+  private LogLine withFormatted(String key, String formatted) {
     int length = text.length() + key.length() + formatted.length() + 2;
     return new LogLine(
         new StringBuilder(length)
@@ -82,8 +82,8 @@
   /** Returns the value as written after the equals sign: truncated, and quoted if needed. */
   static String quoted(String value) {
     String truncated = value;
-    if (truncated.length() > LONGEST_VALUE) {
-      truncated = truncated.substring(0, LONGEST_VALUE) + "...";
+    if (truncated.length() > MAX_VALUE_LENGTH) {
+      truncated = truncated.substring(0, MAX_VALUE_LENGTH) + "...";
     }
     if (!truncated.isEmpty() && isPlain(truncated)) {
       return truncated;
@@ -111,7 +111,7 @@
 
   /** Includes line and paragraph separators, which some log readers treat as line breaks. */
   private static boolean isControl(int c) {
-    if (c >= ' ' && c <= LAST_PRINTABLE) {
+    if (c >= ' ' && c <= LAST_PRINTABLE_ASCII) {
       return c == ' ';
     }
     int type = Character.getType(c);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
@@ -22,12 +22,12 @@
  */
 final class LogQueue {
   /** The memory counted per record in addition to its text, in bytes. */
-  static final int BYTES_A_RECORD = 128;
+  static final int RECORD_OVERHEAD_BYTES = 128;
 
-  private static final int BYTES_A_CHARACTER = 2;
+  private static final int BYTES_PER_CHARACTER = 2;
 
   /** The severity of a record, highest first; the highest is dropped last. */
-  enum Rank {
+  enum Severity {
     /** An operator must act. */
     ERROR,
     /** The system recovered from a fault. */
@@ -35,7 +35,7 @@
     /** Everything else. */
     INFO;
 
-    static Rank of(LogRecord logRecord) {
+    static Severity of(LogRecord logRecord) {
       int level = logRecord.getLevel().intValue();
       if (level >= Level.SEVERE.intValue()) {
         return ERROR;
@@ -47,26 +47,26 @@
   private record Queued(long sequence, LogRecord logRecord, int bytes) {}
 
   /** Counts the records dropped between two records that were taken. */
-  private static final class Gap {
-    private final int[] dropped = new int[Rank.values().length];
+  private static final class DroppedRecords {
+    private final int[] countBySeverity = new int[Severity.values().length];
     private long firstSequence = Long.MAX_VALUE;
     private Instant since = Instant.MAX;
     private Instant until = Instant.MIN;
 
     void add(Queued queued) {
-      dropped[Rank.of(queued.logRecord()).ordinal()]++;
+      countBySeverity[Severity.of(queued.logRecord()).ordinal()]++;
       firstSequence = Math.min(firstSequence, queued.sequence());
       Instant time = queued.logRecord().getInstant();
       since = time.isBefore(since) ? time : since;
       until = time.isAfter(until) ? time : until;
     }
 
-    LogRecord told() {
+    LogRecord toLogRecord() {
       LogLine line =
           LogLine.of("log-lines-dropped")
-              .with("error", dropped[Rank.ERROR.ordinal()])
-              .with("warning", dropped[Rank.WARNING.ordinal()])
-              .with("info", dropped[Rank.INFO.ordinal()])
+              .with("error", countBySeverity[Severity.ERROR.ordinal()])
+              .with("warning", countBySeverity[Severity.WARNING.ordinal()])
+              .with("info", countBySeverity[Severity.INFO.ordinal()])
               .with("since", since);
       LogRecord logRecord = new LogRecord(Level.WARNING, line.toString());
       logRecord.setLoggerName(LogWriter.class.getName());
@@ -75,10 +75,10 @@
     }
   }
 
-  private final int mostLines;
-  private final int mostBytes;
-  private final List<ArrayDeque<Queued>> byRank;
-  private Gap gap;
+  private final int maxLines;
+  private final int maxBytes;
+  private final List<ArrayDeque<Queued>> recordsBySeverity;
+  private DroppedRecords droppedRecords;
   private long nextSequence;
   private int lines;
   private int bytes;
@@ -92,35 +92,36 @@
   LogQueue(int maxLines, int maxBytes) {
     checkArgument(maxLines > 0, "maxLines is not positive: %s", maxLines);
     checkArgument(maxBytes > 0, "maxBytes is not positive: %s", maxBytes);
-    this.mostLines = maxLines;
-    this.mostBytes = maxBytes;
-    this.byRank = ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
+    this.maxLines = maxLines;
+    this.maxBytes = maxBytes;
+    this.recordsBySeverity =
+        ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
   }
 
   /** Returns the memory counted for a record, in bytes. */
   static int bytes(LogRecord logRecord) {
-    return BYTES_A_RECORD + BYTES_A_CHARACTER * logRecord.getMessage().length();
+    return RECORD_OVERHEAD_BYTES + BYTES_PER_CHARACTER * logRecord.getMessage().length();
   }
 
   /** Adds a record at the end. If the queue is full, drops lower-severity records or this one. */
   void add(LogRecord logRecord) {
     Queued added = new Queued(nextSequence++, logRecord, bytes(logRecord));
-    Rank rank = Rank.of(logRecord);
-    while (lines + 1 > mostLines || added.bytes() > mostBytes - bytes) {
-      if (added.bytes() > mostBytes || !dropBelow(rank)) {
+    Severity rank = Severity.of(logRecord);
+    while (lines + 1 > maxLines || added.bytes() > maxBytes - bytes) {
+      if (added.bytes() > maxBytes || !dropLowerSeverity(rank)) {
         drop(added);
         return;
       }
     }
-    byRank.get(rank.ordinal()).addLast(added);
+    recordsBySeverity.get(rank.ordinal()).addLast(added);
     lines++;
     bytes += added.bytes();
   }
 
-  private boolean dropBelow(Rank rank) {
-    for (int lower = Rank.INFO.ordinal(); lower > rank.ordinal(); lower--) {
-      if (!byRank.get(lower).isEmpty()) {
-        drop(counted(byRank.get(lower).removeLast()));
+  private boolean dropLowerSeverity(Severity rank) {
+    for (int lower = Severity.INFO.ordinal(); lower > rank.ordinal(); lower--) {
+      if (!recordsBySeverity.get(lower).isEmpty()) {
+        drop(subtract(recordsBySeverity.get(lower).removeLast()));
         return true;
       }
     }
@@ -128,10 +129,10 @@
   }
 
   private void drop(Queued dropped) {
-    if (gap == null) {
-      gap = new Gap();
+    if (droppedRecords == null) {
+      droppedRecords = new DroppedRecords();
     }
-    gap.add(dropped);
+    droppedRecords.add(dropped);
   }
 
   /**
@@ -142,31 +143,32 @@
   List<LogRecord> take(int maxRecords) {
     List<LogRecord> taken = new ArrayList<>(Math.min(maxRecords, lines + 1));
     while (taken.size() < maxRecords && !isEmpty()) {
-      taken.add(takeOne());
+      taken.add(takeOldest());
     }
     return taken;
   }
 
-  private LogRecord takeOne() {
+  private LogRecord takeOldest() {
     ArrayDeque<Queued> oldest = null;
-    for (ArrayDeque<Queued> queue : byRank) {
-      if (!queue.isEmpty() && (oldest == null || first(queue) < first(oldest))) {
+    for (ArrayDeque<Queued> queue : recordsBySeverity) {
+      if (!queue.isEmpty() && (oldest == null || firstSequence(queue) < firstSequence(oldest))) {
         oldest = queue;
       }
     }
-    if (gap != null && (oldest == null || gap.firstSequence < first(oldest))) {
-      LogRecord report = gap.told();
-      gap = null;
+    if (droppedRecords != null
+        && (oldest == null || droppedRecords.firstSequence < firstSequence(oldest))) {
+      LogRecord report = droppedRecords.toLogRecord();
+      droppedRecords = null;
       return report;
     }
-    return counted(oldest.removeFirst()).logRecord();
+    return subtract(oldest.removeFirst()).logRecord();
   }
 
-  private static long first(ArrayDeque<Queued> queue) {
+  private static long firstSequence(ArrayDeque<Queued> queue) {
     return queue.getFirst().sequence();
   }
 
-  private Queued counted(Queued removed) {
+  private Queued subtract(Queued removed) {
     lines--;
     bytes -= removed.bytes();
     return removed;
@@ -174,11 +176,11 @@
 
   /** Returns whether there are neither records nor dropped records to report. */
   boolean isEmpty() {
-    return lines == 0 && gap == null;
+    return lines == 0 && droppedRecords == null;
   }
 
   /** Returns whether half of the record or byte limit is used. */
   boolean isHalfFull() {
-    return lines >= mostLines / 2 || bytes >= mostBytes / 2;
+    return lines >= maxLines / 2 || bytes >= maxBytes / 2;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
@@ -18,7 +18,7 @@
    */
   public static LogWriter install(String process, PrintStream out) {
     LogManager manager = LogManager.getLogManager();
-    if (manager instanceof PatientLogManager shutdownSafe) {
+    if (manager instanceof ShutdownSafeLogManager shutdownSafe) {
       shutdownSafe.resetOnce();
     } else {
       manager.reset();
@@ -27,7 +27,7 @@
     Logger root = Logger.getLogger("");
     root.addHandler(writer);
     root.setLevel(Level.INFO);
-    libraries().setLevel(Level.WARNING);
+    jettyLogger().setLevel(Level.WARNING);
     return writer;
   }
 
@@ -35,9 +35,9 @@
    * Returns Jetty's logger, which is held in a field because the log manager references loggers
    * weakly and would lose the level.
    */
-  private static Logger libraries() {
-    return JETTY;
+  private static Logger jettyLogger() {
+    return JETTY_LOGGER;
   }
 
-  private static final Logger JETTY = Logger.getLogger("org.eclipse.jetty");
+  private static final Logger JETTY_LOGGER = Logger.getLogger("org.eclipse.jetty");
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
@@ -17,39 +17,39 @@
  * Writes log records to a stream on a separate thread, so that a stream that blocks does not delay
  * the threads that log.
  *
- * <p>Records are held in a {@link LogQueue} for up to {@link #GATHER_MILLIS}, so that many lines are
- * written in one call. An error, a warning or a half-full queue is written immediately. Records
- * logged within that delay before the process is killed are lost. The lines of one thread keep their
- * order and have the time of logging.
+ * <p>Records are held in a {@link LogQueue} for up to {@link #BATCH_DELAY_MILLIS}, so that many
+ * lines are written in one call. An error, a warning or a half-full queue is written immediately.
+ * Records logged within that delay before the process is killed are lost. The lines of one thread
+ * keep their order and have the time of logging.
  *
  * <p>Thread-safe. Rejects nulls.
  */
 public final class LogWriter extends Handler {
   /** The maximum number of queued lines. */
-  static final int MOST_LINES = 4_096;
+  static final int MAX_QUEUED_LINES = 4_096;
 
   /** The maximum memory of queued lines, in bytes. */
-  static final int MOST_BYTES = 2 << 20;
+  static final int MAX_QUEUED_BYTES = 2 << 20;
 
   /** The maximum number of lines per write; held outside the queue while a write blocks. */
-  static final int MOST_LINES_A_WRITE = 64;
+  static final int MAX_LINES_PER_WRITE = 64;
 
   /** How long the first queued line is delayed to batch it with others, in milliseconds. */
-  static final long GATHER_MILLIS = 100;
+  static final long BATCH_DELAY_MILLIS = 100;
 
-  private static final long GATHER_NANOS = TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS);
+  private static final long BATCH_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(BATCH_DELAY_MILLIS);
 
   /** How long {@link #close} waits for queued lines to be written, in milliseconds. */
-  private static final long LONGEST_END_MILLIS = 500;
+  private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
   private final KeyValueFormatter formatter;
   private final PrintStream out;
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition work = lock.newCondition();
+  private final Condition recordsAvailable = lock.newCondition();
   private final Condition allWritten = lock.newCondition();
   private final LogQueue queue;
   private boolean writing;
-  private boolean urgent;
+  private boolean flushRequested;
 
   private LogWriter(KeyValueFormatter formatter, PrintStream out, LogQueue queue) {
     this.formatter = requireNonNull(formatter, "formatter");
@@ -65,9 +65,10 @@
    */
   public static LogWriter start(String process, PrintStream out) {
     LogWriter writer =
-        new LogWriter(new KeyValueFormatter(process), out, new LogQueue(MOST_LINES, MOST_BYTES));
+        new LogWriter(
+            new KeyValueFormatter(process), out, new LogQueue(MAX_QUEUED_LINES, MAX_QUEUED_BYTES));
     writer.setLevel(Level.ALL);
-    Thread thread = new Thread(writer::writeOn, "log-writer");
+    Thread thread = new Thread(writer::writeLoop, "log-writer");
     thread.setDaemon(true);
     thread.start();
     return writer;
@@ -78,16 +79,18 @@
     if (!isLoggable(logRecord)) {
       return;
     }
-    LogRecord preformatted = formatter.settled(logRecord);
+    LogRecord preformatted = formatter.preformat(logRecord);
     lock.lock();
     try {
       boolean idle = queue.isEmpty();
       queue.add(preformatted);
       boolean flushNow =
-          !urgent && (LogQueue.Rank.of(preformatted) != LogQueue.Rank.INFO || queue.isHalfFull());
-      urgent |= flushNow;
+          !flushRequested
+              && (LogQueue.Severity.of(preformatted) != LogQueue.Severity.INFO
+                  || queue.isHalfFull());
+      flushRequested |= flushNow;
       if (idle || flushNow) {
-        work.signal();
+        recordsAvailable.signal();
       }
     } finally {
       lock.unlock();
@@ -99,8 +102,8 @@
   public void flush() {
     lock.lock();
     try {
-      urgent = true;
-      work.signal();
+      flushRequested = true;
+      recordsAvailable.signal();
     } finally {
       lock.unlock();
     }
@@ -112,7 +115,7 @@
    */
   @Override
   public void close() {
-    awaitWritten(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_END_MILLIS));
+    awaitWritten(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MILLIS));
   }
 
   /**
@@ -124,8 +127,8 @@
   boolean awaitWritten(long deadline) {
     lock.lock();
     try {
-      urgent = true;
-      work.signal();
+      flushRequested = true;
+      recordsAvailable.signal();
       long left = deadline - System.nanoTime();
       while (!isAllWritten() && left > 0) {
         left = allWritten.awaitNanos(left);
@@ -143,21 +146,21 @@
     return queue.isEmpty() && !writing;
   }
 
-  private void writeOn() {
+  private void writeLoop() {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     while (true) {
-      for (LogRecord logRecord : awaitRecords()) {
+      for (LogRecord logRecord : awaitBatch()) {
         text.writeBytes(formatter.format(logRecord).getBytes(StandardCharsets.UTF_8));
       }
       out.write(text.toByteArray(), 0, text.size());
       text.reset();
-      if (isLastWritten()) {
+      if (isQueueEmpty()) {
         out.flush();
       }
     }
   }
 
-  private boolean isLastWritten() {
+  private boolean isQueueEmpty() {
     lock.lock();
     try {
       return queue.isEmpty();
@@ -166,38 +169,40 @@
     }
   }
 
-  private List<LogRecord> awaitRecords() {
+  private List<LogRecord> awaitBatch() {
     lock.lock();
     try {
       writing = false;
       if (queue.isEmpty()) {
-        urgent = false;
+        flushRequested = false;
         allWritten.signalAll();
-        awaitFirst();
-        gather();
+        awaitFirstRecord();
+        awaitBatchDelay();
       }
       writing = true;
-      return queue.take(MOST_LINES_A_WRITE);
+      return queue.take(MAX_LINES_PER_WRITE);
     } finally {
       lock.unlock();
     }
   }
 
-  private void awaitFirst() {
+  private void awaitFirstRecord() {
     while (queue.isEmpty()) {
-      work.awaitUninterruptibly();
+      recordsAvailable.awaitUninterruptibly();
     }
   }
 
-  private void gather() {
-    long deadline = System.nanoTime() + GATHER_NANOS;
+  private void awaitBatchDelay() {
+    long deadline = System.nanoTime() + BATCH_DELAY_NANOS;
     try {
-      for (long left = GATHER_NANOS; !urgent && left > 0; left = deadline - System.nanoTime()) {
-        work.awaitNanos(left);
+      for (long left = BATCH_DELAY_NANOS;
+          !flushRequested && left > 0;
+          left = deadline - System.nanoTime()) {
+        recordsAvailable.awaitNanos(left);
       }
     } catch (InterruptedException e) {
       // Not expected on this thread; the lines queued so far are written immediately.
-      urgent = true;
+      flushRequested = true;
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/Metrics.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/Metrics.java
@@ -15,9 +15,9 @@
 /**
  * The metrics of one process, based on the Prometheus client.
  *
- * <p>Names start with {@code marigoldsail_} and end in their unit. Label values must come from small
- * fixed sets (error kinds, services), never from data sent by callers, to bound the number of time
- * series. Thread-safe. Keep the returned metrics in fields.
+ * <p>Names start with {@code marigoldsail_} and end in their unit. Label values must come from
+ * small fixed sets (error kinds, services), never from data sent by callers, to bound the number of
+ * time series. Thread-safe. Keep the returned metrics in fields.
  */
 public final class Metrics {
   /** The media type of {@link #text}. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/PatientLogManager.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/ShutdownSafeLogManager.java
@@ -9,21 +9,21 @@
  * with the graceful shutdown, so that the log would end at the signal. This one ignores that reset;
  * the code that ends the process must close the {@link LogWriter}.
  */
-public final class PatientLogManager extends LogManager {
-  private volatile boolean patient;
+public final class ShutdownSafeLogManager extends LogManager {
+  private volatile boolean resetDisabled;
 
   /** Called by the JDK, which loads this class by name. */
-  public PatientLogManager() {}
+  public ShutdownSafeLogManager() {}
 
   /** Removes all handlers and makes later calls of {@link #reset} do nothing. */
   void resetOnce() {
     super.reset();
-    patient = true;
+    resetDisabled = true;
   }
 
   @Override
   public void reset() {
-    if (!patient) {
+    if (!resetDisabled) {
       super.reset();
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
@@ -12,17 +12,17 @@
 @FunctionalInterface
 public interface OperatorHandler {
   /** Returns a future of the response. A future that fails becomes an internal error response. */
-  CompletableFuture<Result<OperatorAnswer>> handle(OperatorRequest request);
+  CompletableFuture<Result<OperatorResponse>> handle(OperatorRequest request);
 
   /** A handler that returns its response without a future. */
   @FunctionalInterface
-  interface Immediate {
+  interface Synchronous {
     /** Returns the response. */
-    Result<OperatorAnswer> handle(OperatorRequest request);
+    Result<OperatorResponse> handle(OperatorRequest request);
   }
 
   /** Adapts a synchronous handler. */
-  static OperatorHandler immediate(Immediate handler) {
+  static OperatorHandler synchronous(Synchronous handler) {
     return request -> CompletableFuture.completedFuture(handler.handle(request));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorRequest.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorRequest.java
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Returns an integer query parameter, the default if it is absent, or a {@code BAD_REQUEST} failure
-   * if it is not an integer.
+   * Returns an integer query parameter, the default if it is absent, or a {@code BAD_REQUEST}
+   * failure if it is not an integer.
    */
   public Result<Long> queryNumber(String name, long defaultValue) {
     Optional<String> text = query(name);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
@@ -20,28 +20,29 @@
 /**
  * The HTTP server on the operators' address.
  *
- * <p>Request bodies are limited to {@link #LARGEST_BODY} bytes; errors are returned as problem
- * details. The thread pool is small and has no reserved threads because a side process shares its VM
- * with other work, so handlers must not block. Thread-safe; start and close it once.
+ * <p>Request bodies are limited to {@link #MAX_BODY_BYTES} bytes; errors are returned as problem
+ * details. The thread pool is small and has no reserved threads because a side process shares its
+ * VM with other work, so handlers must not block. Thread-safe; start and close it once.
  */
 public final class OperatorServer implements AutoCloseable {
   /** The maximum size of a request body, in bytes. */
-  public static final int LARGEST_BODY = 1 << 20;
+  public static final int MAX_BODY_BYTES = 1 << 20;
 
   private static final EventLog LOG = EventLog.of(OperatorServer.class);
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 3;
-  private static final int IDLE_MILLIS = 30_000;
-  private static final int ACCEPT_QUEUE = 128;
+  private static final int IDLE_TIMEOUT_MILLIS = 30_000;
+  private static final int ACCEPT_QUEUE_SIZE = 128;
 
   /**
-   * The maximum number of open connections. Protects the small heap of a side process against a flood
-   * of connections. At the limit no connection is accepted until another one closes, and idle
-   * connections are closed after {@link #FLOODED_IDLE_MILLIS}, so that operators can connect again.
+   * The maximum number of open connections. Protects the small heap of a side process against a
+   * flood of connections. At the limit no connection is accepted until another one closes, and idle
+   * connections are closed after {@link #IDLE_TIMEOUT_AT_LIMIT_MILLIS}, so that operators can
+   * connect again.
    */
   static final int MAX_CONNECTIONS = 128;
 
-  private static final long FLOODED_IDLE_MILLIS = 1_000;
+  private static final long IDLE_TIMEOUT_AT_LIMIT_MILLIS = 1_000;
 
   private final HostPort address;
   private final RouteTable routes = new RouteTable();
@@ -57,7 +58,7 @@
   public OperatorServer(HostPort address, Metrics metrics) {
     this.address = requireNonNull(address, "address");
     requireNonNull(metrics, "metrics");
-    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, IDLE_MILLIS);
+    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, IDLE_TIMEOUT_MILLIS);
     threads.setReservedThreads(0);
     threads.setName("operators");
     // Not pooled: malformed requests can make Jetty mix up pooled buffers (docs/decisions/0205).
@@ -67,18 +68,18 @@
     connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
     connector.setHost(address.host());
     connector.setPort(address.port());
-    connector.setIdleTimeout(IDLE_MILLIS);
-    connector.setAcceptQueueSize(ACCEPT_QUEUE);
+    connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    connector.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
     server.addConnector(connector);
     NetworkConnectionLimit limit = new NetworkConnectionLimit(MAX_CONNECTIONS, connector);
-    limit.setEndPointIdleTimeout(FLOODED_IDLE_MILLIS);
+    limit.setEndPointIdleTimeout(IDLE_TIMEOUT_AT_LIMIT_MILLIS);
     server.addBean(limit);
     server.setHandler(new OperatorJettyHandler(routes));
     server.setErrorHandler(OperatorJettyHandler::writeJettyError);
-    registerImmediate(
+    registerSynchronous(
         "GET",
         "/metrics",
-        request -> Result.ok(new OperatorAnswer(200, Metrics.MEDIA_TYPE, metrics.text())));
+        request -> Result.ok(new OperatorResponse(200, Metrics.MEDIA_TYPE, metrics.text())));
   }
 
   /**
@@ -94,8 +95,9 @@
   }
 
   /** Registers a route with a synchronous handler. */
-  public void registerImmediate(String method, String template, OperatorHandler.Immediate handler) {
-    register(method, template, OperatorHandler.immediate(handler));
+  public void registerSynchronous(
+      String method, String template, OperatorHandler.Synchronous handler) {
+    register(method, template, OperatorHandler.synchronous(handler));
   }
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
@@ -12,7 +12,7 @@
  * @param zone its availability zone
  * @param operatorsAddress its operators' address, {@code host:port}; empty if not reported
  * @param revision the configuration revision in force in the process
- * @param leaving whether it reported that it is draining
+ * @param draining whether it reported that it is draining
  */
 public record ProcessMember(
     String process,
@@ -20,7 +20,7 @@
     String zone,
     String operatorsAddress,
     long revision,
-    boolean leaving) {
+    boolean draining) {
   /** Checks that no component is null. */
   public ProcessMember {
     requireNonNull(process, "process");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
@@ -20,7 +20,7 @@
   record Match(OperatorHandler handler, Map<String, String> parameters) {}
 
   private record Route(String method, List<String> template, OperatorHandler handler) {
-    boolean fits(List<String> path) {
+    boolean matches(List<String> path) {
       if (path.size() != template.size()) {
         return false;
       }
@@ -54,7 +54,7 @@
     Route best = null;
     TreeSet<String> otherMethods = new TreeSet<>();
     for (Route route : routes) {
-      if (!route.fits(segments)) {
+      if (!route.matches(segments)) {
         continue;
       }
       if (!route.method.equals(method)) {
@@ -68,7 +68,8 @@
     }
     if (!otherMethods.isEmpty()) {
       return Result.failed(
-          ErrorKind.METHOD_NOT_ALLOWED, path + ": method not allowed; allowed: " + String.join(", ", otherMethods));
+          ErrorKind.METHOD_NOT_ALLOWED,
+          path + ": method not allowed; allowed: " + String.join(", ", otherMethods));
     }
     return Result.failed(ErrorKind.NOT_FOUND, "no route for path " + path);
   }
@@ -83,7 +84,8 @@
           String value = URLDecoder.decode(path.get(i).replace("+", "%2B"), StandardCharsets.UTF_8);
           parameters.put(name.substring(1, name.length() - 1), value);
         } catch (IllegalArgumentException e) {
-          return Result.failed(ErrorKind.BAD_REQUEST, "invalid percent-encoding in path segment: " + path.get(i));
+          return Result.failed(
+              ErrorKind.BAD_REQUEST, "invalid percent-encoding in path segment: " + path.get(i));
         }
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryConnections.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryConnections.java
@@ -115,7 +115,7 @@
   /** Dials entries that are not reached, closes silent connections, asks the store if need be. */
   void maintain() {
     long now = loop.now();
-    links.closeSilent();
+    links.closeUnresponsive();
     Set<String> members = new HashSet<>(owners.values());
     links.setMembers(members);
     boolean alone = links.size() == 0 || links.size() < members.size();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -284,7 +284,7 @@
     if (session != null) {
       report.setWorkerClock(session.workerClockLowerBound());
       if (wantsLease) {
-        report.addAllImages(ImageObservationCodec.encode(session.throttler().localObservations()));
+        report.addAllImages(ImageEvidenceCodec.encode(session.throttler().localObservations()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -301,7 +301,7 @@
     if (wantsLease) {
       connection.link().send(frame);
     } else {
-      connection.link().tell(frame);
+      connection.link().sendOneWay(frame);
     }
   }
 
@@ -366,7 +366,7 @@
     if (orders.getLease().getImagesCount() > 0) {
       session
           .throttler()
-          .remoteObservations(ImageObservationCodec.decode(orders.getLease().getImagesList()));
+          .remoteObservations(ImageEvidenceCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationUnderFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
@@ -8,12 +8,12 @@
 import io.marigoldsail.configuration.ConfigurationFold;
 import io.marigoldsail.configuration.ConfigurationPublisher;
 import io.marigoldsail.configuration.PublishRequest;
-import io.marigoldsail.configuration.Published;
+import io.marigoldsail.configuration.PublishResult;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.FollowerSettings;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.SnapshotSettings;
@@ -39,9 +39,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the configuration with the real follower and appender on a log with injected faults. */
-final class ConfigurationUnderFaultsTest {
-  private static final String STREAM = ProcessBase.CONFIGURATION_STREAM;
-  private static final long PATIENCE_SECONDS = 30;
+final class ConfigurationFaultsTest {
+  private static final String STREAM = ProcessRuntime.CONFIGURATION_STREAM;
+  private static final long TIMEOUT_SECONDS = 30;
 
   /** Writes a snapshot after every fifth record, without delay. */
   private static final SnapshotSettings SNAPSHOTS = new SnapshotSettings(5, 600_000, 1, 0);
@@ -63,13 +63,13 @@
       MonotonicClock clock = MonotonicClock.system();
       SplittableRandom random = new SplittableRandom(incarnation);
       follower =
-          new StreamFollower(log, STREAM, fold, FollowerSettings.usual(), clock, random.split());
+          new StreamFollower(log, STREAM, fold, FollowerSettings.defaults(), clock, random.split());
       appender =
           new LogAppender(
               log,
               follower,
-              EntryIds.of(name, incarnation),
-              AppendSettings.usual(),
+              EntryIdGenerator.of(name, incarnation),
+              AppendSettings.defaults(),
               clock,
               random.split());
       SnapshotWriter.attach(follower, appender, SNAPSHOTS, clock, random.split());
@@ -83,32 +83,32 @@
               WallClock.system(),
               executor,
               name + "/" + incarnation);
-      fold.onInForce(state -> note(state.revisionInForce()));
+      fold.addInForceListener(state -> addRevision(state.revisionInForce()));
     }
 
-    private synchronized void note(long revision) {
+    private synchronized void addRevision(long revision) {
       revisions.add(revision);
     }
 
-    synchronized void checkNeverWentBack() {
+    synchronized void assertRevisionsNeverDecrease() {
       assertEquals(revisions.stream().sorted().toList(), revisions);
     }
 
-    CompletableFuture<Result<Published>> publish(String file, int waiting) {
-      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    CompletableFuture<Result<PublishResult>> publish(String file, int waiting) {
+      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       return publisher.publish(request(file, waiting), deadline);
     }
 
     /** Returns once the revision is in force here. */
     void awaitRevision(long revision) throws Exception {
       CompletableFuture<Long> reached = new CompletableFuture<>();
-      fold.onInForce(
+      fold.addInForceListener(
           state -> {
             if (state.revisionInForce() >= revision) {
               reached.complete(state.revisionInForce());
             }
           });
-      reached.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      reached.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
@@ -133,57 +133,57 @@
     return member;
   }
 
-  private static Result<Published> get(CompletableFuture<Result<Published>> outcome)
+  private static Result<PublishResult> get(CompletableFuture<Result<PublishResult>> outcome)
       throws Exception {
-    return outcome.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return outcome.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
   void stop() {
-    members.forEach(Member::checkNeverWentBack);
+    members.forEach(Member::assertRevisionsNeverDecrease);
     members.forEach(Member::close);
     executor.shutdownNow();
   }
 
   /**
    * The platform recreates the log as an empty stream. Followers that do not detect this read
-   * nothing until the new stream is as long as the old one, then continue in its middle as if it were
-   * the old one, and a process that starts later has no configuration.
+   * nothing until the new stream is as long as the old one, then continue in its middle as if it
+   * were the old one, and a process that starts later has no configuration.
    */
   @Test
-  void staysInForceWhenTheLogBeginsAgain() throws Exception {
+  void configurationStaysInForceWhenLogIsRecreated() throws Exception {
     Member first = start("entry-1", 1);
     Member second = start("entry-2", 2);
     for (int waiting = 1; waiting <= 3; waiting++) {
       assertTrue(get(first.publish("base", waiting)).isOk());
     }
     second.awaitRevision(3);
-    CompletableFuture<StreamStatus> firstResumed = wentOn(first);
-    CompletableFuture<StreamStatus> secondResumed = wentOn(second);
+    CompletableFuture<StreamStatus> firstResumed = resumedOnNewHistory(first);
+    CompletableFuture<StreamStatus> secondResumed = resumedOnNewHistory(second);
 
-    log.loseNewest(Integer.MAX_VALUE);
+    log.truncateNewest(Integer.MAX_VALUE);
     assertTrue(
         log.append(STREAM, "{\"v\":1,\"entries\":[]}".getBytes(StandardCharsets.UTF_8)).isOk());
 
-    firstResumed.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-    secondResumed.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    firstResumed.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    secondResumed.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(3, first.fold.state().revisionInForce());
-    Result<Published> next = get(second.publish("base", 4));
+    Result<PublishResult> next = get(second.publish("base", 4));
     assertEquals(4, next.value().revision());
     first.awaitRevision(4);
     Member later = start("entry-3", 3);
     later.awaitRevision(4);
-    assertEquals(1, first.follower.status().histories());
+    assertEquals(1, first.follower.status().historyReplacementCount());
   }
 
   /** Returns a future that completes when the member reads the new history of the stream. */
-  private static CompletableFuture<StreamStatus> wentOn(Member member) {
+  private static CompletableFuture<StreamStatus> resumedOnNewHistory(Member member) {
     CompletableFuture<StreamStatus> resumed = new CompletableFuture<>();
     member.follower.addListener(
         new StreamListener() {
           @Override
           public void pageApplied(StreamStatus status) {
-            if (status.histories() > 0 && !status.seeking()) {
+            if (status.historyReplacementCount() > 0 && !status.seekingSnapshot()) {
               resumed.complete(status);
             }
           }
@@ -197,21 +197,21 @@
    * accepted exactly once.
    */
   @Test
-  void tenOperatorsRaceOverLostAnswers() throws Exception {
+  void concurrentPublishesWithLostResponsesAreAcceptedOnce() throws Exception {
     List<Member> entries = List.of(start("e-1", 1), start("e-2", 2), start("e-3", 3));
     log.setFaults(LogFaults.none().withLoseAnswers(8).withDoubleAppends(4));
-    List<CompletableFuture<Result<Published>>> outcomes = new ArrayList<>();
+    List<CompletableFuture<Result<PublishResult>>> outcomes = new ArrayList<>();
     String[] files = {"base", "vatulele", "kitamizora", "suva"};
     for (int i = 0; i < 10; i++) {
       outcomes.add(entries.get(i % 3).publish(files[i % files.length], i + 1));
     }
     List<Long> accepted = new ArrayList<>();
-    for (CompletableFuture<Result<Published>> outcome : outcomes) {
-      Result<Published> result = get(outcome);
+    for (CompletableFuture<Result<PublishResult>> outcome : outcomes) {
+      Result<PublishResult> result = get(outcome);
       if (result.isOk()) {
         accepted.add(result.value().revision());
       } else {
-        ErrorKind kind = ((Result.Failed<Published>) result).failure().kind();
+        ErrorKind kind = ((Result.Failed<PublishResult>) result).failure().kind();
         assertEquals(ErrorKind.CONFLICT, kind);
       }
     }
@@ -233,17 +233,17 @@
    * reported as accepted. After the outage the same publish must be applied once in all entries.
    */
   @Test
-  void publishDuringAnOutageIsNeverToldAsAccepted() throws Exception {
+  void publishDuringOutageIsNotReportedAsAccepted() throws Exception {
     Member first = start("e-1", 1);
     Member second = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
     second.awaitRevision(1);
     log.setFaults(LogFaults.none().withDown(true));
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
-    Result<Published> during = get(first.publisher.publish(request("base", 2), deadline));
+    Result<PublishResult> during = get(first.publisher.publish(request("base", 2), deadline));
     assertTrue(!during.isOk(), () -> "publish was accepted during a log outage: " + during);
     log.setFaults(LogFaults.none());
-    Result<Published> after = get(first.publish("base", 2));
+    Result<PublishResult> after = get(first.publish("base", 2));
     assertEquals(2, after.value().revision());
     second.awaitRevision(2);
     assertEquals(2, second.fold.state().revision());
@@ -255,7 +255,7 @@
    * the stream instead of using only the remaining records.
    */
   @Test
-  void entryStartsFromASnapshotAfterRecordsExpired() throws Exception {
+  void entryStartsFromSnapshotAfterRecordsExpired() throws Exception {
     Member first = start("e-1", 1);
     for (int i = 1; i <= 12; i++) {
       assertTrue(get(first.publish(i % 2 == 0 ? "base" : "vatulele", i)).isOk());
@@ -266,7 +266,7 @@
     Member late = start("e-2", 2);
     late.awaitRevision(12);
     assertEquals(first.fold.snapshot().path("files"), late.fold.snapshot().path("files"));
-    Result<Published> next = get(late.publish("base", 99));
+    Result<PublishResult> next = get(late.publish("base", 99));
     assertEquals(13, next.value().revision());
     first.awaitRevision(13);
   }
@@ -277,7 +277,7 @@
    * to an older revision.
    */
   @Test
-  void frozenProcessCatchesUpFromASnapshot() throws Exception {
+  void pausedProcessCatchesUpFromSnapshot() throws Exception {
     Member first = start("e-1", 1);
     Member paused = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
@@ -298,18 +298,18 @@
   }
 
   /**
-   * Two entries read different ends of the log from its replicas. The entry that reads the stale end
-   * publishes over a record that it has not read; this publish must fail.
+   * Two entries read different ends of the log from its replicas. The entry that reads the stale
+   * end publishes over a record that it has not read; this publish must fail.
    */
   @Test
-  void publisherThatReadsAStaleEndIsToldWhoWasFirst() throws Exception {
+  void publishOverStaleEndConflicts() throws Exception {
     Member first = start("e-1", 1);
     assertTrue(get(first.publish("base", 1)).isOk());
     Member stale = start("e-2", 2);
     stale.awaitRevision(1);
     log.setFaults(LogFaults.none().withStaleRecords(1));
-    CompletableFuture<Result<Published>> one = first.publish("base", 2);
-    CompletableFuture<Result<Published>> other = stale.publish("base", 3);
+    CompletableFuture<Result<PublishResult>> one = first.publish("base", 2);
+    CompletableFuture<Result<PublishResult>> other = stale.publish("base", 3);
     log.setFaults(LogFaults.none());
     long accepted = List.of(get(one), get(other)).stream().filter(Result::isOk).count();
     assertEquals(1, accepted);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
@@ -16,7 +16,7 @@
    * receive an unknown outcome (38 of 1,000 callers).
    */
   @Test
-  void processesOfOneMillisecondAreToldApart() {
+  void processesStartedInOneMillisecondGetDifferentIncarnations() {
     SplittableRandom random = new SplittableRandom(3);
     Set<Long> incarnations = new HashSet<>();
     for (int i = 0; i < 20; i++) {
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aLaterLifeHasAHigherNumberThatJsonCanCarry() {
+  void laterIncarnationIsHigherAndFitsJsonNumber() {
     SplittableRandom random = new SplittableRandom(4);
     long earlier = ProcessIncarnations.next(() -> TODAY, random);
     long later = ProcessIncarnations.next(() -> TODAY + 1, random);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
@@ -16,7 +16,7 @@
    * without it: leases are no longer renewed, and tasks on unreachable VMs never end.
    */
   @Test
-  void aRepeatedTaskThatThrowsIsRepeated() {
+  void repeatedTaskRunsAgainAfterException() {
     EmbeddedChannel timer = new EmbeddedChannel();
     timer.freezeTime();
     LinkLoop loop = new LinkLoop(timer.eventLoop(), () -> 0, new HybridClock(WallClock.system()));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockedStream.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockingOutputStream.java
@@ -10,15 +10,15 @@
 
 /**
  * A stream whose writes block until {@link #release} is called. A write that blocks for too long
- * releases the stream itself, which {@link #isPatienceLost} reports.
+ * releases the stream itself, which {@link #isTimedOut} reports.
  */
-public final class BlockedStream extends OutputStream {
-  private static final long PATIENCE_SECONDS = 20;
+public final class BlockingOutputStream extends OutputStream {
+  private static final long TIMEOUT_SECONDS = 20;
 
-  private final CountDownLatch reached = new CountDownLatch(1);
+  private final CountDownLatch writeBlocked = new CountDownLatch(1);
   private final CountDownLatch released = new CountDownLatch(1);
   private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-  private volatile boolean patienceLost;
+  private volatile boolean timedOut;
 
   @Override
   public void write(int oneByte) {
@@ -34,16 +34,16 @@
   }
 
   private void awaitRelease() {
-    reached.countDown();
-    if (!isDown(released)) {
-      patienceLost = true;
+    writeBlocked.countDown();
+    if (!awaitLatch(released)) {
+      timedOut = true;
       release();
     }
   }
 
-  private static boolean isDown(CountDownLatch latch) {
+  private static boolean awaitLatch(CountDownLatch latch) {
     try {
-      return latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -51,13 +51,13 @@
   }
 
   /** Returns a print stream that writes to this stream without buffering. */
-  public PrintStream printed() {
+  public PrintStream asPrintStream() {
     return new PrintStream(this, true, StandardCharsets.UTF_8);
   }
 
   /** Waits until a write blocks. Returns false on timeout. */
-  public boolean awaitReached() {
-    return isDown(reached);
+  public boolean awaitBlockedWrite() {
+    return awaitLatch(writeBlocked);
   }
 
   /** Unblocks all current and later writes. */
@@ -66,8 +66,8 @@
   }
 
   /** Returns whether a write timed out before the stream was released. */
-  public boolean isPatienceLost() {
-    return patienceLost;
+  public boolean isTimedOut() {
+    return timedOut;
   }
 
   /** Returns the written lines. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -76,7 +76,7 @@
     assertEquals(20, owner);
     assertEquals(10, other);
     long between = ReportPacer.NON_OWNER_ROUNDS * WorkflowSideProcess.REPORT_INTERVAL_NANOS;
-    assertTrue(between < VmAvailability.SILENT_NANOS * 2 / 3, between + " ns");
+    assertTrue(between < VmAvailability.UNRESPONSIVE_NANOS * 2 / 3, between + " ns");
   }
 
   @Test
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
@@ -22,7 +22,7 @@
  */
 public final class ProcessFleet implements AutoCloseable {
   private static final long POLL_MILLIS = 20;
-  private static final long END_SECONDS = 20;
+  private static final long EXIT_TIMEOUT_SECONDS = 20;
 
   private final Path directory;
   private final List<String> javaOptions;
@@ -56,7 +56,7 @@
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.redirectErrorStream(true);
-    builder.redirectOutput(ProcessBuilder.Redirect.appendTo(output(name).toFile()));
+    builder.redirectOutput(ProcessBuilder.Redirect.appendTo(outputFile(name).toFile()));
     try {
       processes.put(name, builder.start());
     } catch (IOException e) {
@@ -67,21 +67,21 @@
   /** Ends a process at once, as a VM that fails does. */
   public void kill(String name) {
     process(name).destroyForcibly();
-    awaitEnd(name);
+    awaitExit(name);
   }
 
-  /** Asks a process to stop, as an operator does; see {@link #awaitEnd}. */
+  /** Asks a process to stop, as an operator does; see {@link #awaitExit}. */
   public void stop(String name) {
     process(name).destroy();
   }
 
   /** Freezes a process: it keeps its connections and does nothing. */
-  public void freeze(String name) {
+  public void pause(String name) {
     signal(name, "-STOP");
   }
 
   /** Lets a frozen process go on. */
-  public void thaw(String name) {
+  public void resume(String name) {
     signal(name, "-CONT");
   }
 
@@ -100,9 +100,9 @@
    *
    * @throws IllegalStateException if it does not end
    */
-  public int awaitEnd(String name) {
+  public int awaitExit(String name) {
     try {
-      boolean ended = process(name).waitFor(END_SECONDS, TimeUnit.SECONDS);
+      boolean ended = process(name).waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       checkState(ended, "%s did not end", name);
       return process(name).exitValue();
     } catch (InterruptedException e) {
@@ -112,10 +112,10 @@
   }
 
   /** Returns what a process has printed so far, over all its lives. */
-  public String printed(String name) {
+  public String output(String name) {
     try {
-      return Files.exists(output(name))
-          ? Files.readString(output(name), StandardCharsets.UTF_8)
+      return Files.exists(outputFile(name))
+          ? Files.readString(outputFile(name), StandardCharsets.UTF_8)
           : "";
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -134,7 +134,8 @@
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     Object never = new Object();
     while (!condition.getAsBoolean()) {
-      checkState(System.nanoTime() < deadline, "no %s within %s s\n%s", what, seconds, tails());
+      checkState(
+          System.nanoTime() < deadline, "no %s within %s s\n%s", what, seconds, outputTails());
       synchronized (never) {
         try {
           TimeUnit.MILLISECONDS.timedWait(never, POLL_MILLIS);
@@ -151,13 +152,13 @@
     for (Process process : processes.values()) {
       process.destroyForcibly();
     }
-    processes.keySet().forEach(this::awaitEnd);
+    processes.keySet().forEach(this::awaitExit);
   }
 
-  private String tails() {
+  private String outputTails() {
     StringBuilder all = new StringBuilder();
     for (String name : processes.keySet()) {
-      String text = printed(name);
+      String text = output(name);
       all.append("== ").append(name).append('\n');
       all.append(text.substring(Math.max(0, text.length() - 2_000)));
     }
@@ -182,7 +183,7 @@
     return process;
   }
 
-  private Path output(String name) {
+  private Path outputFile(String name) {
     return directory.resolve(name + ".out");
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
@@ -16,7 +16,7 @@
  */
 public final class RequestHistory {
   /** What the caller was told about its request. */
-  public enum Told {
+  public enum Outcome {
     /** A whole answer of the target. */
     ANSWERED,
     /** That it did not run. */
@@ -26,11 +26,11 @@
   }
 
   /** One request as its caller saw it. */
-  private record Asked(boolean idempotent, Told told, boolean wholeAndOwn) {}
+  private record RecordedRequest(boolean idempotent, Outcome outcome, boolean responseIntact) {}
 
   private static final String TAG = "tag=";
 
-  private final Map<String, Asked> asked = new HashMap<>();
+  private final Map<String, RecordedRequest> requestsByTag = new HashMap<>();
 
   /** Creates an empty history. */
   public RequestHistory() {}
@@ -44,13 +44,14 @@
    * @param wholeAndOwn whether the answer's body was the one that belongs to this request; true
    *     where there was none
    */
-  public synchronized void add(String tag, boolean idempotent, Told told, boolean wholeAndOwn) {
-    asked.put(requireNonNull(tag, "tag"), new Asked(idempotent, told, wholeAndOwn));
+  public synchronized void add(String tag, boolean idempotent, Outcome told, boolean wholeAndOwn) {
+    requestsByTag.put(
+        requireNonNull(tag, "tag"), new RecordedRequest(idempotent, told, wholeAndOwn));
   }
 
   /** Returns how many requests ended in a way. */
-  public synchronized long count(Told told) {
-    return asked.values().stream().filter(one -> one.told() == told).count();
+  public synchronized long count(Outcome told) {
+    return requestsByTag.values().stream().filter(one -> one.outcome() == told).count();
   }
 
   /**
@@ -64,19 +65,19 @@
       counts.merge(tagOf(run.path()), 1, Integer::sum);
     }
     List<String> found = new ArrayList<>();
-    asked.forEach(
+    requestsByTag.forEach(
         (tag, one) -> {
           int ran = counts.getOrDefault(tag, 0);
           if (ran > 1 && !one.idempotent()) {
             found.add("request " + tag + " ran " + ran + " times");
           }
-          if (ran > 0 && one.told() == Told.NOT_RUN) {
+          if (ran > 0 && one.outcome() == Outcome.NOT_RUN) {
             found.add("request " + tag + " was told not run but ran");
           }
-          if (ran == 0 && one.told() == Told.ANSWERED) {
+          if (ran == 0 && one.outcome() == Outcome.ANSWERED) {
             found.add("request " + tag + " was answered but never ran");
           }
-          if (!one.wholeAndOwn()) {
+          if (!one.responseIntact()) {
             found.add("request " + tag + " got a broken or foreign answer");
           }
         });
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
@@ -17,12 +17,12 @@
  * of one clock, in any unit. Safe for any thread.
  */
 public final class RevisionHistory {
-  private record Publish(long revision, String content, long began, long ended) {}
+  private record Publish(long revision, String content, long startedAt, long endedAt) {}
 
-  private record Reading(String process, long revision, String content, long at) {}
+  private record Read(String process, long revision, String content, long readAt) {}
 
   private final List<Publish> publishes = new ArrayList<>();
-  private final List<Reading> readings = new ArrayList<>();
+  private final List<Read> reads = new ArrayList<>();
 
   /** Creates an empty history. */
   public RevisionHistory() {}
@@ -35,7 +35,7 @@
    * @param began when it was asked for
    * @param ended when it was told to be accepted
    */
-  public synchronized void published(long revision, String content, long began, long ended) {
+  public synchronized void recordPublish(long revision, String content, long began, long ended) {
     publishes.add(new Publish(revision, requireNonNull(content, "content"), began, ended));
   }
 
@@ -47,12 +47,12 @@
    * @param content the content it showed
    * @param at when it was asked
    */
-  public synchronized void read(String process, long revision, String content, long at) {
-    readings.add(new Reading(process, revision, requireNonNull(content, "content"), at));
+  public synchronized void recordRead(String process, long revision, String content, long at) {
+    reads.add(new Read(process, revision, requireNonNull(content, "content"), at));
   }
 
   /** Returns the highest revision that was accepted, or 0. */
-  public synchronized long highest() {
+  public synchronized long highestRevision() {
     return publishes.stream().mapToLong(Publish::revision).max().orElse(0);
   }
 
@@ -61,7 +61,7 @@
     List<String> found = new ArrayList<>();
     checkContents(found);
     checkOrderOfPublishes(found);
-    checkReadings(found);
+    checkReads(found);
     return found;
   }
 
@@ -73,7 +73,7 @@
         found.add("revision " + publish.revision() + " was accepted twice");
       }
     }
-    for (Reading reading : readings) {
+    for (Read reading : reads) {
       String other = contents.putIfAbsent(reading.revision(), reading.content());
       if (other != null && !other.equals(reading.content())) {
         found.add(reading.process() + " shows another content of revision " + reading.revision());
@@ -84,19 +84,19 @@
   private void checkOrderOfPublishes(List<String> found) {
     for (Publish earlier : publishes) {
       for (Publish later : publishes) {
-        if (earlier.ended() < later.began() && earlier.revision() >= later.revision()) {
+        if (earlier.endedAt() < later.startedAt() && earlier.revision() >= later.revision()) {
           found.add("revision " + later.revision() + " was published after " + earlier.revision());
         }
       }
     }
   }
 
-  private void checkReadings(List<String> found) {
-    Map<String, Reading> last = new HashMap<>();
-    List<Reading> ordered = new ArrayList<>(readings);
-    ordered.sort(Comparator.comparingLong(Reading::at));
-    for (Reading reading : ordered) {
-      Reading before = last.put(reading.process(), reading);
+  private void checkReads(List<String> found) {
+    Map<String, Read> last = new HashMap<>();
+    List<Read> ordered = new ArrayList<>(reads);
+    ordered.sort(Comparator.comparingLong(Read::readAt));
+    for (Read reading : ordered) {
+      Read before = last.put(reading.process(), reading);
       if (before != null && before.revision() > reading.revision()) {
         found.add(
             reading.process()
@@ -106,7 +106,7 @@
                 + reading.revision());
       }
       for (Publish publish : publishes) {
-        if (publish.revision() == reading.revision() && reading.at() < publish.began()) {
+        if (publish.revision() == reading.revision() && reading.readAt() < publish.startedAt()) {
           found.add(reading.process() + " showed " + reading.revision() + " before its publish");
         }
       }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Throttling.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Decides at which speed tasks that fill work beside services on one VM. */
-interface Pacing {
+interface Throttling {
   /** Takes the newest tails and what is beside them. */
   void observe(
       List<BestEffortThrottler.TailReading> readings,
@@ -15,9 +15,9 @@
   int percent(boolean suspect);
 
   /** The product's own. */
-  static Pacing ofProduct() {
+  static Throttling ofProduct() {
     BestEffortThrottler pacer = new BestEffortThrottler();
-    return new Pacing() {
+    return new Throttling() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
@@ -34,8 +34,8 @@
   }
 
   /** None: everything works at full speed. */
-  static Pacing none() {
-    return new Pacing() {
+  static Throttling none() {
+    return new Throttling() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
@@ -10,23 +10,23 @@
   /** Wide steps of tasks that fill. */
   HEAVY(5.15, 2, 1_000, 2),
   /** Tasks that last and serve their own users. */
-  LASTING(1.34, 2, 2_500, 0);
+  SERVICE(1.34, 2, 2_500, 0);
 
-  private final double worth;
+  private final double value;
   private final double slackFactor;
   private final long objectiveMillis;
   private final int priority;
 
   WorkKind(double worth, double slackFactor, long objectiveMillis, int priority) {
-    this.worth = worth;
+    this.value = worth;
     this.slackFactor = slackFactor;
     this.objectiveMillis = objectiveMillis;
     this.priority = priority;
   }
 
   /** Returns what an average workflow is worth; of a lasting one, for each two seconds. */
-  double worth() {
-    return worth;
+  double value() {
+    return value;
   }
 
   /** Returns how long a workflow may take and be in time, in milliseconds. */
@@ -34,7 +34,7 @@
     return slackFactor * chainMillis + objectiveMillis;
   }
 
-  WorkflowSpec.QueuePolicy terms() {
+  WorkflowSpec.QueuePolicy policy() {
     return new WorkflowSpec.QueuePolicy(
         FleetDay.SERVICE, priority, 4, Optional.empty(), slackFactor, objectiveMillis);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Arrival.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkflowArrival.java
@@ -13,15 +13,15 @@
  * @param declared what is handed in; run times are declared roughly
  * @param lengthsMillis how long each task really takes at full speed, by step and index
  */
-record Arrival(
+record WorkflowArrival(
     long atMillis,
     WorkKind kind,
     WorkflowSpec declared,
     ImmutableList<ImmutableList<Double>> lengthsMillis) {
 
   /** Returns the longest chain of real work, in milliseconds: steps follow one another. */
-  double chainMillis() {
-    return lengthsMillis.stream().mapToDouble(Arrival::longest).sum();
+  double criticalPathMillis() {
+    return lengthsMillis.stream().mapToDouble(WorkflowArrival::longest).sum();
   }
 
   /** Returns the real work, in thousandths of a processor times milliseconds. */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    int drawReturns(SplittableRandom random) {
+    int drawMaxRetries(SplittableRandom random) {
       return 0;
     }
   };
@@ -29,23 +29,23 @@
   static final int SLOTS = 8;
 
   /** The deployments that the users have. */
-  static final ImmutableList<Deployment> TODAY = ImmutableList.of(VATULELE, KITAMIZORA);
+  static final ImmutableList<Deployment> PRODUCTION = ImmutableList.of(VATULELE, KITAMIZORA);
 
   private static final int ZONES = 3;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long BETWEEN_ZONES_NANOS = 1_000_000;
+  private static final long CROSS_ZONE_LATENCY_NANOS = 1_000_000;
 
   /** Inside a zone: a fifth of the distance between zones; the users gave no figure. */
-  private static final long INSIDE_ZONE_NANOS = 200_000;
+  private static final long SAME_ZONE_LATENCY_NANOS = 200_000;
 
-  private static final int MAX_RETURNS = 2;
+  private static final int MAX_RETRIES = 2;
 
-  private final long clientNanos;
+  private final long clientLatencyNanos;
   private final int targets;
   private final ImmutableList<Integer> entryCounts;
 
   Deployment(long clientMillis, int targets, Integer... entryCounts) {
-    this.clientNanos = clientMillis * NANOS_PER_MILLI;
+    this.clientLatencyNanos = clientMillis * NANOS_PER_MILLI;
     this.targets = targets;
     this.entryCounts = ImmutableList.copyOf(entryCounts);
   }
@@ -60,7 +60,7 @@
   }
 
   /** Returns how many ordinary requests a second all targets together can serve. */
-  double perSecond() {
+  double capacityPerSecond() {
     return slots() * 1_000 / LoadPlan.MEAN_WORK_MILLIS;
   }
 
@@ -74,13 +74,13 @@
   }
 
   /** Draws how often a caller comes back. */
-  int drawReturns(SplittableRandom random) {
-    return random.nextBoolean() ? 0 : MAX_RETURNS;
+  int drawMaxRetries(SplittableRandom random) {
+    return random.nextBoolean() ? 0 : MAX_RETRIES;
   }
 
   /** Returns the way from a caller to an entry, one way. */
-  long clientNanos() {
-    return clientNanos;
+  long clientLatencyNanos() {
+    return clientLatencyNanos;
   }
 
   /** Returns the name of the zone that holds the entry or target of the given number. */
@@ -89,8 +89,8 @@
   }
 
   /** Returns the way between an entry and a target, one way. */
-  static long wayNanos(int entry, int target) {
-    return entry % ZONES == target % ZONES ? INSIDE_ZONE_NANOS : BETWEEN_ZONES_NANOS;
+  static long latencyNanos(int entry, int target) {
+    return entry % ZONES == target % ZONES ? SAME_ZONE_LATENCY_NANOS : CROSS_ZONE_LATENCY_NANOS;
   }
 
   /** Returns the pattern's name in this deployment. */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
@@ -18,20 +18,20 @@
  * @param streams the arrivals, independent of each other
  * @param changes what happens to targets
  * @param seconds how long calls arrive
- * @param measuredFrom seconds from which calls count; what came before is for warming up
- * @param reportEveryNanos how old the loads that side processes report may be; 0 if always fresh
+ * @param measuredFromSecond seconds from which calls count; what came before is for warming up
+ * @param reportIntervalNanos how old the loads that side processes report may be; 0 if always fresh
  */
 record LoadPlan(
     ImmutableList<Stream> streams,
-    ImmutableList<Change> changes,
+    ImmutableList<TargetChange> changes,
     int seconds,
-    int measuredFrom,
-    long reportEveryNanos) {
+    int measuredFromSecond,
+    long reportIntervalNanos) {
   /** Mean work of an ordinary request; its distribution is exponential. */
   static final double MEAN_WORK_MILLIS = 20;
 
   /** How long an ordinary caller waits for its answer. */
-  static final long PATIENCE_MILLIS = 1_000;
+  static final long TIMEOUT_MILLIS = 1_000;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -66,25 +66,25 @@
       return new Stream(load, from, to, callers, callerPrefix, keys, keyPrefix, lengthFactor);
     }
 
-    Stream from(String caller) {
+    Stream withCaller(String caller) {
       return new Stream(load, fromSecond, toSecond, 1, caller, keys, keyPrefix, lengthFactor);
     }
 
-    Stream about(String key) {
+    Stream withKey(String key) {
       return new Stream(load, fromSecond, toSecond, callers, callerPrefix, 1, key, lengthFactor);
     }
 
-    Stream longer(double factor) {
+    Stream withLengthFactor(double factor) {
       return new Stream(load, fromSecond, toSecond, callers, callerPrefix, keys, keyPrefix, factor);
     }
 
-    boolean isLong() {
+    boolean isLongRunning() {
       return lengthFactor > 1;
     }
   }
 
   /** What happens to one target at one second: it works so many times slower, or fails. */
-  record Change(double second, int target, double slowness, boolean failing) {}
+  record TargetChange(double second, int target, double slowdown, boolean failing) {}
 
   static LoadPlan of(int seconds, int measuredFrom, Stream... streams) {
     return new LoadPlan(
@@ -94,18 +94,18 @@
   LoadPlan with(Stream stream) {
     ImmutableList<Stream> more =
         ImmutableList.<Stream>builder().addAll(streams).add(stream).build();
-    return new LoadPlan(more, changes, seconds, measuredFrom, reportEveryNanos);
+    return new LoadPlan(more, changes, seconds, measuredFromSecond, reportIntervalNanos);
   }
 
-  LoadPlan with(Change change) {
-    ImmutableList<Change> more =
-        ImmutableList.<Change>builder().addAll(changes).add(change).build();
-    return new LoadPlan(streams, more, seconds, measuredFrom, reportEveryNanos);
+  LoadPlan with(TargetChange change) {
+    ImmutableList<TargetChange> more =
+        ImmutableList.<TargetChange>builder().addAll(changes).add(change).build();
+    return new LoadPlan(streams, more, seconds, measuredFromSecond, reportIntervalNanos);
   }
 
   /** Returns the same load with reports that are renewed only every so many nanoseconds. */
-  LoadPlan withReportsEvery(long nanos) {
-    return new LoadPlan(streams, changes, seconds, measuredFrom, nanos);
+  LoadPlan withReportInterval(long nanos) {
+    return new LoadPlan(streams, changes, seconds, measuredFromSecond, nanos);
   }
 
   /** Draws all first calls in order of arrival. */
@@ -126,7 +126,7 @@
       int entries,
       SplittableRandom random,
       List<Call.Plan> plans) {
-    double spacing = NANOS_PER_SECOND / (stream.load() * deployment.perSecond());
+    double spacing = NANOS_PER_SECOND / (stream.load() * deployment.capacityPerSecond());
     double end = Math.min(seconds, stream.toSecond()) * NANOS_PER_SECOND;
     double time = stream.fromSecond() * NANOS_PER_SECOND + exponential(random, spacing);
     while (time < end) {
@@ -138,17 +138,17 @@
   private static Call.Plan drawCall(
       Stream stream, long arrivesAt, Deployment deployment, int entries, SplittableRandom random) {
     double meanNanos = MEAN_WORK_MILLIS * stream.lengthFactor() * NANOS_PER_MILLI;
-    long patience = (long) (PATIENCE_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
+    long patience = (long) (TIMEOUT_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
     return new Call.Plan(
         arrivesAt,
         random.nextInt(entries),
         name(stream.callerPrefix(), stream.callers(), random),
         name(stream.keyPrefix(), stream.keys(), random),
-        stream.isLong(),
+        stream.isLongRunning(),
         random.nextInt(100) < 80,
         deployment.drawWork(random, meanNanos),
         patience,
-        deployment.drawReturns(random));
+        deployment.drawMaxRetries(random));
   }
 
   private static String name(String prefix, int count, SplittableRandom random) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
@@ -20,7 +20,7 @@
    *
    * <p>Returns an empty list where nothing matches.
    */
-  static List<MeasurePattern> named(String text) {
+  static List<MeasurePattern> findByName(String text) {
     return all().stream()
         .filter(pattern -> pattern.name().equals(text) || pattern.name().startsWith(text + "@"))
         .toList();
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPattern.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPattern.java
@@ -11,7 +11,7 @@
  * @param plan the load with the disturbance
  * @param reference the load without it
  * @param others which calls are not at fault
- * @param extra metrics beside the common ones
+ * @param extraMetrics metrics beside the common ones
  */
 record RequestPattern(
     String name,
@@ -19,17 +19,17 @@
     LoadPlan plan,
     LoadPlan reference,
     Predicate<Call> others,
-    Extra extra)
+    ExtraMetrics extraMetrics)
     implements MeasurePattern {
   /** Adds metrics that only one pattern has. */
   @FunctionalInterface
-  interface Extra {
-    void add(RequestScore score, double referenceP99, Printer printer);
+  interface ExtraMetrics {
+    void add(RequestScore score, double referenceP99, MetricPrinter printer);
   }
 
   /** Prints one metric of the run at hand. */
   @FunctionalInterface
-  interface Printer {
+  interface MetricPrinter {
     void print(String metric, double value);
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Runs one policy with one number of entries and hands its metrics to the printer. */
-  void run(int entries, PolicyKind kind, long seed, Printer printer) {
+  void run(int entries, PolicyKind kind, long seed, MetricPrinter printer) {
     RequestScore calm =
         new RequestScore(RequestBench.run(deployment, entries, kind, reference, seed));
     double referenceP99 = calm.percentileMillis(99, others);
@@ -66,7 +66,7 @@
     printer.print(
         "late_share", score.share(RequestScore.all(), Call.Result.LATE, Call.Result.TIMED_OUT));
     printer.print("refusal_ms", score.refusalMillis());
-    printer.print("tries_per_request", score.triesPerRequest());
-    extra.add(score, referenceP99, printer);
+    printer.print("tries_per_request", score.attemptsPerRequest());
+    extraMetrics.add(score, referenceP99, printer);
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
@@ -9,14 +9,14 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double WINDOW_SECONDS = 0.25;
   private static final double SHARE_WINDOW_SECONDS = 3;
-  private static final double TRIES_WINDOW_SECONDS = 10;
+  private static final double ATTEMPTS_WINDOW_SECONDS = 10;
 
   private final RequestBench.Record run;
   private final double from;
   private final double to;
 
   RequestScore(RequestBench.Record run) {
-    this(run, run.plan().measuredFrom(), run.plan().seconds());
+    this(run, run.plan().measuredFromSecond(), run.plan().seconds());
   }
 
   private RequestScore(RequestBench.Record run, double from, double to) {
@@ -66,11 +66,11 @@
   double goodputRatio() {
     double useful =
         run.calls().stream()
-            .filter(call -> call.result == Call.Result.SERVED && isWithin(call.answeredAt))
+            .filter(call -> call.result == Call.Result.SERVED && isWithin(call.completedAt))
             .mapToLong(call -> call.plan.workNanos())
             .sum();
     double asked =
-        calls(call -> call.returnsLeft == call.plan.returns()).stream()
+        calls(call -> call.retriesLeft == call.plan.maxRetries()).stream()
             .mapToLong(call -> call.plan.workNanos())
             .sum();
     double capacity = (to - from) * NANOS_PER_SECOND * run.deployment().slots();
@@ -103,13 +103,13 @@
   }
 
   /** Returns the most tries a call that was sent at all, over any 10 s in steps of a second. */
-  double triesPerRequest() {
+  double attemptsPerRequest() {
     double most = 0;
-    double last = Math.max(from, to - TRIES_WINDOW_SECONDS);
+    double last = Math.max(from, to - ATTEMPTS_WINDOW_SECONDS);
     for (double start = from; start <= last; start++) {
-      RequestScore window = between(start, Math.min(to, start + TRIES_WINDOW_SECONDS));
-      List<Call> sent = window.calls(call -> call.tries > 0);
-      double tries = sent.stream().mapToInt(call -> call.tries).sum();
+      RequestScore window = between(start, Math.min(to, start + ATTEMPTS_WINDOW_SECONDS));
+      List<Call> sent = window.calls(call -> call.attempts > 0);
+      double tries = sent.stream().mapToInt(call -> call.attempts).sum();
       most = Math.max(most, sent.isEmpty() ? 0 : tries / sent.size());
     }
     return most;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/SvgPlot.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/SvgPlot.java
@@ -30,7 +30,7 @@
 
   /** An axis with its title, bounds and the values that get a label. Immutable. */
   public record Axis(
-      String title, double from, double to, boolean isLogarithmic, List<Double> marks) {
+      String title, double from, double to, boolean isLogarithmic, List<Double> ticks) {
     /** Checks the components. */
     public Axis {
       checkArgument(from < to, "the axis from %s to %s is empty", from, to);
@@ -79,12 +79,12 @@
   }
 
   private void appendAxes(StringBuilder svg) {
-    for (double mark : horizontal.marks()) {
+    for (double mark : horizontal.ticks()) {
       double x = x(mark);
       append(svg, "<path d='M%.1f %dV%d' stroke='#ddd'/>", x, TOP, HEIGHT - BOTTOM);
       append(svg, "<text x='%.1f' y='%d' text-anchor='middle'>%.4s</text>", x, HEIGHT - 32, mark);
     }
-    for (double mark : vertical.marks()) {
+    for (double mark : vertical.ticks()) {
       double y = y(mark);
       append(svg, "<path d='M%d %.1fH%d' stroke='#ddd'/>", LEFT, y, WIDTH - RIGHT);
       append(svg, "<text x='%d' y='%.1f' text-anchor='end'>%s</text>", LEFT - 6, y + 4, mark);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskKind.java
@@ -8,13 +8,18 @@
  * @param program the program's name
  * @param milliProcessors what a task uses
  * @param memoryBytes what a task uses
- * @param noise how much longer the service beside it takes: 0.5 for half as long again
- * @param rival the program that it and its kind slow down, and are slowed by; empty for none
+ * @param serviceSlowdown how much longer the service beside it takes: 0.5 for half as long again
+ * @param conflictingProgram the program that it and its kind slow down, and are slowed by; empty
+ *     for none
  */
 record TaskKind(
-    String program, long milliProcessors, long memoryBytes, double noise, String rival) {
+    String program,
+    long milliProcessors,
+    long memoryBytes,
+    double serviceSlowdown,
+    String conflictingProgram) {
   /** A rival beside it makes a task take so many times longer. */
-  static final double RIVAL_SLOWDOWN = 1.5;
+  static final double CONFLICT_SLOWDOWN = 1.5;
 
   Sizes sizes() {
     return new Sizes(milliProcessors, memoryBytes, 0);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskLoad.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskLoad.java
@@ -18,10 +18,10 @@
   static final String WAVE = "wave";
 
   private static final long GIBIBYTE = 1L << 30;
-  private static final int BACKLOG = 12;
-  private static final int TASKS_A_JOB = 8;
+  private static final int BACKLOG_JOBS = 12;
+  private static final int TASKS_PER_JOB = 8;
   private static final int TEAMS = 5;
-  private static final int URGENT_EVERY = 10;
+  private static final int JOBS_PER_URGENT_JOB = 10;
   private static final long CHECKPOINT_MILLIS = 20_000;
 
   private final List<Submission> submissions = new ArrayList<>();
@@ -46,13 +46,13 @@
    */
   static TaskLoad of(long seed, long horizonMillis, boolean wave, boolean wrongSizes) {
     TaskLoad load = new TaskLoad(seed, wrongSizes);
-    for (int i = 0; i < BACKLOG; i++) {
-      load.submit(0, load.usualProgram());
+    for (int i = 0; i < BACKLOG_JOBS; i++) {
+      load.submit(0, load.drawProgram());
     }
     long every = 6_000;
     for (long at = every; at < horizonMillis; at += every) {
       boolean inWave = wave && at >= horizonMillis / 5 && at < horizonMillis / 2;
-      load.submit(at, inWave && load.random.nextInt(3) == 0 ? WAVE : load.usualProgram());
+      load.submit(at, inWave && load.random.nextInt(3) == 0 ? WAVE : load.drawProgram());
     }
     return load;
   }
@@ -74,19 +74,19 @@
     kinds.put(kind.program(), kind);
   }
 
-  private String usualProgram() {
+  private String drawProgram() {
     return List.of("calm", "calm", "large", "left", "right", "murmur").get(random.nextInt(6));
   }
 
   private void submit(long atMillis, String program) {
     jobs++;
-    boolean urgent = jobs % URGENT_EVERY == 0;
+    boolean urgent = jobs % JOBS_PER_URGENT_JOB == 0;
     JobSpec spec =
         new JobSpec(
             "job-" + jobs,
             "team-" + jobs % TEAMS,
             TaskClass.BATCH,
-            urgent ? 2 : TASKS_A_JOB,
+            urgent ? 2 : TASKS_PER_JOB,
             declared(kinds.get(program)),
             program,
             60_000,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
@@ -15,17 +15,17 @@
  * noise=FACTOR} slows all others on the worker down.
  */
 final class FakeAttempt {
-  private static final String CHECKPOINT_START = "progress-";
+  private static final String CHECKPOINT_PREFIX = "progress-";
 
   private final WorkerStart start;
   private final long startedMillis;
   private final long workMillis;
   private final boolean fails;
-  private final double noise;
+  private final double slowdownOfOthers;
   private long leaseDeadlineMillis;
   private long advancedMillis;
   private double progressMillis;
-  private long measuredMillis;
+  private long lastMeasuredMillis;
   private int throttlePercent = 100;
   private String checkpoint;
   private State state = State.RUNNING;
@@ -36,18 +36,18 @@
     this.start = start;
     this.startedMillis = nowMillis;
     this.advancedMillis = nowMillis;
-    this.measuredMillis = nowMillis;
+    this.lastMeasuredMillis = nowMillis;
     this.leaseDeadlineMillis = start.leaseDeadlineMillis();
-    this.workMillis = (long) number(start.command(), "work=", start.runMillis());
-    this.noise = number(start.command(), "noise=", 1);
+    this.workMillis = (long) numericOption(start.command(), "work=", start.runMillis());
+    this.slowdownOfOthers = numericOption(start.command(), "noise=", 1);
     this.fails = Splitter.on(' ').splitToList(start.command()).contains("fail");
     this.checkpoint = start.checkpoint();
-    if (checkpoint.startsWith(CHECKPOINT_START)) {
-      progressMillis = Double.parseDouble(checkpoint.substring(CHECKPOINT_START.length()));
+    if (checkpoint.startsWith(CHECKPOINT_PREFIX)) {
+      progressMillis = Double.parseDouble(checkpoint.substring(CHECKPOINT_PREFIX.length()));
     }
   }
 
-  private static double number(String command, String prefix, double otherwise) {
+  private static double numericOption(String command, String prefix, double otherwise) {
     for (String word : Splitter.on(' ').split(command)) {
       if (word.startsWith(prefix)) {
         return Double.parseDouble(word.substring(prefix.length()));
@@ -71,30 +71,30 @@
     }
     progressMillis += passed * rate;
     advancedMillis = Math.max(advancedMillis, until);
-    checkpointByItself();
+    checkpointIfDue();
     if (nowMillis >= leaseDeadlineMillis) {
       end(State.LAPSED, "lease deadline passed", leaseDeadlineMillis);
     }
   }
 
-  private void checkpointByItself() {
+  private void checkpointIfDue() {
     long interval = start.checkpointIntervalMillis();
     if (interval > 0 && progressMillis >= interval) {
       long due = (long) progressMillis / interval * interval;
       if (due > checkpointedMillis()) {
-        checkpoint = CHECKPOINT_START + due;
+        checkpoint = CHECKPOINT_PREFIX + due;
       }
     }
   }
 
   private long checkpointedMillis() {
-    return checkpoint.startsWith(CHECKPOINT_START)
-        ? Long.parseLong(checkpoint.substring(CHECKPOINT_START.length()))
+    return checkpoint.startsWith(CHECKPOINT_PREFIX)
+        ? Long.parseLong(checkpoint.substring(CHECKPOINT_PREFIX.length()))
         : 0;
   }
 
   void checkpointNow() {
-    checkpoint = CHECKPOINT_START + (long) progressMillis;
+    checkpoint = CHECKPOINT_PREFIX + (long) progressMillis;
   }
 
   void end(State newState, String newDetail, long atMillis) {
@@ -111,8 +111,8 @@
     throttlePercent = percent;
   }
 
-  double noise() {
-    return noise;
+  double slowdownOfOthers() {
+    return slowdownOfOthers;
   }
 
   long token() {
@@ -123,8 +123,8 @@
     return start.sizes();
   }
 
-  long measuredMillis() {
-    return measuredMillis;
+  long lastMeasuredMillis() {
+    return lastMeasuredMillis;
   }
 
   /** Returns what was used since the last measurement, at most one task's limits. */
@@ -135,7 +135,7 @@
             asked.milliProcessors() * throttlePercent / 100,
             asked.memoryBytes(),
             asked.accelerators());
-    measuredMillis = nowMillis;
+    lastMeasuredMillis = nowMillis;
     return new UsageSample(start.task(), start.token(), nowMillis, used, slowdown);
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
@@ -22,7 +22,7 @@
 /** The HTTP server under a stand-in, with the little JSON that stand-ins speak. */
 final class StandInServer implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
-  private static final int LEAST_THREADS = 8;
+  private static final int MIN_THREADS = 8;
 
   private final Server server;
   private final ServerConnector connector;
@@ -30,7 +30,7 @@
 
   StandInServer(String host, int port, int maxThreads, Handler handler) {
     this.host = host;
-    QueuedThreadPool threads = new QueuedThreadPool(maxThreads, LEAST_THREADS);
+    QueuedThreadPool threads = new QueuedThreadPool(maxThreads, MIN_THREADS);
     threads.setDaemon(true);
     this.server = new Server(threads);
     HttpConfiguration http = new HttpConfiguration();
@@ -68,7 +68,7 @@
   }
 
   /** Answers with a value as JSON. */
-  static boolean answer(Response response, Callback callback, int status, Object value) {
+  static boolean respond(Response response, Callback callback, int status, Object value) {
     byte[] bytes;
     try {
       bytes = JSON.writeValueAsBytes(value);
@@ -82,12 +82,12 @@
   }
 
   /** Answers with an error status and one sentence. */
-  static boolean refuse(Response response, Callback callback, int status, String detail) {
-    return answer(response, callback, status, JSON.createObjectNode().put("detail", detail));
+  static boolean respondError(Response response, Callback callback, int status, String detail) {
+    return respond(response, callback, status, JSON.createObjectNode().put("detail", detail));
   }
 
   /** Cuts the connection without an answer. */
-  static boolean cut(Request request, Callback callback) {
+  static boolean closeConnection(Request request, Callback callback) {
     request.getConnectionMetaData().getConnection().getEndPoint().close();
     callback.failed(new EofException("cut on purpose"));
     return true;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
@@ -22,8 +22,8 @@
     this.capacity = capacity;
   }
 
-  /** Keeps the start of a run and returns its index for {@link #ended}, or -1. */
-  synchronized int started(TargetRun run) {
+  /** Keeps the start of a run and returns its index for {@link #recordEnd}, or -1. */
+  synchronized int recordStart(TargetRun run) {
     running++;
     mostAtOnce = Math.max(mostAtOnce, running);
     if (runs.size() == capacity) {
@@ -34,7 +34,7 @@
     return runs.size() - 1;
   }
 
-  synchronized void ended(int index, long atMillis) {
+  synchronized void recordEnd(int index, long atMillis) {
     running--;
     if (index < 0 || index >= runs.size()) {
       return;
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/history/HistoryTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/history/HistoryTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import io.marigoldsail.lease.WorkerTask.State;
-import io.marigoldsail.testlib.history.RequestHistory.Told;
+import io.marigoldsail.testlib.history.RequestHistory.Outcome;
 import io.marigoldsail.testlib.platform.TargetRun;
 import io.marigoldsail.testlib.platform.WorkerRun;
 import java.util.List;
@@ -14,16 +14,16 @@
   @Test
   void findsRequestsThatRanTwiceOrAgainstTheirAnswer() {
     RequestHistory history = new RequestHistory();
-    history.add("once", false, Told.ANSWERED, true);
-    history.add("lookup", true, Told.ANSWERED, true);
-    history.add("lost", false, Told.UNKNOWN, true);
+    history.add("once", false, Outcome.ANSWERED, true);
+    history.add("lookup", true, Outcome.ANSWERED, true);
+    history.add("lost", false, Outcome.UNKNOWN, true);
     List<TargetRun> sound = List.of(run("once"), run("lookup"), run("lookup"), run("lost"));
     assertEquals(List.of(), history.violations(sound));
 
-    history.add("twice", false, Told.UNKNOWN, true);
-    history.add("refused", true, Told.NOT_RUN, true);
-    history.add("invented", true, Told.ANSWERED, true);
-    history.add("foreign", true, Told.UNKNOWN, false);
+    history.add("twice", false, Outcome.UNKNOWN, true);
+    history.add("refused", true, Outcome.NOT_RUN, true);
+    history.add("invented", true, Outcome.ANSWERED, true);
+    history.add("foreign", true, Outcome.UNKNOWN, false);
     List<TargetRun> planted =
         List.of(run("once"), run("lookup"), run("twice"), run("twice"), run("refused"));
 
@@ -49,20 +49,20 @@
   @Test
   void findsRevisionsOutOfOrder() {
     RevisionHistory sound = new RevisionHistory();
-    sound.published(1, "a", 0, 10);
-    sound.published(2, "b", 5, 20);
-    sound.read("entry-1", 1, "a", 12);
-    sound.read("entry-1", 2, "b", 30);
-    sound.read("entry-2", 1, "a", 31);
+    sound.recordPublish(1, "a", 0, 10);
+    sound.recordPublish(2, "b", 5, 20);
+    sound.recordRead("entry-1", 1, "a", 12);
+    sound.recordRead("entry-1", 2, "b", 30);
+    sound.recordRead("entry-2", 1, "a", 31);
     assertEquals(List.of(), sound.violations());
 
     RevisionHistory planted = new RevisionHistory();
-    planted.published(2, "b", 0, 10);
-    planted.published(1, "a", 20, 30);
-    planted.published(2, "c", 5, 40);
-    planted.read("entry-1", 2, "c", 50);
-    planted.read("entry-1", 1, "a", 60);
-    planted.read("entry-2", 1, "x", 10);
+    planted.recordPublish(2, "b", 0, 10);
+    planted.recordPublish(1, "a", 20, 30);
+    planted.recordPublish(2, "c", 5, 40);
+    planted.recordRead("entry-1", 2, "c", 50);
+    planted.recordRead("entry-1", 1, "a", 60);
+    planted.recordRead("entry-2", 1, "x", 10);
 
     assertEquals(5, planted.violations().size(), planted.violations().toString());
   }
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/RequestPatternsTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/RequestPatternsTest.java
@@ -12,7 +12,7 @@
   private static final int ENTRIES = 3;
 
   private static Map<String, Double> run(String name) {
-    RequestPattern pattern = (RequestPattern) MeasurePatterns.named(name).get(0);
+    RequestPattern pattern = (RequestPattern) MeasurePatterns.findByName(name).get(0);
     Map<String, Double> metrics = new HashMap<>();
     pattern.run(ENTRIES, PolicyKind.MARIGOLDSAIL, SEED, metrics::put);
     return metrics;
@@ -30,7 +30,7 @@
   // them wait until nobody's answer is of use; here as many as fit are answered quickly, and the
   // rest are told at once when to come back.
   @Test
-  void servesAsManyAsFitUnderOverload() {
+  void servesUpToCapacityUnderOverload() {
     Map<String, Double> metrics = run("overload@vatulele");
     assertAtLeast(metrics, "goodput_ratio", 0.95);
     assertAtMost(metrics, "p99_ms", 3 * metrics.get("reference_p99_ms"));
@@ -40,7 +40,7 @@
   // Ten times the usual load for a second. What fits its deadline is served, and two seconds later
   // nothing is left of it.
   @Test
-  void takesInABurstAndGetsOverIt() {
+  void servesABurstAndRecovers() {
     Map<String, Double> metrics = run("burst@kitamizora");
     assertAtLeast(metrics, "burst_goodput_ratio", 0.94);
     assertAtMost(metrics, "recovery_s", 2);
@@ -48,7 +48,7 @@
 
   // One tour operator's script asks ten times as often as all others; dispatchers must not feel it.
   @Test
-  void keepsAHotCallerFromTheOthers() {
+  void isolatesOthersFromAHotCaller() {
     Map<String, Double> metrics = run("hot-caller@vatulele");
     assertAtMost(metrics, "others_p99_ms", 1.2 * metrics.get("reference_p99_ms"));
     assertAtLeast(metrics, "others_served_share", 0.99);
@@ -56,7 +56,7 @@
 
   // On market day one lot is asked about ten times as often as the others.
   @Test
-  void keepsAHotKeyFromTheOthers() {
+  void isolatesOthersFromAHotKey() {
     Map<String, Double> metrics = run("hot-key@vatulele");
     assertAtMost(metrics, "others_p99_ms", 1.2 * metrics.get("reference_p99_ms"));
     assertAtLeast(metrics, "others_served_share", 0.99);
@@ -64,7 +64,7 @@
 
   // One target becomes ten times slower for ten seconds and recovers.
   @Test
-  void easesOffASlowTargetWithinASecond() {
+  void avoidsASlowTargetWithinASecond() {
     Map<String, Double> metrics = run("slow-target@vatulele");
     assertAtMost(metrics, "slow_share", 0.02);
     assertAtMost(metrics, "slow_p99_ms", 1.5 * metrics.get("reference_p99_ms"));
@@ -73,14 +73,14 @@
 
   // One request in twenty takes fifty times as long. Round robin puts short ones behind them.
   @Test
-  void keepsShortRequestsFromWaitingForLongOnes() {
+  void shortRequestsDoNotQueueBehindLongOnes() {
     Map<String, Double> metrics = run("long-among-short@kitamizora");
     assertAtMost(metrics, "others_p99_ms", 2 * metrics.get("reference_p99_ms"));
   }
 
   // Two targets fail everything in a millisecond; being idle, they would attract the rest.
   @Test
-  void turnsAwayFromFailingTargetsWithoutAStormOfTries() {
+  void avoidsFailingTargetsWithoutARetryStorm() {
     Map<String, Double> metrics = run("failing-targets@vatulele");
     assertAtMost(metrics, "tries_per_request", 1.1);
     assertAtMost(metrics, "failed_share", 0.001);
@@ -89,7 +89,7 @@
   // Side processes report what was true a second ago. Limits that follow such reports at once swing
   // between full and idle: requests were turned away five times each.
   @Test
-  void staysSteadyWhenReportsAreLate() {
+  void staysStableWithDelayedReports() {
     Map<String, Double> metrics = run("late-reports@vatulele");
     assertAtMost(metrics, "tries_per_request", 1.1);
     assertAtMost(metrics, "p99_ms", 1.5 * metrics.get("reference_p99_ms"));
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
@@ -22,8 +22,9 @@
 /** Followers, appenders and snapshot writers in their threads, against a log that fails. */
 final class LogAppenderTest {
   private static final String STREAM = "tasks";
-  private static final long PATIENCE_SECONDS = 60;
-  private static final SnapshotSettings OFTEN = new SnapshotSettings(20, 3_600_000, 20, 50);
+  private static final long TIMEOUT_SECONDS = 60;
+  private static final SnapshotSettings FREQUENT_SNAPSHOTS =
+      new SnapshotSettings(20, 3_600_000, 20, 50);
 
   private final FakeLogService log = new FakeLogService();
   private final MonotonicClock clock = MonotonicClock.system();
@@ -31,7 +32,7 @@
 
   /** One process's share in the stream. */
   private final class Member implements AutoCloseable {
-    private final CountFold fold = new CountFold();
+    private final CountingFold fold = new CountingFold();
     private final StreamFollower follower;
     private final LogAppender appender;
 
@@ -47,8 +48,8 @@
           new LogAppender(
               log,
               follower,
-              EntryIds.of(name, random.nextLong()),
-              AppendSettings.usual().withPaceMillis(1),
+              EntryIdGenerator.of(name, random.nextLong()),
+              AppendSettings.defaults().withMinIntervalMillis(1),
               clock,
               random);
       fold.onRestore(() -> restored.accept(this));
@@ -59,12 +60,12 @@
     }
 
     private CompletableFuture<Result<Position>> append() {
-      long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+      long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       return appender.append("t", JsonNodeFactory.instance.objectNode(), deadline);
     }
 
     private void awaitApplied(long offset) throws InterruptedException {
-      long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+      long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       assertTrue(follower.awaitApplied(offset, deadline), "not at " + offset);
     }
 
@@ -107,7 +108,7 @@
 
     HashSet<Position> places = new HashSet<>();
     for (CompletableFuture<Result<Position>> one : appended) {
-      places.add(one.get(PATIENCE_SECONDS, TimeUnit.SECONDS).value());
+      places.add(one.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).value());
     }
     assertEquals(120, places.size());
     for (Member member : three) {
@@ -118,34 +119,34 @@
   }
 
   @Test
-  void goesOnAfterAnOutage() throws Exception {
+  void resumesAfterAnOutage() throws Exception {
     // The log is down. An entry whose caller can wait is kept and counts once afterwards; one
     // whose caller cannot is refused as not run, and indeed never counts.
     Member member = member("entry-1");
-    assertTrue(member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
+    assertTrue(member.append().get(TIMEOUT_SECONDS, TimeUnit.SECONDS).isOk());
     log.setFaults(LogFaults.none().withDown(true));
     CompletableFuture<Result<Position>> waits = member.append();
     Result<Position> refused =
         member
             .appender
             .append("t", JsonNodeFactory.instance.objectNode(), clock.nanos() + 1)
-            .get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(ErrorKind.LOG_UNAVAILABLE, ((Result.Failed<Position>) refused).failure().kind());
 
     log.setFaults(LogFaults.none());
 
-    assertTrue(waits.get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
+    assertTrue(waits.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).isOk());
     assertEquals(2, member.fold.count());
-    assertEquals(0, member.appender.size());
+    assertEquals(0, member.appender.pendingCount());
   }
 
   @Test
-  void startsFromASnapshotWhenTheBeginningHasExpired() throws Exception {
+  void startsFromASnapshotWhenTheOldestRecordsHaveExpired() throws Exception {
     // Retention keeps 60 records. Two processes run on while hundreds come; a third starts when
     // the beginning is long gone. It must come to their state, which only a snapshot can give.
-    Member one = runOnWhileTheBeginningExpires();
+    Member one = appendUntilOldestRecordsExpire();
 
-    Member late = new Member("entry-3", OFTEN);
+    Member late = new Member("entry-3", FREQUENT_SNAPSHOTS);
     assertTrue(awaitAppend(late).isOk());
 
     one.awaitApplied(log.nextOffset(STREAM));
@@ -156,22 +157,22 @@
   }
 
   @Test
-  void appendsAsSoonAsTheRestoredStateIsHeard() throws Exception {
+  void appendsAsSoonAsTheRestoredStateIsNotified() throws Exception {
     // Whoever hears of the restored state may act on it at once; told "not read far enough" then,
     // an operator's publish was refused right after the configuration had come into force. Nothing
     // more expires here: where the place of the restored state did, the outcome was rightly
     // unknown, since the entry was passed in a later snapshot.
-    Member one = runOnWhileTheBeginningExpires();
+    Member one = appendUntilOldestRecordsExpire();
     log.setFaults(LogFaults.none());
     CompletableFuture<Result<Position>> atOnce = new CompletableFuture<>();
     Member late =
         new Member(
             "entry-3",
-            OFTEN,
+            FREQUENT_SNAPSHOTS,
             member -> {
               var unused = member.append().thenAccept(atOnce::complete);
             });
-    assertTrue(atOnce.get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
+    assertTrue(atOnce.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).isOk());
 
     one.awaitApplied(log.nextOffset(STREAM));
     late.awaitApplied(log.nextOffset(STREAM));
@@ -180,13 +181,13 @@
   }
 
   /** Returns one of two processes that are at the end of a stream whose beginning is gone. */
-  private Member runOnWhileTheBeginningExpires() throws Exception {
-    Member one = new Member("entry-1", OFTEN);
-    Member two = new Member("entry-2", OFTEN);
+  private Member appendUntilOldestRecordsExpire() throws Exception {
+    Member one = new Member("entry-1", FREQUENT_SNAPSHOTS);
+    Member two = new Member("entry-2", FREQUENT_SNAPSHOTS);
     log.setFaults(LogFaults.none().withRetainedRecords(60));
     for (int i = 0; i < 300; i++) {
       Member member = i % 2 == 0 ? one : two;
-      assertTrue(member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
+      assertTrue(member.append().get(TIMEOUT_SECONDS, TimeUnit.SECONDS).isOk());
     }
     return one;
   }
@@ -194,20 +195,20 @@
   /** Appends as soon as the process has read far enough to be allowed to. */
   private Result<Position> awaitAppend(Member member) throws Exception {
     member.awaitApplied(1);
-    return member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return member.append().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @Test
-  void tellsWhatIsKnownWhenItStops() throws Exception {
+  void completesOpenAppendsOnClose() throws Exception {
     Member member = member("entry-1");
     log.setFaults(LogFaults.none().withDown(true));
     CompletableFuture<Result<Position>> open = member.append();
 
     member.appender.close();
 
-    Result<Position> end = open.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Result<Position> end = open.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertTrue(end instanceof Result.Failed<Position>, end.toString());
-    Result<Position> after = member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Result<Position> after = member.append().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(ErrorKind.LOG_UNAVAILABLE, ((Result.Failed<Position>) after).failure().kind());
   }
 }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
@@ -35,7 +35,7 @@
   public static void main(String[] arguments) throws Exception {
     for (String what : arguments) {
       switch (what) {
-        case "reading" -> ReadingTrial.run();
+        case "reading" -> RelayReadBenchmark.run();
         case "append" -> append();
         case "slopes" -> slopes();
         default -> {
@@ -53,10 +53,16 @@
       SplittableRandom random = new SplittableRandom(name.hashCode());
       MonotonicClock clock = MonotonicClock.system();
       StreamFollower follower =
-          new StreamFollower(log, STREAM, new CountFold(), FollowerSettings.usual(), clock, random);
+          new StreamFollower(
+              log, STREAM, new CountingFold(), FollowerSettings.defaults(), clock, random);
       LogAppender appender =
           new LogAppender(
-              log, follower, EntryIds.of(name, 1), AppendSettings.usual(), clock, random);
+              log,
+              follower,
+              EntryIdGenerator.of(name, 1),
+              AppendSettings.defaults(),
+              clock,
+              random);
       follower.start();
       appender.start();
       return new Member(follower, appender);
@@ -173,28 +179,28 @@
 
   /** What a reader holds once it has read so much and the log itself is gone. */
   private static double readerBytes(int records) {
-    long before = usedBytes();
+    long before = usedHeapBytes();
     StreamCursor cursor = readAll(filled(records, 1));
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     return cursor.nextOffset() == records ? bytes : Double.NaN;
   }
 
   private static FakeLogService filled(int records, int entriesPerRecord) {
     FakeLogService log = new FakeLogService();
-    EntryIds ids = EntryIds.of("entry-1", 1);
+    EntryIdGenerator ids = EntryIdGenerator.of("entry-1", 1);
     for (int i = 0; i < records; i++) {
       List<byte[]> entries = new ArrayList<>();
       for (int e = 0; e < entriesPerRecord; e++) {
-        entries.add(RecordCodec.entry(ids.next(), "t", body()));
+        entries.add(RecordCodec.encodeEntry(ids.next(), "t", body()));
       }
-      log.append(STREAM, RecordCodec.record(entries));
+      log.append(STREAM, RecordCodec.encodeRecord(entries));
     }
     return log;
   }
 
   private static StreamCursor readAll(FakeLogService log) {
     StreamCursor cursor =
-        new StreamCursor(new CountFold(), false, new StreamListener() {}, (o, why, n) -> {});
+        new StreamCursor(new CountingFold(), false, new StreamListener() {}, (o, why, n) -> {});
     while (cursor.nextOffset() < log.nextOffset(STREAM)) {
       cursor.accept(log.read(STREAM, cursor.nextOffset(), 200, 0).value());
     }
@@ -202,12 +208,12 @@
   }
 
   private static double marksBytes(int writers) {
-    long before = usedBytes();
-    WriterMarks marks = new WriterMarks();
+    long before = usedHeapBytes();
+    WriterSequences marks = new WriterSequences();
     for (int i = 0; i < writers; i++) {
-      marks.accept(EntryIds.parse("entry-vm-" + i + "/5f3a9c0d12345678/17").orElseThrow());
+      marks.accept(EntryIdGenerator.parse("entry-vm-" + i + "/5f3a9c0d12345678/17").orElseThrow());
     }
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     return marks.size() == 0 ? 0 : bytes;
   }
 
@@ -215,19 +221,19 @@
     FakeLogService log = new FakeLogService();
     log.setFaults(LogFaults.none().withDown(true));
     Member member = Member.start("entry-1", log);
-    long before = usedBytes();
+    long before = usedHeapBytes();
     List<CompletableFuture<Result<Position>>> kept = new ArrayList<>(open);
     for (int i = 0; i < open; i++) {
       kept.add(
           member.appender().append("t", body(), System.nanoTime() + TimeUnit.HOURS.toNanos(1)));
     }
-    double bytes = usedBytes() - before;
+    double bytes = usedHeapBytes() - before;
     member.close();
     return kept.isEmpty() ? 0 : bytes;
   }
 
   /** The least of several readings after collections. */
-  private static long usedBytes() {
+  private static long usedHeapBytes() {
     long least = Long.MAX_VALUE;
     for (int i = 0; i < 4; i++) {
       System.gc();
@@ -247,16 +253,16 @@
       String write = "http://127.0.0.1:" + writing.port();
       Member reader = Member.start("reader", new HttpLogService(client, read, 2_000));
       HttpLogService writer = new HttpLogService(client, write, 2_000);
-      List<EntryIds> ids = new ArrayList<>();
+      List<EntryIdGenerator> ids = new ArrayList<>();
       for (int i = 0; i < entries; i++) {
-        ids.add(EntryIds.of("entry-" + i, 0x5f3a9c0d12345678L));
+        ids.add(EntryIdGenerator.of("entry-" + i, 0x5f3a9c0d12345678L));
       }
       int beats = 20;
       long began = System.nanoTime();
       for (int beat = 0; beat < beats; beat++) {
-        for (EntryIds id : ids) {
-          byte[] entry = RecordCodec.entry(id.next(), "heartbeat", heartbeat());
-          writer.append(STREAM, RecordCodec.record(List.of(entry))).value();
+        for (EntryIdGenerator id : ids) {
+          byte[] entry = RecordCodec.encodeEntry(id.next(), "heartbeat", heartbeat());
+          writer.append(STREAM, RecordCodec.encodeRecord(List.of(entry))).value();
           // Apart from each other, as those of different entries are, so that each is a page.
           LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1) / 9);
         }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingMember.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/RelayReadMember.java
@@ -20,11 +20,11 @@
  * <p>Arguments: the sources, separated by commas, and the port to relay on, or 0 for none. A relay
  * keeps what it has read and serves it as the log does.
  */
-public final class ReadingMember {
+public final class RelayReadMember {
   private static final String STREAM = "trial";
   private static final long TIMEOUT_MILLIS = 2_000;
 
-  private ReadingMember() {}
+  private RelayReadMember() {}
 
   /** Reads from the first source that answers; stays with one until it fails. */
   private static final class Sources implements LogService {
@@ -98,7 +98,7 @@
             log,
             STREAM,
             new PrintingFold(),
-            FollowerSettings.usual(),
+            FollowerSettings.defaults(),
             MonotonicClock.system(),
             new SplittableRandom())
         .start();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/SilentConnectionTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/UnresponsiveConnectionTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-final class SilentConnectionTest {
+final class UnresponsiveConnectionTest {
   private static final String STREAM = "configuration";
   private static final long TIMEOUT_MILLIS = 400;
-  private static final long PATIENCE_SECONDS = 60;
+  private static final long TIMEOUT_SECONDS = 60;
 
   private final MonotonicClock clock = MonotonicClock.system();
 
   @ParameterizedTest
   @EnumSource(Direction.class)
-  void goesOnOverNewConnections(Direction direction) throws Exception {
+  void switchesToNewConnections(Direction direction) throws Exception {
     // A middle box forgets all connections between a process and the log: they stay open and carry
     // nothing any more, while new ones work. A reader that waited on such a one would show an old
     // configuration for good. Bytes vanish on the way there, or on the way back after the effect.
@@ -35,7 +35,7 @@
         PlatformClient client = PlatformClient.start("silent")) {
       HttpLogService log =
           new HttpLogService(client, "http://127.0.0.1:" + proxy.port(), TIMEOUT_MILLIS);
-      CountFold fold = new CountFold();
+      CountingFold fold = new CountingFold();
       SplittableRandom random = new SplittableRandom(1);
       FollowerSettings settings = new FollowerSettings(50, 200, 1, 10, 100, false);
       try (StreamFollower follower =
@@ -44,15 +44,15 @@
               new LogAppender(
                   log,
                   follower,
-                  EntryIds.of("entry-1", 1),
-                  AppendSettings.usual(),
+                  EntryIdGenerator.of("entry-1", 1),
+                  AppendSettings.defaults(),
                   clock,
                   random)) {
         follower.start();
         appender.start();
         assertTrue(append(appender).isOk());
 
-        proxy.silenceOpen(direction);
+        proxy.blackholeOpenConnections(direction);
 
         assertTrue(append(appender).isOk());
         assertTrue(append(appender).isOk());
@@ -62,9 +62,9 @@
   }
 
   private Result<Position> append(LogAppender appender) throws Exception {
-    long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     return appender
         .append("t", JsonNodeFactory.instance.objectNode(), deadline)
-        .get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/WorkflowProofsTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/WorkflowProofsTest.java
@@ -25,7 +25,7 @@
           "@(?:Test|Property|ParameterizedTest)\\b[^;{}]*?\\bvoid\\s+([A-Za-z0-9]+)\\(");
 
   /** The column of the tables that names tests. */
-  private static final int TESTS = 3;
+  private static final int TESTS_COLUMN = 3;
 
   /** The rules that the platform judges; a row tells how each is kept, or that none does. */
   private static final List<String> RULES =
@@ -64,12 +64,12 @@
    * reads the page relies on what nothing checks any more.
    */
   @Test
-  void theTestsThatItNamesExist() throws IOException {
+  void allNamedTestsExist() throws IOException {
     Set<String> tests = tests();
     List<String> unknown = new ArrayList<>();
     int named = 0;
     for (String[] row : rows()) {
-      Matcher matcher = QUOTED.matcher(row.length > TESTS ? row[TESTS] : "");
+      Matcher matcher = QUOTED.matcher(row.length > TESTS_COLUMN ? row[TESTS_COLUMN] : "");
       while (matcher.find()) {
         named++;
         if (!tests.contains(matcher.group(1))) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteUnderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteUnderTest.java
@@ -72,14 +72,13 @@
     }
     entries.keySet().forEach(this::start);
     targets.keySet().forEach(this::start);
-    OperatorsOfSite operators = operators();
+    SiteOperators operators = operators();
     fleet.await(
         "all members", START_SECONDS, () -> operators.memberCount() == entryCount + vmCount);
     callersAddresses()
         .forEach(
             entry ->
-                fleet.await(
-                    "health of " + entry, START_SECONDS, () -> CallersOfSite.isReady(entry)));
+                fleet.await("health of " + entry, START_SECONDS, () -> SiteCallers.isReady(entry)));
   }
 
   private void addEntry(String name, String zone) {
@@ -105,8 +104,10 @@
     targets.put(name, target.start());
     workers.put(name, new StandInWorker(name, "127.0.0.1", 0, VM_SIZES).start());
     String known =
-        proxied ? "\"127.0.0.1:" + proxies.get(0).port() + '"' : listed(EntryAddresses::processes);
-    String peers = listed(EntryAddresses::operators);
+        proxied
+            ? "\"127.0.0.1:" + proxies.get(0).port() + '"'
+            : jsonList(EntryAddresses::processes);
+    String peers = jsonList(EntryAddresses::operators);
     write(
         name,
         """
@@ -130,7 +131,7 @@
                 peers));
   }
 
-  private String listed(Function<EntryAddresses, String> address) {
+  private String jsonList(Function<EntryAddresses, String> address) {
     return entries.values().stream()
         .map(at -> '"' + address.apply(at) + '"')
         .collect(Collectors.joining(", "));
@@ -153,12 +154,12 @@
     return fleet;
   }
 
-  OperatorsOfSite operators() {
-    return new OperatorsOfSite(entries.values().stream().map(EntryAddresses::operators).toList());
+  SiteOperators operators() {
+    return new SiteOperators(entries.values().stream().map(EntryAddresses::operators).toList());
   }
 
-  OperatorsOfSite operatorsOf(String entry) {
-    return new OperatorsOfSite(List.of(entries.get(entry).operators()));
+  SiteOperators operatorsOf(String entry) {
+    return new SiteOperators(List.of(entries.get(entry).operators()));
   }
 
   List<String> callersAddresses() {
@@ -193,8 +194,8 @@
     return runs;
   }
 
-  long startsAskedOverCapacity() {
-    return workers.values().stream().mapToLong(one -> one.worker().askedOverCapacity()).sum();
+  long startsRejectedOverCapacity() {
+    return workers.values().stream().mapToLong(one -> one.worker().rejectedOverCapacity()).sum();
   }
 
   @Override
