--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceMonitor.java
@@ -10,13 +10,14 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** The service of this VM's target, held against the goal that the configuration sets. */
-final class ConfiguredServiceWatch implements ServiceMonitor {
+/** Compares the tail latency of this VM's target with the goal in the configuration. */
+final class ConfiguredServiceMonitor implements ServiceMonitor {
   private final String service;
   private final TailWindow window;
   private final Supplier<Configuration> configuration;
 
-  ConfiguredServiceWatch(String service, TailWindow window, Supplier<Configuration> configuration) {
+  ConfiguredServiceMonitor(
+      String service, TailWindow window, Supplier<Configuration> configuration) {
     this.service = requireNonNull(service, "service");
     this.window = requireNonNull(window, "window");
     this.configuration = requireNonNull(configuration, "configuration");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells the other entries of this one and knows them, over the stream {@code members}.
+ * Publishes the presence of this entry on the stream {@code members} and tracks the other entries.
  *
- * <p>Safe for any thread.
+ * <p>Thread-safe.
  */
 final class EntryMembership implements AutoCloseable {
-  /** How often this entry says that it is there; three may be lost before others drop it. */
+  /** The announcement period. Others remove this entry after three lost announcements. */
   private static final long ANNOUNCE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private static final long ENTRY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(16);
@@ -37,11 +37,12 @@
   private long announcedRevision = -1;
   private boolean draining;
 
-  EntryMembership(EntrySettings settings, ProcessRuntime base) {
+  EntryMembership(EntrySettings settings, ProcessRuntime runtime) {
     this.settings = requireNonNull(settings, "settings");
-    this.runtime = requireNonNull(base, "base");
-    this.directory = new EntryDirectory(base.clock(), ENTRY_TIMEOUT_NANOS);
-    this.stream = StreamClient.writer(base.streamDependencies(), EntryDirectory.STREAM, directory);
+    this.runtime = requireNonNull(runtime, "runtime");
+    this.directory = new EntryDirectory(runtime.clock(), ENTRY_TIMEOUT_NANOS);
+    this.stream =
+        StreamClient.writer(runtime.streamDependencies(), EntryDirectory.STREAM, directory);
     stream.follower().addListener(new OutageListener());
   }
 
@@ -53,7 +54,7 @@
             this::announceIfDue, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** A change of the revision is told at once, since operators wait for it. */
+  /** Announces periodically, and immediately on a new revision because operators wait for it. */
   private synchronized void announceIfDue() {
     long now = runtime.clock().nanos();
     long revision = runtime.configurationRevision();
@@ -64,7 +65,7 @@
     }
   }
 
-  private void announce(boolean gone) {
+  private void announce(boolean removed) {
     EntryPresence presence =
         new EntryPresence(
             settings.name(),
@@ -74,8 +75,8 @@
             settings.operatorsAddress().toString(),
             runtime.configurationRevision(),
             draining,
-            gone);
-    // Lost ones are repeated; one kept past its time would only tell what is no longer so.
+            removed);
+    // Expires after one period: a lost announcement is repeated, and a delayed one is stale.
     var unused =
         stream
             .appender()
@@ -85,13 +86,13 @@
                 runtime.clock().nanos() + ANNOUNCE_PERIOD_NANOS);
   }
 
-  /** Tells that this entry is in a planned stop. */
+  /** Announces that this entry is shutting down. */
   synchronized void announceDraining() {
     draining = true;
     announce(true);
   }
 
-  /** Returns where side processes reach the other entries. */
+  /** Returns the addresses on which the other entries accept side processes. */
   List<String> otherProcessesAddresses() {
     return directory.entries().stream()
         .filter(entry -> !entry.name().equals(settings.name()))
@@ -99,7 +100,7 @@
         .toList();
   }
 
-  /** Returns all processes that this entry knows to live, itself first. */
+  /** Returns all live processes known to this entry, itself first. Waits for the loop. */
   List<ProcessMember> members(EntryLinks links, LinkLoop loop) {
     List<ProcessMember> members = new ArrayList<>();
     members.add(
@@ -116,7 +117,7 @@
     CompletableFuture<List<Announcement>> sides = new CompletableFuture<>();
     loop.run(() -> sides.complete(links.members().members()));
     sides
-        // Without the side processes the list would say "in force everywhere" too early.
+        // A list without side processes would report a revision as in force everywhere too early.
         .orTimeout(SIDE_PROCESSES_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .join()
         .forEach(side -> members.add(member(side)));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -33,18 +33,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** An entry: serves callers and operators, decides about requests, claims tasks. */
+/** An entry process: serves callers and operators, schedules requests, and claims tasks. */
 final class EntryProcess implements DaemonProcess {
   private static final int EVENT_BUFFER_CAPACITY = 1 << 16;
   private static final int MAX_SIDE_PROCESSES = 2_000;
 
-  /** How long the balancer may take to notice the bad health; it asks every second. */
+  /** Time for the load balancer, which polls every second, to notice the failing health check. */
   private static final long STOP_GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /**
-   * How long a publish waits for the log. Shorter than the operator's wait: else that ends first,
-   * and all it can say during an outage is that the outcome is unknown, though nothing was
-   * accepted.
+   * How long a publish waits for the log. Must be shorter than the timeout of the operator's
+   * request: otherwise that one ends first and during a log outage reports an unknown outcome,
+   * although nothing was accepted.
    */
   private static final long PUBLISH_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
@@ -63,7 +63,7 @@
   private final KeyShardCoordinator keyShardCoordinator;
   private final EntryMembership membership;
   private final EntryTaskScheduler tasks;
-  private volatile TaskPolicy taskTerms = TaskPolicy.DEFAULT;
+  private volatile TaskPolicy taskPolicy = TaskPolicy.DEFAULT;
   private volatile boolean serving;
 
   EntryProcess(EntrySettings settings) {
@@ -72,13 +72,13 @@
     this.scheduler = Executors.newScheduledThreadPool(2, DaemonThreads.named("entry-work"));
     this.loop = new LinkLoop("entry-loop", runtime.clock(), runtime.hybridClock());
     EntryIdentity identity = new EntryIdentity(settings.name(), runtime.incarnation());
-    RequestScheduler policy =
+    RequestScheduler requestScheduler =
         new RequestScheduler(SchedulerSettings.of(settings.zone()), new SplittableRandom());
     this.keyShardTable = new KeyShardTable(runtime.clock());
     this.keyShardStream =
         StreamClient.writer(runtime.streamDependencies(), KeyShardTable.STREAM, keyShardTable);
     this.readiness = new EntryReadiness(runtime.clock());
-    this.dispatcher = newDispatcher(identity, policy);
+    this.dispatcher = newDispatcher(identity, requestScheduler);
     this.configurationStream =
         StreamClient.writer(
             runtime.streamDependencies(),
@@ -101,24 +101,24 @@
     this.taskStream =
         StreamClient.writer(runtime.streamDependencies(), TaskFold.STREAM, new TaskFold(table));
     TaskLog taskLog = new AppenderTaskLog(taskStream.appender(), runtime.clock());
-    Supplier<TaskPolicy> terms = () -> taskTerms;
-    this.tasks = newTasks(table, taskLog, terms);
+    Supplier<TaskPolicy> currentTaskPolicy = () -> taskPolicy;
+    this.tasks = newTasks(table, taskLog, currentTaskPolicy);
     links.addMemberListener(dispatcher.memberListener());
     links.addMemberListener(readiness);
     links.addTaskListener(
         (peer, message) -> scheduler.execute(() -> tasks.onMessage(peer, message)));
-    runtime.configurationFold().addInForceListener(state -> configure(policy));
-    registerRoutes(table, taskLog, terms);
+    runtime.configurationFold().addInForceListener(state -> configure(requestScheduler));
+    registerRoutes(table, taskLog, currentTaskPolicy);
   }
 
-  private EntryDispatcher newDispatcher(EntryIdentity identity, RequestScheduler policy) {
-    long answerBytes = Runtime.getRuntime().maxMemory() / 4;
+  private EntryDispatcher newDispatcher(EntryIdentity identity, RequestScheduler requestScheduler) {
+    long responseBytes = Runtime.getRuntime().maxMemory() / 4;
     return new EntryDispatcher(
         loop,
         identity,
-        policy,
+        requestScheduler,
         LinkSettings.DEFAULT,
-        new ByteBudget(answerBytes),
+        new ByteBudget(responseBytes),
         Optional.of(keyShardTable),
         service -> runtime.configuration().service(service).targetDetectsRepeats(),
         runtime.events(),
@@ -137,26 +137,27 @@
   }
 
   private EntryTaskScheduler newTasks(
-      TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
+      TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> currentTaskPolicy) {
     return new EntryTaskScheduler(
         new EntryIdentity(settings.name(), runtime.incarnation()),
         table,
         taskLog,
         new LinkTaskChannel(links),
-        terms,
+        currentTaskPolicy,
         runtime.clock(),
         WallClock.system(),
         new SplittableRandom(),
         runtime.events());
   }
 
-  private void configure(RequestScheduler policy) {
+  private void configure(RequestScheduler requestScheduler) {
     SchedulerSettings next = ConfiguredPolicies.scheduler(runtime.configuration(), settings.zone());
-    loop.run(() -> policy.configure(next));
-    taskTerms = ConfiguredPolicies.tasks(runtime.configuration());
+    loop.run(() -> requestScheduler.configure(next));
+    taskPolicy = ConfiguredPolicies.tasks(runtime.configuration());
   }
 
-  private void registerRoutes(TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
+  private void registerRoutes(
+      TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> currentTaskPolicy) {
     ConfigurationPublisher publisher =
         new ConfigurationPublisher(
             runtime.configurationFold(),
@@ -176,7 +177,8 @@
         .registerOn(runtime.operators());
     new MemberRoutes(members).registerOn(runtime.operators());
     new JobRoutes(
-            new TaskRoutes(table, taskLog, tasks, terms, WallClock.system(), runtime.events()))
+            new TaskRoutes(
+                table, taskLog, tasks, currentTaskPolicy, WallClock.system(), runtime.events()))
         .registerOn(runtime.operators());
   }
 
@@ -210,8 +212,9 @@
   }
 
   /**
-   * The planned stop: the health turns bad at once, so the balancer stops sending callers; those it
-   * still sends are served for a grace time, and what is in progress ends.
+   * Shuts down gracefully. The health check fails immediately, so that the load balancer stops
+   * sending callers. Callers that still arrive are served for a grace period, and requests in
+   * progress are completed.
    */
   @Override
   public void close() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ServerStarter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ServerStarter.java
@@ -5,21 +5,23 @@
 import io.marigoldsail.settings.HostPort;
 import java.io.IOException;
 
-/** Starts servers such that an address that cannot be had becomes one clear line. */
+/** Starts servers and reports an address that cannot be bound as a one-line failure. */
 final class ServerStarter {
-  /** Something that begins to listen. */
+  /** Starts listening on an address. */
   @FunctionalInterface
   interface ListenAction {
-    /** Begins to listen, or says why it cannot. */
+    /** Starts listening, or throws if the address cannot be bound. */
     void listen() throws IOException;
   }
 
   private ServerStarter() {}
 
-  /** Returns true, or a failure that names the settings key and the address. */
-  static Result<Boolean> start(String key, HostPort address, ListenAction start) {
+  /**
+   * Returns true if the server listens, or a failure that names the settings key and the address.
+   */
+  static Result<Boolean> start(String key, HostPort address, ListenAction action) {
     try {
-      start.listen();
+      action.listen();
       return Result.ok(true);
     } catch (IOException e) {
       Throwable cause = e.getCause() == null ? e : e.getCause();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -26,20 +26,23 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A side process: stands between the entries and the target and worker of its VM. */
+/** A side process: connects the entries to the target and the worker of its VM. */
 final class SideProcess implements DaemonProcess {
   private static final int EVENT_BUFFER_CAPACITY = 1 << 13;
   private static final long WORKER_TIMEOUT_MILLIS = 2_000;
 
-  /** How far back the guard looks: long enough for a tail, short enough to see a wave's begin. */
+  /**
+   * The window of the tail latency that the guard uses: long enough to measure a tail, short enough
+   * to react to the start of a load wave.
+   */
   private static final long GUARD_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** The part of a VM's target, where it has one. */
+  /** The components that serve the VM's target, if it has one. */
   private record TargetComponents(
       TargetSettings settings,
       TargetClient client,
       SideDispatcher dispatcher,
-      ServiceMonitor watch) {}
+      ServiceMonitor monitor) {}
 
   private final SideSettings settings;
   private final ProcessRuntime runtime;
@@ -66,10 +69,10 @@
             runtime.streamDependencies(),
             ProcessRuntime.CONFIGURATION_STREAM,
             runtime.configurationFold());
-    this.target = settings.target().map(this::newTargetPart);
+    this.target = settings.target().map(this::newTargetComponents);
     this.tasks = settings.worker().map(this::newTasks);
     ConfigurationRoutes.registerStateOn(runtime.operators(), runtime.configurationFold());
-    // Operators wait for it, so it is told at once instead of with the next announcement.
+    // Operators wait for the new revision, so it is announced immediately.
     runtime
         .configurationFold()
         .addInForceListener(
@@ -80,7 +83,7 @@
             });
   }
 
-  private TargetComponents newTargetPart(TargetSettings targetSettings) {
+  private TargetComponents newTargetComponents(TargetSettings targetSettings) {
     ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     TargetClient client =
         new TargetClient(loop, targetSettings.address(), targetSettings.connections(), "", budget);
@@ -97,9 +100,9 @@
             runtime.events());
     dispatcher.onDrainingChanged(links::announceNow);
     links.addKeyListener(dispatcher.keyListener());
-    ServiceMonitor watch =
-        new ConfiguredServiceWatch(targetSettings.service(), window, runtime::configuration);
-    return new TargetComponents(targetSettings, client, dispatcher, watch);
+    ServiceMonitor monitor =
+        new ConfiguredServiceMonitor(targetSettings.service(), window, runtime::configuration);
+    return new TargetComponents(targetSettings, client, dispatcher, monitor);
   }
 
   private SideTaskRunner newTasks(URI worker) {
@@ -109,7 +112,7 @@
                 settings.name(), runtime.incarnation(), settings.zone(), settings.rack()),
             new HttpWorker(runtime.platform(), worker.toString(), WORKER_TIMEOUT_MILLIS),
             new LinkTaskChannel(links),
-            target.map(TargetComponents::watch).orElseGet(ServiceMonitor::none),
+            target.map(TargetComponents::monitor).orElseGet(ServiceMonitor::none),
             runtime.clock(),
             WallClock.system(),
             runtime.events());
@@ -125,11 +128,11 @@
         settings.rack(),
         settings.processesAddress().toString(),
         settings.operatorsAddress().toString(),
-        target.map(part -> part.settings().service()).orElse(""),
-        target.map(part -> part.settings().slots()).orElse(0),
-        target.map(part -> part.dispatcher().isDraining()).orElse(false),
+        target.map(components -> components.settings().service()).orElse(""),
+        target.map(components -> components.settings().slots()).orElse(0),
+        target.map(components -> components.dispatcher().isDraining()).orElse(false),
         target
-            .map(part -> part.dispatcher().load())
+            .map(components -> components.dispatcher().load())
             .orElse(new TargetLoad(0, 0, links.entryCount(), false)),
         runtime.configurationRevision());
   }
@@ -141,15 +144,16 @@
       return Result.failed(failed.failure());
     }
     if (target.isPresent()) {
-      TargetComponents part = target.get();
+      TargetComponents components = target.get();
       Result<Boolean> listening =
-          ServerStarter.start("target.address", settings.processesAddress(), part.client()::start)
+          ServerStarter.start(
+                  "target.address", settings.processesAddress(), components.client()::start)
               .then(
                   ready ->
                       ServerStarter.start(
                           "addresses.processes",
                           settings.processesAddress(),
-                          part.dispatcher()::start));
+                          components.dispatcher()::start));
       if (!listening.isOk()) {
         return listening;
       }
@@ -164,8 +168,9 @@
   }
 
   /**
-   * The planned stop: leaving is announced, newcomers are turned away as not run, and requests in
-   * progress end. Tasks go on under their leases for the next side process to adopt.
+   * Shuts down gracefully: announces that this process is draining, rejects new requests as not
+   * run, and completes requests in progress. Tasks keep running under their leases until the next
+   * side process adopts them.
    */
   @Override
   public void close() {
@@ -177,14 +182,14 @@
     }
     tasks.ifPresent(SideTaskRunner::close);
     links.close();
-    target.ifPresent(part -> part.dispatcher().close());
-    target.ifPresent(part -> part.client().close());
+    target.ifPresent(components -> components.dispatcher().close());
+    target.ifPresent(components -> components.client().close());
     configurationStream.close();
     loop.close();
     runtime.close();
   }
 
-  private static void drain(TargetComponents part) {
-    Drain.await(part.dispatcher().beginStop());
+  private static void drain(TargetComponents components) {
+    Drain.await(components.dispatcher().beginStop());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -19,11 +19,11 @@
 import io.marigoldsail.timeline.EventRecorder;
 import java.util.SplittableRandom;
 
-/** One stream as a process uses it: a follower and, in an entry, an appender and snapshots. */
+/** A process's access to one stream: a follower and, in an entry, an appender and snapshots. */
 final class StreamClient implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(StreamClient.class);
 
-  /** What the streams of one process have in common. */
+  /** The dependencies common to all stream clients of a process. */
   record Dependencies(
       LogService log,
       String process,
@@ -40,38 +40,42 @@
     this.appender = appender;
   }
 
-  /** Returns a client that only reads. */
-  static StreamClient reader(Dependencies shared, String stream, Fold fold) {
-    return new StreamClient(newFollower(shared, stream, fold), null);
+  /** Returns a client that only reads the stream. */
+  static StreamClient reader(Dependencies dependencies, String stream, Fold fold) {
+    return new StreamClient(newFollower(dependencies, stream, fold), null);
   }
 
-  /** Returns a client that also appends, and takes its turn at writing snapshots. */
-  static StreamClient writer(Dependencies shared, String stream, Fold fold) {
-    StreamFollower follower = newFollower(shared, stream, fold);
+  /** Returns a client that also appends records and takes part in writing snapshots. */
+  static StreamClient writer(Dependencies dependencies, String stream, Fold fold) {
+    StreamFollower follower = newFollower(dependencies, stream, fold);
     LogAppender appender =
         new LogAppender(
-            shared.log(),
+            dependencies.log(),
             follower,
-            EntryIdGenerator.of(shared.process(), shared.incarnation()),
+            EntryIdGenerator.of(dependencies.process(), dependencies.incarnation()),
             AppendSettings.defaults(),
-            shared.clock(),
+            dependencies.clock(),
             new SplittableRandom());
     SnapshotWriter.attach(
-        follower, appender, SnapshotSettings.defaults(), shared.clock(), new SplittableRandom());
+        follower,
+        appender,
+        SnapshotSettings.defaults(),
+        dependencies.clock(),
+        new SplittableRandom());
     return new StreamClient(follower, appender);
   }
 
-  private static StreamFollower newFollower(Dependencies shared, String stream, Fold fold) {
+  private static StreamFollower newFollower(Dependencies dependencies, String stream, Fold fold) {
     StreamFollower follower =
         new StreamFollower(
-            shared.log(),
+            dependencies.log(),
             stream,
             fold,
             FollowerSettings.defaults(),
-            shared.clock(),
+            dependencies.clock(),
             new SplittableRandom());
-    follower.addListener(new StreamEventRecorder(stream, shared));
-    shared.streams().add(follower);
+    follower.addListener(new StreamEventRecorder(stream, dependencies));
+    dependencies.streams().add(follower);
     return follower;
   }
 
@@ -98,10 +102,11 @@
     follower.close();
   }
 
-  /** Puts outages and other histories into the log, the metrics and on the time line. */
-  private record StreamEventRecorder(String stream, Dependencies shared) implements StreamListener {
+  /** Records outages and replaced histories in the log, the metrics and the event timeline. */
+  private record StreamEventRecorder(String stream, Dependencies dependencies)
+      implements StreamListener {
     private void record(EventKind kind, String detail) {
-      shared.events().record(Event.of(kind).withDetail("stream " + stream + detail));
+      dependencies.events().record(Event.of(kind).withDetail("stream " + stream + detail));
     }
 
     @Override
@@ -118,7 +123,7 @@
 
     @Override
     public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
-      shared.streams().countHistoryReplaced(stream);
+      dependencies.streams().countHistoryReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamStatusReporter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamStatusReporter.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** Tells how far this process has read each stream: {@code GET /streams} and metrics. */
+/** Reports how far this process has read each stream, in {@code GET /streams} and in metrics. */
 final class StreamStatusReporter {
   private final List<StreamFollower> followers = new CopyOnWriteArrayList<>();
   private final Counter historiesReplaced;
@@ -27,7 +27,7 @@
     metrics.gauge(
         "log_streams_behind",
         "Streams whose state here is an old one, as records expired or the stream is another one",
-        () -> followers.stream().filter(one -> one.status().seekingSnapshot()).count());
+        () -> followers.stream().filter(follower -> follower.status().seekingSnapshot()).count());
     operators.registerSynchronous("GET", "/streams", request -> Result.ok(response()));
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/AggregatingLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/AggregatingLog.java
@@ -8,22 +8,23 @@
 import java.util.function.Consumer;
 
 /**
- * Writes lines that repeat as few: the first of a kind at once, and of those that follow within a
- * span only the last, with {@code folded=N} for how many lines it stands for, itself among them.
+ * Aggregates repeated log lines. The first line of a kind is written immediately. Of the lines that
+ * follow within a time window only the last is written, at the end of the window, with {@code
+ * folded=N} for the number of lines it represents, itself included.
  *
- * <p>A kind that goes on has one line a span; one that was quiet for a span begins anew. At most
- * {@link #MAX_KINDS} kinds are told apart at a time, all further ones count as one. A process that
- * ends keeps the lines of the last span to itself.
+ * <p>While a kind repeats, one line is written per window; after a window without lines the next
+ * line is written immediately again. At most {@link #MAX_KINDS} kinds are tracked at a time; all
+ * others share one kind. Lines of a window that has not ended are lost when the process ends.
  *
  * <p>Confined to the timer's thread. Rejects nulls.
  */
 public final class AggregatingLog {
-  /** The most kinds that are told apart at a time. */
+  /** The maximum number of kinds tracked at a time. */
   static final int MAX_KINDS = 32;
 
   private static final String OVERFLOW_KIND = "";
 
-  /** Runs what is due later on the thread that also tells the lines. */
+  /** Schedules tasks on the thread that also logs the lines. */
   @FunctionalInterface
   public interface Timer {
     /** Runs the task once after the delay. */
@@ -41,38 +42,38 @@
   private final Map<String, Window> windows = new HashMap<>();
 
   /**
-   * Creates a log without a line yet.
+   * Creates an aggregating log.
    *
-   * @param out takes the lines that are written
-   * @param timer ends spans
-   * @param spanNanos how long lines of a kind are gathered
+   * @param out receives the lines to write
+   * @param timer schedules the end of each window
+   * @param windowNanos the length of a window, in nanoseconds
    */
-  public AggregatingLog(Consumer<LogLine> out, Timer timer, long spanNanos) {
-    checkArgument(spanNanos > 0, "spanNanos is not positive: %s", spanNanos);
+  public AggregatingLog(Consumer<LogLine> out, Timer timer, long windowNanos) {
+    checkArgument(windowNanos > 0, "windowNanos is not positive: %s", windowNanos);
     this.out = requireNonNull(out, "out");
     this.timer = requireNonNull(timer, "timer");
-    this.windowNanos = spanNanos;
+    this.windowNanos = windowNanos;
   }
 
   /**
-   * Tells a line.
+   * Logs a line, or adds it to the current window of its kind.
    *
-   * @param kind what makes lines repeats of each other; not empty
+   * @param kind the aggregation key: lines of the same kind are aggregated; not empty
    */
   public void log(String kind, LogLine line) {
-    checkArgument(!kind.isEmpty(), "no kind");
+    checkArgument(!kind.isEmpty(), "kind is empty");
     requireNonNull(line, "line");
     boolean known = windows.containsKey(kind) || windows.size() < MAX_KINDS;
-    String told = known ? kind : OVERFLOW_KIND;
-    Window span = windows.get(told);
-    if (span == null) {
+    String key = known ? kind : OVERFLOW_KIND;
+    Window window = windows.get(key);
+    if (window == null) {
       out.accept(line);
-      windows.put(told, new Window());
-      timer.schedule(() -> endWindow(told), windowNanos);
+      windows.put(key, new Window());
+      timer.schedule(() -> endWindow(key), windowNanos);
       return;
     }
-    span.aggregatedCount++;
-    span.last = line;
+    window.aggregatedCount++;
+    window.last = line;
   }
 
   private void endWindow(String kind) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
@@ -11,27 +11,28 @@
 import java.util.logging.LogRecord;
 
 /**
- * The records that wait to be written: bounded in lines and in bytes, in the order they came.
+ * A FIFO queue of log records to write, bounded in records and in bytes.
  *
- * <p>A record that has no room takes that of the youngest record of a lower rank, errors before
- * warnings before the rest; without one it is dropped itself. What is dropped is counted by rank
- * and told by one record, which {@link #take} returns in the place of the first that is missing.
+ * <p>When the queue is full, a new record displaces the newest record of a lower severity (errors
+ * rank above warnings, warnings above the rest); if there is none, the new record is dropped.
+ * Dropped records are counted by severity and reported by one record, which {@link #take} returns
+ * at the position of the first dropped record.
  *
- * <p>Not safe for threads. Rejects nulls.
+ * <p>Not thread-safe. Rejects nulls.
  */
 final class LogQueue {
-  /** Counted for each record beside its text: the record itself and its place here, in bytes. */
+  /** The memory counted per record in addition to its text, in bytes. */
   static final int RECORD_OVERHEAD_BYTES = 128;
 
   private static final int BYTES_PER_CHARACTER = 2;
 
-  /** What is dropped last comes first. */
+  /** The severity of a record, highest first; the highest is dropped last. */
   enum Severity {
-    /** What an operator must look at. */
+    /** An operator must act. */
     ERROR,
-    /** What the system got over. */
+    /** The system recovered from a fault. */
     WARNING,
-    /** All else. */
+    /** Everything else. */
     INFO;
 
     static Severity of(LogRecord logRecord) {
@@ -45,17 +46,17 @@
 
   private record Queued(long sequence, LogRecord logRecord, int bytes) {}
 
-  /** What is missing between two records that were taken. */
+  /** Counts the records dropped between two records that were taken. */
   private static final class DroppedRecords {
     private final int[] countBySeverity = new int[Severity.values().length];
     private long firstSequence = Long.MAX_VALUE;
     private Instant since = Instant.MAX;
     private Instant until = Instant.MIN;
 
-    void add(Queued missing) {
-      countBySeverity[Severity.of(missing.logRecord()).ordinal()]++;
-      firstSequence = Math.min(firstSequence, missing.sequence());
-      Instant time = missing.logRecord().getInstant();
+    void add(Queued queued) {
+      countBySeverity[Severity.of(queued.logRecord()).ordinal()]++;
+      firstSequence = Math.min(firstSequence, queued.sequence());
+      Instant time = queued.logRecord().getInstant();
       since = time.isBefore(since) ? time : since;
       until = time.isAfter(until) ? time : until;
     }
@@ -67,10 +68,10 @@
               .with("warning", countBySeverity[Severity.WARNING.ordinal()])
               .with("info", countBySeverity[Severity.INFO.ordinal()])
               .with("since", since);
-      LogRecord told = new LogRecord(Level.WARNING, line.toString());
-      told.setLoggerName(LogWriter.class.getName());
-      told.setInstant(until);
-      return told;
+      LogRecord logRecord = new LogRecord(Level.WARNING, line.toString());
+      logRecord.setLoggerName(LogWriter.class.getName());
+      logRecord.setInstant(until);
+      return logRecord;
     }
   }
 
@@ -85,40 +86,40 @@
   /**
    * Creates an empty queue.
    *
-   * @param mostLines how many records wait at most
-   * @param mostBytes how much memory they take at most, by {@link #bytes}
+   * @param maxLines the maximum number of records
+   * @param maxBytes the maximum memory of the records in bytes, as counted by {@link #bytes}
    */
-  LogQueue(int mostLines, int mostBytes) {
-    checkArgument(mostLines > 0, "mostLines is not positive: %s", mostLines);
-    checkArgument(mostBytes > 0, "mostBytes is not positive: %s", mostBytes);
-    this.maxLines = mostLines;
-    this.maxBytes = mostBytes;
+  LogQueue(int maxLines, int maxBytes) {
+    checkArgument(maxLines > 0, "maxLines is not positive: %s", maxLines);
+    checkArgument(maxBytes > 0, "maxBytes is not positive: %s", maxBytes);
+    this.maxLines = maxLines;
+    this.maxBytes = maxBytes;
     this.recordsBySeverity =
         ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
   }
 
-  /** Returns the memory that a record is counted with, in bytes. */
+  /** Returns the memory counted for a record, in bytes. */
   static int bytes(LogRecord logRecord) {
     return RECORD_OVERHEAD_BYTES + BYTES_PER_CHARACTER * logRecord.getMessage().length();
   }
 
-  /** Adds a record behind all others, or drops it, or drops others for it. */
+  /** Adds a record at the end. If the queue is full, drops lower-severity records or this one. */
   void add(LogRecord logRecord) {
     Queued added = new Queued(nextSequence++, logRecord, bytes(logRecord));
-    Severity rank = Severity.of(logRecord);
+    Severity severity = Severity.of(logRecord);
     while (lines + 1 > maxLines || added.bytes() > maxBytes - bytes) {
-      if (added.bytes() > maxBytes || !dropLowerSeverity(rank)) {
+      if (added.bytes() > maxBytes || !dropLowerSeverity(severity)) {
         drop(added);
         return;
       }
     }
-    recordsBySeverity.get(rank.ordinal()).addLast(added);
+    recordsBySeverity.get(severity.ordinal()).addLast(added);
     lines++;
     bytes += added.bytes();
   }
 
-  private boolean dropLowerSeverity(Severity rank) {
-    for (int lower = Severity.INFO.ordinal(); lower > rank.ordinal(); lower--) {
+  private boolean dropLowerSeverity(Severity severity) {
+    for (int lower = Severity.INFO.ordinal(); lower > severity.ordinal(); lower--) {
       if (!recordsBySeverity.get(lower).isEmpty()) {
         drop(subtract(recordsBySeverity.get(lower).removeLast()));
         return true;
@@ -134,10 +135,14 @@
     droppedRecords.add(dropped);
   }
 
-  /** Returns the oldest records, at most so many, and removes them. */
-  List<LogRecord> take(int most) {
-    List<LogRecord> taken = new ArrayList<>(Math.min(most, lines + 1));
-    while (taken.size() < most && !isEmpty()) {
+  /**
+   * Removes and returns the oldest records.
+   *
+   * @param maxRecords the maximum number of records to return
+   */
+  List<LogRecord> take(int maxRecords) {
+    List<LogRecord> taken = new ArrayList<>(Math.min(maxRecords, lines + 1));
+    while (taken.size() < maxRecords && !isEmpty()) {
       taken.add(takeOldest());
     }
     return taken;
@@ -152,9 +157,9 @@
     }
     if (droppedRecords != null
         && (oldest == null || droppedRecords.firstSequence < firstSequence(oldest))) {
-      LogRecord told = droppedRecords.toLogRecord();
+      LogRecord report = droppedRecords.toLogRecord();
       droppedRecords = null;
-      return told;
+      return report;
     }
     return subtract(oldest.removeFirst()).logRecord();
   }
@@ -169,12 +174,12 @@
     return removed;
   }
 
-  /** Returns whether there is nothing to take. */
+  /** Returns whether there are neither records nor dropped records to report. */
   boolean isEmpty() {
     return lines == 0 && droppedRecords == null;
   }
 
-  /** Returns whether half of the room is taken. */
+  /** Returns whether half of the record or byte limit is used. */
   boolean isHalfFull() {
     return lines >= maxLines / 2 || bytes >= maxBytes / 2;
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/AggregatingLogTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/AggregatingLogTest.java
@@ -15,7 +15,7 @@
 class AggregatingLogTest {
   private static final long WINDOW_NANOS = 1_000;
 
-  /** Runs what is due when its time is moved on. */
+  /** Runs scheduled tasks when its time is advanced. */
   private static final class FakeTimer implements AggregatingLog.Timer {
     private record Due(long at, Runnable task) {}
 
@@ -90,17 +90,19 @@
     assertEquals(2, written.size());
   }
 
-  /** Refusals for a minute on end: one line a span, and none is lost from the count. */
+  /**
+   * A kind that repeats for 60 windows writes one line per window, and counts include all lines.
+   */
   @Test
   void continuousKindHasOneLinePerWindowAndAllLinesAreCounted() {
-    int told = 0;
+    int logged = 0;
     for (long now = 0; now < 60 * WINDOW_NANOS; now += WINDOW_NANOS / 25) {
       timer.advanceTo(now);
-      log("room", ++told);
+      log("room", ++logged);
     }
     timer.advanceTo(100 * WINDOW_NANOS);
     assertTrue(written.size() <= 61, written.size() + " lines");
-    assertEquals(told, written.stream().mapToInt(AggregatingLogTest::aggregatedLines).sum());
+    assertEquals(logged, written.stream().mapToInt(AggregatingLogTest::aggregatedLines).sum());
   }
 
   @Test
