--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CommandFailure.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CommandFailure.java
@@ -3,7 +3,8 @@
 import io.marigoldsail.error.Failure;
 
 /**
- * Ends a command with a line for the operator and an exit code; caught by the command line only.
+ * Aborts a command with an error line for the operator and an exit code. Only the command line
+ * catches it.
  */
 final class CommandFailure extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -20,8 +21,8 @@
         failure.retryAfterMillis() > 0
             ? " (ask again in " + failure.retryAfterMillis() + " ms)"
             : "";
-    String line = failure.kind().code() + ": " + failure.detail() + retry;
-    return new CommandFailure(ExitCode.of(failure), line);
+    String message = failure.kind().code() + ": " + failure.detail() + retry;
+    return new CommandFailure(ExitCode.of(failure), message);
   }
 
   ExitCode exitCode() {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What every command that asks an entry takes and needs. */
+/** Options and helpers of every command that sends requests to an entry. */
 final class ConnectionOptions {
   @Option(
       names = {"-e", "--entries"},
@@ -25,17 +25,17 @@
       defaultValue = "${env:MARIGOLDSAIL_ENTRIES}",
       paramLabel = "HOST:PORT",
       description =
-          "Operators' addresses of entries, tried in turn; also from MARIGOLDSAIL_ENTRIES.")
+          "Operators' addresses of entries, tried in order; default: MARIGOLDSAIL_ENTRIES.")
   private List<String> entries = new ArrayList<>();
 
-  @Option(names = "--json", description = "Answer in JSON, one document a line, for scripts.")
+  @Option(names = "--json", description = "Print JSON, one document per line, for scripts.")
   private boolean json;
 
   @Option(
       names = "--timeout",
       defaultValue = "15000",
       paramLabel = "MILLIS",
-      description = "How long to wait for one answer, in milliseconds (${DEFAULT-VALUE}).")
+      description = "Timeout of one request, in milliseconds (${DEFAULT-VALUE}).")
   private long timeoutMillis;
 
   @Spec(Spec.Target.MIXEE)
@@ -83,7 +83,10 @@
     return new CommandLine.ParameterException(command.commandLine(), message);
   }
 
-  /** Returns the value, or ends the command with the failure's line and exit code. */
+  /** Returns the value.
+   *
+   * @throws CommandFailure with the failure's message and exit code if there is no value
+   */
   static <T> T require(Result<T> result) {
     if (result instanceof Result.Failed<T> failed) {
       throw CommandFailure.of(failed.failure());
@@ -99,7 +102,7 @@
     }
   }
 
-  /** Reads a file that has to hold JSON; an error names file, line and column. */
+  /** Reads a JSON file; a parse error names file, line and column. */
   static JsonNode readJson(Path file) {
     Result<JsonNode> parsed = Json.parse(file.toString(), readFile(file));
     if (parsed instanceof Result.Failed<JsonNode> failed) {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
@@ -29,12 +29,12 @@
     body.set("content", ConnectionOptions.readJson(path));
     try (OperatorClient client = connection.connect()) {
       byte[] bytes = Json.bytes(body);
-      JsonNode answer = ConnectionOptions.require(client.post("/configuration/diff", bytes));
+      JsonNode response = ConnectionOptions.require(client.post("/configuration/diff", bytes));
       if (connection.json()) {
-        connection.printJson(answer);
+        connection.printJson(response);
         return ExitCode.OK.code();
       }
-      answer.path("sites").forEach(this::print);
+      response.path("sites").forEach(this::print);
       return ExitCode.OK.code();
     }
   }
@@ -42,12 +42,12 @@
   private void print(JsonNode site) {
     String name = site.path("site").asText();
     boolean base = name.equals("base");
-    String where = base ? "sites without an overlay" : "site " + name;
+    String scope = base ? "sites without an overlay" : "site " + name;
     if (site.path("changes").isEmpty()) {
-      connection.print(where + ": no change");
+      connection.print(scope + ": no change");
       return;
     }
-    connection.print(where + ":");
+    connection.print(scope + ":");
     Table table = new Table("  KEY", "BEFORE", "SET BY", "AFTER", "SET BY");
     for (JsonNode change : site.path("changes")) {
       table.add(
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/EventLines.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/EventLines.java
@@ -7,7 +7,7 @@
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 
-/** Events as lines for people. Stateless. */
+/** Formats events as lines of text. Stateless. */
 final class EventLines {
   private static final DateTimeFormatter TIME =
       DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExitCode.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExitCode.java
@@ -3,21 +3,24 @@
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
 
-/** The closed list of exit codes; the operators' page shows it. */
+/**
+ * The exit codes of the command line, a closed set. The operators' documentation lists the same
+ * codes and meanings; a test compares them.
+ */
 public enum ExitCode {
-  /** Done. */
+  /** The command succeeded. */
   OK(0, "done"),
-  /** A fault of this software. */
+  /** Internal error, a fault of this software. */
   INTERNAL(1, "a fault of this software"),
-  /** Wrong arguments, or a file that cannot be read or is no JSON. */
+  /** Invalid arguments, or a file that is unreadable or not JSON. */
   USAGE(2, "wrong arguments, or a file that cannot be read or is no JSON"),
-  /** Refused; the same again is refused again. */
+  /** Rejected; repeating the same command fails again. */
   REFUSED(3, "refused; correct it, the same again is refused again"),
-  /** Not done; ask again later. */
+  /** Not executed; may be retried later. */
   TRY_LATER(4, "not done: no entry answers, or all are full or stopping; ask again later"),
-  /** Nobody knows whether it was done; asking the same again tells. */
+  /** The outcome is unknown; repeating the command is safe and shows it. */
   OUTCOME_UNKNOWN(5, "may have been done; asking the same again tells and does it once"),
-  /** Done, but what {@code --wait} waits for has not come in time. */
+  /** Done, but the condition of {@code --wait} was not reached before its timeout. */
   NOT_YET(6, "done, but what --wait waits for has not come in time"),
   /** The job ended with failed or cancelled tasks. */
   TASKS_FAILED(7, "the job ended with failed or cancelled tasks");
@@ -30,17 +33,17 @@
     this.meaning = meaning;
   }
 
-  /** Returns the number that the shell sees. */
+  /** Returns the process exit status. */
   public int code() {
     return code;
   }
 
-  /** Returns what the code tells, in words. */
+  /** Returns the meaning in words, as in the usage message. */
   public String meaning() {
     return meaning;
   }
 
-  /** Returns the code for a failure that an entry answered. */
+  /** Returns the exit code for a failure returned by an entry. */
   static ExitCode of(Failure failure) {
     if (failure.kind() == ErrorKind.INTERNAL) {
       return INTERNAL;
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
@@ -21,7 +21,7 @@
 @Command(
     name = "explain",
     mixinStandardHelpOptions = true,
-    description = "Tells where a task or request is, why, and what happened to it.")
+    description = "Shows the state of a task or request, the reason for it, and its events.")
 final class ExplainCommand implements Callable<Integer> {
   @Mixin private ConnectionOptions connection;
 
@@ -36,7 +36,7 @@
       names = "--logs",
       arity = "1..*",
       paramLabel = "FILE",
-      description = "Tell it from collected logs of all processes; - is standard input.")
+      description = "Use collected logs of all processes instead of entries; - is standard input.")
   private List<String> logs = new ArrayList<>();
 
   @Override
@@ -68,12 +68,12 @@
 
   private int tellFromLogs() {
     List<LogEntry> entries = ProfileCommand.read(logs);
-    ImmutableList<LogEntry> story = LogStory.of(subject, entries);
-    if (story.isEmpty()) {
+    ImmutableList<LogEntry> sorted = LogStory.of(subject, entries);
+    if (sorted.isEmpty()) {
       throw new CommandFailure(
           ExitCode.REFUSED, "none of " + entries.size() + " log lines tells of " + subject);
     }
-    story.forEach(this::tell);
+    sorted.forEach(this::tell);
     return ExitCode.OK.code();
   }
 
@@ -99,16 +99,16 @@
     return new TimelineReader(client, filter, connection.err()::println).readNew();
   }
 
-  private void tell(JsonNode found, List<TimedEvent> events) {
+  private void tell(JsonNode description, List<TimedEvent> events) {
     if (connection.json()) {
       ObjectNode node = Json.object();
-      node.set("subject", found);
+      node.set("subject", description);
       ArrayNode list = node.putArray("events");
       events.forEach(event -> list.add(EventJson.write(event)));
       connection.printJson(node);
       return;
     }
-    found
+    description
         .properties()
         .forEach(
             field -> {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FilterOptions.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FilterOptions.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import picocli.CommandLine.Option;
 
-/** Which events of the time line are wanted. */
+/** Options that select events of the event timeline. */
 final class FilterOptions {
   @Option(
       names = "--request",
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FollowMerge.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FollowMerge.java
@@ -6,34 +6,34 @@
 import java.util.List;
 
 /**
- * Puts the events of repeated reads into one causal order.
+ * Merges the events of repeated reads into one causal order.
  *
- * <p>Processes are read one after the other, so a read may hold an effect and miss its cause, which
- * was recorded after its process was read. Printed at once, the cause would follow its effect.
- * Every process says with its events up to which stamp it has told all; an event is held until all
- * of them have told all up to its own. Not safe for use by several threads.
+ * <p>Processes are read one after the other, so a read may contain an effect without its cause if
+ * the cause was recorded after its process was read. To keep causes first, an event is buffered
+ * until every process has reported all of its events up to the timestamp of that event. Not
+ * thread-safe.
  */
 final class FollowMerge {
   private List<TimedEvent> held = new ArrayList<>();
 
   /**
-   * Takes what a read gave and returns what may be shown by now, in causal order.
+   * Adds the events of a read and returns the events that are now complete, in causal order.
    *
-   * @param completeUpTo the stamp up to which all events of all processes have been read
+   * @param completeUpTo the timestamp up to which all events of all processes have been read
    */
   List<TimedEvent> add(List<TimedEvent> read, long completeUpTo) {
     held.addAll(read);
     Collections.sort(held);
-    int ready = 0;
-    while (ready < held.size() && held.get(ready).stamp() <= completeUpTo) {
-      ready++;
+    int releasable = 0;
+    while (releasable < held.size() && held.get(releasable).stamp() <= completeUpTo) {
+      releasable++;
     }
-    List<TimedEvent> shown = List.copyOf(held.subList(0, ready));
-    held = new ArrayList<>(held.subList(ready, held.size()));
-    return shown;
+    List<TimedEvent> released = List.copyOf(held.subList(0, releasable));
+    held = new ArrayList<>(held.subList(releasable, held.size()));
+    return released;
   }
 
-  /** Returns what is still held, in causal order. */
+  /** Returns and removes all buffered events, in causal order. */
   List<TimedEvent> flush() {
     return add(List.of(), Long.MAX_VALUE);
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
@@ -10,7 +10,7 @@
 @Command(
     name = "history",
     mixinStandardHelpOptions = true,
-    description = "Shows who published what; publish --from-revision rolls forward to one of them.")
+    description = "Shows all published revisions; publish --from-revision publishes one again.")
 final class HistoryCommand implements Callable<Integer> {
   @Mixin private ConnectionOptions connection;
 
@@ -20,13 +20,13 @@
   @Override
   public Integer call() {
     try (OperatorClient client = connection.connect()) {
-      JsonNode answer = ConnectionOptions.require(client.get("/configuration/history"));
+      JsonNode response = ConnectionOptions.require(client.get("/configuration/history"));
       if (connection.json()) {
-        connection.printJson(answer);
+        connection.printJson(response);
         return ExitCode.OK.code();
       }
       Table table = new Table("REVISION", "FILE", "WHEN", "AUTHOR", "CONTENT", "NOTE");
-      for (JsonNode version : answer.path("versions")) {
+      for (JsonNode version : response.path("versions")) {
         if (file == null || file.equals(version.path("file").asText())) {
           table.add(
               version.path("revision").asText(),
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/JobLines.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/JobLines.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.List;
 
-/** Jobs as lines for people. Stateless. */
+/** Formats jobs as lines of text. Stateless. */
 final class JobLines {
   private JobLines() {}
 
@@ -53,7 +53,7 @@
   }
 
   static ExitCode outcome(JsonNode job) {
-    boolean whole = job.path("failed").asInt() == 0 && job.path("cancelled").asInt() == 0;
-    return whole ? ExitCode.OK : ExitCode.TASKS_FAILED;
+    boolean allDone = job.path("failed").asInt() == 0 && job.path("cancelled").asInt() == 0;
+    return allDone ? ExitCode.OK : ExitCode.TASKS_FAILED;
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/MarigoldsailCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/MarigoldsailCommand.java
@@ -8,12 +8,12 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The operators' command-line tool; {@code marigoldsail help COMMAND} tells of each command. */
+/** The operators' command-line tool; {@code marigoldsail help COMMAND} describes each command. */
 @Command(
     name = "marigoldsail",
     mixinStandardHelpOptions = true,
     version = "marigoldsail 0.1.0",
-    description = "Publishes configuration, runs jobs and shows what marigoldsail does.",
+    description = "Publishes configuration, runs jobs and shows the state of marigoldsail.",
     subcommands = {
       PublishCommand.class,
       ShowCommand.class,
@@ -32,7 +32,7 @@
 public final class MarigoldsailCommand {
   private MarigoldsailCommand() {}
 
-  /** Runs the tool and ends the Java virtual machine with its {@link ExitCode}. */
+  /** Runs the tool and exits the JVM with its {@link ExitCode}. */
   public static void main(String[] arguments) {
     java.util.logging.Logger.getLogger("org.eclipse.jetty")
         .setLevel(java.util.logging.Level.SEVERE);
@@ -68,7 +68,7 @@
     return codes;
   }
 
-  /** One line is enough: the whole usage would push the error out of sight. */
+  /** Prints one line only: the full usage message would scroll the error off the screen. */
   private static int explainUsage(CommandLine.ParameterException error, String[] arguments) {
     CommandLine commandLine = error.getCommandLine();
     String name = commandLine.getCommandSpec().qualifiedName();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
@@ -22,11 +22,10 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Asks entries at their operators' addresses, one after the other until one answers.
+ * Sends requests to the operators' addresses of entries, one after the other until one responds.
  *
- * <p>Goes on to the next entry only where asking twice is harmless: nothing was sent, the entry
- * said "not run" because it is stopping, or the request only reads. Not safe for use by several
- * threads.
+ * <p>Fails over to the next entry only where a repeated request is safe: nothing was sent, the entry
+ * reported "not run" because it is shutting down, or the request only reads. Not thread-safe.
  */
 final class OperatorClient implements AutoCloseable {
   private static final int STATUS_OK_LIMIT = 300;
@@ -49,19 +48,18 @@
     try {
       http.start();
     } catch (Exception e) {
-      throw new IllegalStateException("the HTTP client does not start", e);
+      throw new IllegalStateException("cannot start the HTTP client", e);
     }
   }
 
-  /** Returns the answer of the first entry that gives one. */
+  /** Returns the response of the first entry that responds. */
   Result<JsonNode> get(String pathAndQuery) {
     return ask("GET", pathAndQuery, Optional.empty());
   }
 
   /**
-   * Returns the answer, or empty if there is none just now. For questions that are asked again and
-   * again: one entry that dies meanwhile, or the next one being behind it, must not end a wait for
-   * something that was accepted.
+   * Returns the response, or empty if the request failed. For polling: an entry that fails in the
+   * meantime, or another entry whose state is older, must not abort a wait for an accepted change.
    */
   Optional<JsonNode> tryGet(String pathAndQuery) {
     return get(pathAndQuery) instanceof Result.Ok<JsonNode> ok
@@ -86,15 +84,15 @@
       }
       ErrorKind kind = failed.failure().kind();
       boolean notRun = kind == ErrorKind.TARGET_UNREACHABLE || kind == ErrorKind.SHUTTING_DOWN;
-      boolean lost = kind == ErrorKind.OUTCOME_UNKNOWN && method.equals("GET");
-      if (!notRun && !lost) {
+      boolean outcomeUnknown = kind == ErrorKind.OUTCOME_UNKNOWN && method.equals("GET");
+      if (!notRun && !outcomeUnknown) {
         return last;
       }
     }
     return last;
   }
 
-  /** Returns the answer of one process. */
+  /** Returns the response of one process. */
   Result<JsonNode> askOne(
       HostPort process, String method, String pathAndQuery, Optional<byte[]> body) {
     Request request =
@@ -146,7 +144,7 @@
     try {
       http.stop();
     } catch (Exception e) {
-      throw new IllegalStateException("the HTTP client does not stop", e);
+      throw new IllegalStateException("cannot stop the HTTP client", e);
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ProfileCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ProfileCommand.java
@@ -18,7 +18,7 @@
 @Command(
     name = "profile",
     mixinStandardHelpOptions = true,
-    description = "Tells from collected logs where the time of workflows goes, by queue.")
+    description = "Shows from collected logs how workflows spend their time, by queue.")
 final class ProfileCommand implements Callable<Integer> {
   @Parameters(
       arity = "1..*",
@@ -52,9 +52,9 @@
     }
   }
 
-  private static void print(PrintWriter out, String what, Times times) {
+  private static void print(PrintWriter out, String label, Times times) {
     out.printf(
         "  %-16s %6d  median %7d ms  p95 %7d ms%n",
-        what, times.count(), times.medianMillis(), times.p95Millis());
+        label, times.count(), times.medianMillis(), times.p95Millis());
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/PublishCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/PublishCommand.java
@@ -15,7 +15,7 @@
 @Command(
     name = "publish",
     mixinStandardHelpOptions = true,
-    description = "Publishes the base or a site's overlay; unchanged content is no new revision.")
+    description = "Publishes the base or a site's overlay; unchanged content creates no revision.")
 final class PublishCommand implements Callable<Integer> {
   @Mixin private ConnectionOptions connection;
 
@@ -32,25 +32,25 @@
   @Option(
       names = "--from-revision",
       paramLabel = "N",
-      description = "Publish the content that revision N gave this file, as a new revision.")
+      description = "Publish the content of this file at revision N as a new revision.")
   private Long fromRevision;
 
   @Option(
       names = "--expect",
       paramLabel = "N",
-      description = "Refuse if the file was changed since revision N, which you worked from.")
+      description = "Fail if the file was changed after revision N, the one that you edited.")
   private Long expectedRevision;
 
-  @Option(names = "--note", defaultValue = "", description = "Why; kept in the history.")
+  @Option(names = "--note", defaultValue = "", description = "Reason, kept in the history.")
   private String note;
 
   @Option(
       names = "--author",
       defaultValue = "${sys:user.name}",
-      description = "Who publishes (${DEFAULT-VALUE}).")
+      description = "Author (${DEFAULT-VALUE}).")
   private String author;
 
-  @Option(names = "--check", description = "Only check; publish nothing.")
+  @Option(names = "--check", description = "Only validate; do not publish.")
   private boolean checkOnly;
 
   @Option(names = "--wait", description = "Wait until it is in force in every live process.")
@@ -70,15 +70,15 @@
     }
     try (OperatorClient client = connection.connect()) {
       byte[] content = Json.bytes(content(client));
-      JsonNode answer = ConnectionOptions.require(client.post(route(), content));
+      JsonNode response = ConnectionOptions.require(client.post(route(), content));
       if (checkOnly) {
-        report(answer, file + " may be published at revision " + answer.path("revision"));
+        report(response, file + " may be published at revision " + response.path("revision"));
         return ExitCode.OK.code();
       }
-      boolean changed = answer.path("changed").asBoolean();
-      long revision = answer.path("revision").asLong();
+      boolean changed = response.path("changed").asBoolean();
+      long revision = response.path("revision").asLong();
       String accepted = changed ? "accepted as revision " + revision : "unchanged";
-      report(answer, file + " " + accepted);
+      report(response, file + " " + accepted);
       return wait ? awaitInForce(client, revision).code() : ExitCode.OK.code();
     }
   }
@@ -108,9 +108,9 @@
 
   private String route() {
     List<String> query = new ArrayList<>();
-    String why = note.isEmpty() && fromRevision != null ? "as in revision " + fromRevision : note;
+    String fullNote = note.isEmpty() && fromRevision != null ? "as in revision " + fromRevision : note;
     query.add("author=" + ConnectionOptions.encode(author));
-    query.add("note=" + ConnectionOptions.encode(why));
+    query.add("note=" + ConnectionOptions.encode(fullNote));
     if (expectedRevision != null) {
       query.add("expectedRevision=" + expectedRevision);
     }
@@ -126,7 +126,7 @@
             () ->
                 client
                     .tryGet("/configuration/in-force")
-                    .filter(answer -> answer.path("everywhere").asLong() >= revision),
+                    .filter(response -> response.path("everywhere").asLong() >= revision),
             waitTimeoutMillis);
     if (reached.isPresent()) {
       int processes = reached.get().path("processes").size();
@@ -136,18 +136,18 @@
     JsonNode last = ConnectionOptions.require(client.get("/configuration/in-force"));
     List<String> behind = new ArrayList<>();
     for (JsonNode process : last.path("processes")) {
-      long has = process.path("revision").asLong();
-      if (has < revision) {
-        behind.add(process.path("process").asText() + " (at revision " + has + ")");
+      long current = process.path("revision").asLong();
+      if (current < revision) {
+        behind.add(process.path("process").asText() + " (at revision " + current + ")");
       }
     }
     report(last, "not yet in force in " + String.join(", ", behind));
     return ExitCode.NOT_YET;
   }
 
-  private void report(JsonNode answer, String line) {
+  private void report(JsonNode response, String line) {
     if (connection.json()) {
-      connection.printJson(answer);
+      connection.printJson(response);
     } else {
       connection.print(line);
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ShowCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ShowCommand.java
@@ -49,24 +49,24 @@
 
   private void showFile(OperatorClient client) {
     String route = "/configuration/" + ConnectionOptions.encode(file);
-    JsonNode answer = ConnectionOptions.require(client.get(route));
+    JsonNode response = ConnectionOptions.require(client.get(route));
     if (connection.json()) {
-      connection.printJson(answer);
+      connection.printJson(response);
     } else {
-      connection.err().println("revision " + answer.path("revision"));
-      connection.print(Json.writePretty(answer.path("content")));
+      connection.err().println("revision " + response.path("revision"));
+      connection.print(Json.writePretty(response.path("content")));
     }
   }
 
-  private void show(JsonNode answer) {
+  private void show(JsonNode response) {
     if (connection.json()) {
-      connection.printJson(answer);
+      connection.printJson(response);
       return;
     }
-    connection.print("revision " + answer.path("revision") + " is in force");
+    connection.print("revision " + response.path("revision") + " is in force");
     if (site == null) {
       Table files = new Table("FILE", "CHANGED IN");
-      answer
+      response
           .path("files")
           .properties()
           .forEach(entry -> files.add(entry.getKey(), "revision " + entry.getValue()));
@@ -74,7 +74,7 @@
       return;
     }
     Table rows = new Table("KEY", "VALUE", "SET BY");
-    for (JsonNode row : answer.path("rows")) {
+    for (JsonNode row : response.path("rows")) {
       if (row.path("key").asText().startsWith(prefix)) {
         rows.add(row.path("key").asText(), row.path("value").asText(), row.path("source").asText());
       }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
@@ -30,19 +30,19 @@
     }
   }
 
-  private void one(JsonNode answer) {
+  private void one(JsonNode response) {
     if (connection.json()) {
-      connection.printJson(answer);
+      connection.printJson(response);
     } else {
-      connection.print(JobLines.line(answer));
+      connection.print(JobLines.line(response));
     }
   }
 
   private void all(OperatorClient client) {
     JsonNode members = ConnectionOptions.require(client.get("/members")).path("processes");
     JsonNode inForce = ConnectionOptions.require(client.get("/configuration/in-force"));
-    JsonNode answer = ConnectionOptions.require(client.get("/jobs"));
-    JsonNode jobs = answer.isArray() ? answer : answer.path("jobs");
+    JsonNode response = ConnectionOptions.require(client.get("/jobs"));
+    JsonNode jobs = response.isArray() ? response : response.path("jobs");
     if (connection.json()) {
       ObjectNode node = Json.object();
       node.set("processes", members);
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Table.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Table.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lays rows out in columns. Not safe for use by several threads. */
+/** Aligns rows in columns. Not thread-safe. */
 final class Table {
   private final List<List<String>> rows = new ArrayList<>();
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
@@ -19,14 +19,14 @@
 
   @Option(
       names = {"-f", "--follow"},
-      description = "Go on with new events until interrupted.")
+      description = "Continue with new events until interrupted.")
   private boolean follow;
 
   @Option(
       names = "--follow-for",
       defaultValue = "9223372036854775807",
       paramLabel = "MILLIS",
-      description = "End --follow by itself after so many milliseconds.")
+      description = "Stop --follow after this time, in milliseconds.")
   private long followMillis;
 
   @Option(names = "--last", paramLabel = "N", description = "Only the last N events.")
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
@@ -19,8 +19,8 @@
 /**
  * Reads the events of all processes and merges them in causal order.
  *
- * <p>A process that does not answer is told of and passed over: its last decisions are in the log
- * and in the events of the others. Not safe for use by several threads.
+ * <p>A process that does not respond is skipped with a warning: its last decisions are in the log
+ * and in the events of other processes. Not thread-safe.
  */
 final class TimelineReader {
   private static final int PAGE = 2_000;
@@ -49,7 +49,7 @@
     return events;
   }
 
-  /** Returns the stamp up to which all processes that answer have told all of their events. */
+  /** Returns the timestamp up to which all responding processes have reported all of their events. */
   long completeUpTo() {
     return completeUpTo.values().stream().mapToLong(stamp -> stamp).min().orElse(Long.MAX_VALUE);
   }
@@ -67,25 +67,25 @@
   private void readProcess(String process, HostPort address, List<TimedEvent> events) {
     boolean more = true;
     while (more) {
-      Place place = places.getOrDefault(process, new Place(0, 0));
+      Place position = places.getOrDefault(process, new Place(0, 0));
       String route =
-          "/events?after=" + place.next() + "&limit=" + PAGE + FilterOptions.query(filter);
-      Result<EventPage> answer =
+          "/events?after=" + position.next() + "&limit=" + PAGE + FilterOptions.query(filter);
+      Result<EventPage> response =
           client.askOne(address, "GET", route, Optional.empty()).then(EventJson::read);
-      if (answer instanceof Result.Failed<EventPage> failed) {
+      if (response instanceof Result.Failed<EventPage> failed) {
         warnings.accept("no events of " + process + ": " + failed.failure().detail());
         completeUpTo.remove(process);
         return;
       }
-      EventPage page = answer.value();
-      boolean anew = place.incarnation() != 0 && place.incarnation() != page.incarnation();
-      if (anew && place.next() != 0) {
-        // Numbers of the earlier incarnation mean nothing to this one: read it from its start.
+      EventPage page = response.value();
+      boolean restarted = position.incarnation() != 0 && position.incarnation() != page.incarnation();
+      if (restarted && position.next() != 0) {
+        // Event numbers restart with each incarnation, so read the new one from its beginning.
         places.put(process, new Place(page.incarnation(), 0));
         continue;
       }
-      // What gave way before the first read is no loss of this reader.
-      if (page.lost() > 0 && place.next() > 0) {
+      // Events evicted before the first read are not lost by this reader.
+      if (page.lost() > 0 && position.next() > 0) {
         warnings.accept(page.lost() + " events of " + process + " gave way before being read");
       }
       places.put(process, new Place(page.incarnation(), page.next()));
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Waiting.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Waiting.java
@@ -9,32 +9,33 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 
-/** Asks again and again until there is an answer. Stateless, safe for any thread. */
+/** Polls until a value is available. Stateless and thread-safe. */
 final class Waiting {
   private static final long PERIOD_MILLIS = 100;
 
   private Waiting() {}
 
   /**
-   * Returns the first value that the question gives, or empty if it gives none in time.
+   * Returns the first value that the supplier returns, or empty if there is none before the timeout
+   * or if the calling thread is interrupted.
    *
-   * @param question asked at once and then ten times a second, on another thread; what it throws is
-   *     thrown here
+   * @param supplier called immediately and then ten times a second, on another thread; its
+   *     exceptions are rethrown here
    */
-  static <T> Optional<T> until(Supplier<Optional<T>> question, long timeoutMillis) {
+  static <T> Optional<T> until(Supplier<Optional<T>> supplier, long timeoutMillis) {
     ScheduledExecutorService scheduler = Executors.newSingleThreadScheduledExecutor();
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    Runnable ask =
+    CompletableFuture<T> result = new CompletableFuture<>();
+    Runnable poll =
         () -> {
           try {
-            question.get().ifPresent(answer::complete);
+            supplier.get().ifPresent(result::complete);
           } catch (RuntimeException e) {
-            answer.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         };
     try {
-      var unused = scheduler.scheduleWithFixedDelay(ask, 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
-      return Optional.of(answer.get(timeoutMillis, TimeUnit.MILLISECONDS));
+      var unused = scheduler.scheduleWithFixedDelay(poll, 0, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+      return Optional.of(result.get(timeoutMillis, TimeUnit.MILLISECONDS));
     } catch (TimeoutException e) {
       return Optional.empty();
     } catch (InterruptedException e) {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/JettyLoadSender.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/JettyLoadSender.java
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** Sends requests of a plan over HTTP as a caller would. Safe for any thread. */
+/** Sends the requests of a load plan over HTTP as a caller would. Thread-safe. */
 final class JettyLoadSender implements LoadSender {
   private static final int STATUS_OK = 200;
   private static final int STATUS_OK_LIMIT = 300;
@@ -32,8 +32,8 @@
   /**
    * Creates a sender.
    *
-   * @param verifyEcho whether the answer to a POST has to be its body
-   * @param runId makes idempotency keys differ between runs
+   * @param verifyEcho whether the response to a POST must equal its body
+   * @param runId prefix of idempotency keys, different for each run
    */
   JettyLoadSender(HttpClient http, LoadPlan plan, boolean verifyEcho, String runId) {
     this.http = http;
@@ -48,7 +48,7 @@
 
   @Override
   public CompletableFuture<LoadAnswer> send(LoadRequest planned) {
-    CompletableFuture<LoadAnswer> answer = new CompletableFuture<>();
+    CompletableFuture<LoadAnswer> response = new CompletableFuture<>();
     Request request =
         http.newRequest(planned.url())
             .method(planned.idempotent() ? "GET" : "POST")
@@ -69,10 +69,10 @@
         new BufferingResponseListener(plan.bodyBytes() + EXTRA_ANSWER_BYTES) {
           @Override
           public void onComplete(Result result) {
-            answer.complete(judge(planned, result, getContent()));
+            response.complete(judge(planned, result, getContent()));
           }
         });
-    return answer;
+    return response;
   }
 
   private LoadAnswer judge(LoadRequest planned, Result result, byte[] content) {
@@ -81,8 +81,8 @@
     }
     int status = result.getResponse().getStatus();
     if (status >= STATUS_OK && status < STATUS_OK_LIMIT) {
-      boolean wrong = verifyEcho && !planned.idempotent() && !Arrays.equals(content, body);
-      return wrong ? LoadAnswer.WRONG_BODY : LoadAnswer.SERVED;
+      boolean mismatch = verifyEcho && !planned.idempotent() && !Arrays.equals(content, body);
+      return mismatch ? LoadAnswer.WRONG_BODY : LoadAnswer.SERVED;
     }
     String type = String.valueOf(result.getResponse().getHeaders().get(HttpHeader.CONTENT_TYPE));
     Optional<Failure> problem =
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
@@ -22,14 +22,14 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Makes load as callers do and reports what they got. */
+/** Generates load as callers would and reports the results. */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
     description = {
-      "Makes load as callers do and reports what they got.",
-      "Requests leave at their planned times, whether or not earlier ones were answered;",
-      "latency counts from the planned time. Ends by itself."
+      "Generates load as callers would and reports the results.",
+      "Requests are sent at their planned times, whether or not earlier ones were answered;",
+      "latency is measured from the planned time. Ends after the last response."
     })
 public final class LoadCommand implements Callable<Integer> {
   private static final int CLIENT_THREADS = 16;
@@ -39,7 +39,7 @@
   @Parameters(
       arity = "1..*",
       paramLabel = "URL",
-      description = "Where to send, in turn, such as http://127.0.0.1:8080/parking/lots.")
+      description = "URLs, used round robin, such as http://127.0.0.1:8080/parking/lots.")
   private List<String> urls;
 
   @Option(
@@ -52,10 +52,10 @@
       names = "--duration",
       defaultValue = "10000",
       paramLabel = "MILLIS",
-      description = "For how long, in milliseconds (${DEFAULT-VALUE}).")
+      description = "Duration of the run, in milliseconds (${DEFAULT-VALUE}).")
   private long durationMillis;
 
-  @Option(names = "--even", description = "At even distances instead of as a Poisson process.")
+  @Option(names = "--even", description = "Send at constant intervals instead of as a Poisson process.")
   private boolean evenly;
 
   @Option(
@@ -94,33 +94,33 @@
       names = "--keys",
       defaultValue = "0",
       paramLabel = "N",
-      description = "How many keys requests are about; 0 for none (${DEFAULT-VALUE}).")
+      description = "Number of distinct keys; 0 for requests without a key (${DEFAULT-VALUE}).")
   private int keys;
 
   @Option(
       names = "--key-skew",
       defaultValue = "0",
       paramLabel = "EXPONENT",
-      description = "Zipf exponent of the keys; 0 for all alike (${DEFAULT-VALUE}).")
+      description = "Zipf exponent of the keys; 0 for a uniform distribution (${DEFAULT-VALUE}).")
   private double keySkew;
 
   @Option(
       names = "--verify-echo",
-      description = "Count a POST as wrong-body unless the answer is its body.")
+      description = "Count a POST as wrong-body unless the response equals its body.")
   private boolean verifyEcho;
 
   @Option(
       names = "--max-open",
       defaultValue = "20000",
       paramLabel = "N",
-      description = "Open requests at most; more are counted and not sent (${DEFAULT-VALUE}).")
+      description = "Maximum of open requests; more are counted but not sent (${DEFAULT-VALUE}).")
   private int maxOpen;
 
   @Option(
       names = "--connections",
       defaultValue = "512",
       paramLabel = "N",
-      description = "Connections to one address at most (${DEFAULT-VALUE}).")
+      description = "Maximum of connections per address (${DEFAULT-VALUE}).")
   private int connections;
 
   @Option(names = "--seed", defaultValue = "1", description = "Seed of the random choices.")
@@ -130,10 +130,10 @@
       names = "--warmup",
       defaultValue = "0",
       paramLabel = "MILLIS",
-      description = "Do not report requests of the first so many milliseconds (${DEFAULT-VALUE}).")
+      description = "Time at the start that is not reported, in milliseconds (${DEFAULT-VALUE}).")
   private long warmupMillis;
 
-  @Option(names = "--quiet", description = "No progress while it runs.")
+  @Option(names = "--quiet", description = "Do not print progress.")
   private boolean quiet;
 
   @Option(names = "--json", description = "Report in JSON.")
@@ -141,7 +141,7 @@
 
   @Spec private CommandSpec command;
 
-  /** Creates the command; the command line fills it in. */
+  /** Creates the command; picocli sets its options. */
   public LoadCommand() {}
 
   @Override
@@ -227,22 +227,22 @@
             TimeUnit.MILLISECONDS);
   }
 
-  /** Every request has a timeout of its own, so all answers come in bounded time. */
+  /** Waits for all open requests; each has its own timeout, so the wait is bounded. */
   private void awaitAnswers(ScheduledExecutorService scheduler, LoadRun run)
       throws InterruptedException {
-    CountDownLatch allAnswered = new CountDownLatch(1);
+    CountDownLatch allCompleted = new CountDownLatch(1);
     var unused =
         scheduler.scheduleWithFixedDelay(
             () -> {
               if (run.open() == 0) {
-                allAnswered.countDown();
+                allCompleted.countDown();
               }
             },
             0,
             POLL_MILLIS,
             TimeUnit.MILLISECONDS);
-    long patience = 2 * (deadlineMillis + 5_000);
-    if (!allAnswered.await(patience, TimeUnit.MILLISECONDS)) {
+    long timeoutMillis = 2 * (deadlineMillis + 5_000);
+    if (!allCompleted.await(timeoutMillis, TimeUnit.MILLISECONDS)) {
       command.commandLine().getErr().println(run.open() + " requests are still open");
     }
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
@@ -6,21 +6,21 @@
 import java.util.Map;
 
 /**
- * What load is to be made.
+ * The parameters of a load run.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param urls where requests go, in turn
- * @param ratePerSecond how many requests leave in a second, on average
- * @param durationMillis for how long, in milliseconds
- * @param evenly whether requests leave at even distances; otherwise as a Poisson process
+ * @param urls the URLs, used round robin
+ * @param ratePerSecond the mean number of requests sent per second
+ * @param durationMillis the duration, in milliseconds
+ * @param evenly whether requests are sent at constant intervals; otherwise as a Poisson process
  * @param callers the callers and their weights
- * @param nonIdempotentShare which share of requests is a POST, 0 to 1
- * @param deadlineMillis the deadline that a request carries, in milliseconds
+ * @param nonIdempotentShare the fraction of POST requests, 0 to 1
+ * @param deadlineMillis the deadline of each request, in milliseconds
  * @param bodyBytes the length of a POST's body
- * @param keys how many different keys requests are about; 0 for none
- * @param keySkew the exponent of the keys' Zipf distribution; 0 for all alike
- * @param seed where the random choices start; the same seed gives the same requests
+ * @param keys the number of distinct keys; 0 for requests without a key
+ * @param keySkew the Zipf exponent of the key distribution; 0 for uniform
+ * @param seed the seed of random choices; the same seed gives the same requests
  */
 record LoadPlan(
     List<String> urls,
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRecord.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRecord.java
@@ -9,7 +9,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Counts answers by kind and keeps the latency of served ones. Safe for any thread. */
+/** Counts results by kind and records latencies. Thread-safe. */
 final class LoadRecord {
   private static final long HIGHEST_MICROS = TimeUnit.HOURS.toMicros(1);
   private static final int DIGITS = 3;
@@ -20,15 +20,15 @@
   private final Histogram refusals = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
 
   /**
-   * Notes an answer.
+   * Records a result.
    *
-   * @param plannedNanos when the request was to leave; latency counts from here
-   * @param sentNanos when it left, which is later if the tool was held up
-   * @param nowNanos when the answer was whole
+   * @param plannedNanos the planned send time, from which latency is measured
+   * @param sentNanos the actual send time, later than planned if the tool was delayed
+   * @param nowNanos when the response was complete
    */
-  void note(LoadAnswer answer, long plannedNanos, long sentNanos, long nowNanos) {
-    byKind.computeIfAbsent(answer.kind(), kind -> new LongAdder()).increment();
-    if (answer.served()) {
+  void note(LoadAnswer result, long plannedNanos, long sentNanos, long nowNanos) {
+    byKind.computeIfAbsent(result.kind(), kind -> new LongAdder()).increment();
+    if (result.served()) {
       fromPlan.recordValue(micros(nowNanos - plannedNanos));
       fromSend.recordValue(micros(nowNanos - sentNanos));
     } else {
@@ -55,7 +55,7 @@
     return served == null ? 0 : served.sum();
   }
 
-  /** Returns how many were refused as not run, which their callers may ask again. */
+  /** Returns the number of requests refused as not run, which callers may retry. */
   long refused() {
     long refused = 0;
     for (Map.Entry<String, Long> kind : byKind().entrySet()) {
@@ -73,12 +73,12 @@
     return fromPlan;
   }
 
-  /** Returns the latency of served requests from when they left, in microseconds. */
+  /** Returns the latency of served requests from their actual send time, in microseconds. */
   Histogram fromSend() {
     return fromSend;
   }
 
-  /** Returns how long those waited that were not served, in microseconds. */
+  /** Returns the latency of requests that were not served, in microseconds. */
   Histogram refusals() {
     return refusals;
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What a run showed, for people and for scripts. Immutable. */
+/** The results of a load run as text or JSON. Immutable. */
 final class LoadReport {
   private static final double MICROS_PER_MILLI = 1000;
   private static final double MILLIS_PER_SECOND = 1000;
@@ -21,8 +21,8 @@
   /**
    * Creates a report.
    *
-   * @param planned how many requests the plan had
-   * @param tookMillis how long the run took, up to the last answer
+   * @param planned the number of planned requests
+   * @param tookMillis the duration of the run up to the last response
    */
   LoadReport(long planned, long tookMillis, LoadRecord loadRecord) {
     this.planned = planned;
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRequest.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRequest.java
@@ -1,14 +1,14 @@
 package io.marigoldsail.cli.load;
 
 /**
- * One request of a plan.
+ * A planned request.
  *
- * @param sequence its number, from 0
- * @param atNanos when it is to leave, in nanoseconds from the start of the run
- * @param url where it goes
- * @param caller whose it is
+ * @param sequence its sequence number, from 0
+ * @param atNanos the planned send time, in nanoseconds since the start of the run
+ * @param url the URL
+ * @param caller the name of the caller
  * @param idempotent whether it is a GET; otherwise a POST
- * @param key what it is about; empty for nothing
+ * @param key the routing key; empty for none
  */
 record LoadRequest(
     long sequence, long atNanos, String url, String caller, boolean idempotent, String key) {}
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Carries a plan out: one thread sends, others note the answers.
+ * Runs a load plan: one thread sends requests, other threads record the results.
  *
- * <p>Bounded: a request that would leave more than the limit open is counted and not sent, so that
- * a system that never answers does not fill this process's memory.
+ * <p>Memory is bounded: a request over the limit of open requests is counted but not sent, so that
+ * a system that never responds cannot exhaust the memory of this process.
  */
 final class LoadRun {
   private final LoadSchedule schedule;
@@ -24,7 +24,7 @@
   /**
    * Creates a run.
    *
-   * @param warmupMillis requests that leave earlier than this are sent, but not reported
+   * @param warmupMillis requests planned before this time are sent but not reported
    */
   LoadRun(LoadSchedule schedule, LoadSender sender, Pacer pacer, int maxOpen, long warmupMillis) {
     this.schedule = schedule;
@@ -34,7 +34,7 @@
     this.warmupNanos = TimeUnit.MILLISECONDS.toNanos(warmupMillis);
   }
 
-  /** Sends all requests at their times; returns without waiting for the last answers. */
+  /** Sends all requests at their planned times; does not wait for the last responses. */
   void sendAll() {
     long start = pacer.nanos();
     Optional<LoadRequest> next = schedule.next();
@@ -47,32 +47,32 @@
     }
   }
 
-  /** Only the sending thread writes the counts, so a plain increment loses nothing. */
+  /** Only the sending thread writes the counters, so a non-atomic increment is safe. */
   @SuppressWarnings("NonAtomicVolatileUpdate")
   private void send(LoadRequest request, long planned) {
-    long leaves = pacer.nanos();
+    long sentNanos = pacer.nanos();
     sent++;
-    boolean counts = request.atNanos() >= warmupNanos;
-    if (counts) {
+    boolean isReported = request.atNanos() >= warmupNanos;
+    if (isReported) {
       reported++;
     }
     if (open.incrementAndGet() > maxOpen) {
       open.decrementAndGet();
-      note(counts, LoadAnswer.NOT_SENT, planned, leaves, leaves);
+      note(isReported, LoadAnswer.NOT_SENT, planned, sentNanos, sentNanos);
       return;
     }
     sender
         .send(request)
         .thenAccept(
-            answer -> {
-              note(counts, answer, planned, leaves, pacer.nanos());
+            result -> {
+              note(isReported, result, planned, sentNanos, pacer.nanos());
               open.decrementAndGet();
             });
   }
 
-  private void note(boolean counts, LoadAnswer answer, long planned, long leaves, long now) {
-    if (counts) {
-      loadRecord.note(answer, planned, leaves, now);
+  private void note(boolean isReported, LoadAnswer result, long planned, long sentNanos, long now) {
+    if (isReported) {
+      loadRecord.note(result, planned, sentNanos, now);
     }
   }
 
@@ -84,7 +84,7 @@
     return sent;
   }
 
-  /** Returns how many of the sent requests left after the warm-up. */
+  /** Returns the number of requests planned after the warm-up. */
   long reported() {
     return reported;
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSchedule.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSchedule.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.random.RandomGenerator;
 
-/** Draws the requests of a plan in the order in which they leave. Not safe for several threads. */
+/** Generates the requests of a plan in sending order. Not thread-safe. */
 final class LoadSchedule {
   private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Sends a request and tells how it ended; never throws, never fails the future. */
+/** Sends a request and completes the future with its result; never throws or fails the future. */
 @FunctionalInterface
 interface LoadSender {
   CompletableFuture<LoadAnswer> send(LoadRequest request);
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/Pacer.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/Pacer.java
@@ -4,18 +4,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Waits until a reading of its clock. */
+/** Waits for points in time of its clock. */
 interface Pacer {
-  /** Returns the present reading in nanoseconds. */
+  /** Returns the current time of the clock, in nanoseconds. */
   long nanos();
 
-  /** Returns once the reading is reached; at once if it is past. */
-  void awaitNanos(long reading);
+  /** Blocks until the given time; returns immediately if it has passed. */
+  void awaitNanos(long deadlineNanos);
 
-  /** Returns a pacer by the given clock that parks its thread, and spins for the last stretch. */
+  /** Returns a pacer for the given clock that parks the thread and busy-waits at the end. */
   static Pacer of(MonotonicClock clock) {
     return new Pacer() {
-      /** Parking overshoots by some 50 us; what is nearer than this is spun through. */
+      /** Parking overshoots by about 50 us, so shorter waits spin. */
       private static final long SPIN_NANOS = 60_000;
 
       private static final long LONGEST_PARK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -26,15 +26,15 @@
       }
 
       @Override
-      public void awaitNanos(long reading) {
-        long left = reading - clock.nanos();
-        while (left > 0) {
-          if (left > SPIN_NANOS) {
-            LockSupport.parkNanos(Math.min(left - SPIN_NANOS, LONGEST_PARK_NANOS));
+      public void awaitNanos(long deadlineNanos) {
+        long remaining = deadlineNanos - clock.nanos();
+        while (remaining > 0) {
+          if (remaining > SPIN_NANOS) {
+            LockSupport.parkNanos(Math.min(remaining - SPIN_NANOS, LONGEST_PARK_NANOS));
           } else {
             Thread.onSpinWait();
           }
-          left = reading - clock.nanos();
+          remaining = deadlineNanos - clock.nanos();
         }
       }
     };
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/package-info.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The open-loop load tool.
+ * The open-loop load generator.
  *
- * <p>Requests leave at their planned times whether or not earlier ones were answered, and latency
- * counts from the planned time: a system that stalls cannot slow the tool down and so hide how long
- * callers would have waited (coordinated omission).
+ * <p>Requests are sent at their planned times whether or not earlier ones have completed, and
+ * latency is measured from the planned time. Otherwise a stalled system would slow the generator
+ * down and hide the latency that callers would have seen (coordinated omission).
  */
 package io.marigoldsail.cli.load;
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogEntry.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogEntry.java
@@ -12,18 +12,18 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of a process's log: pairs of key and value.
+ * One line of a process's log, as key-value pairs.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param time by the clock of the process that wrote it
+ * @param time the timestamp by the clock of the process that wrote it
  * @param process the name of that process
- * @param event what it tells of
- * @param fields the other pairs of the event, in their order
+ * @param event the event name
+ * @param fields the remaining pairs, in their order
  */
 public record LogEntry(
     Instant time, String process, String event, ImmutableMap<String, String> fields) {
-  /** A key, then a bare value or one in quotation marks with backslashes before some characters. */
+  /** A key, then a bare value or a quoted value with backslash escapes. */
   private static final Pattern PAIR = Pattern.compile("(\\w+)=(\"((?:[^\"\\\\]|\\\\.)*)\"|\\S*)");
 
   private static final Pattern ESCAPED = Pattern.compile("\\\\(.)");
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Returns the entry of a line, or empty if it is none.
+   * Returns the entry parsed from a line, or empty if the line is not an entry.
    *
-   * <p>What a collector put before the line's own time is passed over.
+   * <p>Skips a prefix that a log collector put before the line's own timestamp.
    */
   public static Optional<LogEntry> parse(String line) {
     int begin = line.indexOf("time=");
@@ -68,20 +68,21 @@
     try {
       return Optional.of(Instant.parse(text));
     } catch (DateTimeParseException e) {
-      // A line of another program; it is passed over like any that is no entry.
+      // Not a line of this project: skipped like any other line that is not an entry.
       return Optional.empty();
     }
   }
 
-  /** Returns the run that the entry tells of, such as {@code ID.0.1.17#2}; empty if of none. */
+  /** Returns the run id of the entry, such as {@code ID.0.1.17#2}; empty if it has none. */
   public String run() {
     return fields.getOrDefault("run", "");
   }
 
   /**
-   * Returns whether the entry tells of the workflow, task or run, or of the workflow it is part of.
+   * Returns whether the entry is about the given workflow, task or run, or about the workflow that
+   * contains it.
    *
-   * @param subject an id as in the log: of a workflow, or a task or run of it
+   * @param subject the id of a workflow, task or run as written in the log
    */
   public boolean concerns(String subject) {
     String workflow = fields.getOrDefault("workflow", "");
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogFiles.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogFiles.java
@@ -10,13 +10,13 @@
 
 /** Reads collected logs. Stateless. */
 public final class LogFiles {
-  /** Stands for standard input in place of a file. */
+  /** The file name that denotes standard input. */
   private static final String STANDARD_INPUT = "-";
 
   private LogFiles() {}
 
   /**
-   * Returns the entries of the files, in their order; lines that are none are passed over.
+   * Returns the entries of the files in order; lines that are not entries are skipped.
    *
    * @throws IOException if a file cannot be read
    */
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogProfile.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogProfile.java
@@ -16,26 +16,26 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Where the time of workflows goes, by queue, from the logs of entries.
+ * Time spent by workflows, by queue, computed from the logs of entries.
  *
- * <p>All times are differences on one process's clock, so that clocks which differ do no harm: from
- * accepting to an order as its owner tells it, from an order to its end as the same owner saw both.
- * Runs that ended at another owner are counted and not timed.
+ * <p>Each duration is a difference on the clock of one process, so clock skew does not distort it:
+ * from acceptance to the start of a run as logged by its owner, and from the start of a run to its
+ * end as seen by the same owner. Runs that ended at another owner are counted but not timed.
  *
  * <p>Stateless.
  */
 public final class LogProfile {
-  /** Longer times are counted as this long, in milliseconds. */
+  /** The maximum recorded duration, in milliseconds; longer ones are clamped. */
   private static final long LONGEST_MILLIS = Duration.ofHours(24).toMillis();
 
   private static final int DIGITS = 3;
 
   /**
-   * The distribution of some times.
+   * A summary of a distribution of durations.
    *
-   * @param count how many there are
-   * @param medianMillis half are at most this long
-   * @param p95Millis all but a twentieth are at most this long
+   * @param count the number of durations
+   * @param medianMillis the median, in milliseconds
+   * @param p95Millis the 95th percentile, in milliseconds
    */
   public record Times(long count, long medianMillis, long p95Millis) {
     private static Times of(Histogram histogram) {
@@ -47,13 +47,13 @@
   }
 
   /**
-   * One queue.
+   * The profile of one queue.
    *
-   * @param name of the queue
-   * @param workflows how many had a task ordered
-   * @param tasks how many tasks had a run ordered
-   * @param firstOrder from accepting a workflow to the first order for it
-   * @param runs from an order to its end, by how it ended
+   * @param name the name of the queue
+   * @param workflows the number of workflows with a started run
+   * @param tasks the number of tasks with a started run
+   * @param firstOrder the time from acceptance of a workflow to its first start of a run
+   * @param runs the time from the start of a run to its end, by outcome
    */
   public record QueueProfile(
       String name, int workflows, int tasks, Times firstOrder, ImmutableMap<String, Times> runs) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** What is gathered of one queue. */
+  /** Accumulates the data of one queue. */
   private static final class Gathered {
     private final Set<String> workflows = new HashSet<>();
     private final Set<String> tasks = new HashSet<>();
@@ -87,12 +87,12 @@
   }
 
   private static void record(Histogram histogram, String millis) {
-    // Clocks of two entries may put an order before its accepting.
+    // With the skewed clocks of two entries, a start may precede the acceptance.
     long value = Math.max(0, Long.parseLong(millis));
     histogram.recordValue(Math.min(value, LONGEST_MILLIS));
   }
 
-  /** Returns a profile of each queue that had an order, by name. */
+  /** Returns a profile of each queue with a started run, sorted by name. */
   public static ImmutableList<QueueProfile> of(Collection<LogEntry> entries) {
     Map<String, Gathered> queues = new TreeMap<>();
     Map<String, Gathered> queueOfRun = new HashMap<>();
@@ -100,39 +100,39 @@
     for (LogEntry entry : entries) {
       if (entry.event().equals("run-ordered")) {
         String queue = entry.fields().getOrDefault("queue", "");
-        Gathered gathered = queues.computeIfAbsent(queue, unused -> new Gathered());
-        queueOfRun.put(entry.run(), gathered);
-        takeOrder(gathered, entry);
+        Gathered queueStatistics = queues.computeIfAbsent(queue, unused -> new Gathered());
+        queueOfRun.put(entry.run(), queueStatistics);
+        takeOrder(queueStatistics, entry);
       } else if (entry.event().equals("run-ended")) {
         ends.add(entry);
       }
     }
     for (LogEntry end : ends) {
-      Gathered gathered = queueOfRun.get(end.run());
-      if (gathered != null) {
-        takeEnd(gathered, end);
+      Gathered queueStatistics = queueOfRun.get(end.run());
+      if (queueStatistics != null) {
+        takeEnd(queueStatistics, end);
       }
     }
     ImmutableList.Builder<QueueProfile> profiles = ImmutableList.builder();
-    queues.forEach((name, gathered) -> profiles.add(gathered.profile(name)));
+    queues.forEach((name, queueStatistics) -> profiles.add(queueStatistics.profile(name)));
     return profiles.build();
   }
 
-  private static void takeOrder(Gathered gathered, LogEntry order) {
-    String run = order.run();
-    gathered.tasks.add(run.substring(0, Math.max(0, run.indexOf('#'))));
-    boolean first = gathered.workflows.add(run.substring(0, Math.max(0, run.indexOf('.'))));
-    String waited = order.fields().get("waited_ms");
+  private static void takeOrder(Gathered queueStatistics, LogEntry start) {
+    String run = start.run();
+    queueStatistics.tasks.add(run.substring(0, Math.max(0, run.indexOf('#'))));
+    boolean first = queueStatistics.workflows.add(run.substring(0, Math.max(0, run.indexOf('.'))));
+    String waited = start.fields().get("waited_ms");
     if (first && waited != null) {
-      record(gathered.firstOrder, waited);
+      record(queueStatistics.firstOrder, waited);
     }
   }
 
-  private static void takeEnd(Gathered gathered, LogEntry end) {
+  private static void takeEnd(Gathered queueStatistics, LogEntry end) {
     String millis = end.fields().get("ms");
     String outcome = end.fields().getOrDefault("outcome", "");
     if (millis != null) {
-      record(gathered.runs.computeIfAbsent(outcome, unused -> histogram()), millis);
+      record(queueStatistics.runs.computeIfAbsent(outcome, unused -> histogram()), millis);
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogStory.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogStory.java
@@ -13,17 +13,17 @@
 import java.util.PriorityQueue;
 
 /**
- * The log lines of one workflow or task, causes before effects.
+ * Sorts the log lines of one workflow or task so that causes precede effects.
  *
- * <p>The clocks of processes differ by seconds, so an end would often stand before the order that
- * led to it. What a process writes keeps its own order, and between processes the life of a run
- * decides: accepted, ordered by the owner, told of on the VM, ended at the owner; an attempt after
- * the one before. Where none of that says which is first, the clocks do.
+ * <p>The clocks of processes differ by seconds, so sorting by time would often place an end before
+ * the start that caused it. Lines of one process keep their order. Between processes the life cycle
+ * of a run decides: accepted, started by the owner, reported on the VM, ended at the owner, and each
+ * attempt after the previous one. Lines without such a relation are sorted by timestamp.
  *
- * <p>Stateless; takes time in lines times the logarithm of lines.
+ * <p>Stateless. Takes O(n log n) time for n lines.
  */
 public final class LogStory {
-  /** Where in the life of a run an event stands. */
+  /** The stages in the life cycle of a run. */
   private enum Stage {
     ACCEPTED,
     ORDERED,
@@ -65,10 +65,10 @@
   private LogStory() {}
 
   /**
-   * Returns the entries that concern the subject, causes before effects.
+   * Returns the entries about the subject, causes before effects.
    *
-   * @param subject the id of a workflow, task or run, as in the log
-   * @param entries of all processes; those of one process in the order in which it wrote them
+   * @param subject the id of a workflow, task or run as written in the log
+   * @param entries the entries of all processes; those of one process in the order in which they were written
    */
   public static ImmutableList<LogEntry> of(String subject, Collection<LogEntry> entries) {
     checkArgument(!subject.isEmpty(), "no subject");
@@ -87,9 +87,9 @@
   private static void linkProcesses(List<Node> nodes) {
     Map<String, Node> last = new HashMap<>();
     for (Node node : nodes) {
-      Node before = last.put(node.entry.process(), node);
-      if (before != null) {
-        before.before(node);
+      Node previous = last.put(node.entry.process(), node);
+      if (previous != null) {
+        previous.before(node);
       }
     }
   }
@@ -102,10 +102,10 @@
         byRun.computeIfAbsent(node.entry.run(), unused -> new ArrayList<>()).add(node);
       }
     }
-    for (List<Node> ofRun : byRun.values()) {
-      accepted.ifPresent(first -> ofRun.forEach(node -> linkUnlessSameProcess(first, node)));
-      for (Node cause : ofRun) {
-        ofRun.stream()
+    for (List<Node> runNodes : byRun.values()) {
+      accepted.ifPresent(first -> runNodes.forEach(node -> linkUnlessSameProcess(first, node)));
+      for (Node cause : runNodes) {
+        runNodes.stream()
             .filter(effect -> stage(cause).compareTo(stage(effect)) < 0)
             .forEach(effect -> linkUnlessSameProcess(cause, effect));
       }
@@ -121,7 +121,7 @@
     return Stage.of(node.entry.event()).orElseThrow();
   }
 
-  /** An attempt is ordered once the one before has ended, also by another owner. */
+  /** Links each attempt to the end of the previous one, which may have another owner. */
   private static void linkAttempts(List<Node> nodes) {
     Map<String, Node> ended = new HashMap<>();
     for (Node node : nodes) {
@@ -130,18 +130,18 @@
       }
     }
     for (Node node : nodes) {
-      int mark = node.entry.run().lastIndexOf('#');
-      if (node.entry.event().equals("run-ordered") && mark > 0) {
-        int attempt = Integer.parseInt(node.entry.run().substring(mark + 1));
-        Node before = ended.get(node.entry.run().substring(0, mark + 1) + (attempt - 1));
-        if (before != null) {
-          linkUnlessSameProcess(before, node);
+      int separator = node.entry.run().lastIndexOf('#');
+      if (node.entry.event().equals("run-ordered") && separator > 0) {
+        int attempt = Integer.parseInt(node.entry.run().substring(separator + 1));
+        Node previous = ended.get(node.entry.run().substring(0, separator + 1) + (attempt - 1));
+        if (previous != null) {
+          linkUnlessSameProcess(previous, node);
         }
       }
     }
   }
 
-  /** Lines of one process stand in its order already; a second link could only close a circle. */
+  /** Lines of one process are already linked in their order; another link could only form a cycle. */
   private static void linkUnlessSameProcess(Node cause, Node effect) {
     if (!cause.entry.process().equals(effect.entry.process())) {
       cause.before(effect);
@@ -149,20 +149,20 @@
   }
 
   private static ImmutableList<LogEntry> inOrder(List<Node> nodes) {
-    PriorityQueue<Node> free = new PriorityQueue<>(BY_CLOCK);
-    nodes.stream().filter(node -> node.causesLeft == 0).forEach(free::add);
+    PriorityQueue<Node> ready = new PriorityQueue<>(BY_CLOCK);
+    nodes.stream().filter(node -> node.causesLeft == 0).forEach(ready::add);
     List<Node> ordered = new ArrayList<>();
-    while (!free.isEmpty()) {
-      Node next = free.remove();
+    while (!ready.isEmpty()) {
+      Node next = ready.remove();
       ordered.add(next);
       for (Node effect : next.effects) {
         effect.causesLeft--;
         if (effect.causesLeft == 0) {
-          free.add(effect);
+          ready.add(effect);
         }
       }
     }
-    // Lines that contradict each other, as from logs of two lives in one file, are told by clock.
+    // Cycles, as from logs of two incarnations in one file, are sorted by timestamp.
     nodes.stream().filter(node -> node.causesLeft > 0).sorted(BY_CLOCK).forEach(ordered::add);
     return ordered.stream().map(node -> node.entry).collect(ImmutableList.toImmutableList());
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/package-info.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Reads collected logs of all processes and tells the life of one workflow or task from them.
+ * Reads collected logs of all processes and reconstructs the history of a workflow or task.
  *
- * <p>Reach for {@link io.marigoldsail.cli.logs.LogEntry} to read a line, and for {@link
- * io.marigoldsail.cli.logs.LogStory} to put the lines of one subject in order.
+ * <p>{@link io.marigoldsail.cli.logs.LogEntry} parses a line; {@link
+ * io.marigoldsail.cli.logs.LogStory} sorts the lines of one subject.
  */
 package io.marigoldsail.cli.logs;
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/ExitCodeTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/ExitCodeTest.java
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Story: a script retries what exits with "not done". If a failure that may have run got that
-   * code, the script would run a job or publish twice by its own doing.
+   * A script retries commands that exit with "not done". If a request that may have run had that
+   * exit code, the script would run a job twice or publish twice.
    */
   @ParameterizedTest
   @EnumSource(ErrorKind.class)
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/FollowMergeTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/FollowMergeTest.java
@@ -22,7 +22,7 @@
   private static final int PROCESSES = 3;
   private static final int STEPS = 200;
 
-  /** Processes whose clocks disagree, and a follower that reads them one by one meanwhile. */
+  /** Processes with skewed clocks, and a follower that reads them one by one. */
   private static final class World {
     final List<HybridClock> clocks = new ArrayList<>();
     final List<EventBuffer> buffers = new ArrayList<>();
@@ -58,36 +58,36 @@
   }
 
   /**
-   * Story: an operator follows the time line while a request goes from an entry to a VM. The tool
-   * reads the entry, then the request is sent and started, then it reads the VM: it has the start
-   * and not yet the sending. Shown as read, the request starts before it is sent.
+   * The tool reads an entry, then the entry sends a request and a VM starts it, then the tool reads
+   * the VM: it has the start without the send. Printed in reading order, the request would start
+   * before it is sent.
    */
   @Property(seed = "61", tries = 100)
   void effectIsNeverShownBeforeItsCause(@ForAll long seed) {
     Random random = new Random(seed);
-    World world = new World(random);
+    World simulation = new World(random);
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
-        world.readOneProcess();
+        simulation.readOneProcess();
       }
       int sender = random.nextInt(PROCESSES);
       int receiver = random.nextInt(PROCESSES);
-      record(world, sender, EventKind.REQUEST_SENT, step);
-      world.clocks.get(receiver).observe(world.clocks.get(sender).now());
+      record(simulation, sender, EventKind.REQUEST_SENT, step);
+      simulation.clocks.get(receiver).observe(simulation.clocks.get(sender).now());
       if (random.nextInt(3) == 0) {
-        world.readOneProcess();
+        simulation.readOneProcess();
       }
-      record(world, receiver, EventKind.REQUEST_STARTED, step);
+      record(simulation, receiver, EventKind.REQUEST_STARTED, step);
     }
     for (int i = 0; i < 3 * PROCESSES; i++) {
-      world.readOneProcess();
+      simulation.readOneProcess();
     }
-    world.shown.addAll(world.merge.flush());
-    check(world.shown);
+    simulation.shown.addAll(simulation.merge.flush());
+    check(simulation.shown);
   }
 
-  private static void record(World world, int process, EventKind kind, int step) {
-    world.buffers.get(process).record(Event.of(kind).withRequest("r/" + step));
+  private static void record(World simulation, int process, EventKind kind, int step) {
+    simulation.buffers.get(process).record(Event.of(kind).withRequest("r/" + step));
   }
 
   private static void check(List<TimedEvent> shown) {
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
@@ -35,9 +35,9 @@
       };
 
   /**
-   * Story: the system freezes for a second while 100 requests a second arrive. The tool is held up
-   * in the middle of sending, so it sees one slow request; callers would have seen a hundred. If
-   * latency counted from the sending, p99 would look healthy.
+   * The system stalls for a second at 100 requests per second and blocks the sending thread, which
+   * sees one slow request where callers would see a hundred. Measured from the send time, p99 would
+   * look healthy.
    */
   @Test
   void latencyCountsFromThePlannedTime() {
@@ -53,7 +53,7 @@
     assertEquals(1, counts.fromSend().getValueAtPercentile(99) / 1_000);
     long corrected = counts.fromPlan().getValueAtPercentile(99) / 1_000;
     assertTrue(corrected > 850 && corrected < 1_000, "p99 in ms: " + corrected);
-    // A stall of 1000 ms at distances of 10 ms holds up 100 requests and those of the catching up.
+    // A stall of 1000 ms at intervals of 10 ms delays 100 requests and those of the catch-up.
     assertTrue(counts.fromPlan().getCountBetweenValues(2_000, 2_000_000) >= 100);
   }
 
@@ -101,7 +101,7 @@
     assertEquals(60_000, count, 1_000);
     assertEquals(0.75, callers.get("hot") / (double) count, 0.01);
     assertEquals(0.3, posts / (double) count, 0.01);
-    // Zipf with exponent 1: the second key is asked for half as often as the first.
+    // Zipf with exponent 1: the second key is half as frequent as the first.
     assertEquals(2, keys.get("key-0") / (double) keys.get("key-1"), 0.1);
   }
 
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogStoryTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogStoryTest.java
@@ -28,9 +28,9 @@
   }
 
   /**
-   * An engineer follows a task whose VM's clock is ten seconds behind and whose second owner's is
-   * twenty ahead. Sorted by time its end on the VM stands before its order, and the second attempt
-   * after the end of the day; the story tells them as they led to each other.
+   * The clock of the VM is ten seconds slow and that of the second owner twenty seconds fast. Sorted
+   * by timestamp, the end on the VM would precede the start of the run and the second attempt would
+   * follow everything else.
    */
   @Test
   void causesStandBeforeEffectsWhateverTheClocksSay() {
@@ -42,7 +42,7 @@
     add(96, "side", "run-over", "run", TASK + "#2");
     add(126, "owner-2", "run-ended", "run", TASK + "#2");
     add(104, "other", "run-ordered", "run", "5c0e7a21d94b36f8.0.0.0#1");
-    List<String> wanted =
+    List<String> expected =
         List.of(
             "owner-1 workflow-submitted",
             "owner-1 run-ordered #1",
@@ -51,12 +51,12 @@
             "owner-2 run-ordered #2",
             "side run-over #2",
             "owner-2 run-ended #2");
-    assertEquals(wanted, story("e96be147d361a657"));
-    assertEquals(wanted, story(TASK));
-    assertEquals(wanted.subList(4, 7), story(TASK + "#2").subList(1, 4));
+    assertEquals(expected, story("e96be147d361a657"));
+    assertEquals(expected, story(TASK));
+    assertEquals(expected.subList(4, 7), story(TASK + "#2").subList(1, 4));
   }
 
-  /** Two files of one process given the wrong way round contradict the rest; nothing is lost. */
+  /** Two files of one process in the wrong order contradict the other lines; none is dropped. */
   @Test
   void linesThatContradictEachOtherAreAllTold() {
     add(103, "owner", "run-ended", "run", TASK + "#1");
