--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/VirtualClock.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/VirtualClock.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.time.MonotonicClock;
 import io.marigoldsail.time.WallClock;
 
-/** A clock that moves only when told to. Not safe for use by several threads. */
+/** A clock that advances only when a test advances it. Not thread-safe. */
 public final class VirtualClock implements MonotonicClock, WallClock {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -24,13 +24,13 @@
     return nanos / NANOS_PER_MILLI;
   }
 
-  /** Moves the clock on by the given nanoseconds. */
+  /** Advances the clock by the given nanoseconds. */
   public void advance(long byNanos) {
     checkArgument(byNanos >= 0, "byNanos is negative: %s", byNanos);
     nanos += byNanos;
   }
 
-  /** Moves the clock to a reading not before the present one. */
+  /** Advances the clock to a time that is not before the current one. */
   public void advanceTo(long newNanos) {
     checkArgument(newNanos >= nanos, "%s is before %s", newNanos, nanos);
     nanos = newNanos;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
@@ -15,10 +15,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Real processes started by a test from its own classpath, to be frozen, killed and ended.
+ * Real processes that a test starts from its own classpath and can pause, kill and stop.
  *
- * <p>Only processes that this instance started are touched, each by its id. Whatever still runs
- * ends with {@link #close}. Not safe for use by several threads at once.
+ * <p>Signals only processes that this instance started, each by its process id. {@link #close} kills
+ * those that still run. Not thread-safe.
  */
 public final class ProcessFleet implements AutoCloseable {
   private static final long POLL_MILLIS = 20;
@@ -29,10 +29,10 @@
   private final Map<String, Process> processes = new LinkedHashMap<>();
 
   /**
-   * Creates a fleet without processes.
+   * Creates an instance without processes.
    *
-   * @param directory where each process's output goes, as {@code NAME.out}
-   * @param javaOptions options of each Java virtual machine, such as a heap limit
+   * @param directory the directory of the output files, {@code NAME.out} for each process
+   * @param javaOptions JVM options of each process, such as a heap limit
    */
   public ProcessFleet(Path directory, List<String> javaOptions) {
     this.directory = directory;
@@ -42,13 +42,13 @@
   /**
    * Starts a process.
    *
-   * @param name its name here; may be used again once an earlier one has ended
-   * @param mainClass the class to run, on this process's classpath
-   * @param arguments its arguments
+   * @param name the name of the process in this instance; may be reused once the earlier process has exited
+   * @param mainClass the main class, on the classpath of this JVM
+   * @param arguments the program arguments
    */
   public void start(String name, String mainClass, List<String> arguments) {
-    Process earlier = processes.get(name);
-    checkState(earlier == null || !earlier.isAlive(), "%s runs already", name);
+    Process previous = processes.get(name);
+    checkState(previous == null || !previous.isAlive(), "process %s is already running", name);
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(javaOptions);
@@ -64,46 +64,46 @@
     }
   }
 
-  /** Ends a process at once, as a VM that fails does. */
+  /** Kills a process immediately, as a VM failure would, and waits for its exit. */
   public void kill(String name) {
     process(name).destroyForcibly();
     awaitEnd(name);
   }
 
-  /** Asks a process to stop, as an operator does; see {@link #awaitEnd}. */
+  /** Requests a graceful shutdown of a process (SIGTERM); see {@link #awaitEnd}. */
   public void stop(String name) {
     process(name).destroy();
   }
 
-  /** Freezes a process: it keeps its connections and does nothing. */
+  /** Pauses a process (SIGSTOP): its connections stay open. */
   public void freeze(String name) {
     signal(name, "-STOP");
   }
 
-  /** Lets a frozen process go on. */
+  /** Resumes a paused process (SIGCONT). */
   public void thaw(String name) {
     signal(name, "-CONT");
   }
 
-  /** Returns whether a process runs, frozen or not. */
+  /** Returns whether a process is alive, paused or not. */
   public boolean isAlive(String name) {
     return process(name).isAlive();
   }
 
-  /** Returns a process's id. */
+  /** Returns the process id. */
   public long pid(String name) {
     return process(name).pid();
   }
 
   /**
-   * Waits for a process to end and returns its exit status.
+   * Waits for a process to exit and returns its exit status.
    *
-   * @throws IllegalStateException if it does not end
+   * @throws IllegalStateException if it does not exit within 20 seconds
    */
   public int awaitEnd(String name) {
     try {
       boolean ended = process(name).waitFor(END_SECONDS, TimeUnit.SECONDS);
-      checkState(ended, "%s did not end", name);
+      checkState(ended, "process %s did not exit", name);
       return process(name).exitValue();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Returns what a process has printed so far, over all its lives. */
+  /** Returns the output of all processes of this name so far. */
   public String printed(String name) {
     try {
       return Files.exists(output(name))
@@ -123,21 +123,22 @@
   }
 
   /**
-   * Waits until a condition holds, looking every few milliseconds.
+   * Waits until a condition holds, checking every 20 ms.
    *
-   * @param what what is waited for, for the message
-   * @param seconds when to give up
-   * @param condition what should hold
-   * @throws IllegalStateException if it does not hold in time, with what all processes printed
+   * @param description a description of the condition, for the error message
+   * @param seconds the timeout
+   * @param condition the condition
+   * @throws IllegalStateException if it does not hold before the timeout, with the end of the output of all
+   *     processes
    */
-  public void await(String what, long seconds, BooleanSupplier condition) {
+  public void await(String description, long seconds, BooleanSupplier condition) {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-    Object never = new Object();
+    Object monitor = new Object();
     while (!condition.getAsBoolean()) {
-      checkState(System.nanoTime() < deadline, "no %s within %s s\n%s", what, seconds, tails());
-      synchronized (never) {
+      checkState(System.nanoTime() < deadline, "no %s within %s s\n%s", description, seconds, tails());
+      synchronized (monitor) {
         try {
-          TimeUnit.MILLISECONDS.timedWait(never, POLL_MILLIS);
+          TimeUnit.MILLISECONDS.timedWait(monitor, POLL_MILLIS);
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
           throw new IllegalStateException("interrupted", e);
@@ -178,7 +179,7 @@
 
   private Process process(String name) {
     Process process = processes.get(name);
-    checkState(process != null, "no process %s", name);
+    checkState(process != null, "no process named %s", name);
     return process;
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/TcpFaultProxy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/TcpFaultProxy.java
@@ -18,17 +18,17 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Forwards TCP connections on loopback and spoils them as told.
+ * A TCP proxy on loopback with injectable faults.
  *
- * <p>A silent connection stays open at both ends while its bytes vanish, as when a middle box has
- * forgotten it. Safe for any thread.
+ * <p>A blackholed connection stays open at both ends while its bytes are dropped, as when a
+ * middlebox has lost its connection state. Thread-safe.
  */
 public final class TcpFaultProxy implements AutoCloseable {
-  /** Which way bytes go. */
+  /** The direction of bytes. */
   public enum Direction {
-    /** From the one who connected. */
+    /** From the client to the server. */
     TO_SERVER,
-    /** Back to the one who connected. */
+    /** From the server to the client. */
     TO_CLIENT
   }
 
@@ -45,9 +45,9 @@
   private volatile long delayMillis;
 
   /**
-   * Creates a proxy on a free port and begins to forward.
+   * Creates a proxy on a free port and starts forwarding.
    *
-   * @param serverPort the port on loopback that connections go on to
+   * @param serverPort the port on loopback to forward connections to
    * @throws UncheckedIOException if it cannot listen
    */
   public TcpFaultProxy(int serverPort) {
@@ -63,38 +63,40 @@
     startThread(this::acceptAll);
   }
 
-  /** Returns the port that it listens on. */
+  /** Returns the port on which the proxy listens. */
   public int port() {
     return acceptor.getLocalPort();
   }
 
-  /** Returns how many bytes it has passed on in a direction. */
+  /** Returns the number of bytes forwarded in a direction. */
   public long forwardedBytes(Direction direction) {
     return forwarded.get(direction).get();
   }
 
-  /** Returns how many connections are open. */
+  /** Returns the number of open connections. */
   public int openConnections() {
     return links.size();
   }
 
-  /** Closes every open connection; new ones work. */
+  /** Closes all open connections; new ones are not affected. */
   public void cutOpen() {
     links.forEach(Link::close);
   }
 
-  /** Lets bytes of the connections open now vanish in a direction, for good; new ones work. */
+  /** Permanently drops the bytes of all open connections in a direction; new connections are not
+   * affected. */
   public void silenceOpen(Direction direction) {
     requireNonNull(direction, "direction");
     links.forEach(link -> link.silence(direction));
   }
 
-  /** Lets all bytes of open and new connections vanish, or not; a silenced one stays silent. */
+  /** Drops, or no longer drops, all bytes of open and new connections. Connections that were
+   * blackholed with {@link #silenceOpen} stay so. */
   public void setSilent(boolean newSilent) {
     silent = newSilent;
   }
 
-  /** Closes what is open and refuses new connections, or accepts them again. */
+  /** Closes all connections and refuses new ones, or accepts new ones again. */
   public void setRefusing(boolean newRefusing) {
     refusing = newRefusing;
     if (newRefusing) {
@@ -102,7 +104,7 @@
     }
   }
 
-  /** Holds each piece back for some milliseconds in both directions. */
+  /** Delays the bytes of each read in both directions, by the given milliseconds. */
   public void setDelayMillis(long newDelayMillis) {
     synchronized (changed) {
       delayMillis = newDelayMillis;
@@ -148,12 +150,12 @@
   }
 
   private void hold() throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMillis);
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMillis);
     synchronized (changed) {
-      long left = until - System.nanoTime();
-      while (left > 0 && delayMillis > 0) {
-        TimeUnit.NANOSECONDS.timedWait(changed, left);
-        left = until - System.nanoTime();
+      long remainingNanos = deadlineNanos - System.nanoTime();
+      while (remainingNanos > 0 && delayMillis > 0) {
+        TimeUnit.NANOSECONDS.timedWait(changed, remainingNanos);
+        remainingNanos = deadlineNanos - System.nanoTime();
       }
     }
   }
@@ -168,7 +170,7 @@
     try {
       socket.close();
     } catch (Exception e) {
-      // The other end has gone first, which is what closing is for.
+      // The socket is discarded in any case, so a failed close needs no handling.
     }
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/package-info.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Faults between and of real processes: connections that fall silent, processes that die or freeze.
+ * Fault injection for real processes and their connections.
  *
- * <p>Reach for {@link io.marigoldsail.testlib.fault.TcpFaultProxy} to stand between two processes
- * and for {@link io.marigoldsail.testlib.fault.ProcessFleet} to start, freeze and end them.
+ * <p>{@link io.marigoldsail.testlib.fault.TcpFaultProxy} drops, delays and closes connections between
+ * two processes; {@link io.marigoldsail.testlib.fault.ProcessFleet} starts, pauses and kills
+ * processes.
  */
 package io.marigoldsail.testlib.fault;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
@@ -9,23 +9,23 @@
 import java.util.Map;
 
 /**
- * What callers asked for and were told, to be held against what targets ran.
+ * The requests of callers and their outcomes, to be checked against the runs of targets.
  *
- * <p>Each request carries a tag that is in its path, such as {@code /parking/charge?tag=c17}, so
- * that its runs are found whatever ids the system gave them. Safe for any thread.
+ * <p>Each request has a tag in its path, such as {@code /parking/charge?tag=c17}, which identifies
+ * its runs independent of the ids assigned by the system. Thread-safe.
  */
 public final class RequestHistory {
-  /** What the caller was told about its request. */
+  /** The outcome of a request as reported to its caller. */
   public enum Told {
-    /** A whole answer of the target. */
+    /** A complete response of the target. */
     ANSWERED,
-    /** That it did not run. */
+    /** An error that says that the request did not run. */
     NOT_RUN,
-    /** That it may have run, or nothing at all. */
+    /** An error that says that the request may have run, or no response. */
     UNKNOWN
   }
 
-  /** One request as its caller saw it. */
+  /** One request as seen by its caller. */
   private record Asked(boolean idempotent, Told told, boolean wholeAndOwn) {}
 
   private static final String TAG = "tag=";
@@ -36,51 +36,51 @@
   public RequestHistory() {}
 
   /**
-   * Keeps one request.
+   * Records a request.
    *
-   * @param tag its tag, different from all others
+   * @param tag its unique tag
    * @param idempotent whether it may run more than once
-   * @param told what the caller was told
-   * @param wholeAndOwn whether the answer's body was the one that belongs to this request; true
-   *     where there was none
+   * @param outcome the outcome reported to the caller
+   * @param responseIntact whether the response body was complete and belongs to this request; true if
+   *     there was no response
    */
-  public synchronized void add(String tag, boolean idempotent, Told told, boolean wholeAndOwn) {
-    asked.put(requireNonNull(tag, "tag"), new Asked(idempotent, told, wholeAndOwn));
+  public synchronized void add(String tag, boolean idempotent, Told outcome, boolean responseIntact) {
+    asked.put(requireNonNull(tag, "tag"), new Asked(idempotent, outcome, responseIntact));
   }
 
-  /** Returns how many requests ended in a way. */
-  public synchronized long count(Told told) {
-    return asked.values().stream().filter(one -> one.told() == told).count();
+  /** Returns the number of requests with the given outcome. */
+  public synchronized long count(Told outcome) {
+    return asked.values().stream().filter(request -> request.told() == outcome).count();
   }
 
   /**
-   * Returns the violations, given every run of every target.
+   * Returns the violations of at-most-once execution and of reported outcomes.
    *
-   * @param runs all targets' records, complete
+   * @param runs the complete records of all targets
    */
   public synchronized List<String> violations(List<TargetRun> runs) {
     Map<String, Integer> counts = new HashMap<>();
     for (TargetRun run : runs) {
       counts.merge(tagOf(run.path()), 1, Integer::sum);
     }
-    List<String> found = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     asked.forEach(
-        (tag, one) -> {
+        (tag, request) -> {
           int ran = counts.getOrDefault(tag, 0);
-          if (ran > 1 && !one.idempotent()) {
-            found.add("request " + tag + " ran " + ran + " times");
+          if (ran > 1 && !request.idempotent()) {
+            violations.add("request " + tag + " ran " + ran + " times");
           }
-          if (ran > 0 && one.told() == Told.NOT_RUN) {
-            found.add("request " + tag + " was told not run but ran");
+          if (ran > 0 && request.told() == Told.NOT_RUN) {
+            violations.add("request " + tag + " was reported as not run but ran");
           }
-          if (ran == 0 && one.told() == Told.ANSWERED) {
-            found.add("request " + tag + " was answered but never ran");
+          if (ran == 0 && request.told() == Told.ANSWERED) {
+            violations.add("request " + tag + " was answered but never ran");
           }
-          if (!one.wholeAndOwn()) {
-            found.add("request " + tag + " got a broken or foreign answer");
+          if (!request.wholeAndOwn()) {
+            violations.add("request " + tag + " got an incomplete or foreign response");
           }
         });
-    return found;
+    return violations;
   }
 
   private static String tagOf(String path) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * Publishes and readings of one configuration, to be held against a single order of revisions.
+ * A history of publishes and reads of one configuration, to be checked for linearizability.
  *
- * <p>A revision is a register that only accepted publishes write. The history is linearizable if
- * the revisions themselves are such an order: each has one content, a publish that ended before
- * another began has the lower one, and no process ever shows a lower one after a higher. Times are
- * of one clock, in any unit. Safe for any thread.
+ * <p>The configuration is a register that only accepted publishes write. The history is linearizable
+ * in revision order if each revision has one content, a publish that ended before another started
+ * has the lower revision, and no process shows a lower revision after a higher one. Times are from
+ * one clock, in any unit. Thread-safe.
  */
 public final class RevisionHistory {
   private record Publish(long revision, String content, long began, long ended) {}
@@ -28,86 +28,86 @@
   public RevisionHistory() {}
 
   /**
-   * Keeps a publish that was accepted.
+   * Records an accepted publish.
    *
-   * @param revision the revision that it was told to be
-   * @param content what was published
-   * @param began when it was asked for
-   * @param ended when it was told to be accepted
+   * @param revision the revision returned for it
+   * @param content the published content
+   * @param startedAt when it was requested
+   * @param endedAt when the acceptance was received
    */
-  public synchronized void published(long revision, String content, long began, long ended) {
-    publishes.add(new Publish(revision, requireNonNull(content, "content"), began, ended));
+  public synchronized void published(long revision, String content, long startedAt, long endedAt) {
+    publishes.add(new Publish(revision, requireNonNull(content, "content"), startedAt, endedAt));
   }
 
   /**
-   * Keeps what a process showed as in force.
+   * Records the configuration that a process showed as in force.
    *
-   * @param process the process, one name for each life of it
-   * @param revision the revision it showed
-   * @param content the content it showed
-   * @param at when it was asked
+   * @param process the process, with a different name for each incarnation
+   * @param revision the revision shown
+   * @param content the content shown
+   * @param at when the request was sent
    */
   public synchronized void read(String process, long revision, String content, long at) {
     readings.add(new Reading(process, revision, requireNonNull(content, "content"), at));
   }
 
-  /** Returns the highest revision that was accepted, or 0. */
+  /** Returns the highest accepted revision, or 0 if there is none. */
   public synchronized long highest() {
     return publishes.stream().mapToLong(Publish::revision).max().orElse(0);
   }
 
-  /** Returns the violations found. */
+  /** Returns the violations of linearizability. */
   public synchronized List<String> violations() {
-    List<String> found = new ArrayList<>();
-    checkContents(found);
-    checkOrderOfPublishes(found);
-    checkReadings(found);
-    return found;
+    List<String> violations = new ArrayList<>();
+    checkContents(violations);
+    checkOrderOfPublishes(violations);
+    checkReadings(violations);
+    return violations;
   }
 
-  private void checkContents(List<String> found) {
+  private void checkContents(List<String> violations) {
     Map<Long, String> contents = new HashMap<>();
     for (Publish publish : publishes) {
       String other = contents.put(publish.revision(), publish.content());
       if (other != null) {
-        found.add("revision " + publish.revision() + " was accepted twice");
+        violations.add("revision " + publish.revision() + " was accepted twice");
       }
     }
     for (Reading reading : readings) {
       String other = contents.putIfAbsent(reading.revision(), reading.content());
       if (other != null && !other.equals(reading.content())) {
-        found.add(reading.process() + " shows another content of revision " + reading.revision());
+        violations.add(reading.process() + " shows different content for revision " + reading.revision());
       }
     }
   }
 
-  private void checkOrderOfPublishes(List<String> found) {
+  private void checkOrderOfPublishes(List<String> violations) {
     for (Publish earlier : publishes) {
       for (Publish later : publishes) {
         if (earlier.ended() < later.began() && earlier.revision() >= later.revision()) {
-          found.add("revision " + later.revision() + " was published after " + earlier.revision());
+          violations.add("revision " + later.revision() + " was published after " + earlier.revision());
         }
       }
     }
   }
 
-  private void checkReadings(List<String> found) {
+  private void checkReadings(List<String> violations) {
     Map<String, Reading> last = new HashMap<>();
     List<Reading> ordered = new ArrayList<>(readings);
     ordered.sort(Comparator.comparingLong(Reading::at));
     for (Reading reading : ordered) {
-      Reading before = last.put(reading.process(), reading);
-      if (before != null && before.revision() > reading.revision()) {
-        found.add(
+      Reading previous = last.put(reading.process(), reading);
+      if (previous != null && previous.revision() > reading.revision()) {
+        violations.add(
             reading.process()
                 + " went back from revision "
-                + before.revision()
+                + previous.revision()
                 + " to "
                 + reading.revision());
       }
       for (Publish publish : publishes) {
         if (publish.revision() == reading.revision() && reading.at() < publish.began()) {
-          found.add(reading.process() + " showed " + reading.revision() + " before its publish");
+          violations.add(reading.process() + " showed " + reading.revision() + " before its publish");
         }
       }
     }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/TaskHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/TaskHistory.java
@@ -8,45 +8,45 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Holds workers' records against "every task runs in exactly one place". */
+/** Checks the records of workers for tasks that ran in more than one place at a time. */
 public final class TaskHistory {
   private TaskHistory() {}
 
   /**
-   * Returns the violations in the records of all workers, whose clocks must agree.
+   * Returns the violations in the records of all workers, whose clocks must be synchronized.
    *
    * @param runs all runs of all workers
-   * @param nowMillis until when a run counts that has not ended
+   * @param nowMillis the assumed end of runs that have not ended
    */
   public static List<String> violations(List<WorkerRun> runs, long nowMillis) {
     Map<String, List<WorkerRun>> byTask = new TreeMap<>();
     for (WorkerRun run : runs) {
       byTask.computeIfAbsent(run.task(), unused -> new ArrayList<>()).add(run);
     }
-    List<String> found = new ArrayList<>();
-    byTask.values().forEach(ofTask -> check(ofTask, nowMillis, found));
-    return found;
+    List<String> violations = new ArrayList<>();
+    byTask.values().forEach(runsOfTask -> check(runsOfTask, nowMillis, violations));
+    return violations;
   }
 
-  private static void check(List<WorkerRun> runs, long nowMillis, List<String> found) {
+  private static void check(List<WorkerRun> runs, long nowMillis, List<String> violations) {
     runs.sort(Comparator.comparingLong(WorkerRun::startMillis).thenComparing(WorkerRun::token));
-    WorkerRun longest = null;
+    WorkerRun latestEnding = null;
     WorkerRun done = null;
     for (WorkerRun run : runs) {
-      if (longest != null && run.startMillis() < end(longest, nowMillis)) {
-        found.add(describe(run) + " began while " + describe(longest) + " ran");
+      if (latestEnding != null && run.startMillis() < end(latestEnding, nowMillis)) {
+        violations.add(describe(run) + " started while " + describe(latestEnding) + " ran");
       }
-      if (longest != null && run.token() <= longest.token()) {
-        found.add(describe(run) + " began after the newer " + describe(longest));
+      if (latestEnding != null && run.token() <= latestEnding.token()) {
+        violations.add(describe(run) + " started after the newer " + describe(latestEnding));
       }
       if (done != null) {
-        found.add(describe(run) + " began after " + describe(done) + " was done");
+        violations.add(describe(run) + " started after " + describe(done) + " was done");
       }
       if (run.state() == State.DONE) {
         done = run;
       }
-      if (longest == null || end(run, nowMillis) >= end(longest, nowMillis)) {
-        longest = run;
+      if (latestEnding == null || end(run, nowMillis) >= end(latestEnding, nowMillis)) {
+        latestEnding = run;
       }
     }
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/package-info.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/package-info.java
@@ -1,10 +1,9 @@
 /**
- * Checks of what concurrent runs did, from the records of those who cannot be wrong about it.
+ * Checkers of concurrent histories, based on the records of targets, workers and callers.
  *
- * <p>A target knows what ran, a worker knows where a task ran, a caller knows what it was told.
- * Reach for {@link io.marigoldsail.testlib.history.RequestHistory} for at-most-once, {@link
- * io.marigoldsail.testlib.history.TaskHistory} for one place at a time, and {@link
- * io.marigoldsail.testlib.history.RevisionHistory} for publishes in one order. Each returns the
- * violations found as sentences; an empty list is the pass.
+ * <p>{@link io.marigoldsail.testlib.history.RequestHistory} checks at-most-once execution, {@link
+ * io.marigoldsail.testlib.history.TaskHistory} that a task runs in one place at a time, and {@link
+ * io.marigoldsail.testlib.history.RevisionHistory} that publishes are linearizable. Each returns the
+ * violations as sentences; an empty list means that there are none.
  */
 package io.marigoldsail.testlib.history;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/package-info.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Stand-ins for what the system meets, and tools that tests share.
+ * Test doubles of the system's environment, and utilities shared by tests.
  *
- * <p>Nothing of the product depends on this package.
+ * <p>Production code does not depend on this package.
  */
 package io.marigoldsail.testlib;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
@@ -8,11 +8,12 @@
 import io.marigoldsail.lease.WorkerTask.State;
 
 /**
- * One attempt inside a {@link FakeWorker}: how far it is, and what ends it. Confined to its worker.
+ * One attempt inside a {@link FakeWorker}, with its progress and end. Not thread-safe; guarded by
+ * its worker.
  *
- * <p>The command may hold words that say how it truly behaves, whatever its job declared: {@code
- * work=MILLIS} is its run time undisturbed, {@code fail} lets it fail at the end, {@code
- * noise=FACTOR} slows all others on the worker down.
+ * <p>Words in the command set its actual behaviour, independent of what its job declared: {@code
+ * work=MILLIS} is the run time without interference, {@code fail} makes it fail at the end, {@code
+ * noise=FACTOR} slows down all other attempts on the worker.
  */
 final class FakeAttempt {
   private static final String CHECKPOINT_START = "progress-";
@@ -47,30 +48,31 @@
     }
   }
 
-  private static double number(String command, String prefix, double otherwise) {
+  private static double number(String command, String prefix, double defaultValue) {
     for (String word : Splitter.on(' ').split(command)) {
       if (word.startsWith(prefix)) {
         return Double.parseDouble(word.substring(prefix.length()));
       }
     }
-    return otherwise;
+    return defaultValue;
   }
 
-  /** Lets time pass up to a reading of the worker's clock, ending the attempt where it is due. */
+  /** Advances the attempt to a time of the worker's clock; ends it if it completes or its lease
+   * expires by then. */
   void advance(long nowMillis, double slowdown) {
     if (state != State.RUNNING) {
       return;
     }
-    long until = Math.min(nowMillis, leaseDeadlineMillis);
+    long untilMillis = Math.min(nowMillis, leaseDeadlineMillis);
     double rate = throttlePercent / 100.0 / slowdown;
-    double left = workMillis - progressMillis;
-    long passed = Math.max(0, until - advancedMillis);
-    if (workMillis > 0 && left <= passed * rate) {
-      end(fails ? State.FAILED : State.DONE, "", advancedMillis + (long) Math.ceil(left / rate));
+    double remainingMillis = workMillis - progressMillis;
+    long elapsedMillis = Math.max(0, untilMillis - advancedMillis);
+    if (workMillis > 0 && remainingMillis <= elapsedMillis * rate) {
+      end(fails ? State.FAILED : State.DONE, "", advancedMillis + (long) Math.ceil(remainingMillis / rate));
       return;
     }
-    progressMillis += passed * rate;
-    advancedMillis = Math.max(advancedMillis, until);
+    progressMillis += elapsedMillis * rate;
+    advancedMillis = Math.max(advancedMillis, untilMillis);
     checkpointByItself();
     if (nowMillis >= leaseDeadlineMillis) {
       end(State.LAPSED, "lease deadline passed", leaseDeadlineMillis);
@@ -80,9 +82,9 @@
   private void checkpointByItself() {
     long interval = start.checkpointIntervalMillis();
     if (interval > 0 && progressMillis >= interval) {
-      long due = (long) progressMillis / interval * interval;
-      if (due > checkpointedMillis()) {
-        checkpoint = CHECKPOINT_START + due;
+      long dueMillis = (long) progressMillis / interval * interval;
+      if (dueMillis > checkpointedMillis()) {
+        checkpoint = CHECKPOINT_START + dueMillis;
       }
     }
   }
@@ -127,14 +129,15 @@
     return measuredMillis;
   }
 
-  /** Returns what was used since the last measurement, at most one task's limits. */
+  /** Returns a usage sample as of now, at most the sizes of the task, and marks the attempt as
+   * measured. */
   UsageSample measure(long nowMillis, double slowdown) {
-    Sizes asked = start.sizes();
+    Sizes requested = start.sizes();
     Sizes used =
         new Sizes(
-            asked.milliProcessors() * throttlePercent / 100,
-            asked.memoryBytes(),
-            asked.accelerators());
+            requested.milliProcessors() * throttlePercent / 100,
+            requested.memoryBytes(),
+            requested.accelerators());
     measuredMillis = nowMillis;
     return new UsageSample(start.task(), start.token(), nowMillis, used, slowdown);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeLogService.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeLogService.java
@@ -17,13 +17,13 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * A log service in memory that fails as it is told.
+ * An in-memory log service with injectable faults.
  *
- * <p>Safe for any thread; blocks the calling one. Real time passes only where a read waits, where
- * {@code slowMillis} is set, and under {@code appendsPerSecond}. Rejects nulls.
+ * <p>Thread-safe. Blocks the calling thread only while a read waits, if {@code slowMillis} is set,
+ * and to keep to {@code appendsPerSecond}. Rejects nulls.
  */
 public final class FakeLogService implements LogService {
-  /** What was asked of the service so far, for tests that weigh its load. */
+  /** The requests served so far, for tests that measure the load on the service. */
   public record Counts(long appends, long appendedBytes, long reads, long readBytes) {}
 
   private static final class Stream {
@@ -42,12 +42,12 @@
   private long nextAppendAt;
   private Counts counts = new Counts(0, 0, 0, 0);
 
-  /** Creates an empty service in good health. */
+  /** Creates an empty service without faults. */
   public FakeLogService() {
     this.nextAppendAt = System.nanoTime();
   }
 
-  /** Returns what the service does wrong just now. */
+  /** Returns the current faults. */
   public LogFaults faults() {
     lock.lock();
     try {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Replaces what the service does wrong; readers that wait notice at once. */
+  /** Replaces the faults; wakes up waiting readers. */
   public void setFaults(LogFaults newFaults) {
     requireNonNull(newFaults, "newFaults");
     lock.lock();
@@ -71,16 +71,16 @@
   }
 
   /**
-   * Cuts the newest records off every stream, as a platform does that goes on from an old copy;
-   * with more than there are, all begin again at 0.
+   * Removes the newest records of every stream, like a platform that was restored from an old copy.
+   * A stream with no more than {@code count} records becomes empty and restarts at offset 0.
    */
   public void loseNewest(int count) {
     lock.lock();
     try {
       for (Stream stream : streams.values()) {
-        int left = Math.max(0, stream.records.size() - count);
-        stream.records.subList(left, stream.records.size()).clear();
-        stream.firstOffset = left == 0 ? 0 : stream.firstOffset;
+        int retained = Math.max(0, stream.records.size() - count);
+        stream.records.subList(retained, stream.records.size()).clear();
+        stream.firstOffset = retained == 0 ? 0 : stream.firstOffset;
       }
       changed.signalAll();
     } finally {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Returns what was asked of the service so far. */
+  /** Returns the counts of requests served so far. */
   public Counts counts() {
     lock.lock();
     try {
@@ -98,7 +98,7 @@
     }
   }
 
-  /** Returns the offset that the stream's next append gets, whatever the faults. */
+  /** Returns the offset of the next append to the stream, regardless of faults. */
   public long nextOffset(String stream) {
     lock.lock();
     try {
@@ -108,7 +108,7 @@
     }
   }
 
-  /** Returns the oldest offset of the stream that is kept. */
+  /** Returns the oldest retained offset of the stream. */
   public long firstOffset(String stream) {
     lock.lock();
     try {
@@ -136,7 +136,7 @@
       changed.signalAll();
       if (faults.loseAnswers() != 0) {
         faults = faults.withLoseAnswers(countDown(faults.loseAnswers()));
-        return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "answer to append lost");
+        return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "response to append lost");
       }
       return Result.ok(offset);
     } catch (InterruptedException e) {
@@ -154,9 +154,9 @@
     lock.lock();
     try {
       pauseAsFaultsSay(false);
-      long left = TimeUnit.MILLISECONDS.toNanos(waitMillis);
-      while (!faults.down() && fromOffset >= visibleEnd(stream(stream)) && left > 0) {
-        left = changed.awaitNanos(left);
+      long remainingNanos = TimeUnit.MILLISECONDS.toNanos(waitMillis);
+      while (!faults.down() && fromOffset >= visibleEnd(stream(stream)) && remainingNanos > 0) {
+        remainingNanos = changed.awaitNanos(remainingNanos);
       }
       if (faults.down()) {
         return Result.failed(ErrorKind.LOG_UNAVAILABLE, "log service is down");
@@ -225,10 +225,10 @@
               + TimeUnit.SECONDS.toNanos(1) / faults.appendsPerSecond();
       until = Math.max(until, nextAppendAt);
     }
-    LogFaults asked = faults;
-    long left = until - System.nanoTime();
-    while (left > 0 && faults.slowMillis() == asked.slowMillis()) {
-      left = changed.awaitNanos(left);
+    LogFaults initialFaults = faults;
+    long remainingNanos = until - System.nanoTime();
+    while (remainingNanos > 0 && faults.slowMillis() == initialFaults.slowMillis()) {
+      remainingNanos = changed.awaitNanos(remainingNanos);
     }
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeWorker.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeWorker.java
@@ -22,10 +22,10 @@
 import java.util.function.Supplier;
 
 /**
- * A worker in memory that enforces leases by its own clock and fails as it is told.
+ * An in-memory worker that enforces leases by its own clock, with injectable faults.
  *
- * <p>Nothing moves between calls: each call first lets the time pass that its clock shows, so that
- * ends carry the time at which they were due. Safe for any thread. Rejects nulls.
+ * <p>State changes only during calls: each call first advances all attempts to the current time of
+ * the clock, and ends get the time at which they were due. Thread-safe. Rejects nulls.
  */
 public final class FakeWorker implements Worker {
   private static final long SAMPLE_MILLIS = 1_000;
@@ -45,11 +45,11 @@
   private long askedOverCapacity;
 
   /**
-   * Creates a worker that runs nothing.
+   * Creates a worker without tasks.
    *
    * @param name its name in its record
-   * @param capacity what tasks may use in all
-   * @param clock its clock, steady, in milliseconds
+   * @param capacity the total capacity for tasks
+   * @param clock its monotonic clock, in milliseconds
    */
   public FakeWorker(String name, Sizes capacity, WallClock clock) {
     this.name = requireNonNull(name, "name");
@@ -57,18 +57,18 @@
     this.clock = requireNonNull(clock, "clock");
   }
 
-  /** Returns what it does wrong just now. */
+  /** Returns the current faults. */
   public synchronized WorkerFaults faults() {
     return faults;
   }
 
-  /** Replaces what it does wrong from now on. */
+  /** Replaces the faults. */
   public synchronized void setFaults(WorkerFaults newFaults) {
     advance();
     faults = requireNonNull(newFaults, "newFaults");
   }
 
-  /** Boots anew: whatever ran has ended, and the new incarnation has not heard of it. */
+  /** Reboots: all running attempts end, and the new incarnation has no record of them. */
   public synchronized void reboot() {
     long now = advance();
     for (FakeAttempt attempt : attempts.values()) {
@@ -82,7 +82,7 @@
     incarnation++;
   }
 
-  /** Returns every attempt it ever ran, those of one boot in the order of starting. */
+  /** Returns all attempts of all incarnations; those of one incarnation in start order. */
   public synchronized List<WorkerRun> runs() {
     advance();
     List<WorkerRun> runs = new ArrayList<>(runsOfOldBoots);
@@ -90,7 +90,7 @@
     return runs;
   }
 
-  /** Returns how many starts it refused because they would have exceeded what it has. */
+  /** Returns the number of starts rejected because they exceeded the free capacity. */
   public synchronized long askedOverCapacity() {
     return askedOverCapacity;
   }
@@ -113,14 +113,14 @@
     }
     long now = clock.millis();
     if (highestTokens.getOrDefault(start.task(), -1L) >= start.token()) {
-      return Result.failed(ErrorKind.CONFLICT, "a token not below " + start.token() + " was seen");
+      return Result.failed(ErrorKind.CONFLICT, "token " + start.token() + " is not above the highest token of the task");
     }
     if (start.leaseDeadlineMillis() <= now) {
       return Result.failed(ErrorKind.CONFLICT, "the lease deadline has passed");
     }
     if (!used().plus(start.sizes()).fitsIn(capacity)) {
       askedOverCapacity++;
-      return Result.failed(ErrorKind.CONFLICT, "no room for " + start.sizes());
+      return Result.failed(ErrorKind.CONFLICT, "insufficient capacity for " + start.sizes());
     }
     highestTokens.put(start.task(), start.token());
     for (FakeAttempt older : attempts.values()) {
@@ -142,7 +142,7 @@
         () -> {
           FakeAttempt attempt = attempts.get(key(task, token));
           if (attempt == null || !attempt.describe().running()) {
-            return Result.failed(ErrorKind.NOT_FOUND, "no such attempt runs: " + key(task, token));
+            return Result.failed(ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
           }
           if (leaseDeadlineMillis <= clock.millis()) {
             return Result.failed(ErrorKind.CONFLICT, "the lease deadline has passed");
@@ -170,7 +170,7 @@
         () -> {
           FakeAttempt attempt = attempts.get(key(task, token));
           if (attempt == null || !attempt.describe().running()) {
-            return Result.failed(ErrorKind.NOT_FOUND, "no such attempt runs: " + key(task, token));
+            return Result.failed(ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
           }
           change.accept(attempt);
           return Result.ok(attempt.describe());
@@ -189,7 +189,7 @@
                 new WorkerTask(task, 1, token, State.STOPPED, Sizes.NONE, "", "never started"));
           }
           if (attempt.describe().running()) {
-            attempt.end(State.STOPPED, "told to stop", clock.millis());
+            attempt.end(State.STOPPED, "stopped on request", clock.millis());
           }
           return Result.ok(attempt.describe());
         });
@@ -210,10 +210,10 @@
     return answer(
         () -> {
           long now = clock.millis();
-          samples.removeIf(late -> late.toldFrom() + SAMPLE_TOLD_MILLIS < now);
+          samples.removeIf(sample -> sample.toldFrom() + SAMPLE_TOLD_MILLIS < now);
           return Result.ok(
               samples.stream()
-                  .filter(late -> late.toldFrom() <= now)
+                  .filter(sample -> sample.toldFrom() <= now)
                   .map(LateSample::sample)
                   .toList());
         });
@@ -226,21 +226,21 @@
     advance();
     Result<T> result = call.get();
     if (faults.loseAnswers() != 0) {
-      int left = faults.loseAnswers() < 0 ? -1 : faults.loseAnswers() - 1;
-      faults = faults.withLoseAnswers(left);
-      return Result.failed(ErrorKind.OUTCOME_UNKNOWN, "answer of worker lost");
+      int remaining = faults.loseAnswers() < 0 ? -1 : faults.loseAnswers() - 1;
+      faults = faults.withLoseAnswers(remaining);
+      return Result.failed(ErrorKind.OUTCOME_UNKNOWN, "response of worker lost");
     }
     return result;
   }
 
   private long advance() {
     long now = clock.millis();
-    double noise = faults.slowdown();
+    double totalSlowdown = faults.slowdown();
     for (FakeAttempt attempt : attempts.values()) {
-      noise *= attempt.describe().running() ? attempt.noise() : 1;
+      totalSlowdown *= attempt.describe().running() ? attempt.noise() : 1;
     }
     for (FakeAttempt attempt : attempts.values()) {
-      double slowdown = noise / attempt.noise();
+      double slowdown = totalSlowdown / attempt.noise();
       attempt.advance(now, slowdown);
       if (attempt.describe().running() && now - attempt.measuredMillis() >= SAMPLE_MILLIS) {
         samples.add(new LateSample(attempt.measure(now, slowdown), now + faults.usageLagMillis()));
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/LogFaults.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/LogFaults.java
@@ -1,15 +1,15 @@
 package io.marigoldsail.testlib.platform;
 
 /**
- * What a stand-in log service does wrong just now. Immutable; zero and false switch a fault off.
+ * The injected faults of a stand-in log service. Immutable; zero and false disable a fault.
  *
- * @param down whether it refuses everything
- * @param slowMillis how much longer each answer takes, in milliseconds
- * @param loseAnswers how many of the next appends take effect without an answer; -1 for all
+ * @param down whether all requests are refused
+ * @param slowMillis the delay added to each response, in milliseconds
+ * @param loseAnswers how many of the next appends take effect without a response; -1 for all
  * @param doubleAppends how many of the next appends are stored twice; -1 for all
- * @param staleRecords how many of the newest records readers do not see yet
- * @param retainedRecords how many records a stream keeps; 0 for all
- * @param appendsPerSecond how many appends a second it takes; 0 for any number
+ * @param staleRecords how many of the newest records are not yet visible to readers
+ * @param retainedRecords the number of records retained per stream; 0 for all
+ * @param appendsPerSecond the maximum rate of appends per second; 0 for no limit
  */
 public record LogFaults(
     boolean down,
@@ -20,7 +20,7 @@
     int retainedRecords,
     int appendsPerSecond) {
 
-  /** Returns a log service in good health. */
+  /** Returns no faults. */
   public static LogFaults none() {
     return new LogFaults(false, 0, 0, 0, 0, 0, 0);
   }
@@ -37,13 +37,13 @@
         appendsPerSecond);
   }
 
-  /** Returns these faults with the given number of answers to lose. */
+  /** Returns these faults with the given number of lost responses. */
   public LogFaults withLoseAnswers(int count) {
     return new LogFaults(
         down, slowMillis, count, doubleAppends, staleRecords, retainedRecords, appendsPerSecond);
   }
 
-  /** Returns these faults with the given number of appends to store twice. */
+  /** Returns these faults with the given number of duplicated appends. */
   public LogFaults withDoubleAppends(int count) {
     return new LogFaults(
         down, slowMillis, loseAnswers, count, staleRecords, retainedRecords, appendsPerSecond);
@@ -55,7 +55,7 @@
         down, slowMillis, loseAnswers, doubleAppends, count, retainedRecords, appendsPerSecond);
   }
 
-  /** Returns these faults with the given number of records kept. */
+  /** Returns these faults with the given number of retained records. */
   public LogFaults withRetainedRecords(int count) {
     return new LogFaults(
         down, slowMillis, loseAnswers, doubleAppends, staleRecords, count, appendsPerSecond);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInLogService.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInLogService.java
@@ -19,18 +19,18 @@
  * A log service over HTTP, for tests and demonstrations.
  *
  * <ul>
- *   <li>{@code POST /streams/NAME/records} appends the body and answers {@code {"offset": N}};
+ *   <li>{@code POST /streams/NAME/records} appends the body and returns {@code {"offset": N}};
  *   <li>{@code GET /streams/NAME/records?from=N&max=N&waitMillis=N} reads; with {@code max=0} it
- *       tells only where the stream begins and ends;
- *   <li>{@code POST /admin/faults} changes {@link LogFaults}, {@code GET /admin/faults} shows them;
- *   <li>{@code GET /admin/counts} tells what was asked of it.
+ *       returns only the first and next offset of the stream;
+ *   <li>{@code POST /admin/faults} changes {@link LogFaults}, {@code GET /admin/faults} returns them;
+ *   <li>{@code GET /admin/counts} returns the counts of requests served.
  * </ul>
  *
- * <p>A refusal is a 503 and had no effect; a lost answer is a connection cut after the effect.
+ * <p>A refusal is a 503 without effect; a lost response is a connection closed after the effect.
  */
 public final class StandInLogService implements AutoCloseable {
-  /** A record as it travels; Jackson writes the bytes in Base64. */
-  @SuppressWarnings("ArrayRecordComponent") // only ever written out
+  /** A record in JSON; Jackson encodes the bytes in Base64. */
+  @SuppressWarnings("ArrayRecordComponent") // only serialized, never compared
   private record WireRecord(long offset, byte[] bytes) {}
 
   private record WirePage(List<WireRecord> records, long firstOffset, long nextOffset) {}
@@ -45,9 +45,9 @@
   private final StandInServer server;
 
   /**
-   * Creates a log service that is not started yet.
+   * Creates a log service without starting it.
    *
-   * @param host the IP number to listen on
+   * @param host the IP address to listen on
    * @param port the port, or 0 for a free one
    */
   public StandInLogService(String host, int port) {
@@ -55,18 +55,18 @@
     this.server = new StandInServer(host, port, MAX_THREADS, new Answers());
   }
 
-  /** Starts to listen and returns this. */
+  /** Starts listening and returns this. */
   public StandInLogService start() {
     server.start();
     return this;
   }
 
-  /** Returns the address to reach it at, such as {@code http://127.0.0.1:7000}. */
+  /** Returns the base URL, such as {@code http://127.0.0.1:7000}. */
   public String address() {
     return server.address();
   }
 
-  /** Returns the log in memory, to set its faults and to look at its records. */
+  /** Returns the in-memory log, to set faults and inspect records. */
   public FakeLogService log() {
     return log;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server under a stand-in, with the little JSON that stand-ins speak. */
+/** The HTTP server of a stand-in, with helpers for JSON responses. */
 final class StandInServer implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
   private static final int LEAST_THREADS = 8;
@@ -50,7 +50,7 @@
     try {
       server.start();
     } catch (Exception e) {
-      throw new IllegalStateException("stand-in cannot listen: " + e.getMessage(), e);
+      throw new IllegalStateException("cannot start the stand-in server: " + e.getMessage(), e);
     }
   }
 
@@ -63,17 +63,17 @@
     try {
       server.stop();
     } catch (Exception e) {
-      throw new IllegalStateException("stand-in cannot stop: " + e.getMessage(), e);
+      throw new IllegalStateException("cannot stop the stand-in server: " + e.getMessage(), e);
     }
   }
 
-  /** Answers with a value as JSON. */
+  /** Responds with a value as JSON. */
   static boolean answer(Response response, Callback callback, int status, Object value) {
     byte[] bytes;
     try {
       bytes = JSON.writeValueAsBytes(value);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("no JSON: " + e.getMessage(), e);
+      throw new IllegalArgumentException("cannot serialize to JSON: " + e.getMessage(), e);
     }
     response.setStatus(status);
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
@@ -81,31 +81,32 @@
     return true;
   }
 
-  /** Answers with an error status and one sentence. */
+  /** Responds with an error status and a {@code detail} message. */
   static boolean refuse(Response response, Callback callback, int status, String detail) {
     return answer(response, callback, status, JSON.createObjectNode().put("detail", detail));
   }
 
-  /** Cuts the connection without an answer. */
+  /** Closes the connection without a response. */
   static boolean cut(Request request, Callback callback) {
     request.getConnectionMetaData().getConnection().getEndPoint().close();
-    callback.failed(new EofException("cut on purpose"));
+    callback.failed(new EofException("connection closed by an injected fault"));
     return true;
   }
 
   /**
-   * Returns a value with the fields that the request's body names replaced.
+   * Returns a copy of the value with the fields in the request's body replaced.
    *
-   * @throws IOException if the body is no JSON object with only known fields of the right types
+   * @throws IOException if the body is not a JSON object with known fields of the right types
    */
   static <T> T update(T value, Class<T> type, Request request) throws IOException {
     return update(value, type, Content.Source.asString(request, StandardCharsets.UTF_8));
   }
 
-  /** Does the same with a body that was read already. */
+  /** Returns a copy of the value with the fields in the given body replaced; see {@link
+   * #update(Object, Class, Request)}. */
   static <T> T update(T value, Class<T> type, String body) throws IOException {
-    JsonNode present = JSON.valueToTree(value);
-    JsonNode merged = JSON.readerForUpdating(present).readValue(body);
+    JsonNode current = JSON.valueToTree(value);
+    JsonNode merged = JSON.readerForUpdating(current).readValue(body);
     return JSON.treeToValue(merged, type);
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInTarget.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInTarget.java
@@ -20,15 +20,15 @@
 import org.eclipse.jetty.util.Fields;
 
 /**
- * A target over HTTP that echoes each request's body and keeps its own record of what ran.
+ * A target over HTTP that echoes each request's body and records every run.
  *
- * <p>It runs as many requests at once as it has slots; more wait inside it. Any path below {@code
- * /admin} is its own: {@code POST /admin/faults} changes {@link TargetFaults}, {@code GET
- * /admin/record} shows every run. The query parameter {@code serviceMillis} or the header {@code
- * Stand-In-Service-Millis} sets one request's service time, {@code status} its answer's status.
+ * <p>It runs up to one request per slot and queues the others. {@code POST /admin/faults} changes
+ * {@link TargetFaults} and {@code GET /admin/record} returns all runs; every other path is a request
+ * to the target. The query parameter {@code serviceMillis} or the header {@code
+ * Stand-In-Service-Millis} sets the service time of a request, {@code status} its response status.
  */
 public final class StandInTarget implements AutoCloseable {
-  /** The header that carries the side process's id of the request. */
+  /** The header with the request id assigned by the side process. */
   public static final String REQUEST_ID_HEADER = "Marigoldsail-Request-Id";
 
   private static final String SERVICE_TIME_HEADER = "Stand-In-Service-Millis";
@@ -45,13 +45,13 @@
   private volatile TargetFaults faults = TargetFaults.none();
 
   /**
-   * Creates a target that is not started yet.
+   * Creates a target without starting it.
    *
-   * @param name its name in its record
-   * @param host the IP number to listen on
+   * @param name its name in its records
+   * @param host the IP address to listen on
    * @param port the port, or 0 for a free one
-   * @param slots how many requests it runs at once
-   * @param connections how many connections it accepts
+   * @param slots the number of concurrent requests
+   * @param connections the maximum number of connections
    */
   public StandInTarget(String name, String host, int port, int slots, int connections) {
     this.name = requireNonNull(name, "name");
@@ -67,23 +67,23 @@
             });
   }
 
-  /** Starts to listen and returns this. */
+  /** Starts listening and returns this. */
   public StandInTarget start() {
     server.start();
     return this;
   }
 
-  /** Returns the address to reach it at. */
+  /** Returns the base URL. */
   public String address() {
     return server.address();
   }
 
-  /** Replaces how it behaves. */
+  /** Replaces the faults. */
   public void setFaults(TargetFaults newFaults) {
     faults = requireNonNull(newFaults, "newFaults");
   }
 
-  /** Returns what it ran so far, in the order of starting. */
+  /** Returns all runs so far, in start order. */
   public List<TargetRun> runs() {
     return record.contents().runs();
   }
@@ -152,12 +152,12 @@
     }
 
     private long serviceMillis(Request request) {
-      String asked = request.getHeaders().get(SERVICE_TIME_HEADER);
+      String serviceTime = request.getHeaders().get(SERVICE_TIME_HEADER);
       Fields query = Request.extractQueryParameters(request);
-      if (asked == null && query.get("serviceMillis") != null) {
-        asked = query.getValue("serviceMillis");
+      if (serviceTime == null && query.get("serviceMillis") != null) {
+        serviceTime = query.getValue("serviceMillis");
       }
-      long millis = asked == null ? faults.serviceMillis() : Long.parseLong(asked);
+      long millis = serviceTime == null ? faults.serviceMillis() : Long.parseLong(serviceTime);
       return Math.round(millis * faults.slowness());
     }
 
@@ -212,8 +212,8 @@
       }
       if (faults.truncate()) {
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, Math.max(1, request.getLength()) + 1L);
-        Callback cut = Callback.from(() -> StandInServer.cut(request, callback), callback::failed);
-        response.write(false, ByteBuffer.wrap(new byte[1]), cut);
+        Callback closeAfterWrite = Callback.from(() -> StandInServer.cut(request, callback), callback::failed);
+        response.write(false, ByteBuffer.wrap(new byte[1]), closeAfterWrite);
         return;
       }
       if (request.getLength() > 0) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInWorker.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInWorker.java
@@ -17,16 +17,16 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A worker over HTTP, for tests and demonstrations; see {@link FakeWorker} for what it does.
+ * A worker over HTTP, for tests and demonstrations; see {@link FakeWorker} for its behaviour.
  *
- * <p>{@code GET /boot}, {@code /tasks} and {@code /usage} tell; {@code POST /tasks/start}, {@code
- * renew}, {@code throttle}, {@code checkpoint} and {@code stop} act and answer with the task. A
- * failure is its kind's status with {@code {"kind": CODE, "detail": TEXT}}; a lost answer is a cut
- * connection. {@code POST /admin/faults} changes {@link WorkerFaults}, {@code POST /admin/reboot}
- * boots anew, {@code GET /admin/record} shows every run.
+ * <p>{@code GET /boot}, {@code /tasks} and {@code /usage} return state; {@code POST /tasks/start},
+ * {@code renew}, {@code throttle}, {@code checkpoint} and {@code stop} change a task and return it.
+ * A failure has the HTTP status of its kind and the body {@code {"kind": CODE, "detail": TEXT}}; a
+ * lost response is a closed connection. {@code POST /admin/faults} changes {@link WorkerFaults},
+ * {@code POST /admin/reboot} reboots the worker, {@code GET /admin/record} returns all runs.
  */
 public final class StandInWorker implements AutoCloseable {
-  /** What a checker reads. */
+  /** The record that test checkers read. */
   private record Contents(List<WorkerRun> runs, long askedOverCapacity) {}
 
   private static final int MAX_THREADS = 32;
@@ -35,34 +35,34 @@
   private final StandInServer server;
 
   /**
-   * Creates a worker that is not started yet.
+   * Creates a worker without starting it.
    *
-   * @param name its name in its record
-   * @param host the IP number to listen on
+   * @param name its name in its records
+   * @param host the IP address to listen on
    * @param port the port, or 0 for a free one
-   * @param capacity what tasks may use in all
+   * @param capacity the total capacity for tasks
    */
   public StandInWorker(String name, String host, int port, Sizes capacity) {
     long originMillis = System.currentTimeMillis();
     long originNanos = System.nanoTime();
-    WallClock steady =
+    WallClock monotonicClock =
         () -> originMillis + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - originNanos);
-    this.worker = new FakeWorker(name, capacity, steady);
+    this.worker = new FakeWorker(name, capacity, monotonicClock);
     this.server = new StandInServer(host, port, MAX_THREADS, new Answers());
   }
 
-  /** Starts to listen and returns this. */
+  /** Starts listening and returns this. */
   public StandInWorker start() {
     server.start();
     return this;
   }
 
-  /** Returns the address to reach it at. */
+  /** Returns the base URL. */
   public String address() {
     return server.address();
   }
 
-  /** Returns the worker in memory, to set its faults and to look at its record. */
+  /** Returns the in-memory worker, to set faults and inspect its record. */
   public FakeWorker worker() {
     return worker;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandIns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandIns.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Option;
 
 /**
- * Runs one stand-in as a process until it is ended, such as {@code StandIns log --listen
- * 127.0.0.1:7000}.
+ * Main class that runs one stand-in until the process is killed, such as {@code StandIns log
+ * --listen 127.0.0.1:7000}.
  *
- * <p>Prints {@code listening ADDRESS} once it serves.
+ * <p>Prints {@code listening ADDRESS} once it accepts requests.
  */
 @Command(
     name = "stand-in",
@@ -41,13 +41,13 @@
     @Option(names = "--name", defaultValue = "target", description = "name in its record")
     private String name;
 
-    @Option(names = "--slots", defaultValue = "8", description = "requests at once")
+    @Option(names = "--slots", defaultValue = "8", description = "concurrent requests")
     private int slots;
 
-    @Option(names = "--connections", defaultValue = "64", description = "connections at once")
+    @Option(names = "--connections", defaultValue = "64", description = "maximum number of connections")
     private int connections;
 
-    @Option(names = "--service-millis", defaultValue = "0", description = "usual service time")
+    @Option(names = "--service-millis", defaultValue = "0", description = "default service time, in milliseconds")
     private long serviceMillis;
 
     @Override
@@ -68,13 +68,13 @@
     @Option(names = "--name", defaultValue = "worker", description = "name in its record")
     private String name;
 
-    @Option(names = "--milli-processors", defaultValue = "16000", description = "processors")
+    @Option(names = "--milli-processors", defaultValue = "16000", description = "capacity in thousandths of a processor")
     private long milliProcessors;
 
-    @Option(names = "--memory-gibibytes", defaultValue = "60", description = "memory")
+    @Option(names = "--memory-gibibytes", defaultValue = "60", description = "memory in GiB")
     private long memoryGibibytes;
 
-    @Option(names = "--accelerators", defaultValue = "0", description = "accelerators")
+    @Option(names = "--accelerators", defaultValue = "0", description = "number of accelerators")
     private long accelerators;
 
     @Override
@@ -87,7 +87,7 @@
 
   private StandIns() {}
 
-  /** Runs the stand-in that the arguments name; ends the process with 2 on bad ones. */
+  /** Runs the stand-in named by the arguments; exits with status 2 if they are invalid. */
   public static void main(String[] arguments) {
     CommandLine command =
         new CommandLine(new StandIns())
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetFaults.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetFaults.java
@@ -1,18 +1,18 @@
 package io.marigoldsail.testlib.platform;
 
 /**
- * How a stand-in target behaves just now. Immutable.
+ * The behaviour and injected faults of a stand-in target. Immutable.
  *
- * @param serviceMillis how long a request takes that names no time itself, in milliseconds
- * @param slowness what each service time is multiplied with; 1 for a healthy target
- * @param failStatus the status that every request ends with after it ran; 0 for success
- * @param truncate whether answers are cut short of their announced length
- * @param silent whether requests run but are never answered
+ * @param serviceMillis the service time of requests that set none, in milliseconds
+ * @param slowness the factor applied to each service time; 1 for a healthy target
+ * @param failStatus the response status of every request after it ran; 0 for success
+ * @param truncate whether responses end before their announced length
+ * @param silent whether requests run but get no response
  */
 public record TargetFaults(
     long serviceMillis, double slowness, int failStatus, boolean truncate, boolean silent) {
 
-  /** Returns a target that answers at once. */
+  /** Returns a healthy target that responds immediately. */
   public static TargetFaults none() {
     return new TargetFaults(0, 1, 0, false, false);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
@@ -4,12 +4,13 @@
 import java.util.List;
 
 /**
- * A target's own, bounded record of what it ran. Safe for any thread.
+ * A bounded record of the runs of a target. Thread-safe.
  *
- * <p>When full it counts instead of keeping, so that a checker sees that it cannot judge.
+ * <p>When full it counts further runs instead of recording them, so that a checker can detect that
+ * the record is incomplete.
  */
 final class TargetRecord {
-  /** What a checker reads. */
+  /** The record that test checkers read. */
   record Contents(List<TargetRun> runs, long notKept, int mostAtOnce) {}
 
   private final int capacity;
@@ -22,7 +23,8 @@
     this.capacity = capacity;
   }
 
-  /** Keeps the start of a run and returns its index for {@link #ended}, or -1. */
+  /** Records the start of a run and returns its index for {@link #ended}, or -1 if the record is
+   * full. */
   synchronized int started(TargetRun run) {
     running++;
     mostAtOnce = Math.max(mostAtOnce, running);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerFaults.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerFaults.java
@@ -1,20 +1,20 @@
 package io.marigoldsail.testlib.platform;
 
 /**
- * What a stand-in worker does wrong just now. Immutable; zero and false switch a fault off.
+ * The injected faults of a stand-in worker. Immutable; zero and false disable a fault.
  *
- * @param down whether it refuses everything; what runs goes on
- * @param failEverything whether every attempt fails as soon as it starts
- * @param loseAnswers how many of the next calls take effect without an answer; -1 for all
- * @param usageLagMillis how long after measuring a usage sample is told, in milliseconds
- * @param slowdown how much longer every task takes than alone; 1 for undisturbed
+ * @param down whether all requests are refused; running tasks continue
+ * @param failEverything whether every attempt fails immediately
+ * @param loseAnswers how many of the next calls take effect without a response; -1 for all
+ * @param usageLagMillis the delay until a usage sample is reported, in milliseconds
+ * @param slowdown the factor by which every task is slowed down; 1 for none
  */
 public record WorkerFaults(
     boolean down, boolean failEverything, int loseAnswers, long usageLagMillis, double slowdown) {
 
   private static final long USUAL_LAG_MILLIS = 2_000;
 
-  /** Returns a worker in good health, whose usage reports lag by two seconds. */
+  /** Returns a healthy worker whose usage samples are reported after two seconds. */
   public static WorkerFaults none() {
     return new WorkerFaults(false, false, 0, USUAL_LAG_MILLIS, 1);
   }
@@ -24,12 +24,12 @@
     return new WorkerFaults(newDown, failEverything, loseAnswers, usageLagMillis, slowdown);
   }
 
-  /** Returns these faults with every start failing or not. */
+  /** Returns these faults with every start failing, or not. */
   public WorkerFaults withFailEverything(boolean newFailEverything) {
     return new WorkerFaults(down, newFailEverything, loseAnswers, usageLagMillis, slowdown);
   }
 
-  /** Returns these faults with the given number of answers to lose. */
+  /** Returns these faults with the given number of lost responses. */
   public WorkerFaults withLoseAnswers(int count) {
     return new WorkerFaults(down, failEverything, count, usageLagMillis, slowdown);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerRun.java
@@ -3,17 +3,17 @@
 import io.marigoldsail.lease.WorkerTask;
 
 /**
- * One attempt of a task in a stand-in worker, from the worker's own record.
+ * One attempt of a task in a stand-in worker, as recorded by the worker.
  *
  * @param worker the worker's name
- * @param incarnation the worker's boot
+ * @param incarnation the incarnation of the worker
  * @param task the task's name
- * @param attempt the attempt
+ * @param attempt the attempt number
  * @param token the fencing token it was started with
  * @param checkpoint the checkpoint it resumed from, or empty
  * @param startMillis when it started, in milliseconds since the Unix epoch
  * @param endMillis when it ended, or 0 while it runs
- * @param state what became of it
+ * @param state the state at the time of the record
  */
 public record WorkerRun(
     String worker,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/package-info.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Small stand-ins for what the platform gives: log service, target and worker.
+ * Test doubles of the platform: log service, target and worker.
  *
- * <p>Reach for the {@code Fake} classes in a test that runs in one thread or one process, and for
- * the {@code StandIn} ones, which serve the same over HTTP, where real processes meet. Their faults
- * are switched over {@code POST /admin/faults}, with a JSON object that names only what changes.
+ * <p>The {@code Fake} classes are in memory, for tests in one process. The {@code StandIn} classes
+ * serve the same over HTTP, for tests with several processes. Their faults are set with {@code POST
+ * /admin/faults} and a JSON object of the fields to change.
  */
 package io.marigoldsail.testlib.platform;
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/ProcessFleetTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/ProcessFleetTest.java
@@ -28,7 +28,7 @@
 
       fleet.start("log", StandIns.class.getName(), List.of("nonsense"));
       assertEquals(2, fleet.awaitEnd("log"));
-      assertThrows(IllegalStateException.class, () -> fleet.await("wonder", 0, () -> false));
+      assertThrows(IllegalStateException.class, () -> fleet.await("condition that never holds", 0, () -> false));
     }
   }
 }
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/TcpFaultProxyTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/TcpFaultProxyTest.java
@@ -39,7 +39,7 @@
     try (Socket open = connect();
         Socket fresh = connect()) {
       assertEquals("HTTP/1.1 200", ask(open, ANSWER_MILLIS));
-      // Connected is not yet accepted: only an answer shows that the proxy holds this one, too.
+      // A connected socket may not be accepted yet; only a response shows that the proxy handles it.
       assertEquals("HTTP/1.1 200", ask(fresh, ANSWER_MILLIS));
       proxy.silenceOpen(Direction.TO_CLIENT);
       assertThrows(SocketTimeoutException.class, () -> ask(open, SILENCE_MILLIS));
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/history/HistoryTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/history/HistoryTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each checker passes a sound history and names each violation that is planted in one. */
+/** Each checker accepts a valid history and reports each violation injected into one. */
 final class HistoryTest {
   @Test
   void findsRequestsThatRanTwiceOrAgainstTheirAnswer() {
@@ -17,17 +17,17 @@
     history.add("once", false, Told.ANSWERED, true);
     history.add("lookup", true, Told.ANSWERED, true);
     history.add("lost", false, Told.UNKNOWN, true);
-    List<TargetRun> sound = List.of(run("once"), run("lookup"), run("lookup"), run("lost"));
-    assertEquals(List.of(), history.violations(sound));
+    List<TargetRun> valid = List.of(run("once"), run("lookup"), run("lookup"), run("lost"));
+    assertEquals(List.of(), history.violations(valid));
 
     history.add("twice", false, Told.UNKNOWN, true);
     history.add("refused", true, Told.NOT_RUN, true);
     history.add("invented", true, Told.ANSWERED, true);
     history.add("foreign", true, Told.UNKNOWN, false);
-    List<TargetRun> planted =
+    List<TargetRun> invalid =
         List.of(run("once"), run("lookup"), run("twice"), run("twice"), run("refused"));
 
-    assertEquals(4, history.violations(planted).size());
+    assertEquals(4, history.violations(invalid).size());
   }
 
   @Test
@@ -48,23 +48,23 @@
 
   @Test
   void findsRevisionsOutOfOrder() {
-    RevisionHistory sound = new RevisionHistory();
-    sound.published(1, "a", 0, 10);
-    sound.published(2, "b", 5, 20);
-    sound.read("entry-1", 1, "a", 12);
-    sound.read("entry-1", 2, "b", 30);
-    sound.read("entry-2", 1, "a", 31);
-    assertEquals(List.of(), sound.violations());
+    RevisionHistory valid = new RevisionHistory();
+    valid.published(1, "a", 0, 10);
+    valid.published(2, "b", 5, 20);
+    valid.read("entry-1", 1, "a", 12);
+    valid.read("entry-1", 2, "b", 30);
+    valid.read("entry-2", 1, "a", 31);
+    assertEquals(List.of(), valid.violations());
 
-    RevisionHistory planted = new RevisionHistory();
-    planted.published(2, "b", 0, 10);
-    planted.published(1, "a", 20, 30);
-    planted.published(2, "c", 5, 40);
-    planted.read("entry-1", 2, "c", 50);
-    planted.read("entry-1", 1, "a", 60);
-    planted.read("entry-2", 1, "x", 10);
+    RevisionHistory invalid = new RevisionHistory();
+    invalid.published(2, "b", 0, 10);
+    invalid.published(1, "a", 20, 30);
+    invalid.published(2, "c", 5, 40);
+    invalid.read("entry-1", 2, "c", 50);
+    invalid.read("entry-1", 1, "a", 60);
+    invalid.read("entry-2", 1, "x", 10);
 
-    assertEquals(5, planted.violations().size(), planted.violations().toString());
+    assertEquals(5, invalid.violations().size(), invalid.violations().toString());
   }
 
   private static TargetRun run(String tag) {
