--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/CountFold.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/CountFold.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import java.util.Objects;
 
-/** Counts its entries and mixes their ids into a number that depends on their order. */
+/** Counts entries and hashes their ids into a number that depends on their order. */
 final class CountFold implements Fold {
   private long count;
   private int mixed;
   private volatile Runnable onRestore = () -> {};
 
-  void onRestore(Runnable told) {
-    onRestore = told;
+  void onRestore(Runnable listener) {
+    onRestore = listener;
   }
 
   synchronized long count() {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ExactlyOnceTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ExactlyOnceTest.java
@@ -22,8 +22,9 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * Three processes append over a network that refuses, loses answers, and delivers appends late; all
- * on virtual time.
+ * Three processes append over a network that rejects requests, loses responses and delays appends.
+ * Guards against entries that are applied twice, and against outcomes that contradict the stream.
+ * Runs on virtual time.
  */
 final class ExactlyOnceTest {
   private static final String STREAM = "tasks";
@@ -34,11 +35,11 @@
   private FakeLogService log;
   private long now;
 
-  /** One process: its reader and its queue, without their threads. */
+  /** The reader and append queue of one process, without threads. */
   private final class Process implements Fold, StreamListener {
     private final Map<String, Position> applied = new LinkedHashMap<>();
     private final Map<String, Result<Position>> told = new LinkedHashMap<>();
-    private final StreamCursor cursor = new StreamCursor(this, false, this, (at, why, n) -> {});
+    private final StreamCursor cursor = new StreamCursor(this, false, this, (at, reason, n) -> {});
     private final EntryIds ids;
     private final AppendQueue queue;
 
@@ -62,22 +63,22 @@
       queue.expire(now).forEach(Completion::tell);
       Batch batch = queue.takeBatch(now).orElse(null);
       if (batch != null) {
-        Result<Long> answer = healthy ? log.append(STREAM, batch.record()) : spoil(batch, random);
-        queue.appended(batch, answer, now).forEach(Completion::tell);
+        Result<Long> result = healthy ? log.append(STREAM, batch.record()) : spoil(batch, random);
+        queue.appended(batch, result, now).forEach(Completion::tell);
       }
     }
 
     private Result<Long> spoil(Batch batch, Random random) {
       return switch (random.nextInt(5)) {
         case 0 -> Result.failed(ErrorKind.LOG_UNAVAILABLE, "refused");
-        case 1 -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "lost on the way there");
+        case 1 -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "request lost");
         case 2 -> {
           onTheWay.add(batch.record());
-          yield Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "still on its way");
+          yield Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "request delayed");
         }
         case 3 -> {
           log.append(STREAM, batch.record());
-          yield Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "answer lost");
+          yield Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "response lost");
         }
         default -> log.append(STREAM, batch.record());
       };
@@ -92,7 +93,7 @@
 
     @Override
     public void apply(LogEntry entry) {
-      assertEquals(null, applied.put(entry.id(), entry.position()), entry.id() + " counts twice");
+      assertEquals(null, applied.put(entry.id(), entry.position()), entry.id() + " was applied twice");
     }
 
     @Override
@@ -111,7 +112,7 @@
 
   @Property(seed = "3601", tries = 150)
   void whatCallersAreToldIsWhatTheStreamHolds(@ForAll @IntRange(min = 0) int seed) {
-    // One instance serves all tries of a property.
+    // All tries of a property share one instance.
     log = new FakeLogService();
     onTheWay.clear();
     now = 0;
@@ -123,11 +124,11 @@
     for (int step = 0; step < STEPS; step++) {
       now += random.nextInt(40) * MILLI;
       log.setFaults(LogFaults.none().withStaleRecords(random.nextInt(4) == 0 ? 2 : 0));
-      Process one = processes.get(random.nextInt(3));
+      Process process = processes.get(random.nextInt(3));
       switch (random.nextInt(4)) {
-        case 0 -> one.offer(now + (1 + random.nextInt(3_000)) * MILLI);
-        case 1 -> one.send(random, false);
-        case 2 -> one.read();
+        case 0 -> process.offer(now + (1 + random.nextInt(3_000)) * MILLI);
+        case 1 -> process.send(random, false);
+        case 2 -> process.read();
         default -> deliverLate(random);
       }
     }
@@ -161,7 +162,7 @@
           if (end instanceof Result.Failed<Position> failed) {
             boolean notRun = failed.failure().kind() == ErrorKind.LOG_UNAVAILABLE;
             assertTrue(
-                !notRun || !process.applied.containsKey(id), id + " told not run but counts");
+                !notRun || !process.applied.containsKey(id), id + " was reported as not run but was applied");
           } else {
             assertEquals(end.value(), process.applied.get(id), id);
           }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Followers, appenders and snapshot writers in their threads, against a log that fails. */
+/** Followers, appenders and snapshot writers with their threads, against a log with faults. */
 final class LogAppenderTest {
   private static final String STREAM = "tasks";
   private static final long PATIENCE_SECONDS = 60;
@@ -29,7 +29,7 @@
   private final MonotonicClock clock = MonotonicClock.system();
   private final List<Member> members = new ArrayList<>();
 
-  /** One process's share in the stream. */
+  /** The follower and appender of one process. */
   private final class Member implements AutoCloseable {
     private final CountFold fold = new CountFold();
     private final StreamFollower follower;
@@ -86,9 +86,9 @@
 
   @Test
   void appendsOnceOverLostAnswersAndDoubledRecords() throws Exception {
-    // Every third answer of the log is lost after it took effect, records are stored twice, and
-    // reads lag behind the tail. Three entries append at once: each entry counts once, in the same
-    // order for all, and each caller is told where.
+    // Responses of the log are lost after the append took effect, records are stored twice, and
+    // reads lag behind the tail. Three processes append concurrently: each entry is applied once, in
+    // the same order everywhere, and each caller gets its position.
     List<Member> three = List.of(member("entry-1"), member("entry-2"), member("entry-3"));
     List<CompletableFuture<Result<Position>>> appended = new ArrayList<>();
     for (int round = 0; round < 40; round++) {
@@ -99,17 +99,16 @@
               .withDoubleAppends(round % 5 == 0 ? 1 : 0)
               .withStaleRecords(round % 2));
       three.forEach(member -> appended.add(member.append()));
-      // What a stale reader does not see yet comes into sight here; the next round goes on
-      // meanwhile.
+      // Makes the hidden newest records visible while the next round continues.
       log.setFaults(log.faults().withStaleRecords(0));
     }
     log.setFaults(LogFaults.none());
 
-    HashSet<Position> places = new HashSet<>();
+    HashSet<Position> positions = new HashSet<>();
     for (CompletableFuture<Result<Position>> one : appended) {
-      places.add(one.get(PATIENCE_SECONDS, TimeUnit.SECONDS).value());
+      positions.add(one.get(PATIENCE_SECONDS, TimeUnit.SECONDS).value());
     }
-    assertEquals(120, places.size());
+    assertEquals(120, positions.size());
     for (Member member : three) {
       member.awaitApplied(log.nextOffset(STREAM));
       assertEquals(three.get(0).fold.state(), member.fold.state());
@@ -119,8 +118,8 @@
 
   @Test
   void goesOnAfterAnOutage() throws Exception {
-    // The log is down. An entry whose caller can wait is kept and counts once afterwards; one
-    // whose caller cannot is refused as not run, and indeed never counts.
+    // The log is down. An entry whose caller can wait is queued and applied once afterwards; one
+    // whose deadline passes is refused as not run and never applied.
     Member member = member("entry-1");
     assertTrue(member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
     log.setFaults(LogFaults.none().withDown(true));
@@ -141,8 +140,8 @@
 
   @Test
   void startsFromASnapshotWhenTheBeginningHasExpired() throws Exception {
-    // Retention keeps 60 records. Two processes run on while hundreds come; a third starts when
-    // the beginning is long gone. It must come to their state, which only a snapshot can give.
+    // The log retains 60 records. A third process starts when hundreds have been appended and the
+    // oldest have expired. Only a snapshot can bring it to the state of the other two.
     Member one = runOnWhileTheBeginningExpires();
 
     Member late = new Member("entry-3", OFTEN);
@@ -157,21 +156,21 @@
 
   @Test
   void appendsAsSoonAsTheRestoredStateIsHeard() throws Exception {
-    // Whoever hears of the restored state may act on it at once; told "not read far enough" then,
-    // an operator's publish was refused right after the configuration had come into force. Nothing
-    // more expires here: where the place of the restored state did, the outcome was rightly
-    // unknown, since the entry was passed in a later snapshot.
+    // A listener may append as soon as it is notified of the restored state. If the append failed
+    // with "not read far enough", an operator's publish would be refused right after the
+    // configuration came into force. Nothing expires in this phase: if the position of the restored
+    // state expired, the entry could be covered by a later snapshot and the outcome would be unknown.
     Member one = runOnWhileTheBeginningExpires();
     log.setFaults(LogFaults.none());
-    CompletableFuture<Result<Position>> atOnce = new CompletableFuture<>();
+    CompletableFuture<Result<Position>> appendOnRestore = new CompletableFuture<>();
     Member late =
         new Member(
             "entry-3",
             OFTEN,
             member -> {
-              var unused = member.append().thenAccept(atOnce::complete);
+              var unused = member.append().thenAccept(appendOnRestore::complete);
             });
-    assertTrue(atOnce.get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
+    assertTrue(appendOnRestore.get(PATIENCE_SECONDS, TimeUnit.SECONDS).isOk());
 
     one.awaitApplied(log.nextOffset(STREAM));
     late.awaitApplied(log.nextOffset(STREAM));
@@ -179,7 +178,7 @@
     assertEquals(one.fold.state(), late.fold.state());
   }
 
-  /** Returns one of two processes that are at the end of a stream whose beginning is gone. */
+  /** Returns one of two processes at the end of a stream whose oldest records have expired. */
   private Member runOnWhileTheBeginningExpires() throws Exception {
     Member one = new Member("entry-1", OFTEN);
     Member two = new Member("entry-2", OFTEN);
@@ -191,7 +190,7 @@
     return one;
   }
 
-  /** Appends as soon as the process has read far enough to be allowed to. */
+  /** Appends as soon as the process has read far enough for appends to be accepted. */
   private Result<Position> awaitAppend(Member member) throws Exception {
     member.awaitApplied(1);
     return member.append().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogMeasure.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Measures the log slice and prints CSV: {@code reading}, {@code append} or {@code slopes}.
+ * Measures the log package and prints CSV: {@code reading}, {@code append} or {@code slopes}.
  *
- * <p>Run by {@code bin/measure-log}; no test.
+ * <p>Run by {@code bin/measure-log}; not a test.
  */
 public final class LogMeasure {
   private static final String STREAM = "tasks";
@@ -31,15 +31,15 @@
 
   private LogMeasure() {}
 
-  /** Runs the measurements that the arguments name. */
+  /** Runs the measurements named by the arguments. */
   public static void main(String[] arguments) throws Exception {
-    for (String what : arguments) {
-      switch (what) {
+    for (String measurement : arguments) {
+      switch (measurement) {
         case "reading" -> ReadingTrial.run();
         case "append" -> append();
         case "slopes" -> slopes();
         default -> {
-          System.err.println("unknown measurement: " + what + "; reading, append or slopes");
+          System.err.println("unknown measurement: " + measurement + "; reading, append or slopes");
           System.exit(2);
         }
       }
@@ -47,7 +47,7 @@
     System.exit(0);
   }
 
-  /** One process's follower and appender on a log. */
+  /** The follower and appender of one process. */
   private record Member(StreamFollower follower, LogAppender appender) {
     static Member start(String name, LogService log) {
       SplittableRandom random = new SplittableRandom(name.hashCode());
@@ -72,7 +72,8 @@
     return JsonNodeFactory.instance.objectNode().put("filler", "x".repeat(BODY_BYTES));
   }
 
-  /** Entries a second that three entries offer, against a log that takes 300 appends a second. */
+  /** Measures appends by three entry processes at rising rates, with a log limited to 300 appends per
+   * second. */
   private static void append() throws Exception {
     System.out.println(
         "entries,offered_per_s,ok_per_s,failed,appends_per_s,p50_ms,p99_ms,worst_ms");
@@ -97,40 +98,40 @@
       members.add(Member.start("entry-" + i, new HttpLogService(client, service.address(), 2_000)));
     }
     List<CompletableFuture<Double>> latencies = new ArrayList<>();
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < rate * seconds; i++) {
-      long due = began + TimeUnit.SECONDS.toNanos(1) * i / rate;
-      while (System.nanoTime() < due) {
-        LockSupport.parkNanos(due - System.nanoTime());
+      long dueNanos = startNanos + TimeUnit.SECONDS.toNanos(1) * i / rate;
+      while (System.nanoTime() < dueNanos) {
+        LockSupport.parkNanos(dueNanos - System.nanoTime());
       }
       latencies.add(
-          members.get(i % 3).appender().append("t", body()).thenApply(r -> latency(r, due)));
+          members.get(i % 3).appender().append("t", body()).thenApply(r -> latency(r, dueNanos)));
     }
     List<Double> millis = new ArrayList<>();
-    for (CompletableFuture<Double> one : latencies) {
-      millis.add(one.get());
+    for (CompletableFuture<Double> value : latencies) {
+      millis.add(value.get());
     }
-    double took = (System.nanoTime() - began) / 1e9;
-    long failed = millis.stream().filter(one -> one.isNaN()).count();
-    millis.removeIf(one -> one.isNaN());
+    double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+    long failed = millis.stream().filter(value -> value.isNaN()).count();
+    millis.removeIf(value -> value.isNaN());
     millis.sort(null);
     System.out.printf(
         "3,%d,%.0f,%d,%.0f,%.1f,%.1f,%.1f%n",
         rate,
-        millis.size() / took,
+        millis.size() / elapsedSeconds,
         failed,
-        service.log().counts().appends() / took,
+        service.log().counts().appends() / elapsedSeconds,
         millis.get(millis.size() / 2),
         millis.get(millis.size() * 99 / 100),
         millis.get(millis.size() - 1));
     members.forEach(Member::close);
   }
 
-  private static double latency(Result<Position> result, long due) {
-    return result.isOk() ? (System.nanoTime() - due) / 1e6 : Double.NaN;
+  private static double latency(Result<Position> result, long dueNanos) {
+    return result.isOk() ? (System.nanoTime() - dueNanos) / 1e6 : Double.NaN;
   }
 
-  /** Cost against size, at four sizes each. */
+  /** Measures each cost at four sizes. */
   private static void slopes() throws Exception {
     System.out.println("slope,size,unit,value,per");
     warmUp();
@@ -141,7 +142,7 @@
       double cpu = readCpuMillis(40_000 / entries, entries);
       System.out.printf("read_cpu_batched,%d,entries/record,%.2f,us/entry%n", entries, cpu / 40);
     }
-    double unusedFirst = marksBytes(128) + outageBytes(1_250) + readerBytes(20_000);
+    double unusedWarmUp = marksBytes(128) + outageBytes(1_250) + readerBytes(20_000);
     for (int records : new int[] {20_000, 40_000, 80_000, 160_000}) {
       System.out.printf("reader_memory,%d,records,%.0f,bytes%n", records, readerBytes(records));
     }
@@ -171,7 +172,7 @@
     return cursor.nextOffset() == records ? millis : Double.NaN;
   }
 
-  /** What a reader holds once it has read so much and the log itself is gone. */
+  /** Returns the heap used by a reader after it has read the records, without the log itself. */
   private static double readerBytes(int records) {
     long before = usedBytes();
     StreamCursor cursor = readAll(filled(records, 1));
@@ -194,7 +195,7 @@
 
   private static StreamCursor readAll(FakeLogService log) {
     StreamCursor cursor =
-        new StreamCursor(new CountFold(), false, new StreamListener() {}, (o, why, n) -> {});
+        new StreamCursor(new CountFold(), false, new StreamListener() {}, (offset, reason, n) -> {});
     while (cursor.nextOffset() < log.nextOffset(STREAM)) {
       cursor.accept(log.read(STREAM, cursor.nextOffset(), 200, 0).value());
     }
@@ -216,28 +217,29 @@
     log.setFaults(LogFaults.none().withDown(true));
     Member member = Member.start("entry-1", log);
     long before = usedBytes();
-    List<CompletableFuture<Result<Position>>> kept = new ArrayList<>(open);
+    List<CompletableFuture<Result<Position>>> pending = new ArrayList<>(open);
     for (int i = 0; i < open; i++) {
-      kept.add(
+      pending.add(
           member.appender().append("t", body(), System.nanoTime() + TimeUnit.HOURS.toNanos(1)));
     }
     double bytes = usedBytes() - before;
     member.close();
-    return kept.isEmpty() ? 0 : bytes;
+    return pending.isEmpty() ? 0 : bytes;
   }
 
-  /** The least of several readings after collections. */
+  /** Returns the minimum of several measurements, each after a garbage collection. */
   private static long usedBytes() {
-    long least = Long.MAX_VALUE;
+    long min = Long.MAX_VALUE;
     for (int i = 0; i < 4; i++) {
       System.gc();
       Runtime runtime = Runtime.getRuntime();
-      least = Math.min(least, runtime.totalMemory() - runtime.freeMemory());
+      min = Math.min(min, runtime.totalMemory() - runtime.freeMemory());
     }
-    return least;
+    return min;
   }
 
-  /** Bytes on the wire of a process that reads a stream of so many entries' heartbeats. */
+  /** Measures the bytes on the wire of a process that reads the heartbeats of the given number of
+   * entry processes. */
   private static void wireBytes(int entries) throws Exception {
     try (StandInLogService service = new StandInLogService("127.0.0.1", 0).start();
         TcpFaultProxy reading = new TcpFaultProxy(URI.create(service.address()).getPort());
@@ -252,17 +254,17 @@
         ids.add(EntryIds.of("entry-" + i, 0x5f3a9c0d12345678L));
       }
       int beats = 20;
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       for (int beat = 0; beat < beats; beat++) {
         for (EntryIds id : ids) {
           byte[] entry = RecordCodec.entry(id.next(), "heartbeat", heartbeat());
           writer.append(STREAM, RecordCodec.record(List.of(entry))).value();
-          // Apart from each other, as those of different entries are, so that each is a page.
+          // Spaced, as the heartbeats of different entries are, so that each one is read as a page.
           LockSupport.parkNanos(TimeUnit.SECONDS.toNanos(1) / 9);
         }
       }
       reader.follower().awaitApplied(beats * entries, System.nanoTime() + 10_000_000_000L);
-      double seconds = (System.nanoTime() - began) / 1e9;
+      double seconds = (System.nanoTime() - startNanos) / 1e9;
       double count = beats * entries;
       System.out.printf(
           "heartbeat_read,%d,entries,%.0f,bytes/heartbeat%n", entries, bytes(reading) / count);
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingMember.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingMember.java
@@ -14,11 +14,11 @@
 import java.util.concurrent.CountDownLatch;
 
 /**
- * One process of the trial of reading ways: follows a stream from the first of its sources that
- * answers, and prints {@code OFFSET LATENCY_MICROS NOW_MILLIS} for each entry it applies.
+ * One process of {@link ReadingTrial}: follows a stream from the first of its sources that responds,
+ * and prints {@code OFFSET LATENCY_MICROS NOW_MILLIS} for each applied entry.
  *
  * <p>Arguments: the sources, separated by commas, and the port to relay on, or 0 for none. A relay
- * keeps what it has read and serves it as the log does.
+ * retains the records that it has read and serves them like the log.
  */
 public final class ReadingMember {
   private static final String STREAM = "trial";
@@ -26,14 +26,14 @@
 
   private ReadingMember() {}
 
-  /** Reads from the first source that answers; stays with one until it fails. */
+  /** Reads from one source and switches to the next one when a read fails. */
   private static final class Sources implements LogService {
     private final List<LogService> sources = new ArrayList<>();
     private int current;
 
     @Override
     public Result<Long> append(String stream, byte[] record) {
-      throw new UnsupportedOperationException("this trial's members only read");
+      throw new UnsupportedOperationException("members only read");
     }
 
     @Override
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Keeps what was read for those that read here. */
+  /** Retains the records read, for members that read from this one. */
   private record Relay(LogService source, StandInLogService server) implements LogService {
     @Override
     public Result<Long> append(String stream, byte[] record) {
@@ -84,7 +84,7 @@
     public void restore(JsonNode snapshot) {}
   }
 
-  /** Runs until it is ended. */
+  /** Runs until the process is killed. */
   public static void main(String[] arguments) throws InterruptedException {
     PlatformClient client = PlatformClient.start("member");
     Sources sources = new Sources();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingTrial.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/ReadingTrial.java
@@ -17,11 +17,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Each member reading the log by itself, against one that relays to the others and holds records
- * for those away: load and time to be in force through a death, a frozen member and an outage.
+ * Compares two ways for members to read the log: each on its own, or through a member that relays
+ * and retains records for the others. Measures load and propagation latency during the death of a
+ * member, a paused member and a log outage.
  *
- * <p>Prints CSV. Real processes and the real follower; the relay exists only here. Wall time on a
- * shared machine: a trial unless the machine is otherwise idle.
+ * <p>Prints CSV. Uses real processes and the production follower; the relay exists only here. The
+ * results are wall-clock times, valid only on an otherwise idle machine.
  */
 final class ReadingTrial implements AutoCloseable {
   private static final int MEMBERS = 6;
@@ -62,7 +63,7 @@
           List.of(sources(i), "" + (relay ? RELAY_PORT + i : 0)));
     }
     members.forEach(m -> fleet.await(m, 60, () -> fleet.printed(m).contains("ready")));
-    ScheduledFuture<?> publishing =
+    ScheduledFuture<?> publishTask =
         publisher.scheduleAtFixedRate(
             this::publish, 0, TimeUnit.SECONDS.toMicros(1) / RATE, TimeUnit.MICROSECONDS);
     pass(PHASE_SECONDS);
@@ -90,13 +91,13 @@
           log.log().setFaults(LogFaults.none());
           pass(PHASE_SECONDS - FAULT_SECONDS);
         });
-    publishing.cancel(false);
+    publishTask.cancel(false);
   }
 
   private String sources(int member) {
     StringBuilder sources = new StringBuilder();
-    for (int before = 0; relay && before < Math.min(member, 2); before++) {
-      sources.append("http://127.0.0.1:").append(RELAY_PORT + before).append(',');
+    for (int source = 0; relay && source < Math.min(member, 2); source++) {
+      sources.append("http://127.0.0.1:").append(RELAY_PORT + source).append(',');
     }
     return sources + log.address();
   }
@@ -109,7 +110,7 @@
     var unused = log.log().append("trial", RecordCodec.record(List.of(entry)));
   }
 
-  /** Lets time pass without a condition to wait for: the phase's length is what is measured. */
+  /** Waits for the length of a phase, which has no condition to wait for. */
   private void pass(long seconds) {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     fleet.await("end of phase", seconds + 60, () -> System.nanoTime() >= until);
@@ -119,9 +120,9 @@
     List<Long> cpuBefore = members.stream().map(this::cpuMillis).toList();
     List<Integer> linesBefore = members.stream().map(m -> lines(m).size()).toList();
     FakeLogService.Counts countsBefore = log.log().counts();
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     fault.run();
-    double seconds = (System.nanoTime() - began) / 1e9;
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
     long reads = log.log().counts().reads() - countsBefore.reads();
     for (int i = 0; i < members.size(); i++) {
       String member = members.get(i);
@@ -129,7 +130,7 @@
         continue;
       }
       List<String> all = lines(member);
-      List<String> fresh = all.subList(Math.min(linesBefore.get(i), all.size()), all.size());
+      List<String> newLines = all.subList(Math.min(linesBefore.get(i), all.size()), all.size());
       double cpu = (cpuMillis(member) - cpuBefore.get(i)) / seconds;
       System.out.printf(
           "%s,%s,%s,%.1f,%d,%s,%.0f%n",
@@ -137,29 +138,29 @@
           name,
           member,
           cpu,
-          fresh.size(),
-          latencies(fresh),
+          newLines.size(),
+          latencies(newLines),
           reads / seconds);
     }
   }
 
-  /** Returns median and worst latency, and how long the longest pause in applying was. */
+  /** Returns the median and maximum latency, and the longest gap between applied entries. */
   private static String latencies(List<String> lines) {
     List<Double> sorted = new ArrayList<>();
     long last = 0;
-    long pause = 0;
+    long maxGap = 0;
     for (String line : lines) {
       String[] parts = line.split(" ", -1);
       sorted.add(Long.parseLong(parts[1]) / 1_000.0);
       long at = Long.parseLong(parts[2]);
-      pause = last == 0 ? 0 : Math.max(pause, at - last);
+      maxGap = last == 0 ? 0 : Math.max(maxGap, at - last);
       last = at;
     }
     sorted.sort(null);
     return sorted.isEmpty()
         ? "none,none,none"
         : String.format(
-            "%.1f,%.1f,%d", sorted.get(sorted.size() / 2), sorted.get(sorted.size() - 1), pause);
+            "%.1f,%.1f,%d", sorted.get(sorted.size() / 2), sorted.get(sorted.size() - 1), maxGap);
   }
 
   private List<String> lines(String member) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/SilentConnectionTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/SilentConnectionTest.java
@@ -27,9 +27,9 @@
   @ParameterizedTest
   @EnumSource(Direction.class)
   void goesOnOverNewConnections(Direction direction) throws Exception {
-    // A middle box forgets all connections between a process and the log: they stay open and carry
-    // nothing any more, while new ones work. A reader that waited on such a one would show an old
-    // configuration for good. Bytes vanish on the way there, or on the way back after the effect.
+    // A middlebox loses the state of all connections between a process and the log: they stay open
+    // but carry no data, while new connections work. A reader that kept waiting on such a connection
+    // would show an old configuration forever. Bytes are dropped in the request or the response.
     try (StandInLogService service = new StandInLogService("127.0.0.1", 0).start();
         TcpFaultProxy proxy = new TcpFaultProxy(URI.create(service.address()).getPort());
         PlatformClient client = PlatformClient.start("silent")) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/DaemonStartTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/DaemonStartTest.java
@@ -33,15 +33,15 @@
   }
 
   /**
-   * An operator starts an entry on a port that something else holds. The daemon printed a stack
-   * trace of a close that ran before the start had finished, and no word of file or key.
+   * An entry is started on a port in use. Guards against a stack trace of a close that runs before
+   * the start has finished, instead of an error that names the file and key.
    */
   @ParameterizedTest
   @ValueSource(strings = {"callers", "operators", "processes"})
   void portInUseIsOneLineThatNamesFileAndKey(String key) throws IOException {
-    try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         ProcessFleet fleet = new ProcessFleet(directory, List.of("-Xmx64m"))) {
-      String inUse = "127.0.0.1:" + taken.getLocalPort();
+      String inUse = "127.0.0.1:" + occupied.getLocalPort();
       Path file =
           settings(
               key.equals("callers") ? inUse : FreePorts.address(),
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/architecture/DecisionModulesTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/architecture/DecisionModulesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Keeps the modules that decide free of network, clocks, threads and logs, so that each can be read
- * and tested without any of them.
+ * Keeps the decision modules free of network, clocks, threads and logs, so that each can be
+ * understood and tested without them.
  */
 class DecisionModulesTest {
   private static final JavaClasses CLASSES =
@@ -68,7 +68,7 @@
 
   @Test
   void dependOnNoNetworkClockThreadOrLog() {
-    assertTrue(CLASSES.stream().filter(DECISIONS).count() > 10, "decision classes were not found");
+    assertTrue(CLASSES.stream().filter(DECISIONS).count() > 10, "no decision classes found");
     free(DECISIONS).check(CLASSES);
   }
 
@@ -83,7 +83,7 @@
         .check(CLASSES);
   }
 
-  // A rule that matches nothing passes forever; this one must fail for classes that do use sockets.
+  // A rule that matches nothing always passes; this one must fail for classes that use sockets.
   @Test
   void wouldSeeAClassThatUsesTheNetwork() {
     ArchRule rule = free(resideInAnyPackage("io.marigoldsail.daemon.dispatch.."));
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliWorld.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CliWorld.java
@@ -32,9 +32,9 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** The operators' side of one entry in this process, and the command-line tool run against it. */
+/** An in-process operators' API of one entry, and the command-line tool run against it. */
 final class CliWorld implements AutoCloseable {
-  /** What one run of the tool gave. */
+  /** The result of one run of the tool. */
   record Run(int exitCode, String out, String err) {
     JsonNode json() {
       return Json.parse("out", out.getBytes(StandardCharsets.UTF_8)).value();
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CommandLineTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/cli/CommandLineTest.java
@@ -37,8 +37,8 @@
     return Files.writeString(folder.resolve(name), text.replace('\'', '"')).toString();
   }
 
-  private String base(int waiting) throws IOException {
-    return file("base.json", "{'services':{'parking':{'maxWaiting':" + waiting + "}}}");
+  private String base(int maxWaiting) throws IOException {
+    return file("base.json", "{'services':{'parking':{'maxWaiting':" + maxWaiting + "}}}");
   }
 
   private Run run(String... arguments) {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Story: one side process hangs and does not apply the new revision. The operator must hear which
-   * one it is and that the publish itself stands, instead of a plain failure.
+   * A side process hangs and does not apply the new revision. The output must name the process and
+   * say that the publish was accepted, instead of reporting a failure.
    */
   @Test
   void waitNamesTheProcessThatIsBehind() throws IOException {
@@ -171,23 +171,23 @@
   }
 
   /**
-   * Story: a script submits a job and waits; the entry dies and the next one has not read the job
-   * yet. Ending with "no such job" would make the script submit it under another name.
+   * A script submits a job and waits; the entry dies and the next one has not read the job yet.
+   * Failing with "no such job" would make the script submit it again under another name.
    */
   @Test
   void waitOutlivesAnEntryThatDoesNotKnowTheJobYet() throws IOException {
-    AtomicInteger asked = new AtomicInteger();
+    AtomicInteger requests = new AtomicInteger();
     world.server.registerImmediate("POST", "/jobs", request -> Result.ok(job(0, false)));
     world.server.registerImmediate(
         "GET",
         "/jobs/{name}",
         request ->
-            asked.incrementAndGet() < 3
+            requests.incrementAndGet() < 3
                 ? Result.failed(ErrorKind.NOT_FOUND, "no job is called payout")
                 : Result.ok(job(0, true)));
     Run waited = run("submit", file("job.json", "{'name':'payout'}"), "--wait");
     assertEquals(0, waited.exitCode(), waited.err());
-    assertEquals(3, asked.get());
+    assertEquals(3, requests.get());
   }
 
   private static OperatorAnswer job(int failed, boolean ended) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/measure/CapacityMeasure.java
@@ -29,8 +29,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Measures what an entry holds and does as the fleet grows, and prints CSV with a straight line
- * fitted to each quantity. Run by {@code bin/measure-capacity}.
+ * Measures the memory and processor time of an entry against the size of the fleet. Prints CSV with
+ * a linear fit of each quantity. Run by {@code bin/measure-capacity}.
  */
 public final class CapacityMeasure {
   private static final int[] TASKS = {1_725, 3_450, 6_900, 13_800};
@@ -51,7 +51,7 @@
   private CapacityMeasure() {}
 
   /**
-   * Prints all quantities and, where a directory is named, draws each slope into it.
+   * Prints all quantities and, if a directory is given, writes a plot of each into it.
    *
    * @throws IOException if a plot cannot be written
    */
@@ -70,7 +70,7 @@
     long of(int size);
   }
 
-  /** The middle of some rounds. */
+  /** Prints the median of several rounds for each size. */
   private static void measure(String name, int[] sizes, String unit, Quantity quantity)
       throws IOException {
     double[] values = new double[sizes.length];
@@ -96,17 +96,17 @@
     }
   }
 
-  /** Draws what was measured and the line fitted to it, both axes from 0. */
+  /** Writes a plot of the measured values and the linear fit, with both axes from 0. */
   private static void draw(Path file, String unit, int[] sizes, double[] values)
       throws IOException {
     Fit fit = Fit.of(sizes, values);
-    double widest = sizes[sizes.length - 1];
-    double highest = Arrays.stream(values).max().orElseThrow();
+    double maxSize = sizes[sizes.length - 1];
+    double maxValue = Arrays.stream(values).max().orElseThrow();
     SvgPlot plot =
         new SvgPlot(
             file.getFileName().toString().replace(".svg", ""),
-            axis("size, thousands", widest / 1_000),
-            axis(unit, highest));
+            axis("size, thousands", maxSize / 1_000),
+            axis(unit, maxValue));
     List<double[]> measured = new ArrayList<>();
     for (int i = 0; i < sizes.length; i++) {
       measured.add(new double[] {sizes[i] / 1_000.0, values[i]});
@@ -117,19 +117,19 @@
         true,
         List.of(
             new double[] {0, fit.intercept()},
-            new double[] {widest / 1_000, fit.intercept() + fit.slope() * widest}));
+            new double[] {maxSize / 1_000, fit.intercept() + fit.slope() * maxSize}));
     Files.writeString(file, plot.toSvg(), StandardCharsets.UTF_8);
   }
 
-  private static SvgPlot.Axis axis(String title, double to) {
-    List<Double> marks = new ArrayList<>();
+  private static SvgPlot.Axis axis(String title, double max) {
+    List<Double> ticks = new ArrayList<>();
     for (int i = 0; i <= AXIS_MARKS; i++) {
-      marks.add(to * i / AXIS_MARKS);
+      ticks.add(max * i / AXIS_MARKS);
     }
-    return new SvgPlot.Axis(title, 0, to * AXIS_ROOM, false, marks);
+    return new SvgPlot.Axis(title, 0, max * AXIS_ROOM, false, ticks);
   }
 
-  /** A straight line through what was measured. */
+  /** A least-squares linear fit. */
   private record Fit(double slope, double intercept, double r2) {
     private static Fit of(int[] sizes, double[] values) {
       double meanSize = 0;
@@ -138,16 +138,16 @@
         meanSize += sizes[i] / (double) sizes.length;
         meanValue += values[i] / sizes.length;
       }
-      double across = 0;
-      double along = 0;
-      double spread = 0;
+      double covariance = 0;
+      double sizeVariance = 0;
+      double valueVariance = 0;
       for (int i = 0; i < sizes.length; i++) {
-        across += (sizes[i] - meanSize) * (values[i] - meanValue);
-        along += (sizes[i] - meanSize) * (sizes[i] - meanSize);
-        spread += (values[i] - meanValue) * (values[i] - meanValue);
+        covariance += (sizes[i] - meanSize) * (values[i] - meanValue);
+        sizeVariance += (sizes[i] - meanSize) * (sizes[i] - meanSize);
+        valueVariance += (values[i] - meanValue) * (values[i] - meanValue);
       }
-      double slope = across / along;
-      double r2 = spread == 0 ? 1 : across * across / along / spread;
+      double slope = covariance / sizeVariance;
+      double r2 = valueVariance == 0 ? 1 : covariance * covariance / sizeVariance / valueVariance;
       return new Fit(slope, meanValue - slope * meanSize, r2);
     }
   }
@@ -191,7 +191,7 @@
         Spread.NONE);
   }
 
-  /** Applies records at rising positions. */
+  /** Applies records at increasing positions. */
   private static final class Writer {
     private final TaskTable table;
     private long position = -1;
@@ -216,7 +216,7 @@
           return runtime.totalMemory() - runtime.freeMemory();
         };
     long before = used.getAsLong();
-    // Many at once, so that one that a stack frame still holds from before makes no difference.
+    // Several tables, so that one still referenced from an earlier stack frame has little effect.
     TaskTable[] tables = new TaskTable[TABLES];
     Arrays.setAll(tables, unused -> tableOf(tasks));
     long after = used.getAsLong();
@@ -228,11 +228,11 @@
     return Json.bytes(tableOf(tasks).snapshot().toJson()).length;
   }
 
-  /** Folding all that brings so many tasks to run: accepted, claimed. */
+  /** Returns the time to apply all records that accept and claim the given number of tasks. */
   private static long foldMicros(int tasks) {
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     tableOf(tasks);
-    return (System.nanoTime() - began) / 1_000;
+    return (System.nanoTime() - startNanos) / 1_000;
   }
 
   private static long announceMicros(int vms) {
@@ -241,10 +241,10 @@
     for (int vm = 0; vm < vms; vm++) {
       frames[vm] = announcement(vm).toByteArray();
     }
-    long began = 0;
+    long startNanos = 0;
     try {
       for (int pass = -WARM_UP_PASSES; pass < PASSES; pass++) {
-        began = pass == 0 ? System.nanoTime() : began;
+        startNanos = pass == 0 ? System.nanoTime() : startNanos;
         for (byte[] frame : frames) {
           members.announced(Announcements.read(Announce.parseFrom(frame)), pass);
         }
@@ -252,7 +252,7 @@
     } catch (IOException | BrokenFrameException e) {
       throw new IllegalStateException(e);
     }
-    return (System.nanoTime() - began) / 1_000 / PASSES;
+    return (System.nanoTime() - startNanos) / 1_000 / PASSES;
   }
 
   private static Announce announcement(int vm) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/KnownRedTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/KnownRedTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Runs the reader of KNOWN-RED.txt over a repository of its own. */
+/** Runs the parser of KNOWN-RED.txt on a temporary repository. */
 final class KnownRedTest {
   private static final Path ROOT = Path.of("..");
 
@@ -128,18 +128,18 @@
   }
 
   /**
-   * A test is renamed when its fault is mended, and its line stays in the list. Nobody sees that
-   * the line hides nothing, until a test of that name comes back and is red unseen.
+   * An entry whose test was renamed excludes nothing, and would silently exclude a failing test that
+   * gets this name later.
    */
   @ParameterizedTest
   @ValueSource(
       strings = {
         "LeaseTest#isGone", // no such test
-        "LeaseTest#helper", // no test
-        "LeaseTest#expires", // two of that name
+        "LeaseTest#helper", // not a test
+        "LeaseTest#expires", // two tests of that name
         "GoneTest#expires", // no such class
         "TwinTest#a", // two classes of that name
-        "World#a", // no class whose tests are run
+        "World#a", // not a test class
         "LeaseTest", // a whole class
         "LeaseTest#*",
         "Lease*#expires",
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/ReplayFailedTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/ReplayFailedTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Plays lists of failed days with a stand-in of the program that plays days. */
+/** Replays lists of failed days with a stub of the program that runs days. */
 final class ReplayFailedTest {
   private static final Path ROOT = Path.of("..");
 
@@ -92,7 +92,7 @@
   }
 
   /**
-   * A day that was given up, or never found, told nothing; it must not look like one that passed.
+   * A day that was aborted or not found has no result and must not be reported as passed.
    */
   @Test
   void aDayThatWasNotPlayedFails() throws IOException, InterruptedException {
@@ -108,12 +108,12 @@
 
   @Test
   void nothingIsPlayedAfterABrokenBuildOrByABrokenList() throws IOException, InterruptedException {
-    Run unbuilt = replay("exit 1", "one.toml | mix | 7 | LOST 4 | yes | a cause");
-    assertNotEquals(0, unbuilt.status());
+    Run brokenBuild = replay("exit 1", "one.toml | mix | 7 | LOST 4 | yes | a cause");
+    assertNotEquals(0, brokenBuild.status());
     assertEquals(List.of("build"), Files.readAllLines(folder.resolve("calls")));
-    Run unread = replay("exit", "one.toml | mix | 7");
-    assertNotEquals(0, unread.status());
+    Run brokenList = replay("exit", "one.toml | mix | 7");
+    assertNotEquals(0, brokenList.status());
     assertTrue(
-        unread.output().get(0).contains("has not its six parts"), unread.output().toString());
+        brokenList.output().get(0).contains("has not its six parts"), brokenList.output().toString());
   }
 }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/WorkflowProofsTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/pages/WorkflowProofsTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Holds the page of proofs to the tests that there are. */
+/** Checks that the tests named on the proofs page exist and that each rule has a row. */
 final class WorkflowProofsTest {
   private static final Path ROOT = Path.of("..");
   private static final Path PAGE = ROOT.resolve("docs").resolve("proofs-workflows.md");
@@ -24,10 +24,11 @@
       Pattern.compile(
           "@(?:Test|Property|ParameterizedTest)\\b[^;{}]*?\\bvoid\\s+([A-Za-z0-9]+)\\(");
 
-  /** The column of the tables that names tests. */
+  /** The index of the column with test names. */
   private static final int TESTS = 3;
 
-  /** The rules that the platform judges; a row tells how each is kept, or that none does. */
+  /** The rules checked by the platform; each needs a row that names its tests or says that there are
+   * none. */
   private static final List<String> RULES =
       List.of(
           "LOST", "CONFIG", "RECOVER", "LIMIT", "TWICE", "ORDER", "ROUTE", "BUDGET", "GANG",
@@ -45,9 +46,9 @@
     try (Stream<Path> files = Files.walk(ROOT)) {
       for (Path file :
           files
-              .filter(each -> each.toString().contains("/src/test/java/"))
-              .filter(each -> !each.toString().contains("/target/"))
-              .filter(each -> each.toString().endsWith("Test.java"))
+              .filter(path -> path.toString().contains("/src/test/java/"))
+              .filter(path -> !path.toString().contains("/target/"))
+              .filter(path -> path.toString().endsWith("Test.java"))
               .toList()) {
         names.add(file.getFileName().toString().replace(".java", ""));
         Matcher matcher = TEST.matcher(Files.readString(file));
@@ -60,8 +61,7 @@
   }
 
   /**
-   * A test is renamed or dropped, and the page goes on to call it the proof of a promise. Whoever
-   * reads the page relies on what nothing checks any more.
+   * A page that names a test which was renamed or deleted claims a guarantee that is not checked.
    */
   @Test
   void theTestsThatItNamesExist() throws IOException {
@@ -83,10 +83,10 @@
 
   @Test
   void eachRuleHasARow() throws IOException {
-    List<String> first = rows().stream().map(row -> row[1]).toList();
+    List<String> firstCells = rows().stream().map(row -> row[1]).toList();
     List<String> missing =
         RULES.stream()
-            .filter(rule -> first.stream().noneMatch(cell -> cell.contains(rule)))
+            .filter(rule -> firstCells.stream().noneMatch(cell -> cell.contains(rule)))
             .toList();
     assertEquals(List.of(), missing);
   }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/CallersOfSite.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/CallersOfSite.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Callers that ask one request after another, each over the next entry whose health is good, as the
- * platform's balancer has it; and what they were told.
+ * Callers that send one request after another, each to the next healthy entry like the platform's
+ * load balancer, and record the outcomes.
  */
 final class CallersOfSite implements AutoCloseable {
   private static final int CALLERS = 8;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Returns whether the balancer would send callers to an entry. */
+  /** Returns whether the load balancer would route callers to an entry. */
   static boolean isReady(String entry) {
     return isHealthy(HttpClient.newHttpClient(), entry);
   }
@@ -84,27 +84,28 @@
     }
   }
 
-  /** Every other charge carries a key, and its caller asks again with it over the other entries. */
+  /** Sends a request. Every second POST has an idempotency key and is retried with it at the other
+   * entries. */
   private void ask(String entry, String caller, long number) {
     boolean idempotent = number % 2 == 0;
     boolean keyed = number % 4 == 1;
     String tag = "r" + number;
-    Told told = askOnce(entry, caller, number, tag, keyed);
-    for (int i = 1; i <= REPEATS && keyed && told != Told.ANSWERED; i++) {
-      String other = entries.get((int) ((number + i) % entries.size()));
-      if (!isHealthy(client, other)) {
+    Told outcome = askOnce(entry, caller, number, tag, keyed);
+    for (int i = 1; i <= REPEATS && keyed && outcome != Told.ANSWERED; i++) {
+      String nextEntry = entries.get((int) ((number + i) % entries.size()));
+      if (!isHealthy(client, nextEntry)) {
         continue;
       }
-      Told again = askOnce(other, caller, number, tag, true);
-      // "Not run" speaks of one try; an earlier one whose outcome is unknown may have run.
-      told = again == Told.ANSWERED || told == Told.NOT_RUN ? again : told;
+      Told retryOutcome = askOnce(nextEntry, caller, number, tag, true);
+      // "Not run" refers to one attempt; an earlier one with unknown outcome may have run.
+      outcome = retryOutcome == Told.ANSWERED || outcome == Told.NOT_RUN ? retryOutcome : outcome;
     }
-    history.add(tag, idempotent, told, !foreign.contains(tag));
+    history.add(tag, idempotent, outcome, !foreign.contains(tag));
   }
 
   /**
-   * Asks charges with keys through every healthy entry; returns whether all were answered. Asked
-   * again, they are repeats.
+   * Sends charges with keys through every healthy entry; returns whether all were answered. Later
+   * calls repeat the same requests.
    */
   boolean areChargesAnswered(int count) {
     for (int i = 0; i < count; i++) {
@@ -134,17 +135,17 @@
       request.header("Idempotency-Key", tag);
     }
     try {
-      HttpResponse<byte[]> answer =
+      HttpResponse<byte[]> response =
           client.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-      String text = new String(answer.body(), StandardCharsets.UTF_8);
-      Told told = told(answer.statusCode(), text);
-      if (told == Told.ANSWERED && !text.equals(body)) {
+      String text = new String(response.body(), StandardCharsets.UTF_8);
+      Told outcome = told(response.statusCode(), text);
+      if (outcome == Told.ANSWERED && !text.equals(body)) {
         foreign.add(tag);
       }
-      if (told == Told.UNKNOWN && !text.contains("key-state-unknown")) {
-        cutOff.merge(answer.statusCode() + " " + text, 1, Integer::sum);
+      if (outcome == Told.UNKNOWN && !text.contains("key-state-unknown")) {
+        cutOff.merge(response.statusCode() + " " + text, 1, Integer::sum);
       }
-      return told;
+      return outcome;
     } catch (IOException e) {
       cutOff.merge(e.toString(), 1, Integer::sum);
       return Told.UNKNOWN;
@@ -182,8 +183,8 @@
   }
 
   /**
-   * Returns how tries lost their connection or their outcome, each with its number. Not those that
-   * were refused since the key's home has gone: that answer says that this try did not run.
+   * Returns the number of attempts by error that lost their connection or whose outcome is unknown.
+   * Excludes refusals because the owner of a key is gone, which say that the attempt did not run.
    */
   Map<String, Integer> cutOff() {
     return Map.copyOf(cutOff);
@@ -197,7 +198,7 @@
     return history.count(Told.ANSWERED);
   }
 
-  /** Lets the callers finish what they asked and waits for it. */
+  /** Stops sending and waits for the open requests. */
   void stop() {
     stopped = true;
     for (Thread thread : threads) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/FreePorts.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/FreePorts.java
@@ -5,10 +5,10 @@
 import java.net.ServerSocket;
 
 /**
- * Ports for processes that a test starts.
+ * Allocates free ports for processes started by tests.
  *
- * <p>Below those that the system gives to outgoing connections: a port that was free when it was
- * chosen is otherwise taken, now and then, by some connection before its process listens on it.
+ * <p>Uses ports below the ephemeral range: an ephemeral port that is free when chosen can be taken by
+ * an outgoing connection before the process listens on it.
  */
 public final class FreePorts {
   private static final int FIRST = 10_000;
@@ -19,7 +19,7 @@
 
   private FreePorts() {}
 
-  /** Returns an address on loopback that nobody listens on, and that is not given out again. */
+  /** Returns a free address on loopback, and does not return it again until all ports were used. */
   public static synchronized String address() {
     while (true) {
       int port = FIRST + next;
@@ -27,7 +27,7 @@
       try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         return "127.0.0.1:" + socket.getLocalPort();
       } catch (IOException e) {
-        // Taken; the next one may be free.
+        // The port is in use; try the next one.
       }
     }
   }
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/OperatorsOfSite.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/OperatorsOfSite.java
@@ -11,9 +11,9 @@
 import java.time.Duration;
 import java.util.List;
 
-/** Operators of a site: they ask each entry in turn until one answers. */
+/** A client of the operators' API of a site; tries each entry until one responds. */
 final class OperatorsOfSite {
-  /** An answer, or status 0 where no entry gave one. */
+  /** A response, or status 0 if no entry responded. */
   record Answer(int status, JsonNode body) {}
 
   private static final Duration TIMEOUT = Duration.ofSeconds(15);
@@ -46,10 +46,10 @@
                 .timeout(TIMEOUT)
                 .method(method, HttpRequest.BodyPublishers.ofString(body))
                 .build();
-        HttpResponse<byte[]> answer = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
-        return new Answer(answer.statusCode(), Json.parse("answer", answer.body()).value());
+        HttpResponse<byte[]> response = client.send(request, HttpResponse.BodyHandlers.ofByteArray());
+        return new Answer(response.statusCode(), Json.parse("answer", response.body()).value());
       } catch (IOException e) {
-        // The next entry may answer.
+        // Try the next entry.
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new IllegalStateException("interrupted", e);
@@ -62,7 +62,7 @@
     return get("/members").body().path("processes").size();
   }
 
-  /** Returns the lowest configuration revision that any live process says is in force in it. */
+  /** Returns the lowest configuration revision that a live process reports as in force. */
   long lowestRevisionInForce() {
     long lowest = Long.MAX_VALUE;
     for (JsonNode process : get("/members").body().path("processes")) {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/ScenariosTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/ScenariosTest.java
@@ -7,7 +7,7 @@
 import org.junit.platform.suite.api.SelectPackages;
 import org.junit.platform.suite.api.Suite;
 
-/** Runs the scenarios in this package's feature files over real processes. */
+/** Runs the scenarios of the feature files in this package with real processes. */
 @Suite
 @IncludeEngines("cucumber")
 @SelectPackages("io.marigoldsail.tests.scenario")
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteSteps.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteSteps.java
@@ -20,7 +20,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 
-/** The steps of the scenarios. */
+/** The step definitions of the scenarios. */
 public final class SiteSteps {
   private static final long LONG_SECONDS = 90;
   private static final long SOON_SECONDS = 20;
@@ -28,10 +28,10 @@
   private SiteUnderTest site;
   private CallersOfSite callers;
 
-  /** Creates steps without a site. */
+  /** Creates the steps; a step of the scenario starts the site. */
   public SiteSteps() {}
 
-  /** Ends everything that the scenario started. */
+  /** Stops everything started by the scenario. */
   @After
   public void end() {
     if (callers != null) {
@@ -81,11 +81,11 @@
 
   @When("{int} more requests have been answered")
   public void moreAreAnswered(int count) {
-    long wanted = callers.answered() + count;
-    site.fleet().await(count + " more answers", LONG_SECONDS, () -> callers.answered() >= wanted);
+    long expected = callers.answered() + count;
+    site.fleet().await(count + " more answers", LONG_SECONDS, () -> callers.answered() >= expected);
   }
 
-  /** Soon enough that a home which knows nothing of the keys would still be quiet. */
+  /** Uses a short timeout, within the takeover delay of an owner without the state of the keys. */
   @When("{int} charges with keys are answered through every entry")
   public void chargesAreAnswered(int count) {
     site.fleet().await(count + " charges", SOON_SECONDS, () -> callers.areChargesAnswered(count));
@@ -164,8 +164,8 @@
          "checkpointIntervalMillis": 200}
         """
             .formatted(name, count, runMillis);
-    OperatorsOfSite.Answer answer = site.operators().post("/jobs", file);
-    assertEquals(200, answer.status(), () -> answer.body().toString());
+    OperatorsOfSite.Answer response = site.operators().post("/jobs", file);
+    assertEquals(200, response.status(), () -> response.body().toString());
   }
 
   @When("job {word} is cancelled")
@@ -223,17 +223,17 @@
   public void bodyComesBack(int length) {
     byte[] body = new byte[length];
     new SplittableRandom(length).nextBytes(body);
-    HttpResponse<byte[]> answer = CallersOfSite.post(site.callersAddresses().get(0), body);
-    assertEquals(200, answer.statusCode());
-    assertArrayEquals(body, answer.body());
+    HttpResponse<byte[]> response = CallersOfSite.post(site.callersAddresses().get(0), body);
+    assertEquals(200, response.statusCode());
+    assertArrayEquals(body, response.body());
   }
 
   @Then("a body of {int} bytes is refused as {word}")
   public void bodyIsRefused(int length, String code) {
-    HttpResponse<byte[]> answer =
+    HttpResponse<byte[]> response =
         CallersOfSite.post(site.callersAddresses().get(0), new byte[length]);
-    assertEquals(413, answer.statusCode());
-    assertTrue(new String(answer.body(), StandardCharsets.UTF_8).contains(code));
+    assertEquals(413, response.statusCode());
+    assertTrue(new String(response.body(), StandardCharsets.UTF_8).contains(code));
   }
 
   @When("revision {long} is in force in all processes")
@@ -258,14 +258,14 @@
 
   @When("the base with targetDelayMillis {int} is published and accepted")
   public void publish(int delay) {
-    OperatorsOfSite.Answer answer = site.operators().post("/configuration/base", base(delay));
-    assertEquals(200, answer.status(), () -> answer.body().toString());
+    OperatorsOfSite.Answer response = site.operators().post("/configuration/base", base(delay));
+    assertEquals(200, response.status(), () -> response.body().toString());
   }
 
   @Then("publishing the base with targetDelayMillis {int} fails with {word}")
   public void publishFails(int delay, String code) {
-    OperatorsOfSite.Answer answer = site.operators().post("/configuration/base", base(delay));
-    assertTrue(answer.body().path("type").asText().endsWith(code), answer.body()::toString);
+    OperatorsOfSite.Answer response = site.operators().post("/configuration/base", base(delay));
+    assertTrue(response.body().path("type").asText().endsWith(code), response.body()::toString);
   }
 
   @When("{int} operators publish the base at the same moment")
@@ -279,7 +279,7 @@
                             site.operators()
                                 .post("/configuration/base?expectedRevision=0", base(i))))
             .toList();
-    List<Integer> statuses = answers.stream().map(answer -> answer.join().status()).toList();
+    List<Integer> statuses = answers.stream().map(response -> response.join().status()).toList();
     assertEquals(1, statuses.stream().filter(status -> status == 200).count(), statuses::toString);
     assertTrue(
         statuses.stream().allMatch(status -> status == 200 || status == 409), statuses::toString);
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteUnderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteUnderTest.java
@@ -23,7 +23,8 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** A stand-in platform in this process, and entries and side processes as processes beside it. */
+/** A site with a stand-in platform in this process, and entries and side processes as real
+ * processes. */
 final class SiteUnderTest implements AutoCloseable {
   private static final String MAIN = "io.marigoldsail.daemon.Main";
   private static final int SLOTS = 8;
@@ -32,7 +33,7 @@
   private static final Sizes VM_SIZES = new Sizes(16_000, 60L << 30, 0);
   private static final long START_SECONDS = 60;
 
-  /** Where one entry listens. */
+  /** The listen addresses of one entry. */
   record EntryAddresses(String callers, String operators, String processes) {}
 
   private final Path directory;
@@ -51,8 +52,8 @@
   /**
    * Starts a site.
    *
-   * @param proxied whether side processes dial entries through a proxy; with one entry only, since
-   *     entries tell of each other where they listen themselves
+   * @param proxied whether side processes connect to entries through a proxy. Requires a single entry,
+   *     since entries announce the listen addresses of other entries, which bypass the proxy
    */
   SiteUnderTest(int entryCount, int vmCount, boolean proxied) {
     this.proxied = proxied;
@@ -83,11 +84,11 @@
   }
 
   private void addEntry(String name, String zone) {
-    EntryAddresses at =
+    EntryAddresses addresses =
         new EntryAddresses(FreePorts.address(), FreePorts.address(), FreePorts.address());
-    entries.put(name, at);
+    entries.put(name, addresses);
     if (proxied) {
-      proxies.add(new TcpFaultProxy(HostAndPort.fromString(at.processes()).getPort()));
+      proxies.add(new TcpFaultProxy(HostAndPort.fromString(addresses.processes()).getPort()));
     }
     write(
         name,
@@ -96,7 +97,7 @@
          "addresses": {"callers": "%s", "operators": "%s", "processes": "%s"},
          "logService": "%s"}
         """
-            .formatted(name, zone, at.callers(), at.operators(), at.processes(), log.address()));
+            .formatted(name, zone, addresses.callers(), addresses.operators(), addresses.processes(), log.address()));
   }
 
   private void addVm(String name, String zone) {
@@ -104,7 +105,7 @@
     target.setFaults(TargetFaults.ofServiceMillis(SERVICE_MILLIS));
     targets.put(name, target.start());
     workers.put(name, new StandInWorker(name, "127.0.0.1", 0, VM_SIZES).start());
-    String known =
+    String entryAddresses =
         proxied ? "\"127.0.0.1:" + proxies.get(0).port() + '"' : listed(EntryAddresses::processes);
     String peers = listed(EntryAddresses::operators);
     write(
@@ -126,13 +127,13 @@
                 SLOTS,
                 CONNECTIONS,
                 workers.get(name).address(),
-                known,
+                entryAddresses,
                 peers));
   }
 
   private String listed(Function<EntryAddresses, String> address) {
     return entries.values().stream()
-        .map(at -> '"' + address.apply(at) + '"')
+        .map(addresses -> '"' + address.apply(addresses) + '"')
         .collect(Collectors.joining(", "));
   }
 
