--- a/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/configuration.feature
+++ b/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/configuration.feature
@@ -1,21 +1,21 @@
 Feature: Configuration in force everywhere
 
-  # Five operators press the button at once. One wins, four are told, and all processes agree.
+  # Of five concurrent publishes, one is accepted, four are refused, and all processes agree.
   Scenario: operators publish at the same moment
     Given a site with 2 entries and 2 VMs
     When 5 operators publish the base at the same moment
     Then revision 1 is in force in all processes
 
-  # The log takes the record and its answer is lost. Asking again must not make a second revision,
-  # and the operator must be told the truth.
+  # The log stores the record, but its response is lost. A retry must not create a second revision,
+  # and the operator must get the actual outcome.
   Scenario: the answer to the append is lost
     Given a site with 2 entries and 2 VMs
     When the log service loses the next 3 answers
     And the base with targetDelayMillis 40 is published and accepted
     Then revision 1 is in force in all processes
 
-  # Processes are replaced while the log is away. They must not serve on the defaults, so they take
-  # what is in force from their peers, and go on with the log when it is back.
+  # Processes restart during a log outage. They must not run with the defaults, so they take the
+  # configuration in force from their peers, and follow the log again after the outage.
   Scenario: processes restart while the log service is away
     Given a site with 2 entries and 2 VMs
     And the base with targetDelayMillis 40 is published and accepted
@@ -29,8 +29,8 @@
     And the base with targetDelayMillis 50 is published and accepted
     Then revision 2 is in force in all processes
 
-  # The platform sets its log up anew. Nothing of the configuration stands there any more, and an
-  # entry that starts then would serve without it if nobody carried it over.
+  # The platform recreates the log without the configuration. An entry that starts afterwards would
+  # run with the defaults if the configuration were not carried over.
   Scenario: the log begins again, empty
     Given a site with 2 entries and 2 VMs
     When the base with targetDelayMillis 20 is published and accepted
--- a/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/requests.feature
+++ b/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/requests.feature
@@ -1,7 +1,7 @@
 Feature: Requests through entries and side processes
 
-  # A motorist's booking was under way when an entry VM failed. Callers that go on over the other
-  # entry are served; a charge whose entry died is not run again by anyone but its caller.
+  # An entry fails with requests in flight. Callers that continue with the other entry are served; a
+  # charge whose entry died is retried only by its caller.
   Scenario: an entry dies in the middle of traffic
     Given a site with 2 entries and 2 VMs
     When callers keep sending requests through all entries
@@ -11,8 +11,8 @@
     And 200 more requests have been answered
     Then every caller got the whole answer to its own request, and no charge ran twice
 
-  # A side process dies and comes back with nothing in memory. What it was asked for may have run,
-  # and it cannot know; requests whose outcome is lost must not be tried on another target.
+  # A side process restarts without its in-memory state. Requests sent to it may have run;
+  # non-idempotent requests with an unknown outcome must not be retried on another target.
   Scenario: a side process dies and starts again empty
     Given a site with 2 entries and 2 VMs
     When callers keep sending requests through all entries
@@ -22,8 +22,8 @@
     And 400 more requests have been answered
     Then every caller got the whole answer to its own request, and no charge ran twice
 
-  # A side process is frozen with requests in its sockets, is given up, and wakes. The late copies
-  # it finds must not run if their callers were told that they did not.
+  # A side process is paused with requests in its sockets, is removed as unresponsive, and resumes.
+  # It must not run the stale requests if their callers were told that they did not run.
   Scenario: a side process is frozen and wakes
     Given a site with 2 entries and 2 VMs
     When callers keep sending requests through all entries
@@ -33,10 +33,10 @@
     And 300 more requests have been answered
     Then every caller got the whole answer to its own request, and no charge ran twice
 
-  # Operators replace an entry and a target's VM under traffic. The balancer sees the bad health,
-  # the entries see the leaving target, and nobody's request is cut off. Drivers who repeat charges
-  # that ran on the replaced VM heard for 71 s that the state of their keys is unknown, since the keys
-  # went with its side process; now another one has them and gives the kept answers.
+  # An entry and a VM are replaced under traffic. The load balancer sees the failing health check,
+  # the entries see the draining target, and no request is cut off. Idempotency keys must be handed
+  # over to another side process, which returns the retained responses: without that, repeated charges
+  # that ran on the replaced VM were refused for 71 s because the state of their keys was unknown.
   Scenario: planned stops under traffic cut nothing off
     Given a site with 2 entries and 3 VMs
     When callers keep sending requests through all entries
@@ -49,8 +49,8 @@
     Then no request lost its connection or its outcome
     And every caller got the whole answer to its own request, and no charge ran twice
 
-  # The documented limit of a body is 8 MiB. Up to it the caller's bytes come back as they were; past
-  # it the refusal names the limit, and nothing reaches a target.
+  # The documented body limit is 8 MiB. Bodies up to the limit are returned unchanged; larger ones are
+  # refused with an error that names the limit, and do not reach a target.
   Scenario: bodies come back whole up to the limit
     Given a site with 1 entries and 1 VMs
     Then a body of 0 bytes comes back whole
--- a/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/tasks.feature
+++ b/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/tasks.feature
@@ -1,7 +1,7 @@
 Feature: Tasks in exactly one place
 
-  # The entry that claimed the tasks dies before they have ended; the other one must neither forget
-  # them nor start them a second time.
+  # The entry that claimed the tasks dies before they end; the other one must neither lose them nor
+  # start them a second time.
   Scenario: every entry in turn dies while a job runs
     Given a site with 2 entries and 2 VMs
     When job payouts of 10 tasks of 3000 ms is submitted
@@ -14,8 +14,8 @@
     Then job payouts ends with 10 tasks done
     And no task ran in two places and no VM was asked for more than it has
 
-  # A side process dies and a new one finds tasks running that it never started. It adopts them; the
-  # VM has not failed, so they must not be started elsewhere.
+  # A restarted side process finds running tasks that it did not start. It adopts them; the VM has
+  # not failed, so they must not be started elsewhere.
   Scenario: a side process dies and its successor adopts the tasks
     Given a site with 2 entries and 2 VMs
     When job payouts of 8 tasks of 4000 ms is submitted
@@ -25,8 +25,9 @@
     Then job payouts ends with 8 tasks done
     And no task ran in two places and no VM was asked for more than it has
 
-  # A side process is frozen past its leases: the worker stops the tasks by itself, the entries
-  # revoke the VM and run them elsewhere. When it wakes it must not start or renew anything old.
+  # A side process is paused until its leases expire: the worker stops the tasks on its own, and the
+  # entries revoke the VM and run them elsewhere. After it resumes, the side process must not start or
+  # renew any of the old tasks.
   Scenario: a side process is frozen past its leases and wakes
     Given a site with 2 entries and 2 VMs
     And leases last 3000 ms
@@ -38,8 +39,7 @@
     And the members are 4 processes
     And no task ran in two places and no VM was asked for more than it has
 
-  # The log is away while tasks run: they go on within their leases, and what waits starts when it
-  # is back.
+  # During a log outage, running tasks continue within their leases; waiting tasks start after it.
   Scenario: the log service is away for a while
     Given a site with 2 entries and 2 VMs
     When job payouts of 6 tasks of 2000 ms is submitted
@@ -50,8 +50,8 @@
     Then job payouts ends with 6 tasks done
     And no task ran in two places and no VM was asked for more than it has
 
-  # Retention drops the records by which the job was accepted and its tasks were claimed while they
-  # run; then both entries die at once. What starts afterwards finds the job in a snapshot alone.
+  # The records that accepted the job and claimed its tasks expire while the tasks run; then both
+  # entries die at once. The restarted entries can recover the job only from a snapshot.
   @expired-records
   Scenario: both entries die at once after the records of a job expired
     Given a site with 2 entries and 2 VMs
@@ -68,8 +68,9 @@
     Then job payouts ends with 8 tasks done
     And no task ran in two places and no VM was asked for more than it has
 
-  # Something between the processes loses track of their connections: bytes are taken and vanish, no
-  # end is told. Whoever waits for an end waits for ever; the VMs are dropped and their tasks moved.
+  # A middlebox loses the state of the connections between processes: bytes are dropped and no end of
+  # connection is signalled. Processes that wait for the end of the connection would wait forever, the
+  # VMs would be removed and their tasks moved.
   Scenario: links between processes fall silent, one way and then the other
     Given a site with one entry and 2 VMs that reach it through a proxy
     When job payouts of 8 tasks of 6000 ms is submitted
