--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Arrival.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Arrival.java
@@ -4,14 +4,14 @@
 import io.marigoldsail.workflow.WorkflowSpec;
 
 /**
- * A workflow that a caller hands in.
+ * A workflow submitted by a caller.
  *
  * <p>Immutable. Rejects nulls.
  *
- * @param atMillis when, from the beginning of the day
- * @param kind what it is
- * @param declared what is handed in; run times are declared roughly
- * @param lengthsMillis how long each task really takes at full speed, by step and index
+ * @param atMillis the submission time since the beginning of the day, in milliseconds
+ * @param kind the kind of work
+ * @param declared the submitted specification, with inaccurate run time estimates
+ * @param lengthsMillis the actual run time of each task at full speed, by step and index
  */
 record Arrival(
     long atMillis,
@@ -19,12 +19,12 @@
     WorkflowSpec declared,
     ImmutableList<ImmutableList<Double>> lengthsMillis) {
 
-  /** Returns the longest chain of real work, in milliseconds: steps follow one another. */
+  /** Returns the critical path of the actual run times, in milliseconds; steps run in sequence. */
   double chainMillis() {
     return lengthsMillis.stream().mapToDouble(Arrival::longest).sum();
   }
 
-  /** Returns the real work, in thousandths of a processor times milliseconds. */
+  /** Returns the actual work, in thousandths of a processor times milliseconds. */
   double work() {
     double work = 0;
     for (int step = 0; step < lengthsMillis.size(); step++) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Draws.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Draws.java
@@ -3,7 +3,7 @@
 import org.apache.commons.math3.random.RandomGenerator;
 import org.apache.commons.math3.random.Well19937c;
 
-/** Random numbers of the shapes that days are made of. Confined to one thread. */
+/** A source of random numbers with the distributions used by {@link FleetDay}. Not thread-safe. */
 final class Draws {
   private final RandomGenerator random;
 
@@ -32,10 +32,10 @@
    * Draws from a log-normal distribution.
    *
    * @param spread the standard deviation of the logarithm
-   * @param most larger draws are cut to this
+   * @param max the upper bound; larger values are clamped
    */
-  double logNormal(double mean, double spread, double most) {
+  double logNormal(double mean, double spread, double max) {
     double drawn = mean * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
-    return Math.min(most, drawn);
+    return Math.min(max, drawn);
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
@@ -12,21 +12,22 @@
 import java.util.List;
 
 /**
- * All that happens on one day, whatever a policy does: arrivals, hidden effects, faults.
+ * The events of one simulated day that do not depend on the policy: arrivals, interference of
+ * images, and faults.
  *
- * <p>Immutable. The same shape and seed make the same day, so policies are compared in pairs.
+ * <p>Immutable. The same shape and seed give the same day, so policies are compared on paired days.
  */
 final class FleetDay {
-  /** Whose tasks all VMs run. */
+  /** The service name of all VMs and workflows. */
   static final String SERVICE = "service";
 
-  /** When the last workflow arrives, in milliseconds. */
+  /** The time of the last arrival, in milliseconds. */
   static final long LAST_ARRIVAL_MILLIS = 34_000;
 
-  /** When the day ends, in milliseconds. */
+  /** The end of the day, in milliseconds. */
   static final long END_MILLIS = 52_000;
 
-  /** How far services are ahead of the first other work, in milliseconds. */
+  /** The time for which only services run at the beginning, in milliseconds. */
   static final long LEAD_MILLIS = 6_000;
 
   private static final int HEAVY_IMAGES = 9;
@@ -38,7 +39,7 @@
   private static final double PRESSURE_SWING = 0.3;
   private static final long MEMORY = 1L << 30;
 
-  /** How an image presses on services, swinging within seconds. */
+  /** The pressure of an image on services, which oscillates within seconds. */
   private record Image(double pressure, double phase, double periodMillis) {
     double pressureAt(long millis) {
       double swing = Math.sin(2 * Math.PI * millis / periodMillis + phase);
@@ -46,10 +47,10 @@
     }
   }
 
-  /** A time during which something is out of order on a VM. */
+  /** A time interval with a fault on a VM. */
   private record Spell(int vm, long fromMillis, long untilMillis) {
-    boolean covers(int which, long millis) {
-      return vm == which && millis >= fromMillis && millis < untilMillis;
+    boolean covers(int otherVm, long millis) {
+      return vm == otherVm && millis >= fromMillis && millis < untilMillis;
     }
   }
 
@@ -74,7 +75,7 @@
     this.arrivals = new Arrivals(draws).all();
   }
 
-  /** Returns the day of a seed. */
+  /** Returns the day with the given seed. */
   static FleetDay of(FleetShape shape, long seed) {
     return new FleetDay(shape, seed);
   }
@@ -82,8 +83,8 @@
   private static ImmutableList<Image> images(Draws draws) {
     ImmutableList.Builder<Image> images = ImmutableList.builder();
     for (int i = 0; i < HEAVY_IMAGES; i++) {
-      boolean presses = draws.chance(PRESSING_SHARE);
-      double pressure = presses ? draws.uniform(0.5, 2.5) : draws.uniform(0, 0.2);
+      boolean interferes = draws.chance(PRESSING_SHARE);
+      double pressure = interferes ? draws.uniform(0.5, 2.5) : draws.uniform(0, 0.2);
       images.add(new Image(pressure, draws.uniform(0, 6), draws.uniform(5_000, 15_000)));
     }
     return images.build();
@@ -102,45 +103,45 @@
     return seed;
   }
 
-  /** Returns what is handed in, in the order of time. */
+  /** Returns the arrivals, in time order. */
   ImmutableList<Arrival> arrivals() {
     return arrivals;
   }
 
-  /** Returns how an image presses on services, for each part of a VM's processors at work. */
+  /** Returns the pressure of an image on services per fraction of the VM's processors that it uses. */
   double pressure(String image, long millis) {
     checkArgument(image.startsWith("heavy-"), "not an image of heavy work: %s", image);
     return images.get(Integer.parseInt(image.substring("heavy-".length()))).pressureAt(millis);
   }
 
-  /** Returns whether an image presses on services so much that they feel a single task. */
+  /** Returns whether the pressure of an image is high enough for a single task to affect services. */
   boolean presses(String image, long millis) {
     return pressure(image, millis) > LEAST_FELT_PRESSURE;
   }
 
-  /** Returns the part of what it booked that a task of a service uses. */
+  /** Returns the load of a service task as a fraction of its booked processors. */
   double load(long task, long millis) {
     double phase = (task * 0.61803 % 1) * 2 * Math.PI;
     double swing = Math.sin(2 * Math.PI * millis / LOAD_PERIOD_MILLIS + phase);
     return LOAD * (1 + LOAD_SWING * swing);
   }
 
-  /** Returns how many times as long tasks take on the VM now. */
+  /** Returns the slowdown factor of tasks on the VM. */
   double slowness(int vm, long millis) {
-    return slow.stream().anyMatch(spell -> spell.covers(vm, millis)) ? 6 : 1;
+    return slow.stream().anyMatch(interval -> interval.covers(vm, millis)) ? 6 : 1;
   }
 
-  /** Returns whether the VM is gone for good. */
+  /** Returns whether the VM is permanently lost. */
   boolean isLost(int vm, long millis) {
-    return lost.stream().anyMatch(spell -> spell.covers(vm, millis));
+    return lost.stream().anyMatch(interval -> interval.covers(vm, millis));
   }
 
-  /** Returns whether nobody decides: an owner is replaced, or the store is away. */
+  /** Returns whether no owner makes decisions, as during a takeover or a log outage. */
   boolean isUndecided(long millis) {
     return undecided.covers(0, millis);
   }
 
-  /** Draws what is handed in. */
+  /** Generates the arrivals. */
   private final class Arrivals {
     private final Draws draws;
     private final List<Arrival> drawn = new ArrayList<>();
@@ -157,8 +158,8 @@
       double burst = 1 + draws.uniform(1.2, 1.6);
       long at = LEAD_MILLIS;
       while (at < LAST_ARRIVAL_MILLIS) {
-        boolean bursts = at >= burstFrom && at < burstFrom + 6_000;
-        double heavy = shape.heavyPerSecond() * (bursts ? burst : 1);
+        boolean inBurst = at >= burstFrom && at < burstFrom + 6_000;
+        double heavy = shape.heavyPerSecond() * (inBurst ? burst : 1);
         double all = heavy + shape.smallPerSecond();
         at += Math.round(draws.exponential(1_000 / all));
         add(at, draws.chance(heavy / all) ? WorkKind.HEAVY : WorkKind.SMALL);
@@ -223,25 +224,25 @@
         WorkKind kind, int position, int tasks, long estimateMillis, String image) {
       ImmutableList<Integer> after =
           position == 0 ? ImmutableList.of() : ImmutableList.of(position - 1);
-      boolean lasting = kind == WorkKind.LASTING;
-      StepSpec.TaskTraits nature =
+      boolean isService = kind == WorkKind.LASTING;
+      StepSpec.TaskTraits traits =
           new StepSpec.TaskTraits(
               false,
               kind == WorkKind.HEAVY,
               false,
-              lasting,
+              isService,
               kind == WorkKind.HEAVY,
               image,
-              lasting ? FleetVm.TARGET_MILLIS : 0,
-              lasting ? 1 : 0);
-      int maxPerVm = lasting && draws.chance(0.5) ? 2 : 0;
+              isService ? FleetVm.TARGET_MILLIS : 0,
+              isService ? 1 : 0);
+      int maxPerVm = isService && draws.chance(0.5) ? 2 : 0;
       return new StepSpec(
           tasks,
           sizes(kind),
           estimateMillis,
           after,
           new StepSpec.Placement("", "", false, maxPerVm),
-          nature);
+          traits);
     }
 
     private Sizes sizes(WorkKind kind) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
@@ -3,27 +3,27 @@
 import com.google.common.collect.ImmutableSet;
 import java.util.function.Supplier;
 
-/** Policies that are compared: the product's, and the same with one mechanism switched off. */
+/** The compared policies: the production policy, and variants with mechanisms disabled. */
 enum FleetPolicy {
-  /** The product as it is. */
+  /** The production policy. */
   PRODUCT("the product", Pacing::ofProduct),
-  /** What is booked counts as used, but for six processors. */
+  /** Without overcommit beyond six processors per VM: all other booked capacity counts as used. */
   NO_OVERCOMMIT("no overcommit", Pacing::ofProduct, Off.OVERCOMMIT),
-  /** One speed for all suspects. */
+  /** One throttle percentage for all interfering tasks. */
   SPEED_PACING("one speed for all suspects", SpeedPacing::new),
-  /** Both as in an earlier version. */
+  /** Without overcommit and with one throttle percentage for all interfering tasks. */
   FORMER("neither of the two", SpeedPacing::new, Off.OVERCOMMIT),
-  /** Nothing is slowed down. */
+  /** Without throttling. */
   NO_PACING("no pacing", Pacing::none),
-  /** All images stay unknown. */
+  /** Without learning: every image keeps the prior belief. */
   NO_LEARNING("images are not learned", Pacing::ofProduct, Off.LEARNING),
-  /** As many suspects beside services as have room. */
+  /** Without a limit on interfering tasks co-located with services. */
   NO_SUSPECT_ROOM("no bound on suspects", Pacing::ofProduct, Off.SUSPECT_ROOM),
-  /** Services stand where most room is. */
+  /** Services are placed on the VM with the most free capacity. */
   NO_PACKING("services are not packed", Pacing::ofProduct, Off.PACKING),
-  /** First come, first served. */
+  /** First come, first served, not ordered by value. */
   ARRIVAL_ORDER("in the order of arrival", Pacing::ofProduct, Off.ORDER),
-  /** None of all that. */
+  /** Without any of these mechanisms. */
   NAIVE(
       "naive",
       Pacing::none,
@@ -32,7 +32,7 @@
       Off.SUSPECT_ROOM,
       Off.PACKING,
       Off.ORDER),
-  /** Knows what images do and how long tasks take, and slows down by it. */
+  /** Knows the interference of images and the actual run times, and throttles accordingly. */
   ORACLE("oracle", Pacing::none, Off.SUSPECT_ROOM);
 
   private enum Off {
@@ -53,7 +53,7 @@
     this.off = ImmutableSet.copyOf(off);
   }
 
-  /** Returns the words for pages. */
+  /** Returns the label in the printed table. */
   String text() {
     return text;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -28,9 +28,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Plays one day under one policy on virtual time. Confined to one thread; deterministic. */
+/** Simulates one day under one policy on virtual time. Deterministic; not thread-safe. */
 final class FleetRun {
-  /** The wall clock at the beginning of a day, in milliseconds. */
+  /** The wall-clock time at the beginning of a day, in milliseconds. */
   static final long EPOCH_MILLIS = 1_000_000;
 
   private static final long TICK_MILLIS = 50;
@@ -39,13 +39,13 @@
   private static final long TAKEOVER_MILLIS = 8_200;
   private static final double FAR_RACK_FACTOR = 1.5;
 
-  /** A workflow that was handed in. */
+  /** A submitted workflow that has not ended. */
   private record Open(Arrival arrival, Workflow workflow) {}
 
-  /** A run whose end the owner does not know yet. */
+  /** An ended run whose end the owner does not know yet. */
   private record Ended(FleetTask run, RunOutcome outcome, long knownMillis) {}
 
-  /** All that decides whether a task finds room. */
+  /** The properties of a task that decide whether it can be placed. */
   private record Need(StepSpec step, Urgency urgency, long counted) {}
 
   private final FleetDay day;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Plays the day; takes some milliseconds to a tenth of a second. */
+  /** Simulates the day; takes from a few milliseconds to 100 ms. */
   static FleetScore play(FleetDay day, FleetPolicy policy) {
     return new FleetRun(day, policy).play();
   }
@@ -113,13 +113,13 @@
     List<StepSpec> steps = new ArrayList<>();
     for (int i = 0; i < declared.steps().size(); i++) {
       StepSpec step = declared.steps().get(i);
-      double longest =
+      double longestMillis =
           arrival.lengthsMillis().get(i).stream().mapToDouble(Double::doubleValue).max().orElse(0);
       steps.add(
           new StepSpec(
               step.tasks(),
               step.sizes(),
-              Math.round(longest),
+              Math.round(longestMillis),
               step.dependsOn(),
               step.placement(),
               step.traits()));
@@ -201,7 +201,7 @@
     return policy.learnsImages() ? harm.belief(image) : ImageInterference.PRIOR_BELIEF;
   }
 
-  /** A task that may start, with how much its place matters. */
+  /** A task that is ready to start, with the urgency of its placement. */
   private record Waiting(Open of, WorkflowTask task, Urgency urgency) {}
 
   private void place(long now) {
@@ -210,46 +210,46 @@
       return;
     }
     List<VmOffer> offers = offers(now);
-    Set<Need> full = new HashSet<>();
-    Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.hasSpareCapacity(offers);
+    Set<Need> infeasible = new HashSet<>();
+    Set<Workflow> placedWorkflows = new HashSet<>();
+    boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offers);
     for (Waiting each : waiting) {
       Workflow workflow = each.of().workflow();
-      boolean mayStarve = roomy && !fed.contains(workflow);
-      boolean calmed = each.urgency() == Urgency.STARVED && !mayStarve;
-      Urgency urgency = calmed ? Urgency.ORDINARY : each.urgency();
+      boolean mayUseStarved = hasSpareCapacity && !placedWorkflows.contains(workflow);
+      boolean demoted = each.urgency() == Urgency.STARVED && !mayUseStarved;
+      Urgency urgency = demoted ? Urgency.ORDINARY : each.urgency();
       Need need = need(each.task(), urgency);
-      if (full.contains(need)) {
+      if (infeasible.contains(need)) {
         continue;
       }
       Optional<VmOffer> chosen = choose(each.task(), urgency, offers, now);
       if (chosen.isPresent() && start(each.of(), each.task(), urgency, chosen.get().place(), now)) {
-        fed.add(workflow);
+        placedWorkflows.add(workflow);
         offers.remove(chosen.get());
         String image = each.task().step().traits().image();
         offers.add(chosen.get().afterPlacing(each.task().step(), harmOf(image, now)));
       } else {
-        full.add(need);
+        infeasible.add(need);
       }
     }
   }
 
   private List<Waiting> waiting(long now) {
     record Ordered(Open open, WaitingOrder.Rank rank) {}
-    long wall = EPOCH_MILLIS + now;
-    List<Ordered> ordered = new ArrayList<>();
+    long wallMillis = EPOCH_MILLIS + now;
+    List<Ordered> ranked = new ArrayList<>();
     for (Open each : open) {
-      ordered.add(new Ordered(each, WaitingOrder.rank(each.workflow(), wall)));
+      ranked.add(new Ordered(each, WaitingOrder.rank(each.workflow(), wallMillis)));
     }
     if (policy.ordersByWorth()) {
-      ordered.sort(Comparator.comparing(Ordered::rank));
+      ranked.sort(Comparator.comparing(Ordered::rank));
     }
     List<Waiting> waiting = new ArrayList<>();
-    for (Ordered each : ordered) {
+    for (Ordered each : ranked) {
       Urgency urgency = each.rank().urgency();
       each.open()
           .workflow()
-          .forEachReady(wall, task -> waiting.add(new Waiting(each.open(), task, urgency)));
+          .forEachReady(wallMillis, task -> waiting.add(new Waiting(each.open(), task, urgency)));
     }
     return waiting;
   }
@@ -273,17 +273,17 @@
   private Optional<VmOffer> choose(
       WorkflowTask task, Urgency urgency, List<VmOffer> offers, long now) {
     double belief = harmOf(task.step().traits().image(), now);
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         new TaskPlacementRequest(task.workflow().spec(), task.step(), belief, urgency, "");
     if (task.step().traits().isService() && !policy.packsServices()) {
       return offers.stream()
           .filter(
               offer ->
-                  VmChooser.verdict(wish, offer, each -> ofStepOn(each, task))
+                  VmChooser.verdict(request, offer, each -> ofStepOn(each, task))
                       == VmChooser.Verdict.ADMITTED)
           .max(Comparator.comparingLong(offer -> offer.free().milliProcessors()));
     }
-    return chooser.choose(wish, offers, offer -> ofStepOn(offer, task));
+    return chooser.choose(request, offers, offer -> ofStepOn(offer, task));
   }
 
   private int ofStepOn(VmOffer offer, WorkflowTask task) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetScore.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What callers and users got of what they were owed on one day.
+ * The value earned on one day out of the value of its work.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe.
  */
 final class FleetScore {
-  /** What the worst-served kind counts beside the whole day. */
+  /** The weight of the kind with the lowest earned share; the rest is the share of the whole day. */
   private static final double WORST_KIND_PART = 0.4;
 
   private static final double FIXED_PART = 0.3;
@@ -23,31 +23,31 @@
   private double overSeconds;
 
   /**
-   * Takes a workflow that ends.
+   * Adds a workflow.
    *
-   * @param tookMillis from when it was handed in; infinite for one that was not done
-   * @param meanWork the mean work of its kind
+   * @param tookMillis the time from submission to completion; infinite if it was not completed
+   * @param meanWork the mean work of workflows of its kind
    */
   void workflow(Arrival arrival, double tookMillis, double meanWork) {
     double size = FIXED_PART + (1 - FIXED_PART) * arrival.work() / meanWork;
-    double worth = arrival.kind().worth() * Math.min(LARGEST, size);
-    double allowed = arrival.kind().allowedMillis(arrival.chainMillis());
-    double part = tookMillis <= allowed ? 1 : tookMillis <= MOST_LATE * allowed ? LATE_PART : 0;
-    add(arrival.kind(), worth, worth * part);
+    double value = arrival.kind().worth() * Math.min(LARGEST, size);
+    double allowedMillis = arrival.kind().allowedMillis(arrival.chainMillis());
+    double fraction = tookMillis <= allowedMillis ? 1 : tookMillis <= MOST_LATE * allowedMillis ? LATE_PART : 0;
+    add(arrival.kind(), value, value * fraction);
   }
 
   /**
-   * Takes two seconds of a service.
+   * Adds a window of two seconds of a service.
    *
-   * @param atWork the share of its tasks that were at work
-   * @param over the share of its tasks that were over their target
+   * @param running the fraction of its tasks that were running
+   * @param over the fraction of its tasks whose latency was over the target
    */
-  void service(double atWork, double over) {
-    double worth = WorkKind.LASTING.worth();
-    add(WorkKind.LASTING, worth, worth * Math.max(0, atWork - OVER_WEIGHT * over));
+  void service(double running, double over) {
+    double value = WorkKind.LASTING.worth();
+    add(WorkKind.LASTING, value, value * Math.max(0, running - OVER_WEIGHT * over));
   }
 
-  /** Takes a time for which a task was over its target. */
+  /** Adds a time for which the latency of a task was over its target. */
   void over(double seconds) {
     overSeconds += seconds;
   }
@@ -57,25 +57,25 @@
     earned.merge(kind, moreEarned, Double::sum);
   }
 
-  /** Returns the part of what a kind was owed that it earned; 1 where nothing was owed. */
+  /** Returns the earned fraction of the value of a kind; 1 if it had no work. */
   double share(WorkKind kind) {
-    double all = owed.getOrDefault(kind, 0.0);
-    return all == 0 ? 1 : earned.getOrDefault(kind, 0.0) / all;
+    double offered = owed.getOrDefault(kind, 0.0);
+    return offered == 0 ? 1 : earned.getOrDefault(kind, 0.0) / offered;
   }
 
-  /** Returns for how many seconds tasks of services were over their target, added up. */
+  /** Returns the total time for which service tasks were over their target, in seconds. */
   double overSeconds() {
     return overSeconds;
   }
 
-  /** Returns the day's worth, from 0 to 1. */
+  /** Returns the value of the day, from 0 to 1. */
   double worth() {
-    double allOwed = owed.values().stream().mapToDouble(Double::doubleValue).sum();
-    double allEarned = earned.values().stream().mapToDouble(Double::doubleValue).sum();
-    double worst = 1;
+    double totalOffered = owed.values().stream().mapToDouble(Double::doubleValue).sum();
+    double totalEarned = earned.values().stream().mapToDouble(Double::doubleValue).sum();
+    double lowestShare = 1;
     for (WorkKind kind : WorkKind.values()) {
-      worst = Math.min(worst, share(kind));
+      lowestShare = Math.min(lowestShare, share(kind));
     }
-    return (1 - WORST_KIND_PART) * allEarned / allOwed + WORST_KIND_PART * worst;
+    return (1 - WORST_KIND_PART) * totalEarned / totalOffered + WORST_KIND_PART * lowestShare;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetShape.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetShape.java
@@ -2,14 +2,14 @@
 
 import com.google.common.collect.ImmutableList;
 
-/** Fleets that differ in what their VMs have and what services book on them. */
+/** Fleet sizes, which differ in the capacity of VMs and the processors booked by services. */
 public enum FleetShape {
-  /** VMs on which a service task books a fifth and a heavy task a tenth. */
+  /** VMs on which a service task books about a fifth of the processors and a heavy task a tenth. */
   LARGE_VMS(ImmutableList.of(32_000L, 32_000L, 48_000L), 6_400, 3_500, 480, 1.03, 3.1, 9),
-  /** VMs of half that size and less, with services that book less of them. */
+  /** VMs of half that capacity, with services that book a smaller fraction. */
   SMALL_VMS(ImmutableList.of(16_000L, 16_000L, 24_000L), 2_600, 1_800, 240, 0.9, 4.9, 9);
 
-  /** How many VMs a fleet has. */
+  /** The number of VMs in a fleet. */
   static final int VMS = 11;
 
   private final ImmutableList<Long> capacities;
@@ -37,37 +37,37 @@
     this.services = services;
   }
 
-  /** Returns the processors of a VM, in thousandths. */
+  /** Returns the capacity of a VM, in thousandths of a processor. */
   long capacityMilli(int vm) {
     return capacities.get(vm % capacities.size());
   }
 
-  /** Returns what a task of a service books on average, in thousandths of a processor. */
+  /** Returns the mean booking of a service task, in thousandths of a processor. */
   double serviceMilli() {
     return serviceMilli;
   }
 
-  /** Returns what a heavy task declares on average, in thousandths of a processor. */
+  /** Returns the mean declared size of a heavy task, in thousandths of a processor. */
   double heavyMilli() {
     return heavyMilli;
   }
 
-  /** Returns what a small task books on average, in thousandths of a processor. */
+  /** Returns the mean booking of a small task, in thousandths of a processor. */
   double smallMilli() {
     return smallMilli;
   }
 
-  /** Returns the heavy workflows that arrive a second, outside bursts. */
+  /** Returns the arrival rate of heavy workflows outside bursts, per second. */
   double heavyPerSecond() {
     return heavyPerSecond;
   }
 
-  /** Returns the small workflows that arrive a second. */
+  /** Returns the arrival rate of small workflows, per second. */
   double smallPerSecond() {
     return smallPerSecond;
   }
 
-  /** Returns how many services there are from the beginning. */
+  /** Returns the number of services, all of which start at the beginning of the day. */
   int services() {
     return services;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.workflow.StepSpec;
 import io.marigoldsail.workflow.WorkflowTask;
 
-/** A task at work on a VM of the model. Confined to one thread. */
+/** A running task on a modelled VM. Not thread-safe. */
 final class FleetTask {
   private final WorkflowTask task;
   private final RunKey key;
@@ -45,7 +45,7 @@
     return task.step().sizes().milliProcessors();
   }
 
-  /** Returns how long it has worked, in milliseconds. */
+  /** Returns the time since its start, in milliseconds. */
   long ranMillis(long millis) {
     return millis - beganMillis;
   }
@@ -59,7 +59,7 @@
     return percent;
   }
 
-  /** Works at a rate, where 1 is full speed on a sound VM. */
+  /** Advances the task at a rate; 1 is full speed on a healthy VM. */
   void work(double millis, double rate) {
     doneMillis += millis * rate;
   }
@@ -72,27 +72,27 @@
     return (int) Math.min(99, 100 * doneMillis / lengthMillis);
   }
 
-  /** Takes what it uses now, in thousandths of a processor; readings are means of half a second. */
-  void uses(double milli, double weight) {
-    usedMilli += (milli - usedMilli) * weight;
+  /** Records the current usage, in thousandths of a processor, in an exponential moving average. */
+  void uses(double milliProcessors, double weight) {
+    usedMilli += (milliProcessors - usedMilli) * weight;
   }
 
   double usedMilli() {
     return usedMilli;
   }
 
-  /** Takes the tail of its response times now. */
+  /** Records the current tail latency and updates its exponential moving average. */
   void answers(double tail, double weight) {
     tailNowMillis = tail;
     tailMillis += (tail - tailMillis) * weight;
   }
 
-  /** Returns whether users wait for longer than they are promised now. */
+  /** Returns whether the current tail latency is over the target. */
   boolean isOver() {
     return tailNowMillis > FleetVm.TARGET_MILLIS;
   }
 
-  /** Returns the tail as it is measured, in milliseconds. */
+  /** Returns the averaged tail latency as measured, in milliseconds. */
   double tailMillis() {
     return tailMillis;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -22,13 +22,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A VM of the model: what runs there, how it disturbs, and what its side process decides.
+ * A modelled VM with its running tasks, their interference, and the decisions of its side process.
  *
- * <p>A service answers within {@link #IDLE_TAIL_MILLIS} divided by the part of its capacity that
- * neither its own load nor the pressure beside it takes. Confined to one thread.
+ * <p>The tail latency of a service is {@link #IDLE_TAIL_MILLIS} divided by the fraction of its
+ * capacity that is left by its own load and by the pressure of co-located tasks. Not thread-safe.
  */
 final class FleetVm {
-  /** What the users of each service are promised, in milliseconds. */
+  /** The latency target of each service, in milliseconds. */
   static final long TARGET_MILLIS = 50;
 
   private static final double IDLE_TAIL_MILLIS = 10;
@@ -39,7 +39,7 @@
   private static final long LISTING_MILLIS = 450;
   private static final long MEMORY = 1L << 42;
 
-  /** The pressure that the oracle leaves a service, as a part of its capacity. */
+  /** The load plus pressure up to which the oracle fills a service, as a fraction of its capacity. */
   private static final double ORACLE_USED = 0.77;
 
   private final FleetDay day;
@@ -101,8 +101,8 @@
     return (int) runs.values().stream().filter(run -> run.nature().isService()).count();
   }
 
-  /** Returns what the VM offers, as its owner is told. */
-  VmOffer offer(double slowness, long millis) {
+  /** Returns the offer of the VM as reported to its owner. */
+  VmOffer offer(double slowdown, long millis) {
     return new VmOffer(
         place(),
         FleetDay.SERVICE,
@@ -114,15 +114,15 @@
         policy.boundsSuspects() ? suspectMilli(millis) : 0,
         room.overcommitMilliProcessors(),
         serving(),
-        slowness);
+        slowdown);
   }
 
-  /** Starts the run, or returns false for want of room. */
+  /** Starts the run, or returns false if capacity is insufficient. */
   boolean start(FleetTask run, Urgency urgency, long millis) {
     StepSpec step = run.task().step();
-    boolean bound =
+    boolean limited =
         run.nature().bestEffort() && urgency != Urgency.STARVED && policy.boundsSuspects();
-    if (bound && serving() > 0 && isSuspect(run.image(), millis)) {
+    if (limited && serving() > 0 && isSuspect(run.image(), millis)) {
       long declared = step.sizes().milliProcessors();
       if (!InterferenceBudget.admits(capacityMilli, suspectMilli(millis), declared)) {
         return false;
@@ -145,23 +145,23 @@
     room.release(run.key());
   }
 
-  /** Lets everything work for a time. */
+  /** Advances all tasks by the given time. */
   void work(long millis, long forMillis) {
     double serviceUse = 0;
-    double plainUse = 0;
-    double asked = 0;
+    double otherUse = 0;
+    double demandMilli = 0;
     for (FleetTask run : runs.values()) {
       if (run.nature().isService()) {
         serviceUse += run.declaredMilli() * load(run, millis);
       } else if (run.nature().bestEffort()) {
-        asked += askedMilli(run);
+        demandMilli += askedMilli(run);
       } else {
-        plainUse += run.declaredMilli();
+        otherUse += run.declaredMilli();
       }
     }
-    double idle = Math.max(0, capacityMilli - serviceUse - plainUse);
-    double share = asked <= idle ? 1 : idle / asked;
-    double slowness = day.slowness(number, millis);
+    double idle = Math.max(0, capacityMilli - serviceUse - otherUse);
+    double share = demandMilli <= idle ? 1 : idle / demandMilli;
+    double slowdown = day.slowness(number, millis);
     double weight = Math.min(1, forMillis / READING_MILLIS);
     double pressure = 0;
     for (FleetTask run : runs.values()) {
@@ -169,9 +169,9 @@
         double used = askedMilli(run) * share;
         pressure += day.pressure(run.image(), millis) * used / capacityMilli;
         run.uses(used, weight);
-        run.work(forMillis, run.percent() / 100.0 * share / slowness);
+        run.work(forMillis, run.percent() / 100.0 * share / slowdown);
       } else if (!run.nature().isService()) {
-        run.work(forMillis, 1 / slowness);
+        run.work(forMillis, 1 / slowdown);
       }
     }
     answer(millis, pressure, weight);
@@ -180,8 +180,8 @@
   private void answer(long millis, double pressure, double weight) {
     for (FleetTask run : runs.values()) {
       if (run.nature().isService()) {
-        double left = Math.max(LEAST_LEFT, 1 - load(run, millis) - pressure);
-        run.answers(IDLE_TAIL_MILLIS / left, weight);
+        double headroom = Math.max(LEAST_LEFT, 1 - load(run, millis) - pressure);
+        run.answers(IDLE_TAIL_MILLIS / headroom, weight);
       }
     }
   }
@@ -194,7 +194,7 @@
     return run.declaredMilli() * run.percent() / 100 * USED_OF_DECLARED;
   }
 
-  /** Lets the side process list its worker and decide, if it is time. */
+  /** Lets the side process list its worker and decide, if the listing interval has passed. */
   void decide(long millis) {
     if (policy.knowsEffects()) {
       paceByEffects(millis);
@@ -223,24 +223,24 @@
     List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (FleetTask run : runs.values()) {
       if (run.nature().isService()) {
-        double rough = noise.logNormal(1, READING_SPREAD, 2);
+        double readingNoise = noise.logNormal(1, READING_SPREAD, 2);
         readings.add(
             new BestEffortThrottler.TailReading(
-                Math.round(run.tailMillis() * rough), TARGET_MILLIS));
+                Math.round(run.tailMillis() * readingNoise), TARGET_MILLIS));
       }
     }
     return readings;
   }
 
   private List<ImageInterference.ImageLoad> fillings() {
-    Map<String, Double> worked = new HashMap<>();
+    Map<String, Double> usedByImage = new HashMap<>();
     for (FleetTask run : runs.values()) {
       if (run.nature().bestEffort()) {
-        worked.merge(run.image(), run.usedMilli(), Double::sum);
+        usedByImage.merge(run.image(), run.usedMilli(), Double::sum);
       }
     }
     List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
+    usedByImage.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
     return fillings;
   }
 
@@ -249,44 +249,44 @@
       overcommit.observe(capacityMilli, 0, worst);
       return;
     }
-    double asked = 0;
+    double demandMilli = 0;
     double used = 0;
     for (FleetTask run : runs.values()) {
       if (run.nature().bestEffort() && run.usedMilli() > 0 && run.percent() > 0) {
-        asked += run.declaredMilli() * run.percent() / 100;
+        demandMilli += run.declaredMilli() * run.percent() / 100;
         used += run.usedMilli();
       }
     }
-    overcommit.observe(asked, used, worst);
+    overcommit.observe(demandMilli, used, worst);
   }
 
   private BestEffortThrottler.BestEffortLoad filling(long millis) {
-    long suspect = suspectMilli(millis);
+    long interfering = suspectMilli(millis);
     long all = room.bestEffortMilliProcessors();
     return new BestEffortThrottler.BestEffortLoad(
-        suspect, Math.max(0, all - suspect), capacityMilli);
+        interfering, Math.max(0, all - interfering), capacityMilli);
   }
 
-  /** Gives what services can bear now to the images that press least. */
+  /** Gives the pressure that services can tolerate to the images with the least pressure first. */
   private void paceByEffects(long millis) {
-    double bearable = 100;
+    double tolerable = 100;
     for (FleetTask run : runs.values()) {
       if (run.nature().isService()) {
-        bearable = Math.min(bearable, ORACLE_USED - load(run, millis));
+        tolerable = Math.min(tolerable, ORACLE_USED - load(run, millis));
       }
     }
-    List<FleetTask> fills = new ArrayList<>(runs.values());
-    fills.removeIf(run -> !run.nature().bestEffort());
-    fills.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
-    for (FleetTask run : fills) {
+    List<FleetTask> bestEffortTasks = new ArrayList<>(runs.values());
+    bestEffortTasks.removeIf(run -> !run.nature().bestEffort());
+    bestEffortTasks.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
+    for (FleetTask run : bestEffortTasks) {
       double full =
           day.pressure(run.image(), millis)
               * run.declaredMilli()
               * USED_OF_DECLARED
               / capacityMilli;
-      int percent = full <= 0 ? 100 : (int) Math.max(0, Math.min(100, 100 * bearable / full));
+      int percent = full <= 0 ? 100 : (int) Math.max(0, Math.min(100, 100 * tolerable / full));
       run.pace(percent);
-      bearable -= full * percent / 100;
+      tolerable -= full * percent / 100;
     }
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/InterferenceBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/InterferenceBench.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The program behind {@code bin/measure-interference}. */
+/** The main class of {@code bin/measure-interference}. */
 @Command(
     name = "measure-interference",
     description = "Compares policies for heavy tasks beside services on modelled days.",
@@ -32,12 +32,12 @@
 
   private final PrintStream out;
 
-  /** Creates the command with the stream that takes its page. */
+  /** Creates the command with its output stream. */
   public InterferenceBench(PrintStream out) {
     this.out = out;
   }
 
-  /** Runs the command and exits with its status: 0 done, 2 wrong usage. */
+  /** Runs the command and exits with its status: 0 for success, 2 for wrong usage. */
   public static void main(String[] arguments) {
     CommandLine command = new CommandLine(new InterferenceBench(System.out));
     System.exit(command.execute(arguments));
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
@@ -3,49 +3,49 @@
 import io.marigoldsail.workflow.BestEffortThrottler;
 import java.util.List;
 
-/** Decides at which speed tasks that fill work beside services on one VM. */
+/** Throttles best-effort tasks co-located with services on one VM. */
 interface Pacing {
-  /** Takes the newest tails and what is beside them. */
+  /** Updates the throttling with the latest tail latencies and the best-effort load. */
   void observe(
       List<BestEffortThrottler.TailReading> readings,
-      BestEffortThrottler.BestEffortLoad filling,
+      BestEffortThrottler.BestEffortLoad load,
       long nowNanos);
 
   /** Returns the speed of a task, in percent. */
-  int percent(boolean suspect);
+  int percent(boolean interfering);
 
-  /** The product's own. */
+  /** Returns the production throttling. */
   static Pacing ofProduct() {
-    BestEffortThrottler pacer = new BestEffortThrottler();
+    BestEffortThrottler throttler = new BestEffortThrottler();
     return new Pacing() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
-          BestEffortThrottler.BestEffortLoad filling,
+          BestEffortThrottler.BestEffortLoad load,
           long nowNanos) {
-        pacer.observe(readings, filling, nowNanos);
+        throttler.observe(readings, load, nowNanos);
       }
 
       @Override
-      public int percent(boolean suspect) {
-        return suspect ? pacer.interferingPercent() : pacer.benignPercent();
+      public int percent(boolean interfering) {
+        return interfering ? throttler.interferingPercent() : throttler.benignPercent();
       }
     };
   }
 
-  /** None: everything works at full speed. */
+  /** Returns no throttling: every task runs at full speed. */
   static Pacing none() {
     return new Pacing() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
-          BestEffortThrottler.BestEffortLoad filling,
+          BestEffortThrottler.BestEffortLoad load,
           long nowNanos) {
-        // Nothing changes the speed.
+        // The speed is constant.
       }
 
       @Override
-      public int percent(boolean suspect) {
+      public int percent(boolean interfering) {
         return 100;
       }
     };
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/PolicyTable.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/PolicyTable.java
@@ -10,7 +10,8 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * Policies on the same days, as a page: means, and differences from the product with 95% intervals.
+ * A table of policies on the same days: means, and differences from the production policy with 95%
+ * confidence intervals.
  *
  * <p>Immutable.
  */
@@ -28,10 +29,10 @@
   }
 
   /**
-   * Plays days on all processors.
+   * Simulates days in parallel on all processors.
    *
-   * @param days how many, two at least
-   * @param seed of the first; the others follow
+   * @param days the number of days, at least 2
+   * @param seed the seed of the first day; later days use the following seeds
    */
   static PolicyTable play(FleetShape shape, int days, long seed) {
     Map<FleetPolicy, List<FleetScore>> scores = new EnumMap<>(FleetPolicy.class);
@@ -40,13 +41,13 @@
           policy,
           LongStream.range(seed, seed + days)
               .parallel()
-              .mapToObj(each -> FleetRun.play(FleetDay.of(shape, each), policy))
+              .mapToObj(daySeed -> FleetRun.play(FleetDay.of(shape, daySeed), policy))
               .toList());
     }
     return new PolicyTable(shape, days, scores);
   }
 
-  /** Returns the page's part as Markdown. */
+  /** Returns the table in Markdown. */
   List<String> lines() {
     List<String> lines = new ArrayList<>();
     lines.add(String.format(Locale.ROOT, "## %s, %d days", shape, days));
@@ -64,11 +65,11 @@
   }
 
   private String line(FleetPolicy policy, double oracle) {
-    List<FleetScore> of = scores.get(policy);
-    double over = of.stream().mapToDouble(FleetScore::overSeconds).average().orElse(0);
+    List<FleetScore> policyScores = scores.get(policy);
+    double over = policyScores.stream().mapToDouble(FleetScore::overSeconds).average().orElse(0);
     SummaryStatistics difference = new SummaryStatistics();
     for (int i = 0; i < days; i++) {
-      difference.addValue(of.get(i).worth() - scores.get(FleetPolicy.PRODUCT).get(i).worth());
+      difference.addValue(policyScores.get(i).worth() - scores.get(FleetPolicy.PRODUCT).get(i).worth());
     }
     return String.format(
         Locale.ROOT,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/SpeedPacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/SpeedPacing.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The pacing of an earlier version: one speed for all suspects, whatever they declare.
+ * A throttling with one speed for all interfering tasks, whatever they declare.
  *
- * <p>Kept to compare with. Confined to one thread.
+ * <p>Used for comparison only. Not thread-safe.
  */
 final class SpeedPacing implements Pacing {
   private static final int FIRST_PERCENT = 60;
@@ -25,10 +25,10 @@
   @Override
   public void observe(
       List<BestEffortThrottler.TailReading> readings,
-      BestEffortThrottler.BestEffortLoad filling,
+      BestEffortThrottler.BestEffortLoad load,
       long nowNanos) {
-    boolean suspects = filling.interferingMilli() > 0;
-    if (readings.isEmpty() || (!suspects && filling.benignMilli() == 0)) {
+    boolean hasInterfering = load.interferingMilli() > 0;
+    if (readings.isEmpty() || (!hasInterfering && load.benignMilli() == 0)) {
       percent = readings.isEmpty() ? 100 : FIRST_PERCENT;
       harmlessPercent = 100;
       overInRow = 0;
@@ -41,7 +41,7 @@
     } else {
       speedUp(worst);
     }
-    percent = suspects ? percent : FIRST_PERCENT;
+    percent = hasInterfering ? percent : FIRST_PERCENT;
   }
 
   private void slowDown(double worst) {
@@ -55,8 +55,8 @@
     }
   }
 
-  private static int atLeast(int share) {
-    return share < LEAST ? 0 : share;
+  private static int atLeast(int speed) {
+    return speed < LEAST ? 0 : speed;
   }
 
   private void speedUp(double worst) {
@@ -69,7 +69,7 @@
   }
 
   @Override
-  public int percent(boolean suspect) {
-    return suspect ? percent : harmlessPercent;
+  public int percent(boolean interfering) {
+    return interfering ? percent : harmlessPercent;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
@@ -3,13 +3,13 @@
 import io.marigoldsail.workflow.WorkflowSpec;
 import java.util.Optional;
 
-/** Kinds of workflows, with what one is worth to its caller and by when. */
+/** The kinds of workflows, with their value and the time in which they must complete. */
 enum WorkKind {
-  /** Small tasks that a caller waits for. */
+  /** Small tasks for which a caller waits. */
   SMALL(0.34, 1.5, 250, 0),
-  /** Wide steps of tasks that fill. */
+  /** Wide steps of best-effort tasks, which may interfere with services. */
   HEAVY(5.15, 2, 1_000, 2),
-  /** Tasks that last and serve their own users. */
+  /** Long-running service tasks with a latency target. */
   LASTING(1.34, 2, 2_500, 0);
 
   private final double worth;
@@ -24,14 +24,14 @@
     this.priority = priority;
   }
 
-  /** Returns what an average workflow is worth; of a lasting one, for each two seconds. */
+  /** Returns the value of an average workflow; for a service, of each window of two seconds. */
   double worth() {
     return worth;
   }
 
-  /** Returns how long a workflow may take and be in time, in milliseconds. */
-  double allowedMillis(double chainMillis) {
-    return slackFactor * chainMillis + objectiveMillis;
+  /** Returns the maximum duration of a workflow that is in time, in milliseconds. */
+  double allowedMillis(double criticalPathMillis) {
+    return slackFactor * criticalPathMillis + objectiveMillis;
   }
 
   WorkflowSpec.QueuePolicy terms() {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/package-info.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/package-info.java
@@ -1,8 +1,9 @@
 /**
- * A model of heavy tasks beside latency-critical services, to compare policies on paired days.
+ * A model of best-effort tasks co-located with latency-critical services, to compare policies on
+ * paired days.
  *
- * <p>One owner with fresh reports decides by the product's own classes on virtual time; VMs, tails
- * and readings are modelled. No network, no races between owners, no moves of tasks that run. Start
- * at {@link io.marigoldsail.testlib.interference.InterferenceBench}.
+ * <p>One owner with current reports decides with the production classes on virtual time; VMs, tail
+ * latencies and their measurements are modelled. Not modelled are the network, races between owners
+ * and moves of running tasks. The main class is {@link io.marigoldsail.testlib.interference.InterferenceBench}.
  */
 package io.marigoldsail.testlib.interference;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * The naive policy that measurements compare with: round robin over all targets, first come first
- * served in unbounded queues beside them, free retries, and no look at load, deadline or caller.
+ * The baseline policy of measurements: round robin over all targets, unbounded first-come,
+ * first-served queues at the targets, and immediate retries. Ignores load, deadlines and callers.
  */
 final class BaselinePolicy implements RequestPolicy {
   private static final int MAX_TRIES = 4;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
@@ -1,31 +1,31 @@
 package io.marigoldsail.testlib.measure;
 
-/** One request of one caller, and what came of it. A caller that returns makes a new call. */
+/** One request of a caller and its result. A retry is a new call. */
 final class Call {
   /** What the caller received. */
   enum Result {
-    /** Nothing yet. */
+    /** No result yet. */
     OPEN,
-    /** The whole answer, in time. */
+    /** A complete response before the deadline. */
     SERVED,
-    /** The whole answer, after the caller's deadline. */
+    /** A complete response after the caller's deadline. */
     LATE,
     /** An error of the target. */
     FAILED,
-    /** A refusal as not run, with a time to come back. */
+    /** A refusal as not run, with a retry delay. */
     REFUSED,
-    /** Nothing before the deadline. */
+    /** No response before the deadline. */
     TIMED_OUT
   }
 
   /**
-   * What a call asks for, drawn before any policy is run, so that all policies see the same.
+   * The properties of a call, drawn before a policy runs so that all policies get the same calls.
    *
-   * @param arrivesAt when it reaches its entry
-   * @param entry the entry that the balancer gives it to
-   * @param workNanos how long a healthy target works on it
-   * @param patienceNanos how long after sending it its answer is of use to the caller
-   * @param returns how often the caller comes back after a failure or refusal
+   * @param arrivesAt when it arrives at its entry
+   * @param entry the entry chosen by the load balancer
+   * @param workNanos the service time at a healthy target
+   * @param patienceNanos the time after sending during which a response is useful to the caller
+   * @param returns the maximum number of retries after failures or refusals
    */
   record Plan(
       long arrivesAt,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
@@ -15,10 +15,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Measures the wall time of a decision: arrival, report and end of one request, at a full service.
+ * Measures the wall-clock time of the decisions for one request, its arrival, load report and end,
+ * at a service without free slots.
  *
- * <p>A program of its own, for its figures depend on the machine and are no part of the rows of
- * {@link Measure}. Prints {@code targets,waiting,microseconds} for each size.
+ * <p>A separate program because the results depend on the machine, unlike those of {@link Measure}.
+ * Prints {@code targets,waiting,microseconds} for each size.
  */
 public final class DecisionBench {
   private static final int WARM_UP = 200_000;
@@ -42,21 +43,22 @@
     carryOut(scheduler.targetsChanged(states, now));
   }
 
-  /** Runs the bench for today's number of targets and for the number to build towards. */
+  /** Runs the benchmark for 11 targets, the size of today's deployments, for 100, and for 770, the
+   * size to design for. */
   public static void main(String[] arguments) {
     System.out.println("targets,waiting,microseconds");
     for (int targets : new int[] {11, 100, 770}) {
       DecisionBench bench = new DecisionBench(targets);
       bench.run(WARM_UP);
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       bench.run(ROUNDS);
-      double micros = (System.nanoTime() - began) / 1e3 / ROUNDS;
+      double micros = (System.nanoTime() - startNanos) / 1e3 / ROUNDS;
       int waiting = bench.scheduler.waiting().getOrDefault("service", 0);
       System.out.println(String.format(Locale.ROOT, "%d,%d,%.2f", targets, waiting, micros));
     }
   }
 
-  /** One request arrives and one ends in each round, so the service stays full. */
+  /** One request arrives and about one ends per round, so the service has no free slots. */
   private void run(int rounds) {
     for (int i = 0; i < rounds; i++) {
       now += STEP_NANOS;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
@@ -5,15 +5,15 @@
 import java.util.SplittableRandom;
 
 /**
- * The two deployments of today, 11 targets of 8 slots over three availability zones each, and what
- * {@code bin/measure-real} starts.
+ * The modelled deployments: the two in production, with 11 targets of 8 slots over three availability
+ * zones each, and the one started by {@code bin/measure-real}.
  */
 enum Deployment {
-  /** Parking bookings: clients are 3 ms away. */
+  /** Parking bookings, with a client latency of 3 ms. */
   VATULELE(3, 11, 1, 3, 9),
-  /** Aurora alerts: clients are 1 ms away. */
+  /** Aurora alerts, with a client latency of 1 ms. */
   KITAMIZORA(1, 11, 1, 3, 9),
-  /** Three targets and two entries; work is even and callers don't come back. */
+  /** Three targets and two entries, with constant service times and callers that do not retry. */
   LOOPBACK(0, 3, 2) {
     @Override
     long drawWork(SplittableRandom random, double meanNanos) {
@@ -28,14 +28,14 @@
 
   static final int SLOTS = 8;
 
-  /** The deployments that the users have. */
+  /** The deployments in production. */
   static final ImmutableList<Deployment> TODAY = ImmutableList.of(VATULELE, KITAMIZORA);
 
   private static final int ZONES = 3;
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long BETWEEN_ZONES_NANOS = 1_000_000;
 
-  /** Inside a zone: a fifth of the distance between zones; the users gave no figure. */
+  /** An assumption, a fifth of the latency between zones, because no figure is known. */
   private static final long INSIDE_ZONE_NANOS = 200_000;
 
   private static final int MAX_RETURNS = 2;
@@ -54,12 +54,12 @@
     return targets;
   }
 
-  /** Returns the numbers of entries that are measured. */
+  /** Returns the numbers of entries to measure. */
   ImmutableList<Integer> entryCounts() {
     return entryCounts;
   }
 
-  /** Returns how many ordinary requests a second all targets together can serve. */
+  /** Returns the capacity of all targets, in ordinary requests per second. */
   double perSecond() {
     return slots() * 1_000 / LoadPlan.MEAN_WORK_MILLIS;
   }
@@ -68,32 +68,32 @@
     return targets * SLOTS;
   }
 
-  /** Draws how long a healthy target works on a request. */
+  /** Draws the service time of a request at a healthy target, in nanoseconds. */
   long drawWork(SplittableRandom random, double meanNanos) {
     return (long) (-Math.log(1 - random.nextDouble()) * meanNanos);
   }
 
-  /** Draws how often a caller comes back. */
+  /** Draws the maximum number of retries of a caller. */
   int drawReturns(SplittableRandom random) {
     return random.nextBoolean() ? 0 : MAX_RETURNS;
   }
 
-  /** Returns the way from a caller to an entry, one way. */
+  /** Returns the one-way latency between a caller and an entry, in nanoseconds. */
   long clientNanos() {
     return clientNanos;
   }
 
-  /** Returns the name of the zone that holds the entry or target of the given number. */
+  /** Returns the name of the zone of the entry or target with the given number. */
   static String zoneOf(int number) {
     return "zone-" + number % ZONES;
   }
 
-  /** Returns the way between an entry and a target, one way. */
+  /** Returns the one-way latency between an entry and a target, in nanoseconds. */
   static long wayNanos(int entry, int target) {
     return entry % ZONES == target % ZONES ? INSIDE_ZONE_NANOS : BETWEEN_ZONES_NANOS;
   }
 
-  /** Returns the pattern's name in this deployment. */
+  /** Returns the name of the pattern in this deployment. */
   String patternName(String pattern) {
     return pattern + "@" + name().toLowerCase(Locale.ROOT);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/EventQueue.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/EventQueue.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs actions in the order of their virtual time, and those of one time in order of asking. */
+/** Runs actions in order of virtual time, and those of the same time in scheduling order. */
 final class EventQueue {
   private record Event(long time, long sequence, Runnable action) {}
 
@@ -24,7 +24,7 @@
     events.add(new Event(time, sequence++, action));
   }
 
-  /** Runs all actions up to the given time; later ones are left. */
+  /** Runs all actions up to the given time and advances the clock to it; later ones stay queued. */
   void runUntil(long time) {
     while (!events.isEmpty() && events.peek().time() <= time) {
       Event event = events.poll();
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadCurve.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadCurve.java
@@ -3,11 +3,11 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Latency and goodput against load, from a tenth to three times the capacity.
+ * Measures latency and goodput against load, from 0.1 to 3 times the capacity.
  *
- * <p>Metrics carry the load in hundredths of the capacity: {@code p99_ms_at_150} and the like.
+ * <p>Metric names contain the load in percent of the capacity, such as {@code p99_ms_at_150}.
  *
- * @param deployment whose distances hold
+ * @param deployment the deployment to model
  */
 record LoadCurve(Deployment deployment) implements MeasurePattern {
   static final ImmutableList<Integer> LOADS =
@@ -15,7 +15,7 @@
   private static final int SECONDS = 15;
   private static final int MEASURED_FROM = 7;
 
-  /** What is known of one load. */
+  /** The results at one load. */
   record Point(int load, double p50Millis, double p99Millis, double goodputRatio) {}
 
   @Override
@@ -28,16 +28,16 @@
     for (int entries : deployment.entryCounts()) {
       for (PolicyKind kind : PolicyKind.values()) {
         for (Point point : points(entries, kind, seed)) {
-          String at = "_at_" + point.load();
-          rows.add(name(), entries, kind.label(), "p50_ms" + at, point.p50Millis());
-          rows.add(name(), entries, kind.label(), "p99_ms" + at, point.p99Millis());
-          rows.add(name(), entries, kind.label(), "goodput_ratio" + at, point.goodputRatio());
+          String suffix = "_at_" + point.load();
+          rows.add(name(), entries, kind.label(), "p50_ms" + suffix, point.p50Millis());
+          rows.add(name(), entries, kind.label(), "p99_ms" + suffix, point.p99Millis());
+          rows.add(name(), entries, kind.label(), "goodput_ratio" + suffix, point.goodputRatio());
         }
       }
     }
   }
 
-  /** Returns the points of one curve in order of load. */
+  /** Returns the points of a curve, in order of load. */
   ImmutableList<Point> points(int entries, PolicyKind kind, long seed) {
     ImmutableList.Builder<Point> points = ImmutableList.builder();
     for (int load : LOADS) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
@@ -9,17 +9,18 @@
 import java.util.SplittableRandom;
 
 /**
- * Who asks for what and when, and what happens to the targets meanwhile. Immutable.
+ * The arrivals of a measurement and the changes of targets during it. Immutable.
  *
- * <p>Callers behave alike under every policy: half of those refused or failed come back, at most
- * twice, refused ones when they were told to, others after a second; each return is a call of its
- * own with a new deadline, given to another entry.
+ * <p>Callers behave the same under every policy: half of the refused or failed requests are retried,
+ * at most twice, after the retry delay of the refusal or, for failures, after a second. Each retry is
+ * a new call with a new deadline at another entry.
  *
- * @param streams the arrivals, independent of each other
- * @param changes what happens to targets
- * @param seconds how long calls arrive
- * @param measuredFrom seconds from which calls count; what came before is for warming up
- * @param reportEveryNanos how old the loads that side processes report may be; 0 if always fresh
+ * @param streams independent streams of arrivals
+ * @param changes the changes of targets
+ * @param seconds the duration of arrivals, in seconds
+ * @param measuredFrom the second from which calls are measured; earlier ones are warm-up
+ * @param reportEveryNanos the interval at which side processes update the load that they report; 0 for
+ *     always current
  */
 record LoadPlan(
     ImmutableList<Stream> streams,
@@ -27,26 +28,26 @@
     int seconds,
     int measuredFrom,
     long reportEveryNanos) {
-  /** Mean work of an ordinary request; its distribution is exponential. */
+  /** The mean service time of an ordinary request, exponentially distributed. */
   static final double MEAN_WORK_MILLIS = 20;
 
-  /** How long an ordinary caller waits for its answer. */
+  /** The timeout of an ordinary caller. */
   static final long PATIENCE_MILLIS = 1_000;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * Arrivals at random (Poisson), from callers and about keys that are drawn evenly.
+   * A Poisson stream of arrivals, with uniformly drawn callers and keys.
    *
-   * @param load arrivals as a share of what all targets together can serve
-   * @param fromSecond when they begin
-   * @param toSecond when they end
-   * @param callers names are drawn from this many
-   * @param callerPrefix how the names begin
-   * @param keys keys are drawn from this many
-   * @param keyPrefix how the keys begin
-   * @param lengthFactor how many times longer than ordinary the work is
+   * @param load the load as a fraction of the capacity of all targets
+   * @param fromSecond the start, in seconds
+   * @param toSecond the end, in seconds
+   * @param callers the number of callers
+   * @param callerPrefix the prefix of caller names
+   * @param keys the number of keys
+   * @param keyPrefix the prefix of keys
+   * @param lengthFactor the factor between the service time and an ordinary one
    */
   record Stream(
       double load,
@@ -57,7 +58,7 @@
       int keys,
       String keyPrefix,
       double lengthFactor) {
-    /** Returns ordinary requests from 20 callers about 20 keys, all the time. */
+    /** Returns a stream of ordinary requests of 20 callers and 20 keys, for the whole run. */
     static Stream ordinary(double load) {
       return new Stream(load, 0, Double.MAX_VALUE, 20, "caller-", 20, "key-", 1);
     }
@@ -83,7 +84,7 @@
     }
   }
 
-  /** What happens to one target at one second: it works so many times slower, or fails. */
+  /** A change of one target at one second: its slowdown factor, and whether it fails all requests. */
   record Change(double second, int target, double slowness, boolean failing) {}
 
   static LoadPlan of(int seconds, int measuredFrom, Stream... streams) {
@@ -103,12 +104,12 @@
     return new LoadPlan(streams, more, seconds, measuredFrom, reportEveryNanos);
   }
 
-  /** Returns the same load with reports that are renewed only every so many nanoseconds. */
+  /** Returns the same plan with load reports that are updated at the given interval. */
   LoadPlan withReportsEvery(long nanos) {
     return new LoadPlan(streams, changes, seconds, measuredFrom, nanos);
   }
 
-  /** Draws all first calls in order of arrival. */
+  /** Draws the initial calls, without retries, in order of arrival. */
   List<Call.Plan> draw(Deployment deployment, int entries, long seed) {
     checkArgument(entries > 0, "entries is not positive: %s", entries);
     SplittableRandom random = new SplittableRandom(seed);
@@ -126,19 +127,19 @@
       int entries,
       SplittableRandom random,
       List<Call.Plan> plans) {
-    double spacing = NANOS_PER_SECOND / (stream.load() * deployment.perSecond());
-    double end = Math.min(seconds, stream.toSecond()) * NANOS_PER_SECOND;
-    double time = stream.fromSecond() * NANOS_PER_SECOND + exponential(random, spacing);
-    while (time < end) {
-      plans.add(drawCall(stream, (long) time, deployment, entries, random));
-      time += exponential(random, spacing);
+    double meanIntervalNanos = NANOS_PER_SECOND / (stream.load() * deployment.perSecond());
+    double endNanos = Math.min(seconds, stream.toSecond()) * NANOS_PER_SECOND;
+    double timeNanos = stream.fromSecond() * NANOS_PER_SECOND + exponential(random, meanIntervalNanos);
+    while (timeNanos < endNanos) {
+      plans.add(drawCall(stream, (long) timeNanos, deployment, entries, random));
+      timeNanos += exponential(random, meanIntervalNanos);
     }
   }
 
   private static Call.Plan drawCall(
       Stream stream, long arrivesAt, Deployment deployment, int entries, SplittableRandom random) {
     double meanNanos = MEAN_WORK_MILLIS * stream.lengthFactor() * NANOS_PER_MILLI;
-    long patience = (long) (PATIENCE_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
+    long timeout = (long) (PATIENCE_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
     return new Call.Plan(
         arrivesAt,
         random.nextInt(entries),
@@ -147,7 +148,7 @@
         stream.isLong(),
         random.nextInt(100) < 80,
         deployment.drawWork(random, meanNanos),
-        patience,
+        timeout,
         deployment.drawReturns(random));
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlots.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlots.java
@@ -8,7 +8,7 @@
 import java.util.Locale;
 import java.util.function.ToDoubleFunction;
 
-/** Writes plots of latency and goodput against load, one of each for a deployment. */
+/** Writes plots of latency and of goodput against load for each deployment. */
 final class LoadPlots {
   private static final SvgPlot.Axis LOAD =
       new SvgPlot.Axis(
@@ -31,7 +31,7 @@
   private LoadPlots() {}
 
   /**
-   * Runs the load curves and writes their plots into a directory, which is made if it is missing.
+   * Runs the load curves and writes their plots into a directory, which is created if missing.
    *
    * @throws IOException if a file cannot be written
    */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Measure.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Measure.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** The program behind {@code bin/measure}. */
+/** The main class of {@code bin/measure}. */
 @Command(
     name = "measure",
     description = "Measures the decision modules on a virtual clock; prints CSV.",
@@ -43,12 +43,12 @@
 
   private final PrintStream out;
 
-  /** Creates the command with the stream that takes its rows. */
+  /** Creates the command with its output stream. */
   public Measure(PrintStream out) {
     this.out = out;
   }
 
-  /** Runs the command and exits with its status: 0 done, 2 wrong usage. */
+  /** Runs the command and exits with its status: 0 for success, 2 for wrong usage. */
   public static void main(String[] arguments) {
     System.exit(new CommandLine(new Measure(System.out)).execute(arguments));
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePattern.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePattern.java
@@ -1,15 +1,15 @@
 package io.marigoldsail.testlib.measure;
 
-/** A load pattern that {@code bin/measure} can run. Implementations are immutable. */
+/** A load pattern of {@code bin/measure}. Implementations are immutable. */
 public interface MeasurePattern {
-  /** Returns the pattern's name with its deployment, such as {@code overload@vatulele}. */
+  /** Returns the name of the pattern with its deployment, such as {@code overload@vatulele}. */
   String name();
 
   /**
-   * Runs the pattern under each policy and number of entries that it knows.
+   * Runs the pattern under each of its policies and numbers of entries.
    *
-   * <p>The same seed gives the same rows in the same order: implementations use virtual time, no
-   * wall clock, and no random source but ones made from the seed.
+   * <p>The same seed gives the same rows in the same order: implementations use virtual time and
+   * random sources derived from the seed only.
    */
   void run(long seed, MeasureRows rows);
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
@@ -3,11 +3,11 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** The patterns that {@code bin/measure} knows; a slice adds its own here, one line each. */
+/** The registry of the patterns of {@code bin/measure}. */
 final class MeasurePatterns {
   private MeasurePatterns() {}
 
-  /** Returns all patterns in the order in which they run. */
+  /** Returns all patterns in execution order. */
   static List<MeasurePattern> all() {
     return ImmutableList.<MeasurePattern>builder()
         .addAll(RequestPatterns.all())
@@ -16,9 +16,8 @@
   }
 
   /**
-   * Returns the patterns whose name is the given text, or whose name before the deployment is.
-   *
-   * <p>Returns an empty list where nothing matches.
+   * Returns the patterns with the given name, with or without the deployment; empty if there are
+   * none.
    */
   static List<MeasurePattern> named(String text) {
     return all().stream()
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasureRows.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasureRows.java
@@ -5,14 +5,14 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Takes the rows of measurements and prints each as a line of CSV. Confined to one thread. */
+/** Prints rows of measurements as CSV. Not thread-safe. */
 public final class MeasureRows {
-  /** The line that names the columns. */
+  /** The CSV header. */
   public static final String HEADER = "pattern,entries,policy,metric,value";
 
   private final PrintStream out;
 
-  /** Creates a sink that prints to the given stream, the header first. */
+  /** Creates a sink and prints the header to the given stream. */
   public MeasureRows(PrintStream out) {
     this.out = requireNonNull(out, "out");
     out.println(HEADER);
@@ -21,11 +21,11 @@
   /**
    * Prints one value.
    *
-   * @param pattern the pattern's name
-   * @param entries how many entries shared the load
+   * @param pattern the name of the pattern
+   * @param entries the number of entries
    * @param policy {@code marigoldsail} or {@code baseline}
-   * @param metric the metric's name, with its unit as suffix
-   * @param value the value, printed with four digits after the point; NaN where nothing was seen
+   * @param metric the name of the metric, with its unit as suffix
+   * @param value the value, printed with four decimals; NaN if there were no samples
    */
   public void add(String pattern, int entries, String policy, String metric, double value) {
     out.println(
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** One entry: carries its policy's decisions to the targets and their answers to the callers. */
+/** A modelled entry: applies the decisions of its policy and passes responses to callers. */
 final class ModelEntry {
   static final String SERVICE = "service";
 
-  /** Who carries messages and keeps the record; the bench. */
+  /** Delivers messages and records results; implemented by the benchmark. */
   interface Surroundings {
-    void send(int entry, String vm, Call call, ModelTarget.AnswerSink sink);
+    void send(int entry, String vm, Call call, ModelTarget.AnswerSink listener);
 
     void settled(Call call, long retryAfterMillis);
   }
@@ -128,12 +128,12 @@
       return;
     }
     wakeAt = Math.max(next, events.now());
-    long due = wakeAt;
-    events.at(due, () -> wake(due));
+    long dueNanos = wakeAt;
+    events.at(dueNanos, () -> wake(dueNanos));
   }
 
-  private void wake(long due) {
-    if (wakeAt != due) {
+  private void wake(long dueNanos) {
+    if (wakeAt != dueNanos) {
       return;
     }
     wakeAt = Long.MAX_VALUE;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTarget.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTarget.java
@@ -6,15 +6,15 @@
 import java.util.Deque;
 
 /**
- * A target with the side process beside it: slots, a waiting room, and what is wrong with it now.
+ * A modelled target with its side process: slots, a queue and the current fault.
  *
- * <p>A side process with a bounded waiting room turns away what finds no place, and drops what
- * waited past its deadline; the naive one does neither.
+ * <p>A side process with a bounded queue rejects requests when the queue is full, and drops queued
+ * requests past their deadline. With an unbounded queue, as in the baseline, it does neither.
  */
 final class ModelTarget {
   private static final long FAILING_NANOS = 1_000_000;
 
-  /** Takes what a side process answers. */
+  /** Receives the response of a side process. */
   @FunctionalInterface
   interface AnswerSink {
     void ended(AttemptOutcome outcome, TargetLoad load);
@@ -46,11 +46,11 @@
     slowness = factor;
   }
 
-  void failing(boolean nowFailing) {
-    failing = nowFailing;
+  void failing(boolean newFailing) {
+    failing = newFailing;
   }
 
-  /** Returns what the side process reports, which may be old. */
+  /** Returns the load as last reported by the side process, which may be stale. */
   TargetLoad load() {
     if (reportedAt == Long.MIN_VALUE || events.now() - reportedAt >= reportEveryNanos) {
       reported = new TargetLoad(running, waiting.size(), entries, false);
@@ -59,27 +59,27 @@
     return reported;
   }
 
-  void arrived(Call call, AnswerSink sink) {
+  void arrived(Call call, AnswerSink listener) {
     if (running < slots) {
-      run(call, sink);
+      run(call, listener);
     } else if (waiting.size() < places) {
-      waiting.add(new Waiting(call, sink));
+      waiting.add(new Waiting(call, listener));
     } else {
-      sink.ended(AttemptOutcome.NOT_RUN, load());
+      listener.ended(AttemptOutcome.NOT_RUN, load());
     }
   }
 
-  private void run(Call call, AnswerSink sink) {
+  private void run(Call call, AnswerSink listener) {
     running++;
     boolean fails = failing;
     long work = fails ? FAILING_NANOS : (long) (call.plan.workNanos() * slowness);
-    events.at(events.now() + work, () -> finished(sink, fails));
+    events.at(events.now() + work, () -> finished(listener, fails));
   }
 
-  private void finished(AnswerSink sink, boolean failed) {
+  private void finished(AnswerSink listener, boolean failed) {
     running--;
     startNext();
-    sink.ended(failed ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, load());
+    listener.ended(failed ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, load());
   }
 
   private void startNext() {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTask.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTask.java
@@ -5,7 +5,7 @@
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.Sizes;
 
-/** A running attempt in the model: how it truly behaves, whatever its job declared. */
+/** A running attempt in the model, with its actual behaviour independent of what its job declared. */
 final class ModelTask {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final double FULL = 100;
@@ -83,7 +83,7 @@
     return new Sizes((long) (kind.milliProcessors() * throttle()), kind.memoryBytes(), 0);
   }
 
-  /** Returns the work done in the step. */
+  /** Advances the attempt and returns the work done, in milliseconds. */
   double advance(double millis, double slowdown, long nowMillis) {
     double work = Math.min(workMillis - progressMillis, millis * throttle() / slowdown);
     progressMillis += work;
@@ -111,7 +111,7 @@
         0);
   }
 
-  GuardedTask guarded(double noise) {
+  GuardedTask guarded(double expectedSlowdown) {
     return new GuardedTask(
         token,
         spec.program(),
@@ -120,7 +120,7 @@
         startedMillis * NANOS_PER_MILLI,
         checkpointedAtMillis * NANOS_PER_MILLI,
         0,
-        noise,
+        expectedSlowdown,
         true);
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
@@ -10,8 +10,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A VM in the model: a service whose answers take longer the more its neighbours ask of the
- * processors and the noisier they are, and batch tasks that slow each other.
+ * A VM in the model: a service whose latency increases with the processor demand and interference of
+ * the co-located tasks, and batch tasks that slow down each other.
  */
 final class ModelVm {
   static final long PROCESSORS = 16_000;
@@ -62,12 +62,13 @@
     failsAll = true;
   }
 
-  /** Answers the step's requests, with what the service itself asks of the processors. */
-  void serve(long serviceMilliProcessors, Random random, long nowMillis, Histogram answers) {
+  /** Serves the requests of a step at the given processor demand of the service and records their
+   * latencies. */
+  void serve(long serviceMilliProcessors, Random random, long nowMillis, Histogram latencies) {
     double factor = contention(serviceMilliProcessors) * (1 + noise());
     for (int i = 0; i < SAMPLES_A_STEP; i++) {
       double latency = BASE_MILLIS * Math.exp(SPREAD * random.nextGaussian()) * factor;
-      answers.recordValue((long) (latency * 1_000));
+      latencies.recordValue((long) (latency * 1_000));
       late.add(new Answer(nowMillis, latency));
     }
     while (late.peek().atMillis() + READING_LAG_MILLIS <= nowMillis) {
@@ -80,7 +81,7 @@
     return window.reading(GOAL_MILLIS, nowMillis * NANOS_PER_MILLI);
   }
 
-  /** Lets the tasks work for a step and returns the work done, in milliseconds. */
+  /** Advances the tasks by a step and returns the work done, in milliseconds. */
   double work(long serviceMilliProcessors, double millis, long nowMillis) {
     double contention = contention(serviceMilliProcessors);
     double done = 0;
@@ -90,11 +91,11 @@
     return done;
   }
 
-  /** Returns how much longer the task takes than alone, for its neighbours. */
+  /** Returns the slowdown factor of the task caused by co-located tasks. */
   double slowdown(ModelTask task) {
-    boolean rival =
+    boolean conflicting =
         tasks.stream().anyMatch(other -> other.kind().program().equals(task.kind().rival()));
-    return rival ? TaskKind.RIVAL_SLOWDOWN : 1;
+    return conflicting ? TaskKind.RIVAL_SLOWDOWN : 1;
   }
 
   private double noise() {
@@ -102,11 +103,11 @@
   }
 
   private double contention(long serviceMilliProcessors) {
-    double asked = serviceMilliProcessors;
+    double demand = serviceMilliProcessors;
     for (ModelTask task : tasks) {
-      asked += task.kind().milliProcessors() * task.throttle();
+      demand += task.kind().milliProcessors() * task.throttle();
     }
-    double over = Math.max(1, asked / PROCESSORS);
-    return over * over;
+    double overload = Math.max(1, demand / PROCESSORS);
+    return overload * overload;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
@@ -32,11 +32,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The size to build for, 770 VMs, 90 task starts a second and about 13,000 tasks that run, or a
- * part of all three.
+ * Measures placement at the size to design for, 770 VMs, 90 task starts per second and about 13,000
+ * running tasks, or at a fraction of it.
  *
- * <p>{@code placement_us} and {@code fold_us} are processor time of this thread, so they differ
- * from run to run; everything else is virtual and does not.
+ * <p>{@code placement_us}, {@code placement_p99_us}, {@code fold_us} and {@code deciding_percent} are
+ * processor time of this thread and differ from run to run; all other metrics are deterministic.
  */
 final class PlacementScale implements MeasurePattern {
   private static final ThreadMXBean PROCESSOR = ManagementFactory.getThreadMXBean();
@@ -166,9 +166,9 @@
     private void decide(List<JobState> waiting) {
       long before = PROCESSOR.getCurrentThreadCpuTime();
       Fleet fleet = new Fleet(table.vms(), vm -> true, table::programsOn);
-      Set<String> onTheirWay = new HashSet<>();
+      Set<String> pendingTasks = new HashSet<>();
       for (Append append : appends) {
-        onTheirWay.add(append.claim().task());
+        pendingTasks.add(append.claim().task());
         fleet.allocate(append.claim().registration(), "p", append.claim().sizes());
       }
       waiting.forEach(job -> reserve.observe(job.spec().sizes(), job.spec().urgent(), now));
@@ -180,7 +180,7 @@
       int claims = 0;
       Optional<JobState> next = order.next();
       while (next.isPresent() && claims < CLAIMS_A_ROUND) {
-        claims += claimAll(next.get(), fleet, onTheirWay);
+        claims += claimAll(next.get(), fleet, pendingTasks);
         next = order.next();
       }
       if (claims > 0 && now >= MEASURED_FROM_MILLIS) {
@@ -189,10 +189,10 @@
       }
     }
 
-    private int claimAll(JobState job, Fleet fleet, Set<String> onTheirWay) {
+    private int claimAll(JobState job, Fleet fleet, Set<String> pendingTasks) {
       int claims = 0;
       for (TaskState task : table.waiting(job.spec().name(), 0, CLAIMS_A_ROUND)) {
-        if (onTheirWay.contains(task.name())) {
+        if (pendingTasks.contains(task.name())) {
           continue;
         }
         PlacementRequest request =
@@ -214,7 +214,7 @@
 
   private final int part;
 
-  /** Creates the pattern at the given part of the size: 1 for all of it, 2 for half. */
+  /** Creates the pattern with the size divided by the given number. */
   PlacementScale(int part) {
     this.part = part;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import java.util.SplittableRandom;
 
-/** The policies that are measured, each with the side process that belongs to it. */
+/** The measured policies, each with the queue capacity of its side processes. */
 enum PolicyKind {
-  /** The product's decisions; a side process has a small waiting room. */
+  /** The production scheduler, with a small queue at each target. */
   MARIGOLDSAIL {
     @Override
     RequestPolicy create(String zone, long seed) {
@@ -26,7 +26,7 @@
     }
   },
 
-  /** The naive policy; requests wait beside the target without bound. */
+  /** The baseline policy, with an unbounded queue at each target. */
   BASELINE {
     @Override
     RequestPolicy create(String zone, long seed) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Runs one load plan under one policy on a virtual clock and keeps what callers received. */
+/** Runs a load plan under a policy on a virtual clock and records the results of callers. */
 final class RequestBench implements ModelEntry.Surroundings {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long ANNOUNCE_NANOS = 500_000_000L;
@@ -21,10 +21,10 @@
   private final List<Call> calls = new ArrayList<>();
   private final List<Sent> sends = new ArrayList<>();
 
-  /** One try that was sent. */
+  /** One attempt that was sent to a target. */
   record Sent(long time, int target) {}
 
-  /** What a run leaves: all calls in order of arrival, all tries in order of sending. */
+  /** The record of a run: all calls in order of arrival, all attempts in sending order. */
   record Record(Deployment deployment, LoadPlan plan, List<Call> calls, List<Sent> sends) {}
 
   private RequestBench(
@@ -117,17 +117,17 @@
   @Override
   public void send(int entry, String vm, Call call, ModelTarget.AnswerSink sink) {
     int target = Integer.parseInt(vm.substring(vm.indexOf('-') + 1));
-    long way = Deployment.wayNanos(entry, target);
+    long latencyNanos = Deployment.wayNanos(entry, target);
     sends.add(new Sent(events.now(), target));
     events.at(
-        events.now() + way,
+        events.now() + latencyNanos,
         () ->
             targets
                 .get(target)
                 .arrived(
                     call,
                     (outcome, load) ->
-                        events.at(events.now() + way, () -> sink.ended(outcome, load))));
+                        events.at(events.now() + latencyNanos, () -> sink.ended(outcome, load))));
   }
 
   @Override
@@ -139,9 +139,9 @@
     if (call.result == Call.Result.SERVED || call.returnsLeft == 0) {
       return;
     }
-    long wait =
+    long delayNanos =
         call.result == Call.Result.REFUSED ? retryAfterMillis * NANOS_PER_MILLI : COME_BACK_NANOS;
-    long back = events.now() + 2 * deployment.clientNanos() + wait;
-    events.at(back, () -> arrive(call.plan, call.plan.entry() + 1, call.returnsLeft - 1));
+    long retryAt = events.now() + 2 * deployment.clientNanos() + delayNanos;
+    events.at(retryAt, () -> arrive(call.plan, call.plan.entry() + 1, call.returnsLeft - 1));
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPattern.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPattern.java
@@ -3,15 +3,15 @@
 import java.util.function.Predicate;
 
 /**
- * A load pattern of requests: runs its plan and the plan without the disturbance, under both
+ * A load pattern of requests. Runs its plan and a reference plan without the disturbance, under both
  * policies, for each number of entries of the deployment.
  *
- * @param name the pattern's name with its deployment
- * @param deployment whose distances hold
+ * @param name the name of the pattern with its deployment
+ * @param deployment the deployment to model
  * @param plan the load with the disturbance
- * @param reference the load without it
- * @param others which calls are not at fault
- * @param extra metrics beside the common ones
+ * @param reference the load without the disturbance
+ * @param others selects the calls that do not cause the disturbance
+ * @param extra adds metrics specific to this pattern
  */
 record RequestPattern(
     String name,
@@ -21,13 +21,13 @@
     Predicate<Call> others,
     Extra extra)
     implements MeasurePattern {
-  /** Adds metrics that only one pattern has. */
+  /** Adds metrics specific to one pattern. */
   @FunctionalInterface
   interface Extra {
     void add(RequestScore score, double referenceP99, Printer printer);
   }
 
-  /** Prints one metric of the run at hand. */
+  /** Prints one metric of the current run. */
   @FunctionalInterface
   interface Printer {
     void print(String metric, double value);
@@ -52,9 +52,9 @@
 
   /** Runs one policy with one number of entries and hands its metrics to the printer. */
   void run(int entries, PolicyKind kind, long seed, Printer printer) {
-    RequestScore calm =
+    RequestScore referenceScore =
         new RequestScore(RequestBench.run(deployment, entries, kind, reference, seed));
-    double referenceP99 = calm.percentileMillis(99, others);
+    double referenceP99 = referenceScore.percentileMillis(99, others);
     RequestScore score = new RequestScore(RequestBench.run(deployment, entries, kind, plan, seed));
     printer.print("goodput_ratio", score.goodputRatio());
     printer.print("p50_ms", score.percentileMillis(50, RequestScore.all()));
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPatterns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestPatterns.java
@@ -41,7 +41,7 @@
     return patterns.build();
   }
 
-  /** Three times what the targets can serve; the reference is a third of it. */
+  /** A load of 3; the reference load is 0.3. */
   private static RequestPattern overload(Deployment deployment) {
     return pattern(
         "overload",
@@ -52,7 +52,7 @@
         NOTHING);
   }
 
-  /** Three times what fits from the first moment on, by callers that don't come back. */
+  /** A load of 3 from the start, by callers that do not retry. */
   private static RequestPattern overloadFromRest() {
     return pattern(
         "overload",
@@ -70,68 +70,68 @@
         });
   }
 
-  /** Half of what fits from eight callers, and one more that alone sends twice what fits. */
+  /** A load of 0.5 from ordinary callers, and one caller that alone sends a load of 2. */
   private static RequestPattern loudCaller() {
-    LoadPlan calm = LoadPlan.of(10, 3, Stream.ordinary(0.5));
+    LoadPlan reference = LoadPlan.of(10, 3, Stream.ordinary(0.5));
     return pattern(
         HOT_CALLER,
         Deployment.LOOPBACK,
-        calm.with(Stream.ordinary(2).from(HOT_CALLER)),
-        calm,
+        reference.with(Stream.ordinary(2).from(HOT_CALLER)),
+        reference,
         call -> !call.plan.caller().equals(HOT_CALLER),
         NOTHING);
   }
 
-  /** Ten times the load of 0.3 for a second: two seconds of work too much. */
+  /** A burst of ten times the load of 0.3 for one second, two seconds of work over the capacity. */
   private static RequestPattern burst(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(20, 5, Stream.ordinary(0.3));
+    LoadPlan reference = LoadPlan.of(20, 5, Stream.ordinary(0.3));
     return pattern(
         "burst",
         deployment,
-        calm.with(Stream.ordinary(2.7).between(BURST_FROM, BURST_TO)),
-        calm,
+        reference.with(Stream.ordinary(2.7).between(BURST_FROM, BURST_TO)),
+        reference,
         RequestScore.all(),
         (score, p99, printer) -> {
-          // The last of the burst that fit their deadline are answered a second after its end.
+          // The last requests of the burst to meet their deadline complete a second after its end.
           printer.print(
               "burst_goodput_ratio", score.between(BURST_FROM, BURST_TO + 1).goodputRatio());
           printer.print("recovery_s", score.recoverySeconds(BURST_TO, RECOVERED_P99 * p99));
         });
   }
 
-  /** One of 20 callers sends ten times its share of a load of 0.8: more than fits. */
+  /** One of 20 callers sends ten times its share of a load of 0.8, for a total over the capacity. */
   private static RequestPattern hotCaller(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(30, 10, Stream.ordinary(0.8));
+    LoadPlan reference = LoadPlan.of(30, 10, Stream.ordinary(0.8));
     return pattern(
         "hot-caller",
         deployment,
-        calm.with(Stream.ordinary(0.4).from(HOT_CALLER)),
-        calm,
+        reference.with(Stream.ordinary(0.4).from(HOT_CALLER)),
+        reference,
         call -> !call.plan.caller().equals(HOT_CALLER),
         NOTHING);
   }
 
-  /** One of 20 keys is asked about ten times as often as the others, by all callers. */
+  /** One of 20 keys is requested ten times as often as the others, by all callers. */
   private static RequestPattern hotKey(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(30, 10, Stream.ordinary(0.8));
+    LoadPlan reference = LoadPlan.of(30, 10, Stream.ordinary(0.8));
     return pattern(
         "hot-key",
         deployment,
-        calm.with(Stream.ordinary(0.4).about(HOT_KEY)),
-        calm,
+        reference.with(Stream.ordinary(0.4).about(HOT_KEY)),
+        reference,
         call -> !call.plan.key().equals(HOT_KEY),
         NOTHING);
   }
 
   /** One target is ten times slower for 10 s. */
   private static RequestPattern slowTarget(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(35, 5, Stream.ordinary(0.6));
+    LoadPlan reference = LoadPlan.of(35, 5, Stream.ordinary(0.6));
     return pattern(
         "slow-target",
         deployment,
-        calm.with(new Change(SLOW_FROM, SLOW_TARGET, SLOWNESS, false))
+        reference.with(new Change(SLOW_FROM, SLOW_TARGET, SLOWNESS, false))
             .with(new Change(SLOW_TO, SLOW_TARGET, 1, false)),
-        calm,
+        reference,
         RequestScore.all(),
         RequestPatterns::addSlowTarget);
   }
@@ -146,56 +146,56 @@
         "recovery_s", score.shareRecoverySeconds(SLOW_TO, SLOW_TARGET, NEARLY_FULL_SHARE * before));
   }
 
-  /** One request in twenty takes fifty times as long; the short ones alone are a load of 0.2. */
+  /** One request in twenty takes fifty times as long; the short requests alone are a load of 0.2. */
   private static RequestPattern longAmongShort(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(40, 10, Stream.ordinary(0.2));
+    LoadPlan reference = LoadPlan.of(40, 10, Stream.ordinary(0.2));
     return pattern(
         "long-among-short",
         deployment,
-        calm.with(Stream.ordinary(0.2 * 0.05 / 0.95).longer(50)),
-        calm,
+        reference.with(Stream.ordinary(0.2 * 0.05 / 0.95).longer(50)),
+        reference,
         call -> !call.plan.isLong(),
         NOTHING);
   }
 
-  /** Two targets fail everything at once, in a millisecond, for 15 s. */
+  /** Two targets fail all requests within a millisecond for 15 s. */
   private static RequestPattern failingTargets(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(35, 5, Stream.ordinary(0.6));
+    LoadPlan reference = LoadPlan.of(35, 5, Stream.ordinary(0.6));
     return pattern(
         "failing-targets",
         deployment,
-        calm.with(new Change(10, 3, 1, true))
+        reference.with(new Change(10, 3, 1, true))
             .with(new Change(10, 7, 1, true))
             .with(new Change(25, 3, 1, false))
             .with(new Change(25, 7, 1, false)),
-        calm,
+        reference,
         RequestScore.all(),
         (score, p99, printer) ->
             printer.print("failed_share", score.share(RequestScore.all(), Call.Result.FAILED)));
   }
 
-  /** All loads that are reported are up to a second old, at a load of 0.8. */
+  /** Reported loads are up to a second old, at a load of 0.8. */
   private static RequestPattern lateReports(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(30, 10, Stream.ordinary(0.8));
+    LoadPlan reference = LoadPlan.of(30, 10, Stream.ordinary(0.8));
     return pattern(
         "late-reports",
         deployment,
-        calm.withReportsEvery(1_000_000_000L),
-        calm,
+        reference.withReportsEvery(1_000_000_000L),
+        reference,
         RequestScore.all(),
         NOTHING);
   }
 
-  /** All of the above together on a load of 0.5. */
+  /** All of the above combined, at a base load of 0.5. */
   private static RequestPattern allAtOnce(Deployment deployment) {
-    LoadPlan calm = LoadPlan.of(35, 5, Stream.ordinary(0.5));
-    Predicate<Call> innocent =
+    LoadPlan reference = LoadPlan.of(35, 5, Stream.ordinary(0.5));
+    Predicate<Call> otherCalls =
         call ->
             !call.plan.isLong()
                 && !call.plan.caller().equals(HOT_CALLER)
                 && !call.plan.key().equals(HOT_KEY);
     LoadPlan plan =
-        calm.with(Stream.ordinary(0.25).from(HOT_CALLER))
+        reference.with(Stream.ordinary(0.25).from(HOT_CALLER))
             .with(Stream.ordinary(0.25).about(HOT_KEY))
             .with(Stream.ordinary(0.003).longer(50))
             .with(Stream.ordinary(4.5).between(BURST_FROM, BURST_TO))
@@ -207,14 +207,14 @@
         "all-at-once",
         deployment,
         plan,
-        calm,
-        innocent,
+        reference,
+        otherCalls,
         (score, p99, printer) -> {
           addSlowTarget(score, p99, printer);
-          // Without the calls of the burst, whose wait is bounded by their deadline alone.
+          // Excludes the calls of the burst, whose latency is bounded only by their deadline.
           printer.print(
               "others_p99_ms_after_burst",
-              score.between(BURST_TO + 2, 35).percentileMillis(99, innocent));
+              score.between(BURST_TO + 2, 35).percentileMillis(99, otherCalls));
         });
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Computes the metrics of one run from what its callers received. Immutable. */
+/** Computes the metrics of a run from the results of its callers. Immutable. */
 final class RequestScore {
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double WINDOW_SECONDS = 0.25;
@@ -25,7 +25,7 @@
     this.to = to;
   }
 
-  /** Returns the score of the calls that arrived between two seconds of the run. */
+  /** Returns the score restricted to the given range of seconds of the run. */
   RequestScore between(double newFrom, double newTo) {
     return new RequestScore(run, newFrom, newTo);
   }
@@ -44,7 +44,7 @@
     return time >= from * NANOS_PER_SECOND && time < to * NANOS_PER_SECOND;
   }
 
-  /** Returns a percentile of the latency of answered calls, in milliseconds. */
+  /** Returns a percentile of the latency of completed calls, in milliseconds; NaN if there are none. */
   double percentileMillis(double percent, Predicate<Call> chosen) {
     double[] latencies =
         calls(chosen).stream()
@@ -60,33 +60,33 @@
   }
 
   /**
-   * Returns the useful answers that callers received, as work, to what could be done: the capacity
-   * of all targets, or what was asked for where that was less.
+   * Returns the ratio of the work of responses received before their deadline to the achievable
+   * work, which is the smaller of the capacity of all targets and the requested work.
    */
   double goodputRatio() {
-    double useful =
+    double usefulWork =
         run.calls().stream()
             .filter(call -> call.result == Call.Result.SERVED && isWithin(call.answeredAt))
             .mapToLong(call -> call.plan.workNanos())
             .sum();
-    double asked =
+    double requestedWork =
         calls(call -> call.returnsLeft == call.plan.returns()).stream()
             .mapToLong(call -> call.plan.workNanos())
             .sum();
     double capacity = (to - from) * NANOS_PER_SECOND * run.deployment().slots();
-    return useful / Math.min(asked, capacity);
+    return usefulWork / Math.min(requestedWork, capacity);
   }
 
-  /** Returns the useful answers to calls that arrived in the time, as work, to the capacity. */
+  /** Returns the ratio of the work of served calls that arrived in the range to the capacity. */
   double arrivedGoodputRatio() {
-    double useful =
+    double usefulWork =
         calls(call -> call.result == Call.Result.SERVED).stream()
             .mapToLong(call -> call.plan.workNanos())
             .sum();
-    return useful / ((to - from) * NANOS_PER_SECOND * run.deployment().slots());
+    return usefulWork / ((to - from) * NANOS_PER_SECOND * run.deployment().slots());
   }
 
-  /** Returns the share of calls with one of the given results. */
+  /** Returns the fraction of calls with one of the given results; NaN if there are no calls. */
   double share(Predicate<Call> chosen, Call.Result... results) {
     List<Call.Result> wanted = List.of(results);
     List<Call> calls = calls(chosen);
@@ -94,7 +94,7 @@
     return calls.isEmpty() ? Double.NaN : (double) matching / calls.size();
   }
 
-  /** Returns the longest time from arrival to refusal, in milliseconds; 0 if none was refused. */
+  /** Returns the maximum time from arrival to refusal, in milliseconds; 0 if none was refused. */
   double refusalMillis() {
     return calls(call -> call.result == Call.Result.REFUSED).stream()
         .mapToDouble(Call::latencyMillis)
@@ -102,32 +102,33 @@
         .orElse(0);
   }
 
-  /** Returns the most tries a call that was sent at all, over any 10 s in steps of a second. */
+  /** Returns the maximum of mean attempts per sent call, over windows of 10 s that start every
+   * second. */
   double triesPerRequest() {
-    double most = 0;
-    double last = Math.max(from, to - TRIES_WINDOW_SECONDS);
-    for (double start = from; start <= last; start++) {
+    double max = 0;
+    double lastStart = Math.max(from, to - TRIES_WINDOW_SECONDS);
+    for (double start = from; start <= lastStart; start++) {
       RequestScore window = between(start, Math.min(to, start + TRIES_WINDOW_SECONDS));
       List<Call> sent = window.calls(call -> call.tries > 0);
       double tries = sent.stream().mapToInt(call -> call.tries).sum();
-      most = Math.max(most, sent.isEmpty() ? 0 : tries / sent.size());
+      max = Math.max(max, sent.isEmpty() ? 0 : tries / sent.size());
     }
-    return most;
+    return max;
   }
 
-  /** Returns the share of all tries that went to one target. */
+  /** Returns the fraction of all attempts sent to one target. */
   double targetShare(int target) {
-    long all = run.sends().stream().filter(sent -> isWithin(sent.time())).count();
-    long there =
+    long total = run.sends().stream().filter(sent -> isWithin(sent.time())).count();
+    long toTarget =
         run.sends().stream()
             .filter(sent -> isWithin(sent.time()) && sent.target() == target)
             .count();
-    return all == 0 ? 0 : (double) there / all;
+    return total == 0 ? 0 : (double) toTarget / total;
   }
 
   /**
-   * Returns seconds from the given one until the 99th percentile of every later quarter second is
-   * at most the given one; the run's length if that never comes.
+   * Returns the seconds after the given one until the 99th percentile of every later window of a
+   * quarter second is at most the given one; the rest of the run if this is not reached.
    */
   double recoverySeconds(double since, double p99Millis) {
     double recovered = 0;
@@ -143,9 +144,9 @@
   }
 
   /**
-   * Returns seconds from the given one until a target has the given share over the three seconds
-   * that follow; the rest of the run if that never comes. Single seconds say little: long requests
-   * make the share of a healthy target dip under two thirds for a second.
+   * Returns the seconds after the given one until a target has the given share of attempts over the
+   * following three seconds; the rest of the run if this is not reached. Shorter windows are too
+   * noisy: long requests reduce the share of a healthy target below two thirds for a second.
    */
   double shareRecoverySeconds(double since, int target, double share) {
     for (double start = since; start + SHARE_WINDOW_SECONDS <= to; start++) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/SvgPlot.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/SvgPlot.java
@@ -7,10 +7,9 @@
 import java.util.Locale;
 
 /**
- * Draws lines over a linear horizontal and a logarithmic or linear vertical axis as SVG.
+ * An SVG line plot with linear or logarithmic axes.
  *
- * <p>Values that are not numbers interrupt a line; values over the top are drawn at the top. Not
- * safe for use by several threads.
+ * <p>NaN values interrupt a line; values outside an axis are drawn at its bound. Not thread-safe.
  */
 public final class SvgPlot {
   private static final int WIDTH = 720;
@@ -28,7 +27,7 @@
   private final Axis vertical;
   private final List<Line> lines = new ArrayList<>();
 
-  /** An axis with its title, bounds and the values that get a label. Immutable. */
+  /** An axis with its title, bounds and labelled ticks. Immutable. */
   public record Axis(
       String title, double from, double to, boolean isLogarithmic, List<Double> marks) {
     /** Checks the components. */
@@ -55,12 +54,12 @@
     this.vertical = vertical;
   }
 
-  /** Adds a line through points of a horizontal and a vertical value each. */
+  /** Adds a line through points, each given as its horizontal and vertical value. */
   public void add(String name, boolean isDashed, List<double[]> points) {
     lines.add(new Line(name, isDashed, List.copyOf(points)));
   }
 
-  /** Returns the drawing. */
+  /** Returns the plot as an SVG document. */
   public String toSvg() {
     StringBuilder svg = new StringBuilder();
     append(
@@ -79,15 +78,15 @@
   }
 
   private void appendAxes(StringBuilder svg) {
-    for (double mark : horizontal.marks()) {
-      double x = x(mark);
+    for (double tick : horizontal.marks()) {
+      double x = x(tick);
       append(svg, "<path d='M%.1f %dV%d' stroke='#ddd'/>", x, TOP, HEIGHT - BOTTOM);
-      append(svg, "<text x='%.1f' y='%d' text-anchor='middle'>%.4s</text>", x, HEIGHT - 32, mark);
+      append(svg, "<text x='%.1f' y='%d' text-anchor='middle'>%.4s</text>", x, HEIGHT - 32, tick);
     }
-    for (double mark : vertical.marks()) {
-      double y = y(mark);
+    for (double tick : vertical.marks()) {
+      double y = y(tick);
       append(svg, "<path d='M%d %.1fH%d' stroke='#ddd'/>", LEFT, y, WIDTH - RIGHT);
-      append(svg, "<text x='%d' y='%.1f' text-anchor='end'>%s</text>", LEFT - 6, y + 4, mark);
+      append(svg, "<text x='%d' y='%.1f' text-anchor='end'>%s</text>", LEFT - 6, y + 4, tick);
     }
     append(svg, "<text x='%d' y='%d'>%s</text>", LEFT, HEIGHT - 10, horizontal.title());
     append(
@@ -102,14 +101,14 @@
     String colour = COLOURS[number % COLOURS.length];
     String dash = line.isDashed() ? " stroke-dasharray='6 4'" : "";
     StringBuilder path = new StringBuilder();
-    boolean isPenDown = false;
+    boolean isLineStarted = false;
     for (double[] point : line.points()) {
       if (Double.isNaN(point[1])) {
-        isPenDown = false;
+        isLineStarted = false;
         continue;
       }
-      append(path, "%s%.1f %.1f", isPenDown ? "L" : "M", x(point[0]), y(point[1]));
-      isPenDown = true;
+      append(path, "%s%.1f %.1f", isLineStarted ? "L" : "M", x(point[0]), y(point[1]));
+      isLineStarted = true;
     }
     append(svg, "<path d='%s' fill='none' stroke='%s' stroke-width='2'%s/>", path, colour, dash);
     int y = TOP + 12 + 18 * number;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskBench.java
@@ -29,9 +29,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Eleven VMs, a load of jobs and the decision modules on one virtual clock, in steps of 100 ms.
+ * Simulates eleven VMs, a load of jobs and the decision modules on a virtual clock, in steps of
+ * 100 ms.
  *
- * <p>The fold is the product's; decisions are the {@link TaskDecider}'s. Confined to one thread.
+ * <p>Uses the production task table; a {@link TaskDecider} makes the decisions. Not thread-safe.
  */
 final class TaskBench {
   static final long HORIZON_MILLIS = 600_000;
@@ -73,9 +74,9 @@
   private long evictions;
 
   /**
-   * Creates a measurement.
+   * Creates a simulation.
    *
-   * @param fair whether the queue is the product's, not first come, first served
+   * @param fair whether to use the production queue order instead of first come, first served
    */
   TaskBench(
       TaskDisturbance disturbance,
@@ -218,7 +219,8 @@
     return vms.stream().filter(vm -> vm.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** Writes what entries write about VMs that fell silent: revoked, and cleared after the lease. */
+  /** Appends the records that entries write about unresponsive VMs: revoked, then cleared after the
+   * lease. */
   private void clearLost() {
     lostAt.forEach(
         (vm, at) -> {
@@ -289,8 +291,8 @@
 
   private void release(ModelVm vm, ModelTask task, ReleaseCause cause) {
     vm.tasks().remove(task);
-    boolean runsAgain = cause != ReleaseCause.STOPPED;
-    lostMillis += runsAgain ? task.progressMillis() - task.checkpointMillis() : 0;
+    boolean restarts = cause != ReleaseCause.STOPPED;
+    lostMillis += restarts ? task.progressMillis() - task.checkpointMillis() : 0;
     checkpoints.put(task.name(), task.checkpointMillis());
     String checkpoint = "" + (long) task.checkpointMillis();
     append(new TaskRecord.Released(task.name(), task.token(), cause, checkpoint, "released"));
@@ -374,7 +376,7 @@
   private void claimAll(JobState job, Fleet fleet) {
     Iterator<TaskState> tasks = waitingOf(job);
     while (tasks.hasNext() && claim(job, tasks.next(), fleet)) {
-      // Until one does not fit.
+      // Claims tasks until one does not fit.
     }
   }
 
@@ -399,7 +401,7 @@
     }
   }
 
-  /** Stops the victims of a preemption that the log has accepted. */
+  /** Evicts the victims of a preemption that was accepted when applied. */
   private void evictFor(TaskRecord.Preempted preempted, long at) {
     preempting.remove(preempted.task());
     if (table.preemptions().stream().anyMatch(p -> p.position() == at)) {
@@ -418,13 +420,13 @@
 
   private boolean claim(JobState job, TaskState task, Fleet fleet) {
     Sizes sizes = decider.booking(job.spec());
-    Optional<CandidateVm> room =
+    Optional<CandidateVm> candidate =
         decider.place(new PlacementRequest(job.spec(), task, sizes, Map.of()), fleet);
-    if (room.isEmpty()) {
+    if (candidate.isEmpty()) {
       preempt(job, task, fleet);
       return false;
     }
-    VmState vm = room.get().state();
+    VmState vm = candidate.get().state();
     fleet.allocate(vm.registration(), job.spec().program(), sizes);
     onTheirWay.put(task.name(), sizes);
     append(
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
@@ -33,35 +33,35 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** What decides about tasks in a measurement: the product's modules, or the baseline. */
+/** Makes the decisions about tasks in a simulation: the production modules or the baseline. */
 interface TaskDecider {
   long NANOS_PER_MILLI = 1_000_000;
 
-  /** Returns what is booked for a task of the job. */
+  /** Returns the sizes to book for a task of the job. */
   Sizes booking(JobSpec spec);
 
-  /** Returns whether the VM may be given a task. */
+  /** Returns whether tasks may be placed on the VM. */
   boolean usable(VmState vm, long nowMillis);
 
-  /** Keeps room open in the fleet before a round of decisions. */
+  /** Reserves capacity in the fleet before a round of decisions. */
   default void prepare(List<JobState> jobs, Fleet fleet, long nowMillis) {}
 
-  /** Returns the VM for the task. */
+  /** Returns the VM to place the task on, or empty if none fits. */
   Optional<CandidateVm> place(PlacementRequest request, Fleet fleet);
 
-  /** Returns who goes so that an urgent task fits somewhere. */
+  /** Returns a VM and the tasks to preempt on it for an urgent task, or empty if there is none. */
   default Optional<Preemptor.Choice> preempt(
       Sizes wanted, Fleet fleet, List<ModelVm> vms, long nowMillis) {
     return Optional.empty();
   }
 
-  /** Returns what the VM's batch tasks give up. */
+  /** Returns the throttling and evictions of batch tasks on the VM. */
   List<GuardAction> guard(ModelVm vm, long nowMillis);
 
-  /** Takes in late measurements of a VM's tasks. */
+  /** Records delayed measurements of the tasks of a VM. */
   void measured(ModelVm vm, List<ModelTask> tasks, long nowMillis);
 
-  /** The product's modules. */
+  /** The production modules. */
   final class Product implements TaskDecider {
     private final SizeEstimates estimates = new SizeEstimates();
     private final Interference interference = new Interference();
@@ -101,8 +101,8 @@
         }
       }
       placer.beginRound();
-      Sizes each = reserve.perVm(fleet.meanCapacity(), now);
-      fleet.reserveVms(each, reserve.vmCount(fleet.candidates().size()));
+      Sizes perVm = reserve.perVm(fleet.meanCapacity(), now);
+      fleet.reserveVms(perVm, reserve.vmCount(fleet.candidates().size()));
     }
 
     @Override
@@ -117,15 +117,15 @@
         Sizes wanted, Fleet fleet, List<ModelVm> vms, long now) {
       Map<String, ModelVm> byName = new HashMap<>();
       vms.forEach(vm -> byName.put(vm.name(), vm));
-      List<PreemptableVm> full = new ArrayList<>();
-      for (CandidateVm room : fleet.candidates()) {
-        if (!room.isPreempting()) {
+      List<PreemptableVm> candidates = new ArrayList<>();
+      for (CandidateVm candidate : fleet.candidates()) {
+        if (!candidate.isPreempting()) {
           List<PreemptableTask> tasks =
-              byName.get(room.vm()).tasks().stream().map(task -> task.preemptable(now)).toList();
-          full.add(new PreemptableVm(room.vm(), room.state().registration(), room.free(), tasks));
+              byName.get(candidate.vm()).tasks().stream().map(task -> task.preemptable(now)).toList();
+          candidates.add(new PreemptableVm(candidate.vm(), candidate.state().registration(), candidate.free(), tasks));
         }
       }
-      return preemptor.decide(terms, wanted, full, now * NANOS_PER_MILLI, now);
+      return preemptor.decide(terms, wanted, candidates, now * NANOS_PER_MILLI, now);
     }
 
     @Override
@@ -158,7 +158,8 @@
     }
   }
 
-  /** Declared sizes, first fit, evict the youngest at once, no health. */
+  /** The baseline: declared sizes, first fit, eviction of the youngest task when the service is slow,
+   * no worker health. */
   final class Baseline implements TaskDecider {
     @Override
     public Sizes booking(JobSpec spec) {
@@ -173,7 +174,7 @@
     @Override
     public Optional<CandidateVm> place(PlacementRequest request, Fleet fleet) {
       return fleet.candidates().stream()
-          .filter(room -> request.sizes().fitsIn(room.free()))
+          .filter(candidate -> request.sizes().fitsIn(candidate.free()))
           .findFirst();
     }
 
@@ -191,7 +192,7 @@
 
     @Override
     public void measured(ModelVm vm, List<ModelTask> tasks, long nowMillis) {
-      // Learns nothing.
+      // The baseline does not learn.
     }
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDisturbance.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDisturbance.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** What happens to the fleet during a measurement of tasks. */
+/** The disturbances of the fleet in simulations of tasks. */
 enum TaskDisturbance {
-  /** A wave of noisy tasks arrives. */
+  /** A wave of interfering tasks arrives. */
   NOISY_WAVE,
-  /** The service's load moves from one half of the VMs to the other. */
+  /** The load of the service moves from one half of the VMs to the other. */
   LOAD_SHIFT {
     @Override
     long serviceMilliProcessors(int vm, long nowMillis) {
@@ -15,16 +15,16 @@
       return loaded ? 9_000 : super.serviceMilliProcessors(vm, nowMillis);
     }
   },
-  /** Declared sizes are three times too large, or less than half of what is used. */
+  /** Declared sizes are three times the usage, or less than half of it. */
   WRONG_SIZES,
-  /** One worker fails whatever it starts. */
+  /** One worker fails all tasks. */
   BAD_WORKER {
     @Override
     void begin(TaskBench bench) {
       bench.vm(0).failAll();
     }
   },
-  /** Most of what waits and runs is cancelled at once. */
+  /** Most jobs, waiting and running, are cancelled at once. */
   CANCEL_WAVE {
     @Override
     void at(TaskBench bench, long nowMillis) {
@@ -33,7 +33,7 @@
       }
     }
   },
-  /** A VM dies silently, later two more at once. */
+  /** A VM fails without notice, and later two more at the same time. */
   VM_LOSS {
     @Override
     void at(TaskBench bench, long nowMillis) {
@@ -46,7 +46,7 @@
       }
     }
   },
-  /** The log is down for a minute, half as long as a batch lease. */
+  /** The log is down for a minute, half the duration of a batch lease. */
   LOG_OUTAGE {
     @Override
     boolean logDown(long nowMillis) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskKind.java
@@ -3,17 +3,18 @@
 import io.marigoldsail.job.Sizes;
 
 /**
- * How the tasks of one program truly behave.
+ * The actual behaviour of the tasks of one program.
  *
- * @param program the program's name
- * @param milliProcessors what a task uses
- * @param memoryBytes what a task uses
- * @param noise how much longer the service beside it takes: 0.5 for half as long again
- * @param rival the program that it and its kind slow down, and are slowed by; empty for none
+ * @param program the name of the program
+ * @param milliProcessors the processors used by a task, in thousandths
+ * @param memoryBytes the memory used by a task
+ * @param noise the relative increase in latency of a co-located service: 0.5 for 50% more
+ * @param rival the program whose co-located tasks slow down, and are slowed down by, those of
+ *     this program; empty for none
  */
 record TaskKind(
     String program, long milliProcessors, long memoryBytes, double noise, String rival) {
-  /** A rival beside it makes a task take so many times longer. */
+  /** The slowdown factor of a task next to one of the conflicting program. */
   static final double RIVAL_SLOWDOWN = 1.5;
 
   Sizes sizes() {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskLoad.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskLoad.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The jobs of a measurement and when they come; the same for every policy. */
+/** The jobs of a simulation and their arrival times; the same for every policy. */
 final class TaskLoad {
-  /** A job and when it is submitted, in milliseconds. */
+  /** A job and its submission time, in milliseconds. */
   record Submission(long atMillis, JobSpec spec) {}
 
   static final String WAVE = "wave";
@@ -42,15 +42,15 @@
   }
 
   /**
-   * Returns a load that keeps the fleet busy, with a wave of noisy jobs where that is asked for.
+   * Returns a load that keeps the fleet busy, with a wave of interfering jobs if requested.
    */
   static TaskLoad of(long seed, long horizonMillis, boolean wave, boolean wrongSizes) {
     TaskLoad load = new TaskLoad(seed, wrongSizes);
     for (int i = 0; i < BACKLOG; i++) {
       load.submit(0, load.usualProgram());
     }
-    long every = 6_000;
-    for (long at = every; at < horizonMillis; at += every) {
+    long intervalMillis = 6_000;
+    for (long at = intervalMillis; at < horizonMillis; at += intervalMillis) {
       boolean inWave = wave && at >= horizonMillis / 5 && at < horizonMillis / 2;
       load.submit(at, inWave && load.random.nextInt(3) == 0 ? WAVE : load.usualProgram());
     }
@@ -65,7 +65,8 @@
     return kinds.get(spec.command());
   }
 
-  /** Returns how long a task truly takes alone, in milliseconds; the same for every policy. */
+  /** Returns the actual run time of a task without interference, in milliseconds; the same for every
+   * policy. */
   static double workMillis(String task) {
     return 20_000 + Math.floorMod(task.hashCode() * 31L, 80_000);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPattern.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPattern.java
@@ -3,7 +3,7 @@
 import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.job.TaskTable;
 
-/** Tasks beside services, with one disturbance in one deployment. */
+/** Measures tasks co-located with services under one disturbance in one deployment. */
 final class TaskPattern implements MeasurePattern {
   private static final String PRODUCT = "marigoldsail";
   private static final String BASELINE = "baseline";
@@ -27,19 +27,19 @@
     TaskTable baselineTable = new TaskTable();
     TaskScore baseline = bench(new TaskDecider.Baseline(), baselineTable, false, seed).run();
     TaskTable table = new TaskTable();
-    GuardPolicy terms =
+    GuardPolicy guardPolicy =
         deployment == Deployment.VATULELE ? GuardPolicy.VATULELE : GuardPolicy.KITAMIZORA;
-    TaskScore product = bench(new TaskDecider.Product(table, terms, seed), table, true, seed).run();
+    TaskScore product = bench(new TaskDecider.Product(table, guardPolicy, seed), table, true, seed).run();
     add(rows, PRODUCT, product, reference, baseline);
     add(rows, BASELINE, baseline, reference, baseline);
   }
 
-  /** Returns the services' tail without any batch work. */
+  /** Returns the 99th percentile latency of services without batch work, in milliseconds. */
   private double reference(long seed) {
-    TaskLoad none = TaskLoad.of(seed, 0, false, false);
-    none.submissions().clear();
+    TaskLoad noLoad = TaskLoad.of(seed, 0, false, false);
+    noLoad.submissions().clear();
     return new TaskBench(
-            disturbance, none, new TaskDecider.Baseline(), new TaskTable(), false, seed)
+            disturbance, noLoad, new TaskDecider.Baseline(), new TaskTable(), false, seed)
         .run()
         .serviceP99Millis();
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPatterns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskPatterns.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableList;
 import java.util.List;
 
-/** The patterns about tasks: every disturbance in both deployments, and the size to build for. */
+/** The patterns of tasks: each disturbance in both deployments, and placement at scale. */
 final class TaskPatterns {
   private static final int LEAST_PART = 4;
 
@@ -16,8 +16,8 @@
         patterns.add(new TaskPattern(disturbance, deployment));
       }
     }
-    for (int part = 1; part <= LEAST_PART; part *= 2) {
-      patterns.add(new PlacementScale(part));
+    for (int divisor = 1; divisor <= LEAST_PART; divisor *= 2) {
+      patterns.add(new PlacementScale(divisor));
     }
     return patterns.build();
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskScore.java
@@ -1,15 +1,16 @@
 package io.marigoldsail.testlib.measure;
 
 /**
- * What a measurement of tasks found.
+ * The results of a simulation of tasks.
  *
- * @param serviceP99Millis the services' 99th percentile, in milliseconds
- * @param usefulWorkSeconds work done and not lost, in seconds of a task running alone
- * @param evictions how many tasks were stopped for others
- * @param urgentP99Seconds from the acceptance of an urgent job to the start of its task
- * @param lostWorkSeconds work that has to be done again, in seconds
- * @param failedTasks tasks that ended as failed
- * @param recordsPerSecond records folded, each second on average
+ * @param serviceP99Millis the 99th percentile latency of services, in milliseconds
+ * @param usefulWorkSeconds work done and not lost, in seconds of a task without interference
+ * @param evictions the number of evicted tasks
+ * @param urgentP99Seconds the 99th percentile of the time from the acceptance of an urgent job to the
+ *     start of a task, in seconds
+ * @param lostWorkSeconds work that has to be repeated, in seconds
+ * @param failedTasks the number of failed tasks
+ * @param recordsPerSecond the mean number of applied records per second
  */
 record TaskScore(
     double serviceP99Millis,
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/interference/InterferenceModelTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/interference/InterferenceModelTest.java
@@ -32,7 +32,7 @@
     assertNotEquals(worth, FleetRun.play(other, FleetPolicy.PRODUCT).worth());
   }
 
-  /** Guards against a model whose hidden effects no policy could use. */
+  /** Guards against a model whose interference no policy could exploit. */
   @Test
   void whoKnowsTheEffectsDoesBetterThanWhoHeedsNone() {
     double oracle = meanWorth(FleetShape.LARGE_VMS, FleetPolicy.ORACLE);
@@ -41,8 +41,8 @@
   }
 
   /**
-   * Bursts of heavy work on VMs of which services book most and use half. Guards against a product
-   * that waits beside idle processors and gives speed back too slowly.
+   * Bursts of heavy work on VMs whose processors are mostly booked by services but half idle. Guards
+   * against a policy that leaves processors idle and relaxes throttling too slowly.
    */
   @Test
   void overcommitAndSharedProcessorsServeBurstsBetter() {
@@ -53,12 +53,12 @@
 
   @Test
   void aDayAloneHasNoInterval() {
-    ByteArrayOutputStream page = new ByteArrayOutputStream();
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
     InterferenceBench bench =
-        new InterferenceBench(new PrintStream(page, true, StandardCharsets.UTF_8));
+        new InterferenceBench(new PrintStream(output, true, StandardCharsets.UTF_8));
     CommandLine command =
-        new CommandLine(bench).setErr(new PrintWriter(page, true, StandardCharsets.UTF_8));
+        new CommandLine(bench).setErr(new PrintWriter(output, true, StandardCharsets.UTF_8));
     assertEquals(CommandLine.ExitCode.USAGE, command.execute("--days", "1"));
-    assertTrue(page.toString(StandardCharsets.UTF_8).contains("--days is under 2: 1"));
+    assertTrue(output.toString(StandardCharsets.UTF_8).contains("--days is under 2: 1"));
   }
 }
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/MeasureTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/MeasureTest.java
@@ -18,8 +18,8 @@
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  // Two runs of one seed that differ would make every before and after a guess: a hash map's order
-  // or a wall clock has crept into the model or into a decision.
+  // Guards against hash iteration order or wall-clock time in the model or the decisions, which would
+  // make results of different runs incomparable.
   @Test
   void printsTheSameBytesForTheSameSeed() {
     String first = outputOf("--seed", "5", "burst@kitamizora");
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/RequestPatternsTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/RequestPatternsTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Holds the decisions to the figures that were reached, for three entries and one seed. */
+/** Guards the metrics of the load patterns against regressions, for three entries and one seed. */
 class RequestPatternsTest {
   private static final long SEED = 1;
   private static final int ENTRIES = 3;
@@ -26,9 +26,9 @@
     assertTrue(metrics.get(metric) >= limit, () -> metric + " under " + limit + " in " + metrics);
   }
 
-  // Three times as many motorists ask as the targets can answer. First come first served, all of
-  // them wait until nobody's answer is of use; here as many as fit are answered quickly, and the
-  // rest are told at once when to come back.
+  // Requests arrive at three times the capacity of the targets. First come, first served, all of them
+  // would wait past their deadlines; the scheduler must serve up to the capacity with low latency and
+  // refuse the rest immediately with a retry delay.
   @Test
   void servesAsManyAsFitUnderOverload() {
     Map<String, Double> metrics = run("overload@vatulele");
@@ -37,8 +37,8 @@
     assertAtMost(metrics, "refusal_ms", 1);
   }
 
-  // Ten times the usual load for a second. What fits its deadline is served, and two seconds later
-  // nothing is left of it.
+  // Ten times the usual load for a second. Requests that can meet their deadline are served, and
+  // latency recovers within two seconds.
   @Test
   void takesInABurstAndGetsOverIt() {
     Map<String, Double> metrics = run("burst@kitamizora");
@@ -46,7 +46,7 @@
     assertAtMost(metrics, "recovery_s", 2);
   }
 
-  // One tour operator's script asks ten times as often as all others; dispatchers must not feel it.
+  // One caller sends ten times as many requests as each other; others must not be affected.
   @Test
   void keepsAHotCallerFromTheOthers() {
     Map<String, Double> metrics = run("hot-caller@vatulele");
@@ -54,7 +54,7 @@
     assertAtLeast(metrics, "others_served_share", 0.99);
   }
 
-  // On market day one lot is asked about ten times as often as the others.
+  // One key is requested ten times as often as the others; others must not be affected.
   @Test
   void keepsAHotKeyFromTheOthers() {
     Map<String, Double> metrics = run("hot-key@vatulele");
@@ -62,7 +62,7 @@
     assertAtLeast(metrics, "others_served_share", 0.99);
   }
 
-  // One target becomes ten times slower for ten seconds and recovers.
+  // One target is ten times slower for ten seconds and recovers.
   @Test
   void easesOffASlowTargetWithinASecond() {
     Map<String, Double> metrics = run("slow-target@vatulele");
@@ -71,14 +71,15 @@
     assertAtMost(metrics, "recovery_s", 10);
   }
 
-  // One request in twenty takes fifty times as long. Round robin puts short ones behind them.
+  // One request in twenty takes fifty times as long. Round robin queues short requests behind them.
   @Test
   void keepsShortRequestsFromWaitingForLongOnes() {
     Map<String, Double> metrics = run("long-among-short@kitamizora");
     assertAtMost(metrics, "others_p99_ms", 2 * metrics.get("reference_p99_ms"));
   }
 
-  // Two targets fail everything in a millisecond; being idle, they would attract the rest.
+  // Two targets fail all requests within a millisecond. Since they are idle, load-based routing
+  // would send them more requests.
   @Test
   void turnsAwayFromFailingTargetsWithoutAStormOfTries() {
     Map<String, Double> metrics = run("failing-targets@vatulele");
@@ -86,8 +87,8 @@
     assertAtMost(metrics, "failed_share", 0.001);
   }
 
-  // Side processes report what was true a second ago. Limits that follow such reports at once swing
-  // between full and idle: requests were turned away five times each.
+  // Load reports are a second old. Limits that follow such reports immediately oscillate between full
+  // and idle, and requests are rejected five times each.
   @Test
   void staysSteadyWhenReportsAreLate() {
     Map<String, Double> metrics = run("late-reports@vatulele");
--- a/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/requests.feature
+++ b/marigoldsail-tests/src/test/resources/io/marigoldsail/tests/scenario/requests.feature
@@ -12,7 +12,7 @@
     Then every caller got the whole answer to its own request, and no charge ran twice
 
   # A side process restarts without its in-memory state. Requests sent to it may have run;
-  # non-idempotent requests with an unknown outcome must not be retried on another target.
+  # requests with an unknown outcome must not be retried on another target.
   Scenario: a side process dies and starts again empty
     Given a site with 2 entries and 2 VMs
     When callers keep sending requests through all entries
