--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
@@ -7,7 +7,7 @@
 enum FleetPolicy {
   /** The production policy. */
   PRODUCT("the product", Pacing::ofProduct),
-  /** Without overcommit beyond six processors per VM: all other booked capacity counts as used. */
+  /** Without overcommit beyond the base of six processors per VM. */
   NO_OVERCOMMIT("no overcommit", Pacing::ofProduct, Off.OVERCOMMIT),
   /** One throttle percentage for all interfering tasks. */
   SPEED_PACING("one speed for all suspects", SpeedPacing::new),
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
@@ -2,7 +2,7 @@
 
 /** One request of a caller and its result. A retry is a new call. */
 final class Call {
-  /** What the caller received. */
+  /** The result received by the caller. */
   enum Result {
     /** No result yet. */
     OPEN,
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/log/LogAppenderTest.java
@@ -65,7 +65,7 @@
 
     private void awaitApplied(long offset) throws InterruptedException {
       long deadline = clock.nanos() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-      assertTrue(follower.awaitApplied(offset, deadline), "not at " + offset);
+      assertTrue(follower.awaitApplied(offset, deadline), "did not apply up to offset " + offset);
     }
 
     @Override
