--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
@@ -17,7 +17,10 @@
   @Parameters(paramLabel = "JOB", description = "The job's name.")
   private String job;
 
-  @Option(names = "--reason", defaultValue = "cancelled by an operator", description = "Reason shown with the job.")
+  @Option(
+      names = "--reason",
+      defaultValue = "cancelled by an operator",
+      description = "Reason shown with the job.")
   private String reason;
 
   @Override
@@ -25,11 +28,11 @@
     try (OperatorClient client = connection.connect()) {
       String route =
           "/jobs/" + ConnectionOptions.encode(job) + "?reason=" + ConnectionOptions.encode(reason);
-      JsonNode response = ConnectionOptions.require(client.delete(route));
+      JsonNode response = ConnectionOptions.valueOrThrow(client.delete(route));
       if (connection.json()) {
         connection.printJson(response);
       } else {
-        connection.print(JobLines.line(response));
+        connection.print(JobFormatter.formatLine(response));
       }
       return ExitCode.OK.code();
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/FollowMerge.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CausalEventMerger.java
@@ -13,8 +13,8 @@
  * until every process has reported all of its events up to the timestamp of that event. Not
  * thread-safe.
  */
-final class FollowMerge {
-  private List<TimedEvent> held = new ArrayList<>();
+final class CausalEventMerger {
+  private List<TimedEvent> pending = new ArrayList<>();
 
   /**
    * Adds the events of a read and returns the events that are now complete, in causal order.
@@ -22,14 +22,14 @@
    * @param completeUpTo the timestamp up to which all events of all processes have been read
    */
   List<TimedEvent> add(List<TimedEvent> read, long completeUpTo) {
-    held.addAll(read);
-    Collections.sort(held);
+    pending.addAll(read);
+    Collections.sort(pending);
     int releasable = 0;
-    while (releasable < held.size() && held.get(releasable).stamp() <= completeUpTo) {
+    while (releasable < pending.size() && pending.get(releasable).stamp() <= completeUpTo) {
       releasable++;
     }
-    List<TimedEvent> released = List.copyOf(held.subList(0, releasable));
-    held = new ArrayList<>(held.subList(releasable, held.size()));
+    List<TimedEvent> released = List.copyOf(pending.subList(0, releasable));
+    pending = new ArrayList<>(pending.subList(releasable, pending.size()));
     return released;
   }
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CommandFailure.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CommandException.java
@@ -6,23 +6,23 @@
  * Aborts a command with an error line for the operator and an exit code. Only the command line
  * catches it.
  */
-final class CommandFailure extends RuntimeException {
+final class CommandException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final ExitCode exitCode;
 
-  CommandFailure(ExitCode exitCode, String message) {
+  CommandException(ExitCode exitCode, String message) {
     super(message);
     this.exitCode = exitCode;
   }
 
-  static CommandFailure of(Failure failure) {
+  static CommandException of(Failure failure) {
     String retry =
         failure.retryAfterMillis() > 0
             ? " (ask again in " + failure.retryAfterMillis() + " ms)"
             : "";
     String message = failure.kind().code() + ": " + failure.detail() + retry;
-    return new CommandFailure(ExitCode.of(failure), message);
+    return new CommandException(ExitCode.of(failure), message);
   }
 
   ExitCode exitCode() {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ConnectionOptions.java
@@ -83,13 +83,14 @@
     return new CommandLine.ParameterException(command.commandLine(), message);
   }
 
-  /** Returns the value.
+  /**
+   * Returns the value.
    *
-   * @throws CommandFailure with the failure's message and exit code if there is no value
+   * @throws CommandException with the failure's message and exit code if there is no value
    */
-  static <T> T require(Result<T> result) {
+  static <T> T valueOrThrow(Result<T> result) {
     if (result instanceof Result.Failed<T> failed) {
-      throw CommandFailure.of(failed.failure());
+      throw CommandException.of(failed.failure());
     }
     return result.value();
   }
@@ -98,7 +99,7 @@
     try {
       return Files.readAllBytes(file);
     } catch (IOException e) {
-      throw new CommandFailure(ExitCode.USAGE, file + ": cannot be read: " + e);
+      throw new CommandException(ExitCode.USAGE, file + ": cannot be read: " + e);
     }
   }
 
@@ -106,7 +107,7 @@
   static JsonNode readJson(Path file) {
     Result<JsonNode> parsed = Json.parse(file.toString(), readFile(file));
     if (parsed instanceof Result.Failed<JsonNode> failed) {
-      throw new CommandFailure(ExitCode.USAGE, failed.failure().detail());
+      throw new CommandException(ExitCode.USAGE, failed.failure().detail());
     }
     return parsed.value();
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/DiffCommand.java
@@ -29,7 +29,7 @@
     body.set("content", ConnectionOptions.readJson(path));
     try (OperatorClient client = connection.connect()) {
       byte[] bytes = Json.bytes(body);
-      JsonNode response = ConnectionOptions.require(client.post("/configuration/diff", bytes));
+      JsonNode response = ConnectionOptions.valueOrThrow(client.post("/configuration/diff", bytes));
       if (connection.json()) {
         connection.printJson(response);
         return ExitCode.OK.code();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/EventLines.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/EventFormatter.java
@@ -8,13 +8,13 @@
 import java.time.format.DateTimeFormatter;
 
 /** Formats events as lines of text. Stateless. */
-final class EventLines {
+final class EventFormatter {
   private static final DateTimeFormatter TIME =
       DateTimeFormatter.ofPattern("HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
 
-  private EventLines() {}
+  private EventFormatter() {}
 
-  static String line(TimedEvent timed) {
+  static String format(TimedEvent timed) {
     Event event = timed.event();
     StringBuilder line = new StringBuilder();
     line.append(TIME.format(Instant.ofEpochMilli(HybridClock.millis(timed.stamp()))));
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.common.collect.ImmutableList;
+import io.marigoldsail.cli.logs.CausalLogSorter;
 import io.marigoldsail.cli.logs.LogEntry;
-import io.marigoldsail.cli.logs.LogStory;
 import io.marigoldsail.json.Json;
 import io.marigoldsail.timeline.EventFilter;
 import io.marigoldsail.timeline.EventJson;
@@ -42,13 +42,13 @@
   @Override
   public Integer call() {
     if (!logs.isEmpty()) {
-      return tellFromLogs();
+      return explainFromLogs();
     }
     try (OperatorClient client = connection.connect()) {
       if (subject.startsWith("request:")) {
         String request = subject.substring("request:".length());
         EventFilter filter = new EventFilter(request, "", "", "", "");
-        tell(Json.object().put("request", request), events(client, filter));
+        print(Json.object().put("request", request), events(client, filter));
       } else {
         int slash = subject.lastIndexOf('/');
         if (slash <= 0) {
@@ -59,25 +59,25 @@
                 + ConnectionOptions.encode(subject.substring(0, slash))
                 + "/"
                 + ConnectionOptions.encode(subject.substring(slash + 1));
-        JsonNode task = ConnectionOptions.require(client.get(route));
-        tell(task, events(client, new EventFilter("", subject, "", "", "")));
+        JsonNode task = ConnectionOptions.valueOrThrow(client.get(route));
+        print(task, events(client, new EventFilter("", subject, "", "", "")));
       }
       return ExitCode.OK.code();
     }
   }
 
-  private int tellFromLogs() {
+  private int explainFromLogs() {
     List<LogEntry> entries = ProfileCommand.read(logs);
-    ImmutableList<LogEntry> sorted = LogStory.of(subject, entries);
+    ImmutableList<LogEntry> sorted = CausalLogSorter.sort(subject, entries);
     if (sorted.isEmpty()) {
-      throw new CommandFailure(
+      throw new CommandException(
           ExitCode.REFUSED, "none of " + entries.size() + " log lines tells of " + subject);
     }
-    sorted.forEach(this::tell);
+    sorted.forEach(this::print);
     return ExitCode.OK.code();
   }
 
-  private void tell(LogEntry entry) {
+  private void print(LogEntry entry) {
     if (connection.json()) {
       ObjectNode node =
           Json.object()
@@ -99,7 +99,7 @@
     return new TimelineReader(client, filter, connection.err()::println).readNew();
   }
 
-  private void tell(JsonNode description, List<TimedEvent> events) {
+  private void print(JsonNode description, List<TimedEvent> events) {
     if (connection.json()) {
       ObjectNode node = Json.object();
       node.set("subject", description);
@@ -119,6 +119,6 @@
     if (events.isEmpty()) {
       connection.print("no events are kept of it any more");
     }
-    events.forEach(event -> connection.print(EventLines.line(event)));
+    events.forEach(event -> connection.print(EventFormatter.format(event)));
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/HistoryCommand.java
@@ -20,7 +20,7 @@
   @Override
   public Integer call() {
     try (OperatorClient client = connection.connect()) {
-      JsonNode response = ConnectionOptions.require(client.get("/configuration/history"));
+      JsonNode response = ConnectionOptions.valueOrThrow(client.get("/configuration/history"));
       if (connection.json()) {
         connection.printJson(response);
         return ExitCode.OK.code();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/JobLines.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/JobFormatter.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** Formats jobs as lines of text. Stateless. */
-final class JobLines {
-  private JobLines() {}
+final class JobFormatter {
+  private JobFormatter() {}
 
-  static String line(JsonNode job) {
+  static String formatLine(JsonNode job) {
     String line =
         String.format(
             "job %s: %d tasks: %d waiting, %d running, %d done, %d cancelled, %d failed%s",
@@ -23,7 +23,7 @@
     return detail.isEmpty() ? line : line + "; " + detail;
   }
 
-  static List<String> table(Iterable<JsonNode> jobs) {
+  static List<String> formatTable(Iterable<JsonNode> jobs) {
     Table table =
         new Table(
             "JOB",
@@ -52,7 +52,7 @@
     return table.lines();
   }
 
-  static ExitCode outcome(JsonNode job) {
+  static ExitCode exitCode(JsonNode job) {
     boolean allDone = job.path("failed").asInt() == 0 && job.path("cancelled").asInt() == 0;
     return allDone ? ExitCode.OK : ExitCode.TASKS_FAILED;
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/MarigoldsailCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/MarigoldsailCommand.java
@@ -78,7 +78,7 @@
 
   private static int explain(
       Exception error, CommandLine commandLine, CommandLine.ParseResult parsed) {
-    if (error instanceof CommandFailure failure) {
+    if (error instanceof CommandException failure) {
       commandLine.getErr().println(failure.getMessage());
       return failure.exitCode().code();
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/OperatorClient.java
@@ -24,8 +24,8 @@
 /**
  * Sends requests to the operators' addresses of entries, one after the other until one responds.
  *
- * <p>Fails over to the next entry only where a repeated request is safe: nothing was sent, the entry
- * reported "not run" because it is shutting down, or the request only reads. Not thread-safe.
+ * <p>Fails over to the next entry only where a repeated request is safe: nothing was sent, the
+ * entry reported "not run" because it is shutting down, or the request only reads. Not thread-safe.
  */
 final class OperatorClient implements AutoCloseable {
   private static final int STATUS_OK_LIMIT = 300;
@@ -54,7 +54,7 @@
 
   /** Returns the response of the first entry that responds. */
   Result<JsonNode> get(String pathAndQuery) {
-    return ask("GET", pathAndQuery, Optional.empty());
+    return sendToAny("GET", pathAndQuery, Optional.empty());
   }
 
   /**
@@ -68,17 +68,17 @@
   }
 
   Result<JsonNode> post(String pathAndQuery, byte[] body) {
-    return ask("POST", pathAndQuery, Optional.of(body));
+    return sendToAny("POST", pathAndQuery, Optional.of(body));
   }
 
   Result<JsonNode> delete(String pathAndQuery) {
-    return ask("DELETE", pathAndQuery, Optional.empty());
+    return sendToAny("DELETE", pathAndQuery, Optional.empty());
   }
 
-  private Result<JsonNode> ask(String method, String pathAndQuery, Optional<byte[]> body) {
+  private Result<JsonNode> sendToAny(String method, String pathAndQuery, Optional<byte[]> body) {
     Result<JsonNode> last = Result.failed(ErrorKind.TARGET_UNREACHABLE, "no entry was given");
     for (HostPort entry : entries) {
-      last = askOne(entry, method, pathAndQuery, body);
+      last = sendTo(entry, method, pathAndQuery, body);
       if (!(last instanceof Result.Failed<JsonNode> failed)) {
         return last;
       }
@@ -93,7 +93,7 @@
   }
 
   /** Returns the response of one process. */
-  Result<JsonNode> askOne(
+  Result<JsonNode> sendTo(
       HostPort process, String method, String pathAndQuery, Optional<byte[]> body) {
     Request request =
         http.newRequest("http://" + process + pathAndQuery)
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Waiting.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/Polling.java
@@ -10,10 +10,10 @@
 import java.util.function.Supplier;
 
 /** Polls until a value is available. Stateless and thread-safe. */
-final class Waiting {
+final class Polling {
   private static final long PERIOD_MILLIS = 100;
 
-  private Waiting() {}
+  private Polling() {}
 
   /**
    * Returns the first value that the supplier returns, or empty if there is none before the timeout
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ProfileCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ProfileCommand.java
@@ -3,8 +3,8 @@
 import io.marigoldsail.cli.logs.LogEntry;
 import io.marigoldsail.cli.logs.LogFiles;
 import io.marigoldsail.cli.logs.LogProfile;
+import io.marigoldsail.cli.logs.LogProfile.LatencySummary;
 import io.marigoldsail.cli.logs.LogProfile.QueueProfile;
-import io.marigoldsail.cli.logs.LogProfile.Times;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -32,12 +32,12 @@
   public Integer call() {
     List<QueueProfile> profiles = LogProfile.of(read(files));
     if (profiles.isEmpty()) {
-      throw new CommandFailure(ExitCode.REFUSED, "no log line tells of an order");
+      throw new CommandException(ExitCode.REFUSED, "no log line tells of an order");
     }
     PrintWriter out = command.commandLine().getOut();
     for (QueueProfile queue : profiles) {
       out.printf("%s: %d workflows, %d tasks%n", queue.name(), queue.workflows(), queue.tasks());
-      print(out, "first order", queue.firstOrder());
+      print(out, "first order", queue.firstStart());
       queue.runs().forEach((outcome, times) -> print(out, "run " + outcome, times));
     }
     out.flush();
@@ -48,11 +48,11 @@
     try {
       return LogFiles.read(files);
     } catch (IOException e) {
-      throw new CommandFailure(ExitCode.USAGE, "cannot be read: " + e.getMessage());
+      throw new CommandException(ExitCode.USAGE, "cannot be read: " + e.getMessage());
     }
   }
 
-  private static void print(PrintWriter out, String label, Times times) {
+  private static void print(PrintWriter out, String label, LatencySummary times) {
     out.printf(
         "  %-16s %6d  median %7d ms  p95 %7d ms%n",
         label, times.count(), times.medianMillis(), times.p95Millis());
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/PublishCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/PublishCommand.java
@@ -70,7 +70,7 @@
     }
     try (OperatorClient client = connection.connect()) {
       byte[] content = Json.bytes(content(client));
-      JsonNode response = ConnectionOptions.require(client.post(route(), content));
+      JsonNode response = ConnectionOptions.valueOrThrow(client.post(route(), content));
       if (checkOnly) {
         report(response, file + " may be published at revision " + response.path("revision"));
         return ExitCode.OK.code();
@@ -88,9 +88,9 @@
       return ConnectionOptions.readJson(path);
     }
     JsonNode version =
-        ConnectionOptions.require(client.get("/configuration/history/" + fromRevision));
+        ConnectionOptions.valueOrThrow(client.get("/configuration/history/" + fromRevision));
     if (!version.path("file").asText().equals(file)) {
-      throw new CommandFailure(
+      throw new CommandException(
           ExitCode.REFUSED,
           "revision "
               + fromRevision
@@ -100,7 +100,7 @@
               + file);
     }
     if (!version.has("content")) {
-      throw new CommandFailure(
+      throw new CommandException(
           ExitCode.REFUSED, "the content of revision " + fromRevision + " is no longer kept");
     }
     return version.get("content");
@@ -108,7 +108,8 @@
 
   private String route() {
     List<String> query = new ArrayList<>();
-    String fullNote = note.isEmpty() && fromRevision != null ? "as in revision " + fromRevision : note;
+    String fullNote =
+        note.isEmpty() && fromRevision != null ? "as in revision " + fromRevision : note;
     query.add("author=" + ConnectionOptions.encode(author));
     query.add("note=" + ConnectionOptions.encode(fullNote));
     if (expectedRevision != null) {
@@ -122,7 +123,7 @@
 
   private ExitCode awaitInForce(OperatorClient client, long revision) {
     Optional<JsonNode> reached =
-        Waiting.until(
+        Polling.until(
             () ->
                 client
                     .tryGet("/configuration/in-force")
@@ -133,7 +134,7 @@
       report(reached.get(), "in force in all " + processes + " processes");
       return ExitCode.OK;
     }
-    JsonNode last = ConnectionOptions.require(client.get("/configuration/in-force"));
+    JsonNode last = ConnectionOptions.valueOrThrow(client.get("/configuration/in-force"));
     List<String> behind = new ArrayList<>();
     for (JsonNode process : last.path("processes")) {
       long current = process.path("revision").asLong();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ShowCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ShowCommand.java
@@ -41,7 +41,7 @@
         showFile(client);
       } else {
         String query = site == null ? "" : "?site=" + ConnectionOptions.encode(site);
-        show(ConnectionOptions.require(client.get("/configuration" + query)));
+        show(ConnectionOptions.valueOrThrow(client.get("/configuration" + query)));
       }
       return ExitCode.OK.code();
     }
@@ -49,7 +49,7 @@
 
   private void showFile(OperatorClient client) {
     String route = "/configuration/" + ConnectionOptions.encode(file);
-    JsonNode response = ConnectionOptions.require(client.get(route));
+    JsonNode response = ConnectionOptions.valueOrThrow(client.get(route));
     if (connection.json()) {
       connection.printJson(response);
     } else {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
@@ -22,26 +22,27 @@
   public Integer call() {
     try (OperatorClient client = connection.connect()) {
       if (job != null) {
-        one(ConnectionOptions.require(client.get("/jobs/" + ConnectionOptions.encode(job))));
+        printJob(
+            ConnectionOptions.valueOrThrow(client.get("/jobs/" + ConnectionOptions.encode(job))));
       } else {
-        all(client);
+        printAll(client);
       }
       return ExitCode.OK.code();
     }
   }
 
-  private void one(JsonNode response) {
+  private void printJob(JsonNode response) {
     if (connection.json()) {
       connection.printJson(response);
     } else {
-      connection.print(JobLines.line(response));
+      connection.print(JobFormatter.formatLine(response));
     }
   }
 
-  private void all(OperatorClient client) {
-    JsonNode members = ConnectionOptions.require(client.get("/members")).path("processes");
-    JsonNode inForce = ConnectionOptions.require(client.get("/configuration/in-force"));
-    JsonNode response = ConnectionOptions.require(client.get("/jobs"));
+  private void printAll(OperatorClient client) {
+    JsonNode members = ConnectionOptions.valueOrThrow(client.get("/members")).path("processes");
+    JsonNode inForce = ConnectionOptions.valueOrThrow(client.get("/configuration/in-force"));
+    JsonNode response = ConnectionOptions.valueOrThrow(client.get("/jobs"));
     JsonNode jobs = response.isArray() ? response : response.path("jobs");
     if (connection.json()) {
       ObjectNode node = Json.object();
@@ -68,6 +69,6 @@
           member.path("leaving").asBoolean() ? "leaving" : "live");
     }
     table.lines().forEach(connection::print);
-    JobLines.table(jobs).forEach(connection::print);
+    JobFormatter.formatTable(jobs).forEach(connection::print);
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/SubmitCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/SubmitCommand.java
@@ -35,7 +35,7 @@
     byte[] body = Json.bytes(ConnectionOptions.readJson(path));
     try (OperatorClient client = connection.connect()) {
       String route = "/jobs?file=" + ConnectionOptions.encode(path.getFileName().toString());
-      JsonNode job = ConnectionOptions.require(client.post(route, body));
+      JsonNode job = ConnectionOptions.valueOrThrow(client.post(route, body));
       print(job);
       return (wait ? await(client, job) : ExitCode.OK).code();
     }
@@ -44,18 +44,18 @@
   private ExitCode await(OperatorClient client, JsonNode submitted) {
     String route = "/jobs/" + ConnectionOptions.encode(submitted.path("name").asText());
     Optional<JsonNode> ended =
-        Waiting.until(
+        Polling.until(
             () -> client.tryGet(route).filter(job -> job.path("ended").asBoolean()),
             waitTimeoutMillis);
-    print(ended.orElseGet(() -> ConnectionOptions.require(client.get(route))));
-    return ended.map(JobLines::outcome).orElse(ExitCode.NOT_YET);
+    print(ended.orElseGet(() -> ConnectionOptions.valueOrThrow(client.get(route))));
+    return ended.map(JobFormatter::exitCode).orElse(ExitCode.NOT_YET);
   }
 
   private void print(JsonNode job) {
     if (connection.json()) {
       connection.printJson(job);
     } else {
-      connection.print(JobLines.line(job));
+      connection.print(JobFormatter.formatLine(job));
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
@@ -41,8 +41,8 @@
       int from = last == null ? 0 : Math.max(0, events.size() - last);
       events.subList(from, events.size()).forEach(this::print);
       if (follow) {
-        FollowMerge merge = new FollowMerge();
-        Waiting.until(
+        CausalEventMerger merge = new CausalEventMerger();
+        Polling.until(
             () -> {
               merge.add(reader.readNew(), reader.completeUpTo()).forEach(this::print);
               return Optional.<Object>empty();
@@ -58,7 +58,7 @@
     if (connection.json()) {
       connection.printJson(EventJson.write(event));
     } else {
-      connection.print(EventLines.line(event));
+      connection.print(EventFormatter.format(event));
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineReader.java
@@ -23,14 +23,14 @@
  * and in the events of other processes. Not thread-safe.
  */
 final class TimelineReader {
-  private static final int PAGE = 2_000;
+  private static final int PAGE_SIZE = 2_000;
 
-  private record Place(long incarnation, long next) {}
+  private record Position(long incarnation, long next) {}
 
   private final OperatorClient client;
   private final EventFilter filter;
   private final Consumer<String> warnings;
-  private final Map<String, Place> places = new HashMap<>();
+  private final Map<String, Position> positions = new HashMap<>();
   private final Map<String, Long> completeUpTo = new HashMap<>();
 
   TimelineReader(OperatorClient client, EventFilter filter, Consumer<String> warnings) {
@@ -49,13 +49,15 @@
     return events;
   }
 
-  /** Returns the timestamp up to which all responding processes have reported all of their events. */
+  /**
+   * Returns the timestamp up to which all responding processes have reported all of their events.
+   */
   long completeUpTo() {
     return completeUpTo.values().stream().mapToLong(stamp -> stamp).min().orElse(Long.MAX_VALUE);
   }
 
   private Map<String, HostPort> processes() {
-    JsonNode members = ConnectionOptions.require(client.get("/members")).path("processes");
+    JsonNode members = ConnectionOptions.valueOrThrow(client.get("/members")).path("processes");
     Map<String, HostPort> processes = new TreeMap<>();
     for (JsonNode member : members) {
       HostPort.parse(member.path("operators").asText())
@@ -67,31 +69,32 @@
   private void readProcess(String process, HostPort address, List<TimedEvent> events) {
     boolean more = true;
     while (more) {
-      Place position = places.getOrDefault(process, new Place(0, 0));
+      Position position = positions.getOrDefault(process, new Position(0, 0));
       String route =
-          "/events?after=" + position.next() + "&limit=" + PAGE + FilterOptions.query(filter);
+          "/events?after=" + position.next() + "&limit=" + PAGE_SIZE + FilterOptions.query(filter);
       Result<EventPage> response =
-          client.askOne(address, "GET", route, Optional.empty()).then(EventJson::read);
+          client.sendTo(address, "GET", route, Optional.empty()).then(EventJson::read);
       if (response instanceof Result.Failed<EventPage> failed) {
         warnings.accept("no events of " + process + ": " + failed.failure().detail());
         completeUpTo.remove(process);
         return;
       }
       EventPage page = response.value();
-      boolean restarted = position.incarnation() != 0 && position.incarnation() != page.incarnation();
+      boolean restarted =
+          position.incarnation() != 0 && position.incarnation() != page.incarnation();
       if (restarted && position.next() != 0) {
         // Event numbers restart with each incarnation, so read the new one from its beginning.
-        places.put(process, new Place(page.incarnation(), 0));
+        positions.put(process, new Position(page.incarnation(), 0));
         continue;
       }
       // Events evicted before the first read are not lost by this reader.
       if (page.lost() > 0 && position.next() > 0) {
         warnings.accept(page.lost() + " events of " + process + " gave way before being read");
       }
-      places.put(process, new Place(page.incarnation(), page.next()));
+      positions.put(process, new Position(page.incarnation(), page.next()));
       completeUpTo.merge(process, page.asOf(), Math::max);
       events.addAll(page.events());
-      more = page.events().size() == PAGE;
+      more = page.events().size() == PAGE_SIZE;
     }
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/JettyLoadSender.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/JettyLoadSender.java
@@ -20,8 +20,8 @@
 final class JettyLoadSender implements LoadSender {
   private static final int STATUS_OK = 200;
   private static final int STATUS_OK_LIMIT = 300;
-  private static final long PATIENCE_MILLIS = 5_000;
-  private static final int EXTRA_ANSWER_BYTES = 64 * 1024;
+  private static final long RESPONSE_GRACE_MILLIS = 5_000;
+  private static final int EXTRA_RESPONSE_BYTES = 64 * 1024;
 
   private final HttpClient http;
   private final LoadPlan plan;
@@ -47,12 +47,12 @@
   }
 
   @Override
-  public CompletableFuture<LoadAnswer> send(LoadRequest planned) {
-    CompletableFuture<LoadAnswer> response = new CompletableFuture<>();
+  public CompletableFuture<LoadResult> send(LoadRequest planned) {
+    CompletableFuture<LoadResult> response = new CompletableFuture<>();
     Request request =
         http.newRequest(planned.url())
             .method(planned.idempotent() ? "GET" : "POST")
-            .timeout(plan.deadlineMillis() + PATIENCE_MILLIS, TimeUnit.MILLISECONDS)
+            .timeout(plan.deadlineMillis() + RESPONSE_GRACE_MILLIS, TimeUnit.MILLISECONDS)
             .headers(
                 headers -> {
                   headers.put("Marigoldsail-Caller", planned.caller());
@@ -66,28 +66,28 @@
       request.headers(h -> h.put("Idempotency-Key", runId + "-" + planned.sequence()));
     }
     request.send(
-        new BufferingResponseListener(plan.bodyBytes() + EXTRA_ANSWER_BYTES) {
+        new BufferingResponseListener(plan.bodyBytes() + EXTRA_RESPONSE_BYTES) {
           @Override
           public void onComplete(Result result) {
-            response.complete(judge(planned, result, getContent()));
+            response.complete(classify(planned, result, getContent()));
           }
         });
     return response;
   }
 
-  private LoadAnswer judge(LoadRequest planned, Result result, byte[] content) {
+  private LoadResult classify(LoadRequest planned, Result result, byte[] content) {
     if (result.isFailed()) {
       return failed(result.getFailure());
     }
     int status = result.getResponse().getStatus();
     if (status >= STATUS_OK && status < STATUS_OK_LIMIT) {
       boolean mismatch = verifyEcho && !planned.idempotent() && !Arrays.equals(content, body);
-      return mismatch ? LoadAnswer.WRONG_BODY : LoadAnswer.SERVED;
+      return mismatch ? LoadResult.WRONG_BODY : LoadResult.SERVED;
     }
     String type = String.valueOf(result.getResponse().getHeaders().get(HttpHeader.CONTENT_TYPE));
     Optional<Failure> problem =
         type.startsWith(ProblemDetails.MEDIA_TYPE) ? problem(content) : Optional.empty();
-    return LoadAnswer.failed(
+    return LoadResult.failed(
         problem.map(failure -> failure.kind().code()).orElse("http-" + status));
   }
 
@@ -97,11 +97,11 @@
     return parsed.isOk() ? ProblemDetails.read(parsed.value()) : Optional.empty();
   }
 
-  private static LoadAnswer failed(Throwable failure) {
+  private static LoadResult failed(Throwable failure) {
     if (failure instanceof TimeoutException) {
-      return LoadAnswer.NO_ANSWER;
+      return LoadResult.NO_RESPONSE;
     }
-    return LoadAnswer.failed(
+    return LoadResult.failed(
         failure instanceof ConnectException ? "connection-refused" : "connection-failed");
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
@@ -55,8 +55,10 @@
       description = "Duration of the run, in milliseconds (${DEFAULT-VALUE}).")
   private long durationMillis;
 
-  @Option(names = "--even", description = "Send at constant intervals instead of as a Poisson process.")
-  private boolean evenly;
+  @Option(
+      names = "--even",
+      description = "Send at constant intervals instead of as a Poisson process.")
+  private boolean evenlySpaced;
 
   @Option(
       names = "--callers",
@@ -161,10 +163,10 @@
       }
       long start = pacer.nanos();
       run.sendAll();
-      awaitAnswers(progress, run);
+      awaitResponses(progress, run);
       long tookMillis = TimeUnit.NANOSECONDS.toMillis(pacer.nanos() - start);
       LoadReport report =
-          new LoadReport(run.reported(), tookMillis - warmupMillis, run.loadRecord());
+          new LoadReport(run.reported(), tookMillis - warmupMillis, run.statistics());
       return report(report, run).code();
     } finally {
       progress.shutdownNow();
@@ -181,7 +183,7 @@
           targets,
           rate,
           durationMillis,
-          evenly,
+          evenlySpaced,
           callers,
           nonIdempotentShare,
           deadlineMillis,
@@ -211,15 +213,15 @@
     var unused =
         scheduler.scheduleAtFixedRate(
             () -> {
-              LoadRecord counts = run.loadRecord();
+              LoadStatistics counts = run.statistics();
               err.printf(
                   Locale.ROOT,
                   "sent %d, served %d, not served %d, open %d, p99 %.1f ms%n",
                   run.sent(),
                   counts.served(),
-                  counts.answered() - counts.served(),
+                  counts.completed() - counts.served(),
                   run.open(),
-                  counts.fromPlan().getValueAtPercentile(99) / 1000.0);
+                  counts.latencyFromPlan().getValueAtPercentile(99) / 1000.0);
               err.flush();
             },
             PROGRESS_MILLIS,
@@ -228,7 +230,7 @@
   }
 
   /** Waits for all open requests; each has its own timeout, so the wait is bounded. */
-  private void awaitAnswers(ScheduledExecutorService scheduler, LoadRun run)
+  private void awaitResponses(ScheduledExecutorService scheduler, LoadRun run)
       throws InterruptedException {
     CountDownLatch allCompleted = new CountDownLatch(1);
     var unused =
@@ -255,7 +257,7 @@
       report.lines().forEach(out::println);
     }
     out.flush();
-    Map<String, Long> kinds = run.loadRecord().byKind();
+    Map<String, Long> kinds = run.statistics().byKind();
     long refused = kinds.getOrDefault("connection-refused", 0L);
     return refused > 0 && refused == run.reported() ? ExitCode.TRY_LATER : ExitCode.OK;
   }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadPlan.java
@@ -13,7 +13,8 @@
  * @param urls the URLs, used round robin
  * @param ratePerSecond the mean number of requests sent per second
  * @param durationMillis the duration, in milliseconds
- * @param evenly whether requests are sent at constant intervals; otherwise as a Poisson process
+ * @param evenlySpaced whether requests are sent at constant intervals; otherwise as a Poisson
+ *     process
  * @param callers the callers and their weights
  * @param nonIdempotentShare the fraction of POST requests, 0 to 1
  * @param deadlineMillis the deadline of each request, in milliseconds
@@ -26,7 +27,7 @@
     List<String> urls,
     double ratePerSecond,
     long durationMillis,
-    boolean evenly,
+    boolean evenlySpaced,
     Map<String, Double> callers,
     double nonIdempotentShare,
     long deadlineMillis,
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
@@ -15,8 +15,8 @@
   private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
   private final long planned;
-  private final long tookMillis;
-  private final LoadRecord loadRecord;
+  private final long elapsedMillis;
+  private final LoadStatistics statistics;
 
   /**
    * Creates a report.
@@ -24,10 +24,10 @@
    * @param planned the number of planned requests
    * @param tookMillis the duration of the run up to the last response
    */
-  LoadReport(long planned, long tookMillis, LoadRecord loadRecord) {
+  LoadReport(long planned, long tookMillis, LoadStatistics loadRecord) {
     this.planned = planned;
-    this.tookMillis = Math.max(1, tookMillis);
-    this.loadRecord = loadRecord;
+    this.elapsedMillis = Math.max(1, tookMillis);
+    this.statistics = loadRecord;
   }
 
   List<String> lines() {
@@ -37,10 +37,10 @@
             Locale.ROOT,
             "%d requests in %.1f s: %d served, %.1f served a second",
             planned,
-            tookMillis / MILLIS_PER_SECOND,
-            loadRecord.served(),
-            loadRecord.served() * MILLIS_PER_SECOND / tookMillis));
-    for (Map.Entry<String, Long> kind : loadRecord.byKind().entrySet()) {
+            elapsedMillis / MILLIS_PER_SECOND,
+            statistics.served(),
+            statistics.served() * MILLIS_PER_SECOND / elapsedMillis));
+    for (Map.Entry<String, Long> kind : statistics.byKind().entrySet()) {
       lines.add(
           String.format(
               Locale.ROOT,
@@ -50,9 +50,9 @@
               kind.getValue() * 100.0 / Math.max(1, planned)));
     }
     lines.add("latency in ms           p50       p90       p99     p99.9       max");
-    lines.add(row("served, from plan", loadRecord.fromPlan()));
-    lines.add(row("served, from sending", loadRecord.fromSend()));
-    lines.add(row("not served", loadRecord.refusals()));
+    lines.add(row("served, from plan", statistics.latencyFromPlan()));
+    lines.add(row("served, from sending", statistics.latencyFromSend()));
+    lines.add(row("not served", statistics.unservedLatency()));
     return lines;
   }
 
@@ -71,17 +71,17 @@
   ObjectNode json() {
     ObjectNode node = Json.object();
     node.put("planned", planned);
-    node.put("tookMillis", tookMillis);
-    node.put("served", loadRecord.served());
-    node.put("refused", loadRecord.refused());
-    node.put("failed", planned - loadRecord.served() - loadRecord.refused());
-    node.put("servedPerSecond", loadRecord.served() * MILLIS_PER_SECOND / tookMillis);
+    node.put("tookMillis", elapsedMillis);
+    node.put("served", statistics.served());
+    node.put("refused", statistics.refused());
+    node.put("failed", planned - statistics.served() - statistics.refused());
+    node.put("servedPerSecond", statistics.served() * MILLIS_PER_SECOND / elapsedMillis);
     ObjectNode kinds = node.putObject("answers");
-    loadRecord.byKind().forEach(kinds::put);
+    statistics.byKind().forEach(kinds::put);
     ObjectNode latency = node.putObject("latencyMillis");
-    percentiles(latency.putObject("servedFromPlan"), loadRecord.fromPlan());
-    percentiles(latency.putObject("servedFromSending"), loadRecord.fromSend());
-    percentiles(latency.putObject("notServed"), loadRecord.refusals());
+    percentiles(latency.putObject("servedFromPlan"), statistics.latencyFromPlan());
+    percentiles(latency.putObject("servedFromSending"), statistics.latencyFromSend());
+    percentiles(latency.putObject("notServed"), statistics.unservedLatency());
     return node;
   }
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRun.java
@@ -15,7 +15,7 @@
   private final LoadSender sender;
   private final Pacer pacer;
   private final int maxOpen;
-  private final LoadRecord loadRecord = new LoadRecord();
+  private final LoadStatistics statistics = new LoadStatistics();
   private final AtomicLong open = new AtomicLong();
   private final long warmupNanos;
   private volatile long sent;
@@ -58,26 +58,27 @@
     }
     if (open.incrementAndGet() > maxOpen) {
       open.decrementAndGet();
-      note(isReported, LoadAnswer.NOT_SENT, planned, sentNanos, sentNanos);
+      record(isReported, LoadResult.NOT_SENT, planned, sentNanos, sentNanos);
       return;
     }
     sender
         .send(request)
         .thenAccept(
             result -> {
-              note(isReported, result, planned, sentNanos, pacer.nanos());
+              record(isReported, result, planned, sentNanos, pacer.nanos());
               open.decrementAndGet();
             });
   }
 
-  private void note(boolean isReported, LoadAnswer result, long planned, long sentNanos, long now) {
+  private void record(
+      boolean isReported, LoadResult result, long planned, long sentNanos, long now) {
     if (isReported) {
-      loadRecord.note(result, planned, sentNanos, now);
+      statistics.record(result, planned, sentNanos, now);
     }
   }
 
-  LoadRecord loadRecord() {
-    return loadRecord;
+  LoadStatistics statistics() {
+    return statistics;
   }
 
   long sent() {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSchedule.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSchedule.java
@@ -50,7 +50,7 @@
             keyBounds.length == 0 ? "" : "key-" + draw(keyBounds));
     sequence++;
     double mean = NANOS_PER_SECOND / plan.ratePerSecond();
-    nextNanos += plan.evenly() ? mean : -Math.log(1 - random.nextDouble()) * mean;
+    nextNanos += plan.evenlySpaced() ? mean : -Math.log(1 - random.nextDouble()) * mean;
     return Optional.of(request);
   }
 
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadSender.java
@@ -5,5 +5,5 @@
 /** Sends a request and completes the future with its result; never throws or fails the future. */
 @FunctionalInterface
 interface LoadSender {
-  CompletableFuture<LoadAnswer> send(LoadRequest request);
+  CompletableFuture<LoadResult> send(LoadRequest request);
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadRecord.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadStatistics.java
@@ -10,14 +10,14 @@
 import org.HdrHistogram.Histogram;
 
 /** Counts results by kind and records latencies. Thread-safe. */
-final class LoadRecord {
-  private static final long HIGHEST_MICROS = TimeUnit.HOURS.toMicros(1);
-  private static final int DIGITS = 3;
+final class LoadStatistics {
+  private static final long MAX_MICROS = TimeUnit.HOURS.toMicros(1);
+  private static final int SIGNIFICANT_DIGITS = 3;
 
   private final Map<String, LongAdder> byKind = new ConcurrentHashMap<>();
-  private final Histogram fromPlan = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
-  private final Histogram fromSend = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
-  private final Histogram refusals = new ConcurrentHistogram(HIGHEST_MICROS, DIGITS);
+  private final Histogram latencyFromPlan = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  private final Histogram latencyFromSend = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  private final Histogram unservedLatency = new ConcurrentHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
 
   /**
    * Records a result.
@@ -26,18 +26,18 @@
    * @param sentNanos the actual send time, later than planned if the tool was delayed
    * @param nowNanos when the response was complete
    */
-  void note(LoadAnswer result, long plannedNanos, long sentNanos, long nowNanos) {
+  void record(LoadResult result, long plannedNanos, long sentNanos, long nowNanos) {
     byKind.computeIfAbsent(result.kind(), kind -> new LongAdder()).increment();
     if (result.served()) {
-      fromPlan.recordValue(micros(nowNanos - plannedNanos));
-      fromSend.recordValue(micros(nowNanos - sentNanos));
+      latencyFromPlan.recordValue(micros(nowNanos - plannedNanos));
+      latencyFromSend.recordValue(micros(nowNanos - sentNanos));
     } else {
-      refusals.recordValue(micros(nowNanos - sentNanos));
+      unservedLatency.recordValue(micros(nowNanos - sentNanos));
     }
   }
 
   private static long micros(long nanos) {
-    return Math.min(HIGHEST_MICROS, Math.max(0, TimeUnit.NANOSECONDS.toMicros(nanos)));
+    return Math.min(MAX_MICROS, Math.max(0, TimeUnit.NANOSECONDS.toMicros(nanos)));
   }
 
   Map<String, Long> byKind() {
@@ -46,12 +46,12 @@
     return counts;
   }
 
-  long answered() {
+  long completed() {
     return byKind.values().stream().mapToLong(LongAdder::sum).sum();
   }
 
   long served() {
-    LongAdder served = byKind.get(LoadAnswer.SERVED.kind());
+    LongAdder served = byKind.get(LoadResult.SERVED.kind());
     return served == null ? 0 : served.sum();
   }
 
@@ -69,17 +69,17 @@
   }
 
   /** Returns the latency of served requests from their planned time, in microseconds. */
-  Histogram fromPlan() {
-    return fromPlan;
+  Histogram latencyFromPlan() {
+    return latencyFromPlan;
   }
 
   /** Returns the latency of served requests from their actual send time, in microseconds. */
-  Histogram fromSend() {
-    return fromSend;
+  Histogram latencyFromSend() {
+    return latencyFromSend;
   }
 
   /** Returns the latency of requests that were not served, in microseconds. */
-  Histogram refusals() {
-    return refusals;
+  Histogram unservedLatency() {
+    return unservedLatency;
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogStory.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/CausalLogSorter.java
@@ -17,12 +17,12 @@
  *
  * <p>The clocks of processes differ by seconds, so sorting by time would often place an end before
  * the start that caused it. Lines of one process keep their order. Between processes the life cycle
- * of a run decides: accepted, started by the owner, reported on the VM, ended at the owner, and each
- * attempt after the previous one. Lines without such a relation are sorted by timestamp.
+ * of a run decides: accepted, started by the owner, reported on the VM, ended at the owner, and
+ * each attempt after the previous one. Lines without such a relation are sorted by timestamp.
  *
  * <p>Stateless. Takes O(n log n) time for n lines.
  */
-public final class LogStory {
+public final class CausalLogSorter {
   /** The stages in the life cycle of a run. */
   private enum Stage {
     ACCEPTED,
@@ -45,32 +45,33 @@
     private final LogEntry entry;
     private final int position;
     private final List<Node> effects = new ArrayList<>();
-    private int causesLeft;
+    private int pendingCauses;
 
     Node(LogEntry entry, int position) {
       this.entry = entry;
       this.position = position;
     }
 
-    void before(Node effect) {
+    void addEffect(Node effect) {
       effects.add(effect);
-      effect.causesLeft++;
+      effect.pendingCauses++;
     }
   }
 
-  private static final Comparator<Node> BY_CLOCK =
+  private static final Comparator<Node> BY_TIMESTAMP =
       Comparator.comparing((Node node) -> node.entry.time())
           .thenComparingInt(node -> node.position);
 
-  private LogStory() {}
+  private CausalLogSorter() {}
 
   /**
    * Returns the entries about the subject, causes before effects.
    *
    * @param subject the id of a workflow, task or run as written in the log
-   * @param entries the entries of all processes; those of one process in the order in which they were written
+   * @param entries the entries of all processes; those of one process in the order in which they
+   *     were written
    */
-  public static ImmutableList<LogEntry> of(String subject, Collection<LogEntry> entries) {
+  public static ImmutableList<LogEntry> sort(String subject, Collection<LogEntry> entries) {
     checkArgument(!subject.isEmpty(), "no subject");
     List<Node> nodes = new ArrayList<>();
     for (LogEntry entry : entries) {
@@ -81,7 +82,7 @@
     linkProcesses(nodes);
     linkStages(nodes);
     linkAttempts(nodes);
-    return inOrder(nodes);
+    return topologicalOrder(nodes);
   }
 
   private static void linkProcesses(List<Node> nodes) {
@@ -89,14 +90,14 @@
     for (Node node : nodes) {
       Node previous = last.put(node.entry.process(), node);
       if (previous != null) {
-        previous.before(node);
+        previous.addEffect(node);
       }
     }
   }
 
   private static void linkStages(List<Node> nodes) {
     Map<String, List<Node>> byRun = new HashMap<>();
-    Optional<Node> accepted = nodes.stream().filter(LogStory::isAcceptance).findFirst();
+    Optional<Node> accepted = nodes.stream().filter(CausalLogSorter::isAcceptance).findFirst();
     for (Node node : nodes) {
       if (Stage.of(node.entry.event()).isPresent() && !node.entry.run().isEmpty()) {
         byRun.computeIfAbsent(node.entry.run(), unused -> new ArrayList<>()).add(node);
@@ -141,29 +142,34 @@
     }
   }
 
-  /** Lines of one process are already linked in their order; another link could only form a cycle. */
+  /**
+   * Lines of one process are already linked in their order; another link could only form a cycle.
+   */
   private static void linkUnlessSameProcess(Node cause, Node effect) {
     if (!cause.entry.process().equals(effect.entry.process())) {
-      cause.before(effect);
+      cause.addEffect(effect);
     }
   }
 
-  private static ImmutableList<LogEntry> inOrder(List<Node> nodes) {
-    PriorityQueue<Node> ready = new PriorityQueue<>(BY_CLOCK);
-    nodes.stream().filter(node -> node.causesLeft == 0).forEach(ready::add);
+  private static ImmutableList<LogEntry> topologicalOrder(List<Node> nodes) {
+    PriorityQueue<Node> ready = new PriorityQueue<>(BY_TIMESTAMP);
+    nodes.stream().filter(node -> node.pendingCauses == 0).forEach(ready::add);
     List<Node> ordered = new ArrayList<>();
     while (!ready.isEmpty()) {
       Node next = ready.remove();
       ordered.add(next);
       for (Node effect : next.effects) {
-        effect.causesLeft--;
-        if (effect.causesLeft == 0) {
+        effect.pendingCauses--;
+        if (effect.pendingCauses == 0) {
           ready.add(effect);
         }
       }
     }
     // Cycles, as from logs of two incarnations in one file, are sorted by timestamp.
-    nodes.stream().filter(node -> node.causesLeft > 0).sorted(BY_CLOCK).forEach(ordered::add);
+    nodes.stream()
+        .filter(node -> node.pendingCauses > 0)
+        .sorted(BY_TIMESTAMP)
+        .forEach(ordered::add);
     return ordered.stream().map(node -> node.entry).collect(ImmutableList.toImmutableList());
   }
 }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogEntry.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/logs/LogEntry.java
@@ -87,10 +87,11 @@
   public boolean concerns(String subject) {
     String workflow = fields.getOrDefault("workflow", "");
     boolean ofItsWorkflow = !workflow.isEmpty() && subject.startsWith(workflow + ".");
-    return ofItsWorkflow || fields.values().stream().anyMatch(value -> isOrIsOf(value, subject));
+    return ofItsWorkflow
+        || fields.values().stream().anyMatch(value -> equalsOrBelongsTo(value, subject));
   }
 
-  private static boolean isOrIsOf(String value, String subject) {
+  private static boolean equalsOrBelongsTo(String value, String subject) {
     return value.equals(subject)
         || value.startsWith(subject + ".")
         || value.startsWith(subject + "#");
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/FollowMergeTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/CausalEventMergerTest.java
@@ -18,22 +18,22 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-final class FollowMergeTest {
+final class CausalEventMergerTest {
   private static final int PROCESSES = 3;
   private static final int STEPS = 200;
 
   /** Processes with skewed clocks, and a follower that reads them one by one. */
-  private static final class World {
+  private static final class Simulation {
     final List<HybridClock> clocks = new ArrayList<>();
     final List<EventBuffer> buffers = new ArrayList<>();
     final long[] next = new long[PROCESSES];
-    final FollowMerge merge = new FollowMerge();
+    final CausalEventMerger merge = new CausalEventMerger();
     final List<TimedEvent> shown = new ArrayList<>();
     List<TimedEvent> reading = new ArrayList<>();
-    int toRead;
+    int nextToRead;
     long completeUpTo = Long.MAX_VALUE;
 
-    World(Random random) {
+    Simulation(Random random) {
       for (int i = 0; i < PROCESSES; i++) {
         long millis = random.nextInt(5_000);
         HybridClock clock = new HybridClock(() -> millis);
@@ -43,16 +43,16 @@
     }
 
     void readOneProcess() {
-      EventPage page = buffers.get(toRead).page(next[toRead], 1_000, EventFilter.ALL);
-      next[toRead] = page.next();
+      EventPage page = buffers.get(nextToRead).page(next[nextToRead], 1_000, EventFilter.ALL);
+      next[nextToRead] = page.next();
       reading.addAll(page.events());
       completeUpTo = Math.min(completeUpTo, page.asOf());
-      toRead++;
-      if (toRead == PROCESSES) {
+      nextToRead++;
+      if (nextToRead == PROCESSES) {
         shown.addAll(merge.add(reading, completeUpTo));
         completeUpTo = Long.MAX_VALUE;
         reading = new ArrayList<>();
-        toRead = 0;
+        nextToRead = 0;
       }
     }
   }
@@ -63,9 +63,9 @@
    * before it is sent.
    */
   @Property(seed = "61", tries = 100)
-  void effectIsNeverShownBeforeItsCause(@ForAll long seed) {
+  void neverShowsEffectBeforeCause(@ForAll long seed) {
     Random random = new Random(seed);
-    World simulation = new World(random);
+    Simulation simulation = new Simulation(random);
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
         simulation.readOneProcess();
@@ -86,7 +86,7 @@
     check(simulation.shown);
   }
 
-  private static void record(World simulation, int process, EventKind kind, int step) {
+  private static void record(Simulation simulation, int process, EventKind kind, int step) {
     simulation.buffers.get(process).record(Event.of(kind).withRequest("r/" + step));
   }
 
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/ExitCodeTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/ExitCodeTest.java
@@ -19,7 +19,7 @@
   private static final Path PAGE = Path.of("..", "docs", "operators-product.md");
 
   @Test
-  void pageShowsTheTable() throws IOException {
+  void operatorsPageListsAllExitCodes() throws IOException {
     List<String> rows = new ArrayList<>();
     for (ExitCode code : ExitCode.values()) {
       rows.add("| " + code.code() + " | " + code.meaning() + " |");
@@ -41,7 +41,7 @@
    */
   @ParameterizedTest
   @EnumSource(ErrorKind.class)
-  void whatMayHaveRunIsNeverToldAsNotDone(ErrorKind kind) {
+  void requestThatMayHaveRunIsNeverReportedAsNotDone(ErrorKind kind) {
     ExitCode code = ExitCode.of(Failure.of(kind, "x"));
     assertNotEquals(ExitCode.OK, code);
     if (kind.execution() != ErrorKind.Execution.NOT_RUN) {
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
@@ -44,21 +44,21 @@
     LoadSender stallsOnce =
         request -> {
           clock.advance(request.sequence() == 500 ? 1_000 * MILLI : MILLI);
-          return CompletableFuture.completedFuture(LoadAnswer.SERVED);
+          return CompletableFuture.completedFuture(LoadResult.SERVED);
         };
     LoadRun run = new LoadRun(schedule(plan(100, 10_000, true), 1), stallsOnce, pacer, 10, 0);
     run.sendAll();
-    LoadRecord counts = run.loadRecord();
+    LoadStatistics counts = run.statistics();
     assertEquals(1_000, counts.served());
-    assertEquals(1, counts.fromSend().getValueAtPercentile(99) / 1_000);
-    long corrected = counts.fromPlan().getValueAtPercentile(99) / 1_000;
+    assertEquals(1, counts.latencyFromSend().getValueAtPercentile(99) / 1_000);
+    long corrected = counts.latencyFromPlan().getValueAtPercentile(99) / 1_000;
     assertTrue(corrected > 850 && corrected < 1_000, "p99 in ms: " + corrected);
     // A stall of 1000 ms at intervals of 10 ms delays 100 requests and those of the catch-up.
-    assertTrue(counts.fromPlan().getCountBetweenValues(2_000, 2_000_000) >= 100);
+    assertTrue(counts.latencyFromPlan().getCountBetweenValues(2_000, 2_000_000) >= 100);
   }
 
   @Test
-  void whatIsTooMuchIsCountedAndNotSent() {
+  void requestsOverTheOpenLimitAreCountedAndNotSent() {
     List<LoadRequest> sent = new ArrayList<>();
     LoadSender neverAnswers =
         request -> {
@@ -69,17 +69,17 @@
     run.sendAll();
     assertEquals(7, sent.size());
     assertEquals(7, run.open());
-    assertEquals(Map.of("not-sent-too-many-open", 93L), run.loadRecord().byKind());
+    assertEquals(Map.of("not-sent-too-many-open", 93L), run.statistics().byKind());
   }
 
   @Test
   void warmupIsSentButNotReported() {
-    LoadSender serves = request -> CompletableFuture.completedFuture(LoadAnswer.SERVED);
+    LoadSender serves = request -> CompletableFuture.completedFuture(LoadResult.SERVED);
     LoadRun run = new LoadRun(schedule(plan(1_000, 100, true), 1), serves, pacer, 7, 40);
     run.sendAll();
     assertEquals(100, run.sent());
     assertEquals(60, run.reported());
-    assertEquals(60, run.loadRecord().served());
+    assertEquals(60, run.statistics().served());
   }
 
   @Test
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogStoryTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/CausalLogSorterTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LogStoryTest {
+class CausalLogSorterTest {
   private static final String TASK = "e96be147d361a657.0.0.0";
 
   private final List<LogEntry> entries = new ArrayList<>();
@@ -21,16 +21,16 @@
     entries.add(new LogEntry(Instant.ofEpochSecond(second), process, event, fields.buildOrThrow()));
   }
 
-  private List<String> story(String subject) {
-    return LogStory.of(subject, entries).stream()
+  private List<String> sorted(String subject) {
+    return CausalLogSorter.sort(subject, entries).stream()
         .map(entry -> entry.process() + " " + entry.event() + entry.run().replace(TASK, " "))
         .toList();
   }
 
   /**
-   * The clock of the VM is ten seconds slow and that of the second owner twenty seconds fast. Sorted
-   * by timestamp, the end on the VM would precede the start of the run and the second attempt would
-   * follow everything else.
+   * The clock of the VM is ten seconds slow and that of the second owner twenty seconds fast.
+   * Sorted by timestamp, the end on the VM would precede the start of the run and the second
+   * attempt would follow everything else.
    */
   @Test
   void causesStandBeforeEffectsWhateverTheClocksSay() {
@@ -51,17 +51,17 @@
             "owner-2 run-ordered #2",
             "side run-over #2",
             "owner-2 run-ended #2");
-    assertEquals(expected, story("e96be147d361a657"));
-    assertEquals(expected, story(TASK));
-    assertEquals(expected.subList(4, 7), story(TASK + "#2").subList(1, 4));
+    assertEquals(expected, sorted("e96be147d361a657"));
+    assertEquals(expected, sorted(TASK));
+    assertEquals(expected.subList(4, 7), sorted(TASK + "#2").subList(1, 4));
   }
 
   /** Two files of one process in the wrong order contradict the other lines; none is dropped. */
   @Test
-  void linesThatContradictEachOtherAreAllTold() {
+  void contradictoryLinesAreAllReturned() {
     add(103, "owner", "run-ended", "run", TASK + "#1");
     add(101, "owner", "run-ordered", "run", TASK + "#1");
     add(102, "side", "run-over", "run", TASK + "#1");
-    assertEquals(3, story(TASK).size());
+    assertEquals(3, sorted(TASK).size());
   }
 }
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogEntryTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogEntryTest.java
@@ -16,7 +16,7 @@
           + " reason=\"listed by the \\\"worker\\\"\" ms=2047";
 
   @Test
-  void aLineIsReadAlsoBehindWhatACollectorPutBeforeIt() {
+  void collectorPrefixIsSkipped() {
     LogEntry entry = LogEntry.parse("  31.7 edge-1 " + LINE).orElseThrow();
     assertEquals(Instant.parse("2026-07-15T01:55:39.748Z"), entry.time());
     assertEquals("edge-1", entry.process());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void whatIsNoLineOfOursIsPassedOver() {
+  void unrelatedLinesAreSkipped() {
     for (String line :
         new String[] {"", "time=", "time=now process=a event=b", "event=run-ended"}) {
       assertEquals(Optional.empty(), LogEntry.parse(line), line);
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogProfileTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/logs/LogProfileTest.java
@@ -35,15 +35,19 @@
             "other",
             1,
             1,
-            new LogProfile.Times(1, 0, 0),
-            ImmutableMap.of("DONE", new LogProfile.Times(1, 7, 7))),
+            new LogProfile.LatencySummary(1, 0, 0),
+            ImmutableMap.of("DONE", new LogProfile.LatencySummary(1, 7, 7))),
         profiles.get(0));
     LogProfile.QueueProfile queue = profiles.get(1);
     assertEquals(1, queue.workflows());
     assertEquals(2, queue.tasks());
-    assertEquals(new LogProfile.Times(1, 30, 30), queue.firstOrder());
+    assertEquals(new LogProfile.LatencySummary(1, 30, 30), queue.firstStart());
     assertEquals(
-        Map.of("REFUSED", new LogProfile.Times(1, 4, 4), "DONE", new LogProfile.Times(2, 800, 900)),
+        Map.of(
+            "REFUSED",
+            new LogProfile.LatencySummary(1, 4, 4),
+            "DONE",
+            new LogProfile.LatencySummary(2, 800, 900)),
         queue.runs());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
@@ -18,7 +18,7 @@
  */
 public final class ConfigurationCheck {
   /** The largest content of a file in bytes, written in one line. */
-  public static final int LARGEST_CONTENT = 256 * 1024;
+  public static final int MAX_CONTENT_BYTES = 256 * 1024;
 
   private final SchemaCheck baseSchema =
       SchemaCheck.ofResource(ConfigurationCheck.class, "base.schema.json");
@@ -36,10 +36,10 @@
    */
   public Optional<Failure> checkFile(String origin, String file, JsonNode content) {
     if (!ConfigurationFiles.isName(file)) {
-      return broken(origin, "name", "must be base or a site in lower case, is \"" + file + "\"");
+      return violation(origin, "name", "must be base or a site in lower case, is \"" + file + "\"");
     }
-    if (Json.bytes(content).length > LARGEST_CONTENT) {
-      return broken(origin, "content", "is longer than " + LARGEST_CONTENT + " bytes");
+    if (Json.bytes(content).length > MAX_CONTENT_BYTES) {
+      return violation(origin, "content", "is longer than " + MAX_CONTENT_BYTES + " bytes");
     }
     boolean base = file.equals(ConfigurationFiles.BASE);
     Optional<Failure> failure = (base ? baseSchema : overlaySchema).check(origin, content);
@@ -48,7 +48,7 @@
     }
     String site = content.path(ConfigurationFiles.SITE_KEY).asText();
     if (!site.equals(file)) {
-      return broken(
+      return violation(
           origin, "site", "must be \"" + file + "\" as the file's name, is \"" + site + "\"");
     }
     return Optional.empty();
@@ -79,14 +79,14 @@
       ServiceConfiguration service = named.getValue();
       String key = "services." + named.getKey() + ".";
       if (service.defaultDeadlineMillis() <= service.targetDelayMillis()) {
-        return broken(
+        return violation(
             origin,
             key + "defaultDeadlineMillis",
             "must be above targetDelayMillis, "
                 + (service.targetDelayMillis() + ", is " + service.defaultDeadlineMillis()));
       }
       if (service.tailLatencyGoalMillis() > service.defaultDeadlineMillis()) {
-        return broken(
+        return violation(
             origin,
             key + "tailLatencyGoalMillis",
             "must be at most defaultDeadlineMillis, "
@@ -97,10 +97,10 @@
     double weights = guard.tailLatencyWeight() + guard.evictionsWeight() + guard.throughputWeight();
     return weights > 0
         ? Optional.empty()
-        : broken(origin, "guard.weights", "at least one weight must be above 0");
+        : violation(origin, "guard.weights", "at least one weight must be above 0");
   }
 
-  private static Optional<Failure> broken(String origin, String key, String rule) {
+  private static Optional<Failure> violation(String origin, String key, String rule) {
     return Optional.of(Failure.of(ErrorKind.INVALID_CONTENT, origin + ": " + key + ": " + rule));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationFold.java
@@ -6,8 +6,8 @@
 import io.marigoldsail.error.Failure;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.log.Fold;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogEntry;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.log.Position;
 import java.util.List;
 import java.util.Map;
@@ -31,9 +31,10 @@
  */
 public final class ConfigurationFold implements Fold {
   private final ConfigurationCheck check;
-  private final Map<String, CompletableFuture<PublishOutcome>> expected = new ConcurrentHashMap<>();
+  private final Map<String, CompletableFuture<PublishOutcome>> pendingOutcomes =
+      new ConcurrentHashMap<>();
   private final List<Consumer<ConfigurationState>> listeners = new CopyOnWriteArrayList<>();
-  private final AtomicLong broken = new AtomicLong();
+  private final AtomicLong invalidRecords = new AtomicLong();
   private volatile ConfigurationState state = ConfigurationState.EMPTY;
 
   /** Creates a fold of an empty stream. */
@@ -47,15 +48,15 @@
   }
 
   /** Returns how many records were passed over because they were broken or never checked. */
-  public long brokenRecords() {
-    return broken.get();
+  public long invalidRecordCount() {
+    return invalidRecords.get();
   }
 
   /**
    * Tells of every change of what is in force, in order. The listener is called with the state, now
    * and then on the thread that applies records; it must be quick.
    */
-  public synchronized void onInForce(Consumer<ConfigurationState> listener) {
+  public synchronized void addInForceListener(Consumer<ConfigurationState> listener) {
     listeners.add(listener);
     listener.accept(state);
   }
@@ -70,37 +71,38 @@
     Position next = new Position(entry.position().offset(), entry.position().index() + 1);
     long before = state.revisionInForce();
     if (entry.type().equals(PublishRecord.TYPE)) {
-      decide(entry);
+      applyPublish(entry);
     }
     state = state.withNextPosition(next);
-    tellIfChanged(before);
+    notifyIfChanged(before);
   }
 
-  private void decide(LogEntry entry) {
+  private void applyPublish(LogEntry entry) {
     Result<PublishRecord> read = PublishRecord.read(entry.body());
     if (!read.isOk()) {
-      broken.incrementAndGet();
+      invalidRecords.incrementAndGet();
       return;
     }
     PublishRecord published = read.value();
-    PublishOutcome outcome = outcome(published);
+    PublishOutcome outcome = decideOutcome(published);
     if (outcome instanceof PublishOutcome.Accepted accepted) {
-      state = state.withAccepted(version(published, accepted), published.schema(), understood());
+      state =
+          state.withAccepted(toVersion(published, accepted), published.schema(), supportedSchema());
     } else if (outcome instanceof PublishOutcome.Invalid) {
-      broken.incrementAndGet();
+      invalidRecords.incrementAndGet();
     }
-    CompletableFuture<PublishOutcome> waiting = expected.remove(published.publishId());
+    CompletableFuture<PublishOutcome> waiting = pendingOutcomes.remove(published.publishId());
     if (waiting != null) {
       waiting.complete(outcome);
     }
   }
 
-  private PublishOutcome outcome(PublishRecord published) {
+  private PublishOutcome decideOutcome(PublishRecord published) {
     if (published.checkedAgainst() != state.revision()) {
       return new PublishOutcome.Stale(state.revision());
     }
-    if (published.schema() <= understood()) {
-      Optional<Failure> failure = verdict(published);
+    if (published.schema() <= supportedSchema()) {
+      Optional<Failure> failure = validate(published);
       if (failure.isPresent()) {
         return new PublishOutcome.Invalid(failure.get().detail());
       }
@@ -108,12 +110,12 @@
     return new PublishOutcome.Accepted(state.revision() + 1);
   }
 
-  private Optional<Failure> verdict(PublishRecord published) {
+  private Optional<Failure> validate(PublishRecord published) {
     String file = published.file();
     Optional<Failure> failure = check.checkFile(file, file, published.content());
     boolean restUnderstood =
         state.schemas().entrySet().stream()
-            .allMatch(s -> s.getKey().equals(file) || s.getValue() <= understood());
+            .allMatch(s -> s.getKey().equals(file) || s.getValue() <= supportedSchema());
     // Beside a file of a newer version the merge cannot be judged here, only the file itself.
     if (failure.isPresent() || !restUnderstood) {
       return failure;
@@ -121,11 +123,11 @@
     return check.checkSites(file, file, state.files().with(file, published.content()));
   }
 
-  private static int understood() {
+  private static int supportedSchema() {
     return PublishRecord.CURRENT_SCHEMA;
   }
 
-  private static PublishedVersion version(
+  private static PublishedVersion toVersion(
       PublishRecord published, PublishOutcome.Accepted accepted) {
     return new PublishedVersion(
         accepted.revision(),
@@ -137,25 +139,25 @@
         Optional.of(published.content()));
   }
 
-  private void tellIfChanged(long before) {
+  private void notifyIfChanged(long before) {
     if (state.revisionInForce() != before) {
       listeners.forEach(listener -> listener.accept(state));
     }
   }
 
   /** Returns a future for the outcome of a try; to be asked for before its record is appended. */
-  CompletableFuture<PublishOutcome> expect(String publishId) {
-    return expected.computeIfAbsent(publishId, id -> new CompletableFuture<>());
+  CompletableFuture<PublishOutcome> expectOutcome(String publishId) {
+    return pendingOutcomes.computeIfAbsent(publishId, id -> new CompletableFuture<>());
   }
 
-  void forget(String publishId) {
-    expected.remove(publishId);
+  void cancelExpectedOutcome(String publishId) {
+    pendingOutcomes.remove(publishId);
   }
 
   /** The highest revision stays in force, whatever becomes of the stream. */
   @Override
-  public NewHistory onNewHistory() {
-    return NewHistory.CARRY_OVER;
+  public HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.CARRY_OVER;
   }
 
   @Override
@@ -200,6 +202,6 @@
     }
     long before = state.revisionInForce();
     state = read.get();
-    tellIfChanged(before);
+    notifyIfChanged(before);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationHistory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationHistory.java
@@ -51,7 +51,7 @@
     return versions.stream().filter(v -> v.revision() == revision).findFirst();
   }
 
-  Optional<PublishedVersion> lastOf(String file) {
+  Optional<PublishedVersion> lastChangeOf(String file) {
     PublishedVersion last = null;
     for (PublishedVersion version : versions) {
       if (version.file().equals(file)) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationParser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationParser.java
@@ -18,13 +18,13 @@
     return new Configuration(
         revision,
         site,
-        named(merged.path("services"), ConfigurationParser::service),
-        named(merged.path("teams"), ConfigurationParser::team),
+        parseByName(merged.path("services"), ConfigurationParser::service),
+        parseByName(merged.path("teams"), ConfigurationParser::team),
         leases(merged.path("leases")),
         guard(merged.path("guard")));
   }
 
-  private static <T> Map<String, T> named(JsonNode parent, Function<JsonNode, T> parse) {
+  private static <T> Map<String, T> parseByName(JsonNode parent, Function<JsonNode, T> parse) {
     Map<String, T> values = new TreeMap<>();
     parent.properties().forEach(child -> values.put(child.getKey(), parse.apply(child.getValue())));
     return values;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationPublisher.java
@@ -65,8 +65,8 @@
   }
 
   /** Returns what is wrong with a publish if it were made now, or empty. */
-  public Optional<Failure> verdict(PublishRequest request) {
-    return verdict(request, fold.state());
+  public Optional<Failure> validate(PublishRequest request) {
+    return validate(request, fold.state());
   }
 
   /**
@@ -78,40 +78,41 @@
    *     key and rule, {@code CONFLICT} names who was first, {@code LOG_UNAVAILABLE} says that
    *     nothing was accepted, {@code LOG_OUTCOME_UNKNOWN} that publishing the same again will tell
    */
-  public CompletableFuture<Result<Published>> publish(PublishRequest request, long deadlineNanos) {
+  public CompletableFuture<Result<PublishResult>> publish(
+      PublishRequest request, long deadlineNanos) {
     requireNonNull(request, "request");
     ConfigurationState state = fold.state();
     Optional<Failure> conflict = conflict(request, state);
-    if (conflict.isPresent() && !holds(state, request)) {
-      return CompletableFuture.completedFuture(refused(request, conflict.get()));
+    if (conflict.isPresent() && !hasContent(state, request)) {
+      return CompletableFuture.completedFuture(recordRefusal(request, conflict.get()));
     }
     long basis = state.fileRevision(request.file());
     return attempt(request, basis, deadlineNanos, 1);
   }
 
-  private CompletableFuture<Result<Published>> attempt(
+  private CompletableFuture<Result<PublishResult>> attempt(
       PublishRequest request, long basis, long deadlineNanos, int tries) {
     ConfigurationState state = fold.state();
-    if (holds(state, request)) {
+    if (hasContent(state, request)) {
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(state.revision(), false, tries)));
+          Result.ok(new PublishResult(state.revision(), false, tries)));
     }
     if (state.fileRevision(request.file()) != basis) {
       return CompletableFuture.completedFuture(
-          refused(request, changedMeanwhile(request, state, basis)));
+          recordRefusal(request, conflictFailure(request, state, basis)));
     }
-    Optional<Failure> failure = verdict(request, state);
+    Optional<Failure> failure = validate(request, state);
     if (failure.isPresent()) {
-      return CompletableFuture.completedFuture(refused(request, failure.get()));
+      return CompletableFuture.completedFuture(recordRefusal(request, failure.get()));
     }
     long remaining = deadlineNanos - clock.nanos();
     if (remaining <= 0) {
-      return CompletableFuture.completedFuture(refused(request, tooManyRaces(request)));
+      return CompletableFuture.completedFuture(recordRefusal(request, contentionFailure(request)));
     }
     PublishRecord published = toRecord(request, state);
     return append(published, remaining)
         .thenComposeAsync(
-            result -> conclude(request, basis, deadlineNanos, tries, result), executor);
+            result -> handleOutcome(request, basis, deadlineNanos, tries, result), executor);
   }
 
   /**
@@ -119,7 +120,7 @@
    * of an operator whose answer was lost may take effect late, between two looks at the state, and
    * its author must not be told that somebody else was first.
    */
-  private static boolean holds(ConfigurationState state, PublishRequest request) {
+  private static boolean hasContent(ConfigurationState state, PublishRequest request) {
     return state.files().content(request.file()).equals(Optional.of(request.content()));
   }
 
@@ -127,7 +128,7 @@
   private CompletableFuture<Result<PublishOutcome>> append(
       PublishRecord published, long remainingNanos) {
     String id = published.publishId();
-    CompletableFuture<PublishOutcome> outcome = fold.expect(id);
+    CompletableFuture<PublishOutcome> outcome = fold.expectOutcome(id);
     CompletableFuture<Result<PublishOutcome>> result = new CompletableFuture<>();
     outcome.thenAccept(decided -> result.complete(Result.ok(decided)));
     appender
@@ -135,16 +136,16 @@
         .whenComplete(
             (position, error) -> {
               if (error != null) {
-                result.complete(unknown("the appender failed: " + error));
+                result.complete(outcomeUnknown("the appender failed: " + error));
               } else if (position instanceof Result.Failed<Position> failed) {
                 result.complete(Result.failed(failed.failure()));
               } else {
-                resolveSkipped(id, position.value(), result);
+                resolveFromHistory(id, position.value(), result);
               }
             });
     result.completeOnTimeout(
-        unknown("the log did not answer in time"), remainingNanos, TimeUnit.NANOSECONDS);
-    result.whenComplete((decided, error) -> fold.forget(id));
+        outcomeUnknown("the log did not answer in time"), remainingNanos, TimeUnit.NANOSECONDS);
+    result.whenComplete((decided, error) -> fold.cancelExpectedOutcome(id));
     return result;
   }
 
@@ -152,7 +153,7 @@
    * A fold that took over a peer's state past the record never applies it. Its history then tells:
    * what is not in it was not accepted.
    */
-  private void resolveSkipped(
+  private void resolveFromHistory(
       String id, Position position, CompletableFuture<Result<PublishOutcome>> result) {
     ConfigurationState state = fold.state();
     if (position.compareTo(state.nextPosition()) >= 0) {
@@ -167,30 +168,30 @@
     result.complete(Result.ok(outcome));
   }
 
-  private CompletableFuture<Result<Published>> conclude(
+  private CompletableFuture<Result<PublishResult>> handleOutcome(
       PublishRequest request,
       long basis,
       long deadlineNanos,
       int tries,
       Result<PublishOutcome> result) {
     if (result instanceof Result.Failed<PublishOutcome> failed) {
-      return CompletableFuture.completedFuture(refused(request, failed.failure()));
+      return CompletableFuture.completedFuture(recordRefusal(request, failed.failure()));
     }
     PublishOutcome outcome = result.value();
     if (outcome instanceof PublishOutcome.Accepted accepted) {
       String detail = request.file() + " in revision " + accepted.revision();
       events.record(Event.of(EventKind.CONFIGURATION_ACCEPTED).withDetail(detail));
       return CompletableFuture.completedFuture(
-          Result.ok(new Published(accepted.revision(), true, tries)));
+          Result.ok(new PublishResult(accepted.revision(), true, tries)));
     }
     if (outcome instanceof PublishOutcome.Invalid invalid) {
       Failure failure = Failure.of(ErrorKind.INVALID_CONTENT, invalid.reason());
-      return CompletableFuture.completedFuture(refused(request, failure));
+      return CompletableFuture.completedFuture(recordRefusal(request, failure));
     }
     return attempt(request, basis, deadlineNanos, tries + 1);
   }
 
-  private Optional<Failure> verdict(PublishRequest request, ConfigurationState state) {
+  private Optional<Failure> validate(PublishRequest request, ConfigurationState state) {
     String file = request.file();
     Optional<Failure> failure = check.checkFile(file, file, request.content());
     if (failure.isPresent()) {
@@ -212,16 +213,16 @@
     boolean stale =
         request.expectedRevision().isPresent() && request.expectedRevision().getAsLong() != current;
     return stale
-        ? Optional.of(changedMeanwhile(request, state, request.expectedRevision().getAsLong()))
+        ? Optional.of(conflictFailure(request, state, request.expectedRevision().getAsLong()))
         : Optional.empty();
   }
 
-  private static Failure changedMeanwhile(
+  private static Failure conflictFailure(
       PublishRequest request, ConfigurationState state, long basis) {
     String who =
         state
             .fullHistory()
-            .lastOf(request.file())
+            .lastChangeOf(request.file())
             .map(last -> " by " + last.author() + " in revision " + last.revision())
             .orElse("");
     String detail =
@@ -229,17 +230,17 @@
     return Failure.of(ErrorKind.CONFLICT, detail);
   }
 
-  private static Failure tooManyRaces(PublishRequest request) {
+  private static Failure contentionFailure(PublishRequest request) {
     String detail = request.file() + ": other publishes were first until the deadline";
     return new Failure(ErrorKind.OVERLOADED, detail, RETRY_AFTER_MILLIS);
   }
 
-  private static Result<PublishOutcome> unknown(String why) {
+  private static Result<PublishOutcome> outcomeUnknown(String why) {
     return Result.failed(
         ErrorKind.LOG_OUTCOME_UNKNOWN, why + "; publish the same again, it takes effect once");
   }
 
-  private Result<Published> refused(PublishRequest request, Failure failure) {
+  private Result<PublishResult> recordRefusal(PublishRequest request, Failure failure) {
     String detail = request.file() + ": " + failure.kind().code() + ": " + failure.detail();
     events.record(Event.of(EventKind.CONFIGURATION_REFUSED).withDetail(detail));
     return Result.failed(failure);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationState.java
@@ -90,8 +90,8 @@
   }
 
   /** Returns every effective value at a site and the file that set it. */
-  public List<ConfigurationRow> rows(String site) {
-    return ConfigurationView.rows(filesInForce, site);
+  public List<EffectiveValue> effectiveValues(String site) {
+    return ConfigurationView.effectiveValues(filesInForce, site);
   }
 
   /** Returns the publishes still kept, oldest first. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationView.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationView.java
@@ -17,9 +17,9 @@
   private ConfigurationView() {}
 
   /** Returns every effective value of a site, by key. */
-  static List<ConfigurationRow> rows(ConfigurationFiles files, String site) {
+  static List<EffectiveValue> effectiveValues(ConfigurationFiles files, String site) {
     Configuration configuration = ConfigurationParser.parse(0, site, files.merged(site));
-    List<ConfigurationRow> rows = new ArrayList<>();
+    List<EffectiveValue> rows = new ArrayList<>();
     collect(files, site, ConfigurationParser.write(configuration), JsonPointer.empty(), "", rows);
     return rows;
   }
@@ -30,9 +30,9 @@
       JsonNode node,
       JsonPointer pointer,
       String key,
-      List<ConfigurationRow> rows) {
+      List<EffectiveValue> rows) {
     if (!node.isObject()) {
-      rows.add(new ConfigurationRow(key, node, source(files, site, pointer)));
+      rows.add(new EffectiveValue(key, node, source(files, site, pointer)));
       return;
     }
     for (Map.Entry<String, JsonNode> child : ((ObjectNode) node).properties()) {
@@ -56,27 +56,27 @@
         rest = rest.tail();
       }
       if (node.isNull()) {
-        return ConfigurationRow.DEFAULT;
+        return EffectiveValue.DEFAULT_SOURCE;
       }
       if (rest.matches()) {
         return file;
       }
     }
-    return ConfigurationRow.DEFAULT;
+    return EffectiveValue.DEFAULT_SOURCE;
   }
 
   /** Returns what differs at a site between two contents, by key. */
   static List<ConfigurationChange> changes(
       ConfigurationFiles before, ConfigurationFiles after, String site) {
-    Map<String, ConfigurationRow> old = byKey(rows(before, site));
-    Map<String, ConfigurationRow> changed = byKey(rows(after, site));
+    Map<String, EffectiveValue> old = byKey(effectiveValues(before, site));
+    Map<String, EffectiveValue> changed = byKey(effectiveValues(after, site));
     TreeSet<String> keys = new TreeSet<>(old.keySet());
     keys.addAll(changed.keySet());
     List<ConfigurationChange> changes = new ArrayList<>();
     for (String key : keys) {
-      ConfigurationRow absent = new ConfigurationRow(key, ABSENT, ConfigurationRow.DEFAULT);
-      ConfigurationRow from = old.getOrDefault(key, absent);
-      ConfigurationRow to = changed.getOrDefault(key, absent);
+      EffectiveValue absent = new EffectiveValue(key, ABSENT, EffectiveValue.DEFAULT_SOURCE);
+      EffectiveValue from = old.getOrDefault(key, absent);
+      EffectiveValue to = changed.getOrDefault(key, absent);
       if (!from.value().equals(to.value())) {
         changes.add(
             new ConfigurationChange(key, from.value(), from.source(), to.value(), to.source()));
@@ -85,8 +85,8 @@
     return changes;
   }
 
-  private static Map<String, ConfigurationRow> byKey(List<ConfigurationRow> rows) {
-    Map<String, ConfigurationRow> byKey = new TreeMap<>();
+  private static Map<String, EffectiveValue> byKey(List<EffectiveValue> rows) {
+    Map<String, EffectiveValue> byKey = new TreeMap<>();
     rows.forEach(row -> byKey.put(row.key(), row));
     return byKey;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationRow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/EffectiveValue.java
@@ -13,12 +13,12 @@
  * @param value the value
  * @param source the file that set it, or {@value #DEFAULT}
  */
-public record ConfigurationRow(String key, JsonNode value, String source) {
+public record EffectiveValue(String key, JsonNode value, String source) {
   /** The source of values that no file sets. */
-  public static final String DEFAULT = "default";
+  public static final String DEFAULT_SOURCE = "default";
 
   /** Checks the components. */
-  public ConfigurationRow {
+  public EffectiveValue {
     requireNonNull(key, "key");
     requireNonNull(value, "value");
     requireNonNull(source, "source");
--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/Published.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/PublishResult.java
@@ -5,6 +5,6 @@
  *
  * @param revision the revision to wait for: the one made, or the present one if nothing changed
  * @param changed false if the file had this content already
- * @param tries how many records it took; more than one after losing races to other files
+ * @param attempts how many records it took; more than one after losing races to other files
  */
-public record Published(long revision, boolean changed, int tries) {}
+public record PublishResult(long revision, boolean changed, int attempts) {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -97,7 +97,7 @@
   }
 
   /** Returns the response of a done attempt, if it is still kept. */
-  public Optional<A> answer(AttemptId id) {
+  public Optional<A> response(AttemptId id) {
     EndedAttempt<A> kept = ended.get(id);
     return kept == null ? Optional.empty() : kept.response();
   }
@@ -227,7 +227,7 @@
   }
 
   /** Returns the total size of kept responses, in bytes. */
-  public long answerBytes() {
+  public long responseBytes() {
     return responseBytes;
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
@@ -16,7 +16,7 @@
  */
 final class Bookings {
   private final Map<Long, VmState> vms = new TreeMap<>();
-  private final Map<String, Long> currentByVm = new HashMap<>();
+  private final Map<String, Long> latestByVm = new HashMap<>();
   private final Map<Long, TreeSet<String>> tasks = new HashMap<>();
   private final Map<Long, Map<String, Integer>> programs = new HashMap<>();
   private final Map<String, Sizes> byTeam = new HashMap<>();
@@ -31,8 +31,8 @@
   }
 
   /** Returns the VM's last registration, revoked or not. */
-  Optional<VmState> current(String vm) {
-    Long registration = currentByVm.get(vm);
+  Optional<VmState> latest(String vm) {
+    Long registration = latestByVm.get(vm);
     return Optional.ofNullable(registration == null ? null : vms.get(registration));
   }
 
@@ -50,50 +50,50 @@
     return Map.copyOf(byTeam);
   }
 
-  Sizes ofTeam(String team) {
+  Sizes bookedByTeam(String team) {
     return byTeam.getOrDefault(team, Sizes.NONE);
   }
 
   void add(VmState vm) {
     vms.put(vm.registration(), vm);
-    currentByVm.merge(vm.vm(), vm.registration(), Math::max);
+    latestByVm.merge(vm.vm(), vm.registration(), Math::max);
   }
 
   void revoke(VmState vm) {
     vms.put(vm.registration(), vm.asRevoked());
-    dropIfEmpty(vm.registration());
+    removeIfUnused(vm.registration());
   }
 
   /** Forgets a revoked registration that nothing is claimed on any more. */
-  void dropIfEmpty(long registration) {
+  void removeIfUnused(long registration) {
     VmState vm = vms.get(registration);
     if (vm == null || !vm.revoked() || vm.tasks() > 0) {
       return;
     }
     vms.remove(registration);
-    if (currentByVm.remove(vm.vm(), registration)) {
+    if (latestByVm.remove(vm.vm(), registration)) {
       // An older one may wait for its leases yet; a restored table takes that for the last one.
       for (VmState older : vms.values()) {
         if (older.vm().equals(vm.vm())) {
-          currentByVm.put(older.vm(), older.registration());
+          latestByVm.put(older.vm(), older.registration());
         }
       }
     }
   }
 
-  void claim(VmState vm, JobSpec spec, String task, Sizes sizes) {
+  void addClaim(VmState vm, JobSpec spec, String task, Sizes sizes) {
     vms.put(vm.registration(), vm.withClaim(sizes));
-    index(vm.registration(), spec, task, sizes);
+    indexClaim(vm.registration(), spec, task, sizes);
   }
 
   /** Takes in a claim that the registration's state counts already, from a snapshot. */
-  void index(long registration, JobSpec spec, String task, Sizes sizes) {
+  void indexClaim(long registration, JobSpec spec, String task, Sizes sizes) {
     tasks.computeIfAbsent(registration, unused -> new TreeSet<>()).add(task);
     countProgram(registration, spec.program(), 1);
     byTeam.merge(spec.team(), sizes, Sizes::plus);
   }
 
-  void leave(JobSpec spec, TaskState task) {
+  void releaseClaim(JobSpec spec, TaskState task) {
     long registration = task.registration();
     vms.put(registration, vms.get(registration).withoutClaim(task.booked()));
     TreeSet<String> names = tasks.get(registration);
@@ -104,7 +104,7 @@
       programs.remove(registration);
     }
     byTeam.computeIfPresent(spec.team(), (team, booked) -> nullIfNone(booked.minus(task.booked())));
-    dropIfEmpty(registration);
+    removeIfUnused(registration);
   }
 
   /** Replaces the counts by new ones: readers on other threads keep what they were given. */
@@ -117,7 +117,7 @@
 
   void clear() {
     vms.clear();
-    currentByVm.clear();
+    latestByVm.clear();
     tasks.clear();
     programs.clear();
     byTeam.clear();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
@@ -28,9 +28,10 @@
  *  "command": "payout --month 3", "runMillis": 60000}
  * }</pre>
  *
- * <p>Further keys: {@code sizes.accelerators} (0), {@code urgent} (false), {@code finishBy} (an
+ * <p>Further keys: {@code sizes.accelerators} (0), {@code urgent} (false), {@code readFinishBy} (an
  * instant such as {@code 2026-12-02T22:00:00Z}), {@code idempotent} (true), {@code
- * checkpointIntervalMillis} (0: none), {@code spread} ({@code none}, {@code rack} or {@code zone}).
+ * checkpointIntervalMillis} (0: none), {@code readSpread} ({@code none}, {@code rack} or {@code
+ * zone}).
  *
  * <p>Safe for any thread.
  */
@@ -74,10 +75,10 @@
   }
 
   /** One fault of a file; leaves this class only as a failed result. */
-  private static final class Fault extends RuntimeException {
+  private static final class InvalidFileException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Fault(String message) {
+    InvalidFileException(String message) {
       super(message, null, false, false);
     }
   }
@@ -97,126 +98,128 @@
           "%s: %d bytes, at most %d are read".formatted(fileName, bytes.length, MAX_BYTES));
     }
     try {
-      return Result.ok(new JobFile(fileName).job(MAPPER.readTree(bytes)));
+      return Result.ok(new JobFile(fileName).readJob(MAPPER.readTree(bytes)));
     } catch (JsonProcessingException e) {
       return Result.failed(
           ErrorKind.INVALID_CONTENT,
           "%s: no valid JSON: %s".formatted(fileName, e.getOriginalMessage()));
     } catch (IOException e) {
       return Result.failed(ErrorKind.INVALID_CONTENT, fileName + ": " + e.getMessage());
-    } catch (Fault e) {
+    } catch (InvalidFileException e) {
       return Result.failed(ErrorKind.INVALID_CONTENT, e.getMessage());
     }
   }
 
-  private JobSpec job(JsonNode root) {
-    object("", root, KEYS);
+  private JobSpec readJob(JsonNode root) {
+    checkObject("", root, KEYS);
     JsonNode sizes = required("", root, "sizes");
-    object("sizes", sizes, SIZE_KEYS);
+    checkObject("sizes", sizes, SIZE_KEYS);
     return new JobSpec(
-        name(root, "name"),
-        name(root, "team"),
-        taskClass(root),
-        (int) number("", root, "count", 1, JobSpec.MAX_COUNT, Optional.of(1L)),
-        sizes(sizes),
-        command(root),
-        number("", root, "runMillis", 1, MAX_RUN_MILLIS, Optional.empty()),
-        flag(root, "urgent", false),
-        finishBy(root),
-        flag(root, "idempotent", true),
-        number("", root, "checkpointIntervalMillis", 0, MAX_RUN_MILLIS, Optional.of(0L)),
-        spread(root));
-  }
-
-  private Sizes sizes(JsonNode node) {
+        readName(root, "name"),
+        readName(root, "team"),
+        readTaskClass(root),
+        (int) readNumber("", root, "count", 1, JobSpec.MAX_COUNT, Optional.of(1L)),
+        readSizes(sizes),
+        readCommand(root),
+        readNumber("", root, "runMillis", 1, MAX_RUN_MILLIS, Optional.empty()),
+        readFlag(root, "urgent", false),
+        readFinishBy(root),
+        readFlag(root, "idempotent", true),
+        readNumber("", root, "checkpointIntervalMillis", 0, MAX_RUN_MILLIS, Optional.of(0L)),
+        readSpread(root));
+  }
+
+  private Sizes readSizes(JsonNode node) {
     long processors =
-        number("sizes", node, "milliProcessors", 1, MAX_MILLI_PROCESSORS, Optional.empty());
-    long mebibytes = number("sizes", node, "memoryMebibytes", 1, MAX_MEBIBYTES, Optional.empty());
-    long accelerators = number("sizes", node, "accelerators", 0, MAX_ACCELERATORS, Optional.of(0L));
+        readNumber("sizes", node, "milliProcessors", 1, MAX_MILLI_PROCESSORS, Optional.empty());
+    long mebibytes =
+        readNumber("sizes", node, "memoryMebibytes", 1, MAX_MEBIBYTES, Optional.empty());
+    long accelerators =
+        readNumber("sizes", node, "accelerators", 0, MAX_ACCELERATORS, Optional.of(0L));
     return new Sizes(processors, mebibytes * Sizes.BYTES_PER_MEBIBYTE, accelerators);
   }
 
-  private String name(JsonNode root, String key) {
-    String name = text("", root, key);
+  private String readName(JsonNode root, String key) {
+    String name = readText("", root, key);
     if (!JobSpec.NAME.matcher(name).matches()) {
-      throw fault(key, "\"%s\" is not a name of the form %s".formatted(name, JobSpec.NAME));
+      throw invalid(key, "\"%s\" is not a name of the form %s".formatted(name, JobSpec.NAME));
     }
     return name;
   }
 
-  private String command(JsonNode root) {
-    String command = text("", root, "command");
+  private String readCommand(JsonNode root) {
+    String command = readText("", root, "command");
     if (command.isEmpty() || command.length() > MAX_COMMAND) {
-      throw fault(
+      throw invalid(
           "command", "has %d characters, not 1 to %d".formatted(command.length(), MAX_COMMAND));
     }
     return command;
   }
 
-  private TaskClass taskClass(JsonNode root) {
-    String code = text("", root, "class");
+  private TaskClass readTaskClass(JsonNode root) {
+    String code = readText("", root, "class");
     try {
       return TaskClass.forCode(code);
     } catch (IllegalArgumentException e) {
-      throw fault("class", "\"%s\" is neither latency-critical nor batch".formatted(code));
+      throw invalid("class", "\"%s\" is neither latency-critical nor batch".formatted(code));
     }
   }
 
-  private Spread spread(JsonNode root) {
+  private Spread readSpread(JsonNode root) {
     if (!root.has("spread")) {
       return Spread.NONE;
     }
-    String code = text("", root, "spread");
+    String code = readText("", root, "spread");
     try {
       return Spread.forCode(code);
     } catch (IllegalArgumentException e) {
-      throw fault("spread", "\"%s\" is none of none, rack, zone".formatted(code));
+      throw invalid("spread", "\"%s\" is none of none, rack, zone".formatted(code));
     }
   }
 
-  private long finishBy(JsonNode root) {
+  private long readFinishBy(JsonNode root) {
     if (!root.has("finishBy")) {
       return 0;
     }
-    String text = text("", root, "finishBy");
+    String text = readText("", root, "finishBy");
     try {
       return Math.max(1, Instant.parse(text).toEpochMilli());
     } catch (DateTimeParseException | ArithmeticException e) {
-      throw fault("finishBy", "\"%s\" is no instant like 2026-12-02T22:00:00Z".formatted(text));
+      throw invalid("finishBy", "\"%s\" is no instant like 2026-12-02T22:00:00Z".formatted(text));
     }
   }
 
-  private boolean flag(JsonNode root, String key, boolean otherwise) {
+  private boolean readFlag(JsonNode root, String key, boolean otherwise) {
     JsonNode node = root.get(key);
     if (node == null) {
       return otherwise;
     }
     if (!node.isBoolean()) {
-      throw fault(key, "is not true or false: " + node);
+      throw invalid(key, "is not true or false: " + node);
     }
     return node.booleanValue();
   }
 
-  private String text(String prefix, JsonNode parent, String key) {
+  private String readText(String prefix, JsonNode parent, String key) {
     JsonNode node = required(prefix, parent, key);
     if (!node.isTextual()) {
-      throw fault(path(prefix, key), "is not a text: " + node);
+      throw invalid(path(prefix, key), "is not a text: " + node);
     }
     return node.textValue();
   }
 
-  private long number(
+  private long readNumber(
       String prefix, JsonNode parent, String key, long least, long most, Optional<Long> otherwise) {
     if (!parent.has(key) && otherwise.isPresent()) {
       return otherwise.get();
     }
     JsonNode node = required(prefix, parent, key);
     if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-      throw fault(path(prefix, key), "is not a whole number: " + node);
+      throw invalid(path(prefix, key), "is not a whole number: " + node);
     }
     long value = node.longValue();
     if (value < least || value > most) {
-      throw fault(path(prefix, key), "is %d, not %d to %d".formatted(value, least, most));
+      throw invalid(path(prefix, key), "is %d, not %d to %d".formatted(value, least, most));
     }
     return value;
   }
@@ -224,20 +227,20 @@
   private JsonNode required(String prefix, JsonNode parent, String key) {
     JsonNode node = parent.get(key);
     if (node == null) {
-      throw fault(path(prefix, key), "is missing");
+      throw invalid(path(prefix, key), "is missing");
     }
     return node;
   }
 
-  private void object(String path, JsonNode node, ImmutableSet<String> keys) {
+  private void checkObject(String path, JsonNode node, ImmutableSet<String> keys) {
     if (node == null || !node.isObject()) {
-      throw fault(path, "is not a JSON object");
+      throw invalid(path, "is not a JSON object");
     }
     Iterator<String> names = node.fieldNames();
     while (names.hasNext()) {
       String key = names.next();
       if (!keys.contains(key)) {
-        throw fault(path(path, key), "is not known; known are " + String.join(", ", keys));
+        throw invalid(path(path, key), "is not known; known are " + String.join(", ", keys));
       }
     }
   }
@@ -246,8 +249,8 @@
     return prefix.isEmpty() ? key : prefix + "." + key;
   }
 
-  private Fault fault(String key, String what) {
+  private InvalidFileException invalid(String key, String what) {
     String place = key.isEmpty() ? "the file" : "key " + key;
-    return new Fault("%s: %s %s".formatted(fileName, place, what));
+    return new InvalidFileException("%s: %s %s".formatted(fileName, place, what));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/QueueOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobQueue.java
@@ -25,7 +25,7 @@
  * <p>A round costs one sort of the jobs and a logarithmic step for each pick. Not safe for use by
  * several threads.
  */
-public final class QueueOrder {
+public final class JobQueue {
   /**
    * A job that waited so long, in milliseconds, counts as if its team had a whole fleet less. An
    * hour: an order above what a fair wait takes when 400 teams queue for tasks of some minutes.
@@ -37,16 +37,16 @@
    * that calls all of its work urgent would starve the others else; with 2, work that is not urgent
    * has its turn after two hours.
    */
-  private static final double URGENT_HEAD_START = 2;
+  private static final double URGENT_RANK_BONUS = 2;
 
   private final Function<String, TeamQuota> quotas;
   private final Sizes capacity;
   private final long nowMillis;
   private final Map<String, Sizes> booked;
   private final Set<String> overQuota = new HashSet<>();
-  private final PriorityQueue<Ranked> queue;
+  private final PriorityQueue<RankedJob> queue;
 
-  private record Ranked(JobState job, double rank) {}
+  private record RankedJob(JobState job, double rank) {}
 
   /**
    * Creates the order of one round.
@@ -57,7 +57,7 @@
    * @param capacity what the fleet has
    * @param nowMillis the time, in milliseconds since the Unix epoch
    */
-  public QueueOrder(
+  public JobQueue(
       List<JobState> jobs,
       Map<String, Sizes> bookedByTeam,
       Function<String, TeamQuota> quotas,
@@ -67,15 +67,15 @@
     this.quotas = requireNonNull(quotas, "quotas");
     this.capacity = requireNonNull(capacity, "capacity");
     this.nowMillis = nowMillis;
-    Comparator<Ranked> byRank = Comparator.comparingDouble(Ranked::rank);
+    Comparator<RankedJob> byRank = Comparator.comparingDouble(RankedJob::rank);
     this.queue =
         new PriorityQueue<>(
             byRank
-                .thenComparingLong(ranked -> dueMillis(ranked.job()))
+                .thenComparingLong(ranked -> deadlineMillis(ranked.job()))
                 .thenComparingLong(ranked -> ranked.job().accepted()));
     for (JobState job : jobs) {
       if (job.waiting() > 0) {
-        queue.add(new Ranked(job, rank(job)));
+        queue.add(new RankedJob(job, rank(job)));
       }
     }
   }
@@ -84,14 +84,14 @@
    * Returns the job that gets room next, and takes it out of the round; empty when none is left.
    */
   public Optional<JobState> next() {
-    Ranked first = queue.poll();
+    RankedJob first = queue.poll();
     while (first != null) {
       double rank = rank(first.job());
       if (rank <= first.rank()) {
         return Optional.of(first.job());
       }
       // Its team has been given room since it was ranked.
-      queue.add(new Ranked(first.job(), rank));
+      queue.add(new RankedJob(first.job(), rank));
       first = queue.poll();
     }
     return Optional.empty();
@@ -100,7 +100,7 @@
   /** Returns whether the team's bound leaves room for the sizes; notes teams that it does not. */
   public boolean withinQuota(String team, Sizes sizes) {
     Sizes after = booked.getOrDefault(team, Sizes.NONE).plus(sizes);
-    boolean within = after.fitsIn(quotas.apply(team).most());
+    boolean within = after.fitsIn(quotas.apply(team).limit());
     if (!within) {
       overQuota.add(team);
     }
@@ -113,10 +113,10 @@
   }
 
   /** Notes that a task of the job was given room, and puts the job back if it has more to run. */
-  public void took(JobState job, Sizes sizes, boolean more) {
+  public void recordAllocation(JobState job, Sizes sizes, boolean more) {
     booked.merge(job.spec().team(), sizes, Sizes::plus);
     if (more) {
-      queue.add(new Ranked(job, rank(job)));
+      queue.add(new RankedJob(job, rank(job)));
     }
   }
 
@@ -124,22 +124,22 @@
     String team = job.spec().team();
     double share = dominantShare(booked.getOrDefault(team, Sizes.NONE));
     double waited = (double) Math.max(0, nowMillis - job.acceptedMillis()) / AGING_MILLIS;
-    double headStart = job.spec().urgent() ? URGENT_HEAD_START : 0;
-    return share / quotas.apply(team).share() - waited - headStart;
+    double headStart = job.spec().urgent() ? URGENT_RANK_BONUS : 0;
+    return share / quotas.apply(team).weight() - waited - headStart;
   }
 
   private double dominantShare(Sizes sizes) {
-    double processors = part(sizes.milliProcessors(), capacity.milliProcessors());
-    double memory = part(sizes.memoryBytes(), capacity.memoryBytes());
-    double accelerators = part(sizes.accelerators(), capacity.accelerators());
+    double processors = fraction(sizes.milliProcessors(), capacity.milliProcessors());
+    double memory = fraction(sizes.memoryBytes(), capacity.memoryBytes());
+    double accelerators = fraction(sizes.accelerators(), capacity.accelerators());
     return Math.max(processors, Math.max(memory, accelerators));
   }
 
-  private static double part(long taken, long whole) {
+  private static double fraction(long taken, long whole) {
     return whole == 0 ? 0 : (double) taken / whole;
   }
 
-  private static long dueMillis(JobState job) {
+  private static long deadlineMillis(JobState job) {
     long finishBy = job.spec().finishByMillis();
     return finishBy == 0 ? Long.MAX_VALUE : finishBy;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobSpec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobSpec.java
@@ -68,7 +68,7 @@
 
   /** Returns what its tasks run; see {@link Programs}. */
   public String program() {
-    return Programs.of(team, command);
+    return Programs.nameOf(team, command);
   }
 
   /** Returns the name of the job's task with the given index, from 0. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/MutableJob.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/MutableJob.java
@@ -51,7 +51,7 @@
     cancelReason = reason.isEmpty() ? "cancelled" : reason;
   }
 
-  boolean waits() {
+  boolean hasWaitingTasks() {
     return !waiting.isEmpty();
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Preemptions.java
@@ -29,7 +29,7 @@
   boolean accept(long position, TaskRecord.Preempted preempted) {
     Preemption former = byTask.get(preempted.task());
     boolean outdated = (former == null ? 0 : former.position()) != preempted.replaces();
-    if (outdated || heldForAnother(preempted.registration(), preempted.task())) {
+    if (outdated || isReservedForOther(preempted.registration(), preempted.task())) {
       return false;
     }
     put(
@@ -44,13 +44,13 @@
   }
 
   /** Returns what is kept on the registration from the given task, or nothing. */
-  Sizes keptFrom(String task, long registration) {
-    return heldForAnother(registration, task)
+  Sizes reservedForOthers(String task, long registration) {
+    return isReservedForOther(registration, task)
         ? byRegistration.get(registration).sizes()
         : Sizes.NONE;
   }
 
-  private boolean heldForAnother(long registration, String task) {
+  private boolean isReservedForOther(long registration, String task) {
     Preemption preemption = byRegistration.get(registration);
     return preemption != null && !preemption.task().equals(task);
   }
@@ -70,7 +70,7 @@
   }
 
   /** Ends the preemption on a registration that gets nothing new any more. */
-  void endOn(long registration) {
+  void endOnRegistration(long registration) {
     Preemption ended = byRegistration.get(registration);
     if (ended != null) {
       end(ended.task());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Programs.java
@@ -8,7 +8,7 @@
    * Returns the name of what a command runs: its team and its first word. Jobs come and go under
    * ever new names; the program that a team runs month by month stays.
    */
-  public static String of(String team, String command) {
+  public static String nameOf(String team, String command) {
     int space = command.indexOf(' ');
     return team + "/" + (space < 0 ? command : command.substring(0, space));
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecord.java
@@ -84,7 +84,7 @@
         Sizes sizes,
         long leaseMillis,
         String entry) {
-      this(task, attempt, vm, registration, sizes, leaseMillis, entry, TeamQuota.DEFAULT.most());
+      this(task, attempt, vm, registration, sizes, leaseMillis, entry, TeamQuota.DEFAULT.limit());
     }
 
     /** Checks the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskRecordCodec.java
@@ -35,7 +35,7 @@
           .buildOrThrow();
 
   private static final String TEAM_MOST = "teamMost";
-  private static final Sizes UNBOUNDED = TeamQuota.DEFAULT.most();
+  private static final Sizes UNBOUNDED = TeamQuota.DEFAULT.limit();
 
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
@@ -90,11 +90,11 @@
   }
 
   /** Returns whether the attempt with the given token is in force. */
-  public boolean holds(long otherToken) {
+  public boolean isClaimedWith(long otherToken) {
     return phase == Phase.CLAIMED && token == otherToken;
   }
 
-  TaskState claimed(TaskRecord.Claimed claim, long newToken) {
+  TaskState asClaimed(TaskRecord.Claimed claim, long newToken) {
     return new TaskState(
         name,
         Phase.CLAIMED,
@@ -147,7 +147,7 @@
         detail);
   }
 
-  TaskState waiting(boolean evicted, String newDetail) {
+  TaskState asWaiting(boolean evicted, String newDetail) {
     return new TaskState(
         name,
         Phase.WAITING,
@@ -163,7 +163,7 @@
         newDetail);
   }
 
-  TaskState ended(Phase end, String newDetail) {
+  TaskState asEnded(Phase end, String newDetail) {
     return new TaskState(
         name, end, attempt, 0, vm, 0, Sizes.NONE, 0, checkpoint, failedVms, evictions, newDetail);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
@@ -30,7 +30,7 @@
 public final class TaskTable {
   /** Told of attempts that ended by themselves; must return at once. */
   @FunctionalInterface
-  public interface EndListener {
+  public interface AttemptEndListener {
     /** An attempt of a job's task ended on a VM. */
     void ended(String vm, String job, boolean success);
   }
@@ -50,12 +50,12 @@
   private final Map<String, MutableJob> endedJobs = new LinkedHashMap<>();
   private final Bookings bookings = new Bookings();
   private final Map<String, EntryState> entries = new TreeMap<>();
-  private final List<EndListener> endListeners = new CopyOnWriteArrayList<>();
+  private final List<AttemptEndListener> endListeners = new CopyOnWriteArrayList<>();
   private final List<Consumer<String>> evictionListeners = new CopyOnWriteArrayList<>();
   private final DisplacedBoots displaced = new DisplacedBoots();
   private final Preemptions preemptions = new Preemptions();
   private int endedTasks;
-  private long applied = -1;
+  private long appliedPosition = -1;
 
   /** Creates an empty table. */
   public TaskTable() {}
@@ -68,8 +68,9 @@
    */
   public synchronized boolean apply(long position, TaskRecord record) {
     requireNonNull(record, "record");
-    checkArgument(position > applied, "position %s is not after %s", position, applied);
-    applied = position;
+    checkArgument(
+        position > appliedPosition, "position %s is not after %s", position, appliedPosition);
+    appliedPosition = position;
     if (record instanceof TaskRecord.JobAccepted accepted) {
       return accept(position, accepted);
     }
@@ -104,8 +105,8 @@
   }
 
   /** Returns the position of the last record folded in, or -1. */
-  public synchronized long applied() {
-    return applied;
+  public synchronized long appliedPosition() {
+    return appliedPosition;
   }
 
   /** Returns the task of the given name, or empty if it is not known, or no more. */
@@ -132,7 +133,10 @@
 
   /** Returns the jobs of which tasks wait, in the order of their acceptance. */
   public synchronized List<JobState> waitingJobs() {
-    return jobs.values().stream().filter(MutableJob::waits).map(MutableJob::state).toList();
+    return jobs.values().stream()
+        .filter(MutableJob::hasWaitingTasks)
+        .map(MutableJob::state)
+        .toList();
   }
 
   /** Returns the jobs that ended not long ago, oldest end first. */
@@ -162,7 +166,7 @@
 
   /** Returns the VM's present registration, or empty if it has none or it is revoked. */
   public synchronized Optional<VmState> vm(String name) {
-    return bookings.current(name).filter(vm -> !vm.revoked());
+    return bookings.latest(name).filter(vm -> !vm.revoked());
   }
 
   /** Returns the tasks claimed on a registration, by name. */
@@ -183,7 +187,7 @@
   }
 
   /** Adds a listener that is told of every attempt that ends by itself from now on. */
-  public void addEndListener(EndListener listener) {
+  public void addEndListener(AttemptEndListener listener) {
     endListeners.add(requireNonNull(listener, "listener"));
   }
 
@@ -208,7 +212,7 @@
     jobs.values().forEach(job -> kept.add(TaskTableSnapshot.Job.of(job)));
     endedJobs.values().forEach(job -> kept.add(TaskTableSnapshot.Job.of(job)));
     return new TaskTableSnapshot(
-        applied,
+        appliedPosition,
         kept,
         bookings.vms(),
         List.copyOf(entries.values()),
@@ -232,7 +236,7 @@
     displaced.replace(snapshot.displaced());
     preemptions.replace(snapshot.preemptions());
     endedTasks = 0;
-    applied = snapshot.applied();
+    appliedPosition = snapshot.applied();
     snapshot.vms().forEach(bookings::add);
     snapshot.entries().forEach(entry -> entries.put(entry.entry(), entry));
     restored.forEach(this::restoreJob);
@@ -247,7 +251,7 @@
     jobs.put(job.spec().name(), job);
     for (TaskState task : job.tasks()) {
       if (task.phase() == Phase.CLAIMED) {
-        bookings.index(task.registration(), job.spec(), task.name(), task.booked());
+        bookings.indexClaim(task.registration(), job.spec(), task.name(), task.booked());
       }
     }
   }
@@ -275,7 +279,7 @@
     int index = job.nextWaiting(0);
     while (index >= 0) {
       preemptions.end(job.task(index).name());
-      job.put(job.task(index).ended(Phase.CANCELLED, job.cancelReason()));
+      job.put(job.task(index).asEnded(Phase.CANCELLED, job.cancelReason()));
       index = job.nextWaiting(index + 1);
     }
     retireIfEnded(job);
@@ -283,7 +287,7 @@
   }
 
   private boolean join(long position, VmDescription vm) {
-    VmState current = bookings.current(vm.vm()).orElse(null);
+    VmState current = bookings.latest(vm.vm()).orElse(null);
     if (current != null && current.description().bootIncarnation() == vm.bootIncarnation()) {
       // Either two entries saw it join, or it is revoked and its leases are not surely over.
       return false;
@@ -302,12 +306,12 @@
   }
 
   private boolean revoke(String name, long registration) {
-    VmState vm = open(name, registration);
+    VmState vm = findActiveVm(name, registration);
     if (vm == null) {
       return false;
     }
     bookings.revoke(vm);
-    preemptions.endOn(registration);
+    preemptions.endOnRegistration(registration);
     return true;
   }
 
@@ -318,43 +322,43 @@
     }
     for (TaskState task : tasksOn(cleared.registration())) {
       if (task.leaseMillis() <= cleared.leaseMillis()) {
-        leave(task, ReleaseCause.VM_LOST, "VM " + cleared.vm() + " was lost");
+        releaseTask(task, ReleaseCause.VM_LOST, "VM " + cleared.vm() + " was lost");
       }
     }
-    bookings.dropIfEmpty(cleared.registration());
+    bookings.removeIfUnused(cleared.registration());
     return true;
   }
 
   private boolean claim(long position, TaskRecord.Claimed claim) {
-    TaskState task = waitingFor(claim.task(), claim.attempt());
-    VmState vm = open(claim.vm(), claim.registration());
+    TaskState task = findWaiting(claim.task(), claim.attempt());
+    VmState vm = findActiveVm(claim.vm(), claim.registration());
     if (task == null || vm == null) {
       return false;
     }
     // Entries choose on views that may be seconds old; only here do all of them see the same
     // bookings, so only here can two claims be kept from filling the same room twice. What victims
     // of a preemption have left is kept for the urgent task they left for.
-    Sizes kept = preemptions.keptFrom(claim.task(), claim.registration());
+    Sizes kept = preemptions.reservedForOthers(claim.task(), claim.registration());
     MutableJob job = jobs.get(task.job());
-    Sizes ofTeam = bookings.ofTeam(job.spec().team()).plus(claim.sizes());
+    Sizes ofTeam = bookings.bookedByTeam(job.spec().team()).plus(claim.sizes());
     if (!claim.sizes().fitsIn(vm.free().minus(kept)) || !ofTeam.fitsIn(claim.teamMost())) {
       return false;
     }
     preemptions.end(claim.task());
-    bookings.claim(vm, job.spec(), claim.task(), claim.sizes());
-    job.put(task.claimed(claim, position));
+    bookings.addClaim(vm, job.spec(), claim.task(), claim.sizes());
+    job.put(task.asClaimed(claim, position));
     return true;
   }
 
   private boolean preempt(long position, TaskRecord.Preempted preempted) {
-    TaskState task = waitingFor(preempted.task(), preempted.attempt());
-    VmState vm = open(preempted.vm(), preempted.registration());
+    TaskState task = findWaiting(preempted.task(), preempted.attempt());
+    VmState vm = findActiveVm(preempted.vm(), preempted.registration());
     if (task == null || vm == null || !jobs.get(task.job()).spec().urgent()) {
       return false;
     }
     Sizes room = vm.free();
     for (Preemption.Victim victim : preempted.victims()) {
-      TaskState goes = held(victim.task(), victim.token());
+      TaskState goes = findClaimed(victim.task(), victim.token());
       boolean there = goes != null && goes.registration() == vm.registration();
       if (!there || !jobs.get(goes.job()).spec().preemptable()) {
         return false;
@@ -365,7 +369,7 @@
   }
 
   /** Returns the task if it waits for just that attempt, else null. */
-  private TaskState waitingFor(String name, int attempt) {
+  private TaskState findWaiting(String name, int attempt) {
     MutableJob job = jobs.get(TaskState.jobOf(name));
     TaskState task = job == null ? null : job.find(name);
     boolean waits = task != null && task.phase() == Phase.WAITING && task.attempt() == attempt;
@@ -373,13 +377,13 @@
   }
 
   /** Returns the registration if it may be given tasks, else null. */
-  private VmState open(String name, long registration) {
+  private VmState findActiveVm(String name, long registration) {
     VmState vm = bookings.find(registration);
     return vm == null || vm.revoked() || !vm.vm().equals(name) ? null : vm;
   }
 
   private boolean checkpoint(TaskRecord.Checkpointed checkpointed) {
-    TaskState task = held(checkpointed.task(), checkpointed.token());
+    TaskState task = findClaimed(checkpointed.task(), checkpointed.token());
     if (task == null) {
       return false;
     }
@@ -390,30 +394,30 @@
   private boolean release(TaskRecord.Released released) {
     // A doubled release, or a late one of an older attempt, no longer names the token in force;
     // folding it would start a second attempt beside the first.
-    TaskState task = held(released.task(), released.token());
+    TaskState task = findClaimed(released.task(), released.token());
     if (task == null) {
       return false;
     }
     if (released.cause() == ReleaseCause.EVICTED) {
       evictionListeners.forEach(listener -> listener.accept(task.vm()));
     }
-    leave(task.withCheckpoint(released.checkpoint()), released.cause(), released.detail());
+    releaseTask(task.withCheckpoint(released.checkpoint()), released.cause(), released.detail());
     return true;
   }
 
   private boolean end(TaskRecord.Ended ended) {
-    TaskState task = held(ended.task(), ended.token());
+    TaskState task = findClaimed(ended.task(), ended.token());
     if (task == null) {
       return false;
     }
-    for (EndListener listener : endListeners) {
+    for (AttemptEndListener listener : endListeners) {
       listener.ended(task.vm(), task.job(), ended.success());
     }
     TaskState last = task.withCheckpoint(ended.checkpoint());
     if (ended.success()) {
-      settle(task, last.ended(Phase.DONE, ended.detail()));
+      applyTransition(task, last.asEnded(Phase.DONE, ended.detail()));
     } else {
-      settle(task, afterFailure(last.withFailedVm(task.vm()), ended.detail()));
+      applyTransition(task, afterFailure(last.withFailedVm(task.vm()), ended.detail()));
     }
     return true;
   }
@@ -421,46 +425,47 @@
   private TaskState afterFailure(TaskState task, String detail) {
     MutableJob job = jobs.get(task.job());
     if (job.cancelled()) {
-      return task.ended(Phase.CANCELLED, job.cancelReason());
+      return task.asEnded(Phase.CANCELLED, job.cancelReason());
     }
     if (!job.spec().idempotent()) {
-      return task.ended(
+      return task.asEnded(
           Phase.FAILED, "failed on " + task.vm() + " and must not run twice: " + detail);
     }
     long vmsTried = task.failedVms().stream().distinct().count();
     if (vmsTried >= MAX_FAILED_VMS || task.failedVms().size() >= MAX_FAILURES) {
-      return task.ended(
+      return task.asEnded(
           Phase.FAILED, "failed on " + String.join(", ", task.failedVms()) + ": " + detail);
     }
-    return task.waiting(false, "failed on " + task.vm() + ": " + detail);
+    return task.asWaiting(false, "failed on " + task.vm() + ": " + detail);
   }
 
   /** Ends the hold of a claimed task that did not end by itself. */
-  private void leave(TaskState task, ReleaseCause cause, String detail) {
+  private void releaseTask(TaskState task, ReleaseCause cause, String detail) {
     MutableJob job = jobs.get(task.job());
     if (job.cancelled()) {
-      settle(task, task.ended(Phase.CANCELLED, job.cancelReason()));
+      applyTransition(task, task.asEnded(Phase.CANCELLED, job.cancelReason()));
       return;
     }
     boolean workLost = cause.mayHaveRun() && !cause.endsAtCheckpoint();
     if (workLost && !job.spec().idempotent()) {
-      settle(task, task.ended(Phase.FAILED, "may have run and must not run twice: " + detail));
+      applyTransition(
+          task, task.asEnded(Phase.FAILED, "may have run and must not run twice: " + detail));
       return;
     }
-    settle(task, task.waiting(cause == ReleaseCause.EVICTED, detail));
+    applyTransition(task, task.asWaiting(cause == ReleaseCause.EVICTED, detail));
   }
 
-  private void settle(TaskState before, TaskState after) {
+  private void applyTransition(TaskState before, TaskState after) {
     MutableJob job = jobs.get(before.job());
-    bookings.leave(job.spec(), before);
+    bookings.releaseClaim(job.spec(), before);
     job.put(after);
     retireIfEnded(job);
   }
 
-  private TaskState held(String taskName, long token) {
+  private TaskState findClaimed(String taskName, long token) {
     MutableJob job = jobs.get(TaskState.jobOf(taskName));
     TaskState task = job == null ? null : job.find(taskName);
-    return task != null && task.holds(token) ? task : null;
+    return task != null && task.isClaimedWith(token) ? task : null;
   }
 
   private void retireIfEnded(MutableJob job) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/json/SchemaCheck.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/json/SchemaCheck.java
@@ -23,7 +23,7 @@
  * <p>Safe for any thread. Compiling the schema costs some milliseconds; keep the instance.
  */
 public final class SchemaCheck {
-  private static final int LONGEST_VALUE_SHOWN = 60;
+  private static final int MAX_VALUE_LENGTH = 60;
 
   private final Schema schema;
 
@@ -61,22 +61,22 @@
     if (errors.isEmpty()) {
       return Optional.empty();
     }
-    String line = origin + ": " + wording(errors.get(0));
+    String line = origin + ": " + describe(errors.get(0));
     if (errors.size() > 1) {
       line += " (and " + (errors.size() - 1) + " more)";
     }
     return Optional.of(Failure.of(ErrorKind.INVALID_CONTENT, line));
   }
 
-  private static String wording(Error error) {
-    String key = dotted(error.getInstanceLocation());
+  private static String describe(Error error) {
+    String key = dottedPath(error.getInstanceLocation());
     JsonNode rule = error.getSchemaNode();
-    String found = shown(error.getInstanceNode());
+    String found = abbreviate(error.getInstanceNode());
     String name = error.getProperty();
     return switch (error.getKeyword()) {
-      case "additionalProperties" -> child(key, name) + ": unknown key";
-      case "required" -> child(key, name) + ": is missing";
-      case "type" -> key + ": must be " + types(rule) + ", is " + found + hint(rule);
+      case "additionalProperties" -> childKey(key, name) + ": unknown key";
+      case "required" -> childKey(key, name) + ": is missing";
+      case "type" -> key + ": must be " + describeTypes(rule) + ", is " + found + unitHint(rule);
       case "minimum" -> key + ": must be at least " + rule.asText() + ", is " + found;
       case "maximum" -> key + ": must be at most " + rule.asText() + ", is " + found;
       case "exclusiveMinimum" -> key + ": must be above " + rule.asText() + ", is " + found;
@@ -84,45 +84,46 @@
       case "const" -> key + ": must be " + rule + ", is " + found;
       case "minItems" -> key + ": needs at least " + rule.asText() + " items";
       case "minLength" -> key + ": must not be empty";
-      case "propertyNames" -> child(key, name) + ": is no name; names match [a-z0-9-]";
+      case "propertyNames" -> childKey(key, name) + ": is no name; names match [a-z0-9-]";
       case "pattern" -> key + ": must match " + rule.asText() + ", is " + found;
       default -> key + ": " + error.getMessage();
     };
   }
 
-  private static String types(JsonNode rule) {
+  private static String describeTypes(JsonNode rule) {
     if (!rule.isArray()) {
-      return article(rule.asText());
+      return withArticle(rule.asText());
     }
     List<String> names = new ArrayList<>();
-    rule.forEach(type -> names.add(type.asText().equals("null") ? "null" : article(type.asText())));
+    rule.forEach(
+        type -> names.add(type.asText().equals("null") ? "null" : withArticle(type.asText())));
     return String.join(" or ", names);
   }
 
-  private static String hint(JsonNode rule) {
+  private static String unitHint(JsonNode rule) {
     String types = rule.toString();
     boolean number = types.contains("integer") || types.contains("number");
     return number ? "; give a plain number in the key's unit" : "";
   }
 
-  private static String article(String type) {
+  private static String withArticle(String type) {
     boolean vowel = "aeiou".indexOf(type.toLowerCase(Locale.ROOT).charAt(0)) >= 0;
     return (vowel ? "an " : "a ") + type;
   }
 
-  private static String shown(JsonNode node) {
+  private static String abbreviate(JsonNode node) {
     String text = String.valueOf(node);
-    if (text.length() <= LONGEST_VALUE_SHOWN) {
+    if (text.length() <= MAX_VALUE_LENGTH) {
       return text;
     }
-    return text.substring(0, LONGEST_VALUE_SHOWN) + "...";
+    return text.substring(0, MAX_VALUE_LENGTH) + "...";
   }
 
-  private static String child(String key, String name) {
+  private static String childKey(String key, String name) {
     return key.equals("the document") ? name : key + "." + name;
   }
 
-  private static String dotted(NodePath path) {
+  private static String dottedPath(NodePath path) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < path.getNameCount(); i++) {
       Object element = path.getElement(i);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/AppendQueue.java
@@ -24,17 +24,18 @@
  * <p>An entry is done when it was read back. An append whose answer was lost is held until a later
  * read has reached the end of the stream: then it was seen, or its entries go first into the next
  * record. Appending them again is safe even when the read was stale, because readers drop the copy
- * ({@link WriterMarks}); it must only come before this writer's later entries, or readers would
+ * ({@link WriterSequences}); it must only come before this writer's later entries, or readers would
  * drop it as if it were a copy. That is why nothing else is sent in between.
  *
  * <p>Bounded in entries and bytes; knows neither thread nor clock; guarded by {@link LogAppender}.
  */
 final class AppendQueue {
   /** An entry on its way. */
-  record Pending(String id, long sequence, byte[] encoded, long deadline, Outcome outcome) {}
+  record Pending(
+      String id, long sequence, byte[] encoded, long deadline, CompletionCallback outcome) {}
 
   /** Where the one who appends hears of the end. */
-  interface Outcome {
+  interface CompletionCallback {
     /** Called exactly once. */
     void complete(Result<Position> result);
   }
@@ -42,13 +43,13 @@
   /** Entries that go into one platform record. */
   record Batch(List<Pending> entries) {
     byte[] record() {
-      return RecordCodec.record(entries.stream().map(Pending::encoded).toList());
+      return RecordCodec.encodeRecord(entries.stream().map(Pending::encoded).toList());
     }
   }
 
   /** An end to be told once no lock is held. */
   record Completion(Pending entry, Result<Position> result) {
-    void tell() {
+    void notifyCallback() {
       entry.outcome().complete(result);
     }
   }
@@ -57,43 +58,44 @@
 
   private final AppendSettings settings;
   private final Backoff backoff;
-  private final Map<String, Pending> open = new LinkedHashMap<>();
+  private final Map<String, Pending> pendingById = new LinkedHashMap<>();
   private final ArrayDeque<Pending> waiting = new ArrayDeque<>();
-  private final Map<String, Pending> unresolved = new LinkedHashMap<>();
+  private final Map<String, Pending> unknownOutcomes = new LinkedHashMap<>();
 
   /** Ids of entries that may stand in the log: sent, and not refused each time. */
   private final Set<String> maybeStored = new HashSet<>();
 
   /** Entries whose first append is under way: not stored if that one is refused. */
-  private final List<Pending> underWay = new ArrayList<>();
+  private final List<Pending> firstAttempts = new ArrayList<>();
 
-  private int openBytes;
+  private int pendingBytes;
   private int batchLimit;
   private boolean inFlight;
-  private long nextTryAt = Long.MIN_VALUE;
+  private long nextAppendAt = Long.MIN_VALUE;
   private long earliestDeadline = Long.MAX_VALUE;
 
   AppendQueue(AppendSettings settings, Backoff backoff) {
     this.settings = settings;
-    this.batchLimit = settings.maxBatch();
+    this.batchLimit = settings.maxBatchEntries();
     this.backoff = backoff;
   }
 
   /** Takes an entry in, or says why not; in that case it will never be sent. */
   Optional<Failure> offer(Pending entry, long now) {
     int bytes = entry.encoded().length;
-    if (bytes + RecordCodec.overhead(1) > settings.maxBatchBytes()) {
+    if (bytes + RecordCodec.overheadBytes(1) > settings.maxBatchBytes()) {
       return Optional.of(Failure.of(ErrorKind.BODY_TOO_LARGE, "log entry of " + bytes + " bytes"));
     }
-    if (backoff.failing() && entry.deadline() <= nextTryAt) {
-      return Optional.of(refusal("the log does not answer", nextTryAt - now));
+    if (backoff.isFailing() && entry.deadline() <= nextAppendAt) {
+      return Optional.of(refusal("the log does not answer", nextAppendAt - now));
     }
-    if (open.size() >= settings.maxOpen() || openBytes + bytes > settings.maxOpenBytes()) {
+    if (pendingById.size() >= settings.maxPending()
+        || pendingBytes + bytes > settings.maxPendingBytes()) {
       long wait = TimeUnit.MILLISECONDS.toNanos(FULL_RETRY_MILLIS);
-      return Optional.of(refusal(open.size() + " entries wait already", wait));
+      return Optional.of(refusal(pendingById.size() + " entries wait already", wait));
     }
-    open.put(entry.id(), entry);
-    openBytes += bytes;
+    pendingById.put(entry.id(), entry);
+    pendingBytes += bytes;
     waiting.add(entry);
     earliestDeadline = Math.min(earliestDeadline, entry.deadline());
     return Optional.empty();
@@ -106,18 +108,18 @@
 
   /** Returns the next record's entries, if it is time to append. */
   Optional<Batch> takeBatch(long now) {
-    if (inFlight || !unresolved.isEmpty() || waiting.isEmpty() || now < nextTryAt) {
+    if (inFlight || !unknownOutcomes.isEmpty() || waiting.isEmpty() || now < nextAppendAt) {
       return Optional.empty();
     }
     List<Pending> entries = new ArrayList<>();
     int bytes = 0;
     while (!waiting.isEmpty() && entries.size() < batchLimit) {
-      if (!isOpen(waiting.peek())) {
+      if (!isPending(waiting.peek())) {
         waiting.poll();
         continue;
       }
       bytes += waiting.peek().encoded().length;
-      if (bytes + RecordCodec.overhead(entries.size() + 1) > settings.maxBatchBytes()) {
+      if (bytes + RecordCodec.overheadBytes(entries.size() + 1) > settings.maxBatchBytes()) {
         break;
       }
       entries.add(waiting.poll());
@@ -126,61 +128,61 @@
       return Optional.empty();
     }
     inFlight = true;
-    underWay.clear();
-    entries.stream().filter(entry -> maybeStored.add(entry.id())).forEach(underWay::add);
-    nextTryAt = now + TimeUnit.MILLISECONDS.toNanos(settings.paceMillis());
+    firstAttempts.clear();
+    entries.stream().filter(entry -> maybeStored.add(entry.id())).forEach(firstAttempts::add);
+    nextAppendAt = now + TimeUnit.MILLISECONDS.toNanos(settings.minIntervalMillis());
     return Optional.of(new Batch(entries));
   }
 
   /** Tells how an append ended. */
-  List<Completion> appended(Batch batch, Result<Long> result, long now) {
+  List<Completion> recordAppendResult(Batch batch, Result<Long> result, long now) {
     inFlight = false;
     if (!(result instanceof Result.Failed<Long> failed)) {
-      backoff.succeeded();
+      backoff.recordSuccess();
       return List.of();
     }
     return switch (failed.failure().kind()) {
       case LOG_UNAVAILABLE -> {
-        nextTryAt = now + backoff.failed();
-        underWay.forEach(entry -> maybeStored.remove(entry.id()));
-        putBack(batch.entries());
+        nextAppendAt = now + backoff.recordFailure();
+        firstAttempts.forEach(entry -> maybeStored.remove(entry.id()));
+        requeue(batch.entries());
         yield List.of();
       }
       case BODY_TOO_LARGE -> {
         if (batch.entries().size() > 1) {
           // This log takes less than expected; what is too large together may be fine apart.
           batchLimit = batch.entries().size() / 2;
-          underWay.forEach(entry -> maybeStored.remove(entry.id()));
-          putBack(batch.entries());
+          firstAttempts.forEach(entry -> maybeStored.remove(entry.id()));
+          requeue(batch.entries());
           yield List.of();
         }
         List<Completion> refused = new ArrayList<>();
         for (Pending entry : batch.entries()) {
-          finish(entry, Result.failed(failed.failure())).ifPresent(refused::add);
+          complete(entry, Result.failed(failed.failure())).ifPresent(refused::add);
         }
         yield refused;
       }
       default -> {
-        nextTryAt = now + backoff.failed();
+        nextAppendAt = now + backoff.recordFailure();
         batch.entries().stream()
-            .filter(this::isOpen)
-            .forEach(entry -> unresolved.put(entry.id(), entry));
+            .filter(this::isPending)
+            .forEach(entry -> unknownOutcomes.put(entry.id(), entry));
         yield List.of();
       }
     };
   }
 
   /** Tells that an entry was read at the place where it counts. */
-  Optional<Completion> readBack(String id, Position position) {
-    Pending entry = open.get(id);
-    return entry == null ? Optional.empty() : finish(entry, Result.ok(position));
+  Optional<Completion> recordReadBack(String id, Position position) {
+    Pending entry = pendingById.get(id);
+    return entry == null ? Optional.empty() : complete(entry, Result.ok(position));
   }
 
   /** Tells that a read reached the end of the stream; what it did not show goes out again. */
-  void reachedEnd() {
-    if (!unresolved.isEmpty()) {
-      putBack(List.copyOf(unresolved.values()));
-      unresolved.clear();
+  void recordEndOfStream() {
+    if (!unknownOutcomes.isEmpty()) {
+      requeue(List.copyOf(unknownOutcomes.values()));
+      unknownOutcomes.clear();
     }
   }
 
@@ -188,13 +190,13 @@
    * Tells that the reader now stands behind a snapshot that includes this writer's entries up to a
    * sequence number, without having seen each.
    */
-  List<Completion> passed(long sequence) {
+  List<Completion> recordSkippedThrough(long sequence) {
     List<Completion> ended = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (entry.sequence() <= sequence) {
         Failure unknown =
             Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "the reader passed it in a snapshot");
-        finish(entry, Result.failed(unknown)).ifPresent(ended::add);
+        complete(entry, Result.failed(unknown)).ifPresent(ended::add);
       }
     }
     return ended;
@@ -205,11 +207,11 @@
    */
   List<Completion> historyReplaced() {
     List<Completion> ended = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (maybeStored.contains(entry.id())) {
         Failure unknown =
             Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "the log's history was replaced");
-        finish(entry, Result.failed(unknown)).ifPresent(ended::add);
+        complete(entry, Result.failed(unknown)).ifPresent(ended::add);
       }
     }
     return ended;
@@ -222,63 +224,63 @@
     }
     List<Completion> expired = new ArrayList<>();
     earliestDeadline = Long.MAX_VALUE;
-    for (Pending entry : List.copyOf(open.values())) {
+    for (Pending entry : List.copyOf(pendingById.values())) {
       if (entry.deadline() <= now) {
-        finish(entry, Result.failed(late(entry, now))).ifPresent(expired::add);
+        complete(entry, Result.failed(timeoutFailure(entry, now))).ifPresent(expired::add);
       } else {
         earliestDeadline = Math.min(earliestDeadline, entry.deadline());
       }
     }
-    waiting.removeIf(entry -> !isOpen(entry));
+    waiting.removeIf(entry -> !isPending(entry));
     return expired;
   }
 
-  private Failure late(Pending entry, long now) {
+  private Failure timeoutFailure(Pending entry, long now) {
     // An entry that may be stored counts wherever it is read; any other is never sent from here on.
     return !maybeStored.contains(entry.id())
-        ? refusal("the log did not answer in time", Math.max(0, nextTryAt - now))
+        ? refusal("the log did not answer in time", Math.max(0, nextAppendAt - now))
         : Failure.of(ErrorKind.LOG_OUTCOME_UNKNOWN, "not read back in time");
   }
 
   /** Gives up everything, for a planned stop. */
-  List<Completion> giveUp(long now) {
+  List<Completion> failAll(long now) {
     List<Completion> ended = new ArrayList<>();
-    for (Pending entry : List.copyOf(open.values())) {
-      finish(entry, Result.failed(late(entry, now))).ifPresent(ended::add);
+    for (Pending entry : List.copyOf(pendingById.values())) {
+      complete(entry, Result.failed(timeoutFailure(entry, now))).ifPresent(ended::add);
     }
     return ended;
   }
 
   /** Returns when {@link #takeBatch} or {@link #expire} is due next, or {@link Long#MAX_VALUE}. */
-  long nextWake() {
-    boolean ready = !inFlight && unresolved.isEmpty() && !waiting.isEmpty();
-    return Math.min(earliestDeadline, ready ? nextTryAt : Long.MAX_VALUE);
+  long nextWakeAt() {
+    boolean ready = !inFlight && unknownOutcomes.isEmpty() && !waiting.isEmpty();
+    return Math.min(earliestDeadline, ready ? nextAppendAt : Long.MAX_VALUE);
   }
 
   /** Returns how many entries are held. */
   int size() {
-    return open.size();
+    return pendingById.size();
   }
 
-  private boolean isOpen(Pending entry) {
-    return open.containsKey(entry.id());
+  private boolean isPending(Pending entry) {
+    return pendingById.containsKey(entry.id());
   }
 
-  private void putBack(List<Pending> entries) {
+  private void requeue(List<Pending> entries) {
     for (int i = entries.size() - 1; i >= 0; i--) {
-      if (isOpen(entries.get(i))) {
+      if (isPending(entries.get(i))) {
         waiting.addFirst(entries.get(i));
       }
     }
   }
 
-  private Optional<Completion> finish(Pending entry, Result<Position> result) {
-    if (open.remove(entry.id()) == null) {
+  private Optional<Completion> complete(Pending entry, Result<Position> result) {
+    if (pendingById.remove(entry.id()) == null) {
       return Optional.empty();
     }
-    openBytes -= entry.encoded().length;
+    pendingBytes -= entry.encoded().length;
     maybeStored.remove(entry.id());
-    unresolved.remove(entry.id());
+    unknownOutcomes.remove(entry.id());
     return Optional.of(new Completion(entry, result));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Backoff.java
@@ -16,8 +16,8 @@
 public final class Backoff {
   private static final int MAX_DOUBLINGS = 30;
 
-  private final long firstNanos;
-  private final long limitNanos;
+  private final long initialNanos;
+  private final long maxNanos;
   private final RandomGenerator random;
   private int failures;
 
@@ -31,27 +31,27 @@
   public Backoff(long firstNanos, long limitNanos, RandomGenerator random) {
     checkArgument(firstNanos > 1, "firstNanos is too small: %s", firstNanos);
     checkArgument(limitNanos >= firstNanos, "limit %s below first %s", limitNanos, firstNanos);
-    this.firstNanos = firstNanos;
-    this.limitNanos = limitNanos;
+    this.initialNanos = firstNanos;
+    this.maxNanos = limitNanos;
     this.random = requireNonNull(random, "random");
   }
 
   /** Counts a failure and returns how long to wait, in nanoseconds. */
-  public long failed() {
+  public long recordFailure() {
     int doublings = Math.min(failures, MAX_DOUBLINGS);
     failures++;
-    boolean atLimit = firstNanos > limitNanos >> doublings;
-    long span = atLimit ? limitNanos : firstNanos << doublings;
+    boolean atLimit = initialNanos > maxNanos >> doublings;
+    long span = atLimit ? maxNanos : initialNanos << doublings;
     return random.nextLong(span / 2, span + 1);
   }
 
   /** Forgets all failures. */
-  public void succeeded() {
+  public void recordSuccess() {
     failures = 0;
   }
 
   /** Returns whether the last try failed. */
-  public boolean failing() {
+  public boolean isFailing() {
     return failures > 0;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/EntryIds.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/EntryIdGenerator.java
@@ -13,17 +13,17 @@
  * differ between two lives of a process: after a restart with the same one, readers would drop all
  * that the new life appends.
  */
-public final class EntryIds {
+public final class EntryIdGenerator {
   /** The parts of an id that matter to readers. */
-  record Parts(String writer, long sequence) {}
+  record Parts(String writerId, long sequence) {}
 
-  private static final int HEXADECIMAL = 16;
+  private static final int HEX_RADIX = 16;
 
-  private final String writer;
-  private long last;
+  private final String writerId;
+  private long lastSequence;
 
-  private EntryIds(String writer) {
-    this.writer = writer;
+  private EntryIdGenerator(String writer) {
+    this.writerId = writer;
   }
 
   /**
@@ -32,20 +32,20 @@
    * @param process the process's name, without a slash
    * @param incarnation this life of the process, such as a random number
    */
-  public static EntryIds of(String process, long incarnation) {
+  public static EntryIdGenerator of(String process, long incarnation) {
     checkArgument(!process.isEmpty() && process.indexOf('/') < 0, "bad process name: %s", process);
-    return new EntryIds(process + "/" + Long.toUnsignedString(incarnation, HEXADECIMAL));
+    return new EntryIdGenerator(process + "/" + Long.toUnsignedString(incarnation, HEX_RADIX));
   }
 
   /** Returns what all ids of this generator start with, without the last slash. */
-  public String writer() {
-    return writer;
+  public String writerId() {
+    return writerId;
   }
 
   /** Returns the next id. */
   public String next() {
-    last++;
-    return writer + "/" + last;
+    lastSequence++;
+    return writerId + "/" + lastSequence;
   }
 
   /** Returns the parts of an id, or empty if it is none. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/Fold.java
@@ -25,19 +25,21 @@
   void restore(JsonNode snapshot);
 
   /** Returns what becomes of this state when the stream turns out to be another one. */
-  default NewHistory onNewHistory() {
-    return NewHistory.HALT;
+  default HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.HALT;
   }
 
   /**
    * Tells that offsets count from the beginning of another stream from now on. Only called under
-   * {@link NewHistory#READ_ON} and {@link NewHistory#CARRY_OVER}; the state stays.
+   * {@link HistoryReplacementPolicy#READ_ON} and {@link HistoryReplacementPolicy#CARRY_OVER}; the
+   * state stays.
    */
   default void beginNewHistory() {}
 
   /**
    * Returns a number that only grows as entries are applied, also across histories of the stream,
-   * or 0. Under {@link NewHistory#CARRY_OVER} the state with the highest one prevails.
+   * or 0. Under {@link HistoryReplacementPolicy#CARRY_OVER} the state with the highest one
+   * prevails.
    */
   default long revision() {
     return 0;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/NewHistory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/HistoryReplacementPolicy.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.log;
 
 /** What a reader does when its stream turns out to be another one than it has read so far. */
-public enum NewHistory {
+public enum HistoryReplacementPolicy {
   /**
    * Reads the new stream from its beginning and keeps its state: for a stream whose entries are
    * repeated all the time, so that what is old expires.
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogAppender.java
@@ -29,7 +29,7 @@
 public final class LogAppender implements AutoCloseable {
   private final LogService log;
   private final StreamFollower follower;
-  private final EntryIds ids;
+  private final EntryIdGenerator ids;
   private final AppendSettings settings;
   private final MonotonicClock clock;
   private final AppendQueue queue;
@@ -38,7 +38,7 @@
   private final Condition changed = lock.newCondition();
 
   /** What the follower has read but not published yet; its thread alone uses it. */
-  private final List<Completion> readBack = new ArrayList<>();
+  private final List<Completion> pendingCompletions = new ArrayList<>();
 
   private boolean closed;
 
@@ -55,7 +55,7 @@
   public LogAppender(
       LogService log,
       StreamFollower follower,
-      EntryIds ids,
+      EntryIdGenerator ids,
       AppendSettings settings,
       MonotonicClock clock,
       RandomGenerator random) {
@@ -66,13 +66,13 @@
     this.clock = requireNonNull(clock, "clock");
     Backoff backoff =
         new Backoff(
-            TimeUnit.MILLISECONDS.toNanos(settings.retryFirstMillis()),
-            TimeUnit.MILLISECONDS.toNanos(settings.retryLimitMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.initialBackoffMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.maxBackoffMillis()),
             random);
     this.queue = new AppendQueue(settings, backoff);
     this.thread = new Thread(this::run, "append-" + follower.stream());
     thread.setDaemon(true);
-    follower.addListener(new ReadBack());
+    follower.addListener(new FollowerListener());
   }
 
   /** Starts to append. */
@@ -80,9 +80,9 @@
     thread.start();
   }
 
-  /** Appends an entry that is kept for {@link AppendSettings#keepMillis} at the most. */
+  /** Appends an entry that is kept for {@link AppendSettings#entryTimeoutMillis} at the most. */
   public CompletableFuture<Result<Position>> append(String type, JsonNode body) {
-    long keep = TimeUnit.MILLISECONDS.toNanos(settings.keepMillis());
+    long keep = TimeUnit.MILLISECONDS.toNanos(settings.entryTimeoutMillis());
     return append(type, body, clock.nanos() + keep);
   }
 
@@ -114,8 +114,8 @@
       Pending entry =
           new Pending(
               id,
-              EntryIds.parse(id).orElseThrow().sequence(),
-              RecordCodec.entry(id, type, body),
+              EntryIdGenerator.parse(id).orElseThrow().sequence(),
+              RecordCodec.encodeEntry(id, type, body),
               deadline,
               future::complete);
       refusal = queue.offer(entry, clock.nanos());
@@ -134,12 +134,12 @@
   }
 
   /** Returns what the ids of this appender's entries start with. */
-  String writer() {
-    return ids.writer();
+  String writerId() {
+    return ids.writerId();
   }
 
   /** Returns how many entries are on their way. */
-  public int size() {
+  public int pendingCount() {
     lock.lock();
     try {
       return queue.size();
@@ -155,13 +155,13 @@
     lock.lock();
     try {
       closed = true;
-      ended = queue.giveUp(clock.nanos());
+      ended = queue.failAll(clock.nanos());
       changed.signalAll();
     } finally {
       lock.unlock();
     }
     thread.interrupt();
-    ended.forEach(Completion::tell);
+    ended.forEach(Completion::notifyCallback);
   }
 
   private void run() {
@@ -184,13 +184,13 @@
       } finally {
         lock.unlock();
       }
-      expired.forEach(Completion::tell);
+      expired.forEach(Completion::notifyCallback);
       batch.ifPresent(this::send);
     }
   }
 
   private void awaitWake(long now) throws InterruptedException {
-    long wake = queue.nextWake();
+    long wake = queue.nextWakeAt();
     if (wake == Long.MAX_VALUE) {
       changed.await();
     } else if (wake > now) {
@@ -209,21 +209,21 @@
     List<Completion> ended;
     lock.lock();
     try {
-      ended = queue.appended(batch, result, clock.nanos());
+      ended = queue.recordAppendResult(batch, result, clock.nanos());
     } finally {
       lock.unlock();
     }
-    ended.forEach(Completion::tell);
+    ended.forEach(Completion::notifyCallback);
   }
 
   /** Hears from the follower what stands in the stream. */
-  private final class ReadBack implements StreamListener {
+  private final class FollowerListener implements StreamListener {
     @Override
-    public void applied(LogEntry entry) {
-      if (entry.id().startsWith(ids.writer() + "/")) {
+    public void entryApplied(LogEntry entry) {
+      if (entry.id().startsWith(ids.writerId() + "/")) {
         lock.lock();
         try {
-          queue.readBack(entry.id(), entry.position()).ifPresent(readBack::add);
+          queue.recordReadBack(entry.id(), entry.position()).ifPresent(pendingCompletions::add);
         } finally {
           lock.unlock();
         }
@@ -232,20 +232,21 @@
 
     @Override
     public void restored(StreamSnapshot snapshot) {
-      long passed = WriterMarks.fromJson(snapshot.writers()).of(ids.writer());
+      long passed =
+          WriterSequences.fromJson(snapshot.writerSequences()).lastSequence(ids.writerId());
       lock.lock();
       try {
-        readBack.addAll(queue.passed(passed));
+        pendingCompletions.addAll(queue.recordSkippedThrough(passed));
       } finally {
         lock.unlock();
       }
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
       lock.lock();
       try {
-        readBack.addAll(queue.historyReplaced());
+        pendingCompletions.addAll(queue.historyReplaced());
       } finally {
         lock.unlock();
       }
@@ -254,13 +255,13 @@
     @Override
     public void pageApplied(StreamStatus status) {
       // Told only now, so that whoever waits finds the follower at least where its entry stands.
-      List<Completion> told = List.copyOf(readBack);
-      readBack.clear();
-      told.forEach(Completion::tell);
+      List<Completion> told = List.copyOf(pendingCompletions);
+      pendingCompletions.clear();
+      told.forEach(Completion::notifyCallback);
       if (status.caughtUp()) {
         lock.lock();
         try {
-          queue.reachedEnd();
+          queue.recordEndOfStream();
           changed.signalAll();
         } finally {
           lock.unlock();
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogEntry.java
@@ -8,7 +8,7 @@
  * One entry of a stream, at the place where it counts.
  *
  * @param position where it stands
- * @param id its writer's id for it; see {@link EntryIds}
+ * @param id its writer's id for it; see {@link EntryIdGenerator}
  * @param type what it means to the fold
  * @param body its content; not copied, must not be changed
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamAnchors.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecentRecordHashes.java
@@ -11,45 +11,45 @@
  * same offsets to other records. Two records with the same bytes are the same one, because entries
  * carry ids that no process uses twice. Bounded at {@value #KEPT} records. Confined to one thread.
  */
-final class StreamAnchors {
+final class RecentRecordHashes {
   /** What a comparison showed. */
   enum Match {
     /** The same record stood there before. */
     SAME,
     /** Another record stood there before. */
-    OTHER,
+    DIFFERENT,
     /** What stood there is not remembered. */
     UNKNOWN
   }
 
-  static final int KEPT = 4_096;
+  static final int CAPACITY = 4_096;
 
   private static final HashFunction HASH = Hashing.sipHash24();
 
-  private final long[] offsets = new long[KEPT];
-  private final long[] hashes = new long[KEPT];
+  private final long[] offsets = new long[CAPACITY];
+  private final long[] hashes = new long[CAPACITY];
 
-  StreamAnchors() {
+  RecentRecordHashes() {
     clear();
   }
 
   /** Keeps what stands at the record's offset. */
-  void remember(LogRecord record) {
+  void add(LogRecord record) {
     int slot = slot(record.offset());
     offsets[slot] = record.offset();
     hashes[slot] = hash(record);
   }
 
   /** Returns whether what stood at an offset is remembered. */
-  boolean knows(long offset) {
+  boolean contains(long offset) {
     return offset >= 0 && offsets[slot(offset)] == offset;
   }
 
   Match compare(LogRecord record) {
-    if (!knows(record.offset())) {
+    if (!contains(record.offset())) {
       return Match.UNKNOWN;
     }
-    return hashes[slot(record.offset())] == hash(record) ? Match.SAME : Match.OTHER;
+    return hashes[slot(record.offset())] == hash(record) ? Match.SAME : Match.DIFFERENT;
   }
 
   /** Forgets everything. */
@@ -58,7 +58,7 @@
   }
 
   private static int slot(long offset) {
-    return (int) (offset % KEPT);
+    return (int) (offset % CAPACITY);
   }
 
   private static long hash(LogRecord record) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/RecordCodec.java
@@ -22,7 +22,7 @@
  */
 final class RecordCodec {
   /** Why a record, or an entry of one, was passed over. */
-  enum Skip {
+  enum SkipReason {
     /** The bytes are no JSON object. */
     NOT_JSON,
     /** The record is of a version that this software does not know. */
@@ -34,22 +34,22 @@
   }
 
   /** An entry as it stands in a record. */
-  record Raw(int index, String id, EntryIds.Parts parts, String type, JsonNode body) {}
+  record RawEntry(int index, String id, EntryIdGenerator.Parts parts, String type, JsonNode body) {}
 
   /** What a record holds: good entries, and why others were passed over. */
-  record Decoded(List<Raw> entries, List<Skip> skips) {}
+  record Decoded(List<RawEntry> entries, List<SkipReason> skips) {}
 
   static final int VERSION = 1;
 
-  private static final int MAX_DEPTH = 100;
-  private static final byte[] START = ascii("{\"v\":" + VERSION + ",\"entries\":[");
-  private static final byte[] END = ascii("]}");
+  private static final int MAX_NESTING_DEPTH = 100;
+  private static final byte[] RECORD_PREFIX = ascii("{\"v\":" + VERSION + ",\"entries\":[");
+  private static final byte[] RECORD_SUFFIX = ascii("]}");
 
   private static final JsonMapper MAPPER =
       JsonMapper.builder(
               JsonFactory.builder()
                   .streamReadConstraints(
-                      StreamReadConstraints.builder().maxNestingDepth(MAX_DEPTH).build())
+                      StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build())
                   .build())
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .build();
@@ -60,8 +60,8 @@
     return text.getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** Returns one entry as JSON, to be put into a record by {@link #record}. */
-  static byte[] entry(String id, String type, JsonNode body) {
+  /** Returns one entry as JSON, to be put into a record by {@link #encodeRecord}. */
+  static byte[] encodeEntry(String id, String type, JsonNode body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = MAPPER.createGenerator(bytes)) {
       json.writeStartObject();
@@ -76,23 +76,23 @@
     return bytes.toByteArray();
   }
 
-  /** Returns a record of entries that {@link #entry} made. */
-  static byte[] record(List<byte[]> entries) {
+  /** Returns a record of entries that {@link #encodeEntry} made. */
+  static byte[] encodeRecord(List<byte[]> entries) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.writeBytes(START);
+    bytes.writeBytes(RECORD_PREFIX);
     for (int i = 0; i < entries.size(); i++) {
       if (i > 0) {
         bytes.write(',');
       }
       bytes.writeBytes(entries.get(i));
     }
-    bytes.writeBytes(END);
+    bytes.writeBytes(RECORD_SUFFIX);
     return bytes.toByteArray();
   }
 
   /** Returns how much longer a record is than its entries, at most. */
-  static int overhead(int entries) {
-    return START.length + END.length + entries;
+  static int overheadBytes(int entries) {
+    return RECORD_PREFIX.length + RECORD_SUFFIX.length + entries;
   }
 
   static Decoded decode(byte[] record) {
@@ -100,44 +100,45 @@
     try {
       root = MAPPER.readTree(record);
     } catch (JsonProcessingException e) {
-      return skipped(Skip.NOT_JSON);
+      return skippedRecord(SkipReason.NOT_JSON);
     } catch (IOException | RuntimeException e) {
-      return skipped(Skip.NOT_JSON);
+      return skippedRecord(SkipReason.NOT_JSON);
     }
     if (root == null || !root.isObject()) {
-      return skipped(Skip.NOT_JSON);
+      return skippedRecord(SkipReason.NOT_JSON);
     }
     JsonNode version = root.path("v");
     if (version.isIntegralNumber() && version.asLong() > VERSION) {
-      return skipped(Skip.NEWER_VERSION);
+      return skippedRecord(SkipReason.NEWER_VERSION);
     }
     if (version.asLong() != VERSION || !root.path("entries").isArray()) {
-      return skipped(Skip.MALFORMED);
+      return skippedRecord(SkipReason.MALFORMED);
     }
-    return entries(root.path("entries"));
+    return decodeEntries(root.path("entries"));
   }
 
-  private static Decoded entries(JsonNode array) {
-    List<Raw> entries = new ArrayList<>(array.size());
-    List<Skip> skips = new ArrayList<>();
+  private static Decoded decodeEntries(JsonNode array) {
+    List<RawEntry> entries = new ArrayList<>(array.size());
+    List<SkipReason> skips = new ArrayList<>();
     for (int i = 0; i < array.size(); i++) {
       JsonNode entry = array.get(i);
-      var parts = EntryIds.parse(entry.path("id").asText());
+      var parts = EntryIdGenerator.parse(entry.path("id").asText());
       if (parts.isEmpty() || !entry.path("type").isTextual() || !entry.has("body")) {
-        skips.add(Skip.MALFORMED);
+        skips.add(SkipReason.MALFORMED);
         continue;
       }
       String id = entry.path("id").textValue();
       if (id == null) {
-        skips.add(Skip.MALFORMED);
+        skips.add(SkipReason.MALFORMED);
         continue;
       }
-      entries.add(new Raw(i, id, parts.get(), entry.path("type").textValue(), entry.path("body")));
+      entries.add(
+          new RawEntry(i, id, parts.get(), entry.path("type").textValue(), entry.path("body")));
     }
     return new Decoded(entries, skips);
   }
 
-  private static Decoded skipped(Skip reason) {
+  private static Decoded skippedRecord(SkipReason reason) {
     return new Decoded(List.of(), List.of(reason));
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotParts.java
@@ -29,42 +29,42 @@
 final class SnapshotParts {
   static final String TYPE = "snapshot-part";
 
-  private static final int MAX_OPEN = 4;
+  private static final int MAX_PARTIAL_SNAPSHOTS = 4;
   private static final int MAX_PARTS = 1_024;
-  private static final int PART_BYTES = 128 << 10;
+  private static final int MAX_PART_BYTES = 128 << 10;
   private static final int MAX_SNAPSHOT_BYTES = 128 << 20;
   private static final JsonMapper MAPPER = new JsonMapper();
 
   /** What is known of a snapshot after one of its parts was seen. */
-  record Seen(long through, boolean complete, Optional<StreamSnapshot> snapshot) {}
+  record PartResult(long nextOffset, boolean complete, Optional<StreamSnapshot> snapshot) {}
 
-  private static final class Open {
+  private static final class PartialSnapshot {
     private final String[] parts;
     private int missing;
 
-    private Open(int count) {
+    private PartialSnapshot(int count) {
       this.parts = new String[count];
       this.missing = count;
     }
   }
 
-  private final Map<String, Open> open = new LinkedHashMap<>();
+  private final Map<String, PartialSnapshot> partialSnapshots = new LinkedHashMap<>();
 
   SnapshotParts() {}
 
   /** Returns the bodies of the parts of a snapshot. */
   static List<JsonNode> split(StreamSnapshot snapshot, String id) {
     byte[] bytes = compress(snapshot);
-    int count = (bytes.length + PART_BYTES - 1) / PART_BYTES;
+    int count = (bytes.length + MAX_PART_BYTES - 1) / MAX_PART_BYTES;
     List<JsonNode> parts = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      int from = i * PART_BYTES;
-      byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + PART_BYTES));
+      int from = i * MAX_PART_BYTES;
+      byte[] piece = Arrays.copyOfRange(bytes, from, Math.min(bytes.length, from + MAX_PART_BYTES));
       parts.add(
           JsonNodeFactory.instance
               .objectNode()
               .put("snapshot", id)
-              .put("through", snapshot.through())
+              .put("through", snapshot.nextOffset())
               .put("part", i)
               .put("parts", count)
               .put("data", Base64.getEncoder().encodeToString(piece)));
@@ -77,7 +77,7 @@
    *
    * @param keep whether the caller wants the snapshot; else only its completeness is told
    */
-  Optional<Seen> add(JsonNode body, boolean keep) {
+  Optional<PartResult> add(JsonNode body, boolean keep) {
     String id = body.path("snapshot").asText();
     int count = body.path("parts").asInt();
     int part = body.path("part").asInt(-1);
@@ -86,7 +86,8 @@
       return Optional.empty();
     }
     long through = body.path("through").longValue();
-    Open collecting = open.computeIfAbsent(id, unused -> new Open(count));
+    PartialSnapshot collecting =
+        partialSnapshots.computeIfAbsent(id, unused -> new PartialSnapshot(count));
     if (collecting.parts.length != count) {
       return Optional.empty();
     }
@@ -95,35 +96,35 @@
       collecting.missing--;
     }
     if (collecting.missing > 0) {
-      dropOldest();
-      return Optional.of(new Seen(through, false, Optional.empty()));
+      evictOldest();
+      return Optional.of(new PartResult(through, false, Optional.empty()));
     }
-    open.remove(id);
+    partialSnapshots.remove(id);
     return keep
-        ? join(collecting, through)
-        : Optional.of(new Seen(through, true, Optional.empty()));
+        ? assemble(collecting, through)
+        : Optional.of(new PartResult(through, true, Optional.empty()));
   }
 
   /** Forgets what was collected, such as parts whose data were not kept. */
   void clear() {
-    open.clear();
+    partialSnapshots.clear();
   }
 
-  private void dropOldest() {
-    if (open.size() > MAX_OPEN) {
-      open.remove(open.keySet().iterator().next());
+  private void evictOldest() {
+    if (partialSnapshots.size() > MAX_PARTIAL_SNAPSHOTS) {
+      partialSnapshots.remove(partialSnapshots.keySet().iterator().next());
     }
   }
 
-  private static Optional<Seen> join(Open collected, long through) {
+  private static Optional<PartResult> assemble(PartialSnapshot collected, long through) {
     try {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       for (String data : collected.parts) {
         bytes.writeBytes(Base64.getDecoder().decode(data));
       }
-      StreamSnapshot snapshot = expand(bytes.toByteArray());
-      return snapshot.through() == through
-          ? Optional.of(new Seen(through, true, Optional.of(snapshot)))
+      StreamSnapshot snapshot = decompress(bytes.toByteArray());
+      return snapshot.nextOffset() == through
+          ? Optional.of(new PartResult(through, true, Optional.of(snapshot)))
           : Optional.empty();
     } catch (IOException | IllegalArgumentException e) {
       return Optional.empty();
@@ -140,7 +141,7 @@
     return bytes.toByteArray();
   }
 
-  private static StreamSnapshot expand(byte[] bytes) throws IOException {
+  private static StreamSnapshot decompress(byte[] bytes) throws IOException {
     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
       // A small record must not be able to fill the memory by expanding without end.
       byte[] expanded = gzip.readNBytes(MAX_SNAPSHOT_BYTES + 1);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/SnapshotWriter.java
@@ -22,7 +22,7 @@
   private final LogAppender appender;
   private final MonotonicClock clock;
   private final SnapshotSchedule schedule;
-  private long written;
+  private long snapshotCount;
 
   private SnapshotWriter(
       StreamFollower follower,
@@ -55,22 +55,22 @@
   }
 
   @Override
-  public void sawSnapshot(long through) {
-    schedule.saw(through, clock.nanos());
+  public void snapshotRead(long through) {
+    schedule.recordSnapshot(through, clock.nanos());
   }
 
   @Override
-  public void sawSnapshotPart() {
-    schedule.sawPart(clock.nanos());
+  public void snapshotPartRead() {
+    schedule.recordSnapshotPart(clock.nanos());
   }
 
   @Override
   public void restored(StreamSnapshot snapshot) {
-    schedule.saw(snapshot.through(), clock.nanos());
+    schedule.recordSnapshot(snapshot.nextOffset(), clock.nanos());
   }
 
   @Override
-  public void historyReplaced(NewHistory reaction, String detail) {
+  public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
     schedule.historyReplaced(clock.nanos());
   }
 
@@ -80,8 +80,8 @@
       return;
     }
     StreamSnapshot snapshot = follower.snapshotInCallback();
-    written++;
-    String id = appender.writer() + "/snapshot/" + written;
+    snapshotCount++;
+    String id = appender.writerId() + "/snapshot/" + snapshotCount;
     List<JsonNode> parts = SnapshotParts.split(snapshot, id);
     for (JsonNode part : parts) {
       // A part that is refused or lost leaves the snapshot incomplete: it stays due.
@@ -91,7 +91,7 @@
         Level.INFO,
         "event=log-snapshot-written stream={0} through={1,number,#} parts={2}",
         follower.stream(),
-        snapshot.through(),
+        snapshot.nextOffset(),
         parts.size());
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamCursor.java
@@ -1,10 +1,10 @@
 package io.marigoldsail.log;
 
+import io.marigoldsail.log.RecentRecordHashes.Match;
 import io.marigoldsail.log.RecordCodec.Decoded;
-import io.marigoldsail.log.RecordCodec.Raw;
-import io.marigoldsail.log.RecordCodec.Skip;
-import io.marigoldsail.log.SnapshotParts.Seen;
-import io.marigoldsail.log.StreamAnchors.Match;
+import io.marigoldsail.log.RecordCodec.RawEntry;
+import io.marigoldsail.log.RecordCodec.SkipReason;
+import io.marigoldsail.log.SnapshotParts.PartResult;
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.Optional;
@@ -17,11 +17,11 @@
   /** Told of what is passed over, so that it can be logged. */
   interface SkipObserver {
     /** One record or entry was passed over; the count includes it. */
-    void skipped(long offset, Skip reason, long count);
+    void skipped(long offset, SkipReason reason, long count);
   }
 
   /** What a reader asks for. */
-  enum NextRead {
+  enum ReadMode {
     /** Records from an offset whose predecessor is not known here. */
     BEGIN,
     /** The last record read, to see that this is still the same stream, and what follows it. */
@@ -49,41 +49,41 @@
   }
 
   /** After how many waits in a row for an empty stream it is another one. */
-  private static final int EMPTY_WAITS = 3;
+  private static final int MAX_EMPTY_WAITS = 3;
 
   /** How many new records in a read tell that the next will find some without waiting. */
-  private static final int BUSY_RECORDS = 2;
+  private static final int BUSY_STREAM_RECORDS = 2;
 
   private final Fold fold;
   private final StreamListener listener;
   private final SkipObserver skipObserver;
   private final SnapshotParts parts = new SnapshotParts();
-  private final Map<Skip, Long> skips = new EnumMap<>(Skip.class);
-  private WriterMarks marks = new WriterMarks();
-  private long applied;
+  private final Map<SkipReason, Long> skips = new EnumMap<>(SkipReason.class);
+  private WriterSequences writerSequences = new WriterSequences();
+  private long appliedOffset;
   private long nextOffset;
-  private long end;
+  private long endOffset;
   private long firstOffset;
-  private boolean seeking;
-  private final StreamAnchors anchors = new StreamAnchors();
+  private boolean seekingSnapshot;
+  private final RecentRecordHashes recentHashes = new RecentRecordHashes();
 
   /** The end that a page told of below what was read; 0 if none did. */
-  private long lowerEnd;
+  private long lowerEndOffset;
 
   private int emptyWaits;
   private boolean idle;
-  private boolean alone;
-  private boolean halted;
-  private boolean soughtBeforeHalt;
-  private boolean carrying;
-  private boolean ahead;
-  private long histories;
+  private boolean withoutPredecessor;
+  private boolean isHalted;
+  private boolean seekingBeforeHalt;
+  private boolean carryingOver;
+  private boolean aheadOfSnapshot;
+  private long historyReplacementCount;
 
-  private final boolean beginAnew;
+  private final boolean startEmptyAfterExpiry;
 
   StreamCursor(Fold fold, boolean beginAnew, StreamListener listener, SkipObserver skipObserver) {
     this.fold = fold;
-    this.beginAnew = beginAnew;
+    this.startEmptyAfterExpiry = beginAnew;
     this.listener = listener;
     this.skipObserver = skipObserver;
   }
@@ -94,65 +94,67 @@
   }
 
   /** Returns what to ask the log for next. */
-  NextRead nextRead() {
-    if (halted) {
-      return NextRead.COMPARE_LAST;
+  ReadMode nextReadMode() {
+    if (isHalted) {
+      return ReadMode.COMPARE_LAST;
     }
-    if (lowerEnd > 0 && !idle) {
-      return NextRead.COMPARE_LOWER_END;
+    if (lowerEndOffset > 0 && !idle) {
+      return ReadMode.COMPARE_LOWER_END;
     }
     if (idle) {
-      return NextRead.AWAIT;
+      return ReadMode.AWAIT;
     }
-    return anchors.knows(nextOffset - 1) && !alone ? NextRead.CONTINUE : NextRead.BEGIN;
+    return recentHashes.contains(nextOffset - 1) && !withoutPredecessor
+        ? ReadMode.CONTINUE
+        : ReadMode.BEGIN;
   }
 
   /** Returns the offset that a read begins at. */
-  long offsetOf(NextRead read) {
+  long offsetOf(ReadMode read) {
     return switch (read) {
       case BEGIN, AWAIT -> nextOffset;
       case CONTINUE, COMPARE_LAST -> nextOffset - 1;
-      case COMPARE_LOWER_END -> lowerEnd - 1;
+      case COMPARE_LOWER_END -> lowerEndOffset - 1;
     };
   }
 
   /** Takes the answer to a read in. */
-  void accept(NextRead read, LogPage page) {
-    if (read == NextRead.AWAIT && !page.records().isEmpty()) {
+  void accept(ReadMode read, LogPage page) {
+    if (read == ReadMode.AWAIT && !page.records().isEmpty()) {
       // What has come is not known to continue what was read: it is asked for with its predecessor.
       idle = false;
-      end = Math.max(end, page.nextOffset());
+      endOffset = Math.max(endOffset, page.nextOffset());
       return;
     }
-    emptyWaits = read == NextRead.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
-    if (emptyWaits >= EMPTY_WAITS && nextOffset > 0) {
+    emptyWaits = read == ReadMode.AWAIT && page.nextOffset() == 0 ? emptyWaits + 1 : 0;
+    if (emptyWaits >= MAX_EMPTY_WAITS && nextOffset > 0) {
       // Nothing to compare with, and nobody may append before this is told. A replica that was
       // empty only for a while does no harm: what is kept here is read again or found again.
-      replaced(page, "it is empty");
+      replaceHistory(page, "it is empty");
       idle = false;
       return;
     }
     long before = nextOffset;
     accept(page);
-    if (read == NextRead.COMPARE_LOWER_END) {
-      lowerEnd = 0;
+    if (read == ReadMode.COMPARE_LOWER_END) {
+      lowerEndOffset = 0;
       idle = true;
       return;
     }
     long found = nextOffset - before;
-    boolean atEnd = lowerEnd == 0 && nextOffset >= page.nextOffset();
-    idle = atEnd && found < BUSY_RECORDS;
+    boolean atEnd = lowerEndOffset == 0 && nextOffset >= page.nextOffset();
+    idle = atEnd && found < BUSY_STREAM_RECORDS;
     // The record that follows may be one that fits no page together with its predecessor.
-    alone = read == NextRead.CONTINUE && !atEnd && found == 0;
+    withoutPredecessor = read == ReadMode.CONTINUE && !atEnd && found == 0;
   }
 
   /** Returns whether all waits for the former history. */
-  boolean halted() {
-    return halted;
+  boolean isHalted() {
+    return isHalted;
   }
 
   /** Tells that reads failed: what answers after an outage may be another stream. */
-  void failed() {
+  void recordReadFailure() {
     idle = false;
   }
 
@@ -161,110 +163,112 @@
    * there.
    */
   void accept(LogPage page) {
-    if (halted) {
+    if (isHalted) {
       compareHalted(page);
       return;
     }
     for (LogRecord record : page.records()) {
-      if (record.offset() < nextOffset && anchors.compare(record) == Match.OTHER) {
-        replaced(page, "another record at offset " + record.offset());
+      if (record.offset() < nextOffset && recentHashes.compare(record) == Match.DIFFERENT) {
+        replaceHistory(page, "another record at offset " + record.offset());
         return;
       }
     }
     if (page.nextOffset() > 0 && page.nextOffset() < firstOffset) {
       // No replica lags by more than the whole retention.
-      replaced(page, "it ends at " + page.nextOffset() + " before the retained " + firstOffset);
+      replaceHistory(
+          page, "it ends at " + page.nextOffset() + " before the retained " + firstOffset);
       return;
     }
-    lowerEnd = page.nextOffset() < nextOffset ? page.nextOffset() : 0;
+    lowerEndOffset = page.nextOffset() < nextOffset ? page.nextOffset() : 0;
     firstOffset = Math.max(firstOffset, page.firstOffset());
-    end = page.nextOffset();
+    endOffset = page.nextOffset();
     if (page.firstOffset() > nextOffset) {
-      expiredUnread();
+      skipExpiredRecords();
     }
     for (LogRecord record : page.records()) {
       if (record.offset() != nextOffset) {
         continue;
       }
       nextOffset++;
-      anchors.remember(record);
-      if (readRecord(record)) {
+      recentHashes.add(record);
+      if (applyRecord(record)) {
         // The state now stands elsewhere in the stream; the rest of the page is read again there.
         return;
       }
     }
-    if (!seeking) {
-      applied = nextOffset;
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
   }
 
   private void compareHalted(LogPage page) {
     for (LogRecord record : page.records()) {
-      if (record.offset() == nextOffset - 1 && anchors.compare(record) == Match.SAME) {
-        halted = false;
-        seeking = soughtBeforeHalt;
+      if (record.offset() == nextOffset - 1 && recentHashes.compare(record) == Match.SAME) {
+        isHalted = false;
+        seekingSnapshot = seekingBeforeHalt;
         listener.historyReturned();
       }
     }
   }
 
-  private void replaced(LogPage page, String detail) {
-    histories++;
-    lowerEnd = 0;
-    NewHistory reaction = fold.onNewHistory();
-    if (reaction == NewHistory.HALT) {
-      halted = true;
-      soughtBeforeHalt = seeking;
-      seeking = true;
+  private void replaceHistory(LogPage page, String detail) {
+    historyReplacementCount++;
+    lowerEndOffset = 0;
+    HistoryReplacementPolicy reaction = fold.historyReplacementPolicy();
+    if (reaction == HistoryReplacementPolicy.HALT) {
+      isHalted = true;
+      seekingBeforeHalt = seekingSnapshot;
+      seekingSnapshot = true;
     } else {
       beginNewHistory(page, reaction);
     }
     listener.historyReplaced(reaction, detail);
   }
 
-  private void beginNewHistory(LogPage page, NewHistory reaction) {
+  private void beginNewHistory(LogPage page, HistoryReplacementPolicy reaction) {
     fold.beginNewHistory();
-    marks = new WriterMarks();
-    anchors.clear();
+    writerSequences = new WriterSequences();
+    recentHashes.clear();
     parts.clear();
     firstOffset = page.firstOffset();
     nextOffset = firstOffset;
-    applied = firstOffset;
-    end = page.nextOffset();
-    carrying = reaction == NewHistory.CARRY_OVER && fold.revision() > 0;
-    seeking = carrying || (reaction == NewHistory.CARRY_OVER && firstOffset > 0);
-    ahead = false;
+    appliedOffset = firstOffset;
+    endOffset = page.nextOffset();
+    carryingOver = reaction == HistoryReplacementPolicy.CARRY_OVER && fold.revision() > 0;
+    seekingSnapshot =
+        carryingOver || (reaction == HistoryReplacementPolicy.CARRY_OVER && firstOffset > 0);
+    aheadOfSnapshot = false;
   }
 
-  private void expiredUnread() {
+  private void skipExpiredRecords() {
     nextOffset = firstOffset;
     parts.clear();
     // A reader that went on here with what it has would miss what expired, and come to another
     // state than the rest. Only an operator may say that there was nothing to miss.
-    seeking = !(beginAnew && applied == 0);
-    if (!seeking) {
-      applied = nextOffset;
+    seekingSnapshot = !(startEmptyAfterExpiry && appliedOffset == 0);
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
   }
 
   /** Returns whether the state was replaced. */
-  private boolean readRecord(LogRecord record) {
+  private boolean applyRecord(LogRecord record) {
     Decoded decoded = RecordCodec.decode(record.bytes());
-    decoded.skips().forEach(reason -> skip(record.offset(), reason));
-    for (Raw raw : decoded.entries()) {
-      boolean counts = seeking || marks.accept(raw.parts());
+    decoded.skips().forEach(reason -> recordSkip(record.offset(), reason));
+    for (RawEntry raw : decoded.entries()) {
+      boolean counts = seekingSnapshot || writerSequences.accept(raw.parts());
       if (raw.type().equals(SnapshotParts.TYPE)) {
-        if (readSnapshotPart(raw)) {
+        if (addSnapshotPart(raw)) {
           return true;
         }
-      } else if (!seeking && counts) {
+      } else if (!seekingSnapshot && counts) {
         apply(
             new LogEntry(
                 new Position(record.offset(), raw.index()), raw.id(), raw.type(), raw.body()));
       }
     }
-    if (!seeking) {
-      applied = nextOffset;
+    if (!seekingSnapshot) {
+      appliedOffset = nextOffset;
     }
     return false;
   }
@@ -274,46 +278,47 @@
       fold.apply(entry);
     } catch (RuntimeException e) {
       // A single entry that a fold cannot bear must not keep all processes from reading on.
-      skip(entry.position().offset(), Skip.REFUSED_BY_FOLD);
+      recordSkip(entry.position().offset(), SkipReason.REFUSED_BY_FOLD);
     }
-    listener.applied(entry);
+    listener.entryApplied(entry);
   }
 
-  private boolean readSnapshotPart(Raw raw) {
-    boolean keep = seeking || fold.onNewHistory() == NewHistory.CARRY_OVER;
-    Optional<Seen> seen = parts.add(raw.body(), keep);
+  private boolean addSnapshotPart(RawEntry raw) {
+    boolean keep =
+        seekingSnapshot || fold.historyReplacementPolicy() == HistoryReplacementPolicy.CARRY_OVER;
+    Optional<PartResult> seen = parts.add(raw.body(), keep);
     if (seen.isEmpty()) {
       return false;
     }
-    listener.sawSnapshotPart();
+    listener.snapshotPartRead();
     if (!seen.get().complete()) {
       return false;
     }
-    listener.sawSnapshot(seen.get().through());
-    return seen.get().snapshot().map(this::consider).orElse(false);
+    listener.snapshotRead(seen.get().nextOffset());
+    return seen.get().snapshot().map(this::restoreIfNewer).orElse(false);
   }
 
-  private boolean consider(StreamSnapshot snapshot) {
+  private boolean restoreIfNewer(StreamSnapshot snapshot) {
     long offered = fold.revisionOf(snapshot.state());
-    ahead = ahead && fold.revision() > offered;
+    aheadOfSnapshot = aheadOfSnapshot && fold.revision() > offered;
     // Within one history no snapshot is later than a reader that stands behind it; one that is
     // was carried over from the history before.
-    boolean later = offered > fold.revision() && snapshot.through() >= firstOffset;
-    if (!usable(snapshot) && !later) {
+    boolean later = offered > fold.revision() && snapshot.nextOffset() >= firstOffset;
+    if (!isUsable(snapshot) && !later) {
       return false;
     }
     boolean overtaken = fold.revision() > offered;
     if (!restore(snapshot)) {
       return false;
     }
-    ahead = overtaken;
+    aheadOfSnapshot = overtaken;
     return true;
   }
 
-  private boolean usable(StreamSnapshot snapshot) {
+  private boolean isUsable(StreamSnapshot snapshot) {
     // One that begins before what is retained leaves a gap. Any other is newer than this state, for
     // a reader seeks only once retention has passed it.
-    return seeking && snapshot.through() >= firstOffset;
+    return seekingSnapshot && snapshot.nextOffset() >= firstOffset;
   }
 
   /**
@@ -323,18 +328,18 @@
    */
   boolean restore(StreamSnapshot snapshot) {
     try {
-      WriterMarks restored = WriterMarks.fromJson(snapshot.writers());
+      WriterSequences restored = WriterSequences.fromJson(snapshot.writerSequences());
       listener.restoring();
       fold.restore(snapshot.state());
-      marks = restored;
+      writerSequences = restored;
     } catch (RuntimeException e) {
-      skip(snapshot.through(), Skip.REFUSED_BY_FOLD);
+      recordSkip(snapshot.nextOffset(), SkipReason.REFUSED_BY_FOLD);
       return false;
     }
-    nextOffset = snapshot.through();
-    applied = snapshot.through();
-    seeking = false;
-    carrying = false;
+    nextOffset = snapshot.nextOffset();
+    appliedOffset = snapshot.nextOffset();
+    seekingSnapshot = false;
+    carryingOver = false;
     parts.clear();
     listener.restored(snapshot);
     return true;
@@ -342,27 +347,27 @@
 
   /** Returns the present state. */
   StreamSnapshot snapshot() {
-    long through = carrying ? nextOffset : applied;
-    return new StreamSnapshot(through, marks.toJson(), fold.snapshot());
+    long through = carryingOver ? nextOffset : appliedOffset;
+    return new StreamSnapshot(through, writerSequences.toJson(), fold.snapshot());
   }
 
   StreamStatus status(boolean outage) {
     long skipped = skips.values().stream().mapToLong(Long::longValue).sum();
-    long newer = skips.getOrDefault(Skip.NEWER_VERSION, 0L);
-    boolean offering = (carrying || ahead) && !outage && nextOffset >= end;
+    long newer = skips.getOrDefault(SkipReason.NEWER_VERSION, 0L);
+    boolean offering = (carryingOver || aheadOfSnapshot) && !outage && nextOffset >= endOffset;
     return new StreamStatus(
-        applied,
-        Math.max(end, applied),
+        appliedOffset,
+        Math.max(endOffset, appliedOffset),
         firstOffset,
-        seeking,
+        seekingSnapshot,
         outage,
         skipped,
         newer,
-        histories,
+        historyReplacementCount,
         offering);
   }
 
-  private void skip(long offset, Skip reason) {
+  private void recordSkip(long offset, SkipReason reason) {
     long count = skips.merge(reason, 1L, Long::sum);
     skipObserver.skipped(offset, reason, count);
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamFollower.java
@@ -4,8 +4,8 @@
 
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
-import io.marigoldsail.log.RecordCodec.Skip;
-import io.marigoldsail.log.StreamCursor.NextRead;
+import io.marigoldsail.log.RecordCodec.SkipReason;
+import io.marigoldsail.log.StreamCursor.ReadMode;
 import io.marigoldsail.time.MonotonicClock;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -33,7 +33,7 @@
  */
 public final class StreamFollower implements AutoCloseable {
   private static final Logger LOGGER = System.getLogger(StreamFollower.class.getName());
-  private static final int SKIPS_LOGGED = 10;
+  private static final int MAX_SKIPS_LOGGED = 10;
 
   private final LogService log;
   private final String stream;
@@ -77,12 +77,15 @@
     this.clock = requireNonNull(clock, "clock");
     this.backoff =
         new Backoff(
-            TimeUnit.MILLISECONDS.toNanos(settings.retryFirstMillis()),
-            TimeUnit.MILLISECONDS.toNanos(settings.retryLimitMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.initialBackoffMillis()),
+            TimeUnit.MILLISECONDS.toNanos(settings.maxBackoffMillis()),
             random);
     this.cursor =
         new StreamCursor(
-            requireNonNull(fold, "fold"), settings.beginAnew(), new Fanout(), this::logSkip);
+            requireNonNull(fold, "fold"),
+            settings.startEmptyAfterExpiry(),
+            new ListenerDispatcher(),
+            this::logSkip);
     this.status = cursor.status(false);
     this.thread = new Thread(this::run, "follow-" + stream);
     thread.setDaemon(true);
@@ -124,12 +127,12 @@
   }
 
   /** Returns the offset that is applied next; all before it are in the fold. */
-  public long applied() {
-    return status.applied();
+  public long appliedOffset() {
+    return status.appliedOffset();
   }
 
   /**
-   * Waits until {@link #applied} is at least an offset.
+   * Waits until {@link #appliedOffset} is at least an offset.
    *
    * @param offset the offset to wait for
    * @param deadline when to give up, a reading of the clock
@@ -140,11 +143,11 @@
     lock.lock();
     try {
       long left = deadline - clock.nanos();
-      while (status.applied() < offset && left > 0 && !closed) {
+      while (status.appliedOffset() < offset && left > 0 && !closed) {
         progress.awaitNanos(left);
         left = deadline - clock.nanos();
       }
-      return status.applied() >= offset;
+      return status.appliedOffset() >= offset;
     } finally {
       lock.unlock();
     }
@@ -153,11 +156,13 @@
   /** Returns whether an entry of the type may be appended by a process that has read so far. */
   boolean mayAppend(String type) {
     StreamStatus now = status;
-    boolean offer = now.offering() && type.equals(SnapshotParts.TYPE);
-    return !now.seeking() || restoring || offer;
+    boolean offer = now.offeringSnapshot() && type.equals(SnapshotParts.TYPE);
+    return !now.seekingSnapshot() || restoring || offer;
   }
 
-  /** Returns the state at {@link #applied}; only to be called by a listener, in its callback. */
+  /**
+   * Returns the state at {@link #appliedOffset}; only to be called by a listener, in its callback.
+   */
   StreamSnapshot snapshotInCallback() {
     return cursor.snapshot();
   }
@@ -176,26 +181,26 @@
 
   private void run() {
     while (!closed) {
-      NextRead asked = cursor.nextRead();
+      ReadMode asked = cursor.nextReadMode();
       Result<LogPage> result = read(asked);
       if (closed) {
         return;
       }
       if (result instanceof Result.Failed<LogPage> failed) {
-        failedRead(failed.failure().detail());
+        handleFailure(failed.failure().detail());
       } else {
-        goodRead(asked, result.value());
+        handlePage(asked, result.value());
       }
     }
   }
 
-  private Result<LogPage> read(NextRead asked) {
+  private Result<LogPage> read(ReadMode asked) {
     long now = clock.nanos();
     long due = asked.waits() ? nextWaitAt : nextReadAt;
     if (now < due) {
-      pause(due - now);
+      sleep(due - now);
     }
-    long pace = cursor.halted() ? settings.retryLimitMillis() : settings.paceMillis();
+    long pace = cursor.isHalted() ? settings.maxBackoffMillis() : settings.minIntervalMillis();
     long next = Math.max(now, due) + TimeUnit.MILLISECONDS.toNanos(pace);
     if (asked.waits()) {
       nextWaitAt = next;
@@ -214,37 +219,37 @@
     }
   }
 
-  private void goodRead(NextRead asked, LogPage page) {
-    if (backoff.failing()) {
-      backoff.succeeded();
-      tell(StreamListener::outageEnded);
+  private void handlePage(ReadMode asked, LogPage page) {
+    if (backoff.isFailing()) {
+      backoff.recordSuccess();
+      notifyListeners(StreamListener::outageEnded);
     }
     StreamStatus before = status;
     cursor.accept(asked, page);
-    publish(false);
+    publishStatus(false);
     StreamStatus now = status;
-    boolean expired = now.histories() == before.histories();
-    if (expired && now.seeking() && !before.seeking()) {
+    boolean expired = now.historyReplacementCount() == before.historyReplacementCount();
+    if (expired && now.seekingSnapshot() && !before.seekingSnapshot()) {
       LOGGER.log(
           Level.WARNING,
           "event=log-records-expired-unread stream={0} applied={1,number,#} first={2,number,#}",
           stream,
-          now.applied(),
+          now.appliedOffset(),
           now.firstOffset());
     }
-    tell(listener -> listener.pageApplied(now));
+    notifyListeners(listener -> listener.pageApplied(now));
   }
 
-  private void failedRead(String detail) {
-    if (!backoff.failing()) {
-      tell(listener -> listener.outageBegan(detail));
+  private void handleFailure(String detail) {
+    if (!backoff.isFailing()) {
+      notifyListeners(listener -> listener.outageBegan(detail));
     }
-    cursor.failed();
-    publish(true);
-    pause(backoff.failed());
+    cursor.recordReadFailure();
+    publishStatus(true);
+    sleep(backoff.recordFailure());
   }
 
-  private void publish(boolean outage) {
+  private void publishStatus(boolean outage) {
     lock.lock();
     try {
       status = cursor.status(outage);
@@ -255,7 +260,7 @@
     }
   }
 
-  private void pause(long nanos) {
+  private void sleep(long nanos) {
     lock.lock();
     try {
       long left = nanos;
@@ -269,7 +274,7 @@
     }
   }
 
-  private void tell(Consumer<StreamListener> call) {
+  private void notifyListeners(Consumer<StreamListener> call) {
     for (StreamListener listener : listeners) {
       try {
         call.accept(listener);
@@ -280,8 +285,8 @@
     }
   }
 
-  private void logSkip(long offset, Skip reason, long count) {
-    if (count <= SKIPS_LOGGED || Long.bitCount(count) == 1) {
+  private void logSkip(long offset, SkipReason reason, long count) {
+    if (count <= MAX_SKIPS_LOGGED || Long.bitCount(count) == 1) {
       LOGGER.log(
           Level.WARNING,
           "event=log-record-skipped stream={0} offset={1,number,#} reason={2} count={3,number,#}",
@@ -293,38 +298,38 @@
   }
 
   /** Hands what the cursor tells to all listeners. */
-  private final class Fanout implements StreamListener {
+  private final class ListenerDispatcher implements StreamListener {
     @Override
-    public void applied(LogEntry entry) {
-      tell(listener -> listener.applied(entry));
+    public void entryApplied(LogEntry entry) {
+      notifyListeners(listener -> listener.entryApplied(entry));
     }
 
     @Override
-    public void sawSnapshot(long through) {
-      tell(listener -> listener.sawSnapshot(through));
+    public void snapshotRead(long through) {
+      notifyListeners(listener -> listener.snapshotRead(through));
     }
 
     @Override
-    public void sawSnapshotPart() {
-      tell(StreamListener::sawSnapshotPart);
+    public void snapshotPartRead() {
+      notifyListeners(StreamListener::snapshotPartRead);
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
       LOGGER.log(
           Level.WARNING,
           "event=log-history-replaced stream={0} applied={1,number,#} reaction={2} detail=\"{3}\"",
           stream,
-          status.applied(),
+          status.appliedOffset(),
           reaction,
           detail);
-      tell(listener -> listener.historyReplaced(reaction, detail));
+      notifyListeners(listener -> listener.historyReplaced(reaction, detail));
     }
 
     @Override
     public void historyReturned() {
       LOGGER.log(Level.INFO, "event=log-history-returned stream={0}", stream);
-      tell(StreamListener::historyReturned);
+      notifyListeners(StreamListener::historyReturned);
     }
 
     @Override
@@ -338,8 +343,8 @@
           Level.INFO,
           "event=log-state-restored stream={0} through={1,number,#}",
           stream,
-          snapshot.through());
-      tell(listener -> listener.restored(snapshot));
+          snapshot.nextOffset());
+      notifyListeners(listener -> listener.restored(snapshot));
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamListener.java
@@ -6,16 +6,16 @@
  */
 public interface StreamListener {
   /** An entry was applied to the fold. */
-  default void applied(LogEntry entry) {}
+  default void entryApplied(LogEntry entry) {}
 
   /** A read succeeded, whether or not it found anything, and what it found was applied. */
   default void pageApplied(StreamStatus status) {}
 
   /** A complete snapshot stands in the stream. */
-  default void sawSnapshot(long through) {}
+  default void snapshotRead(long through) {}
 
   /** A part of a snapshot stands in the stream: some process is writing one. */
-  default void sawSnapshotPart() {}
+  default void snapshotPartRead() {}
 
   /** The state is about to be replaced by a snapshot's. */
   default void restoring() {}
@@ -24,9 +24,9 @@
   default void restored(StreamSnapshot snapshot) {}
 
   /** The stream is another one than was read so far; nothing more of it is applied before this. */
-  default void historyReplaced(NewHistory reaction, String detail) {}
+  default void historyReplaced(HistoryReplacementPolicy reaction, String detail) {}
 
-  /** The stream that was read before is back after {@link NewHistory#HALT}. */
+  /** The stream that was read before is back after {@link HistoryReplacementPolicy#HALT}. */
   default void historyReturned() {}
 
   /** The log service stopped answering. */
