--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamSnapshot.java
@@ -13,15 +13,15 @@
  * <p>Immutable as long as the nodes are left alone. Carries the marks of writers besides the fold's
  * state: without them a reader that starts here would count a late copy that others drop.
  *
- * @param through the offset to read on from
- * @param writers the marks of writers, as {@code WriterMarks} describes them
+ * @param nextOffset the offset to read on from
+ * @param writerSequences the marks of writers, as {@code WriterSequences} describes them
  * @param state the fold's state
  */
-public record StreamSnapshot(long through, JsonNode writers, JsonNode state) {
+public record StreamSnapshot(long nextOffset, JsonNode writerSequences, JsonNode state) {
   /** Checks the components. */
   public StreamSnapshot {
-    checkArgument(through >= 0, "through is negative: %s", through);
-    requireNonNull(writers, "writers");
+    checkArgument(nextOffset >= 0, "through is negative: %s", nextOffset);
+    requireNonNull(writerSequences, "writers");
     requireNonNull(state, "state");
   }
 
@@ -30,8 +30,8 @@
     return JsonNodeFactory.instance
         .objectNode()
         .put("v", RecordCodec.VERSION)
-        .put("through", through)
-        .<ObjectNode>set("writers", writers)
+        .put("through", nextOffset)
+        .<ObjectNode>set("writers", writerSequences)
         .set("state", state);
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamStatus.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/StreamStatus.java
@@ -3,30 +3,32 @@
 /**
  * How far a reader is. Immutable.
  *
- * @param applied the offset that it applies next; all before it are in its state
- * @param end the end of the stream as the log service last told it, at least {@code applied}
+ * @param appliedOffset the offset that it applies next; all before it are in its state
+ * @param endOffset the end of the stream as the log service last told it, at least {@code
+ *     appliedOffset}
  * @param firstOffset the oldest offset that retention has left, as last told
- * @param seeking whether records expired unread and it looks for a snapshot to go on from; its
- *     state is then an old one
+ * @param seekingSnapshot whether records expired unread and it looks for a snapshot to go on from;
+ *     its state is then an old one
  * @param outage whether the last read failed
- * @param skipped how many records and entries it passed over so far
- * @param newerVersions how many of them were records of a newer version
- * @param histories how often the stream turned out to be another one than was read so far
- * @param offering whether the stream lacks this reader's state and is to be offered it
+ * @param skippedCount how many records and entries it passed over so far
+ * @param newerVersionCount how many of them were records of a newer version
+ * @param historyReplacementCount how often the stream turned out to be another one than was read so
+ *     far
+ * @param offeringSnapshot whether the stream lacks this reader's state and is to be offered it
  */
 public record StreamStatus(
-    long applied,
-    long end,
+    long appliedOffset,
+    long endOffset,
     long firstOffset,
-    boolean seeking,
+    boolean seekingSnapshot,
     boolean outage,
-    long skipped,
-    long newerVersions,
-    long histories,
-    boolean offering) {
+    long skippedCount,
+    long newerVersionCount,
+    long historyReplacementCount,
+    boolean offeringSnapshot) {
 
   /** Returns whether the state holds all that the log service told of. */
   public boolean caughtUp() {
-    return !seeking && !outage && applied >= end;
+    return !seekingSnapshot && !outage && appliedOffset >= endOffset;
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterMarks.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/WriterSequences.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
-import io.marigoldsail.log.EntryIds.Parts;
+import io.marigoldsail.log.EntryIdGenerator.Parts;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -24,30 +24,30 @@
  * 70 replaced processes a day that many are weeks of silence, and a copy is minutes late. Confined
  * to one thread.
  */
-final class WriterMarks {
+final class WriterSequences {
   static final int MAX_WRITERS = 1_024;
 
   /** By writer, the longest silent one first. */
-  private final LinkedHashMap<String, Long> marks = new LinkedHashMap<>(16, 0.75f, true);
+  private final LinkedHashMap<String, Long> sequences = new LinkedHashMap<>(16, 0.75f, true);
 
-  WriterMarks() {}
+  WriterSequences() {}
 
   /** Returns whether the entry counts, and keeps its number if so. */
   boolean accept(Parts id) {
-    Long mark = marks.get(id.writer());
+    Long mark = sequences.get(id.writerId());
     if (mark != null && id.sequence() <= mark) {
       return false;
     }
-    marks.put(id.writer(), id.sequence());
-    if (marks.size() > MAX_WRITERS) {
-      marks.remove(marks.keySet().iterator().next());
+    sequences.put(id.writerId(), id.sequence());
+    if (sequences.size() > MAX_WRITERS) {
+      sequences.remove(sequences.keySet().iterator().next());
     }
     return true;
   }
 
   /** Returns the highest number of a writer so far, or 0. */
-  long of(String writer) {
-    for (Map.Entry<String, Long> mark : marks.entrySet()) {
+  long lastSequence(String writer) {
+    for (Map.Entry<String, Long> mark : sequences.entrySet()) {
       if (mark.getKey().equals(writer)) {
         return mark.getValue();
       }
@@ -56,13 +56,13 @@
   }
 
   int size() {
-    return marks.size();
+    return sequences.size();
   }
 
   /** Returns the marks with their order, which decides who is forgotten next. */
   JsonNode toJson() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    marks.forEach((writer, mark) -> all.addArray().add(writer).add(mark));
+    sequences.forEach((writer, mark) -> all.addArray().add(writer).add(mark));
     return all;
   }
 
@@ -71,13 +71,13 @@
    *
    * @throws IllegalArgumentException if the node does not describe any
    */
-  static WriterMarks fromJson(JsonNode all) {
+  static WriterSequences fromJson(JsonNode all) {
     checkArgument(all.isArray() && all.size() <= MAX_WRITERS, "no marks of writers");
-    WriterMarks restored = new WriterMarks();
+    WriterSequences restored = new WriterSequences();
     for (JsonNode pair : all) {
       boolean good = pair.size() == 2 && pair.get(0).isTextual() && pair.get(1).isIntegralNumber();
       checkArgument(good, "no mark of a writer: %s", pair);
-      restored.marks.put(pair.get(0).textValue(), pair.get(1).longValue());
+      restored.sequences.put(pair.get(0).textValue(), pair.get(1).longValue());
     }
     return restored;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/Announcement.java
@@ -19,7 +19,7 @@
  * @param operatorsAddress where operators reach the side process, {@code host:port}, or empty
  * @param service the service of the VM's target, or empty where it has none
  * @param slots how many requests the target runs at once, or 0 where there is none
- * @param leaving whether the target takes nothing new
+ * @param draining whether the target takes nothing new
  * @param load what the target has to do now
  * @param configurationRevision the revision in force in the side process
  */
@@ -32,7 +32,7 @@
     String operatorsAddress,
     String service,
     int slots,
-    boolean leaving,
+    boolean draining,
     TargetLoad load,
     long configurationRevision) {
   /** Checks the components. */
@@ -58,6 +58,6 @@
    * @throws IllegalArgumentException if the VM has none
    */
   public TargetState targetState() {
-    return new TargetState(vm, processIncarnation, service, zone, slots, leaving);
+    return new TargetState(vm, processIncarnation, service, zone, slots, draining);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryDirectory.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import io.marigoldsail.log.Fold;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogEntry;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.time.MonotonicClock;
 import java.util.List;
 import java.util.Map;
@@ -26,11 +26,11 @@
   /** The name of the stream. */
   public static final String STREAM = "members";
 
-  private record Held(EntryPresence presence, long expiresAt) {}
+  private record KeptEntry(EntryPresence presence, long expiresAt) {}
 
   private final MonotonicClock clock;
-  private final long keepNanos;
-  private final Map<String, Held> entries = new TreeMap<>();
+  private final long timeoutNanos;
+  private final Map<String, KeptEntry> entries = new TreeMap<>();
 
   /**
    * Creates an empty directory.
@@ -40,7 +40,7 @@
    */
   public EntryDirectory(MonotonicClock clock, long keepNanos) {
     this.clock = requireNonNull(clock, "clock");
-    this.keepNanos = keepNanos;
+    this.timeoutNanos = keepNanos;
   }
 
   /** Returns the entries that are kept now, by name. */
@@ -48,46 +48,46 @@
     long now = clock.nanos();
     return entries.values().stream()
         .filter(held -> held.expiresAt() > now)
-        .map(Held::presence)
+        .map(KeptEntry::presence)
         .toList();
   }
 
   /** Counts all entries as heard now, after the log was away. */
-  public synchronized void extendAll() {
-    long expiresAt = clock.nanos() + keepNanos;
-    entries.replaceAll((name, held) -> new Held(held.presence(), expiresAt));
+  public synchronized void restartTimeouts() {
+    long expiresAt = clock.nanos() + timeoutNanos;
+    entries.replaceAll((name, held) -> new KeptEntry(held.presence(), expiresAt));
   }
 
   @Override
   public synchronized void apply(LogEntry entry) {
     if (entry.type().equals(EntryPresence.TYPE)) {
-      EntryPresence.read(entry.body()).ifPresent(this::take);
+      EntryPresence.fromJson(entry.body()).ifPresent(this::update);
     }
   }
 
   /** An earlier life's record, appended late, must not hide the later life. */
-  private void take(EntryPresence presence) {
-    Held held = entries.get(presence.name());
+  private void update(EntryPresence presence) {
+    KeptEntry held = entries.get(presence.name());
     if (held != null && held.presence().incarnation() > presence.incarnation()) {
       return;
     }
-    if (presence.gone()) {
+    if (presence.removed()) {
       entries.remove(presence.name());
       return;
     }
-    entries.put(presence.name(), new Held(presence, clock.nanos() + keepNanos));
+    entries.put(presence.name(), new KeptEntry(presence, clock.nanos() + timeoutNanos));
   }
 
   /** Every entry appends again within seconds, in whichever stream. */
   @Override
-  public NewHistory onNewHistory() {
-    return NewHistory.READ_ON;
+  public HistoryReplacementPolicy historyReplacementPolicy() {
+    return HistoryReplacementPolicy.READ_ON;
   }
 
   @Override
   public synchronized JsonNode snapshot() {
     ArrayNode all = JsonNodeFactory.instance.arrayNode();
-    entries.values().forEach(held -> all.add(held.presence().write()));
+    entries.values().forEach(held -> all.add(held.presence().toJson()));
     return all;
   }
 
@@ -95,8 +95,8 @@
   public synchronized void restore(JsonNode snapshot) {
     entries.clear();
     for (JsonNode node : snapshot) {
-      Optional<EntryPresence> presence = EntryPresence.read(node);
-      presence.ifPresent(this::take);
+      Optional<EntryPresence> presence = EntryPresence.fromJson(node);
+      presence.ifPresent(this::update);
     }
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryPresence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/EntryPresence.java
@@ -18,8 +18,8 @@
  * @param processesAddress where side processes dial in, host:port
  * @param operatorsAddress where operators reach it, host:port
  * @param revision the configuration revision in force in it
- * @param leaving whether it is in a planned stop
- * @param gone whether this is the last that is heard of it
+ * @param draining whether it is in a planned stop
+ * @param removed whether this is the last that is heard of it
  */
 public record EntryPresence(
     String name,
@@ -28,8 +28,8 @@
     String processesAddress,
     String operatorsAddress,
     long revision,
-    boolean leaving,
-    boolean gone) {
+    boolean draining,
+    boolean removed) {
   /** The type of its log entries. */
   public static final String TYPE = "entry-presence";
 
@@ -42,7 +42,7 @@
   }
 
   /** Returns the body of a log entry. */
-  public JsonNode write() {
+  public JsonNode toJson() {
     return JsonNodeFactory.instance
         .objectNode()
         .put("name", name)
@@ -51,12 +51,12 @@
         .put("processes", processesAddress)
         .put("operators", operatorsAddress)
         .put("revision", revision)
-        .put("leaving", leaving)
-        .put("gone", gone);
+        .put("leaving", draining)
+        .put("gone", removed);
   }
 
   /** Returns what a log entry's body says, or empty if it is no presence. */
-  public static Optional<EntryPresence> read(JsonNode body) {
+  public static Optional<EntryPresence> fromJson(JsonNode body) {
     String name = body.path("name").asText("");
     boolean sound = !name.isEmpty() && body.path("incarnation").canConvertToLong();
     if (!sound || !body.path("processes").isTextual()) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/membership/MemberTable.java
@@ -25,7 +25,7 @@
     /** The VM was not known, or its side process is a new one. */
     JOINED,
     /** The target began to leave. */
-    LEAVING,
+    DRAINING,
     /** The same process with other facts: load, address, or taking work again. */
     UPDATED,
     /** Said by a process older than the one known; without effect. */
@@ -36,15 +36,15 @@
    * How long the incarnation of a silent VM is remembered, so that its predecessor, thawed, cannot
    * take its place. Bounded, for a VM whose clock went back must be able to come back at all.
    */
-  private static final long REMEMBERED_NANOS = 60_000_000_000L;
+  private static final long INCARNATION_RETENTION_NANOS = 60_000_000_000L;
 
   private record Member(Announcement announcement, long deadline) {}
 
-  private record Former(long processIncarnation, long forgetAt) {}
+  private record ExpiredMember(long processIncarnation, long retainedUntil) {}
 
-  private final long silenceNanos;
+  private final long timeoutNanos;
   private final TreeMap<String, Member> members = new TreeMap<>();
-  private final Map<String, Former> formers = new HashMap<>();
+  private final Map<String, ExpiredMember> expiredMembers = new HashMap<>();
 
   /**
    * Creates an empty table.
@@ -53,11 +53,11 @@
    */
   public MemberTable(long silenceNanos) {
     checkArgument(silenceNanos > 0, "silenceNanos is not positive: %s", silenceNanos);
-    this.silenceNanos = silenceNanos;
+    this.timeoutNanos = silenceNanos;
   }
 
   /** Takes an announcement read now. */
-  public Change announced(Announcement announcement, long now) {
+  public Change update(Announcement announcement, long now) {
     String vm = announcement.vm();
     Member known = members.get(vm);
     // A side process frozen by its VM and woken after its successor started still announces itself.
@@ -66,14 +66,14 @@
     if (announcement.processIncarnation() < highestIncarnation(vm, known)) {
       return Change.STALE;
     }
-    formers.remove(vm);
-    members.put(vm, new Member(announcement, now + silenceNanos));
+    expiredMembers.remove(vm);
+    members.put(vm, new Member(announcement, now + timeoutNanos));
     if (known == null
         || known.announcement().processIncarnation() != announcement.processIncarnation()) {
       return Change.JOINED;
     }
-    if (announcement.leaving() && !known.announcement().leaving()) {
-      return Change.LEAVING;
+    if (announcement.draining() && !known.announcement().draining()) {
+      return Change.DRAINING;
     }
     return Change.UPDATED;
   }
@@ -87,11 +87,13 @@
       if (entry.getValue().deadline() - now <= 0) {
         Announcement last = entry.getValue().announcement();
         lost.add(last);
-        formers.put(entry.getKey(), new Former(last.processIncarnation(), now + REMEMBERED_NANOS));
+        expiredMembers.put(
+            entry.getKey(),
+            new ExpiredMember(last.processIncarnation(), now + INCARNATION_RETENTION_NANOS));
         all.remove();
       }
     }
-    formers.values().removeIf(former -> former.forgetAt() - now <= 0);
+    expiredMembers.values().removeIf(former -> former.retainedUntil() - now <= 0);
     return lost.build();
   }
 
@@ -101,8 +103,8 @@
    * <p>Without this an entry woken after some seconds finds all deadlines passed, drops every
    * target at once and refuses everything, though their announcements wait in its sockets.
    */
-  public void extendAll(long now) {
-    members.replaceAll((vm, member) -> new Member(member.announcement(), now + silenceNanos));
+  public void restartTimeouts(long now) {
+    members.replaceAll((vm, member) -> new Member(member.announcement(), now + timeoutNanos));
   }
 
   /** Returns the last announcement of the VM, if it is still there. */
@@ -130,7 +132,7 @@
     if (known != null) {
       return known.announcement().processIncarnation();
     }
-    Former former = formers.get(vm);
+    ExpiredMember former = expiredMembers.get(vm);
     return former == null ? Long.MIN_VALUE : former.processIncarnation();
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/SizeEstimates.java
@@ -66,7 +66,7 @@
   /** Returns the resources to book for a task of the job. */
   public synchronized Sizes booking(JobSpec spec) {
     Sizes declared = spec.sizes();
-    Estimate estimate = byProgram.get(Programs.of(spec.team(), spec.command()));
+    Estimate estimate = byProgram.get(Programs.nameOf(spec.team(), spec.command()));
     if (estimate == null || estimate.measurements < MIN_MEASUREMENTS) {
       return declared;
     }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/HostPort.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/HostPort.java
@@ -15,13 +15,13 @@
  * @param port 0 (any free port) to 65535
  */
 public record HostPort(String host, int port) {
-  private static final int HIGHEST_PORT = 65535;
+  private static final int MAX_PORT = 65535;
 
   /** Checks the components. */
   public HostPort {
     requireNonNull(host, "host");
     checkArgument(!host.isEmpty(), "host is empty");
-    checkArgument(port >= 0 && port <= HIGHEST_PORT, "port is out of range: %s", port);
+    checkArgument(port >= 0 && port <= MAX_PORT, "port is out of range: %s", port);
   }
 
   /** Returns the address that the text writes, or empty if it writes none. */
@@ -50,7 +50,7 @@
       return Optional.empty();
     }
     int port = Integer.parseInt(text);
-    return port <= HIGHEST_PORT ? Optional.of(port) : Optional.empty();
+    return port <= MAX_PORT ? Optional.of(port) : Optional.empty();
   }
 
   /** Returns the address for a socket; looks a name up. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/settings/SettingsReader.java
@@ -64,8 +64,8 @@
     try {
       Fields fields = new Fields(origin, node);
       ProcessSettings settings = side ? sideSettings(fields) : entrySettings(fields);
-      return clash(origin, settings).orElse(Result.ok(settings));
-    } catch (BrokenRuleException e) {
+      return addressConflict(origin, settings).orElse(Result.ok(settings));
+    } catch (InvalidValueException e) {
       return Result.failed(ErrorKind.INVALID_CONTENT, e.getMessage());
     }
   }
@@ -106,7 +106,8 @@
   }
 
   /** Two servers of one process on one address would fail on start with a less clear message. */
-  private static Optional<Result<ProcessSettings>> clash(String origin, ProcessSettings settings) {
+  private static Optional<Result<ProcessSettings>> addressConflict(
+      String origin, ProcessSettings settings) {
     Map<HostPort, String> keys = new HashMap<>();
     Map<String, HostPort> own = new java.util.LinkedHashMap<>();
     if (settings instanceof EntrySettings entry) {
@@ -129,10 +130,10 @@
   }
 
   /** Carries a broken rule out of the typed reading; never leaves this class. */
-  private static final class BrokenRuleException extends RuntimeException {
+  private static final class InvalidValueException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    BrokenRuleException(String message) {
+    InvalidValueException(String message) {
       super(message);
     }
   }
@@ -167,18 +168,18 @@
           return uri;
         }
       } catch (java.net.URISyntaxException e) {
-        throw broken(key(pointer), text, "an http address such as http://127.0.0.1:7000");
+        throw invalidValue(key(pointer), text, "an http address such as http://127.0.0.1:7000");
       }
-      throw broken(key(pointer), text, "an http address such as http://127.0.0.1:7000");
+      throw invalidValue(key(pointer), text, "an http address such as http://127.0.0.1:7000");
     }
 
     private HostPort hostPort(String key, String text) {
       return HostPort.parse(text)
-          .orElseThrow(() -> broken(key, text, "host:port such as 127.0.0.1:8080"));
+          .orElseThrow(() -> invalidValue(key, text, "host:port such as 127.0.0.1:8080"));
     }
 
-    private BrokenRuleException broken(String key, String text, String rule) {
-      return new BrokenRuleException(
+    private InvalidValueException invalidValue(String key, String text, String rule) {
+      return new InvalidValueException(
           origin + ": " + key + ": must be " + rule + ", is \"" + text + "\"");
     }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventFilter.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/timeline/EventFilter.java
@@ -28,18 +28,18 @@
 
   /** Returns whether the event is wanted. */
   public boolean matches(Event event) {
-    return fits(request, event.request())
-        && fitsTask(event.task())
-        && fits(vm, event.vm())
-        && fits(team, event.team())
-        && fits(caller, event.caller());
+    return matchesField(request, event.request())
+        && matchesTask(event.task())
+        && matchesField(vm, event.vm())
+        && matchesField(team, event.team())
+        && matchesField(caller, event.caller());
   }
 
-  private boolean fitsTask(String name) {
-    return fits(task, name) || name.startsWith(task + "/");
+  private boolean matchesTask(String name) {
+    return matchesField(task, name) || name.startsWith(task + "/");
   }
 
-  private static boolean fits(String wanted, String found) {
+  private static boolean matchesField(String wanted, String found) {
     return wanted.isEmpty() || wanted.equals(found);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/PublisherRacesTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConcurrentPublishTest.java
@@ -28,23 +28,23 @@
  * Publishers in several processes race over one log, step by step in a drawn order; what they were
  * told is then held against the one order of the log.
  */
-final class PublisherRacesTest {
+final class ConcurrentPublishTest {
   private static final int PROCESSES = 4;
   private static final int OPERATORS = 10;
-  private static final long FAR = Long.MAX_VALUE / 2;
+  private static final long NO_DEADLINE = Long.MAX_VALUE / 2;
   private static final List<String> FILES = List.of("base", "vatulele", "kitamizora");
 
   private final ConfigurationCheck check = new ConfigurationCheck();
 
   /** The log and the processes that read it, each at its own pace. */
-  private final class World {
+  private final class TestCluster {
     final Random random;
     final List<LogEntry> log = new ArrayList<>();
     final List<Process> processes = new ArrayList<>();
     final Queue<Runnable> appends = new ArrayDeque<>();
-    int lostAnswers;
+    int lostResponses;
 
-    World(long seed) {
+    TestCluster(long seed) {
       random = new Random(seed);
       for (int i = 0; i < PROCESSES; i++) {
         processes.add(new Process(this, "entry-" + i));
@@ -87,7 +87,7 @@
 
   /** One process: its fold, its place in the log, its publisher, and what operators were told. */
   private final class Process {
-    final World world;
+    final TestCluster world;
     final Map<Position, CompletableFuture<Result<Position>>> readBack = new TreeMap<>();
     final List<Long> revisions = new ArrayList<>();
     final String name;
@@ -95,7 +95,7 @@
     ConfigurationPublisher publisher;
     int next;
 
-    Process(World world, String name) {
+    Process(TestCluster world, String name) {
       this.world = world;
       this.name = name;
       start(0);
@@ -127,7 +127,7 @@
             Position first = store(type, body);
             readBack.put(first, result);
             if (world.random.nextInt(4) == 0) {
-              world.lostAnswers++;
+              world.lostResponses++;
               store(type, body);
             }
           });
@@ -157,8 +157,8 @@
   }
 
   /** One publish, the file's revision that it was made from, and what its operator was told. */
-  private record Asked(
-      PublishRequest request, long basis, CompletableFuture<Result<Published>> told) {}
+  private record PendingPublish(
+      PublishRequest request, long basis, CompletableFuture<Result<PublishResult>> result) {}
 
   /**
    * Story: ten operators publish at the same moment through four entries, some of them the same
@@ -166,18 +166,18 @@
    * what they were told fits one order, and all processes hold the same in the end.
    */
   @Property(seed = "31", tries = 150)
-  void whatOperatorsAreToldFitsOneOrder(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
-    World world = new World(seed);
-    List<Asked> asked = new ArrayList<>();
+  void publishResultsMatchTheOrderOfTheLog(@ForAll long seed, @ForAll @IntRange(max = 60) int gap) {
+    TestCluster world = new TestCluster(seed);
+    List<PendingPublish> asked = new ArrayList<>();
     for (int i = 0; i < OPERATORS; i++) {
       asked.add(publish(world, i));
       world.run(world.random.nextInt(gap + 1));
     }
     world.finish();
-    checkHistory(world, asked);
+    assertResultsMatchHistory(world, asked);
   }
 
-  private Asked publish(World world, int operator) {
+  private PendingPublish publish(TestCluster world, int operator) {
     String file = FILES.get(world.random.nextInt(FILES.size()));
     JsonNode content =
         file.equals("base")
@@ -187,10 +187,10 @@
     PublishRequest request =
         new PublishRequest(file, content, "operator-" + operator, "", OptionalLong.empty());
     long basis = process.fold.state().fileRevision(file);
-    return new Asked(request, basis, process.publisher.publish(request, FAR));
+    return new PendingPublish(request, basis, process.publisher.publish(request, NO_DEADLINE));
   }
 
-  private void checkHistory(World world, List<Asked> asked) {
+  private void assertResultsMatchHistory(TestCluster world, List<PendingPublish> asked) {
     ConfigurationState end = world.processes.get(0).fold.state();
     for (Process process : world.processes) {
       assertEquals(end.files().contents(), process.fold.state().files().contents());
@@ -199,20 +199,21 @@
       assertEquals(sorted, process.revisions, "revisions never go down");
     }
     long accepted = 0;
-    for (Asked one : asked) {
-      assertTrue(one.told().isDone(), "nobody is left without an answer");
-      Result<Published> told = one.told().join();
+    for (PendingPublish one : asked) {
+      assertTrue(one.result().isDone(), "nobody is left without an answer");
+      Result<PublishResult> told = one.result().join();
       if (told.isOk()) {
         accepted++;
-        checkAccepted(end, one, told.value());
+        assertAccepted(end, one, told.value());
       } else {
-        checkConflict(end, one.request(), ((Result.Failed<Published>) told).failure());
+        assertConflict(end, one.request(), ((Result.Failed<PublishResult>) told).failure());
       }
     }
     assertEquals(end.revision(), accepted, "nothing but what was told as accepted is in force");
   }
 
-  private void checkAccepted(ConfigurationState end, Asked asked, Published published) {
+  private void assertAccepted(
+      ConfigurationState end, PendingPublish asked, PublishResult published) {
     PublishRequest request = asked.request();
     PublishedVersion version = end.version(published.revision()).orElseThrow();
     assertEquals(request.file(), version.file());
@@ -225,7 +226,7 @@
     assertFalse(lostUpdate, "a change that the operator never saw was overwritten");
   }
 
-  private void checkConflict(ConfigurationState end, PublishRequest request, Failure failure) {
+  private void assertConflict(ConfigurationState end, PublishRequest request, Failure failure) {
     assertEquals(ErrorKind.CONFLICT, failure.kind());
     boolean winnerNamed =
         end.history().stream()
@@ -244,8 +245,8 @@
    * before.
    */
   @Property(seed = "32", tries = 100)
-  void restartedProcessesNeverGoBack(@ForAll long seed) {
-    World world = new World(seed);
+  void revisionsNeverDecreaseAcrossRestarts(@ForAll long seed) {
+    TestCluster world = new TestCluster(seed);
     for (int i = 0; i < OPERATORS; i++) {
       publish(world, i);
       world.run(20);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCheckTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationCheckTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.marigoldsail.error.Failure;
 import io.marigoldsail.error.Result;
-import io.marigoldsail.json.BadFiles;
+import io.marigoldsail.json.InvalidFileCases;
 import io.marigoldsail.json.Json;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -22,30 +22,30 @@
 
   private final ConfigurationCheck check = new ConfigurationCheck();
 
-  static Stream<BadFiles.Case> badBases() {
-    return new BadFiles(RESOURCES.resolve("bad-base")).cases();
+  static Stream<InvalidFileCases.Case> badBases() {
+    return new InvalidFileCases(RESOURCES.resolve("bad-base")).cases();
   }
 
-  static Stream<BadFiles.Case> badOverlays() {
-    return new BadFiles(RESOURCES.resolve("bad-overlay")).cases();
+  static Stream<InvalidFileCases.Case> badOverlays() {
+    return new InvalidFileCases(RESOURCES.resolve("bad-overlay")).cases();
   }
 
   @ParameterizedTest
   @MethodSource("badBases")
-  void badBaseNamesFileKeyAndRule(BadFiles.Case bad) throws IOException {
-    bad.check(error(bad.file(), ConfigurationFiles.BASE, ConfigurationFiles.NONE));
+  void badBaseNamesFileKeyAndRule(InvalidFileCases.Case bad) throws IOException {
+    bad.assertMatches(error(bad.file(), ConfigurationFiles.BASE, ConfigurationFiles.NONE));
   }
 
   @ParameterizedTest
   @MethodSource("badOverlays")
-  void badOverlayNamesFileKeyAndRule(BadFiles.Case bad) throws IOException {
-    bad.check(error(bad.file(), SITE, withGoodBase()));
+  void badOverlayNamesFileKeyAndRule(InvalidFileCases.Case bad) throws IOException {
+    bad.assertMatches(error(bad.file(), SITE, withValidBase()));
   }
 
   @Test
-  void baseIsHeldAgainstEveryOverlay() throws IOException {
+  void baseIsCheckedWithEveryOverlay() throws IOException {
     ConfigurationFiles files =
-        withGoodBase()
+        withValidBase()
             .with(
                 SITE,
                 ConfigurationTesting.json(
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void reservedAndBrokenNamesAreRefused() {
+  void reservedAndInvalidNamesAreRefused() {
     for (String name :
         new String[] {"diff", "history", "in-force", "state", "Vatulele", "", "a/b"}) {
       assertEquals(
@@ -70,7 +70,7 @@
     }
   }
 
-  private ConfigurationFiles withGoodBase() throws IOException {
+  private ConfigurationFiles withValidBase() throws IOException {
     byte[] base = Files.readAllBytes(RESOURCES.resolve("good-base.json"));
     JsonNode node = Json.parse("good-base.json", base).value();
     assertEquals(Optional.empty(), check.checkFile("base", "base", node));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationFoldTest.java
@@ -37,7 +37,7 @@
    * Without a check in the fold every process would take a negative limit over, or die parsing it.
    */
   @Test
-  void recordThatWasNeverCheckedChangesNothing() {
+  void uncheckedRecordIsIgnored() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(7))));
     List<JsonNode> bodies =
         List.of(
@@ -55,7 +55,7 @@
       offset++;
     }
     assertEquals(1, fold.state().revision());
-    assertEquals(bodies.size(), fold.brokenRecords());
+    assertEquals(bodies.size(), fold.invalidRecordCount());
     fold.apply(entry(offset, publish("b", 1, "base", baseWithWaiting(8))));
     assertEquals(2, fold.state().revision(), "reading goes on");
   }
@@ -66,9 +66,9 @@
    * ones for ever, and accept what those refuse.
    */
   @Test
-  void recordOfANewerVersionCountsButWhatWasInForceStays() {
+  void newerVersionRecordIncreasesTheRevisionButIsNotInForce() {
     List<Long> inForce = new ArrayList<>();
-    fold.onInForce(state -> inForce.add(state.revisionInForce()));
+    fold.addInForceListener(state -> inForce.add(state.revisionInForce()));
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(7))));
     fold.apply(entry(1, newer(publish("b", 1, "base", json("{'colours':{'sky':'green'}}")))));
     assertEquals(2, fold.state().revision());
@@ -94,7 +94,7 @@
    * that did not exist yet must not be accepted now because the revision exists.
    */
   @Test
-  void readingOldRecordsAgainChangesNothing() {
+  void rereadRecordsAreIgnored() {
     List<LogEntry> stream =
         List.of(
             entry(0, publish("early", 2, "base", baseWithWaiting(99))),
@@ -114,7 +114,7 @@
    * arrives. Taking it over would put an old configuration in force again.
    */
   @Test
-  void olderSnapshotIsNotTakenOver() {
+  void olderSnapshotIsNotRestored() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(1))));
     JsonNode old = fold.snapshot();
     fold.apply(entry(1, publish("b", 1, "base", baseWithWaiting(2))));
@@ -124,14 +124,14 @@
   }
 
   @Test
-  void brokenSnapshotChangesNothing() {
+  void invalidSnapshotIsRejected() {
     fold.apply(entry(0, publish("a", 0, "base", baseWithWaiting(1))));
     assertThrows(IllegalArgumentException.class, () -> fold.restore(json("{'revision':'9'}")));
     assertEquals(1, fold.state().revision());
   }
 
   @Test
-  void historyKeepsABoundedAmountOfContents() {
+  void historyIsBoundedInVersionsAndBytes() {
     StringBuilder teams = new StringBuilder();
     for (int i = 0; i < 1000; i++) {
       teams.append(i == 0 ? "" : ",").append("'team-").append(i).append("':{'share':2}");
@@ -155,7 +155,7 @@
   }
 
   @Property(seed = "21")
-  void anyBodyIsPassedOverWithoutAnException(@ForAll String text, @ForAll long number) {
+  void arbitraryBodyDoesNotThrow(@ForAll String text, @ForAll long number) {
     ConfigurationFold any = new ConfigurationFold(check);
     JsonNode body =
         Json.object()
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationViewTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ConfigurationViewTest.java
@@ -15,22 +15,25 @@
           .with("vatulele", ConfigurationTesting.overlayWithWaiting("vatulele", 200));
 
   @Test
-  void namesTheFileThatSetAValue() {
-    assertEquals(new ConfigurationRow(KEY, IntNode.valueOf(200), "vatulele"), row("vatulele", KEY));
-    assertEquals(new ConfigurationRow(KEY, IntNode.valueOf(500), "base"), row("kitamizora", KEY));
-    assertEquals("default", row("vatulele", "services.parking.targetDelayMillis").source());
-    assertEquals("default", row("vatulele", "guard.weights.evictions").source());
+  void sourceIsTheFileThatSetsTheValue() {
+    assertEquals(
+        new EffectiveValue(KEY, IntNode.valueOf(200), "vatulele"), effectiveValue("vatulele", KEY));
+    assertEquals(
+        new EffectiveValue(KEY, IntNode.valueOf(500), "base"), effectiveValue("kitamizora", KEY));
+    assertEquals(
+        "default", effectiveValue("vatulele", "services.parking.targetDelayMillis").source());
+    assertEquals("default", effectiveValue("vatulele", "guard.weights.evictions").source());
   }
 
   @Test
-  void nullInAnOverlayBringsTheDefaultBack() {
+  void nullInAnOverlayRestoresTheDefault() {
     ConfigurationFiles reset =
         files.with(
             "vatulele",
             ConfigurationTesting.json(
                 "{'site':'vatulele','services':{'parking':{'maxWaiting':null}}}"));
-    ConfigurationRow found =
-        ConfigurationView.rows(reset, "vatulele").stream()
+    EffectiveValue found =
+        ConfigurationView.effectiveValues(reset, "vatulele").stream()
             .filter(r -> r.key().equals(KEY))
             .findFirst()
             .orElseThrow();
@@ -39,7 +42,7 @@
   }
 
   @Test
-  void changeOfTheBaseShowsOnlyWhereItTakesEffect() {
+  void baseChangeIsListedOnlyAtSitesWhereItTakesEffect() {
     ConfigurationFiles after = files.with("base", ConfigurationTesting.baseWithWaiting(600));
     assertEquals(List.of(), ConfigurationView.changes(files, after, "vatulele"));
     assertEquals(
@@ -49,8 +52,8 @@
         ConfigurationView.changes(files, after, "base"));
   }
 
-  private ConfigurationRow row(String site, String key) {
-    return ConfigurationView.rows(files, site).stream()
+  private EffectiveValue effectiveValue(String site, String key) {
+    return ConfigurationView.effectiveValues(files, site).stream()
         .filter(r -> r.key().equals(key))
         .findFirst()
         .orElseThrow();
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ExamplesTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/ExamplesTest.java
@@ -22,7 +22,7 @@
   private final ConfigurationCheck check = new ConfigurationCheck();
 
   @Test
-  void configurationMayBePublished() throws IOException {
+  void exampleConfigurationIsValid() throws IOException {
     ConfigurationFiles files =
         ConfigurationFiles.NONE.with("base", read(EXAMPLES.resolve("base.json")));
     assertEquals(Optional.empty(), check.checkFile("base", "base", files.contents().get("base")));
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void settingsAndJobsAreCorrect() throws IOException {
+  void exampleSettingsAndJobsAreValid() throws IOException {
     for (String site : SITES) {
       try (Stream<Path> files = Files.list(EXAMPLES.resolve(site))) {
         for (Path file : files.toList()) {
--- a/marigoldsail-core/src/test/java/io/marigoldsail/configuration/MergePatchTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/configuration/MergePatchTest.java
@@ -53,28 +53,28 @@
   }
 
   @Property(seed = "12")
-  void patchingTwiceIsPatchingOnce(
+  void patchIsIdempotent(
       @ForAll("documents") JsonNode document, @ForAll("patches") JsonNode patch) {
     JsonNode once = MergePatch.apply(document, patch);
     assertEquals(once, MergePatch.apply(once, patch));
   }
 
   @Property(seed = "13")
-  void patchDecidesEveryKeyItNamesAndNoOther(
+  void patchAffectsExactlyTheKeysItNames(
       @ForAll("documents") JsonNode document, @ForAll("patches") JsonNode patch) {
     JsonNode before = document.deepCopy();
-    checkDecided(document, patch, MergePatch.apply(document, patch));
+    assertPatched(document, patch, MergePatch.apply(document, patch));
     assertEquals(before, document, "the arguments stay as they were");
   }
 
-  private static void checkDecided(JsonNode document, JsonNode patch, JsonNode merged) {
+  private static void assertPatched(JsonNode document, JsonNode patch, JsonNode merged) {
     for (String key : new String[] {"a", "b", "c"}) {
       if (!patch.has(key)) {
         assertEquals(document.path(key), merged.path(key));
       } else if (patch.get(key).isNull()) {
         assertFalse(merged.has(key));
       } else if (patch.get(key).isObject()) {
-        checkDecided(document.path(key), patch.get(key), merged.path(key));
+        assertPatched(document.path(key), patch.get(key), merged.path(key));
       } else {
         assertEquals(patch.get(key), merged.get(key));
       }
@@ -83,7 +83,7 @@
 
   /** As in a schema: what is an object under a key in one document is one in all. */
   @Provide
-  Arbitrary<JsonNode> sameShapes() {
+  Arbitrary<JsonNode> documentsOfOneShape() {
     Arbitrary<JsonNode> numbers =
         Arbitraries.integers().between(0, 9).map(number -> (JsonNode) IntNode.valueOf(number));
     Arbitrary<Map<String, JsonNode>> leaves =
@@ -102,10 +102,10 @@
   }
 
   @Property(seed = "14")
-  void patchesOfOneShapeInTurnAreOneMergedPatch(
-      @ForAll("sameShapes") JsonNode document,
-      @ForAll("sameShapes") JsonNode first,
-      @ForAll("sameShapes") JsonNode second) {
+  void successivePatchesOfOneShapeEqualOneMergedPatch(
+      @ForAll("documentsOfOneShape") JsonNode document,
+      @ForAll("documentsOfOneShape") JsonNode first,
+      @ForAll("documentsOfOneShape") JsonNode second) {
     JsonNode inTurn = MergePatch.apply(MergePatch.apply(document, first), second);
     JsonNode atOnce = MergePatch.apply(document, MergePatch.apply(first, second));
     assertEquals(inTurn, atOnce);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/dispatch/AttemptTableTest.java
@@ -41,7 +41,7 @@
 
     table.done(ID, "answer", 6, 0);
     assertFalse(table.markNotRun(ID, 0));
-    assertEquals(Optional.of("answer"), table.answer(ID));
+    assertEquals(Optional.of("answer"), table.response(ID));
   }
 
   @Test
@@ -77,10 +77,10 @@
       table.done(id, "answer", 6, 0);
     }
 
-    assertEquals(6, table.answerBytes());
-    assertEquals(Optional.empty(), table.answer(ID));
+    assertEquals(6, table.responseBytes());
+    assertEquals(Optional.empty(), table.response(ID));
     assertFalse(table.markNotRun(ID, 0));
-    assertEquals(Optional.of("answer"), table.answer(second));
+    assertEquals(Optional.of("answer"), table.response(second));
   }
 
   @Test
@@ -104,7 +104,7 @@
     table.done(ID, "answer", 6, 0);
     table.acknowledged(ID, 0);
 
-    assertEquals(0, table.answerBytes());
+    assertEquals(0, table.responseBytes());
     assertEquals(State.FORGOTTEN, table.state(ID));
     assertFalse(table.markNotRun(ID, 0));
     assertFalse(table.admit(ID));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/JobFileTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/JobFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class JobFileTest {
-  private static final String GOOD =
+  private static final String VALID =
       """
       {"name": "payout-march", "team": "payments", "class": "batch", "count": 20,
        "sizes": {"milliProcessors": 500, "memoryMebibytes": 256},
@@ -26,8 +26,8 @@
   }
 
   @Test
-  void readsAWholeJob() {
-    JobSpec job = read(GOOD).value();
+  void readsACompleteJob() {
+    JobSpec job = read(VALID).value();
 
     assertEquals("payout-march", job.name());
     assertEquals(20, job.count());
@@ -55,8 +55,8 @@
           "runMillis": 60000} | "runMillis": 1} {}  | no valid JSON
           "count": 20         | "count": 20, "count": 21 | no valid JSON
           """)
-  void namesFileAndKeyOfAFault(String from, String to, String message) {
-    Result<JobSpec> result = read(GOOD.replace(from, to));
+  void reportsFileAndKeyOfAnError(String from, String to, String message) {
+    Result<JobSpec> result = read(VALID.replace(from, to));
 
     Result.Failed<JobSpec> failed = (Result.Failed<JobSpec>) result;
     assertEquals(ErrorKind.INVALID_CONTENT, failed.failure().kind());
@@ -65,14 +65,14 @@
   }
 
   @Test
-  void refusesAFileThatIsTooLong() {
+  void refusesAnOversizedFile() {
     Result<JobSpec> result = JobFile.read("big.json", new byte[JobFile.MAX_BYTES + 1]);
 
     assertEquals(ErrorKind.BODY_TOO_LARGE, ((Result.Failed<JobSpec>) result).failure().kind());
   }
 
   @Property(tries = 500, seed = "77")
-  void anyBytesGiveAnAnswer(@ForAll byte[] bytes) {
+  void anyBytesGiveAResult(@ForAll byte[] bytes) {
     assertNotNull(JobFile.read("random.json", bytes));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/QueueOrderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/JobQueueTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class QueueOrderTest {
+class JobQueueTest {
   private static final Sizes FLEET = new Sizes(100_000, 100_000, 10);
   private static final Sizes ONE = new Sizes(1_000, 1_000, 0);
 
@@ -25,13 +25,13 @@
     jobs.add(new JobState(spec, jobs.size(), acceptedMillis, "", count, 0, 0, 0, 0));
   }
 
-  private QueueOrder order(long nowMillis) {
-    return new QueueOrder(
+  private JobQueue queueAt(long nowMillis) {
+    return new JobQueue(
         jobs, booked, team -> quotas.getOrDefault(team, TeamQuota.DEFAULT), FLEET, nowMillis);
   }
 
   /** Gives room to so many tasks in turn and returns how many each job got. */
-  private Map<String, Integer> serve(QueueOrder order, int tasks) {
+  private Map<String, Integer> allocate(JobQueue order, int tasks) {
     Map<String, Integer> served = new HashMap<>();
     for (int i = 0; i < tasks; i++) {
       Optional<JobState> next = order.next();
@@ -40,54 +40,54 @@
       }
       String name = next.get().spec().name();
       int count = served.merge(name, 1, Integer::sum);
-      order.took(next.get(), ONE, count < next.get().waiting());
+      order.recordAllocation(next.get(), ONE, count < next.get().waiting());
     }
     return served;
   }
 
   /** One team submits a thousand tasks first; another's few get half of the room, not the rest. */
   @Test
-  void teamsShareWhateverTheirQueueLengths() {
+  void teamsShareEquallyRegardlessOfQueueLength() {
     add("flood", "a", 1_000, false, 0);
     add("few", "b", 100, false, 0);
 
-    assertEquals(Map.of("flood", 10, "few", 10), serve(order(0), 20));
+    assertEquals(Map.of("flood", 10, "few", 10), allocate(queueAt(0), 20));
   }
 
   @Test
-  void weightsDivideTheRoom() {
+  void weightsDivideTheCapacity() {
     quotas.put("a", new TeamQuota(3, FLEET));
     add("heavy", "a", 1_000, false, 0);
     add("light", "b", 1_000, false, 0);
 
-    assertEquals(Map.of("heavy", 30, "light", 10), serve(order(0), 40));
+    assertEquals(Map.of("heavy", 30, "light", 10), allocate(queueAt(0), 40));
   }
 
   @Test
-  void urgentWorkGoesFirst() {
+  void urgentJobsGoFirst() {
     booked.put("a", new Sizes(50_000, 0, 0));
     add("usual", "b", 10, false, 0);
     add("urgent", "a", 10, true, 0);
 
-    assertEquals(Map.of("urgent", 10, "usual", 2), serve(order(0), 12));
+    assertEquals(Map.of("urgent", 10, "usual", 2), allocate(queueAt(0), 12));
   }
 
   /** A team calls all it has urgent, for ever; others wait for their turn, but not for ever. */
   @Test
-  void whatHasWaitedLongHasItsTurnEvenBeforeUrgentWork() {
+  void agedJobsGoBeforeUrgentOnes() {
     add("old", "b", 1, false, 0);
-    add("urgent", "a", 1_000, true, 3 * QueueOrder.AGING_MILLIS);
+    add("urgent", "a", 1_000, true, 3 * JobQueue.AGING_MILLIS);
 
-    assertEquals("old", order(3 * QueueOrder.AGING_MILLIS).next().orElseThrow().spec().name());
+    assertEquals("old", queueAt(3 * JobQueue.AGING_MILLIS).next().orElseThrow().spec().name());
   }
 
   @Test
-  void quotasBoundATeam() {
+  void aTeamIsLimitedByItsQuota() {
     quotas.put("a", new TeamQuota(1, new Sizes(1_500, 10_000, 0)));
     add("job", "a", 5, false, 0);
-    QueueOrder order = order(0);
+    JobQueue order = queueAt(0);
     assertEquals(true, order.withinQuota("a", ONE));
-    order.took(order.next().orElseThrow(), ONE, true);
+    order.recordAllocation(order.next().orElseThrow(), ONE, true);
 
     assertFalse(order.withinQuota("a", ONE));
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/StaleEntriesModel.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/StaleEntriesModel.java
@@ -20,19 +20,19 @@
 final class StaleEntriesModel {
   private static final int ENTRIES = 3;
   private static final int VMS = 3;
-  private static final Sizes ROOM = new Sizes(4_000, 4_000, 1);
+  private static final Sizes CAPACITY = new Sizes(4_000, 4_000, 1);
 
   private record Running(String vm, long registration, long token, int progress) {}
 
   private final Random random;
   private final List<TaskRecord> log = new ArrayList<>();
-  private final TaskTable truth = new TaskTable();
+  private final TaskTable referenceTable = new TaskTable();
   private final TaskTable[] views = new TaskTable[ENTRIES];
   private final int[] applied = new int[ENTRIES];
   private final Map<String, Running> running = new HashMap<>();
   private final Set<Long> startedTokens = new HashSet<>();
   private final Map<String, Integer> lastCheckpoint = new HashMap<>();
-  private final List<TaskRecord> unsent = new ArrayList<>();
+  private final List<TaskRecord> undelivered = new ArrayList<>();
   private int boots;
   private int jobs;
 
@@ -42,30 +42,30 @@
       views[entry] = new TaskTable();
     }
     for (int vm = 0; vm < VMS; vm++) {
-      join("vm-" + vm, ROOM);
+      join("vm-" + vm, CAPACITY);
     }
     accept();
   }
 
   /** Takes the step that the number stands for. */
-  void act(int choice) {
+  void step(int choice) {
     switch (choice % 13) {
       case 0, 1, 2 -> claim(random.nextInt(ENTRIES));
       case 3, 4 -> follow(random.nextInt(ENTRIES), 1 + random.nextInt(6));
       case 5, 6 -> start(random.nextInt(ENTRIES));
       case 7 -> evict();
       case 8 -> end();
-      case 9 -> sendLate();
-      case 10 -> repeatARecord();
+      case 9 -> deliverReport();
+      case 10 -> duplicateRecord();
       case 11 -> preempt(random.nextInt(ENTRIES));
-      default -> rarely();
+      default -> rareEvent();
     }
-    check();
+    checkInvariants();
   }
 
   /** Lets everything settle with no further faults; every task must end. */
-  void settle() {
-    for (int round = 0; round < 400 && !truth.jobs().isEmpty(); round++) {
+  void runToCompletion() {
+    for (int round = 0; round < 400 && !referenceTable.jobs().isEmpty(); round++) {
       for (int entry = 0; entry < ENTRIES; entry++) {
         follow(entry, log.size());
       }
@@ -74,12 +74,12 @@
       start(round % ENTRIES);
       end();
       clearRevoked();
-      while (!unsent.isEmpty()) {
-        sendLate();
+      while (!undelivered.isEmpty()) {
+        deliverReport();
       }
-      check();
+      checkInvariants();
     }
-    assertEquals(List.of(), truth.jobs());
+    assertEquals(List.of(), referenceTable.jobs());
     assertTrue(running.isEmpty(), () -> "still running: " + running);
   }
 
@@ -91,12 +91,12 @@
       for (int at = applied[entry]; at < log.size(); at++) {
         restored.apply(at, log.get(at));
       }
-      assertEquals(truth.snapshot().toJson(), restored.snapshot().toJson());
+      assertEquals(referenceTable.snapshot().toJson(), restored.snapshot().toJson());
     }
   }
 
   private void append(TaskRecord record) {
-    truth.apply(log.size(), record);
+    referenceTable.apply(log.size(), record);
     log.add(record);
   }
 
@@ -188,7 +188,7 @@
     for (VmState vm : views[entry].vms()) {
       for (TaskState task : views[entry].tasksOn(vm.registration())) {
         boolean registered =
-            truth.vms().stream()
+            referenceTable.vms().stream()
                 .anyMatch(v -> v.registration() == vm.registration() && !v.revoked());
         if (registered && startedTokens.add(task.token())) {
           startOnWorker(task);
@@ -207,7 +207,7 @@
   }
 
   private void evict() {
-    any()
+    firstRunning()
         .ifPresent(
             name -> {
               Running attempt = running.remove(name);
@@ -223,7 +223,7 @@
   }
 
   private void end() {
-    any()
+    firstRunning()
         .ifPresent(
             name -> {
               Running attempt = running.remove(name);
@@ -235,29 +235,29 @@
             });
   }
 
-  private Optional<String> any() {
+  private Optional<String> firstRunning() {
     return running.keySet().stream().sorted().findFirst();
   }
 
   /** Reports reach the log late, and some of them twice, through two entries. */
   private void report(TaskRecord record) {
-    unsent.add(record);
+    undelivered.add(record);
     if (random.nextInt(3) == 0) {
-      unsent.add(record);
+      undelivered.add(record);
     }
   }
 
-  private void sendLate() {
-    if (!unsent.isEmpty()) {
-      append(unsent.remove(random.nextInt(unsent.size())));
+  private void deliverReport() {
+    if (!undelivered.isEmpty()) {
+      append(undelivered.remove(random.nextInt(undelivered.size())));
     }
   }
 
-  private void repeatARecord() {
+  private void duplicateRecord() {
     append(log.get(random.nextInt(log.size())));
   }
 
-  private void rarely() {
+  private void rareEvent() {
     int choice = random.nextInt(4);
     if (choice == 0 && jobs < 6) {
       accept();
@@ -272,31 +272,31 @@
 
   /** A VM dies silently, or is replaced by one that is half as large. */
   private void replaceVm(boolean smaller) {
-    List<VmState> present = truth.vms().stream().filter(vm -> !vm.revoked()).toList();
+    List<VmState> present = referenceTable.vms().stream().filter(vm -> !vm.revoked()).toList();
     if (present.isEmpty()) {
       return;
     }
     VmState vm = present.get(random.nextInt(present.size()));
     append(new TaskRecord.VmRevoked(vm.vm(), vm.registration(), "silent"));
-    join(vm.vm(), smaller ? new Sizes(3_100, 2_000, 0) : ROOM);
+    join(vm.vm(), smaller ? new Sizes(3_100, 2_000, 0) : CAPACITY);
     clearRevoked();
   }
 
   private void clearRevoked() {
-    for (VmState vm : truth.vms()) {
+    for (VmState vm : referenceTable.vms()) {
       if (vm.revoked()) {
         // Its leases run out before anybody may write that they are over.
         running.values().removeIf(attempt -> attempt.registration() == vm.registration());
         append(new TaskRecord.VmCleared(vm.vm(), vm.registration(), 1_000));
       }
     }
-    forgetLostWork();
+    resetLostProgress();
   }
 
   /** What ran on a lost VM resumes from the checkpoint that the log knows. */
-  private void forgetLostWork() {
-    for (JobState job : truth.jobs()) {
-      for (TaskState task : truth.tasksOf(job.spec().name())) {
+  private void resetLostProgress() {
+    for (JobState job : referenceTable.jobs()) {
+      for (TaskState task : referenceTable.tasksOf(job.spec().name())) {
         if (task.phase() == TaskState.Phase.WAITING) {
           int known = task.checkpoint().isEmpty() ? 0 : Integer.parseInt(task.checkpoint());
           lastCheckpoint.put(task.name(), known);
@@ -305,44 +305,44 @@
     }
   }
 
-  private void check() {
+  private void checkInvariants() {
     Map<Long, Sizes> booked = new HashMap<>();
-    for (JobState job : truth.jobs()) {
-      for (TaskState task : truth.tasksOf(job.spec().name())) {
+    for (JobState job : referenceTable.jobs()) {
+      for (TaskState task : referenceTable.tasksOf(job.spec().name())) {
         if (task.phase() == TaskState.Phase.CLAIMED) {
           booked.merge(task.registration(), task.booked(), Sizes::plus);
         }
       }
     }
-    for (VmState vm : truth.vms()) {
+    for (VmState vm : referenceTable.vms()) {
       Sizes held = booked.getOrDefault(vm.registration(), Sizes.NONE);
       assertEquals(held, vm.booked(), vm::toString);
       assertTrue(held.fitsIn(vm.description().capacity()), vm::toString);
     }
-    truth.preemptions().forEach(this::checkKept);
+    referenceTable.preemptions().forEach(this::checkReservation);
     Map<Long, Sizes> run = new HashMap<>();
     running.forEach(
         (name, attempt) ->
             run.merge(attempt.registration(), new Sizes(1_500, 1_000, 0), Sizes::plus));
-    for (VmState vm : truth.vms()) {
+    for (VmState vm : referenceTable.vms()) {
       Sizes used = run.getOrDefault(vm.registration(), Sizes.NONE);
       assertTrue(used.fitsIn(vm.description().capacity()), () -> vm + " runs " + used);
     }
   }
 
   /** What is free and what victims still hold is always enough for the urgent task. */
-  private void checkKept(Preemption preemption) {
-    TaskState urgent = truth.task(preemption.task()).orElseThrow();
+  private void checkReservation(Preemption preemption) {
+    TaskState urgent = referenceTable.task(preemption.task()).orElseThrow();
     assertEquals(TaskState.Phase.WAITING, urgent.phase(), preemption::toString);
     Sizes room =
-        truth.vms().stream()
+        referenceTable.vms().stream()
             .filter(vm -> vm.registration() == preemption.registration() && !vm.revoked())
             .findFirst()
             .orElseThrow()
             .free();
     for (Preemption.Victim victim : preemption.victims()) {
-      TaskState going = truth.task(victim.task()).orElse(urgent);
-      room = going.holds(victim.token()) ? room.plus(going.booked()) : room;
+      TaskState going = referenceTable.task(victim.task()).orElse(urgent);
+      room = going.isClaimedWith(victim.token()) ? room.plus(going.booked()) : room;
     }
     assertTrue(preemption.sizes().fitsIn(room), preemption::toString);
   }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskFoldTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskFoldTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void everyKindOfRecordComesBackAsItWas() {
+  void everyKindOfRecordRoundTrips() {
     for (TaskRecord record : ONE_OF_EACH) {
       JsonNode body = TaskRecordCodec.body(record);
       assertEquals(record, TaskRecordCodec.read(TaskRecordCodec.type(record), body).value());
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void aSnapshotCarriesAllThatWasFolded() {
+  void aSnapshotRoundTripsAfterEveryRecord() {
     for (int offset = 0; offset < ONE_OF_EACH.size(); offset++) {
       fold.apply(entry(offset, ONE_OF_EACH.get(offset)));
       TaskFold copy = new TaskFold(new TaskTable());
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void brokenAndForeignEntriesFoldToNothing() {
+  void invalidAndUnknownEntriesAreIgnored() {
     JsonNode before = fold.snapshot();
     ObjectNode empty = JsonNodeFactory.instance.objectNode();
     fold.apply(new LogEntry(new Position(0, 0), "x/1/1", "claimed", empty));
@@ -94,7 +94,7 @@
    * leave the entry without tasks until the old records are read, which may have expired.
    */
   @Test
-  void aSnapshotFromBeforePreemptionsIsTakenIn() {
+  void aSnapshotWithoutPreemptionsIsAccepted() {
     fold.apply(entry(0, ONE_OF_EACH.get(0)));
     ObjectNode older = (ObjectNode) fold.snapshot();
     older.remove("preemptions");
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void aSnapshotOfNothingIsRefused() {
+  void anEmptySnapshotIsRejected() {
     ObjectNode empty = JsonNodeFactory.instance.objectNode();
 
     assertThrows(IllegalArgumentException.class, () -> fold.restore(empty));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/job/TaskTableTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 class TaskTableTest {
-  private static final Sizes ROOM = new Sizes(2_000, 1_000, 0);
+  private static final Sizes CAPACITY = new Sizes(2_000, 1_000, 0);
   private static final Sizes HALF = new Sizes(1_000, 500, 0);
 
   private long position = -1;
@@ -27,7 +27,7 @@
   }
 
   private long join(String vm, long boot) {
-    return apply(new TaskRecord.VmJoined(new VmDescription(vm, boot, ROOM, "zone", "rack")));
+    return apply(new TaskRecord.VmJoined(new VmDescription(vm, boot, CAPACITY, "zone", "rack")));
   }
 
   private void accept(int count, boolean idempotent) {
@@ -103,18 +103,18 @@
    * has ended and every reader has the same state.
    */
   @Property(tries = 400, seed = "4211")
-  void holdsUnderAnyInterleaving(
+  void invariantsHoldUnderAnyInterleaving(
       @ForAll long seed,
       @ForAll @Size(max = 300) List<@IntRange(max = 1_000_000) Integer> choices) {
     StaleEntriesModel model = new StaleEntriesModel(seed);
-    choices.forEach(model::act);
+    choices.forEach(model::step);
     model.checkDeterminism();
-    model.settle();
+    model.runToCompletion();
   }
 
   /** Two entries claim the last room on one VM at once; the second claim in the log loses. */
   @Test
-  void theFirstClaimInTheLogWins() {
+  void theFirstClaimInTheLogIsAccepted() {
     long vm = join("vm-1", 1);
     accept(3, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -122,9 +122,9 @@
     claim(2, 1, "vm-1", vm);
     claim(0, 1, "vm-1", vm);
 
-    assertTrue(task(0).holds(first));
+    assertTrue(task(0).isClaimedWith(first));
     assertEquals(TaskState.Phase.WAITING, task(2).phase());
-    assertEquals(ROOM, table.vm("vm-1").orElseThrow().booked());
+    assertEquals(CAPACITY, table.vm("vm-1").orElseThrow().booked());
   }
 
   /**
@@ -157,7 +157,7 @@
    * view, comes first. It would take the room that work was lost for; it loses.
    */
   @Test
-  void freedRoomIsKeptForTheUrgentTask() {
+  void freedCapacityIsReservedForTheUrgentTask() {
     long vm = join("vm-1", 1);
     accept(3, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -191,7 +191,7 @@
 
     long again = join("vm-1", 2);
     long second = claim(0, 1, "vm-1", again);
-    assertFalse(task(0).holds(second));
+    assertFalse(task(0).isClaimedWith(second));
     preempt("now/0", again, 0, first, 0);
     assertEquals(List.of(), positions());
     apply(new TaskRecord.Preempted("now/0", 1, "vm-1", again, HALF, List.of(), 0, "entry-1"));
@@ -230,7 +230,7 @@
     long second = claim(0, 2, "vm-1", vm);
     apply(release);
 
-    assertTrue(task(0).holds(second));
+    assertTrue(task(0).isClaimedWith(second));
     assertEquals("c1", task(0).checkpoint());
     assertEquals(1, task(0).evictions());
   }
@@ -253,10 +253,10 @@
 
   /**
    * A record of an old boot's joining comes late, or twice. Found by {@link
-   * #holdsUnderAnyInterleaving}: it displaced the new boot, whose tasks lost their leases.
+   * #invariantsHoldUnderAnyInterleaving}: it displaced the new boot, whose tasks lost their leases.
    */
   @Test
-  void anOldBootDoesNotDisplaceANewOne() {
+  void anEarlierBootDoesNotDisplaceALaterOne() {
     join("vm-1", 1);
     long vm = join("vm-1", 2);
     join("vm-1", 1);
@@ -266,7 +266,7 @@
 
   /** An entry that has not read a revocation yet claims on that VM; the log knows better. */
   @Test
-  void aClaimOnARevokedVmLoses() {
+  void aClaimOnARevokedVmIsRejected() {
     long vm = join("vm-1", 1);
     accept(2, true);
     claim(0, 1, "vm-1", vm);
@@ -278,7 +278,7 @@
 
   /** A claim for an attempt that is over, read late or twice, must not start the next one. */
   @Test
-  void aClaimForAnEarlierAttemptLoses() {
+  void aClaimForAnEarlierAttemptIsRejected() {
     long vm = join("vm-1", 1);
     accept(1, true);
     long first = claim(0, 1, "vm-1", vm);
@@ -290,7 +290,7 @@
 
   /** Leases that may still last are not cleared by the wait for shorter ones. */
   @Test
-  void clearingShortLeasesLeavesLongOnes() {
+  void clearingShortLeasesKeepsLongerOnes() {
     long vm = join("vm-1", 1);
     accept(1, true);
     claim(0, 1, "vm-1", vm);
@@ -302,7 +302,7 @@
 
   /** A task that must not run twice ends, with the reason, when its VM is lost while it may run. */
   @Test
-  void aTaskThatIsNotIdempotentIsNotRunAgain() {
+  void aNonIdempotentTaskIsNotRunAgain() {
     long vm = join("vm-1", 1);
     accept(1, false);
     claim(0, 1, "vm-1", vm);
@@ -322,7 +322,7 @@
   }
 
   @Test
-  void namesThatOnlyLookLikeTasksAreUnknown() {
+  void malformedTaskNamesAreUnknown() {
     accept(2, true);
 
     for (String name : List.of("payout/2", "payout/00", "payout/", "payout", "payout/-1", "x/0")) {
@@ -337,7 +337,7 @@
    * boots out of the bounded list early, and an old boot could displace a new one there.
    */
   @Test
-  void aRestoredTableDisplacesTheSameBoots() {
+  void aRestoredTableHasTheSameDisplacedBoots() {
     long first = join("vm-1", 1);
     accept(1, true);
     claim(0, 1, "vm-1", first);
@@ -347,18 +347,18 @@
     restored.restore(table.snapshot());
     long third = join("vm-1", 3);
     restored.apply(
-        third, new TaskRecord.VmJoined(new VmDescription("vm-1", 3, ROOM, "zone", "rack")));
+        third, new TaskRecord.VmJoined(new VmDescription("vm-1", 3, CAPACITY, "zone", "rack")));
 
     assertEquals(table.snapshot(), restored.snapshot());
     assertEquals(List.of(1L), table.snapshot().displaced().get("vm-1"));
   }
 
   @Test
-  void aSnapshotThatContradictsItselfChangesNothing() {
+  void anInconsistentSnapshotChangesNothing() {
     accept(1, true);
     TaskState claimed =
         TaskState.accepted("other/0")
-            .claimed(new TaskRecord.Claimed("other/0", 1, "vm-9", 7, HALF, 1_000, "entry-1"), 8);
+            .asClaimed(new TaskRecord.Claimed("other/0", 1, "vm-9", 7, HALF, 1_000, "entry-1"), 8);
     JobSpec other =
         new JobSpec(
             "other", "team", TaskClass.BATCH, 1, HALF, "run", 1, false, 0, true, 0, Spread.NONE);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/json/BadFiles.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/json/InvalidFileCases.java
@@ -14,7 +14,7 @@
  * A folder of bad files and, in {@code expected.txt}, what the error of each must name: one line
  * {@code file | key | rule}.
  */
-public record BadFiles(Path folder) {
+public record InvalidFileCases(Path folder) {
   /** What is expected of one file. */
   public record Case(Path file, String key, String rule) {
     @Override
@@ -23,7 +23,7 @@
     }
 
     /** Holds an error against the expectation: one line that names file, key and rule. */
-    public void check(String error) {
+    public void assertMatches(String error) {
       assertEquals(1, error.lines().count(), error);
       assertTrue(error.contains(file.getFileName().toString()), error);
       assertTrue(error.contains(key), () -> "no key " + key + " in: " + error);
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/BackoffTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/BackoffTest.java
@@ -12,21 +12,21 @@
 
 final class BackoffTest {
   @Property(seed = "3201")
-  void staysWithinItsSpans(
+  void delayStaysWithinItsRange(
       @ForAll @LongRange(min = 2, max = 1_000_000_000L) long first,
       @ForAll @LongRange(min = 0, max = 1_000_000_000_000L) long more,
       @ForAll @IntRange(min = 1, max = 80) int failures) {
     Backoff backoff = new Backoff(first, first + more, new Random(1));
     long wait = 0;
     for (int i = 0; i < failures; i++) {
-      wait = backoff.failed();
+      wait = backoff.recordFailure();
     }
 
     assertTrue(wait >= first / 2 && wait <= first + more, "wait " + wait);
   }
 
   @Test
-  void spreadsTheTriesOfManyAfterAnOutage() {
+  void retriesOfManyReadersAreSpread() {
     // The log comes back while 1,000 readers wait for it. Were all waits alike, all would ask in
     // the same millisecond and the log would go down again.
     long limit = 1_000_000_000L;
@@ -36,7 +36,7 @@
       Backoff backoff = new Backoff(50_000_000L, limit, new Random(reader));
       long wait = 0;
       for (int i = 0; i < 10; i++) {
-        wait = backoff.failed();
+        wait = backoff.recordFailure();
       }
       inTenth[(int) Math.min(tenths - 1, (wait - limit / 2) * tenths / (limit / 2))]++;
     }
@@ -47,14 +47,14 @@
   }
 
   @Test
-  void beginsAnewAfterASuccess() {
+  void successResetsTheDelay() {
     Backoff backoff = new Backoff(100, 10_000, new Random(1));
     for (int i = 0; i < 5; i++) {
-      backoff.failed();
+      backoff.recordFailure();
     }
-    backoff.succeeded();
+    backoff.recordSuccess();
 
-    assertEquals(false, backoff.failing());
-    assertTrue(backoff.failed() <= 100);
+    assertEquals(false, backoff.isFailing());
+    assertTrue(backoff.recordFailure() <= 100);
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/log/RecordCodecTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/log/RecordCodecTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import io.marigoldsail.log.RecordCodec.Decoded;
-import io.marigoldsail.log.RecordCodec.Skip;
+import io.marigoldsail.log.RecordCodec.SkipReason;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -16,7 +16,7 @@
 
 final class RecordCodecTest {
   @Test
-  void readsWhatItWrote() {
+  void recordRoundTrips() {
     Decoded decoded = RecordCodec.decode(record("entry-1/a/1", "entry-1/a/2"));
 
     assertEquals(2, decoded.entries().size());
@@ -26,14 +26,14 @@
   }
 
   @Test
-  void passesOverRecordsOfNewerVersions() {
+  void recordsOfNewerVersionsAreSkipped() {
     // One entry is upgraded first and writes records that the others cannot read yet. They have to
     // read on, or the upgrade of one process stops all others.
-    assertEquals(List.of(Skip.NEWER_VERSION), skips("{\"v\":2,\"sealed\":\"x\"}"));
+    assertEquals(List.of(SkipReason.NEWER_VERSION), skips("{\"v\":2,\"sealed\":\"x\"}"));
   }
 
   @Test
-  void letsUnknownFieldsPass() {
+  void unknownFieldsAreIgnored() {
     String text =
         "{\"v\":1,\"from\":9,\"entries\":[{\"id\":\"a/1/1\",\"type\":\"t\",\"body\":1,\"x\":2}]}";
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void passesOverOneBadEntryAmongGoodOnes() {
+  void malformedEntriesAreSkippedAmongValidOnes() {
     String text =
         "{\"v\":1,\"entries\":[{\"id\":\"a/1/1\",\"type\":\"t\",\"body\":{}},{\"id\":7},null,"
             + "{\"id\":\"a/1/x\",\"type\":\"t\",\"body\":{}},{\"id\":\"a/1/2\",\"type\":\"t\",\"body\":{}}]}";
@@ -50,27 +50,28 @@
 
     assertEquals(2, decoded.entries().size());
     assertEquals(4, decoded.entries().get(1).index());
-    assertEquals(List.of(Skip.MALFORMED, Skip.MALFORMED, Skip.MALFORMED), decoded.skips());
+    assertEquals(
+        List.of(SkipReason.MALFORMED, SkipReason.MALFORMED, SkipReason.MALFORMED), decoded.skips());
   }
 
   @Test
-  void namesWhatIsWrong() {
-    assertEquals(List.of(Skip.NOT_JSON), skips(""));
-    assertEquals(List.of(Skip.NOT_JSON), skips("[1]"));
-    assertEquals(List.of(Skip.NOT_JSON), skips("{\"v\":1,\"entries\":[]} trailing"));
-    assertEquals(List.of(Skip.NOT_JSON), skips("[".repeat(100_000)));
-    assertEquals(List.of(Skip.MALFORMED), skips("{\"entries\":[]}"));
-    assertEquals(List.of(Skip.MALFORMED), skips("{\"v\":\"one\",\"entries\":[]}"));
-    assertEquals(List.of(Skip.MALFORMED), skips("{\"v\":1,\"entries\":{}}"));
+  void skipReasonNamesTheFault() {
+    assertEquals(List.of(SkipReason.NOT_JSON), skips(""));
+    assertEquals(List.of(SkipReason.NOT_JSON), skips("[1]"));
+    assertEquals(List.of(SkipReason.NOT_JSON), skips("{\"v\":1,\"entries\":[]} trailing"));
+    assertEquals(List.of(SkipReason.NOT_JSON), skips("[".repeat(100_000)));
+    assertEquals(List.of(SkipReason.MALFORMED), skips("{\"entries\":[]}"));
+    assertEquals(List.of(SkipReason.MALFORMED), skips("{\"v\":\"one\",\"entries\":[]}"));
+    assertEquals(List.of(SkipReason.MALFORMED), skips("{\"v\":1,\"entries\":{}}"));
   }
 
   @Property(seed = "3101")
-  void neverThrowsOnRandomBytes(@ForAll byte[] bytes) {
+  void randomBytesDecodeToNoEntries(@ForAll byte[] bytes) {
     assertTrue(RecordCodec.decode(bytes).entries().isEmpty());
   }
 
   @Property(seed = "3102")
-  void neverReadsHalfARecord(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
+  void truncatedRecordDecodesToNoEntries(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
     byte[] whole = record("entry-1/a/1", "entry-1/a/2", "entry-1/a/3");
     byte[] half = Arrays.copyOf(whole, cut % whole.length);
 
@@ -78,7 +79,7 @@
   }
 
   @Property(seed = "3103")
-  void survivesAnyChangedByte(
+  void recordWithAnyChangedByteIsDecodedOrSkipped(
       @ForAll @IntRange(min = 0, max = 10_000) int place, @ForAll byte changed) {
     byte[] record = record("entry-1/a/1", "entry-1/a/2");
     record[place % record.length] = changed;
@@ -89,13 +90,13 @@
   }
 
   private static byte[] record(String... ids) {
-    return RecordCodec.record(
+    return RecordCodec.encodeRecord(
         Arrays.stream(ids)
-            .map(id -> RecordCodec.entry(id, "t", JsonNodeFactory.instance.textNode(id)))
+            .map(id -> RecordCodec.encodeEntry(id, "t", JsonNodeFactory.instance.textNode(id)))
             .toList());
   }
 
-  private static List<Skip> skips(String text) {
+  private static List<SkipReason> skips(String text) {
     return RecordCodec.decode(bytes(text)).skips();
   }
 
--- a/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/membership/MemberTableTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 class MemberTableTest {
-  private static final long SILENCE = 3_000_000_000L;
+  private static final long TIMEOUT_NANOS = 3_000_000_000L;
 
-  private final MemberTable table = new MemberTable(SILENCE);
+  private final MemberTable table = new MemberTable(TIMEOUT_NANOS);
 
   private static Announcement announcement(long incarnation, boolean leaving) {
     return new Announcement(
@@ -29,21 +29,21 @@
   }
 
   @Test
-  void announcementCountsUntilItsDeadline() {
-    assertEquals(Change.JOINED, table.announced(announcement(1, false), 0));
-    assertEquals(List.of(), table.expire(SILENCE - 1));
+  void announcementIsValidUntilItsDeadline() {
+    assertEquals(Change.JOINED, table.update(announcement(1, false), 0));
+    assertEquals(List.of(), table.expire(TIMEOUT_NANOS - 1));
     assertEquals(1, table.targets().size());
 
-    assertEquals(List.of(announcement(1, false)), table.expire(SILENCE));
+    assertEquals(List.of(announcement(1, false)), table.expire(TIMEOUT_NANOS));
     assertEquals(List.of(), table.targets());
   }
 
   @Test
-  void leavingIsToldOnceAndSeenInTheTargets() {
-    table.announced(announcement(1, false), 0);
+  void drainingIsReportedOnceAndVisibleInTargets() {
+    table.update(announcement(1, false), 0);
 
-    assertEquals(Change.LEAVING, table.announced(announcement(1, true), 1));
-    assertEquals(Change.UPDATED, table.announced(announcement(1, true), 2));
+    assertEquals(Change.DRAINING, table.update(announcement(1, true), 1));
+    assertEquals(Change.UPDATED, table.update(announcement(1, true), 2));
     assertTrue(table.targets().get(0).draining());
   }
 
@@ -53,35 +53,35 @@
    * many run as the target has slots, and every turn of the two starts the target slowly anew.
    */
   @Test
-  void wokenPredecessorDoesNotReplaceItsSuccessor() {
-    table.announced(announcement(1, false), 0);
-    assertEquals(Change.JOINED, table.announced(announcement(2, false), 1));
+  void resumedPredecessorDoesNotReplaceItsSuccessor() {
+    table.update(announcement(1, false), 0);
+    assertEquals(Change.JOINED, table.update(announcement(2, false), 1));
 
-    assertEquals(Change.STALE, table.announced(announcement(1, false), 2));
+    assertEquals(Change.STALE, table.update(announcement(1, false), 2));
 
     assertEquals(2, table.targets().get(0).incarnation());
-    assertEquals(List.of(), table.expire(SILENCE));
-    assertEquals(1, table.expire(SILENCE + 1).size());
+    assertEquals(List.of(), table.expire(TIMEOUT_NANOS));
+    assertEquals(1, table.expire(TIMEOUT_NANOS + 1).size());
   }
 
   /** The same, with the successor already silent and dropped when the predecessor wakes. */
   @Test
-  void wokenPredecessorDoesNotReplaceALostSuccessor() {
-    table.announced(announcement(2, false), 0);
-    table.expire(SILENCE);
+  void resumedPredecessorDoesNotReplaceAnExpiredSuccessor() {
+    table.update(announcement(2, false), 0);
+    table.expire(TIMEOUT_NANOS);
 
-    assertEquals(Change.STALE, table.announced(announcement(1, false), SILENCE + 1));
+    assertEquals(Change.STALE, table.update(announcement(1, false), TIMEOUT_NANOS + 1));
     assertEquals(List.of(), table.targets());
   }
 
   @Test
-  void incarnationOfALostVmIsForgottenAfterAMinute() {
-    table.announced(announcement(2, false), 0);
-    table.expire(SILENCE);
-    long later = SILENCE + 60_000_000_000L;
+  void incarnationOfAnExpiredVmIsDroppedAfterAMinute() {
+    table.update(announcement(2, false), 0);
+    table.expire(TIMEOUT_NANOS);
+    long later = TIMEOUT_NANOS + 60_000_000_000L;
     table.expire(later);
 
-    assertEquals(Change.JOINED, table.announced(announcement(1, false), later));
+    assertEquals(Change.JOINED, table.update(announcement(1, false), later));
   }
 
   /**
@@ -90,13 +90,13 @@
    * targets and refuses every caller.
    */
   @Test
-  void frozenEntryGivesEveryoneTheSilenceAnew() {
-    table.announced(announcement(1, false), 0);
+  void pausedEntryRestartsTheTimeoutOfEveryVm() {
+    table.update(announcement(1, false), 0);
     long woken = 10_000_000_000L;
 
-    table.extendAll(woken);
+    table.restartTimeouts(woken);
 
     assertEquals(List.of(), table.expire(woken));
-    assertEquals(1, table.expire(woken + SILENCE).size());
+    assertEquals(1, table.expire(woken + TIMEOUT_NANOS).size());
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/settings/SettingsReaderTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/settings/SettingsReaderTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.marigoldsail.error.Result;
-import io.marigoldsail.json.BadFiles;
+import io.marigoldsail.json.InvalidFileCases;
 import java.net.URI;
 import java.nio.file.Path;
 import java.util.Optional;
@@ -19,19 +19,19 @@
 final class SettingsReaderTest {
   private static final Path RESOURCES = Path.of("src", "test", "resources");
 
-  static Stream<BadFiles.Case> badFiles() {
-    return new BadFiles(RESOURCES.resolve("bad-settings")).cases();
+  static Stream<InvalidFileCases.Case> badFiles() {
+    return new InvalidFileCases(RESOURCES.resolve("bad-settings")).cases();
   }
 
   @ParameterizedTest
   @MethodSource("badFiles")
-  void badFileNamesFileKeyAndRule(BadFiles.Case bad) {
+  void badFileNamesFileKeyAndRule(InvalidFileCases.Case bad) {
     Result<ProcessSettings> result = SettingsReader.read(bad.file());
-    bad.check(((Result.Failed<ProcessSettings>) result).failure().detail());
+    bad.assertMatches(((Result.Failed<ProcessSettings>) result).failure().detail());
   }
 
   @Test
-  void missingFileIsNamed() {
+  void missingFileIsNamedInTheError() {
     Result<ProcessSettings> result = SettingsReader.read(Path.of("no-such-file.json"));
     String detail = ((Result.Failed<ProcessSettings>) result).failure().detail();
     assertTrue(detail.startsWith("no-such-file.json: cannot be read"), detail);
@@ -65,7 +65,7 @@
   }
 
   @Property(seed = "1")
-  void addressesSurviveWritingAndReading(@ForAll @IntRange(max = 65535) int port) {
+  void addressesRoundTrip(@ForAll @IntRange(max = 65535) int port) {
     for (String host : new String[] {"127.0.0.1", "vm-1", "::1"}) {
       HostPort address = new HostPort(host, port);
       assertEquals(Optional.of(address), HostPort.parse(address.toString()));
@@ -73,7 +73,7 @@
   }
 
   @Property(seed = "2")
-  void anyTextIsReadOrRefusedWithoutAnException(@ForAll String text) {
+  void arbitraryTextDoesNotThrow(@ForAll String text) {
     HostPort.parse(text).ifPresent(address -> assertTrue(address.port() <= 65535));
   }
 }
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/EventBufferTest.java
@@ -15,7 +15,7 @@
   private final HybridClock clock = new HybridClock(() -> 1);
 
   @Test
-  void oldestGiveWayAndAreCounted() {
+  void oldestEventsAreOverwrittenAndCountedAsLost() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 4);
     for (int i = 0; i < 10; i++) {
       buffer.record(Event.of(EventKind.TASK_STARTED).withTask("t/" + i));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void pagesFollowOnEachOther() {
+  void pagesAreConsecutive() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 8);
     for (int i = 0; i < 5; i++) {
       buffer.record(Event.of(EventKind.TASK_STARTED).withTask("t/" + i));
@@ -44,7 +44,7 @@
    * below the one that the operator's tool asks after. The tool would wait for ever.
    */
   @Test
-  void numberOfAnEarlierIncarnationBeginsAnew() {
+  void sequenceOfAnEarlierIncarnationStartsFromTheOldest() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 8);
     buffer.record(Event.of(EventKind.PROCESS_STARTED));
     EventPage page = buffer.page(1_000, 10, EventFilter.ALL);
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void filterPassesOverOthersWithoutStopping() {
+  void filteredEventsDoNotCountTowardsTheLimit() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 64);
     for (int i = 0; i < 30; i++) {
       buffer.record(
@@ -70,7 +70,7 @@
    * a number whose event is not stored yet would lose it for good.
    */
   @Test
-  void followerMissesNothingThatIsStillKept() throws InterruptedException {
+  void concurrentFollowerReadsEveryBufferedEvent() throws InterruptedException {
     int writers = 4;
     int each = 20_000;
     EventBuffer buffer = new EventBuffer("vm-1", clock, 1 << 17);
@@ -109,7 +109,7 @@
    * Story: as above, but held still at the very moment: the number is taken, the event not stored.
    */
   @Test
-  void readerStopsAtAnEventThatIsNotStoredYet() {
+  void readerStopsAtAnEventNotStoredYet() {
     List<EventPage> meanwhile = new ArrayList<>();
     List<EventBuffer> made = new ArrayList<>();
     // Recording reads the wall clock between taking the number and storing the event.
@@ -133,7 +133,7 @@
   }
 
   @Property(seed = "43")
-  void pageSurvivesJson(@ForAll String text, @ForAll EventKind kind) {
+  void pageRoundTripsThroughJson(@ForAll String text, @ForAll EventKind kind) {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 2);
     buffer.record(new Event(kind, text, text, text, text, text, text));
     EventPage page = buffer.page(0, 10, EventFilter.ALL);
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void foreignKindsArePassedOver() {
+  void unknownEventKindsAreSkipped() {
     EventBuffer buffer = new EventBuffer("vm-1", clock, 2);
     buffer.record(Event.of(EventKind.TASK_STARTED));
     buffer.record(Event.of(EventKind.TASK_ENDED));
--- a/marigoldsail-core/src/test/java/io/marigoldsail/timeline/HybridClockTest.java
+++ b/marigoldsail-core/src/test/java/io/marigoldsail/timeline/HybridClockTest.java
@@ -27,7 +27,8 @@
    * answer stamped by a clock that is behind would be shown before its request.
    */
   @Property(seed = "41", tries = 100)
-  void causeIsBeforeItsEffect(@ForAll long seed, @ForAll @IntRange(max = 30_000) int disagreement) {
+  void causeHasALowerStampThanItsEffect(
+      @ForAll long seed, @ForAll @IntRange(max = 30_000) int disagreement) {
     Random random = new Random(seed);
     List<SettableClock> walls = new ArrayList<>();
     List<HybridClock> clocks = new ArrayList<>();
@@ -60,7 +61,7 @@
   }
 
   @Test
-  void wildStampIsIgnored() {
+  void stampTooFarAheadIsIgnored() {
     HybridClock clock = new HybridClock(() -> NOON);
     assertTrue(clock.observe(HybridClock.stampOf(NOON + HybridClock.MAX_LEAD_MILLIS)));
     assertFalse(clock.observe(HybridClock.stampOf(NOON + HybridClock.MAX_LEAD_MILLIS + 1)));
@@ -69,7 +70,7 @@
   }
 
   @Test
-  void counterCarriesIntoTheMilliseconds() {
+  void counterOverflowCarriesIntoTheMilliseconds() {
     HybridClock clock = new HybridClock(() -> NOON);
     long before = clock.now();
     for (int i = 0; i < 100_000; i++) {
@@ -81,7 +82,7 @@
   }
 
   @Property(seed = "42")
-  void mergeIsOneOrderWhateverTheOrderOfReading(@ForAll long seed) {
+  void eventOrderDoesNotDependOnReadOrder(@ForAll long seed) {
     Random random = new Random(seed);
     List<TimedEvent> events = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredPolicies.java
@@ -4,7 +4,7 @@
 import io.marigoldsail.configuration.GuardConfiguration;
 import io.marigoldsail.configuration.ServiceConfiguration;
 import io.marigoldsail.configuration.TeamConfiguration;
-import io.marigoldsail.daemon.task.TaskTerms;
+import io.marigoldsail.daemon.task.TaskPolicy;
 import io.marigoldsail.dispatch.SchedulerSettings;
 import io.marigoldsail.dispatch.ServiceLimits;
 import io.marigoldsail.guard.GuardPolicy;
@@ -29,7 +29,7 @@
     return new ServiceLimits(service.targetDelayMillis(), service.maxWaiting());
   }
 
-  static TaskTerms tasks(Configuration configuration) {
+  static TaskPolicy tasks(Configuration configuration) {
     Map<String, TeamQuota> quotas = new HashMap<>();
     configuration.teams().forEach((name, team) -> quotas.put(name, quota(team)));
     LeaseTerms leases =
@@ -37,7 +37,7 @@
             configuration.leases().latencyCriticalMillis(),
             configuration.leases().batchMillis(),
             LeaseTerms.DEFAULT.silenceMillis());
-    return new TaskTerms(leases, quotas, guard(configuration));
+    return new TaskPolicy(leases, quotas, guard(configuration));
   }
 
   static GuardPolicy guard(Configuration configuration) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ConfiguredServiceWatch.java
@@ -3,7 +3,7 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.configuration.Configuration;
-import io.marigoldsail.daemon.task.ServiceWatch;
+import io.marigoldsail.daemon.task.ServiceMonitor;
 import io.marigoldsail.guard.GuardPolicy;
 import io.marigoldsail.guard.ServiceReading;
 import io.marigoldsail.guard.TailWindow;
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 
 /** The service of this VM's target, held against the goal that the configuration sets. */
-final class ConfiguredServiceWatch implements ServiceWatch {
+final class ConfiguredServiceWatch implements ServiceMonitor {
   private final String service;
   private final TailWindow window;
   private final Supplier<Configuration> configuration;
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public GuardPolicy terms() {
+  public GuardPolicy policy() {
     return ConfiguredPolicies.guard(configuration.get());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/CountedEvents.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/CountingEventRecorder.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 
 /** Counts events by kind on their way to the time line: {@code marigoldsail_events_total}. */
-final class CountedEvents implements EventRecorder {
+final class CountingEventRecorder implements EventRecorder {
   private final EventRecorder next;
   private final Map<EventKind, CounterDataPoint> counters = new EnumMap<>(EventKind.class);
 
-  CountedEvents(EventRecorder next, Metrics metrics) {
+  CountingEventRecorder(EventRecorder next, Metrics metrics) {
     this.next = requireNonNull(next, "next");
     Counter counter = metrics.counter("events", "Events of the time line by kind", "kind");
     for (EventKind kind : EventKind.values()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryRoster.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryMembership.java
@@ -21,71 +21,74 @@
  *
  * <p>Safe for any thread.
  */
-final class EntryRoster implements AutoCloseable {
+final class EntryMembership implements AutoCloseable {
   /** How often this entry says that it is there; three may be lost before others drop it. */
-  private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long ANNOUNCE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(16);
-  private static final long LOOK_MILLIS = 100;
-  private static final long MEMBERS_WAIT_MILLIS = 1_000;
+  private static final long ENTRY_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(16);
+  private static final long POLL_PERIOD_MILLIS = 100;
+  private static final long SIDE_PROCESSES_TIMEOUT_MILLIS = 1_000;
 
   private final EntrySettings settings;
-  private final ProcessBase base;
+  private final ProcessRuntime runtime;
   private final EntryDirectory directory;
   private final StreamClient stream;
-  private long repeatAt;
-  private long toldRevision = -1;
-  private boolean leaving;
+  private long nextAnnounceAt;
+  private long announcedRevision = -1;
+  private boolean draining;
 
-  EntryRoster(EntrySettings settings, ProcessBase base) {
+  EntryMembership(EntrySettings settings, ProcessRuntime base) {
     this.settings = requireNonNull(settings, "settings");
-    this.base = requireNonNull(base, "base");
-    this.directory = new EntryDirectory(base.clock(), KEEP_NANOS);
-    this.stream = StreamClient.writer(base.shared(), EntryDirectory.STREAM, directory);
-    stream.follower().addListener(new AfterOutage());
+    this.runtime = requireNonNull(base, "base");
+    this.directory = new EntryDirectory(base.clock(), ENTRY_TIMEOUT_NANOS);
+    this.stream = StreamClient.writer(base.streamDependencies(), EntryDirectory.STREAM, directory);
+    stream.follower().addListener(new OutageListener());
   }
 
   void start(ScheduledExecutorService scheduler) {
-    repeatAt = base.clock().nanos();
+    nextAnnounceAt = runtime.clock().nanos();
     stream.start();
     var unused =
         scheduler.scheduleWithFixedDelay(
-            this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+            this::announceIfDue, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** A change of the revision is told at once, since operators wait for it. */
-  private synchronized void look() {
-    long now = base.clock().nanos();
-    long revision = base.configurationRevision();
-    if (now >= repeatAt || revision != toldRevision) {
-      repeatAt = now + REPEAT_NANOS;
-      toldRevision = revision;
-      tell(false);
+  private synchronized void announceIfDue() {
+    long now = runtime.clock().nanos();
+    long revision = runtime.configurationRevision();
+    if (now >= nextAnnounceAt || revision != announcedRevision) {
+      nextAnnounceAt = now + ANNOUNCE_PERIOD_NANOS;
+      announcedRevision = revision;
+      announce(false);
     }
   }
 
-  private void tell(boolean gone) {
+  private void announce(boolean gone) {
     EntryPresence presence =
         new EntryPresence(
             settings.name(),
-            base.incarnation(),
+            runtime.incarnation(),
             settings.zone(),
             settings.processesAddress().toString(),
             settings.operatorsAddress().toString(),
-            base.configurationRevision(),
-            leaving,
+            runtime.configurationRevision(),
+            draining,
             gone);
     // Lost ones are repeated; one kept past its time would only tell what is no longer so.
     var unused =
         stream
             .appender()
-            .append(EntryPresence.TYPE, presence.write(), base.clock().nanos() + REPEAT_NANOS);
+            .append(
+                EntryPresence.TYPE,
+                presence.toJson(),
+                runtime.clock().nanos() + ANNOUNCE_PERIOD_NANOS);
   }
 
   /** Tells that this entry is in a planned stop. */
-  synchronized void leave() {
-    leaving = true;
-    tell(true);
+  synchronized void announceDraining() {
+    draining = true;
+    announce(true);
   }
 
   /** Returns where side processes reach the other entries. */
@@ -105,8 +108,8 @@
             settings.role(),
             settings.zone(),
             settings.operatorsAddress().toString(),
-            base.configurationRevision(),
-            leavingNow()));
+            runtime.configurationRevision(),
+            isDraining()));
     directory.entries().stream()
         .filter(entry -> !entry.name().equals(settings.name()))
         .forEach(entry -> members.add(member(entry)));
@@ -114,14 +117,14 @@
     loop.run(() -> sides.complete(links.members().members()));
     sides
         // Without the side processes the list would say "in force everywhere" too early.
-        .orTimeout(MEMBERS_WAIT_MILLIS, TimeUnit.MILLISECONDS)
+        .orTimeout(SIDE_PROCESSES_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .join()
         .forEach(side -> members.add(member(side)));
     return members;
   }
 
-  private synchronized boolean leavingNow() {
-    return leaving;
+  private synchronized boolean isDraining() {
+    return draining;
   }
 
   private static ProcessMember member(EntryPresence entry) {
@@ -131,7 +134,7 @@
         entry.zone(),
         entry.operatorsAddress(),
         entry.revision(),
-        entry.leaving());
+        entry.draining());
   }
 
   private static ProcessMember member(Announcement side) {
@@ -141,7 +144,7 @@
         side.zone(),
         side.operatorsAddress(),
         side.configurationRevision(),
-        side.leaving());
+        side.draining());
   }
 
   @Override
@@ -149,10 +152,10 @@
     stream.close();
   }
 
-  private final class AfterOutage implements StreamListener {
+  private final class OutageListener implements StreamListener {
     @Override
     public void outageEnded() {
-      directory.extendAll();
+      directory.restartTimeouts();
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryProcess.java
@@ -10,11 +10,11 @@
 import io.marigoldsail.daemon.link.EntryLinks;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.operators.MemberRoutes;
-import io.marigoldsail.daemon.task.EntryTasks;
-import io.marigoldsail.daemon.task.FollowedTaskLog;
+import io.marigoldsail.daemon.task.AppenderTaskLog;
+import io.marigoldsail.daemon.task.EntryTaskScheduler;
 import io.marigoldsail.daemon.task.TaskLog;
+import io.marigoldsail.daemon.task.TaskPolicy;
 import io.marigoldsail.daemon.task.TaskRoutes;
-import io.marigoldsail.daemon.task.TaskTerms;
 import io.marigoldsail.dispatch.ByteBudget;
 import io.marigoldsail.dispatch.RequestScheduler;
 import io.marigoldsail.dispatch.SchedulerSettings;
@@ -35,7 +35,7 @@
 
 /** An entry: serves callers and operators, decides about requests, claims tasks. */
 final class EntryProcess implements DaemonProcess {
-  private static final int KEPT_EVENTS = 1 << 16;
+  private static final int EVENT_BUFFER_CAPACITY = 1 << 16;
   private static final int MAX_SIDE_PROCESSES = 2_000;
 
   /** How long the balancer may take to notice the bad health; it asks every second. */
@@ -46,10 +46,10 @@
    * and all it can say during an outage is that the outcome is unknown, though nothing was
    * accepted.
    */
-  private static final long PUBLISH_KEEP_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long PUBLISH_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final EntrySettings settings;
-  private final ProcessBase base;
+  private final ProcessRuntime runtime;
   private final ScheduledExecutorService scheduler;
   private final LinkLoop loop;
   private final EntryLinks links;
@@ -58,51 +58,56 @@
   private final CallerServer callers;
   private final StreamClient configurationStream;
   private final StreamClient taskStream;
-  private final KeyShardTable keyTable;
-  private final StreamClient keyStream;
-  private final KeyShardCoordinator keyHomes;
-  private final EntryRoster roster;
-  private final EntryTasks tasks;
-  private volatile TaskTerms taskTerms = TaskTerms.DEFAULT;
+  private final KeyShardTable keyShardTable;
+  private final StreamClient keyShardStream;
+  private final KeyShardCoordinator keyShardCoordinator;
+  private final EntryMembership membership;
+  private final EntryTaskScheduler tasks;
+  private volatile TaskPolicy taskTerms = TaskPolicy.DEFAULT;
   private volatile boolean serving;
 
   EntryProcess(EntrySettings settings) {
     this.settings = settings;
-    this.base = new ProcessBase(settings, KEPT_EVENTS);
+    this.runtime = new ProcessRuntime(settings, EVENT_BUFFER_CAPACITY);
     this.scheduler = Executors.newScheduledThreadPool(2, DaemonThreads.named("entry-work"));
-    this.loop = new LinkLoop("entry-loop", base.clock(), base.hybridClock());
-    EntryIdentity identity = new EntryIdentity(settings.name(), base.incarnation());
+    this.loop = new LinkLoop("entry-loop", runtime.clock(), runtime.hybridClock());
+    EntryIdentity identity = new EntryIdentity(settings.name(), runtime.incarnation());
     RequestScheduler policy =
         new RequestScheduler(SchedulerSettings.of(settings.zone()), new SplittableRandom());
-    this.keyTable = new KeyShardTable(base.clock());
-    this.keyStream = StreamClient.writer(base.shared(), KeyShardTable.STREAM, keyTable);
-    this.readiness = new EntryReadiness(base.clock());
+    this.keyShardTable = new KeyShardTable(runtime.clock());
+    this.keyShardStream =
+        StreamClient.writer(runtime.streamDependencies(), KeyShardTable.STREAM, keyShardTable);
+    this.readiness = new EntryReadiness(runtime.clock());
     this.dispatcher = newDispatcher(identity, policy);
     this.configurationStream =
         StreamClient.writer(
-            base.shared(), ProcessBase.CONFIGURATION_STREAM, base.configurationFold());
-    this.roster = new EntryRoster(settings, base);
+            runtime.streamDependencies(),
+            ProcessRuntime.CONFIGURATION_STREAM,
+            runtime.configurationFold());
+    this.membership = new EntryMembership(settings, runtime);
     this.links =
         new EntryLinks(
             loop,
             settings.processesAddress().socketAddress(),
             MAX_SIDE_PROCESSES,
             identity,
-            base::configurationRevision,
-            roster::otherProcessesAddresses,
-            base.events());
-    this.keyHomes = new KeyShardCoordinator(loop, keyTable, keyStream.appender()::append, links);
+            runtime::configurationRevision,
+            membership::otherProcessesAddresses,
+            runtime.events());
+    this.keyShardCoordinator =
+        new KeyShardCoordinator(loop, keyShardTable, keyShardStream.appender()::append, links);
     this.callers = newCallerServer();
     TaskTable table = new TaskTable();
-    this.taskStream = StreamClient.writer(base.shared(), TaskFold.STREAM, new TaskFold(table));
-    TaskLog taskLog = new FollowedTaskLog(taskStream.appender(), base.clock());
-    Supplier<TaskTerms> terms = () -> taskTerms;
+    this.taskStream =
+        StreamClient.writer(runtime.streamDependencies(), TaskFold.STREAM, new TaskFold(table));
+    TaskLog taskLog = new AppenderTaskLog(taskStream.appender(), runtime.clock());
+    Supplier<TaskPolicy> terms = () -> taskTerms;
     this.tasks = newTasks(table, taskLog, terms);
     links.addMemberListener(dispatcher.memberListener());
     links.addMemberListener(readiness);
     links.addTaskListener(
         (peer, message) -> scheduler.execute(() -> tasks.onMessage(peer, message)));
-    base.configurationFold().onInForce(state -> configure(policy));
+    runtime.configurationFold().addInForceListener(state -> configure(policy));
     registerRoutes(table, taskLog, terms);
   }
 
@@ -114,89 +119,93 @@
         policy,
         LinkSettings.DEFAULT,
         new ByteBudget(answerBytes),
-        Optional.of(keyTable),
-        service -> base.configuration().service(service).targetDetectsRepeats(),
-        base.events(),
+        Optional.of(keyShardTable),
+        service -> runtime.configuration().service(service).targetDetectsRepeats(),
+        runtime.events(),
         new SplittableRandom());
   }
 
   private CallerServer newCallerServer() {
     return new CallerServer(
-        base.clock(),
+        runtime.clock(),
         settings.callersAddress().socketAddress(),
         CallerLimits.forHeap(),
-        service -> OptionalLong.of(base.configuration().service(service).defaultDeadlineMillis()),
+        service ->
+            OptionalLong.of(runtime.configuration().service(service).defaultDeadlineMillis()),
         dispatcher,
         () -> serving && readiness.isReady());
   }
 
-  private EntryTasks newTasks(TaskTable table, TaskLog taskLog, Supplier<TaskTerms> terms) {
-    return new EntryTasks(
-        new EntryIdentity(settings.name(), base.incarnation()),
+  private EntryTaskScheduler newTasks(
+      TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
+    return new EntryTaskScheduler(
+        new EntryIdentity(settings.name(), runtime.incarnation()),
         table,
         taskLog,
         new LinkTaskChannel(links),
         terms,
-        base.clock(),
+        runtime.clock(),
         WallClock.system(),
         new SplittableRandom(),
-        base.events());
+        runtime.events());
   }
 
   private void configure(RequestScheduler policy) {
-    SchedulerSettings next = ConfiguredPolicies.scheduler(base.configuration(), settings.zone());
+    SchedulerSettings next = ConfiguredPolicies.scheduler(runtime.configuration(), settings.zone());
     loop.run(() -> policy.configure(next));
-    taskTerms = ConfiguredPolicies.tasks(base.configuration());
+    taskTerms = ConfiguredPolicies.tasks(runtime.configuration());
   }
 
-  private void registerRoutes(TaskTable table, TaskLog taskLog, Supplier<TaskTerms> terms) {
+  private void registerRoutes(TaskTable table, TaskLog taskLog, Supplier<TaskPolicy> terms) {
     ConfigurationPublisher publisher =
         new ConfigurationPublisher(
-            base.configurationFold(),
-            base.configurationCheck(),
+            runtime.configurationFold(),
+            runtime.configurationCheck(),
             (type, body) ->
                 configurationStream
                     .appender()
-                    .append(type, body, base.clock().nanos() + PUBLISH_KEEP_NANOS),
-            base.events(),
-            base.clock(),
+                    .append(type, body, runtime.clock().nanos() + PUBLISH_TIMEOUT_NANOS),
+            runtime.events(),
+            runtime.clock(),
             WallClock.system(),
             scheduler,
-            settings.name() + "/" + base.incarnation());
+            settings.name() + "/" + runtime.incarnation());
     Supplier<java.util.List<io.marigoldsail.daemon.operators.ProcessMember>> members =
-        () -> roster.members(links, loop);
-    new ConfigurationRoutes(base.configurationFold(), publisher, members, base.clock())
-        .registerOn(base.operators());
-    new MemberRoutes(members).registerOn(base.operators());
-    new JobRoutes(new TaskRoutes(table, taskLog, tasks, terms, WallClock.system(), base.events()))
-        .registerOn(base.operators());
+        () -> membership.members(links, loop);
+    new ConfigurationRoutes(runtime.configurationFold(), publisher, members, runtime.clock())
+        .registerOn(runtime.operators());
+    new MemberRoutes(members).registerOn(runtime.operators());
+    new JobRoutes(
+            new TaskRoutes(table, taskLog, tasks, terms, WallClock.system(), runtime.events()))
+        .registerOn(runtime.operators());
   }
 
   @Override
   public Result<Boolean> start() {
-    Result<Integer> operators = base.operators().start();
+    Result<Integer> operators = runtime.operators().start();
     if (operators instanceof Result.Failed<Integer> failed) {
       return Result.failed(failed.failure());
     }
     Result<Boolean> listening =
-        Listening.at("addresses.processes", settings.processesAddress(), links::start)
+        ServerStarter.start("addresses.processes", settings.processesAddress(), links::start)
             .then(
                 started ->
-                    Listening.at("addresses.callers", settings.callersAddress(), callers::start));
+                    ServerStarter.start(
+                        "addresses.callers", settings.callersAddress(), callers::start));
     if (!listening.isOk()) {
       return listening;
     }
     dispatcher.start();
     configurationStream.start();
-    base.catchUpFromPeers(configurationStream.follower());
+    runtime.catchUpFromPeers(configurationStream.follower());
     taskStream.start();
-    keyStream.start();
-    keyHomes.start();
-    roster.start(scheduler);
+    keyShardStream.start();
+    keyShardCoordinator.start();
+    membership.start(scheduler);
     tasks.start(scheduler);
     readiness.started();
     serving = true;
-    base.recordStarted();
+    runtime.recordStarted();
     return listening;
   }
 
@@ -208,22 +217,22 @@
   public void close() {
     if (serving) {
       serving = false;
-      base.recordStopping();
-      roster.leave();
+      runtime.recordStopping();
+      membership.announceDraining();
       drain();
     }
     callers.close();
     tasks.close();
-    roster.close();
+    membership.close();
     taskStream.close();
-    keyHomes.close();
-    keyStream.close();
+    keyShardCoordinator.close();
+    keyShardStream.close();
     configurationStream.close();
     links.close();
     dispatcher.close();
     loop.close();
     scheduler.shutdownNow();
-    base.close();
+    runtime.close();
   }
 
   private void drain() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryReadiness.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/EntryReadiness.java
@@ -18,13 +18,13 @@
  * told so. Safe for any thread.
  */
 final class EntryReadiness implements MemberListener {
-  private static final long AFTER_FIRST_NANOS =
-      SideLinks.ANNOUNCE_NANOS + TimeUnit.MILLISECONDS.toNanos(200);
-  private static final long WITHOUT_ANY_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long DELAY_AFTER_FIRST_TARGET_NANOS =
+      SideLinks.ANNOUNCE_PERIOD_NANOS + TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MAX_WAIT_FOR_TARGETS_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final MonotonicClock clock;
-  private boolean heard;
-  private boolean open;
+  private boolean targetSeen;
+  private boolean listening;
   private long readyAt;
 
   EntryReadiness(MonotonicClock clock) {
@@ -33,22 +33,22 @@
 
   /** Tells that the process listens. */
   synchronized void started() {
-    long latest = clock.nanos() + WITHOUT_ANY_NANOS;
-    readyAt = heard ? Math.min(readyAt, latest) : latest;
-    open = true;
+    long latest = clock.nanos() + MAX_WAIT_FOR_TARGETS_NANOS;
+    readyAt = targetSeen ? Math.min(readyAt, latest) : latest;
+    listening = true;
   }
 
   synchronized boolean isReady() {
-    return open && clock.nanos() - readyAt >= 0;
+    return listening && clock.nanos() - readyAt >= 0;
   }
 
   @Override
   public synchronized void announced(Announcement announcement, MemberTable.Change change) {
-    if (heard || !announcement.hasTarget()) {
+    if (targetSeen || !announcement.hasTarget()) {
       return;
     }
-    heard = true;
-    readyAt = clock.nanos() + AFTER_FIRST_NANOS;
+    targetSeen = true;
+    readyAt = clock.nanos() + DELAY_AFTER_FIRST_TARGET_NANOS;
   }
 
   @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Main.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Main.java
@@ -4,7 +4,7 @@
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.daemon.observe.LogSetup;
 import io.marigoldsail.daemon.observe.LogWriter;
-import io.marigoldsail.daemon.observe.PatientLogManager;
+import io.marigoldsail.daemon.observe.ShutdownSafeLogManager;
 import io.marigoldsail.error.Failure;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.settings.EntrySettings;
@@ -36,7 +36,7 @@
   static {
     // Before anything logs; a class literal does not yet initialize the class and so the log
     // system.
-    System.setProperty("java.util.logging.manager", PatientLogManager.class.getName());
+    System.setProperty("java.util.logging.manager", ShutdownSafeLogManager.class.getName());
   }
 
   private static final EventLog LOG = EventLog.of(Main.class);
@@ -58,7 +58,7 @@
   public Integer call() throws InterruptedException {
     Result<ProcessSettings> read = SettingsReader.read(settingsFile);
     if (read instanceof Result.Failed<ProcessSettings> failed) {
-      return refuse(failed.failure());
+      return reportInvalidSettings(failed.failure());
     }
     ProcessSettings settings = read.value();
     if (checkOnly) {
@@ -76,7 +76,7 @@
   private int run(DaemonProcess process, LogWriter log) throws InterruptedException {
     Result<Boolean> started = process.start();
     if (started instanceof Result.Failed<Boolean> failed) {
-      return refuse(failed.failure());
+      return reportInvalidSettings(failed.failure());
     }
     CountDownLatch ended = new CountDownLatch(1);
     Runtime.getRuntime()
@@ -105,7 +105,7 @@
     return new SideProcess((SideSettings) settings);
   }
 
-  private int refuse(Failure failure) {
+  private int reportInvalidSettings(Failure failure) {
     String detail = failure.detail();
     String file = settingsFile.toString();
     System.err.println(detail.startsWith(file) ? detail : file + ": " + detail);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessBase.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ProcessRuntime.java
@@ -25,11 +25,11 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /** What processes of both roles have: clocks, events, metrics, operators' server, configuration. */
-final class ProcessBase implements AutoCloseable {
+final class ProcessRuntime implements AutoCloseable {
   /** The name of the configuration's stream. */
   static final String CONFIGURATION_STREAM = "configuration";
 
-  private static final EventLog LOG = EventLog.of(ProcessBase.class);
+  private static final EventLog LOG = EventLog.of(ProcessRuntime.class);
   private static final long LOG_TIMEOUT_MILLIS = 3_000;
 
   private final ProcessSettings settings;
@@ -39,12 +39,12 @@
   private final EventRecorder events;
   private final OperatorServer operators;
   private final PlatformClient platform;
-  private final StreamClient.Shared shared;
+  private final StreamClient.Dependencies streamDependencies;
   private final ConfigurationCheck configurationCheck = new ConfigurationCheck();
   private final ConfigurationFold configuration = new ConfigurationFold(configurationCheck);
 
   /** Kept merged, since every request asks for it. */
-  private volatile Configuration current;
+  private volatile Configuration currentConfiguration;
 
   private PeerCatchUp peerCatchUp;
 
@@ -54,21 +54,21 @@
    * @param settings the process's settings
    * @param keptEvents how many events of the time line are kept
    */
-  ProcessBase(ProcessSettings settings, int keptEvents) {
+  ProcessRuntime(ProcessSettings settings, int keptEvents) {
     this.settings = settings;
     EventBuffer buffer = new EventBuffer(settings.name(), hybridClock, keptEvents);
-    this.events = new CountedEvents(buffer, metrics);
+    this.events = new CountingEventRecorder(buffer, metrics);
     this.operators = new OperatorServer(settings.operatorsAddress(), metrics);
     this.platform = PlatformClient.start(settings.name());
     long incarnation = ProcessIncarnations.next(WallClock.system(), ThreadLocalRandom.current());
-    this.shared =
-        new StreamClient.Shared(
+    this.streamDependencies =
+        new StreamClient.Dependencies(
             new HttpLogService(platform, settings.logService().toString(), LOG_TIMEOUT_MILLIS),
             settings.name(),
             incarnation,
             clock,
             events,
-            new StreamsStatus(metrics, operators));
+            new StreamStatusReporter(metrics, operators));
     new EventRoutes(buffer).registerOn(operators);
     JvmMemoryMetrics.builder().register(metrics.registry());
     metrics.gauge(
@@ -78,10 +78,10 @@
     metrics.gauge(
         "configuration_broken_records",
         "Configuration records passed over since the start, broken or never checked",
-        configuration::brokenRecords);
-    configuration.onInForce(
+        configuration::invalidRecordCount);
+    configuration.addInForceListener(
         state -> {
-          current = state.configuration(settings.site());
+          currentConfiguration = state.configuration(settings.site());
           if (state.revisionInForce() > 0) {
             events.record(
                 Event.of(EventKind.CONFIGURATION_IN_FORCE)
@@ -117,12 +117,12 @@
   }
 
   /** Returns what streams need; its incarnation is the process's own. */
-  StreamClient.Shared shared() {
-    return shared;
+  StreamClient.Dependencies streamDependencies() {
+    return streamDependencies;
   }
 
   long incarnation() {
-    return shared.incarnation();
+    return streamDependencies.incarnation();
   }
 
   ConfigurationCheck configurationCheck() {
@@ -135,7 +135,7 @@
 
   /** Returns what is in force at this process's site. */
   Configuration configuration() {
-    return current;
+    return currentConfiguration;
   }
 
   long configurationRevision() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/Listening.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/ServerStarter.java
@@ -6,20 +6,20 @@
 import java.io.IOException;
 
 /** Starts servers such that an address that cannot be had becomes one clear line. */
-final class Listening {
+final class ServerStarter {
   /** Something that begins to listen. */
   @FunctionalInterface
-  interface Start {
+  interface ListenAction {
     /** Begins to listen, or says why it cannot. */
-    void start() throws IOException;
+    void listen() throws IOException;
   }
 
-  private Listening() {}
+  private ServerStarter() {}
 
   /** Returns true, or a failure that names the settings key and the address. */
-  static Result<Boolean> at(String key, HostPort address, Start start) {
+  static Result<Boolean> start(String key, HostPort address, ListenAction start) {
     try {
-      start.start();
+      start.listen();
       return Result.ok(true);
     } catch (IOException e) {
       Throwable cause = e.getCause() == null ? e : e.getCause();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/SideProcess.java
@@ -9,9 +9,9 @@
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.daemon.link.SideLinks;
 import io.marigoldsail.daemon.platform.HttpWorker;
-import io.marigoldsail.daemon.task.ServiceWatch;
+import io.marigoldsail.daemon.task.ServiceMonitor;
 import io.marigoldsail.daemon.task.SideIdentity;
-import io.marigoldsail.daemon.task.SideTasks;
+import io.marigoldsail.daemon.task.SideTaskRunner;
 import io.marigoldsail.dispatch.ByteBudget;
 import io.marigoldsail.dispatch.TargetLoad;
 import io.marigoldsail.error.Result;
@@ -28,48 +28,51 @@
 
 /** A side process: stands between the entries and the target and worker of its VM. */
 final class SideProcess implements DaemonProcess {
-  private static final int KEPT_EVENTS = 1 << 13;
+  private static final int EVENT_BUFFER_CAPACITY = 1 << 13;
   private static final long WORKER_TIMEOUT_MILLIS = 2_000;
 
   /** How far back the guard looks: long enough for a tail, short enough to see a wave's begin. */
   private static final long GUARD_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   /** The part of a VM's target, where it has one. */
-  private record TargetPart(
+  private record TargetComponents(
       TargetSettings settings,
       TargetClient client,
       SideDispatcher dispatcher,
-      ServiceWatch watch) {}
+      ServiceMonitor watch) {}
 
   private final SideSettings settings;
-  private final ProcessBase base;
+  private final ProcessRuntime runtime;
   private final LinkLoop loop;
   private final SideLinks links;
   private final StreamClient configurationStream;
-  private final Optional<TargetPart> target;
-  private final Optional<SideTasks> tasks;
+  private final Optional<TargetComponents> target;
+  private final Optional<SideTaskRunner> tasks;
   private boolean started;
 
   SideProcess(SideSettings settings) {
     this.settings = settings;
-    this.base = new ProcessBase(settings, KEPT_EVENTS);
-    this.loop = new LinkLoop("side-loop", base.clock(), base.hybridClock());
+    this.runtime = new ProcessRuntime(settings, EVENT_BUFFER_CAPACITY);
+    this.loop = new LinkLoop("side-loop", runtime.clock(), runtime.hybridClock());
     this.links =
         new SideLinks(
             loop,
             this::announcement,
             settings.entries().stream().map(HostPort::socketAddress).toList(),
-            base.events(),
+            runtime.events(),
             new SplittableRandom());
     this.configurationStream =
         StreamClient.reader(
-            base.shared(), ProcessBase.CONFIGURATION_STREAM, base.configurationFold());
+            runtime.streamDependencies(),
+            ProcessRuntime.CONFIGURATION_STREAM,
+            runtime.configurationFold());
     this.target = settings.target().map(this::newTargetPart);
     this.tasks = settings.worker().map(this::newTasks);
-    ConfigurationRoutes.registerStateOn(base.operators(), base.configurationFold());
+    ConfigurationRoutes.registerStateOn(runtime.operators(), runtime.configurationFold());
     // Operators wait for it, so it is told at once instead of with the next announcement.
-    base.configurationFold()
-        .onInForce(
+    runtime
+        .configurationFold()
+        .addInForceListener(
             state -> {
               if (state.revisionInForce() > 0) {
                 links.announceNow();
@@ -77,7 +80,7 @@
             });
   }
 
-  private TargetPart newTargetPart(TargetSettings targetSettings) {
+  private TargetComponents newTargetPart(TargetSettings targetSettings) {
     ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     TargetClient client =
         new TargetClient(loop, targetSettings.address(), targetSettings.connections(), "", budget);
@@ -86,29 +89,30 @@
         new SideDispatcher(
             loop,
             settings.processesAddress().socketAddress(),
-            new MeasuredTarget(client, window, base.clock()),
+            new MeasuredTarget(client, window, runtime.clock()),
             SideLimits.forSlots(targetSettings.slots()),
-            base.incarnation(),
+            runtime.incarnation(),
             links,
             budget,
-            base.events());
-    dispatcher.onLeavingChanged(links::announceNow);
+            runtime.events());
+    dispatcher.onDrainingChanged(links::announceNow);
     links.addKeyListener(dispatcher.keyListener());
-    ServiceWatch watch =
-        new ConfiguredServiceWatch(targetSettings.service(), window, base::configuration);
-    return new TargetPart(targetSettings, client, dispatcher, watch);
+    ServiceMonitor watch =
+        new ConfiguredServiceWatch(targetSettings.service(), window, runtime::configuration);
+    return new TargetComponents(targetSettings, client, dispatcher, watch);
   }
 
-  private SideTasks newTasks(URI worker) {
-    SideTasks sideTasks =
-        new SideTasks(
-            new SideIdentity(settings.name(), base.incarnation(), settings.zone(), settings.rack()),
-            new HttpWorker(base.platform(), worker.toString(), WORKER_TIMEOUT_MILLIS),
+  private SideTaskRunner newTasks(URI worker) {
+    SideTaskRunner sideTasks =
+        new SideTaskRunner(
+            new SideIdentity(
+                settings.name(), runtime.incarnation(), settings.zone(), settings.rack()),
+            new HttpWorker(runtime.platform(), worker.toString(), WORKER_TIMEOUT_MILLIS),
             new LinkTaskChannel(links),
-            target.map(TargetPart::watch).orElseGet(ServiceWatch::none),
-            base.clock(),
+            target.map(TargetComponents::watch).orElseGet(ServiceMonitor::none),
+            runtime.clock(),
             WallClock.system(),
-            base.events());
+            runtime.events());
     links.addTaskListener(sideTasks::onMessage);
     return sideTasks;
   }
@@ -116,33 +120,33 @@
   private Announcement announcement() {
     return new Announcement(
         settings.name(),
-        base.incarnation(),
+        runtime.incarnation(),
         settings.zone(),
         settings.rack(),
         settings.processesAddress().toString(),
         settings.operatorsAddress().toString(),
         target.map(part -> part.settings().service()).orElse(""),
         target.map(part -> part.settings().slots()).orElse(0),
-        target.map(part -> part.dispatcher().isLeaving()).orElse(false),
+        target.map(part -> part.dispatcher().isDraining()).orElse(false),
         target
             .map(part -> part.dispatcher().load())
             .orElse(new TargetLoad(0, 0, links.entryCount(), false)),
-        base.configurationRevision());
+        runtime.configurationRevision());
   }
 
   @Override
   public Result<Boolean> start() {
-    Result<Integer> operators = base.operators().start();
+    Result<Integer> operators = runtime.operators().start();
     if (operators instanceof Result.Failed<Integer> failed) {
       return Result.failed(failed.failure());
     }
     if (target.isPresent()) {
-      TargetPart part = target.get();
+      TargetComponents part = target.get();
       Result<Boolean> listening =
-          Listening.at("target.address", settings.processesAddress(), part.client()::start)
+          ServerStarter.start("target.address", settings.processesAddress(), part.client()::start)
               .then(
                   ready ->
-                      Listening.at(
+                      ServerStarter.start(
                           "addresses.processes",
                           settings.processesAddress(),
                           part.dispatcher()::start));
@@ -151,11 +155,11 @@
       }
     }
     configurationStream.start();
-    base.catchUpFromPeers(configurationStream.follower());
+    runtime.catchUpFromPeers(configurationStream.follower());
     links.start();
-    tasks.ifPresent(SideTasks::start);
+    tasks.ifPresent(SideTaskRunner::start);
     started = true;
-    base.recordStarted();
+    runtime.recordStarted();
     return Result.ok(true);
   }
 
@@ -167,20 +171,20 @@
   public void close() {
     if (started) {
       started = false;
-      base.recordStopping();
-      tasks.ifPresent(SideTasks::leave);
+      runtime.recordStopping();
+      tasks.ifPresent(SideTaskRunner::drain);
       target.ifPresent(SideProcess::drain);
     }
-    tasks.ifPresent(SideTasks::close);
+    tasks.ifPresent(SideTaskRunner::close);
     links.close();
     target.ifPresent(part -> part.dispatcher().close());
     target.ifPresent(part -> part.client().close());
     configurationStream.close();
     loop.close();
-    base.close();
+    runtime.close();
   }
 
-  private static void drain(TargetPart part) {
+  private static void drain(TargetComponents part) {
     Drain.await(part.dispatcher().beginStop());
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamClient.java
@@ -3,12 +3,12 @@
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.Fold;
 import io.marigoldsail.log.FollowerSettings;
+import io.marigoldsail.log.HistoryReplacementPolicy;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.LogService;
-import io.marigoldsail.log.NewHistory;
 import io.marigoldsail.log.SnapshotSettings;
 import io.marigoldsail.log.SnapshotWriter;
 import io.marigoldsail.log.StreamFollower;
@@ -24,13 +24,13 @@
   private static final EventLog LOG = EventLog.of(StreamClient.class);
 
   /** What the streams of one process have in common. */
-  record Shared(
+  record Dependencies(
       LogService log,
       String process,
       long incarnation,
       MonotonicClock clock,
       EventRecorder events,
-      StreamsStatus streams) {}
+      StreamStatusReporter streams) {}
 
   private final StreamFollower follower;
   private final LogAppender appender;
@@ -41,36 +41,36 @@
   }
 
   /** Returns a client that only reads. */
-  static StreamClient reader(Shared shared, String stream, Fold fold) {
+  static StreamClient reader(Dependencies shared, String stream, Fold fold) {
     return new StreamClient(newFollower(shared, stream, fold), null);
   }
 
   /** Returns a client that also appends, and takes its turn at writing snapshots. */
-  static StreamClient writer(Shared shared, String stream, Fold fold) {
+  static StreamClient writer(Dependencies shared, String stream, Fold fold) {
     StreamFollower follower = newFollower(shared, stream, fold);
     LogAppender appender =
         new LogAppender(
             shared.log(),
             follower,
-            EntryIds.of(shared.process(), shared.incarnation()),
-            AppendSettings.usual(),
+            EntryIdGenerator.of(shared.process(), shared.incarnation()),
+            AppendSettings.defaults(),
             shared.clock(),
             new SplittableRandom());
     SnapshotWriter.attach(
-        follower, appender, SnapshotSettings.usual(), shared.clock(), new SplittableRandom());
+        follower, appender, SnapshotSettings.defaults(), shared.clock(), new SplittableRandom());
     return new StreamClient(follower, appender);
   }
 
-  private static StreamFollower newFollower(Shared shared, String stream, Fold fold) {
+  private static StreamFollower newFollower(Dependencies shared, String stream, Fold fold) {
     StreamFollower follower =
         new StreamFollower(
             shared.log(),
             stream,
             fold,
-            FollowerSettings.usual(),
+            FollowerSettings.defaults(),
             shared.clock(),
             new SplittableRandom());
-    follower.addListener(new Outages(stream, shared));
+    follower.addListener(new StreamEventRecorder(stream, shared));
     shared.streams().add(follower);
     return follower;
   }
@@ -99,7 +99,7 @@
   }
 
   /** Puts outages and other histories into the log, the metrics and on the time line. */
-  private record Outages(String stream, Shared shared) implements StreamListener {
+  private record StreamEventRecorder(String stream, Dependencies shared) implements StreamListener {
     private void record(EventKind kind, String detail) {
       shared.events().record(Event.of(kind).withDetail("stream " + stream + detail));
     }
@@ -117,8 +117,8 @@
     }
 
     @Override
-    public void historyReplaced(NewHistory reaction, String detail) {
-      shared.streams().countReplaced(stream);
+    public void historyReplaced(HistoryReplacementPolicy reaction, String detail) {
+      shared.streams().countHistoryReplaced(stream);
       record(EventKind.LOG_HISTORY_REPLACED, ": " + detail + "; " + reaction);
     }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamsStatus.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/StreamStatusReporter.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.marigoldsail.daemon.observe.Metrics;
-import io.marigoldsail.daemon.operators.OperatorAnswer;
+import io.marigoldsail.daemon.operators.OperatorResponse;
 import io.marigoldsail.daemon.operators.OperatorServer;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
@@ -14,12 +14,12 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /** Tells how far this process has read each stream: {@code GET /streams} and metrics. */
-final class StreamsStatus {
+final class StreamStatusReporter {
   private final List<StreamFollower> followers = new CopyOnWriteArrayList<>();
-  private final Counter replaced;
+  private final Counter historiesReplaced;
 
-  StreamsStatus(Metrics metrics, OperatorServer operators) {
-    this.replaced =
+  StreamStatusReporter(Metrics metrics, OperatorServer operators) {
+    this.historiesReplaced =
         metrics.counter(
             "log_histories_replaced",
             "How often a stream turned out to be another one than was read so far",
@@ -27,19 +27,19 @@
     metrics.gauge(
         "log_streams_behind",
         "Streams whose state here is an old one, as records expired or the stream is another one",
-        () -> followers.stream().filter(one -> one.status().seeking()).count());
-    operators.registerImmediate("GET", "/streams", request -> Result.ok(answer()));
+        () -> followers.stream().filter(one -> one.status().seekingSnapshot()).count());
+    operators.registerSynchronous("GET", "/streams", request -> Result.ok(response()));
   }
 
   void add(StreamFollower follower) {
     followers.add(follower);
   }
 
-  void countReplaced(String stream) {
-    replaced.labelValues(stream).inc();
+  void countHistoryReplaced(String stream) {
+    historiesReplaced.labelValues(stream).inc();
   }
 
-  private OperatorAnswer answer() {
+  private OperatorResponse response() {
     ObjectNode node = Json.object();
     ArrayNode streams = node.putArray("streams");
     for (StreamFollower follower : followers) {
@@ -47,14 +47,14 @@
       streams
           .addObject()
           .put("stream", follower.stream())
-          .put("applied", status.applied())
-          .put("end", status.end())
+          .put("applied", status.appliedOffset())
+          .put("end", status.endOffset())
           .put("firstOffset", status.firstOffset())
-          .put("behind", status.seeking())
+          .put("behind", status.seekingSnapshot())
           .put("outage", status.outage())
-          .put("skipped", status.skipped())
-          .put("historiesReplaced", status.histories());
+          .put("skipped", status.skippedCount())
+          .put("historiesReplaced", status.historyReplacementCount());
     }
-    return OperatorAnswer.ok(node);
+    return OperatorResponse.ok(node);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/ConfigurationRoutes.java
@@ -9,14 +9,14 @@
 import io.marigoldsail.configuration.ConfigurationDiff;
 import io.marigoldsail.configuration.ConfigurationFold;
 import io.marigoldsail.configuration.ConfigurationPublisher;
-import io.marigoldsail.configuration.ConfigurationRow;
 import io.marigoldsail.configuration.ConfigurationState;
 import io.marigoldsail.configuration.ConfigurationStateJson;
+import io.marigoldsail.configuration.EffectiveValue;
 import io.marigoldsail.configuration.PublishRequest;
-import io.marigoldsail.configuration.Published;
+import io.marigoldsail.configuration.PublishResult;
 import io.marigoldsail.configuration.PublishedVersion;
-import io.marigoldsail.daemon.operators.OperatorAnswer;
 import io.marigoldsail.daemon.operators.OperatorRequest;
+import io.marigoldsail.daemon.operators.OperatorResponse;
 import io.marigoldsail.daemon.operators.OperatorServer;
 import io.marigoldsail.daemon.operators.ProcessMember;
 import io.marigoldsail.error.ErrorKind;
@@ -38,9 +38,9 @@
  */
 public final class ConfigurationRoutes {
   /** How long a publish waits for the log at the most, in milliseconds. */
-  private static final long PUBLISH_WAIT_MILLIS = 10_000;
+  private static final long PUBLISH_TIMEOUT_MILLIS = 10_000;
 
-  private static final String ANONYMOUS = "unknown";
+  private static final String UNKNOWN_AUTHOR = "unknown";
 
   private final ConfigurationFold fold;
   private final ConfigurationPublisher publisher;
@@ -66,12 +66,12 @@
   /** Serves all routes on an entry's server. */
   public void registerOn(OperatorServer server) {
     server.register("POST", "/configuration/{file}", this::publish);
-    server.registerImmediate("POST", "/configuration/diff", this::diff);
-    server.registerImmediate("GET", "/configuration", this::show);
-    server.registerImmediate("GET", "/configuration/history", this::history);
-    server.registerImmediate("GET", "/configuration/history/{revision}", this::version);
-    server.registerImmediate("GET", "/configuration/in-force", this::inForce);
-    server.registerImmediate("GET", "/configuration/{file}", this::file);
+    server.registerSynchronous("POST", "/configuration/diff", this::diff);
+    server.registerSynchronous("GET", "/configuration", this::show);
+    server.registerSynchronous("GET", "/configuration/history", this::history);
+    server.registerSynchronous("GET", "/configuration/history/{revision}", this::version);
+    server.registerSynchronous("GET", "/configuration/in-force", this::inForce);
+    server.registerSynchronous("GET", "/configuration/{file}", this::file);
     registerStateOn(server, fold);
   }
 
@@ -81,13 +81,13 @@
    * again and again costs little.
    */
   public static void registerStateOn(OperatorServer server, ConfigurationFold fold) {
-    server.registerImmediate(
+    server.registerSynchronous(
         "GET",
         "/configuration/state",
         request ->
             request
                 .queryNumber("after", -1)
-                .then(after -> Result.ok(OperatorAnswer.ok(state(fold, after)))));
+                .then(after -> Result.ok(OperatorResponse.ok(state(fold, after)))));
   }
 
   private static ObjectNode state(ConfigurationFold fold, long after) {
@@ -95,7 +95,7 @@
     return state.revision() > after ? ConfigurationStateJson.write(state) : Json.object();
   }
 
-  private CompletableFuture<Result<OperatorAnswer>> publish(OperatorRequest request) {
+  private CompletableFuture<Result<OperatorResponse>> publish(OperatorRequest request) {
     Result<PublishRequest> read = publishRequest(request);
     if (read instanceof Result.Failed<PublishRequest> failed) {
       return CompletableFuture.completedFuture(Result.failed(failed.failure()));
@@ -103,14 +103,15 @@
     if (request.query("check").isPresent()) {
       return CompletableFuture.completedFuture(checkOnly(read.value()));
     }
-    long deadline = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(PUBLISH_WAIT_MILLIS);
+    long deadline = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(PUBLISH_TIMEOUT_MILLIS);
     return publisher
         .publish(read.value(), deadline)
-        .thenApply(result -> result.then(published -> Result.ok(answer(read.value(), published))));
+        .thenApply(
+            result -> result.then(published -> Result.ok(response(read.value(), published))));
   }
 
-  private Result<OperatorAnswer> checkOnly(PublishRequest request) {
-    Optional<Failure> failure = publisher.verdict(request);
+  private Result<OperatorResponse> checkOnly(PublishRequest request) {
+    Optional<Failure> failure = publisher.validate(request);
     if (failure.isPresent()) {
       return Result.failed(failure.get());
     }
@@ -118,16 +119,16 @@
     node.put("file", request.file());
     node.put("valid", true);
     node.put("revision", fold.state().revision());
-    return Result.ok(OperatorAnswer.ok(node));
+    return Result.ok(OperatorResponse.ok(node));
   }
 
-  private static OperatorAnswer answer(PublishRequest request, Published published) {
+  private static OperatorResponse response(PublishRequest request, PublishResult published) {
     ObjectNode node = Json.object();
     node.put("file", request.file());
     node.put("revision", published.revision());
     node.put("changed", published.changed());
-    node.put("tries", published.tries());
-    return OperatorAnswer.ok(node);
+    node.put("tries", published.attempts());
+    return OperatorResponse.ok(node);
   }
 
   private static Result<PublishRequest> publishRequest(OperatorRequest request) {
@@ -143,7 +144,7 @@
                             new PublishRequest(
                                 request.path("file"),
                                 content,
-                                request.query("author").orElse(ANONYMOUS),
+                                request.query("author").orElse(UNKNOWN_AUTHOR),
                                 request.query("note").orElse(""),
                                 revision < 0 ? OptionalLong.empty() : OptionalLong.of(revision)))));
   }
@@ -154,7 +155,7 @@
         : Result.failed(ErrorKind.BAD_REQUEST, "body: must be a JSON object");
   }
 
-  private Result<OperatorAnswer> diff(OperatorRequest request) {
+  private Result<OperatorResponse> diff(OperatorRequest request) {
     return request
         .json()
         .then(
@@ -167,13 +168,13 @@
                   new PublishRequest(
                       body.get("file").asText(),
                       body.get("content"),
-                      ANONYMOUS,
+                      UNKNOWN_AUTHOR,
                       "",
                       OptionalLong.empty());
-              Optional<Failure> failure = publisher.verdict(publish);
+              Optional<Failure> failure = publisher.validate(publish);
               return failure.isPresent()
                   ? Result.failed(failure.get())
-                  : Result.ok(OperatorAnswer.ok(diff(publisher.diff(publish))));
+                  : Result.ok(OperatorResponse.ok(diff(publisher.diff(publish))));
             });
   }
 
@@ -202,20 +203,20 @@
     return node;
   }
 
-  private Result<OperatorAnswer> show(OperatorRequest request) {
+  private Result<OperatorResponse> show(OperatorRequest request) {
     ConfigurationState state = fold.state();
     ObjectNode node = Json.object();
     node.put("revision", state.revisionInForce());
     ObjectNode files = node.putObject("files");
     state.fileRevisions().forEach(files::put);
     request.query("site").ifPresent(site -> rows(state, site, node));
-    return Result.ok(OperatorAnswer.ok(node));
+    return Result.ok(OperatorResponse.ok(node));
   }
 
   private static void rows(ConfigurationState state, String site, ObjectNode node) {
     node.put("site", site);
     ArrayNode rows = node.putArray("rows");
-    for (ConfigurationRow row : state.rows(site)) {
+    for (EffectiveValue row : state.effectiveValues(site)) {
       ObjectNode rowNode = rows.addObject();
       rowNode.put("key", row.key());
       rowNode.set("value", row.value());
@@ -223,7 +224,7 @@
     }
   }
 
-  private Result<OperatorAnswer> file(OperatorRequest request) {
+  private Result<OperatorResponse> file(OperatorRequest request) {
     String file = request.path("file");
     ConfigurationState state = fold.state();
     Optional<JsonNode> content = state.content(file);
@@ -234,10 +235,10 @@
     node.put("file", file);
     node.put("revision", state.fileRevision(file));
     node.set("content", content.get());
-    return Result.ok(OperatorAnswer.ok(node));
+    return Result.ok(OperatorResponse.ok(node));
   }
 
-  private Result<OperatorAnswer> history(OperatorRequest request) {
+  private Result<OperatorResponse> history(OperatorRequest request) {
     ObjectNode node = Json.object();
     ConfigurationState state = fold.state();
     node.put("revision", state.revision());
@@ -248,21 +249,21 @@
       versionNode.put("contentKept", version.content().isPresent());
       versions.add(versionNode);
     }
-    return Result.ok(OperatorAnswer.ok(node));
+    return Result.ok(OperatorResponse.ok(node));
   }
 
-  private Result<OperatorAnswer> version(OperatorRequest request) {
+  private Result<OperatorResponse> version(OperatorRequest request) {
     String text = request.path("revision");
     Optional<PublishedVersion> version =
         fold.state().history().stream()
             .filter(v -> Long.toString(v.revision()).equals(text))
             .findFirst();
     return version.isPresent()
-        ? Result.ok(OperatorAnswer.ok(ConfigurationStateJson.write(version.get())))
+        ? Result.ok(OperatorResponse.ok(ConfigurationStateJson.write(version.get())))
         : Result.failed(ErrorKind.NOT_FOUND, "no revision " + text + " in the history kept");
   }
 
-  private Result<OperatorAnswer> inForce(OperatorRequest request) {
+  private Result<OperatorResponse> inForce(OperatorRequest request) {
     long accepted = fold.state().revision();
     ObjectNode node = Json.object();
     node.put("accepted", accepted);
@@ -276,6 +277,6 @@
       process.put("revision", member.revision());
     }
     node.put("everywhere", everywhere);
-    return Result.ok(OperatorAnswer.ok(node));
+    return Result.ok(OperatorResponse.ok(node));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
@@ -25,14 +25,14 @@
  */
 public final class PeerCatchUp implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(PeerCatchUp.class);
-  private static final long PERIOD_MILLIS = 1_000;
+  private static final long POLL_PERIOD_MILLIS = 1_000;
 
   private final List<HostPort> peers;
-  private final BiFunction<HostPort, String, Result<JsonNode>> ask;
+  private final BiFunction<HostPort, String, Result<JsonNode>> fetch;
   private final ConfigurationFold fold;
   private final BooleanSupplier logOutage;
   private ScheduledExecutorService scheduler;
-  private boolean toldUnknown;
+  private boolean unknownLogged;
 
   /**
    * Creates one that does nothing yet.
@@ -48,7 +48,7 @@
       ConfigurationFold fold,
       BooleanSupplier logOutage) {
     this.peers = List.copyOf(peers);
-    this.ask = requireNonNull(ask, "ask");
+    this.fetch = requireNonNull(ask, "ask");
     this.fold = requireNonNull(fold, "fold");
     this.logOutage = requireNonNull(logOutage, "logOutage");
   }
@@ -64,32 +64,32 @@
             });
     var unused =
         scheduler.scheduleWithFixedDelay(
-            this::look, PERIOD_MILLIS, PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+            this::poll, POLL_PERIOD_MILLIS, POLL_PERIOD_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Asks all peers if the log does not answer. */
-  void look() {
+  void poll() {
     if (!logOutage.getAsBoolean()) {
-      toldUnknown = false;
+      unknownLogged = false;
       return;
     }
     long before = fold.state().revision();
     for (HostPort peer : peers) {
-      takeFrom(peer);
+      restoreFrom(peer);
     }
     long now = fold.state().revision();
     if (now > before) {
       LOG.info(LogLine.of("configuration-taken-from-peers").with("revision", now));
     }
-    if (now == 0 && !toldUnknown) {
-      toldUnknown = true;
+    if (now == 0 && !unknownLogged) {
+      unknownLogged = true;
       LOG.warning(LogLine.of("configuration-unknown").with("peers", peers.size()));
     }
   }
 
-  private void takeFrom(HostPort peer) {
+  private void restoreFrom(HostPort peer) {
     String path = "/configuration/state?after=" + fold.state().revision();
-    Result<JsonNode> answer = ask.apply(peer, path);
+    Result<JsonNode> answer = fetch.apply(peer, path);
     if (!answer.isOk() || answer.value().isEmpty()) {
       return;
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import io.marigoldsail.daemon.dispatch.PendingRequest.Attempt;
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkLoop;
@@ -165,7 +165,7 @@
   private void handleResponseStart(TargetPool pool, LinkConnection connection, AnswerStart start)
       throws BrokenFrameException {
     if (start.getLast()) {
-      connection.answerRead();
+      connection.countResponseRead();
     }
     reportLoad(pool, start.getReport());
     PendingRequest request = findAwaiting(connection, start.getId().getSequence());
@@ -271,11 +271,11 @@
     if (pool.markGoingAway()) {
       listener.targetsChanged();
     }
-    connection.sendInTurn(EntryFrames.goAwayAck());
+    connection.sendAfterQueued(EntryFrames.goAwayAck());
   }
 
   private void reportLoad(TargetPool pool, TargetReport report) throws BrokenFrameException {
-    TargetLoad load = Announcements.read(report);
+    TargetLoad load = AnnouncementCodec.decode(report);
     if (pools.byVm(pool.vm()) == pool) {
       listener.loadReported(pool.vm(), load);
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -3,7 +3,7 @@
 import static java.util.Objects.requireNonNull;
 
 import com.google.protobuf.ByteString;
-import io.marigoldsail.daemon.http.RestOfBody;
+import io.marigoldsail.daemon.http.BodyDrainer;
 import io.marigoldsail.dispatch.ByteBudget;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Failure;
@@ -207,7 +207,7 @@
             bodyBudget,
             body -> {
               if (body instanceof Result.Failed<ByteString> failed) {
-                Callback afterRest = RestOfBody.thenComplete(request, callback);
+                Callback afterRest = BodyDrainer.drainThenComplete(request, callback);
                 CallerResponseWriter.write(response, afterRest, failed.failure(), "");
                 return;
               }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import io.marigoldsail.daemon.link.EntryChannel;
-import io.marigoldsail.daemon.link.KeyListener;
+import io.marigoldsail.daemon.link.KeyFrameListener;
 import io.marigoldsail.daemon.link.LinkLoop;
 import io.marigoldsail.protocol.Frame;
 import io.marigoldsail.protocol.KeyHandover;
@@ -15,7 +15,7 @@
  *
  * <p>Confined to the loop's thread, but for {@link #received}.
  */
-final class KeyFrameHandler implements KeyListener {
+final class KeyFrameHandler implements KeyFrameListener {
   private final LinkLoop loop;
   private final long processIncarnation;
   private final EntryChannel entries;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.time.MonotonicClock;
 import java.util.function.Consumer;
 
-/** A {@link Target} whose answers are timed for the VM's guard. */
+/** A {@link TargetCommand} whose answers are timed for the VM's guard. */
 public final class MeasuredTarget implements Target {
   private final Target target;
   private final TailWindow window;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.daemon.dispatch.ResponseSender.Rejection;
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.BrokenFrameException;
 import io.marigoldsail.daemon.link.EntryChannel;
-import io.marigoldsail.daemon.link.KeyListener;
+import io.marigoldsail.daemon.link.KeyFrameListener;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
@@ -120,16 +120,16 @@
     this.responseSender = new ResponseSender(loop, attemptTable, this::report, events);
     this.keyedRequests = new KeyedRequests(loop, processIncarnation, responseSender);
     this.keyFrameHandler =
-        new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isLeaving);
+        new KeyFrameHandler(loop, processIncarnation, entries, keyedRequests, this::isDraining);
   }
 
   /** Returns who takes what entries say about idempotency keys. */
-  public KeyListener keyListener() {
+  public KeyFrameListener keyListener() {
     return keyFrameHandler;
   }
 
-  /** Sets who is told when {@link #isLeaving} changes; to be called before {@link #start}. */
-  public void onLeavingChanged(Runnable listener) {
+  /** Sets who is told when {@link #isDraining} changes; to be called before {@link #start}. */
+  public void onDrainingChanged(Runnable listener) {
     leavingListener = requireNonNull(listener, "listener");
   }
 
@@ -151,11 +151,11 @@
 
   /** Returns what the target has to do now. */
   public TargetLoad load() {
-    return new TargetLoad(running, queueLength, entries.entryCount(), isLeaving());
+    return new TargetLoad(running, queueLength, entries.entryCount(), isDraining());
   }
 
   /** Returns whether nothing new is taken: this process or its target is stopping. */
-  public boolean isLeaving() {
+  public boolean isDraining() {
     return stopping || !healthMonitor.acceptsWork();
   }
 
@@ -242,7 +242,7 @@
 
   /** Returns why the request is not taken, or null after reserving room for its body. */
   private Rejection rejection(RequestStart start, long deadline, long now) {
-    if (isLeaving()) {
+    if (isDraining()) {
       return new Rejection(
           ErrorKind.SHUTTING_DOWN, "the target is leaving", DRAINING_RETRY_AFTER_MILLIS);
     }
@@ -411,8 +411,8 @@
         discard(request);
         attemptTable.markNotRun(id, loop.now());
       }
-      if (attemptTable.answer(id).isPresent()) {
-        responseSender.resend(connection, id, attemptTable.answer(id).get());
+      if (attemptTable.response(id).isPresent()) {
+        responseSender.resend(connection, id, attemptTable.response(id).get());
         recordResolved(id, "done");
         return;
       }
@@ -441,7 +441,7 @@
   }
 
   private TargetReport report() {
-    return Announcements.write(load(), limits.slots());
+    return AnnouncementCodec.encode(load(), limits.slots());
   }
 
   /** Frames of entries. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
@@ -25,7 +25,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** A {@link Target} reached over HTTP by Jetty's client. */
+/** A {@link TargetCommand} reached over HTTP by Jetty's client. */
 public final class TargetClient implements Target {
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 3;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.protocol.Header;
 import java.util.List;
 
-/** What came of a request handed to a {@link Target}. Immutable. Rejects nulls. */
+/** What came of a request handed to a {@link TargetCommand}. Immutable. Rejects nulls. */
 public sealed interface TargetOutcome {
   /**
    * The target answered, and the answer is whole.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPool.java
@@ -176,7 +176,7 @@
   }
 
   void resetSilenceTimers(long now) {
-    allConnections().forEach(connection -> connection.excuseSilence(now));
+    allConnections().forEach(connection -> connection.resetSilenceTimer(now));
   }
 
   void close() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
@@ -5,6 +5,6 @@
  * {@link io.marigoldsail.daemon.dispatch.EntryDispatcher} carries out what a {@link
  * io.marigoldsail.dispatch.RequestPolicy} decides. In a side process {@link
  * io.marigoldsail.daemon.dispatch.SideDispatcher} runs requests on its {@link
- * io.marigoldsail.daemon.dispatch.Target}.
+ * io.marigoldsail.daemon.dispatch.TargetCommand}.
  */
 package io.marigoldsail.daemon.dispatch;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/RestOfBody.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/BodyDrainer.java
@@ -15,17 +15,17 @@
  *
  * <p>Never blocks. Used once, by the thread that serves the request.
  */
-public final class RestOfBody implements Runnable {
+public final class BodyDrainer implements Runnable {
   /** The most that is read for nothing; one who sends more is cut off, in bytes. */
-  static final long MOST_BYTES = 16L << 20;
+  static final long MAX_DRAINED_BYTES = 16L << 20;
 
   private final Content.Source body;
-  private final Callback after;
-  private long passedOver;
+  private final Callback completion;
+  private long drainedBytes;
 
-  private RestOfBody(Content.Source body, Callback after) {
+  private BodyDrainer(Content.Source body, Callback after) {
     this.body = requireNonNull(body, "body");
-    this.after = requireNonNull(after, "after");
+    this.completion = requireNonNull(after, "after");
   }
 
   /**
@@ -35,27 +35,27 @@
    * @param body the request's body, of which some may have been read
    * @param after completes the request
    */
-  public static Callback thenComplete(Content.Source body, Callback after) {
-    RestOfBody rest = new RestOfBody(body, after);
+  public static Callback drainThenComplete(Content.Source body, Callback after) {
+    BodyDrainer rest = new BodyDrainer(body, after);
     return Callback.from(rest::run, after::failed);
   }
 
   /** Reads what is there and asks to be called again for more. */
   @Override
   public void run() {
-    while (passedOver < MOST_BYTES) {
+    while (drainedBytes < MAX_DRAINED_BYTES) {
       Content.Chunk chunk = body.read();
       if (chunk == null) {
         body.demand(this);
         return;
       }
-      passedOver += chunk.remaining();
+      drainedBytes += chunk.remaining();
       boolean ended = chunk.isLast() || Content.Chunk.isFailure(chunk);
       chunk.release();
       if (ended) {
         break;
       }
     }
-    after.succeeded();
+    completion.succeeded();
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/WholeBody.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/BoundedBodyReader.java
@@ -15,14 +15,14 @@
  * client's connection fail with a reset, and the answer is lost; reading on for a bounded amount
  * lets most clients come to the answer.
  */
-public final class WholeBody implements Runnable {
+public final class BoundedBodyReader implements Runnable {
   private final Content.Source source;
   private final int limit;
   private final CompletableFuture<Result<byte[]>> result = new CompletableFuture<>();
-  private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
   private long length;
 
-  private WholeBody(Content.Source source, int limit) {
+  private BoundedBodyReader(Content.Source source, int limit) {
     this.source = source;
     this.limit = limit;
   }
@@ -34,7 +34,7 @@
    * @param limit the longest body taken, in bytes
    */
   public static CompletableFuture<Result<byte[]>> read(Content.Source source, int limit) {
-    WholeBody reader = new WholeBody(source, limit);
+    BoundedBodyReader reader = new BoundedBodyReader(source, limit);
     reader.run();
     return reader.result;
   }
@@ -52,29 +52,29 @@
             Result.failed(ErrorKind.BAD_REQUEST, "the body was cut short: " + chunk.getFailure()));
         return;
       }
-      take(chunk.getByteBuffer());
-      boolean ended = chunk.isLast() || length > limit + RestOfBody.MOST_BYTES;
+      append(chunk.getByteBuffer());
+      boolean ended = chunk.isLast() || length > limit + BodyDrainer.MAX_DRAINED_BYTES;
       chunk.release();
       if (ended) {
-        result.complete(end());
+        result.complete(bodyOrFailure());
       }
     }
   }
 
-  private void take(ByteBuffer bytes) {
+  private void append(ByteBuffer bytes) {
     length += bytes.remaining();
     if (length <= limit) {
       byte[] copy = new byte[bytes.remaining()];
       bytes.get(copy);
-      kept.writeBytes(copy);
+      buffer.writeBytes(copy);
     } else {
-      kept.reset();
+      buffer.reset();
     }
   }
 
-  private Result<byte[]> end() {
+  private Result<byte[]> bodyOrFailure() {
     return length <= limit
-        ? Result.ok(kept.toByteArray())
+        ? Result.ok(buffer.toByteArray())
         : Result.failed(ErrorKind.BODY_TOO_LARGE, "the limit is " + limit + " bytes");
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreads.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/HttpThreadPools.java
@@ -12,11 +12,11 @@
  * <p>Jetty's own thread factory makes each thread through method handles on the security manager,
  * which cost every start of a process processor time and are of no use without one.
  */
-public final class HttpThreads {
+public final class HttpThreadPools {
   /** Has the pool choose how many threads it keeps for what must not wait. */
-  private static final int RESERVED_BY_SIZE = -1;
+  private static final int DEFAULT_RESERVED_THREADS = -1;
 
-  private HttpThreads() {}
+  private HttpThreadPools() {}
 
   /**
    * Returns a pool that is not started.
@@ -27,11 +27,11 @@
    * @param idleMillis how long a thread over the least may be idle
    * @param daemon whether its threads let the process end
    */
-  public static QueuedThreadPool pool(
+  public static QueuedThreadPool create(
       String name, int most, int least, int idleMillis, boolean daemon) {
     QueuedThreadPool pool =
         new QueuedThreadPool(
-            most, least, idleMillis, RESERVED_BY_SIZE, null, null, factory(name, daemon));
+            most, least, idleMillis, DEFAULT_RESERVED_THREADS, null, null, factory(name, daemon));
     pool.setName(name);
     pool.setDaemon(daemon);
     return pool;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/Announcements.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/AnnouncementCodec.java
@@ -6,11 +6,11 @@
 import io.marigoldsail.protocol.TargetReport;
 
 /** Translates announcements and reports between frames and the types of decisions. */
-public final class Announcements {
-  private Announcements() {}
+public final class AnnouncementCodec {
+  private AnnouncementCodec() {}
 
   /** Returns the announcement as a message. */
-  public static Announce write(Announcement announcement) {
+  public static Announce encode(Announcement announcement) {
     return Announce.newBuilder()
         .setVm(announcement.vm())
         .setProcessIncarnation(announcement.processIncarnation())
@@ -20,14 +20,14 @@
         .setOperatorsAddress(announcement.operatorsAddress())
         .setService(announcement.service())
         .setSlots(announcement.slots())
-        .setLeaving(announcement.leaving())
-        .setReport(write(announcement.load(), announcement.slots()))
+        .setLeaving(announcement.draining())
+        .setReport(encode(announcement.load(), announcement.slots()))
         .setConfigurationRevision(announcement.configurationRevision())
         .build();
   }
 
   /** Returns the load as a message. */
-  public static TargetReport write(TargetLoad load, int slots) {
+  public static TargetReport encode(TargetLoad load, int slots) {
     return TargetReport.newBuilder()
         .setSlots(slots)
         .setInFlight(load.inFlight())
@@ -42,7 +42,7 @@
    *
    * @throws BrokenFrameException if a field is missing or out of range
    */
-  public static Announcement read(Announce message) throws BrokenFrameException {
+  public static Announcement decode(Announce message) throws BrokenFrameException {
     try {
       return new Announcement(
           message.getVm(),
@@ -54,7 +54,7 @@
           message.getService(),
           message.getSlots(),
           message.getLeaving(),
-          load(message.getReport()),
+          decodeLoad(message.getReport()),
           message.getConfigurationRevision());
     } catch (IllegalArgumentException e) {
       throw new BrokenFrameException("announcement: " + e.getMessage());
@@ -66,15 +66,15 @@
    *
    * @throws BrokenFrameException if a count is out of range
    */
-  public static TargetLoad read(TargetReport message) throws BrokenFrameException {
+  public static TargetLoad decode(TargetReport message) throws BrokenFrameException {
     try {
-      return load(message);
+      return decodeLoad(message);
     } catch (IllegalArgumentException e) {
       throw new BrokenFrameException("report: " + e.getMessage());
     }
   }
 
-  private static TargetLoad load(TargetReport message) {
+  private static TargetLoad decodeLoad(TargetReport message) {
     return new TargetLoad(
         message.getInFlight(), message.getWaiting(), message.getEntries(), message.getLeaving());
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLink.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLink.java
@@ -18,9 +18,9 @@
 
     void acknowledged(EntryLink link, AnnounceAck ack);
 
-    void task(String entry, TaskMessage message);
+    void taskReceived(String entry, TaskMessage message);
 
-    void keys(String entry, Frame frame);
+    void keyFrameReceived(String entry, Frame frame);
 
     void lost(EntryLink link);
   }
@@ -28,11 +28,11 @@
   private static final System.Logger LOG = System.getLogger(EntryLink.class.getName());
 
   /** A link whose announcements are not answered for this long is taken for dead. */
-  private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
+  private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_600);
 
-  private static final long BACK_OFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-  private static final long MAX_BACK_OFF_NANOS = TimeUnit.SECONDS.toNanos(2);
-  private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long INITIAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long MAX_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(2);
+  private static final long PAUSE_THRESHOLD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final LinkLoop loop;
   private final InetSocketAddress address;
@@ -43,11 +43,11 @@
   private LinkConnection connection;
   private boolean dialling;
   private boolean closed;
-  private long backOffNanos = BACK_OFF_NANOS;
-  private long dialAt;
-  private long lastMentioned;
-  private long lastTurn;
-  private String entry = "";
+  private long backoffNanos = INITIAL_BACKOFF_NANOS;
+  private long nextDialAt;
+  private long lastListedAt;
+  private long lastAnnounceAt;
+  private String entryName = "";
 
   EntryLink(
       LinkLoop loop,
@@ -62,27 +62,27 @@
     this.random = random;
     this.events = events;
     this.listener = listener;
-    this.dialAt = loop.now();
-    this.lastMentioned = loop.now();
-    this.lastTurn = loop.now();
+    this.nextDialAt = loop.now();
+    this.lastListedAt = loop.now();
+    this.lastAnnounceAt = loop.now();
   }
 
   /** Announces on the link, or dials it where it is down and due. */
   void announce(Frame announcement, long now) {
-    boolean wasFrozen = now - lastTurn > FROZEN_NANOS;
-    lastTurn = now;
+    boolean wasFrozen = now - lastAnnounceAt > PAUSE_THRESHOLD_NANOS;
+    lastAnnounceAt = now;
     if (connection == null) {
-      if (!dialling && dialAt - now <= 0) {
+      if (!dialling && nextDialAt - now <= 0) {
         dial();
       }
       return;
     }
     if (wasFrozen) {
-      connection.excuseSilence(now);
+      connection.resetSilenceTimer(now);
     }
     // A connection that something between the two ends has lost track of takes bytes and answers
     // nothing, for good; the entry would drop this VM while it goes on announcing into the void.
-    if (now - connection.lastReceived() > SILENCE_NANOS) {
+    if (now - connection.lastReceived() > SILENCE_TIMEOUT_NANOS) {
       connection.close("silent");
       return;
     }
@@ -101,16 +101,16 @@
     }
   }
 
-  void mentioned(long now) {
-    lastMentioned = now;
+  void listed(long now) {
+    lastListedAt = now;
   }
 
-  boolean isHeard() {
-    return connection != null && !entry.isEmpty();
+  boolean isEstablished() {
+    return connection != null && !entryName.isEmpty();
   }
 
-  boolean mayBeForgotten(long now, long afterNanos) {
-    return !seed && connection == null && now - lastMentioned > afterNanos;
+  boolean isExpired(long now, long afterNanos) {
+    return !seed && connection == null && now - lastListedAt > afterNanos;
   }
 
   void close() {
@@ -124,10 +124,10 @@
     dialling = true;
     loop.dial(
         address,
-        new Incoming(),
+        new EntryFrameListener(),
         reason -> {
           dialling = false;
-          backOff();
+          scheduleRedial();
           LOG.log(
               System.Logger.Level.DEBUG,
               "event=entry-unreachable entry={0} reason=\"{1}\"",
@@ -136,13 +136,13 @@
         });
   }
 
-  private void backOff() {
-    dialAt = loop.now() + backOffNanos / 2 + random.nextLong(backOffNanos);
-    backOffNanos = Math.min(MAX_BACK_OFF_NANOS, backOffNanos * 2);
+  private void scheduleRedial() {
+    nextDialAt = loop.now() + backoffNanos / 2 + random.nextLong(backoffNanos);
+    backoffNanos = Math.min(MAX_BACKOFF_NANOS, backoffNanos * 2);
   }
 
   /** Frames of the entry. */
-  private final class Incoming implements LinkListener {
+  private final class EntryFrameListener implements LinkListener {
     @Override
     public void opened(LinkConnection opened) {
       dialling = false;
@@ -158,12 +158,13 @@
     public void received(LinkConnection from, Frame frame) throws BrokenFrameException {
       switch (frame.getBodyCase()) {
         case ANNOUNCE_ACK -> {
-          entry = frame.getAnnounceAck().getEntry();
-          backOffNanos = BACK_OFF_NANOS;
+          entryName = frame.getAnnounceAck().getEntry();
+          backoffNanos = INITIAL_BACKOFF_NANOS;
           listener.acknowledged(EntryLink.this, frame.getAnnounceAck());
         }
-        case TASK -> listener.task(entry, frame.getTask());
-        case KEY_LEASES, KEY_HANDOVER, KEY_HANDOVER_RESULT -> listener.keys(entry, frame);
+        case TASK -> listener.taskReceived(entryName, frame.getTask());
+        case KEY_LEASES, KEY_HANDOVER, KEY_HANDOVER_RESULT ->
+            listener.keyFrameReceived(entryName, frame);
         default -> throw new BrokenFrameException("unexpected " + frame.getBodyCase());
       }
     }
@@ -174,7 +175,7 @@
         return;
       }
       connection = null;
-      backOff();
+      scheduleRedial();
       listener.lost(EntryLink.this);
       events.record(
           Event.of(EventKind.CONNECTION_LOST).withDetail("entry " + address + ": " + reason));
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/EntryLinks.java
@@ -33,10 +33,10 @@
  */
 public final class EntryLinks implements PeerLinks, AutoCloseable {
   /** How long after its last announcement a VM is dropped. */
-  public static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  public static final long MEMBER_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  private static final long TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-  private static final long FROZEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long TICK_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  private static final long PAUSE_THRESHOLD_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final LinkLoop loop;
   private final EntryIdentity identity;
@@ -45,9 +45,9 @@
   private final Supplier<List<String>> otherEntries;
   private final EventRecorder events;
   private final LinkServer server;
-  private final Map<String, LinkConnection> byVm = new ConcurrentHashMap<>();
-  private final List<TaskListener> taskListeners = new CopyOnWriteArrayList<>();
-  private final List<KeyListener> keyListeners = new CopyOnWriteArrayList<>();
+  private final Map<String, LinkConnection> connectionsByVm = new ConcurrentHashMap<>();
+  private final List<TaskMessageListener> taskListeners = new CopyOnWriteArrayList<>();
+  private final List<KeyFrameListener> keyListeners = new CopyOnWriteArrayList<>();
   private final List<MemberListener> memberListeners = new CopyOnWriteArrayList<>();
   private long lastTick;
   private Future<?> tick;
@@ -73,11 +73,11 @@
       EventRecorder events) {
     this.loop = requireNonNull(loop, "loop");
     this.identity = requireNonNull(identity, "identity");
-    this.members = new MemberTable(SILENCE_NANOS);
+    this.members = new MemberTable(MEMBER_TIMEOUT_NANOS);
     this.configurationRevision = requireNonNull(configurationRevision, "configurationRevision");
     this.otherEntries = requireNonNull(otherEntries, "otherEntries");
     this.events = requireNonNull(events, "events");
-    this.server = new LinkServer(loop, address, maxConnections, new Incoming());
+    this.server = new LinkServer(loop, address, maxConnections, new SideProcessListener());
   }
 
   /**
@@ -88,7 +88,7 @@
   public void start() throws IOException {
     server.start();
     lastTick = loop.now();
-    tick = loop.repeat(this::tick, TICK_NANOS);
+    tick = loop.repeat(this::tick, TICK_PERIOD_NANOS);
   }
 
   /** Returns the port that is listened on. */
@@ -107,13 +107,13 @@
   }
 
   @Override
-  public void addTaskListener(TaskListener listener) {
+  public void addTaskListener(TaskMessageListener listener) {
     taskListeners.add(requireNonNull(listener, "listener"));
   }
 
   @Override
   public boolean send(String peer, TaskMessage message) {
-    LinkConnection connection = byVm.get(peer);
+    LinkConnection connection = connectionsByVm.get(peer);
     if (connection == null) {
       return false;
     }
@@ -123,13 +123,13 @@
   }
 
   /** Adds a listener for frames about idempotency keys. */
-  public void addKeyListener(KeyListener listener) {
+  public void addKeyListener(KeyFrameListener listener) {
     keyListeners.add(requireNonNull(listener, "listener"));
   }
 
   /** Hands a frame to the link to the VM, if there is one. */
   public void sendTo(String vm, Frame frame) {
-    LinkConnection connection = byVm.get(vm);
+    LinkConnection connection = connectionsByVm.get(vm);
     if (connection != null) {
       loop.run(() -> connection.send(frame));
     }
@@ -137,7 +137,7 @@
 
   @Override
   public Set<String> peers() {
-    return ImmutableSet.copyOf(byVm.keySet());
+    return ImmutableSet.copyOf(connectionsByVm.keySet());
   }
 
   /** Stops listening and ends all links. */
@@ -151,30 +151,30 @@
     long now = loop.now();
     // An entry frozen for seconds finds all deadlines passed before it has read what waits in its
     // sockets; the lateness of its own tick tells that it was the one who was away.
-    if (now - lastTick > FROZEN_NANOS) {
-      members.extendAll(now);
+    if (now - lastTick > PAUSE_THRESHOLD_NANOS) {
+      members.restartTimeouts(now);
     }
     lastTick = now;
     for (Announcement lost : members.expire(now)) {
-      byVm.remove(lost.vm());
+      connectionsByVm.remove(lost.vm());
       events.record(Event.of(EventKind.MEMBER_LOST).withVm(lost.vm()).withDetail("silent"));
       memberListeners.forEach(listener -> listener.lost(lost));
     }
   }
 
-  private void announced(LinkConnection connection, Announcement announcement) {
-    MemberTable.Change change = members.announced(announcement, loop.now());
+  private void handleAnnouncement(LinkConnection connection, Announcement announcement) {
+    MemberTable.Change change = members.update(announcement, loop.now());
     if (change == MemberTable.Change.STALE) {
       connection.close("a later process of " + announcement.vm() + " is known");
       return;
     }
-    byVm.put(announcement.vm(), connection);
-    connection.send(ack());
-    record(announcement, change);
+    connectionsByVm.put(announcement.vm(), connection);
+    connection.send(ackFrame());
+    recordChange(announcement, change);
     memberListeners.forEach(listener -> listener.announced(announcement, change));
   }
 
-  private Frame ack() {
+  private Frame ackFrame() {
     AnnounceAck.Builder ack =
         AnnounceAck.newBuilder()
             .setEntry(identity.name())
@@ -184,7 +184,7 @@
     return Frame.newBuilder().setAnnounceAck(ack).build();
   }
 
-  private void record(Announcement announcement, MemberTable.Change change) {
+  private void recordChange(Announcement announcement, MemberTable.Change change) {
     Event about =
         Event.of(EventKind.MEMBER_JOINED)
             .withVm(announcement.vm())
@@ -192,13 +192,13 @@
     if (change == MemberTable.Change.JOINED) {
       events.record(about);
     }
-    if (change == MemberTable.Change.LEAVING) {
+    if (change == MemberTable.Change.DRAINING) {
       events.record(Event.of(EventKind.MEMBER_LEAVING).withVm(announcement.vm()));
     }
   }
 
   private String vmOf(LinkConnection connection) throws BrokenFrameException {
-    for (Map.Entry<String, LinkConnection> entry : byVm.entrySet()) {
+    for (Map.Entry<String, LinkConnection> entry : connectionsByVm.entrySet()) {
       if (entry.getValue() == connection) {
         return entry.getKey();
       }
@@ -207,14 +207,15 @@
   }
 
   /** Frames of side processes. */
-  private final class Incoming implements LinkListener {
+  private final class SideProcessListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {}
 
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       switch (frame.getBodyCase()) {
-        case ANNOUNCE -> announced(connection, Announcements.read(frame.getAnnounce()));
+        case ANNOUNCE ->
+            handleAnnouncement(connection, AnnouncementCodec.decode(frame.getAnnounce()));
         case TASK -> {
           String vm = vmOf(connection);
           taskListeners.forEach(listener -> listener.received(vm, frame.getTask()));
@@ -229,7 +230,7 @@
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      byVm.values().removeIf(known -> known == connection);
+      connectionsByVm.values().removeIf(known -> known == connection);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/KeyFrameListener.java
@@ -4,7 +4,7 @@
 
 /** Told of frames about idempotency keys that came over a control link. */
 @FunctionalInterface
-public interface KeyListener {
+public interface KeyFrameListener {
   /**
    * Takes a frame; called on the loop's thread.
    *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
@@ -18,7 +18,7 @@
   private final String remote;
   private final ArrayDeque<FrameStream> streams = new ArrayDeque<>();
   private long lastReceived;
-  private long answersRead;
+  private long responsesRead;
   private boolean unanswered;
   private long unansweredSince;
   private String closeReason = "closed by peer";
@@ -41,7 +41,7 @@
    * <p>Guards against a sound connection that is taken for silent: what is sent between two frames
    * that ask for an answer says nothing of the peer.
    */
-  public void tell(Frame frame) {
+  public void sendOneWay(Frame frame) {
     writeStamped(frame);
   }
 
@@ -52,15 +52,15 @@
       return;
     }
     streams.add(frames);
-    pump();
+    writePending();
   }
 
   /**
    * Sends the frame after the first frame of everything that was given to {@link #sendAll} before;
    * {@link #send} may overtake bodies that have not begun.
    */
-  public void sendInTurn(Frame frame) {
-    sendAll(new SingleFrame(frame));
+  public void sendAfterQueued(Frame frame) {
+    sendAll(new SingleFrameStream(frame));
   }
 
   /** Ends the connection; the listener is told the reason. */
@@ -88,8 +88,8 @@
   }
 
   /** Counts a whole answer that was read; the next frame sent tells the peer. */
-  public void answerRead() {
-    answersRead++;
+  public void countResponseRead() {
+    responsesRead++;
   }
 
   /** Returns for how long nothing came after something was sent, in nanoseconds; else 0. */
@@ -98,12 +98,12 @@
   }
 
   /** Takes now for the time of the last frame, after this process was itself frozen. */
-  public void excuseSilence(long now) {
+  public void resetSilenceTimer(long now) {
     lastReceived = now;
     unansweredSince = now;
   }
 
-  void touched(long now) {
+  void frameReceived(long now) {
     lastReceived = now;
     unanswered = false;
   }
@@ -113,7 +113,7 @@
   }
 
   /** Sends one chunk of each long body in turn until the connection has enough to write. */
-  void pump() {
+  void writePending() {
     while (!streams.isEmpty() && channel.isActive() && channel.isWritable()) {
       FrameStream stream = streams.poll();
       write(stream.next());
@@ -135,11 +135,11 @@
 
   private void writeStamped(Frame frame) {
     Frame stamped =
-        frame.toBuilder().setStamp(loop.hybridClock().now()).setAnswersRead(answersRead).build();
+        frame.toBuilder().setStamp(loop.hybridClock().now()).setAnswersRead(responsesRead).build();
     channel.writeAndFlush(stamped, channel.voidPromise());
   }
 
-  void dropStreams() {
+  void discardStreams() {
     while (!streams.isEmpty()) {
       streams.poll().ended();
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkHandler.java
@@ -30,7 +30,7 @@
     if (!connection.isOpen()) {
       return;
     }
-    connection.touched(loop.now());
+    connection.frameReceived(loop.now());
     if (frame.getStamp() != 0) {
       loop.hybridClock().observe(frame.getStamp());
     }
@@ -40,14 +40,14 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     if (connection != null) {
-      connection.pump();
+      connection.writePending();
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     if (connection != null) {
-      connection.dropStreams();
+      connection.discardStreams();
       listener.closed(connection, connection.closeReason());
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkServer.java
@@ -21,15 +21,15 @@
  */
 public final class LinkServer implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(LinkServer.class.getName());
-  private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(30);
-  private static final long SWEEP_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+  private static final long SWEEP_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private final LinkLoop loop;
   private final InetSocketAddress address;
   private final int maxConnections;
   private final LinkListener listener;
-  private final Set<LinkConnection> open = new HashSet<>();
-  private final Set<LinkConnection> refused = new HashSet<>();
+  private final Set<LinkConnection> openConnections = new HashSet<>();
+  private final Set<LinkConnection> refusedConnections = new HashSet<>();
   private long refusedSinceSweep;
   private Channel acceptor;
   private Future<?> sweep;
@@ -58,14 +58,14 @@
    */
   public void start() throws IOException {
     try {
-      acceptor = loop.listen(address, new LinkInitializer(loop, new Bounded()));
+      acceptor = loop.listen(address, new LinkInitializer(loop, new LimitingListener()));
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted while binding " + address, e);
     } catch (Exception e) {
       throw new IOException("cannot listen on " + address + ": " + e.getMessage(), e);
     }
-    sweep = loop.repeat(this::sweep, SWEEP_NANOS);
+    sweep = loop.repeat(this::sweep, SWEEP_PERIOD_NANOS);
   }
 
   /** Returns the port that is listened on. */
@@ -78,7 +78,7 @@
    * on the loop's thread.
    */
   public boolean isFlushed() {
-    return open.stream().allMatch(LinkConnection::isFlushed);
+    return openConnections.stream().allMatch(LinkConnection::isFlushed);
   }
 
   /** Stops listening and ends all connections. */
@@ -86,13 +86,13 @@
   public void close() {
     sweep.cancel(false);
     acceptor.close().awaitUninterruptibly();
-    loop.run(() -> Set.copyOf(open).forEach(connection -> connection.close("stopped")));
+    loop.run(() -> Set.copyOf(openConnections).forEach(connection -> connection.close("stopped")));
   }
 
   private void sweep() {
     long now = loop.now();
-    for (LinkConnection connection : Set.copyOf(open)) {
-      if (now - connection.lastReceived() > IDLE_NANOS) {
+    for (LinkConnection connection : Set.copyOf(openConnections)) {
+      if (now - connection.lastReceived() > IDLE_TIMEOUT_NANOS) {
         connection.close("idle");
       }
     }
@@ -108,30 +108,30 @@
   }
 
   /** Passes on what happens on connections within the limit. */
-  private final class Bounded implements LinkListener {
+  private final class LimitingListener implements LinkListener {
     @Override
     public void opened(LinkConnection connection) {
-      if (open.size() >= maxConnections) {
+      if (openConnections.size() >= maxConnections) {
         refusedSinceSweep++;
-        refused.add(connection);
+        refusedConnections.add(connection);
         connection.close("too many connections");
         return;
       }
-      open.add(connection);
+      openConnections.add(connection);
       listener.opened(connection);
     }
 
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
-      if (open.contains(connection)) {
+      if (openConnections.contains(connection)) {
         listener.received(connection, frame);
       }
     }
 
     @Override
     public void closed(LinkConnection connection, String reason) {
-      refused.remove(connection);
-      if (open.remove(connection)) {
+      refusedConnections.remove(connection);
+      if (openConnections.remove(connection)) {
         listener.closed(connection, reason);
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/PeerLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/PeerLinks.java
@@ -22,5 +22,5 @@
   Set<String> peers();
 
   /** Adds a listener for messages from peers; to be called before the links are started. */
-  void addTaskListener(TaskListener listener);
+  void addTaskListener(TaskMessageListener listener);
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SideLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SideLinks.java
@@ -30,22 +30,24 @@
  * where not said otherwise.
  */
 public final class SideLinks implements PeerLinks, EntryChannel, AutoCloseable {
-  /** How often the VM is announced; a sixth of the entry's {@link EntryLinks#SILENCE_NANOS}. */
-  public static final long ANNOUNCE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /**
+   * How often the VM is announced; a sixth of the entry's {@link EntryLinks#MEMBER_TIMEOUT_NANOS}.
+   */
+  public static final long ANNOUNCE_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private static final int MAX_ENTRIES = 64;
-  private static final long FORGET_ENTRY_NANOS = TimeUnit.MINUTES.toNanos(2);
+  private static final long ENTRY_EXPIRY_NANOS = TimeUnit.MINUTES.toNanos(2);
 
   private final LinkLoop loop;
   private final Supplier<Announcement> announcement;
   private final EventRecorder events;
   private final RandomGenerator random;
   private final Map<InetSocketAddress, EntryLink> links = new LinkedHashMap<>();
-  private final Map<String, EntryLink> byEntry = new ConcurrentHashMap<>();
-  private final List<TaskListener> taskListeners = new CopyOnWriteArrayList<>();
-  private final List<KeyListener> keyListeners = new CopyOnWriteArrayList<>();
+  private final Map<String, EntryLink> linksByEntry = new ConcurrentHashMap<>();
+  private final List<TaskMessageListener> taskListeners = new CopyOnWriteArrayList<>();
+  private final List<KeyFrameListener> keyListeners = new CopyOnWriteArrayList<>();
   private Future<?> tick;
-  private volatile int openCount;
+  private volatile int establishedCount;
 
   /**
    * Creates links that are not started.
@@ -73,7 +75,7 @@
 
   /** Begins to dial and to announce. */
   public void start() {
-    tick = loop.repeat(this::tick, ANNOUNCE_NANOS);
+    tick = loop.repeat(this::tick, ANNOUNCE_PERIOD_NANOS);
     loop.runLater(this::tick);
   }
 
@@ -84,22 +86,22 @@
 
   @Override
   public int entryCount() {
-    return Math.max(1, openCount);
+    return Math.max(1, establishedCount);
   }
 
   @Override
-  public void addTaskListener(TaskListener listener) {
+  public void addTaskListener(TaskMessageListener listener) {
     taskListeners.add(requireNonNull(listener, "listener"));
   }
 
   /** Adds a listener for frames about keys; to be called before the start. */
-  public void addKeyListener(KeyListener listener) {
+  public void addKeyListener(KeyFrameListener listener) {
     keyListeners.add(requireNonNull(listener, "listener"));
   }
 
   @Override
   public boolean send(String peer, TaskMessage message) {
-    EntryLink link = byEntry.get(peer);
+    EntryLink link = linksByEntry.get(peer);
     if (link == null) {
       return false;
     }
@@ -110,7 +112,7 @@
 
   @Override
   public void sendTo(String entry, Frame frame) {
-    EntryLink link = byEntry.get(entry);
+    EntryLink link = linksByEntry.get(entry);
     if (link != null) {
       loop.run(() -> link.send(frame));
     }
@@ -118,7 +120,7 @@
 
   @Override
   public void sendAllTo(String entry, FrameStream frames) {
-    EntryLink link = byEntry.get(entry);
+    EntryLink link = linksByEntry.get(entry);
     if (link != null) {
       loop.run(() -> link.sendAll(frames));
     }
@@ -126,7 +128,7 @@
 
   @Override
   public Set<String> peers() {
-    return ImmutableSet.copyOf(byEntry.keySet());
+    return ImmutableSet.copyOf(linksByEntry.keySet());
   }
 
   /** Ends all links. */
@@ -146,12 +148,12 @@
 
   private void tick() {
     long now = loop.now();
-    Frame frame = frame();
+    Frame frame = announceFrame();
     links
         .values()
         .removeIf(
             link -> {
-              boolean forgotten = link.mayBeForgotten(now, FORGET_ENTRY_NANOS);
+              boolean forgotten = link.isExpired(now, ENTRY_EXPIRY_NANOS);
               if (forgotten) {
                 link.close();
               }
@@ -160,27 +162,27 @@
     int heard = 0;
     for (EntryLink link : links.values()) {
       link.announce(frame, now);
-      if (link.isHeard()) {
+      if (link.isEstablished()) {
         heard++;
       }
     }
-    openCount = heard;
+    establishedCount = heard;
   }
 
-  private Frame frame() {
-    return Frame.newBuilder().setAnnounce(Announcements.write(announcement.get())).build();
+  private Frame announceFrame() {
+    return Frame.newBuilder().setAnnounce(AnnouncementCodec.encode(announcement.get())).build();
   }
 
   /** Learns what the links tell. */
   private final class Listener implements EntryLink.Listener {
     @Override
     public void opened(EntryLink link) {
-      link.announce(frame(), loop.now());
+      link.announce(announceFrame(), loop.now());
     }
 
     @Override
     public void acknowledged(EntryLink link, AnnounceAck ack) {
-      byEntry.put(ack.getEntry(), link);
+      linksByEntry.put(ack.getEntry(), link);
       for (String other : ack.getEntriesList()) {
         HostPort.parse(other)
             .map(HostPort::socketAddress)
@@ -188,7 +190,7 @@
                 address -> {
                   EntryLink known = links.get(address);
                   if (known != null) {
-                    known.mentioned(loop.now());
+                    known.listed(loop.now());
                   } else if (links.size() < MAX_ENTRIES) {
                     links.put(address, newLink(address, false));
                   }
@@ -197,18 +199,18 @@
     }
 
     @Override
-    public void task(String entry, TaskMessage message) {
+    public void taskReceived(String entry, TaskMessage message) {
       taskListeners.forEach(listener -> listener.received(entry, message));
     }
 
     @Override
-    public void keys(String entry, Frame frame) {
+    public void keyFrameReceived(String entry, Frame frame) {
       keyListeners.forEach(listener -> listener.received(entry, frame));
     }
 
     @Override
     public void lost(EntryLink link) {
-      byEntry.values().removeIf(known -> known == link);
+      linksByEntry.values().removeIf(known -> known == link);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SingleFrame.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/SingleFrameStream.java
@@ -4,11 +4,11 @@
 import java.util.NoSuchElementException;
 
 /** A stream of one frame. */
-final class SingleFrame implements FrameStream {
+final class SingleFrameStream implements FrameStream {
   private final Frame frame;
   private boolean taken;
 
-  SingleFrame(Frame frame) {
+  SingleFrameStream(Frame frame) {
     this.frame = frame;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskListener.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/TaskMessageListener.java
@@ -4,7 +4,7 @@
 
 /** Told of messages about tasks, on the loop's thread; must not block. */
 @FunctionalInterface
-public interface TaskListener {
+public interface TaskMessageListener {
   /**
    * A message came.
    *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/FoldedLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/AggregatingLog.java
@@ -12,16 +12,16 @@
  * span only the last, with {@code folded=N} for how many lines it stands for, itself among them.
  *
  * <p>A kind that goes on has one line a span; one that was quiet for a span begins anew. At most
- * {@link #MOST_KINDS} kinds are told apart at a time, all further ones count as one. A process that
+ * {@link #MAX_KINDS} kinds are told apart at a time, all further ones count as one. A process that
  * ends keeps the lines of the last span to itself.
  *
  * <p>Confined to the timer's thread. Rejects nulls.
  */
-public final class FoldedLog {
+public final class AggregatingLog {
   /** The most kinds that are told apart at a time. */
-  static final int MOST_KINDS = 32;
+  static final int MAX_KINDS = 32;
 
-  private static final String ALL_OTHERS = "";
+  private static final String OVERFLOW_KIND = "";
 
   /** Runs what is due later on the thread that also tells the lines. */
   @FunctionalInterface
@@ -30,15 +30,15 @@
     void schedule(Runnable task, long delayNanos);
   }
 
-  private static final class Span {
-    private int folded;
+  private static final class Window {
+    private int aggregatedCount;
     private LogLine last;
   }
 
   private final Consumer<LogLine> out;
   private final Timer timer;
-  private final long spanNanos;
-  private final Map<String, Span> spans = new HashMap<>();
+  private final long windowNanos;
+  private final Map<String, Window> windows = new HashMap<>();
 
   /**
    * Creates a log without a line yet.
@@ -47,11 +47,11 @@
    * @param timer ends spans
    * @param spanNanos how long lines of a kind are gathered
    */
-  public FoldedLog(Consumer<LogLine> out, Timer timer, long spanNanos) {
+  public AggregatingLog(Consumer<LogLine> out, Timer timer, long spanNanos) {
     checkArgument(spanNanos > 0, "spanNanos is not positive: %s", spanNanos);
     this.out = requireNonNull(out, "out");
     this.timer = requireNonNull(timer, "timer");
-    this.spanNanos = spanNanos;
+    this.windowNanos = spanNanos;
   }
 
   /**
@@ -59,29 +59,30 @@
    *
    * @param kind what makes lines repeats of each other; not empty
    */
-  public void tell(String kind, LogLine line) {
+  public void log(String kind, LogLine line) {
     checkArgument(!kind.isEmpty(), "no kind");
     requireNonNull(line, "line");
-    boolean known = spans.containsKey(kind) || spans.size() < MOST_KINDS;
-    String told = known ? kind : ALL_OTHERS;
-    Span span = spans.get(told);
+    boolean known = windows.containsKey(kind) || windows.size() < MAX_KINDS;
+    String told = known ? kind : OVERFLOW_KIND;
+    Window span = windows.get(told);
     if (span == null) {
       out.accept(line);
-      spans.put(told, new Span());
-      timer.schedule(() -> end(told), spanNanos);
+      windows.put(told, new Window());
+      timer.schedule(() -> endWindow(told), windowNanos);
       return;
     }
-    span.folded++;
+    span.aggregatedCount++;
     span.last = line;
   }
 
-  private void end(String kind) {
-    Span ended = spans.remove(kind);
-    if (ended.folded == 0) {
+  private void endWindow(String kind) {
+    Window ended = windows.remove(kind);
+    if (ended.aggregatedCount == 0) {
       return;
     }
-    out.accept(ended.folded == 1 ? ended.last : ended.last.with("folded", ended.folded));
-    spans.put(kind, new Span());
-    timer.schedule(() -> end(kind), spanNanos);
+    out.accept(
+        ended.aggregatedCount == 1 ? ended.last : ended.last.with("folded", ended.aggregatedCount));
+    windows.put(kind, new Window());
+    timer.schedule(() -> endWindow(kind), windowNanos);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/KeyValueFormatter.java
@@ -11,15 +11,15 @@
  * <p>Safe for any thread.
  */
 public final class KeyValueFormatter extends Formatter {
-  private static final int NANOS_A_MILLI = 1_000_000;
+  private static final int NANOS_PER_MILLI = 1_000_000;
 
   /** Characters of a line before its event, about. */
-  private static final int USUAL_HEAD = 160;
+  private static final int TYPICAL_PREFIX_LENGTH = 160;
 
-  private record Second(long epochSecond, String text) {}
+  private record FormattedSecond(long epochSecond, String text) {}
 
   private final String process;
-  private volatile Second lastSecond = new Second(Long.MIN_VALUE, "");
+  private volatile FormattedSecond lastSecond = new FormattedSecond(Long.MIN_VALUE, "");
 
   /** Creates a formatter that names the given process on every line. */
   public KeyValueFormatter(String process) {
@@ -29,12 +29,12 @@
   @Override
   public String format(LogRecord logRecord) {
     String body = body(logRecord);
-    return new StringBuilder(body.length() + USUAL_HEAD)
+    return new StringBuilder(body.length() + TYPICAL_PREFIX_LENGTH)
         .append("time=")
-        .append(second(logRecord.getInstant().getEpochSecond()))
-        .append(millis(logRecord.getInstant().getNano()))
+        .append(formatSecond(logRecord.getInstant().getEpochSecond()))
+        .append(formatMillis(logRecord.getInstant().getNano()))
         .append(" level=")
-        .append(level(logRecord))
+        .append(levelName(logRecord))
         .append(" process=")
         .append(process)
         .append(" logger=")
@@ -49,8 +49,8 @@
    * Returns a record that is formatted to the same line, whatever becomes of what the given one
    * refers to: its parameters and what was thrown.
    */
-  LogRecord settled(LogRecord logRecord) {
-    if (isSettled(logRecord)) {
+  LogRecord preformat(LogRecord logRecord) {
+    if (isPreformatted(logRecord)) {
       return logRecord;
     }
     LogRecord settled = new LogRecord(logRecord.getLevel(), body(logRecord));
@@ -59,7 +59,7 @@
     return settled;
   }
 
-  private static boolean isSettled(LogRecord logRecord) {
+  private static boolean isPreformatted(LogRecord logRecord) {
     return logRecord.getParameters() == null
         && logRecord.getThrown() == null
         && logRecord.getResourceBundle() == null
@@ -78,23 +78,23 @@
   }
 
   /** Returns the date and time of a second, which many lines share. */
-  private String second(long epochSecond) {
-    Second known = lastSecond;
+  private String formatSecond(long epochSecond) {
+    FormattedSecond known = lastSecond;
     if (known.epochSecond() != epochSecond) {
       String text = Instant.ofEpochSecond(epochSecond).toString();
-      known = new Second(epochSecond, text.substring(0, text.length() - 1));
+      known = new FormattedSecond(epochSecond, text.substring(0, text.length() - 1));
       lastSecond = known;
     }
     return known.text();
   }
 
   /** {@link Instant#toString} leaves out zero milliseconds; columns stay aligned with them. */
-  private static String millis(int nanos) {
-    int beyondThousand = 1_000 + nanos / NANOS_A_MILLI;
+  private static String formatMillis(int nanos) {
+    int beyondThousand = 1_000 + nanos / NANOS_PER_MILLI;
     return '.' + Integer.toString(beyondThousand).substring(1) + 'Z';
   }
 
-  private static String level(LogRecord logRecord) {
+  private static String levelName(LogRecord logRecord) {
     return switch (logRecord.getLevel().intValue()) {
       case 1000 -> "error";
       case 900 -> "warning";
