--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogLine.java
@@ -15,10 +15,10 @@
  * }</pre>
  */
 public final class LogLine {
-  private static final int LONGEST_VALUE = 2000;
+  private static final int MAX_VALUE_LENGTH = 2000;
 
   /** The last character of ASCII that is shown. */
-  private static final int LAST_PRINTABLE = '~';
+  private static final int LAST_PRINTABLE_ASCII = '~';
 
   private final String text;
 
@@ -34,16 +34,16 @@
   /** Returns this line with one more pair. */
   public LogLine with(String key, Object value) {
     checkArgument(isKey(key), "not a key: %s", key);
-    return withShown(key, quoted(String.valueOf(value)));
+    return withFormatted(key, quoted(String.valueOf(value)));
   }
 
   /** Returns this line with one more pair. */
   public LogLine with(String key, long value) {
     checkArgument(isKey(key), "not a key: %s", key);
-    return withShown(key, Long.toString(value));
+    return withFormatted(key, Long.toString(value));
   }
 
-  private LogLine withShown(String key, String shown) {
+  private LogLine withFormatted(String key, String shown) {
     int length = text.length() + key.length() + shown.length() + 2;
     return new LogLine(
         new StringBuilder(length)
@@ -82,8 +82,8 @@
   /** Returns the value as it stands after the equals sign. */
   static String quoted(String value) {
     String shown = value;
-    if (shown.length() > LONGEST_VALUE) {
-      shown = shown.substring(0, LONGEST_VALUE) + "...";
+    if (shown.length() > MAX_VALUE_LENGTH) {
+      shown = shown.substring(0, MAX_VALUE_LENGTH) + "...";
     }
     if (!shown.isEmpty() && isPlain(shown)) {
       return shown;
@@ -111,7 +111,7 @@
 
   /** Line and paragraph separators end a line for some readers, as control characters do. */
   private static boolean isControl(int c) {
-    if (c >= ' ' && c <= LAST_PRINTABLE) {
+    if (c >= ' ' && c <= LAST_PRINTABLE_ASCII) {
       return c == ' ';
     }
     int type = Character.getType(c);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogQueue.java
@@ -21,12 +21,12 @@
  */
 final class LogQueue {
   /** Counted for each record beside its text: the record itself and its place here, in bytes. */
-  static final int BYTES_A_RECORD = 128;
+  static final int RECORD_OVERHEAD_BYTES = 128;
 
-  private static final int BYTES_A_CHARACTER = 2;
+  private static final int BYTES_PER_CHARACTER = 2;
 
   /** What is dropped last comes first. */
-  enum Rank {
+  enum Severity {
     /** What an operator must look at. */
     ERROR,
     /** What the system got over. */
@@ -34,7 +34,7 @@
     /** All else. */
     INFO;
 
-    static Rank of(LogRecord logRecord) {
+    static Severity of(LogRecord logRecord) {
       int level = logRecord.getLevel().intValue();
       if (level >= Level.SEVERE.intValue()) {
         return ERROR;
@@ -46,26 +46,26 @@
   private record Queued(long sequence, LogRecord logRecord, int bytes) {}
 
   /** What is missing between two records that were taken. */
-  private static final class Gap {
-    private final int[] dropped = new int[Rank.values().length];
+  private static final class DroppedRecords {
+    private final int[] countBySeverity = new int[Severity.values().length];
     private long firstSequence = Long.MAX_VALUE;
     private Instant since = Instant.MAX;
     private Instant until = Instant.MIN;
 
     void add(Queued missing) {
-      dropped[Rank.of(missing.logRecord()).ordinal()]++;
+      countBySeverity[Severity.of(missing.logRecord()).ordinal()]++;
       firstSequence = Math.min(firstSequence, missing.sequence());
       Instant time = missing.logRecord().getInstant();
       since = time.isBefore(since) ? time : since;
       until = time.isAfter(until) ? time : until;
     }
 
-    LogRecord told() {
+    LogRecord toLogRecord() {
       LogLine line =
           LogLine.of("log-lines-dropped")
-              .with("error", dropped[Rank.ERROR.ordinal()])
-              .with("warning", dropped[Rank.WARNING.ordinal()])
-              .with("info", dropped[Rank.INFO.ordinal()])
+              .with("error", countBySeverity[Severity.ERROR.ordinal()])
+              .with("warning", countBySeverity[Severity.WARNING.ordinal()])
+              .with("info", countBySeverity[Severity.INFO.ordinal()])
               .with("since", since);
       LogRecord told = new LogRecord(Level.WARNING, line.toString());
       told.setLoggerName(LogWriter.class.getName());
@@ -74,10 +74,10 @@
     }
   }
 
-  private final int mostLines;
-  private final int mostBytes;
-  private final List<ArrayDeque<Queued>> byRank;
-  private Gap gap;
+  private final int maxLines;
+  private final int maxBytes;
+  private final List<ArrayDeque<Queued>> recordsBySeverity;
+  private DroppedRecords droppedRecords;
   private long nextSequence;
   private int lines;
   private int bytes;
@@ -91,35 +91,36 @@
   LogQueue(int mostLines, int mostBytes) {
     checkArgument(mostLines > 0, "mostLines is not positive: %s", mostLines);
     checkArgument(mostBytes > 0, "mostBytes is not positive: %s", mostBytes);
-    this.mostLines = mostLines;
-    this.mostBytes = mostBytes;
-    this.byRank = ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
+    this.maxLines = mostLines;
+    this.maxBytes = mostBytes;
+    this.recordsBySeverity =
+        ImmutableList.of(new ArrayDeque<>(), new ArrayDeque<>(), new ArrayDeque<>());
   }
 
   /** Returns the memory that a record is counted with, in bytes. */
   static int bytes(LogRecord logRecord) {
-    return BYTES_A_RECORD + BYTES_A_CHARACTER * logRecord.getMessage().length();
+    return RECORD_OVERHEAD_BYTES + BYTES_PER_CHARACTER * logRecord.getMessage().length();
   }
 
   /** Adds a record behind all others, or drops it, or drops others for it. */
   void add(LogRecord logRecord) {
     Queued added = new Queued(nextSequence++, logRecord, bytes(logRecord));
-    Rank rank = Rank.of(logRecord);
-    while (lines + 1 > mostLines || added.bytes() > mostBytes - bytes) {
-      if (added.bytes() > mostBytes || !dropBelow(rank)) {
+    Severity rank = Severity.of(logRecord);
+    while (lines + 1 > maxLines || added.bytes() > maxBytes - bytes) {
+      if (added.bytes() > maxBytes || !dropLowerSeverity(rank)) {
         drop(added);
         return;
       }
     }
-    byRank.get(rank.ordinal()).addLast(added);
+    recordsBySeverity.get(rank.ordinal()).addLast(added);
     lines++;
     bytes += added.bytes();
   }
 
-  private boolean dropBelow(Rank rank) {
-    for (int lower = Rank.INFO.ordinal(); lower > rank.ordinal(); lower--) {
-      if (!byRank.get(lower).isEmpty()) {
-        drop(counted(byRank.get(lower).removeLast()));
+  private boolean dropLowerSeverity(Severity rank) {
+    for (int lower = Severity.INFO.ordinal(); lower > rank.ordinal(); lower--) {
+      if (!recordsBySeverity.get(lower).isEmpty()) {
+        drop(subtract(recordsBySeverity.get(lower).removeLast()));
         return true;
       }
     }
@@ -127,41 +128,42 @@
   }
 
   private void drop(Queued dropped) {
-    if (gap == null) {
-      gap = new Gap();
+    if (droppedRecords == null) {
+      droppedRecords = new DroppedRecords();
     }
-    gap.add(dropped);
+    droppedRecords.add(dropped);
   }
 
   /** Returns the oldest records, at most so many, and removes them. */
   List<LogRecord> take(int most) {
     List<LogRecord> taken = new ArrayList<>(Math.min(most, lines + 1));
     while (taken.size() < most && !isEmpty()) {
-      taken.add(takeOne());
+      taken.add(takeOldest());
     }
     return taken;
   }
 
-  private LogRecord takeOne() {
+  private LogRecord takeOldest() {
     ArrayDeque<Queued> oldest = null;
-    for (ArrayDeque<Queued> queue : byRank) {
-      if (!queue.isEmpty() && (oldest == null || first(queue) < first(oldest))) {
+    for (ArrayDeque<Queued> queue : recordsBySeverity) {
+      if (!queue.isEmpty() && (oldest == null || firstSequence(queue) < firstSequence(oldest))) {
         oldest = queue;
       }
     }
-    if (gap != null && (oldest == null || gap.firstSequence < first(oldest))) {
-      LogRecord told = gap.told();
-      gap = null;
+    if (droppedRecords != null
+        && (oldest == null || droppedRecords.firstSequence < firstSequence(oldest))) {
+      LogRecord told = droppedRecords.toLogRecord();
+      droppedRecords = null;
       return told;
     }
-    return counted(oldest.removeFirst()).logRecord();
+    return subtract(oldest.removeFirst()).logRecord();
   }
 
-  private static long first(ArrayDeque<Queued> queue) {
+  private static long firstSequence(ArrayDeque<Queued> queue) {
     return queue.getFirst().sequence();
   }
 
-  private Queued counted(Queued removed) {
+  private Queued subtract(Queued removed) {
     lines--;
     bytes -= removed.bytes();
     return removed;
@@ -169,11 +171,11 @@
 
   /** Returns whether there is nothing to take. */
   boolean isEmpty() {
-    return lines == 0 && gap == null;
+    return lines == 0 && droppedRecords == null;
   }
 
   /** Returns whether half of the room is taken. */
   boolean isHalfFull() {
-    return lines >= mostLines / 2 || bytes >= mostBytes / 2;
+    return lines >= maxLines / 2 || bytes >= maxBytes / 2;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogSetup.java
@@ -18,7 +18,7 @@
    */
   public static LogWriter install(String process, PrintStream out) {
     LogManager manager = LogManager.getLogManager();
-    if (manager instanceof PatientLogManager patient) {
+    if (manager instanceof ShutdownSafeLogManager patient) {
       patient.resetOnce();
     } else {
       manager.reset();
@@ -27,14 +27,14 @@
     Logger root = Logger.getLogger("");
     root.addHandler(writer);
     root.setLevel(Level.INFO);
-    libraries().setLevel(Level.WARNING);
+    jettyLogger().setLevel(Level.WARNING);
     return writer;
   }
 
   /** Kept in a field, since the log manager holds loggers weakly and would forget the level. */
-  private static Logger libraries() {
-    return JETTY;
+  private static Logger jettyLogger() {
+    return JETTY_LOGGER;
   }
 
-  private static final Logger JETTY = Logger.getLogger("org.eclipse.jetty");
+  private static final Logger JETTY_LOGGER = Logger.getLogger("org.eclipse.jetty");
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/LogWriter.java
@@ -17,8 +17,8 @@
  * Writes log records to a stream from a thread of its own, so that a stream that nobody reads
  * delays no thread that logs.
  *
- * <p>Records wait in a {@link LogQueue}. The first of them waits up to {@link #GATHER_MILLIS} for
- * more, so that many lines cost one write; an error, a warning or a queue that is half full is
+ * <p>Records wait in a {@link LogQueue}. The first of them waits up to {@link #BATCH_DELAY_MILLIS}
+ * for more, so that many lines cost one write; an error, a warning or a queue that is half full is
  * written at once. What was logged in the last of these spans is lost when the process is killed.
  * The lines of one thread keep their order, and their times are those of the logging.
  *
@@ -26,30 +26,30 @@
  */
 public final class LogWriter extends Handler {
   /** How many lines wait at most. */
-  static final int MOST_LINES = 4_096;
+  static final int MAX_QUEUED_LINES = 4_096;
 
   /** How much memory lines that wait take at most, in bytes. */
-  static final int MOST_BYTES = 2 << 20;
+  static final int MAX_QUEUED_BYTES = 2 << 20;
 
   /** How many lines are written at a time; as many are out of the queue while a write blocks. */
-  static final int MOST_LINES_A_WRITE = 64;
+  static final int MAX_LINES_PER_WRITE = 64;
 
   /** How long a line waits for others, in milliseconds. */
-  static final long GATHER_MILLIS = 100;
+  static final long BATCH_DELAY_MILLIS = 100;
 
-  private static final long GATHER_NANOS = TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS);
+  private static final long BATCH_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(BATCH_DELAY_MILLIS);
 
   /** How long the end of a process waits for the rest to be written, in milliseconds. */
-  private static final long LONGEST_END_MILLIS = 500;
+  private static final long CLOSE_TIMEOUT_MILLIS = 500;
 
   private final KeyValueFormatter formatter;
   private final PrintStream out;
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition work = lock.newCondition();
+  private final Condition recordsAvailable = lock.newCondition();
   private final Condition allWritten = lock.newCondition();
   private final LogQueue queue;
   private boolean writing;
-  private boolean urgent;
+  private boolean flushRequested;
 
   private LogWriter(KeyValueFormatter formatter, PrintStream out, LogQueue queue) {
     this.formatter = requireNonNull(formatter, "formatter");
@@ -65,9 +65,10 @@
    */
   public static LogWriter start(String process, PrintStream out) {
     LogWriter writer =
-        new LogWriter(new KeyValueFormatter(process), out, new LogQueue(MOST_LINES, MOST_BYTES));
+        new LogWriter(
+            new KeyValueFormatter(process), out, new LogQueue(MAX_QUEUED_LINES, MAX_QUEUED_BYTES));
     writer.setLevel(Level.ALL);
-    Thread thread = new Thread(writer::writeOn, "log-writer");
+    Thread thread = new Thread(writer::writeLoop, "log-writer");
     thread.setDaemon(true);
     thread.start();
     return writer;
@@ -78,16 +79,17 @@
     if (!isLoggable(logRecord)) {
       return;
     }
-    LogRecord settled = formatter.settled(logRecord);
+    LogRecord settled = formatter.preformat(logRecord);
     lock.lock();
     try {
       boolean idle = queue.isEmpty();
       queue.add(settled);
       boolean hurries =
-          !urgent && (LogQueue.Rank.of(settled) != LogQueue.Rank.INFO || queue.isHalfFull());
-      urgent |= hurries;
+          !flushRequested
+              && (LogQueue.Severity.of(settled) != LogQueue.Severity.INFO || queue.isHalfFull());
+      flushRequested |= hurries;
       if (idle || hurries) {
-        work.signal();
+        recordsAvailable.signal();
       }
     } finally {
       lock.unlock();
@@ -99,8 +101,8 @@
   public void flush() {
     lock.lock();
     try {
-      urgent = true;
-      work.signal();
+      flushRequested = true;
+      recordsAvailable.signal();
     } finally {
       lock.unlock();
     }
@@ -111,7 +113,7 @@
    */
   @Override
   public void close() {
-    awaitWritten(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_END_MILLIS));
+    awaitWritten(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MILLIS));
   }
 
   /**
@@ -123,8 +125,8 @@
   boolean awaitWritten(long deadline) {
     lock.lock();
     try {
-      urgent = true;
-      work.signal();
+      flushRequested = true;
+      recordsAvailable.signal();
       long left = deadline - System.nanoTime();
       while (!isAllWritten() && left > 0) {
         left = allWritten.awaitNanos(left);
@@ -142,21 +144,21 @@
     return queue.isEmpty() && !writing;
   }
 
-  private void writeOn() {
+  private void writeLoop() {
     ByteArrayOutputStream text = new ByteArrayOutputStream();
     while (true) {
-      for (LogRecord logRecord : awaitRecords()) {
+      for (LogRecord logRecord : awaitBatch()) {
         text.writeBytes(formatter.format(logRecord).getBytes(StandardCharsets.UTF_8));
       }
       out.write(text.toByteArray(), 0, text.size());
       text.reset();
-      if (isLastWritten()) {
+      if (isQueueEmpty()) {
         out.flush();
       }
     }
   }
 
-  private boolean isLastWritten() {
+  private boolean isQueueEmpty() {
     lock.lock();
     try {
       return queue.isEmpty();
@@ -165,38 +167,40 @@
     }
   }
 
-  private List<LogRecord> awaitRecords() {
+  private List<LogRecord> awaitBatch() {
     lock.lock();
     try {
       writing = false;
       if (queue.isEmpty()) {
-        urgent = false;
+        flushRequested = false;
         allWritten.signalAll();
-        awaitFirst();
-        gather();
+        awaitFirstRecord();
+        awaitBatchDelay();
       }
       writing = true;
-      return queue.take(MOST_LINES_A_WRITE);
+      return queue.take(MAX_LINES_PER_WRITE);
     } finally {
       lock.unlock();
     }
   }
 
-  private void awaitFirst() {
+  private void awaitFirstRecord() {
     while (queue.isEmpty()) {
-      work.awaitUninterruptibly();
+      recordsAvailable.awaitUninterruptibly();
     }
   }
 
-  private void gather() {
-    long deadline = System.nanoTime() + GATHER_NANOS;
+  private void awaitBatchDelay() {
+    long deadline = System.nanoTime() + BATCH_DELAY_NANOS;
     try {
-      for (long left = GATHER_NANOS; !urgent && left > 0; left = deadline - System.nanoTime()) {
-        work.awaitNanos(left);
+      for (long left = BATCH_DELAY_NANOS;
+          !flushRequested && left > 0;
+          left = deadline - System.nanoTime()) {
+        recordsAvailable.awaitNanos(left);
       }
     } catch (InterruptedException e) {
       // Nobody interrupts this thread; what was gathered so far is written.
-      urgent = true;
+      flushRequested = true;
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/PatientLogManager.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/observe/ShutdownSafeLogManager.java
@@ -9,21 +9,21 @@
  * lines of a planned stop are lost, which shows as a log that ends at the signal. This one ignores
  * that reset; whoever ends the process closes the {@link LogWriter}.
  */
-public final class PatientLogManager extends LogManager {
-  private volatile boolean patient;
+public final class ShutdownSafeLogManager extends LogManager {
+  private volatile boolean resetDisabled;
 
   /** Called by the platform, by name. */
-  public PatientLogManager() {}
+  public ShutdownSafeLogManager() {}
 
   /** Removes all handlers; from then on nothing removes them again. */
   void resetOnce() {
     super.reset();
-    patient = true;
+    resetDisabled = true;
   }
 
   @Override
   public void reset() {
-    if (!patient) {
+    if (!resetDisabled) {
       super.reset();
     }
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/EventRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/EventRoutes.java
@@ -24,10 +24,10 @@
 
   /** Serves the route on the given server. */
   public void registerOn(OperatorServer server) {
-    server.registerImmediate("GET", "/events", this::events);
+    server.registerSynchronous("GET", "/events", this::events);
   }
 
-  private Result<OperatorAnswer> events(OperatorRequest request) {
+  private Result<OperatorResponse> events(OperatorRequest request) {
     Result<Long> limit = request.queryNumber("limit", DEFAULT_LIMIT);
     EventFilter filter =
         new EventFilter(
@@ -41,8 +41,8 @@
         .then(after -> limit.then(count -> Result.ok(page(after, count, filter))));
   }
 
-  private OperatorAnswer page(long after, long limit, EventFilter filter) {
+  private OperatorResponse page(long after, long limit, EventFilter filter) {
     int bounded = (int) Math.max(1, Math.min(limit, MAX_LIMIT));
-    return OperatorAnswer.ok(EventJson.write(events.page(after, bounded, filter)));
+    return OperatorResponse.ok(EventJson.write(events.page(after, bounded, filter)));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/MemberRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/MemberRoutes.java
@@ -20,10 +20,10 @@
 
   /** Serves the route on the given server. */
   public void registerOn(OperatorServer server) {
-    server.registerImmediate("GET", "/members", request -> Result.ok(answer()));
+    server.registerSynchronous("GET", "/members", request -> Result.ok(response()));
   }
 
-  private OperatorAnswer answer() {
+  private OperatorResponse response() {
     ObjectNode node = Json.object();
     ArrayNode processes = node.putArray("processes");
     for (ProcessMember member : members.get()) {
@@ -33,8 +33,8 @@
       process.put("zone", member.zone());
       process.put("operators", member.operatorsAddress());
       process.put("revision", member.revision());
-      process.put("leaving", member.leaving());
+      process.put("leaving", member.draining());
     }
-    return OperatorAnswer.ok(node);
+    return OperatorResponse.ok(node);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorHandler.java
@@ -12,17 +12,17 @@
 @FunctionalInterface
 public interface OperatorHandler {
   /** Returns the answer, or a future for it; a future that fails is answered as internal error. */
-  CompletableFuture<Result<OperatorAnswer>> handle(OperatorRequest request);
+  CompletableFuture<Result<OperatorResponse>> handle(OperatorRequest request);
 
   /** A handler that has its answer at once. */
   @FunctionalInterface
-  interface Immediate {
+  interface Synchronous {
     /** Returns the answer. */
-    Result<OperatorAnswer> handle(OperatorRequest request);
+    Result<OperatorResponse> handle(OperatorRequest request);
   }
 
   /** Returns a handler that answers at once. */
-  static OperatorHandler immediate(Immediate handler) {
+  static OperatorHandler synchronous(Synchronous handler) {
     return request -> CompletableFuture.completedFuture(handler.handle(request));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorJettyHandler.java
@@ -2,7 +2,7 @@
 
 import static java.util.Objects.requireNonNull;
 
-import io.marigoldsail.daemon.http.WholeBody;
+import io.marigoldsail.daemon.http.BoundedBodyReader;
 import io.marigoldsail.daemon.observe.EventLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.error.ErrorKind;
@@ -41,7 +41,7 @@
       writeProblem(response, callback, failed.failure());
       return true;
     }
-    WholeBody.read(request, OperatorServer.LARGEST_BODY)
+    BoundedBodyReader.read(request, OperatorServer.MAX_BODY_BYTES)
         .thenAccept(
             body -> {
               if (body instanceof Result.Failed<byte[]> failed) {
@@ -55,7 +55,7 @@
 
   private static void serve(
       RouteTable.Match match, Request request, byte[] body, Response response, Callback callback) {
-    CompletableFuture<Result<OperatorAnswer>> answer;
+    CompletableFuture<Result<OperatorResponse>> answer;
     try {
       OperatorRequest operatorRequest =
           new OperatorRequest(match.parameters(), query(request), body);
@@ -70,7 +70,7 @@
                 LogLine.of("operator-request-failed").with("path", path(request)).withError(error));
             writeProblem(
                 response, callback, Failure.of(ErrorKind.INTERNAL, "see the process's log"));
-          } else if (result instanceof Result.Failed<OperatorAnswer> failed) {
+          } else if (result instanceof Result.Failed<OperatorResponse> failed) {
             writeProblem(response, callback, failed.failure());
           } else {
             write(response, callback, result.value());
@@ -100,7 +100,7 @@
     return true;
   }
 
-  private static void write(Response response, Callback callback, OperatorAnswer answer) {
+  private static void write(Response response, Callback callback, OperatorResponse answer) {
     response.setStatus(answer.status());
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, answer.mediaType());
     response.getHeaders().put(HttpHeader.CONTENT_LENGTH, answer.body().length);
@@ -114,6 +114,6 @@
     write(
         response,
         callback,
-        new OperatorAnswer(failure.kind().httpStatus(), ProblemDetails.MEDIA_TYPE, body));
+        new OperatorResponse(failure.kind().httpStatus(), ProblemDetails.MEDIA_TYPE, body));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorAnswer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorResponse.java
@@ -15,29 +15,29 @@
  * @param body the body; not copied, must not be changed
  */
 @SuppressWarnings("ArrayRecordComponent") // handed to the connection unread; equality is not used
-public record OperatorAnswer(int status, String mediaType, byte[] body) {
+public record OperatorResponse(int status, String mediaType, byte[] body) {
   private static final int STATUS_OK = 200;
   private static final int STATUS_ACCEPTED = 202;
   private static final String JSON_TYPE = "application/json";
 
   /** Checks the components. */
-  public OperatorAnswer {
+  public OperatorResponse {
     requireNonNull(mediaType, "mediaType");
     requireNonNull(body, "body");
   }
 
   /** Returns an answer with status 200. */
-  public static OperatorAnswer ok(JsonNode body) {
-    return new OperatorAnswer(STATUS_OK, JSON_TYPE, Json.bytes(body));
+  public static OperatorResponse ok(JsonNode body) {
+    return new OperatorResponse(STATUS_OK, JSON_TYPE, Json.bytes(body));
   }
 
   /** Returns an answer with status 200 from records or lists of them. */
-  public static OperatorAnswer okOf(Object value) {
+  public static OperatorResponse okOf(Object value) {
     return ok(Json.mapper().valueToTree(value));
   }
 
   /** Returns an answer with status 202: taken on, not ended. */
-  public static OperatorAnswer accepted(JsonNode body) {
-    return new OperatorAnswer(STATUS_ACCEPTED, JSON_TYPE, Json.bytes(body));
+  public static OperatorResponse accepted(JsonNode body) {
+    return new OperatorResponse(STATUS_ACCEPTED, JSON_TYPE, Json.bytes(body));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/OperatorServer.java
@@ -20,28 +20,28 @@
 /**
  * The HTTP server on the operators' address.
  *
- * <p>Bodies are at most {@link #LARGEST_BODY} bytes, errors are problem details. Few threads and no
- * reserved ones, since the side process shares its VM: a handler must not block. Safe for any
+ * <p>Bodies are at most {@link #MAX_BODY_BYTES} bytes, errors are problem details. Few threads and
+ * no reserved ones, since the side process shares its VM: a handler must not block. Safe for any
  * thread; start and close once.
  */
 public final class OperatorServer implements AutoCloseable {
   /** The largest body taken, in bytes. */
-  public static final int LARGEST_BODY = 1 << 20;
+  public static final int MAX_BODY_BYTES = 1 << 20;
 
   private static final EventLog LOG = EventLog.of(OperatorServer.class);
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 3;
-  private static final int IDLE_MILLIS = 30_000;
-  private static final int ACCEPT_QUEUE = 128;
+  private static final int IDLE_TIMEOUT_MILLIS = 30_000;
+  private static final int ACCEPT_QUEUE_SIZE = 128;
 
   /**
    * The most connections held open. Guards a side process's small heap against a flood: past it
    * nothing is accepted until one closes, and idle ones are closed after {@link
-   * #FLOODED_IDLE_MILLIS}, so that operators get in again.
+   * #IDLE_TIMEOUT_AT_LIMIT_MILLIS}, so that operators get in again.
    */
   static final int MAX_CONNECTIONS = 128;
 
-  private static final long FLOODED_IDLE_MILLIS = 1_000;
+  private static final long IDLE_TIMEOUT_AT_LIMIT_MILLIS = 1_000;
 
   private final HostPort address;
   private final RouteTable routes = new RouteTable();
@@ -57,7 +57,7 @@
   public OperatorServer(HostPort address, Metrics metrics) {
     this.address = requireNonNull(address, "address");
     requireNonNull(metrics, "metrics");
-    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, IDLE_MILLIS);
+    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS, IDLE_TIMEOUT_MILLIS);
     threads.setReservedThreads(0);
     threads.setName("operators");
     // Pooled buffers can be mixed up beside garbage: see docs/decisions/0205.
@@ -67,18 +67,18 @@
     connector = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
     connector.setHost(address.host());
     connector.setPort(address.port());
-    connector.setIdleTimeout(IDLE_MILLIS);
-    connector.setAcceptQueueSize(ACCEPT_QUEUE);
+    connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    connector.setAcceptQueueSize(ACCEPT_QUEUE_SIZE);
     server.addConnector(connector);
     NetworkConnectionLimit limit = new NetworkConnectionLimit(MAX_CONNECTIONS, connector);
-    limit.setEndPointIdleTimeout(FLOODED_IDLE_MILLIS);
+    limit.setEndPointIdleTimeout(IDLE_TIMEOUT_AT_LIMIT_MILLIS);
     server.addBean(limit);
     server.setHandler(new OperatorJettyHandler(routes));
     server.setErrorHandler(OperatorJettyHandler::writeJettyError);
-    registerImmediate(
+    registerSynchronous(
         "GET",
         "/metrics",
-        request -> Result.ok(new OperatorAnswer(200, Metrics.MEDIA_TYPE, metrics.text())));
+        request -> Result.ok(new OperatorResponse(200, Metrics.MEDIA_TYPE, metrics.text())));
   }
 
   /**
@@ -93,8 +93,9 @@
   }
 
   /** Serves a route whose answers are there at once. */
-  public void registerImmediate(String method, String template, OperatorHandler.Immediate handler) {
-    register(method, template, OperatorHandler.immediate(handler));
+  public void registerSynchronous(
+      String method, String template, OperatorHandler.Synchronous handler) {
+    register(method, template, OperatorHandler.synchronous(handler));
   }
 
   /**
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/ProcessMember.java
@@ -12,7 +12,7 @@
  * @param zone its availability zone
  * @param operatorsAddress where operators reach it, host:port; empty if it never said
  * @param revision the configuration revision in force there
- * @param leaving whether it announced that it leaves
+ * @param draining whether it announced that it leaves
  */
 public record ProcessMember(
     String process,
@@ -20,7 +20,7 @@
     String zone,
     String operatorsAddress,
     long revision,
-    boolean leaving) {
+    boolean draining) {
   /** Checks the components. */
   public ProcessMember {
     requireNonNull(process, "process");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/operators/RouteTable.java
@@ -20,7 +20,7 @@
   record Match(OperatorHandler handler, Map<String, String> parameters) {}
 
   private record Route(String method, List<String> template, OperatorHandler handler) {
-    boolean fits(List<String> path) {
+    boolean matches(List<String> path) {
       if (path.size() != template.size()) {
         return false;
       }
@@ -54,7 +54,7 @@
     Route best = null;
     TreeSet<String> otherMethods = new TreeSet<>();
     for (Route route : routes) {
-      if (!route.fits(segments)) {
+      if (!route.matches(segments)) {
         continue;
       }
       if (!route.method.equals(method)) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpLogService.java
@@ -4,11 +4,11 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.core.type.TypeReference;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerLost;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerTooLong;
-import io.marigoldsail.daemon.platform.PlatformClient.Answered;
-import io.marigoldsail.daemon.platform.PlatformClient.Exchange;
-import io.marigoldsail.daemon.platform.PlatformClient.NeverSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ExchangeResult;
+import io.marigoldsail.daemon.platform.PlatformClient.NotSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseLost;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseReceived;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseTooLarge;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.log.LogPage;
@@ -30,9 +30,9 @@
   public static final int MAX_RECORD_BYTES = 1 << 20;
 
   private static final int MAX_PAGE_BYTES = 4 << 20;
-  private static final int MAX_ANSWER_BYTES = 64 << 10;
+  private static final int MAX_RESPONSE_BYTES = 64 << 10;
   private static final int MAX_PAGE_RECORDS = 1_000;
-  private static final String OCTETS = "application/octet-stream";
+  private static final String OCTET_STREAM = "application/octet-stream";
 
   private record WireAppended(long offset) {}
 
@@ -64,18 +64,19 @@
     if (record.length > MAX_RECORD_BYTES) {
       return Result.failed(ErrorKind.BODY_TOO_LARGE, "log record of " + record.length + " bytes");
     }
-    Exchange exchange = client.post(uri(stream), OCTETS, record, MAX_ANSWER_BYTES, timeoutMillis);
-    if (exchange instanceof NeverSent never) {
+    ExchangeResult exchange =
+        client.post(uri(stream), OCTET_STREAM, record, MAX_RESPONSE_BYTES, timeoutMillis);
+    if (exchange instanceof NotSent never) {
       return Result.failed(ErrorKind.LOG_UNAVAILABLE, never.detail());
     }
-    if (exchange instanceof Answered answered) {
+    if (exchange instanceof ResponseReceived answered) {
       return switch (answered.status()) {
         case 200 ->
             PlatformJson.read(
                     answered.body(),
                     new TypeReference<WireAppended>() {},
                     ErrorKind.LOG_OUTCOME_UNKNOWN)
-                .then(HttpLogService::checkedOffset);
+                .then(HttpLogService::validateOffset);
         case 429, 503 -> Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
         case 413 -> Result.failed(ErrorKind.BODY_TOO_LARGE, "log record refused as too large");
         default -> Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(exchange));
@@ -84,7 +85,7 @@
     return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, describe(exchange));
   }
 
-  private static Result<Long> checkedOffset(WireAppended appended) {
+  private static Result<Long> validateOffset(WireAppended appended) {
     return appended.offset() >= 0
         ? Result.ok(appended.offset())
         : Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "negative offset " + appended.offset());
@@ -96,22 +97,22 @@
     checkArgument(maxRecords > 0, "maxRecords is not positive: %s", maxRecords);
     int asked = Math.min(maxRecords, MAX_PAGE_RECORDS);
     while (true) {
-      Exchange exchange = readOnce(stream, fromOffset, asked, waitMillis);
-      if (exchange instanceof AnswerTooLong && asked > 1) {
+      ExchangeResult exchange = readOnce(stream, fromOffset, asked, waitMillis);
+      if (exchange instanceof ResponseTooLarge && asked > 1) {
         // A page of large records is asked for again in halves.
         asked /= 2;
         continue;
       }
-      if (exchange instanceof AnswerTooLong) {
-        return withoutRecord(stream, fromOffset);
+      if (exchange instanceof ResponseTooLarge) {
+        return readPastOversizedRecord(stream, fromOffset);
       }
-      if (!(exchange instanceof Answered answered) || answered.status() != 200) {
+      if (!(exchange instanceof ResponseReceived answered) || answered.status() != 200) {
         return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
       }
       int allowed = asked;
       return PlatformJson.read(
               answered.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
-          .then(page -> checkedPage(page, fromOffset, allowed));
+          .then(page -> validatePage(page, fromOffset, allowed));
     }
   }
 
@@ -120,14 +121,14 @@
    * hold. Whoever appended it is not of this system; without this every reader would ask for it for
    * ever. Where records have expired the page holds none, so that the reader notices.
    */
-  private Result<LogPage> withoutRecord(String stream, long offset) {
-    Exchange exchange = readOnce(stream, offset, 0, 0);
-    if (!(exchange instanceof Answered answered) || answered.status() != 200) {
+  private Result<LogPage> readPastOversizedRecord(String stream, long offset) {
+    ExchangeResult exchange = readOnce(stream, offset, 0, 0);
+    if (!(exchange instanceof ResponseReceived answered) || answered.status() != 200) {
       return Result.failed(ErrorKind.LOG_UNAVAILABLE, describe(exchange));
     }
     return PlatformJson.read(
             answered.body(), new TypeReference<WirePage>() {}, ErrorKind.LOG_UNAVAILABLE)
-        .then(page -> checkedPage(page, offset, 0))
+        .then(page -> validatePage(page, offset, 0))
         .then(
             page ->
                 page.firstOffset() <= offset && offset < page.nextOffset()
@@ -139,35 +140,35 @@
                     : Result.ok(page));
   }
 
-  private Exchange readOnce(String stream, long fromOffset, int maxRecords, long waitMillis) {
+  private ExchangeResult readOnce(String stream, long fromOffset, int maxRecords, long waitMillis) {
     String query = "?from=" + fromOffset + "&max=" + maxRecords + "&waitMillis=" + waitMillis;
     return client.get(uri(stream) + query, MAX_PAGE_BYTES, waitMillis + timeoutMillis);
   }
 
-  private static Result<LogPage> checkedPage(WirePage page, long fromOffset, int maxRecords) {
+  private static Result<LogPage> validatePage(WirePage page, long fromOffset, int maxRecords) {
     if (page.firstOffset() < 0 || page.nextOffset() < page.firstOffset()) {
-      return broken("offsets " + page.firstOffset() + " to " + page.nextOffset());
+      return malformedPage("offsets " + page.firstOffset() + " to " + page.nextOffset());
     }
     if (page.records().size() > maxRecords) {
-      return broken(page.records().size() + " records, " + maxRecords + " asked for");
+      return malformedPage(page.records().size() + " records, " + maxRecords + " asked for");
     }
     List<LogRecord> records = new ArrayList<>();
     long expected = Math.max(fromOffset, page.firstOffset());
     for (WireRecord record : page.records()) {
       // A gap or a step back would make this process skip or repeat what others apply.
       if (record == null || record.offset() != expected || record.bytes() == null) {
-        return broken("record out of order, offset " + expected + " expected");
+        return malformedPage("record out of order, offset " + expected + " expected");
       }
       records.add(new LogRecord(record.offset(), record.bytes()));
       expected++;
     }
     if (!records.isEmpty() && expected > page.nextOffset()) {
-      return broken("records beyond the end " + page.nextOffset());
+      return malformedPage("records beyond the end " + page.nextOffset());
     }
     return Result.ok(new LogPage(records, page.firstOffset(), page.nextOffset()));
   }
 
-  private static Result<LogPage> broken(String detail) {
+  private static Result<LogPage> malformedPage(String detail) {
     return Result.failed(ErrorKind.LOG_UNAVAILABLE, "broken page: " + detail);
   }
 
@@ -175,11 +176,11 @@
     return address + "/streams/" + URLEncoder.encode(stream, StandardCharsets.UTF_8) + "/records";
   }
 
-  private static String describe(Exchange exchange) {
-    if (exchange instanceof Answered answered) {
+  private static String describe(ExchangeResult exchange) {
+    if (exchange instanceof ResponseReceived answered) {
       return "log service answered " + answered.status();
     }
-    if (exchange instanceof AnswerLost lost) {
+    if (exchange instanceof ResponseLost lost) {
       return "log service gave no answer: " + lost.detail();
     }
     return exchange.toString();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/HttpWorker.java
@@ -4,11 +4,11 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.core.type.TypeReference;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerLost;
-import io.marigoldsail.daemon.platform.PlatformClient.AnswerTooLong;
-import io.marigoldsail.daemon.platform.PlatformClient.Answered;
-import io.marigoldsail.daemon.platform.PlatformClient.Exchange;
-import io.marigoldsail.daemon.platform.PlatformClient.NeverSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ExchangeResult;
+import io.marigoldsail.daemon.platform.PlatformClient.NotSent;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseLost;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseReceived;
+import io.marigoldsail.daemon.platform.PlatformClient.ResponseTooLarge;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.lease.UsageSample;
@@ -26,14 +26,14 @@
  * would otherwise free or hold the wrong task's sizes.
  */
 public final class HttpWorker implements Worker {
-  private static final int MAX_ANSWER_BYTES = 1 << 20;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
   private static final String JSON_TYPE = "application/json";
 
-  private record TaskCall(String task, long token) {}
+  private record TaskRequest(String task, long token) {}
 
-  private record RenewCall(String task, long token, long leaseDeadlineMillis) {}
+  private record RenewRequest(String task, long token, long leaseDeadlineMillis) {}
 
-  private record ThrottleCall(String task, long token, int percent) {}
+  private record ThrottleRequest(String task, long token, int percent) {}
 
   private final PlatformClient client;
   private final String address;
@@ -60,28 +60,30 @@
 
   @Override
   public Result<WorkerTask> start(WorkerStart start) {
-    return act("/tasks/start", start, start.task(), start.token());
+    return postTaskRequest("/tasks/start", start, start.task(), start.token());
   }
 
   @Override
   public Result<WorkerTask> renew(String task, long token, long leaseDeadlineMillis) {
-    return act("/tasks/renew", new RenewCall(task, token, leaseDeadlineMillis), task, token);
+    return postTaskRequest(
+        "/tasks/renew", new RenewRequest(task, token, leaseDeadlineMillis), task, token);
   }
 
   @Override
   public Result<WorkerTask> throttle(String task, long token, int percent) {
     checkArgument(percent >= 1 && percent <= 100, "percent is not in 1..100: %s", percent);
-    return act("/tasks/throttle", new ThrottleCall(task, token, percent), task, token);
+    return postTaskRequest(
+        "/tasks/throttle", new ThrottleRequest(task, token, percent), task, token);
   }
 
   @Override
   public Result<WorkerTask> checkpoint(String task, long token) {
-    return act("/tasks/checkpoint", new TaskCall(task, token), task, token);
+    return postTaskRequest("/tasks/checkpoint", new TaskRequest(task, token), task, token);
   }
 
   @Override
   public Result<WorkerTask> stop(String task, long token) {
-    return act("/tasks/stop", new TaskCall(task, token), task, token);
+    return postTaskRequest("/tasks/stop", new TaskRequest(task, token), task, token);
   }
 
   @Override
@@ -92,23 +94,23 @@
   @Override
   public Result<List<UsageSample>> usage() {
     Result<List<UsageSample>> samples = get("/usage", new TypeReference<>() {});
-    return samples.then(HttpWorker::withoutNulls);
+    return samples.then(HttpWorker::rejectNulls);
   }
 
-  private static Result<List<UsageSample>> withoutNulls(List<UsageSample> samples) {
+  private static Result<List<UsageSample>> rejectNulls(List<UsageSample> samples) {
     return samples.stream().anyMatch(sample -> sample == null)
         ? Result.failed(ErrorKind.WORKER_FAILED, "broken answer: a sample is null")
         : Result.ok(List.copyOf(samples));
   }
 
   private <T> Result<T> get(String path, TypeReference<T> type) {
-    return read(client.get(address + path, MAX_ANSWER_BYTES, timeoutMillis), type);
+    return read(client.get(address + path, MAX_RESPONSE_BYTES, timeoutMillis), type);
   }
 
-  private Result<WorkerTask> act(String path, Object call, String task, long token) {
+  private Result<WorkerTask> postTaskRequest(String path, Object call, String task, long token) {
     byte[] body = PlatformJson.write(call);
-    Exchange exchange =
-        client.post(address + path, JSON_TYPE, body, MAX_ANSWER_BYTES, timeoutMillis);
+    ExchangeResult exchange =
+        client.post(address + path, JSON_TYPE, body, MAX_RESPONSE_BYTES, timeoutMillis);
     Result<WorkerTask> answer = read(exchange, new TypeReference<>() {});
     return answer.then(
         told ->
@@ -119,24 +121,24 @@
                     "broken answer: about " + told.task() + "@" + told.token()));
   }
 
-  private static <T> Result<T> read(Exchange exchange, TypeReference<T> type) {
-    if (exchange instanceof Answered answered) {
+  private static <T> Result<T> read(ExchangeResult exchange, TypeReference<T> type) {
+    if (exchange instanceof ResponseReceived answered) {
       return answered.status() == 200
           ? PlatformJson.read(answered.body(), type, ErrorKind.WORKER_FAILED)
-          : Result.failed(kindOf(answered.status()), "worker answered " + answered.status());
+          : Result.failed(errorKind(answered.status()), "worker answered " + answered.status());
     }
-    if (exchange instanceof NeverSent never) {
+    if (exchange instanceof NotSent never) {
       return Result.failed(ErrorKind.TARGET_UNREACHABLE, "worker: " + never.detail());
     }
-    if (exchange instanceof AnswerTooLong tooLong) {
+    if (exchange instanceof ResponseTooLarge tooLong) {
       return Result.failed(
           ErrorKind.WORKER_FAILED, "worker's answer exceeds " + tooLong.maxBytes() + " bytes");
     }
     return Result.failed(
-        ErrorKind.OUTCOME_UNKNOWN, "worker gave no answer: " + ((AnswerLost) exchange).detail());
+        ErrorKind.OUTCOME_UNKNOWN, "worker gave no answer: " + ((ResponseLost) exchange).detail());
   }
 
-  private static ErrorKind kindOf(int status) {
+  private static ErrorKind errorKind(int status) {
     return switch (status) {
       case 400, 422 -> ErrorKind.BAD_REQUEST;
       case 404 -> ErrorKind.NOT_FOUND;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/platform/PlatformClient.java
@@ -4,7 +4,7 @@
 import static java.util.Objects.requireNonNull;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.marigoldsail.daemon.http.HttpThreads;
+import io.marigoldsail.daemon.http.HttpThreadPools;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
 import java.util.Map;
@@ -36,10 +36,11 @@
  */
 public final class PlatformClient implements AutoCloseable {
   /** How an exchange ended. */
-  public sealed interface Exchange permits Answered, NeverSent, AnswerLost, AnswerTooLong {}
+  public sealed interface ExchangeResult
+      permits ResponseReceived, NotSent, ResponseLost, ResponseTooLarge {}
 
   /** A whole answer. */
-  public record Answered(int status, byte[] body) implements Exchange {
+  public record ResponseReceived(int status, byte[] body) implements ExchangeResult {
     /** Returns the body as JSON, or empty if it is none. */
     public Optional<JsonNode> json() {
       Result<JsonNode> parsed = Json.parse("the answer", body);
@@ -53,21 +54,21 @@
   }
 
   /** No byte of the request left this process. */
-  public record NeverSent(String detail) implements Exchange {}
+  public record NotSent(String detail) implements ExchangeResult {}
 
   /** The request may have taken effect; its answer did not come, or not whole. */
-  public record AnswerLost(String detail) implements Exchange {}
+  public record ResponseLost(String detail) implements ExchangeResult {}
 
   /** An answer came and was longer than allowed. */
-  public record AnswerTooLong(int maxBytes) implements Exchange {}
+  public record ResponseTooLarge(int maxBytes) implements ExchangeResult {}
 
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
-  private static final long GRACE_MILLIS = 500;
-  private static final int CONNECTIONS = 16;
+  private static final long ABORT_GRACE_MILLIS = 500;
+  private static final int DEFAULT_MAX_CONNECTIONS = 16;
   private static final int MAX_THREADS = 12;
   private static final int MIN_THREADS = 2;
   private static final int THREAD_IDLE_MILLIS = 60_000;
-  private static final int QUEUED = 64;
+  private static final int MAX_QUEUED_REQUESTS = 64;
 
   private final HttpClient client;
 
@@ -82,7 +83,7 @@
    * @throws IllegalStateException if it cannot start
    */
   public static PlatformClient start(String name) {
-    return start(name, CONNECTIONS);
+    return start(name, DEFAULT_MAX_CONNECTIONS);
   }
 
   /**
@@ -94,7 +95,7 @@
    */
   public static PlatformClient start(String name, int connections) {
     QueuedThreadPool threads =
-        HttpThreads.pool(
+        HttpThreadPools.create(
             requireNonNull(name, "name"), MAX_THREADS, MIN_THREADS, THREAD_IDLE_MILLIS, true);
     ClientConnector connector = new ClientConnector();
     connector.setSelectors(1);
@@ -103,7 +104,7 @@
     HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
     client.setMaxConnectionsPerDestination(connections);
-    client.setMaxRequestsQueuedPerDestination(QUEUED);
+    client.setMaxRequestsQueuedPerDestination(MAX_QUEUED_REQUESTS);
     client.setFollowRedirects(false);
     try {
       client.start();
@@ -114,11 +115,12 @@
     return new PlatformClient(client);
   }
 
-  Exchange get(String uri, int maxAnswerBytes, long timeoutMillis) {
+  ExchangeResult get(String uri, int maxAnswerBytes, long timeoutMillis) {
     return exchange(client.newRequest(uri), maxAnswerBytes, timeoutMillis);
   }
 
-  Exchange post(String uri, String type, byte[] body, int maxAnswerBytes, long timeoutMillis) {
+  ExchangeResult post(
+      String uri, String type, byte[] body, int maxAnswerBytes, long timeoutMillis) {
     Request request =
         client.newRequest(uri).method(HttpMethod.POST).body(new BytesRequestContent(type, body));
     return exchange(request, maxAnswerBytes, timeoutMillis);
@@ -136,7 +138,7 @@
    * @param timeoutMillis how long the whole exchange may take
    * @return completes on a thread of the client's, never exceptionally
    */
-  public CompletableFuture<Exchange> send(
+  public CompletableFuture<ExchangeResult> send(
       String method,
       String uri,
       Map<String, String> headers,
@@ -149,40 +151,41 @@
     if (body.length > 0) {
       request.body(new BytesRequestContent(type, body));
     }
-    AtomicBoolean begun = watched(request, timeoutMillis);
+    AtomicBoolean begun = setTimeoutAndTrackSend(request, timeoutMillis);
     return new CompletableResponseListener(request, maxAnswerBytes)
         .send()
         .handle(
             (response, error) -> {
               if (error == null) {
-                return new Answered(response.getStatus(), response.getContent());
+                return new ResponseReceived(response.getStatus(), response.getContent());
               }
               Throwable cause = error instanceof CompletionException ? error.getCause() : error;
-              return failed(begun.get(), cause, maxAnswerBytes);
+              return failureResult(begun.get(), cause, maxAnswerBytes);
             });
   }
 
-  private static Exchange exchange(Request request, int maxAnswerBytes, long timeoutMillis) {
-    AtomicBoolean begun = watched(request, timeoutMillis);
+  private static ExchangeResult exchange(Request request, int maxAnswerBytes, long timeoutMillis) {
+    AtomicBoolean begun = setTimeoutAndTrackSend(request, timeoutMillis);
     CompletableFuture<ContentResponse> sent =
         new CompletableResponseListener(request, maxAnswerBytes).send();
     try {
-      ContentResponse response = sent.get(timeoutMillis + GRACE_MILLIS, TimeUnit.MILLISECONDS);
-      return new Answered(response.getStatus(), response.getContent());
+      ContentResponse response =
+          sent.get(timeoutMillis + ABORT_GRACE_MILLIS, TimeUnit.MILLISECONDS);
+      return new ResponseReceived(response.getStatus(), response.getContent());
     } catch (ExecutionException e) {
-      return failed(begun.get(), e.getCause(), maxAnswerBytes);
+      return failureResult(begun.get(), e.getCause(), maxAnswerBytes);
     } catch (TimeoutException e) {
       request.abort(e);
-      return failed(begun.get(), e, maxAnswerBytes);
+      return failureResult(begun.get(), e, maxAnswerBytes);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       request.abort(e);
-      return failed(begun.get(), e, maxAnswerBytes);
+      return failureResult(begun.get(), e, maxAnswerBytes);
     }
   }
 
   /** Bounds the request's time; returns what tells whether a byte of it may have left. */
-  private static AtomicBoolean watched(Request request, long timeoutMillis) {
+  private static AtomicBoolean setTimeoutAndTrackSend(Request request, long timeoutMillis) {
     checkArgument(timeoutMillis > 0, "timeoutMillis is not positive: %s", timeoutMillis);
     // Begin is called before the first byte is written. Without it a refused or timed out
     // connection would count as an unknown outcome, and callers would have to look it up.
@@ -192,15 +195,15 @@
     return begun;
   }
 
-  private static Exchange failed(boolean begun, Throwable cause, int maxAnswerBytes) {
+  private static ExchangeResult failureResult(boolean begun, Throwable cause, int maxAnswerBytes) {
     if (!begun) {
-      return new NeverSent(describe(cause));
+      return new NotSent(describe(cause));
     }
     // Jetty tells of an answer beyond the buffer with this exception and no other here.
     if (cause instanceof IllegalArgumentException) {
-      return new AnswerTooLong(maxAnswerBytes);
+      return new ResponseTooLarge(maxAnswerBytes);
     }
-    return new AnswerLost(describe(cause));
+    return new ResponseLost(describe(cause));
   }
 
   private static String describe(Throwable cause) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideReports.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptReporter.java
@@ -8,19 +8,19 @@
 import java.util.List;
 
 /** How a side process tells entries of its attempts. Not safe for use by several threads. */
-final class SideReports {
+final class AttemptReporter {
   private final TaskChannel channel;
   private int round;
 
-  SideReports(TaskChannel channel) {
+  AttemptReporter(TaskChannel channel) {
     this.channel = requireNonNull(channel, "channel");
   }
 
   /** Repeats the reports of ended attempts. */
-  void repeat(Collection<SideTask> tasks) {
-    for (SideTask task : tasks) {
-      if (task.phase() == SideTask.Phase.ENDED) {
-        sendToOne(task.report());
+  void resendEnded(Collection<SideAttempt> tasks) {
+    for (SideAttempt task : tasks) {
+      if (task.phase() == SideAttempt.Phase.ENDED) {
+        sendToOne(task.toReport());
       }
     }
     round++;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempts.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
@@ -36,36 +36,36 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class SideAttempts {
-  private static final Logger LOGGER = System.getLogger(SideAttempts.class.getName());
+final class AttemptSupervisor {
+  private static final Logger LOGGER = System.getLogger(AttemptSupervisor.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** Ended attempts are remembered, so that a late StartTask cannot start one again. */
-  private static final int MAX_REMEMBERED = 20_000;
+  private static final int MAX_ACKNOWLEDGED_TOKENS = 20_000;
 
   /** A lease is renewed when that would lengthen it by at least this part of itself. */
-  private static final long RENEWAL_PARTS = 8;
+  private static final long MIN_RENEWAL_DIVISOR = 8;
 
   private final SideIdentity identity;
   private final Worker worker;
-  private final SideReports reports;
+  private final AttemptReporter reporter;
   private final MonotonicClock clock;
   private final EventRecorder recorder;
   private final LeaseEvidence evidence;
-  private final Map<Long, SideTask> tasks = new TreeMap<>();
-  private final RememberedTokens acknowledged = new RememberedTokens(MAX_REMEMBERED);
+  private final Map<Long, SideAttempt> attempts = new TreeMap<>();
+  private final RecentTokens acknowledgedTokens = new RecentTokens(MAX_ACKNOWLEDGED_TOKENS);
   private WorkerBoot boot;
   private WorkerClock workerClock;
 
-  SideAttempts(
+  AttemptSupervisor(
       SideIdentity identity,
       Worker worker,
-      SideReports reports,
+      AttemptReporter reports,
       MonotonicClock clock,
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.worker = requireNonNull(worker, "worker");
-    this.reports = requireNonNull(reports, "reports");
+    this.reporter = requireNonNull(reports, "reports");
     this.clock = requireNonNull(clock, "clock");
     this.recorder = requireNonNull(recorder, "recorder");
     this.evidence = new LeaseEvidence(identity.processIncarnation());
@@ -76,22 +76,22 @@
     return Optional.ofNullable(boot);
   }
 
-  Collection<SideTask> tasks() {
-    return tasks.values();
+  Collection<SideAttempt> attempts() {
+    return attempts.values();
   }
 
   /** Returns the attempt with the token, or null. */
-  SideTask find(long token) {
-    return tasks.get(token);
+  SideAttempt find(long token) {
+    return attempts.get(token);
   }
 
   /** Stops an attempt for the sake of the VM's service; repeated until the worker confirms. */
-  void evict(SideTask task, String why) {
-    task.stopping(true, why);
-    stop(task);
+  void evict(SideAttempt task, String why) {
+    task.markStopping(true, why);
+    stopOnWorker(task);
   }
 
-  void onVouch(Vouch vouch) {
+  void onConfirmation(Vouch vouch) {
     LeaseEvidence.Change change =
         evidence.confirm(
             vouch.getRegistration(),
@@ -100,61 +100,61 @@
             clock.nanos());
     if (change == LeaseEvidence.Change.NEW_REGISTRATION) {
       // The VM was revoked and let in again. What it ran before is or may be claimed elsewhere.
-      for (SideTask task : tasks.values()) {
-        if (task.token() < evidence.registration() && task.phase() != SideTask.Phase.ENDED) {
-          task.stopping(false, "of an earlier registration of the VM");
-          stop(task);
+      for (SideAttempt task : attempts.values()) {
+        if (task.token() < evidence.registration() && task.phase() != SideAttempt.Phase.ENDED) {
+          task.markStopping(false, "of an earlier registration of the VM");
+          stopOnWorker(task);
         }
       }
     }
   }
 
   void onStart(String peer, StartTask start) {
-    SideTask known = tasks.get(start.getToken());
+    SideAttempt known = attempts.get(start.getToken());
     if (known != null) {
-      known.told(start, clock.nanos());
-      reports.send(peer, known.report());
+      known.applyStart(start, clock.nanos());
+      reporter.send(peer, known.toReport());
       return;
     }
-    if (!mayStart(start)) {
+    if (!isStartable(start)) {
       return;
     }
     Sizes sizes =
         new Sizes(start.getMilliProcessors(), start.getMemoryBytes(), start.getAccelerators());
-    SideTask task =
-        new SideTask(
+    SideAttempt task =
+        new SideAttempt(
             start.getTask(),
             start.getAttempt(),
             start.getToken(),
             sizes,
             start.getLatencyCritical(),
             start.getLeaseMillis(),
-            SideTask.Phase.UNCERTAIN);
-    task.told(start, clock.nanos());
+            SideAttempt.Phase.UNCERTAIN);
+    task.applyStart(start, clock.nanos());
     task.checkpoint(start.getCheckpoint());
-    Sizes after = heldRoom().plus(sizes);
-    tasks.put(task.token(), task);
+    Sizes after = occupiedCapacity().plus(sizes);
+    attempts.put(task.token(), task);
     if (!after.fitsIn(boot.capacity())) {
-      refuse(task, "no room: %s would be held of %s".formatted(after, boot.capacity()));
+      rejectStart(task, "no room: %s would be held of %s".formatted(after, boot.capacity()));
       return;
     }
-    startAtWorker(task, start);
+    startOnWorker(task, start);
   }
 
   /** Returns whether a start that is not known yet may be acted on; if not, it will come again. */
-  private boolean mayStart(StartTask start) {
+  private boolean isStartable(StartTask start) {
     // A start meant for an earlier side process may have been answered by it: released, and claimed
     // elsewhere since. An entry that vouched to this process has read all that before.
     boolean ours = start.getProcessIncarnation() == identity.processIncarnation();
     boolean current = evidence.isConfirmed() && start.getRegistration() == evidence.registration();
-    if (!ours || !current || boot == null || acknowledged.contains(start.getToken())) {
+    if (!ours || !current || boot == null || acknowledgedTokens.contains(start.getToken())) {
       return false;
     }
     long deadline = evidence.deadlineNanos(start.getLeaseMillis());
     return clock.nanos() - deadline < 0;
   }
 
-  private void startAtWorker(SideTask task, StartTask start) {
+  private void startOnWorker(SideAttempt task, StartTask start) {
     long deadline = evidence.deadlineNanos(task.leaseMillis());
     WorkerStart order =
         new WorkerStart(
@@ -167,13 +167,13 @@
             start.getCheckpoint(),
             start.getCheckpointIntervalMillis(),
             start.getRunMillis());
-    task.granted(deadline);
+    task.setGrantedDeadline(deadline);
     Result<WorkerTask> result = worker.start(order);
     if (result instanceof Result.Ok<WorkerTask> ok) {
-      task.phase(SideTask.Phase.RUNNING);
+      task.phase(SideAttempt.Phase.RUNNING);
       recorder.record(Event.of(EventKind.TASK_STARTED).withTask(task.task()).withVm(identity.vm()));
-      observe(task, ok.value());
-      reports.sendToAll(task.report());
+      applyWorkerState(task, ok.value());
+      reporter.sendToAll(task.toReport());
       return;
     }
     Failure failure = ((Result.Failed<WorkerTask>) result).failure();
@@ -184,7 +184,7 @@
         failure.kind().code(),
         failure.detail());
     switch (failure.kind()) {
-      case CONFLICT, TARGET_UNREACHABLE -> refuse(task, failure.detail());
+      case CONFLICT, TARGET_UNREACHABLE -> rejectStart(task, failure.detail());
       default -> {
         // It may run: found out by asking the worker, see settleUncertain.
       }
@@ -192,52 +192,52 @@
   }
 
   /** Reports a start as refused, once the worker has confirmed that it cannot start any more. */
-  private void refuse(SideTask task, String why) {
-    task.stopping(false, why);
-    stop(task);
+  private void rejectStart(SideAttempt task, String why) {
+    task.markStopping(false, why);
+    stopOnWorker(task);
   }
 
   void onStop(String peer, StopTask stop) {
-    SideTask task = tasks.get(stop.getToken());
+    SideAttempt task = attempts.get(stop.getToken());
     if (task == null) {
-      boolean unknown = !acknowledged.contains(stop.getToken()) && boot != null;
+      boolean unknown = !acknowledgedTokens.contains(stop.getToken()) && boot != null;
       if (unknown) {
         // Its start may be under way; the worker is told never to start it.
         task =
-            new SideTask(
+            new SideAttempt(
                 stop.getTask(),
                 stop.getAttempt(),
                 stop.getToken(),
                 Sizes.NONE,
                 false,
                 0,
-                SideTask.Phase.UNCERTAIN);
-        tasks.put(task.token(), task);
-        refuse(task, "stopped before its start");
+                SideAttempt.Phase.UNCERTAIN);
+        attempts.put(task.token(), task);
+        rejectStart(task, "stopped before its start");
       }
       return;
     }
-    if (task.phase() == SideTask.Phase.ENDED) {
-      reports.send(peer, task.report());
+    if (task.phase() == SideAttempt.Phase.ENDED) {
+      reporter.send(peer, task.toReport());
       return;
     }
-    if (task.phase() != SideTask.Phase.STOPPING) {
-      task.stopping(false, "cancelled");
-      stop(task);
+    if (task.phase() != SideAttempt.Phase.STOPPING) {
+      task.markStopping(false, "cancelled");
+      stopOnWorker(task);
     }
   }
 
-  private void stop(SideTask task) {
+  private void stopOnWorker(SideAttempt task) {
     if (worker.stop(task.task(), task.token()) instanceof Result.Ok<WorkerTask> ok) {
-      observe(task, ok.value());
+      applyWorkerState(task, ok.value());
     }
   }
 
   void onAck(TaskReportAck ack) {
-    SideTask task = tasks.get(ack.getToken());
-    if (task != null && task.phase() == SideTask.Phase.ENDED) {
-      tasks.remove(ack.getToken());
-      acknowledged.add(ack.getToken());
+    SideAttempt task = attempts.get(ack.getToken());
+    if (task != null && task.phase() == SideAttempt.Phase.ENDED) {
+      attempts.remove(ack.getToken());
+      acknowledgedTokens.add(ack.getToken());
     }
   }
 
@@ -246,7 +246,7 @@
    *
    * @return whether the worker answered
    */
-  boolean look() {
+  boolean pollWorker() {
     long called = clock.nanos();
     if (!(worker.list() instanceof Result.Ok<WorkerListing> ok)) {
       return false;
@@ -259,18 +259,18 @@
       // Nothing of the earlier boot runs; the entries see the new boot and clear its tasks. What
       // had
       // ended before is still to be reported.
-      tasks.values().removeIf(task -> task.phase() != SideTask.Phase.ENDED);
+      attempts.values().removeIf(task -> task.phase() != SideAttempt.Phase.ENDED);
     }
     Set<Long> listed = new HashSet<>();
     for (WorkerTask seen : listing.tasks()) {
       listed.add(seen.token());
-      SideTask task = tasks.get(seen.token());
-      if (task == null && !acknowledged.contains(seen.token())) {
-        task = SideTask.adopted(seen);
-        tasks.put(seen.token(), task);
+      SideAttempt task = attempts.get(seen.token());
+      if (task == null && !acknowledgedTokens.contains(seen.token())) {
+        task = SideAttempt.adopted(seen);
+        attempts.put(seen.token(), task);
       }
-      if (task != null && task.phase() != SideTask.Phase.ENDED) {
-        observe(task, seen);
+      if (task != null && task.phase() != SideAttempt.Phase.ENDED) {
+        applyWorkerState(task, seen);
       }
     }
     stopUnlisted(listed);
@@ -279,34 +279,34 @@
 
   /** Settles attempts that the worker was thought to run but no longer knows. */
   private void stopUnlisted(Set<Long> listed) {
-    for (SideTask task : tasks.values()) {
-      if (task.phase() == SideTask.Phase.RUNNING && !listed.contains(task.token())) {
-        task.stopping(false, "the worker no longer knows it");
-        stop(task);
+    for (SideAttempt task : attempts.values()) {
+      if (task.phase() == SideAttempt.Phase.RUNNING && !listed.contains(task.token())) {
+        task.markStopping(false, "the worker no longer knows it");
+        stopOnWorker(task);
       }
     }
   }
 
   /** Takes in what the worker says about an attempt. */
-  private void observe(SideTask task, WorkerTask seen) {
-    task.checkpointSeen(seen.checkpoint(), clock.nanos());
+  private void applyWorkerState(SideAttempt task, WorkerTask seen) {
+    task.observeCheckpoint(seen.checkpoint(), clock.nanos());
     switch (seen.state()) {
       case RUNNING -> {
-        if (task.phase() == SideTask.Phase.UNCERTAIN) {
-          task.phase(SideTask.Phase.RUNNING);
+        if (task.phase() == SideAttempt.Phase.UNCERTAIN) {
+          task.phase(SideAttempt.Phase.RUNNING);
         }
-        if (task.phase() == SideTask.Phase.RUNNING && task.takeUntoldCheckpoint()) {
-          reports.sendToOne(task.report());
+        if (task.phase() == SideAttempt.Phase.RUNNING && task.takeUnreportedCheckpoint()) {
+          reporter.sendToOne(task.toReport());
         }
         return;
       }
-      case DONE -> task.ended(TaskReport.State.DONE, seen.detail());
-      case FAILED -> task.ended(TaskReport.State.FAILED, seen.detail());
-      case LAPSED -> lapsed(task);
+      case DONE -> task.markEnded(TaskReport.State.DONE, seen.detail());
+      case FAILED -> task.markEnded(TaskReport.State.FAILED, seen.detail());
+      case LAPSED -> markLapsed(task);
       case STOPPED -> {
         boolean started =
-            task.phase() == SideTask.Phase.RUNNING || !seen.sizes().equals(Sizes.NONE);
-        task.ended(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
+            task.phase() == SideAttempt.Phase.RUNNING || !seen.sizes().equals(Sizes.NONE);
+        task.markEnded(started ? TaskReport.State.RELEASED : TaskReport.State.REFUSED, "");
       }
     }
     recorder.record(
@@ -314,11 +314,11 @@
             .withTask(task.task())
             .withVm(identity.vm())
             .withDetail(seen.state() + " " + seen.detail()));
-    reports.sendToOne(task.report());
+    reporter.sendToOne(task.toReport());
   }
 
-  private void lapsed(SideTask task) {
-    task.ended(TaskReport.State.RELEASED, "its lease passed");
+  private void markLapsed(SideAttempt task) {
+    task.markEnded(TaskReport.State.RELEASED, "its lease passed");
     recorder.record(Event.of(EventKind.LEASE_LAPSED).withTask(task.task()).withVm(identity.vm()));
   }
 
@@ -326,18 +326,18 @@
     if (!evidence.isConfirmed() || workerClock == null) {
       return;
     }
-    for (SideTask task : tasks.values()) {
-      if (task.phase() == SideTask.Phase.RUNNING && task.token() > evidence.registration()) {
+    for (SideAttempt task : attempts.values()) {
+      if (task.phase() == SideAttempt.Phase.RUNNING && task.token() > evidence.registration()) {
         renew(task);
       }
     }
   }
 
-  private void renew(SideTask task) {
+  private void renew(SideAttempt task) {
     long deadline = evidence.deadlineNanos(task.leaseMillis());
-    long worthwhile = task.leaseMillis() * NANOS_PER_MILLI / RENEWAL_PARTS;
-    boolean first = task.grantedNanos() == Long.MIN_VALUE;
-    boolean gains = first || deadline - task.grantedNanos() >= worthwhile;
+    long worthwhile = task.leaseMillis() * NANOS_PER_MILLI / MIN_RENEWAL_DIVISOR;
+    boolean first = task.grantedDeadlineNanos() == Long.MIN_VALUE;
+    boolean gains = first || deadline - task.grantedDeadlineNanos() >= worthwhile;
     if (task.leaseMillis() == 0 || !gains || clock.nanos() - deadline >= 0) {
       return;
     }
@@ -346,24 +346,24 @@
     Result<WorkerTask> result =
         worker.renew(task.task(), task.token(), workerClock.deadlineMillis(deadline));
     if (result.isOk()) {
-      task.granted(deadline);
+      task.setGrantedDeadline(deadline);
     }
   }
 
-  void settleUncertain() {
-    for (SideTask task : List.copyOf(tasks.values())) {
+  void stopUnconfirmed() {
+    for (SideAttempt task : List.copyOf(attempts.values())) {
       boolean unsettled =
-          task.phase() == SideTask.Phase.UNCERTAIN || task.phase() == SideTask.Phase.STOPPING;
+          task.phase() == SideAttempt.Phase.UNCERTAIN || task.phase() == SideAttempt.Phase.STOPPING;
       if (unsettled) {
-        stop(task);
+        stopOnWorker(task);
       }
     }
   }
 
-  private Sizes heldRoom() {
+  private Sizes occupiedCapacity() {
     Sizes held = Sizes.NONE;
-    for (SideTask task : tasks.values()) {
-      if (task.holdsRoom()) {
+    for (SideAttempt task : attempts.values()) {
+      if (task.occupiesCapacity()) {
         held = held.plus(task.sizes());
       }
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/ClaimLoop.java
@@ -1,9 +1,9 @@
 package io.marigoldsail.daemon.task;
 
 import io.marigoldsail.error.Result;
+import io.marigoldsail.job.JobQueue;
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.JobState;
-import io.marigoldsail.job.QueueOrder;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.Spread;
 import io.marigoldsail.job.TaskRecord;
@@ -35,114 +35,118 @@
  * wasted. An entry takes another's tasks only after the job has not moved for a while.
  */
 final class ClaimLoop {
-  private static final int MAX_ON_THEIR_WAY = 64;
-  private static final int MAX_TRIES_A_ROUND = 128;
-  private static final int CANDIDATES = 256;
+  private static final int MAX_PENDING_CLAIMS = 64;
+  private static final int MAX_PLACEMENTS_PER_ROUND = 128;
+  private static final int MAX_CANDIDATES_PER_JOB = 256;
 
   /** What the log does not tell, such as which VMs are heard, is looked at so often. */
-  private static final long LOOK_AGAIN_MILLIS = 200;
+  private static final long RECHECK_MILLIS = 200;
 
-  private static final long NEVER = Long.MIN_VALUE;
-  private static final long OTHERS_TASKS_MILLIS = 3_000;
-  private static final long LOG_BACK_OFF_MILLIS = 500;
+  private static final long NO_POSITION = Long.MIN_VALUE;
+  private static final long TAKEOVER_MILLIS = 3_000;
+  private static final long LOG_BACKOFF_MILLIS = 500;
 
-  private record Pending(VmState vm, String program, Sizes sizes) {}
+  private record PendingClaim(VmState vm, String program, Sizes sizes) {}
 
-  private record Progress(long marker, long othersFrom) {}
+  private record Progress(long waitingTasks, long takeoverAt) {}
 
   /** One job's waiting tasks in one round. */
-  private record Candidates(Deque<TaskState> tasks, Map<String, Integer> inGroup) {}
+  private record Candidates(Deque<TaskState> tasks, Map<String, Integer> tasksByGroup) {}
 
   private final EntryContext context;
-  private final VmWatch watch;
-  private final StartLoop starts;
+  private final VmMembership membership;
+  private final StartLoop startLoop;
   private final Placer placer;
-  private final PlacementKnowledge knowledge;
-  private final PreemptionLoop preemptions;
-  private final Map<String, Pending> onTheirWay = new HashMap<>();
+  private final PlacementModel placementModel;
+  private final PreemptionLoop preemptionLoop;
+  private final Map<String, PendingClaim> pendingClaims = new HashMap<>();
   private final Map<String, Progress> progress = new HashMap<>();
-  private final Map<String, String> whyWaiting = new HashMap<>();
+  private final Map<String, String> waitingReason = new HashMap<>();
   private long pausedUntil;
 
   /** How far the log was read when a round found nothing to claim. */
-  private long fruitlessAt = NEVER;
+  private long idlePosition = NO_POSITION;
 
-  private long lookAgain;
+  private long nextRecheck;
 
   ClaimLoop(
       EntryContext context,
-      VmWatch watch,
+      VmMembership watch,
       StartLoop starts,
       Placer placer,
-      PlacementKnowledge knowledge,
+      PlacementModel knowledge,
       PreemptionLoop preemptions) {
     this.context = context;
-    this.watch = watch;
-    this.starts = starts;
+    this.membership = watch;
+    this.startLoop = starts;
     this.placer = placer;
-    this.knowledge = knowledge;
-    this.preemptions = preemptions;
+    this.placementModel = knowledge;
+    this.preemptionLoop = preemptions;
     this.pausedUntil = context.nanos();
-    this.lookAgain = context.nanos();
+    this.nextRecheck = context.nanos();
   }
 
   void tick() {
-    if (!context.passed(pausedUntil) || onTheirWay.size() >= MAX_ON_THEIR_WAY) {
+    if (!context.hasPassed(pausedUntil) || pendingClaims.size() >= MAX_PENDING_CLAIMS) {
       return;
     }
-    long applied = context.table().applied();
-    if (applied == fruitlessAt && !context.passed(lookAgain)) {
+    long applied = context.table().appliedPosition();
+    if (applied == idlePosition && !context.hasPassed(nextRecheck)) {
       return;
     }
     List<JobState> jobs = context.table().waitingJobs();
-    noteProgress(jobs);
-    int before = onTheirWay.size();
+    updateProgress(jobs);
+    int before = pendingClaims.size();
     if (!jobs.isEmpty()) {
-      decide(jobs);
+      runRound(jobs);
     }
-    fruitlessAt = onTheirWay.size() == before ? applied : NEVER;
-    lookAgain = context.afterMillis(LOOK_AGAIN_MILLIS);
+    idlePosition = pendingClaims.size() == before ? applied : NO_POSITION;
+    nextRecheck = context.deadlineAfterMillis(RECHECK_MILLIS);
   }
 
-  private void decide(List<JobState> jobs) {
-    Fleet fleet = new Fleet(context.table().vms(), this::usable, context.table()::programsOn);
+  private void runRound(List<JobState> jobs) {
+    Fleet fleet = new Fleet(context.table().vms(), this::isUsable, context.table()::programsOn);
     fleet.reservePreempted(context.table().preemptions());
-    onTheirWay.values().forEach(p -> fleet.allocate(p.vm().registration(), p.program(), p.sizes()));
-    knowledge.reserveFor(jobs, fleet);
+    pendingClaims
+        .values()
+        .forEach(p -> fleet.allocate(p.vm().registration(), p.program(), p.sizes()));
+    placementModel.reserveForUrgentJobs(jobs, fleet);
     placer.beginRound();
-    QueueOrder order =
-        new QueueOrder(
+    JobQueue order =
+        new JobQueue(
             jobs,
             context.table().bookedByTeam(),
-            team -> context.terms().quota(team),
+            team -> context.policy().quota(team),
             fleet.capacity(),
             context.wallMillis());
-    round(order, fleet);
+    claimInOrder(order, fleet);
   }
 
   /** Returns why the job's tasks wait, as far as this entry has looked; empty if it has not. */
-  String whyWaiting(String job) {
-    return whyWaiting.getOrDefault(job, "");
+  String waitingReason(String job) {
+    return waitingReason.getOrDefault(job, "");
   }
 
-  private boolean usable(VmState vm) {
-    return watch.usable(vm.vm()) && knowledge.usable(vm);
+  private boolean isUsable(VmState vm) {
+    return membership.isSchedulable(vm.vm()) && placementModel.isUsable(vm);
   }
 
-  private void round(QueueOrder order, Fleet fleet) {
+  private void claimInOrder(JobQueue order, Fleet fleet) {
     Map<String, Candidates> candidates = new HashMap<>();
     Optional<JobState> next = order.next();
     int tries = 0;
-    while (next.isPresent() && tries < MAX_TRIES_A_ROUND && onTheirWay.size() < MAX_ON_THEIR_WAY) {
+    while (next.isPresent()
+        && tries < MAX_PLACEMENTS_PER_ROUND
+        && pendingClaims.size() < MAX_PENDING_CLAIMS) {
       tries++;
       JobState job = next.get();
       Candidates waiting =
           candidates.computeIfAbsent(job.spec().name(), unused -> candidatesOf(job));
       TaskState task = waiting.tasks().poll();
       if (task != null) {
-        Sizes sizes = knowledge.booking(job.spec());
-        if (tryClaim(order, fleet, job, task, waiting.inGroup())) {
-          order.took(job, sizes, !waiting.tasks().isEmpty());
+        Sizes sizes = placementModel.booking(job.spec());
+        if (tryClaim(order, fleet, job, task, waiting.tasksByGroup())) {
+          order.recordAllocation(job, sizes, !waiting.tasks().isEmpty());
         }
       }
       next = order.next();
@@ -150,24 +154,24 @@
   }
 
   private boolean tryClaim(
-      QueueOrder order, Fleet fleet, JobState job, TaskState task, Map<String, Integer> inGroup) {
+      JobQueue order, Fleet fleet, JobState job, TaskState task, Map<String, Integer> inGroup) {
     JobSpec spec = job.spec();
-    Sizes sizes = knowledge.booking(spec);
+    Sizes sizes = placementModel.booking(spec);
     if (!order.withinQuota(spec.team(), sizes)) {
-      wait(spec, "team " + spec.team() + " is at its quota");
+      markWaiting(spec, "team " + spec.team() + " is at its quota");
       return false;
     }
     PlacementDecision decision =
         placer.place(new PlacementRequest(spec, task, sizes, inGroup), fleet);
     if (decision instanceof PlacementDecision.NoCapacity noRoom) {
-      wait(spec, noRoom.reason());
+      markWaiting(spec, noRoom.reason());
       if (spec.urgent()) {
-        preemptions.noRoom(spec, task, sizes, fleet);
+        preemptionLoop.onInsufficientCapacity(spec, task, sizes, fleet);
       }
       return false;
     }
     PlacementDecision.Chosen chosen = (PlacementDecision.Chosen) decision;
-    whyWaiting.remove(spec.name());
+    waitingReason.remove(spec.name());
     VmState vm = chosen.candidate().state();
     fleet.allocate(vm.registration(), spec.program(), sizes);
     if (spec.spread() != Spread.NONE) {
@@ -177,8 +181,8 @@
     return true;
   }
 
-  private void wait(JobSpec spec, String why) {
-    String before = whyWaiting.put(spec.name(), why);
+  private void markWaiting(JobSpec spec, String why) {
+    String before = waitingReason.put(spec.name(), why);
     if (before == null) {
       context.record(
           Event.of(EventKind.TASK_WAITING)
@@ -196,24 +200,24 @@
             vm.vm(),
             vm.registration(),
             sizes,
-            context.terms().leases().leaseMillis(spec.taskClass()),
+            context.policy().leases().leaseMillis(spec.taskClass()),
             context.identity().name(),
-            context.terms().quota(spec.team()).most());
-    onTheirWay.put(task.name(), new Pending(vm, spec.program(), sizes));
+            context.policy().quota(spec.team()).limit());
+    pendingClaims.put(task.name(), new PendingClaim(vm, spec.program(), sizes));
     context.record(
         Event.of(EventKind.TASK_PLACED).withTask(task.name()).withVm(vm.vm()).withDetail(why));
-    context.append(claim, result -> claimed(claim, spec, result));
+    context.append(claim, result -> onClaimAppended(claim, spec, result));
   }
 
-  private void claimed(TaskRecord.Claimed claim, JobSpec spec, Result<Long> result) {
-    onTheirWay.remove(claim.task());
+  private void onClaimAppended(TaskRecord.Claimed claim, JobSpec spec, Result<Long> result) {
+    pendingClaims.remove(claim.task());
     if (!(result instanceof Result.Ok<Long> ok)) {
       // Should it have got in after all, the sweep finds it in the table and starts it.
-      pausedUntil = context.afterMillis(LOG_BACK_OFF_MILLIS);
+      pausedUntil = context.deadlineAfterMillis(LOG_BACKOFF_MILLIS);
       return;
     }
     Optional<TaskState> task = context.table().task(claim.task());
-    boolean won = task.isPresent() && task.get().holds(ok.value());
+    boolean won = task.isPresent() && task.get().isClaimedWith(ok.value());
     EventKind kind = won ? EventKind.TASK_CLAIMED : EventKind.TASK_CLAIM_LOST;
     context.record(
         Event.of(kind)
@@ -222,26 +226,26 @@
             .withTeam(spec.team())
             .withDetail("attempt " + claim.attempt() + " token " + ok.value()));
     if (won) {
-      starts.claimed(task.get(), spec);
+      startLoop.onClaimAccepted(task.get(), spec);
     }
   }
 
   private Candidates candidatesOf(JobState job) {
-    List<TaskState> waiting = context.table().waiting(job.spec().name(), 0, CANDIDATES);
-    List<String> live = watch.liveEntries();
+    List<TaskState> waiting = context.table().waiting(job.spec().name(), 0, MAX_CANDIDATES_PER_JOB);
+    List<String> live = membership.liveEntries();
     int own = live.indexOf(context.identity().name());
-    boolean others = context.passed(progress.get(job.spec().name()).othersFrom());
+    boolean others = context.hasPassed(progress.get(job.spec().name()).takeoverAt());
     Deque<TaskState> tasks = new ArrayDeque<>();
     for (TaskState task : waiting) {
       boolean mine = Math.floorMod(task.name().hashCode(), live.size()) == own;
-      if ((mine || others) && !onTheirWay.containsKey(task.name())) {
+      if ((mine || others) && !pendingClaims.containsKey(task.name())) {
         tasks.add(task);
       }
     }
-    return new Candidates(tasks, inGroup(job.spec()));
+    return new Candidates(tasks, tasksByGroup(job.spec()));
   }
 
-  private Map<String, Integer> inGroup(JobSpec spec) {
+  private Map<String, Integer> tasksByGroup(JobSpec spec) {
     Map<String, Integer> counts = new HashMap<>();
     if (spec.spread() == Spread.NONE) {
       return counts;
@@ -257,18 +261,18 @@
     return counts;
   }
 
-  private void noteProgress(List<JobState> jobs) {
+  private void updateProgress(List<JobState> jobs) {
     Set<String> names = new HashSet<>();
     for (JobState job : jobs) {
       String name = job.spec().name();
       names.add(name);
       Progress before = progress.get(name);
-      if (before == null || before.marker() != job.waiting()) {
-        long othersFrom = context.afterMillis(OTHERS_TASKS_MILLIS);
+      if (before == null || before.waitingTasks() != job.waiting()) {
+        long othersFrom = context.deadlineAfterMillis(TAKEOVER_MILLIS);
         progress.put(name, new Progress(job.waiting(), othersFrom));
       }
     }
     progress.keySet().retainAll(names);
-    whyWaiting.keySet().retainAll(names);
+    waitingReason.keySet().retainAll(names);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryContext.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** What the parts of {@link EntryTasks} share; everything runs under one lock. */
+/** What the parts of {@link EntryTaskScheduler} share; everything runs under one lock. */
 final class EntryContext {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
@@ -22,7 +22,7 @@
   private final TaskTable table;
   private final TaskLog log;
   private final TaskChannel channel;
-  private final Supplier<TaskTerms> terms;
+  private final Supplier<TaskPolicy> policy;
   private final MonotonicClock clock;
   private final WallClock wallClock;
   private final EventRecorder recorder;
@@ -33,7 +33,7 @@
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskTerms> terms,
+      Supplier<TaskPolicy> terms,
       MonotonicClock clock,
       WallClock wallClock,
       EventRecorder recorder,
@@ -42,7 +42,7 @@
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.channel = requireNonNull(channel, "channel");
-    this.terms = requireNonNull(terms, "terms");
+    this.policy = requireNonNull(terms, "terms");
     this.clock = requireNonNull(clock, "clock");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
@@ -61,19 +61,19 @@
     return channel;
   }
 
-  TaskTerms terms() {
-    return terms.get();
+  TaskPolicy policy() {
+    return policy.get();
   }
 
   long nanos() {
     return clock.nanos();
   }
 
-  long afterMillis(long millis) {
+  long deadlineAfterMillis(long millis) {
     return clock.nanos() + millis * NANOS_PER_MILLI;
   }
 
-  boolean passed(long deadlineNanos) {
+  boolean hasPassed(long deadlineNanos) {
     return clock.nanos() - deadlineNanos >= 0;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTasks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
@@ -24,21 +24,21 @@
  * {@link TaskChannel} that sends to side processes by the names used there, and call {@link #start}
  * with a scheduler once the follower of the stream {@code tasks} has caught up once. The table must
  * be the one that the follower folds into, the log one that completes appends after the fold, such
- * as {@link FollowedTaskLog}. Entries keep nothing of their own that another could not read from
+ * as {@link AppenderTaskLog}. Entries keep nothing of their own that another could not read from
  * the log; any of them may die at any point.
  *
  * <p>Safe for any thread; one lock guards everything.
  */
-public final class EntryTasks implements AutoCloseable {
-  private static final Logger LOGGER = System.getLogger(EntryTasks.class.getName());
+public final class EntryTaskScheduler implements AutoCloseable {
+  private static final Logger LOGGER = System.getLogger(EntryTaskScheduler.class.getName());
   private static final long TICK_MILLIS = 50;
 
   private final EntryContext context;
-  private final VmWatch watch;
-  private final StartLoop starts;
-  private final PreemptionLoop preemptions;
-  private final ClaimLoop claims;
-  private final PlacementKnowledge knowledge;
+  private final VmMembership membership;
+  private final StartLoop startLoop;
+  private final PreemptionLoop preemptionLoop;
+  private final ClaimLoop claimLoop;
+  private final PlacementModel placementModel;
   private ScheduledFuture<?> ticking;
 
   /**
@@ -54,12 +54,12 @@
    * @param random breaks ties between VMs
    * @param recorder the time line
    */
-  public EntryTasks(
+  public EntryTaskScheduler(
       EntryIdentity identity,
       TaskTable table,
       TaskLog log,
       TaskChannel channel,
-      Supplier<TaskTerms> terms,
+      Supplier<TaskPolicy> terms,
       MonotonicClock clock,
       WallClock wallClock,
       RandomGenerator random,
@@ -67,14 +67,19 @@
     requireNonNull(random, "random");
     this.context =
         new EntryContext(
-            identity, table, log, channel, terms, clock, wallClock, recorder, this::locked);
-    this.watch = new VmWatch(context, this::onFirstVouch);
-    this.knowledge = new PlacementKnowledge(context);
-    this.starts = new StartLoop(context, watch, knowledge::noise);
-    this.preemptions = new PreemptionLoop(context, watch);
-    this.claims =
+            identity, table, log, channel, terms, clock, wallClock, recorder, this::runLocked);
+    this.membership = new VmMembership(context, this::onFirstConfirmation);
+    this.placementModel = new PlacementModel(context);
+    this.startLoop = new StartLoop(context, membership, placementModel::expectedSlowdown);
+    this.preemptionLoop = new PreemptionLoop(context, membership);
+    this.claimLoop =
         new ClaimLoop(
-            context, watch, starts, new Placer(knowledge.costs(), random), knowledge, preemptions);
+            context,
+            membership,
+            startLoop,
+            new Placer(placementModel.costs(), random),
+            placementModel,
+            preemptionLoop);
   }
 
   /** Begins to work on the given scheduler. */
@@ -87,9 +92,9 @@
   /** Takes in a message of a side process. */
   public synchronized void onMessage(String peer, TaskMessage message) {
     switch (message.getKindCase()) {
-      case ASK_VOUCH -> watch.onAsk(peer, message.getAskVouch());
-      case REPORT -> starts.onReport(peer, message.getReport());
-      case USAGE -> knowledge.onUsage(message.getUsage());
+      case ASK_VOUCH -> membership.onConfirmationRequest(peer, message.getAskVouch());
+      case REPORT -> startLoop.onReport(peer, message.getReport());
+      case USAGE -> placementModel.onUsage(message.getUsage());
       default -> {
         // Kinds that only entries send, or that a newer version added.
       }
@@ -98,11 +103,11 @@
 
   /** Does what is due now. Called by the scheduler; tests call it on a virtual clock. */
   public synchronized void tick() {
-    watch.tick();
-    knowledge.tick();
-    starts.tick();
-    preemptions.tick();
-    claims.tick();
+    membership.tick();
+    placementModel.tick();
+    startLoop.tick();
+    preemptionLoop.tick();
+    claimLoop.tick();
   }
 
   /** Stops deciding; tasks go on, looked after by the other entries. */
@@ -114,15 +119,15 @@
   }
 
   /** Returns why a job's tasks wait, as far as this entry knows; may be empty. */
-  synchronized String whyWaiting(String job) {
-    return claims.whyWaiting(job);
+  synchronized String waitingReason(String job) {
+    return claimLoop.waitingReason(job);
   }
 
-  private void onFirstVouch(String vm) {
-    context.table().vm(vm).ifPresent(starts::sweep);
+  private void onFirstConfirmation(String vm) {
+    context.table().vm(vm).ifPresent(startLoop::sweep);
   }
 
-  private synchronized void locked(Runnable step) {
+  private synchronized void runLocked(Runnable step) {
     step.run();
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/GuardLoop.java
@@ -28,16 +28,16 @@
  */
 final class GuardLoop {
   /** A change of usage below this part is not worth telling. */
-  private static final double WORTH_TELLING = 0.1;
+  private static final double MIN_REPORTED_CHANGE = 0.1;
 
   private static final double PERMILLE = 1_000;
-  private static final int LOOSE = 100;
+  private static final int UNTHROTTLED_PERCENT = 100;
 
   private final SideIdentity identity;
   private final Worker worker;
-  private final SideAttempts attempts;
+  private final AttemptSupervisor supervisor;
   private final TaskChannel channel;
-  private final ServiceWatch service;
+  private final ServiceMonitor service;
   private final MonotonicClock clock;
   private final WallClock wallClock;
   private final EventRecorder recorder;
@@ -46,43 +46,45 @@
   GuardLoop(
       SideIdentity identity,
       Worker worker,
-      SideAttempts attempts,
+      AttemptSupervisor attempts,
       TaskChannel channel,
-      ServiceWatch service,
+      ServiceMonitor service,
       MonotonicClock clock,
       WallClock wallClock,
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.worker = requireNonNull(worker, "worker");
-    this.attempts = requireNonNull(attempts, "attempts");
+    this.supervisor = requireNonNull(attempts, "attempts");
     this.channel = requireNonNull(channel, "channel");
     this.service = requireNonNull(service, "service");
     this.clock = requireNonNull(clock, "clock");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
-    this.guard = new Guard(service.terms(), clock.nanos());
+    this.guard = new Guard(service.policy(), clock.nanos());
   }
 
   /** Decides once and acts. */
   void step() {
-    List<GuardedTask> tasks = guarded();
+    List<GuardedTask> tasks = guardedTasks();
     List<GuardAction> actions =
         new ArrayList<>(
             guard.decide(
-                service.terms(),
+                service.policy(),
                 service.reading(clock.nanos()),
                 tasks,
                 clock.nanos(),
                 wallClock.millis()));
-    attempts
+    supervisor
         .boot()
-        .flatMap(boot -> MemoryGuard.decide(tasks, othersBytes(), boot.capacity().memoryBytes()))
+        .flatMap(
+            boot ->
+                MemoryGuard.decide(tasks, latencyCriticalBytes(), boot.capacity().memoryBytes()))
         .ifPresent(actions::add);
-    actions.forEach(this::act);
+    actions.forEach(this::perform);
   }
 
   /** Takes in what the worker measured, and tells entries what changed. */
-  void measure() {
+  void reportUsage() {
     if (!(worker.usage() instanceof Result.Ok<List<UsageSample>> samples)) {
       return;
     }
@@ -92,9 +94,9 @@
         .ifPresent(
             reading -> report.setServiceSlowdownPermille((int) (reading.pressure() * PERMILLE)));
     for (UsageSample sample : samples.value()) {
-      SideTask task = attempts.find(sample.token());
-      boolean changed = task != null && task.measured(sample, WORTH_TELLING);
-      if (changed || (task != null && task.throttlePercent() < LOOSE)) {
+      SideAttempt task = supervisor.find(sample.token());
+      boolean changed = task != null && task.recordUsage(sample, MIN_REPORTED_CHANGE);
+      if (changed || (task != null && task.throttlePercent() < UNTHROTTLED_PERCENT)) {
         report.addTasks(
             TaskUsage.newBuilder()
                 .setTask(sample.task())
@@ -115,45 +117,45 @@
    * Evicts an attempt for urgent work, as an entry asks. One whose start the worker has not
    * confirmed may have begun; it is asked for again and goes once that is known.
    */
-  void onStopForUrgent(String peer, StopTask stop) {
-    SideTask task = attempts.find(stop.getToken());
-    if (task == null || task.phase() == SideTask.Phase.ENDED) {
-      attempts.onStop(peer, stop);
-    } else if (task.phase() == SideTask.Phase.RUNNING) {
-      guard.recordPreemption(service.terms(), clock.nanos());
+  void onPreempted(String peer, StopTask stop) {
+    SideAttempt task = supervisor.find(stop.getToken());
+    if (task == null || task.phase() == SideAttempt.Phase.ENDED) {
+      supervisor.onStop(peer, stop);
+    } else if (task.phase() == SideAttempt.Phase.RUNNING) {
+      guard.recordPreemption(service.policy(), clock.nanos());
       evict(task, "to make room for urgent work");
     }
   }
 
-  private List<GuardedTask> guarded() {
+  private List<GuardedTask> guardedTasks() {
     List<GuardedTask> tasks = new ArrayList<>();
-    for (SideTask task : attempts.tasks()) {
-      boolean running = task.phase() == SideTask.Phase.RUNNING;
+    for (SideAttempt task : supervisor.attempts()) {
+      boolean running = task.phase() == SideAttempt.Phase.RUNNING;
       if (running && !task.latencyCritical()) {
-        tasks.add(task.guarded());
+        tasks.add(task.toGuardedTask());
       }
     }
     return tasks;
   }
 
-  private long othersBytes() {
+  private long latencyCriticalBytes() {
     long bytes = 0;
-    for (SideTask task : attempts.tasks()) {
-      if (task.holdsRoom() && task.latencyCritical()) {
+    for (SideAttempt task : supervisor.attempts()) {
+      if (task.occupiesCapacity() && task.latencyCritical()) {
         bytes += task.sizes().memoryBytes();
       }
     }
     return bytes;
   }
 
-  private void act(GuardAction action) {
-    SideTask task = attempts.find(action.token());
-    if (task == null || task.phase() != SideTask.Phase.RUNNING) {
+  private void perform(GuardAction action) {
+    SideAttempt task = supervisor.find(action.token());
+    if (task == null || task.phase() != SideAttempt.Phase.RUNNING) {
       return;
     }
     if (action instanceof GuardAction.Throttle throttle) {
       if (worker.throttle(task.task(), task.token(), throttle.percent()).isOk()) {
-        task.throttled(throttle.percent());
+        task.recordThrottle(throttle.percent());
       }
       record(EventKind.TASK_THROTTLED, task, throttle.percent() + "%: " + throttle.reason());
       return;
@@ -165,17 +167,17 @@
    * Checkpoint first, then stop. The checkpoint's answer may be lost; the answer to the stop names
    * the last one that was written, whatever became of this process in between.
    */
-  private void evict(SideTask task, String why) {
+  private void evict(SideAttempt task, String why) {
     var checkpointed = worker.checkpoint(task.task(), task.token());
     if (checkpointed.isOk()) {
       task.checkpoint(checkpointed.value().checkpoint());
       record(EventKind.TASK_CHECKPOINTED, task, task.checkpoint());
     }
     record(EventKind.TASK_EVICTED, task, why);
-    attempts.evict(task, why);
+    supervisor.evict(task, why);
   }
 
-  private void record(EventKind kind, SideTask task, String detail) {
+  private void record(EventKind kind, SideAttempt task, String detail) {
     recorder.record(Event.of(kind).withTask(task.task()).withVm(identity.vm()).withDetail(detail));
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementKnowledge.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementModel.java
@@ -27,31 +27,33 @@
  * What one entry has learned about VMs and programs. Each entry learns for itself from the same
  * reports; nothing of it has to last.
  */
-final class PlacementKnowledge {
+final class PlacementModel {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final double PERMILLE = 1_000;
-  private static final long FORGET_MILLIS = 60_000;
+  private static final long CLEANUP_INTERVAL_MILLIS = 60_000;
   private static final double PERCENT = 100;
 
   private final EntryContext context;
   private final WorkerHealth health = new WorkerHealth();
   private final SizeEstimates estimates = new SizeEstimates();
   private final Interference interference = new Interference();
-  private final UsageLearner learning = new UsageLearner(estimates, interference);
+  private final UsageLearner usageLearner = new UsageLearner(estimates, interference);
   private final UrgentReserve reserve = new UrgentReserve();
-  private long nextForget;
+  private long nextCleanup;
 
-  PlacementKnowledge(EntryContext context) {
+  PlacementModel(EntryContext context) {
     this.context = context;
-    this.nextForget = context.nanos();
-    context.table().addEndListener((vm, job, ok) -> health.recordEnd(vm, job, ok, steadyMillis()));
+    this.nextCleanup = context.nanos();
+    context
+        .table()
+        .addEndListener((vm, job, ok) -> health.recordEnd(vm, job, ok, monotonicMillis()));
   }
 
   void tick() {
-    if (!context.passed(nextForget)) {
+    if (!context.hasPassed(nextCleanup)) {
       return;
     }
-    nextForget = context.afterMillis(FORGET_MILLIS);
+    nextCleanup = context.deadlineAfterMillis(CLEANUP_INTERVAL_MILLIS);
     Set<String> names = new HashSet<>();
     context.table().vms().forEach(vm -> names.add(vm.vm()));
     health.retain(names);
@@ -72,23 +74,23 @@
   }
 
   /** Returns how much longer a task of the job is expected to make a service beside it take. */
-  double noise(JobSpec spec) {
+  double expectedSlowdown(JobSpec spec) {
     return interference.excess(Interference.SERVICE, spec.program());
   }
 
   /** Keeps room in the fleet open for urgent work, as far as urgent work was seen lately. */
-  void reserveFor(List<JobState> jobs, Fleet fleet) {
+  void reserveForUrgentJobs(List<JobState> jobs, Fleet fleet) {
     for (JobState job : jobs) {
       if (job.waiting() > 0) {
-        reserve.observe(booking(job.spec()), job.spec().urgent(), steadyMillis());
+        reserve.observe(booking(job.spec()), job.spec().urgent(), monotonicMillis());
       }
     }
-    Sizes each = reserve.perVm(fleet.meanCapacity(), steadyMillis());
+    Sizes each = reserve.perVm(fleet.meanCapacity(), monotonicMillis());
     fleet.reserveVms(each, reserve.vmCount(fleet.candidates().size()));
   }
 
-  boolean usable(VmState vm) {
-    return health.isUsable(vm.vm(), vm.tasks(), steadyMillis());
+  boolean isUsable(VmState vm) {
+    return health.isUsable(vm.vm(), vm.tasks(), monotonicMillis());
   }
 
   void onUsage(UsageReport report) {
@@ -103,13 +105,13 @@
       context
           .table()
           .job(task.job())
-          .map(job -> measured(job.spec().program(), told.get(task.token())))
+          .map(job -> toMeasurement(job.spec().program(), told.get(task.token())))
           .ifPresent(measured::add);
     }
-    learning.report(vm.get().vm(), measured, report.getServiceSlowdownPermille() / PERMILLE);
+    usageLearner.report(vm.get().vm(), measured, report.getServiceSlowdownPermille() / PERMILLE);
   }
 
-  private static UsageLearner.TaskMeasurement measured(String program, TaskUsage usage) {
+  private static UsageLearner.TaskMeasurement toMeasurement(String program, TaskUsage usage) {
     if (usage == null) {
       return new UsageLearner.TaskMeasurement(program, Sizes.NONE, 0, 1);
     }
@@ -120,7 +122,7 @@
         usage.getThrottlePercent() / PERCENT);
   }
 
-  private long steadyMillis() {
+  private long monotonicMillis() {
     return context.nanos() / NANOS_PER_MILLI;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -36,95 +36,101 @@
  */
 final class PreemptionLoop {
   /** A task may end by itself meanwhile; a tenth of what an urgent start may take. */
-  private static final long PATIENCE_MILLIS = 300;
+  private static final long PREEMPTION_DELAY_MILLIS = 300;
 
   /** A decision looks at every task of the fleet, so it is not taken anew at each tick. */
-  private static final long AGAIN_MILLIS = 1_000;
+  private static final long RETRY_MILLIS = 1_000;
 
   private static final long SWEEP_MILLIS = 500;
 
   /** Victims that have not gone by then are given up for others. */
-  private static final long STUCK_MILLIS = 10_000;
+  private static final long VICTIM_STOP_TIMEOUT_MILLIS = 10_000;
 
-  private static final int LEAST_AT_ONCE = 3;
-  private static final int VMS_PER_ONE_AT_ONCE = 50;
+  private static final int MIN_CONCURRENT = 3;
+  private static final int VMS_PER_PREEMPTION = 50;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   /** An attempt's last checkpoint, and when this entry first saw it. */
-  private record Saved(String checkpoint, long sinceNanos) {}
+  private record CheckpointAge(String checkpoint, long sinceNanos) {}
 
   private final EntryContext context;
-  private final VmWatch watch;
+  private final VmMembership membership;
   private final Preemptor preemptor = new Preemptor();
-  private final Map<String, Long> patientUntil = new HashMap<>();
-  private final Map<Long, Long> seenSince = new HashMap<>();
-  private final Map<Long, Saved> saved = new HashMap<>();
-  private final Set<String> onTheirWay = new HashSet<>();
+  private final Map<String, Long> notBefore = new HashMap<>();
+  private final Map<Long, Long> firstSeenNanos = new HashMap<>();
+  private final Map<Long, CheckpointAge> checkpoints = new HashMap<>();
+  private final Set<String> pendingAppends = new HashSet<>();
 
   /** Filled by the thread that folds, which holds the table and so must not wait for this entry. */
   private final Queue<String> evictedVms = new ConcurrentLinkedQueue<>();
 
   private long nextSweep;
-  private boolean decided;
+  private boolean decidedThisTick;
 
-  PreemptionLoop(EntryContext context, VmWatch watch) {
+  PreemptionLoop(EntryContext context, VmMembership watch) {
     this.context = context;
-    this.watch = watch;
+    this.membership = watch;
     this.nextSweep = context.nanos();
     context.table().addEvictionListener(evictedVms::add);
   }
 
   void tick() {
-    decided = false;
+    decidedThisTick = false;
     countEvictions();
-    if (!context.passed(nextSweep)) {
+    if (!context.hasPassed(nextSweep)) {
       return;
     }
-    nextSweep = context.afterMillis(SWEEP_MILLIS);
-    patientUntil.keySet().removeIf(task -> !waits(task));
-    noteCheckpoints();
+    nextSweep = context.deadlineAfterMillis(SWEEP_MILLIS);
+    notBefore.keySet().removeIf(task -> !isWaiting(task));
+    updateCheckpoints();
     List<Preemption> underWay = context.table().preemptions();
     Set<Long> positions = new HashSet<>();
     for (Preemption preemption : underWay) {
       positions.add(preemption.position());
-      seenSince.putIfAbsent(preemption.position(), now());
+      firstSeenNanos.putIfAbsent(preemption.position(), now());
       stopVictims(preemption);
     }
-    seenSince.keySet().retainAll(positions);
+    firstSeenNanos.keySet().retainAll(positions);
   }
 
   /** Makes room for an urgent task that was found none in the fleet, if that may be. */
-  void noRoom(JobSpec spec, TaskState task, Sizes sizes, Fleet fleet) {
+  void onInsufficientCapacity(JobSpec spec, TaskState task, Sizes sizes, Fleet fleet) {
     long from =
-        patientUntil.computeIfAbsent(task.name(), unused -> context.afterMillis(PATIENCE_MILLIS));
-    if (decided || !context.passed(from) || onTheirWay.contains(task.name())) {
+        notBefore.computeIfAbsent(
+            task.name(), unused -> context.deadlineAfterMillis(PREEMPTION_DELAY_MILLIS));
+    if (decidedThisTick || !context.hasPassed(from) || pendingAppends.contains(task.name())) {
       return;
     }
     List<Preemption> underWay = context.table().preemptions();
     Optional<Preemption> own =
         underWay.stream().filter(p -> p.task().equals(task.name())).findFirst();
-    if (own.isPresent() ? !stuck(own.get()) : underWay.size() >= mostAtOnce(fleet)) {
+    if (own.isPresent() ? !isStuck(own.get()) : underWay.size() >= concurrencyLimit(fleet)) {
       return;
     }
-    decided = true;
-    patientUntil.put(task.name(), context.afterMillis(AGAIN_MILLIS));
+    decidedThisTick = true;
+    notBefore.put(task.name(), context.deadlineAfterMillis(RETRY_MILLIS));
     preemptor
-        .decide(context.terms().guard(), sizes, vms(task, fleet), now(), context.wallMillis())
+        .decide(
+            context.policy().guard(),
+            sizes,
+            preemptableVms(task, fleet),
+            now(),
+            context.wallMillis())
         .ifPresent(
             choice -> preempt(spec, task, sizes, choice, own.map(Preemption::position).orElse(0L)));
   }
 
-  private int mostAtOnce(Fleet fleet) {
-    int most = Math.max(LEAST_AT_ONCE, fleet.candidates().size() / VMS_PER_ONE_AT_ONCE);
-    return most - onTheirWay.size();
+  private int concurrencyLimit(Fleet fleet) {
+    int most = Math.max(MIN_CONCURRENT, fleet.candidates().size() / VMS_PER_PREEMPTION);
+    return most - pendingAppends.size();
   }
 
-  private boolean stuck(Preemption preemption) {
-    Long since = seenSince.get(preemption.position());
-    return since != null && passed(since, STUCK_MILLIS);
+  private boolean isStuck(Preemption preemption) {
+    Long since = firstSeenNanos.get(preemption.position());
+    return since != null && hasPassed(since, VICTIM_STOP_TIMEOUT_MILLIS);
   }
 
-  private List<PreemptableVm> vms(TaskState task, Fleet fleet) {
+  private List<PreemptableVm> preemptableVms(TaskState task, Fleet fleet) {
     List<PreemptableVm> vms = new ArrayList<>();
     for (CandidateVm room : fleet.candidates()) {
       if (room.isPreempting() || task.failedVms().contains(room.vm())) {
@@ -142,7 +148,7 @@
 
   private PreemptableTask preemptable(JobState job, TaskState task) {
     JobSpec spec = job.spec();
-    Saved last = saved.get(task.token());
+    CheckpointAge last = checkpoints.get(task.token());
     long unsaved = last == null ? 0 : (now() - last.sinceNanos()) / NANOS_PER_MILLI;
     return new PreemptableTask(
         task.name(),
@@ -168,12 +174,13 @@
             choice.victims(),
             replaces,
             context.identity().name());
-    onTheirWay.add(task.name());
-    context.append(record, result -> preempted(record, spec, result));
+    pendingAppends.add(task.name());
+    context.append(record, result -> onPreemptionAppended(record, spec, result));
   }
 
-  private void preempted(TaskRecord.Preempted record, JobSpec spec, Result<Long> result) {
-    onTheirWay.remove(record.task());
+  private void onPreemptionAppended(
+      TaskRecord.Preempted record, JobSpec spec, Result<Long> result) {
+    pendingAppends.remove(record.task());
     // Without an answer it may have got in all the same; the sweep finds it in the table then.
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
@@ -193,13 +200,13 @@
 
   /** Has the victims stopped that still hold; sides take doubled stops for one. */
   private void stopVictims(Preemption preemption) {
-    Optional<VmWatch.Contact> contact = watch.vouched(preemption.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(preemption.vm());
     if (contact.isEmpty()) {
       return;
     }
     for (Preemption.Victim victim : preemption.victims()) {
       Optional<TaskState> task = context.table().task(victim.task());
-      if (task.isPresent() && task.get().holds(victim.token())) {
+      if (task.isPresent() && task.get().isClaimedWith(victim.token())) {
         StopTask stop =
             StopTask.newBuilder()
                 .setTask(victim.task())
@@ -213,7 +220,7 @@
     }
   }
 
-  private void noteCheckpoints() {
+  private void updateCheckpoints() {
     Set<Long> inForce = new HashSet<>();
     Set<String> names = new HashSet<>();
     context
@@ -224,29 +231,29 @@
               names.add(vm.vm());
               for (TaskState task : context.table().tasksOn(vm.registration())) {
                 inForce.add(task.token());
-                Saved last = saved.get(task.token());
+                CheckpointAge last = checkpoints.get(task.token());
                 if (last == null || !last.checkpoint().equals(task.checkpoint())) {
-                  saved.put(task.token(), new Saved(task.checkpoint(), now()));
+                  checkpoints.put(task.token(), new CheckpointAge(task.checkpoint(), now()));
                 }
               }
             });
-    saved.keySet().retainAll(inForce);
+    checkpoints.keySet().retainAll(inForce);
     preemptor.retain(names);
   }
 
   private void countEvictions() {
     String vm = evictedVms.poll();
     while (vm != null) {
-      preemptor.recordEviction(context.terms().guard(), vm, now());
+      preemptor.recordEviction(context.policy().guard(), vm, now());
       vm = evictedVms.poll();
     }
   }
 
-  private boolean waits(String name) {
+  private boolean isWaiting(String name) {
     return context.table().task(name).filter(t -> t.phase() == TaskState.Phase.WAITING).isPresent();
   }
 
-  private boolean passed(long sinceNanos, long millis) {
+  private boolean hasPassed(long sinceNanos, long millis) {
     return now() - sinceNanos >= millis * NANOS_PER_MILLI;
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RememberedTokens.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/RecentTokens.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /** The last so many fencing tokens added. Not safe for use by several threads. */
-final class RememberedTokens {
+final class RecentTokens {
   private final Map<Long, Boolean> tokens;
 
-  RememberedTokens(int most) {
+  RecentTokens(int most) {
     this.tokens =
         new LinkedHashMap<>() {
           @Override
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTask.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideAttempt.java
@@ -9,7 +9,7 @@
 import io.marigoldsail.protocol.TaskReport;
 
 /** One attempt in a side process, as far as it knows; not safe for use by several threads. */
-final class SideTask {
+final class SideAttempt {
   /** Where an attempt stands in its side process. */
   enum Phase {
     /** The worker was told to start it but has not said that it did. */
@@ -31,7 +31,7 @@
   private boolean latencyCritical;
   private Phase phase;
   private long leaseMillis;
-  private long grantedNanos = Long.MIN_VALUE;
+  private long grantedDeadlineNanos = Long.MIN_VALUE;
   private String checkpoint = "";
   private String reportedCheckpoint = "";
   private String detail = "";
@@ -41,13 +41,13 @@
   private long checkpointedNanos;
   private long finishByMillis;
   private boolean evictable;
-  private double noise;
+  private double expectedSlowdown;
   private Sizes used;
-  private double toldSlowdown;
+  private double reportedSlowdown;
   private int throttlePercent = 100;
   private TaskReport.State end = TaskReport.State.STATE_UNSPECIFIED;
 
-  SideTask(
+  SideAttempt(
       String task,
       int attempt,
       long token,
@@ -66,11 +66,11 @@
   }
 
   /** Returns an attempt that the worker runs from before this process's start. */
-  static SideTask adopted(WorkerTask task) {
+  static SideAttempt adopted(WorkerTask task) {
     // Its lease's length is told again by the next StartTask of an entry; until then it is not
     // renewed. Its class is not known until then, so it is not evicted before.
-    SideTask adopted =
-        new SideTask(
+    SideAttempt adopted =
+        new SideAttempt(
             task.task(), task.attempt(), task.token(), task.sizes(), true, 0, Phase.RUNNING);
     adopted.checkpoint = task.checkpoint();
     return adopted;
@@ -105,7 +105,7 @@
   }
 
   /** Returns whether the attempt may still take up its sizes. */
-  boolean holdsRoom() {
+  boolean occupiesCapacity() {
     return phase != Phase.ENDED;
   }
 
@@ -114,12 +114,12 @@
   }
 
   /** Takes in what an entry says about the attempt, new or adopted from the worker. */
-  void told(StartTask start, long nowNanos) {
+  void applyStart(StartTask start, long nowNanos) {
     leaseMillis = start.getLeaseMillis();
     latencyCritical = start.getLatencyCritical();
-    program = Programs.of(start.getTeam(), start.getCommand());
+    program = Programs.nameOf(start.getTeam(), start.getCommand());
     finishByMillis = start.getFinishByMillis();
-    noise = start.getNoisePermille() / PERMILLE;
+    expectedSlowdown = start.getNoisePermille() / PERMILLE;
     evictable = start.getIdempotent() || start.getCheckpointIntervalMillis() > 0;
     if (startedNanos == 0) {
       startedNanos = nowNanos;
@@ -132,12 +132,12 @@
     return throttlePercent;
   }
 
-  void throttled(int percent) {
+  void recordThrottle(int percent) {
     throttlePercent = percent;
   }
 
   /** Returns the attempt as its VM's guard sees it. */
-  GuardedTask guarded() {
+  GuardedTask toGuardedTask() {
     return new GuardedTask(
         token,
         program,
@@ -146,36 +146,36 @@
         startedNanos,
         checkpointedNanos,
         finishByMillis,
-        noise,
+        expectedSlowdown,
         evictable);
   }
 
   /**
    * Takes in a measurement and returns whether it differs from the last one by more than a part.
    */
-  boolean measured(UsageSample sample, double part) {
+  boolean recordUsage(UsageSample sample, double part) {
     boolean changed =
-        differs(sample.used().milliProcessors(), used.milliProcessors(), part)
-            || differs(sample.used().memoryBytes(), used.memoryBytes(), part)
-            || Math.abs(sample.slowdown() - toldSlowdown) > part;
+        differsBy(sample.used().milliProcessors(), used.milliProcessors(), part)
+            || differsBy(sample.used().memoryBytes(), used.memoryBytes(), part)
+            || Math.abs(sample.slowdown() - reportedSlowdown) > part;
     if (changed) {
       used = sample.used();
-      toldSlowdown = sample.slowdown();
+      reportedSlowdown = sample.slowdown();
     }
     return changed;
   }
 
-  private static boolean differs(long now, long before, double part) {
+  private static boolean differsBy(long now, long before, double part) {
     return Math.abs(now - before) > part * Math.max(1, before);
   }
 
   /** Returns the lease's deadline that the worker was last told. */
-  long grantedNanos() {
-    return grantedNanos;
+  long grantedDeadlineNanos() {
+    return grantedDeadlineNanos;
   }
 
-  void granted(long deadlineNanos) {
-    grantedNanos = deadlineNanos;
+  void setGrantedDeadline(long deadlineNanos) {
+    grantedDeadlineNanos = deadlineNanos;
   }
 
   String checkpoint() {
@@ -189,7 +189,7 @@
   }
 
   /** Takes in the checkpoint that the worker tells of at a moment. */
-  void checkpointSeen(String newCheckpoint, long nowNanos) {
+  void observeCheckpoint(String newCheckpoint, long nowNanos) {
     if (!newCheckpoint.isEmpty() && !newCheckpoint.equals(checkpoint)) {
       checkpoint = newCheckpoint;
       checkpointedNanos = nowNanos;
@@ -197,19 +197,19 @@
   }
 
   /** Returns whether the last checkpoint has not been told to an entry, and takes it as told. */
-  boolean takeUntoldCheckpoint() {
+  boolean takeUnreportedCheckpoint() {
     boolean untold = !checkpoint.equals(reportedCheckpoint);
     reportedCheckpoint = checkpoint;
     return untold;
   }
 
-  void stopping(boolean byGuard, String why) {
+  void markStopping(boolean byGuard, String why) {
     phase = Phase.STOPPING;
     evicted = byGuard;
     detail = why;
   }
 
-  void ended(TaskReport.State newEnd, String newDetail) {
+  void markEnded(TaskReport.State newEnd, String newDetail) {
     phase = Phase.ENDED;
     end = newEnd;
     if (!newDetail.isEmpty()) {
@@ -217,7 +217,7 @@
     }
   }
 
-  TaskReport report() {
+  TaskReport toReport() {
     TaskReport.State state = phase == Phase.ENDED ? end : TaskReport.State.RUNNING;
     return TaskReport.newBuilder()
         .setTask(task)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTasks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTaskRunner.java
@@ -27,36 +27,36 @@
  *
  * <p>Keeps nothing that it cannot learn again: after a restart it asks the worker what runs.
  */
-public final class SideTasks implements AutoCloseable {
-  private static final Logger LOGGER = System.getLogger(SideTasks.class.getName());
+public final class SideTaskRunner implements AutoCloseable {
+  private static final Logger LOGGER = System.getLogger(SideTaskRunner.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int MAX_QUEUED = 4_096;
   private static final long POLL_MILLIS = 50;
-  private static final long ASK_MILLIS = 1_000;
+  private static final long CONFIRMATION_REQUEST_MILLIS = 1_000;
   private static final long LIST_MILLIS = 500;
   private static final long REPORT_MILLIS = 1_000;
   private static final long MEASURE_MILLIS = 2_000;
   private static final long GUARD_MILLIS = 500;
 
   /** A worker silent for so long is as good as dead: the VM stops asking and so gets revoked. */
-  private static final long WORKER_SILENT_MILLIS = 10_000;
+  private static final long WORKER_TIMEOUT_MILLIS = 10_000;
 
-  private record Incoming(String peer, TaskMessage message) {}
+  private record ReceivedMessage(String peer, TaskMessage message) {}
 
   private final SideIdentity identity;
   private final TaskChannel channel;
   private final MonotonicClock clock;
-  private final SideReports reports;
-  private final SideAttempts attempts;
+  private final AttemptReporter reporter;
+  private final AttemptSupervisor supervisor;
   private final GuardLoop guard;
-  private final BlockingQueue<Incoming> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
-  private long workerSilentAt;
-  private long nextAsk;
+  private final BlockingQueue<ReceivedMessage> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
+  private long workerTimeoutAt;
+  private long nextConfirmationRequest;
   private long nextList;
   private long nextReport;
   private long nextMeasure;
   private long nextGuard;
-  private volatile boolean leaving;
+  private volatile boolean draining;
   private volatile boolean closed;
   private Thread thread;
 
@@ -69,13 +69,13 @@
    * @param clock this process's clock
    * @param recorder the time line
    */
-  public SideTasks(
+  public SideTaskRunner(
       SideIdentity identity,
       Worker worker,
       TaskChannel channel,
       MonotonicClock clock,
       EventRecorder recorder) {
-    this(identity, worker, channel, ServiceWatch.none(), clock, WallClock.system(), recorder);
+    this(identity, worker, channel, ServiceMonitor.none(), clock, WallClock.system(), recorder);
   }
 
   /**
@@ -90,23 +90,23 @@
    * @param wallClock this VM's clock, for the tasks' deadlines only
    * @param recorder the time line
    */
-  public SideTasks(
+  public SideTaskRunner(
       SideIdentity identity,
       Worker worker,
       TaskChannel channel,
-      ServiceWatch service,
+      ServiceMonitor service,
       MonotonicClock clock,
       WallClock wallClock,
       EventRecorder recorder) {
     this.identity = requireNonNull(identity, "identity");
     this.channel = requireNonNull(channel, "channel");
     this.clock = requireNonNull(clock, "clock");
-    this.reports = new SideReports(channel);
-    this.attempts = new SideAttempts(identity, worker, reports, clock, recorder);
+    this.reporter = new AttemptReporter(channel);
+    this.supervisor = new AttemptSupervisor(identity, worker, reporter, clock, recorder);
     this.guard =
-        new GuardLoop(identity, worker, attempts, channel, service, clock, wallClock, recorder);
-    this.workerSilentAt = clock.nanos();
-    this.nextAsk = clock.nanos();
+        new GuardLoop(identity, worker, supervisor, channel, service, clock, wallClock, recorder);
+    this.workerTimeoutAt = clock.nanos();
+    this.nextConfirmationRequest = clock.nanos();
     this.nextList = clock.nanos();
     this.nextReport = clock.nanos();
     this.nextMeasure = clock.nanos();
@@ -123,12 +123,12 @@
   /** Takes in a message of an entry. Never blocks. */
   public void onMessage(String peer, TaskMessage message) {
     // A full queue drops the message; entries repeat starts and stops, and vouch every second.
-    boolean unused = queue.offer(new Incoming(peer, message));
+    boolean unused = queue.offer(new ReceivedMessage(peer, message));
   }
 
   /** Announces from now on that this VM takes no new tasks; running ones go on. */
-  public void leave() {
-    leaving = true;
+  public void drain() {
+    draining = true;
   }
 
   /** Stops the thread. What runs goes on under its lease, for the next side process to adopt. */
@@ -142,41 +142,41 @@
 
   /** Handles what has arrived and what is due. Called by the thread; tests call it. */
   void step() {
-    Incoming next = queue.poll();
+    ReceivedMessage next = queue.poll();
     while (next != null) {
       handle(next);
       next = queue.poll();
     }
-    if (passed(nextList)) {
-      nextList = afterMillis(LIST_MILLIS);
-      if (attempts.look()) {
-        workerSilentAt = afterMillis(WORKER_SILENT_MILLIS);
+    if (hasPassed(nextList)) {
+      nextList = deadlineAfterMillis(LIST_MILLIS);
+      if (supervisor.pollWorker()) {
+        workerTimeoutAt = deadlineAfterMillis(WORKER_TIMEOUT_MILLIS);
       }
     }
-    if (passed(nextAsk)) {
-      nextAsk = afterMillis(ASK_MILLIS);
-      ask();
+    if (hasPassed(nextConfirmationRequest)) {
+      nextConfirmationRequest = deadlineAfterMillis(CONFIRMATION_REQUEST_MILLIS);
+      requestConfirmation();
     }
-    attempts.renewAll();
-    if (passed(nextMeasure)) {
-      nextMeasure = afterMillis(MEASURE_MILLIS);
-      guard.measure();
+    supervisor.renewAll();
+    if (hasPassed(nextMeasure)) {
+      nextMeasure = deadlineAfterMillis(MEASURE_MILLIS);
+      guard.reportUsage();
     }
-    if (passed(nextGuard)) {
-      nextGuard = afterMillis(GUARD_MILLIS);
+    if (hasPassed(nextGuard)) {
+      nextGuard = deadlineAfterMillis(GUARD_MILLIS);
       guard.step();
     }
-    if (passed(nextReport)) {
-      nextReport = afterMillis(REPORT_MILLIS);
-      attempts.settleUncertain();
-      reports.repeat(attempts.tasks());
+    if (hasPassed(nextReport)) {
+      nextReport = deadlineAfterMillis(REPORT_MILLIS);
+      supervisor.stopUnconfirmed();
+      reporter.resendEnded(supervisor.attempts());
     }
   }
 
   private void run() {
     while (!closed) {
       try {
-        Incoming next = queue.poll(idleNanos(), TimeUnit.NANOSECONDS);
+        ReceivedMessage next = queue.poll(idleNanos(), TimeUnit.NANOSECONDS);
         if (next != null) {
           handle(next);
         }
@@ -197,23 +197,23 @@
    */
   private long idleNanos() {
     long poll = POLL_MILLIS * NANOS_PER_MILLI;
-    if (!attempts.tasks().isEmpty()) {
+    if (!supervisor.attempts().isEmpty()) {
       return poll;
     }
     long now = clock.nanos();
-    long next = Math.min(nextList - now, nextAsk - now);
+    long next = Math.min(nextList - now, nextConfirmationRequest - now);
     next = Math.min(next, Math.min(nextMeasure - now, nextGuard - now));
     next = Math.min(next, nextReport - now);
     return Math.max(poll, next);
   }
 
-  private void handle(Incoming incoming) {
+  private void handle(ReceivedMessage incoming) {
     TaskMessage message = incoming.message();
     switch (message.getKindCase()) {
-      case VOUCH -> attempts.onVouch(message.getVouch());
-      case START -> attempts.onStart(incoming.peer(), message.getStart());
+      case VOUCH -> supervisor.onConfirmation(message.getVouch());
+      case START -> supervisor.onStart(incoming.peer(), message.getStart());
       case STOP -> stop(incoming.peer(), message.getStop());
-      case REPORT_ACK -> attempts.onAck(message.getReportAck());
+      case REPORT_ACK -> supervisor.onAck(message.getReportAck());
       default -> {
         // Kinds that only side processes send, or that a newer version added.
       }
@@ -222,17 +222,17 @@
 
   private void stop(String peer, StopTask stop) {
     if (stop.getReason() == StopTask.Reason.EVICTED) {
-      guard.onStopForUrgent(peer, stop);
+      guard.onPreempted(peer, stop);
     } else {
-      attempts.onStop(peer, stop);
+      supervisor.onStop(peer, stop);
     }
   }
 
-  private void ask() {
-    if (attempts.boot().isEmpty() || passed(workerSilentAt)) {
+  private void requestConfirmation() {
+    if (supervisor.boot().isEmpty() || hasPassed(workerTimeoutAt)) {
       return;
     }
-    WorkerBoot boot = attempts.boot().get();
+    WorkerBoot boot = supervisor.boot().get();
     AskVouch ask =
         AskVouch.newBuilder()
             .setVm(identity.vm())
@@ -244,17 +244,17 @@
             .setMilliProcessors(boot.capacity().milliProcessors())
             .setMemoryBytes(boot.capacity().memoryBytes())
             .setAccelerators(boot.capacity().accelerators())
-            .setLeaving(leaving)
+            .setLeaving(draining)
             .build();
     TaskMessage message = TaskMessage.newBuilder().setAskVouch(ask).build();
     channel.peers().forEach(peer -> channel.send(peer, message));
   }
 
-  private long afterMillis(long millis) {
+  private long deadlineAfterMillis(long millis) {
     return clock.nanos() + millis * NANOS_PER_MILLI;
   }
 
-  private boolean passed(long deadlineNanos) {
+  private boolean hasPassed(long deadlineNanos) {
     return clock.nanos() - deadlineNanos >= 0;
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
@@ -34,13 +34,13 @@
   private static final double PERMILLE = 1_000;
 
   private final EntryContext context;
-  private final VmWatch watch;
-  private final ToDoubleFunction<JobSpec> noise;
+  private final VmMembership membership;
+  private final ToDoubleFunction<JobSpec> expectedSlowdown;
 
   /** Tokens that a side process said it runs, with that process's incarnation. */
   private final Map<Long, Long> running = new HashMap<>();
 
-  private final Set<String> reportsOnTheirWay = new HashSet<>();
+  private final Set<String> pendingReports = new HashSet<>();
   private long nextSweep;
 
   /**
@@ -48,18 +48,18 @@
    *
    * @param noise how much longer a task of a job is expected to make a service take
    */
-  StartLoop(EntryContext context, VmWatch watch, ToDoubleFunction<JobSpec> noise) {
-    this.noise = noise;
+  StartLoop(EntryContext context, VmMembership watch, ToDoubleFunction<JobSpec> noise) {
+    this.expectedSlowdown = noise;
     this.context = context;
-    this.watch = watch;
+    this.membership = watch;
     this.nextSweep = context.nanos();
   }
 
   void tick() {
-    if (!context.passed(nextSweep)) {
+    if (!context.hasPassed(nextSweep)) {
       return;
     }
-    nextSweep = context.afterMillis(SWEEP_MILLIS);
+    nextSweep = context.deadlineAfterMillis(SWEEP_MILLIS);
     Set<Long> inForce = new HashSet<>();
     for (VmState vm : context.table().vms()) {
       for (TaskState task : context.table().tasksOn(vm.registration())) {
@@ -72,7 +72,7 @@
 
   /** Sends what the VM's side process should know about the tasks claimed on it. */
   void sweep(VmState vm) {
-    Optional<VmWatch.Contact> contact = watch.vouched(vm.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(vm.vm());
     if (vm.revoked() || contact.isEmpty()) {
       return;
     }
@@ -90,15 +90,15 @@
   }
 
   /** Starts a task whose claim was just read back as accepted. */
-  void claimed(TaskState task, JobSpec spec) {
-    watch.vouched(task.vm()).ifPresent(contact -> sendStart(contact, task, spec));
+  void onClaimAccepted(TaskState task, JobSpec spec) {
+    membership.confirmedContact(task.vm()).ifPresent(contact -> sendStart(contact, task, spec));
   }
 
   void onReport(String peer, TaskReport report) {
     Optional<TaskState> task = context.table().task(report.getTask());
-    boolean inForce = task.isPresent() && task.get().holds(report.getToken());
+    boolean inForce = task.isPresent() && task.get().isClaimedWith(report.getToken());
     if (!inForce) {
-      if (report.getToken() <= context.table().applied()) {
+      if (report.getToken() <= context.table().appliedPosition()) {
         // Its claim has been folded and is no longer in force, so the report has been too, or is
         // late for good. A claim not read yet must not be acknowledged: the report would be lost.
         acknowledge(peer, report);
@@ -109,35 +109,35 @@
       onRunning(task.get(), report);
       return;
     }
-    Optional<TaskRecord> record = recordOf(report);
-    if (record.isPresent() && reportsOnTheirWay.add(report.getTask())) {
-      context.append(record.get(), result -> folded(peer, report, result));
+    Optional<TaskRecord> record = toRecord(report);
+    if (record.isPresent() && pendingReports.add(report.getTask())) {
+      context.append(record.get(), result -> onReportFolded(peer, report, result));
     }
   }
 
-  private boolean isRunning(TaskState task, VmWatch.Contact contact) {
+  private boolean isRunning(TaskState task, VmMembership.Contact contact) {
     Long process = running.get(task.token());
-    return process != null && process == contact.ask().processIncarnation();
+    return process != null && process == contact.request().processIncarnation();
   }
 
   private void onRunning(TaskState task, TaskReport report) {
-    Optional<VmWatch.Contact> contact = watch.vouched(task.vm());
+    Optional<VmMembership.Contact> contact = membership.confirmedContact(task.vm());
     if (contact.isPresent()) {
-      long process = contact.get().ask().processIncarnation();
+      long process = contact.get().request().processIncarnation();
       if (running.put(task.token(), process) == null) {
         context.record(Event.of(EventKind.TASK_STARTED).withTask(task.name()).withVm(task.vm()));
       }
     }
     String checkpoint = report.getCheckpoint();
     boolean fresh = !checkpoint.isEmpty() && !checkpoint.equals(task.checkpoint());
-    if (fresh && reportsOnTheirWay.add(task.name())) {
+    if (fresh && pendingReports.add(task.name())) {
       context.append(
           new TaskRecord.Checkpointed(task.name(), task.token(), checkpoint),
-          result -> reportsOnTheirWay.remove(task.name()));
+          result -> pendingReports.remove(task.name()));
     }
   }
 
-  private static Optional<TaskRecord> recordOf(TaskReport report) {
+  private static Optional<TaskRecord> toRecord(TaskReport report) {
     String task = report.getTask();
     long token = report.getToken();
     String checkpoint = report.getCheckpoint();
@@ -156,15 +156,15 @@
     };
   }
 
-  private void folded(String peer, TaskReport report, Result<Long> result) {
-    reportsOnTheirWay.remove(report.getTask());
+  private void onReportFolded(String peer, TaskReport report, Result<Long> result) {
+    pendingReports.remove(report.getTask());
     if (!result.isOk()) {
       // The side process repeats the report; the log may be back by then.
       return;
     }
     running.remove(report.getToken());
     acknowledge(peer, report);
-    EventKind kind = kindOf(report);
+    EventKind kind = eventKind(report);
     context.record(
         Event.of(kind)
             .withTask(report.getTask())
@@ -172,7 +172,7 @@
             .withDetail(report.getState() + " " + report.getDetail()));
   }
 
-  private static EventKind kindOf(TaskReport report) {
+  private static EventKind eventKind(TaskReport report) {
     return switch (report.getState()) {
       case DONE, FAILED -> EventKind.TASK_ENDED;
       default -> report.getEvicted() ? EventKind.TASK_EVICTED : EventKind.TASK_RELEASED;
@@ -190,7 +190,7 @@
     context.channel().send(peer, TaskMessage.newBuilder().setReportAck(ack).build());
   }
 
-  private void sendStart(VmWatch.Contact contact, TaskState task, JobSpec spec) {
+  private void sendStart(VmMembership.Contact contact, TaskState task, JobSpec spec) {
     StartTask start =
         StartTask.newBuilder()
             .setTask(task.name())
@@ -208,15 +208,15 @@
             .setRunMillis(spec.runMillis())
             .setCommand(spec.command())
             .setLeaseMillis(task.leaseMillis())
-            .setProcessIncarnation(contact.ask().processIncarnation())
+            .setProcessIncarnation(contact.request().processIncarnation())
             .setFinishByMillis(spec.finishByMillis())
             .setIdempotent(spec.idempotent())
-            .setNoisePermille((int) (PERMILLE * noise.applyAsDouble(spec)))
+            .setNoisePermille((int) (PERMILLE * expectedSlowdown.applyAsDouble(spec)))
             .build();
     context.channel().send(contact.peer(), TaskMessage.newBuilder().setStart(start).build());
   }
 
-  private void sendStop(VmWatch.Contact contact, TaskState task) {
+  private void sendStop(VmMembership.Contact contact, TaskState task) {
     StopTask stop =
         StopTask.newBuilder()
             .setTask(task.name())
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskTerms.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskPolicy.java
@@ -16,13 +16,13 @@
  * @param quotas what teams may take up, by name
  * @param guard what evictions weigh, and how many there may be
  */
-public record TaskTerms(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
+public record TaskPolicy(LeaseTerms leases, Map<String, TeamQuota> quotas, GuardPolicy guard) {
   /** What holds where no configuration says otherwise. */
-  public static final TaskTerms DEFAULT =
-      new TaskTerms(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
+  public static final TaskPolicy DEFAULT =
+      new TaskPolicy(LeaseTerms.DEFAULT, Map.of(), GuardPolicy.DEFAULT);
 
   /** Checks and copies the components. */
-  public TaskTerms {
+  public TaskPolicy {
     requireNonNull(leases, "leases");
     quotas = Map.copyOf(quotas);
     requireNonNull(guard, "guard");
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/TaskRoutes.java
@@ -30,8 +30,8 @@
 public final class TaskRoutes {
   private final TaskTable table;
   private final TaskLog log;
-  private final EntryTasks entryTasks;
-  private final Supplier<TaskTerms> terms;
+  private final EntryTaskScheduler scheduler;
+  private final Supplier<TaskPolicy> policy;
   private final WallClock wallClock;
   private final EventRecorder recorder;
 
@@ -48,14 +48,14 @@
   public TaskRoutes(
       TaskTable table,
       TaskLog log,
-      EntryTasks entryTasks,
-      Supplier<TaskTerms> terms,
+      EntryTaskScheduler entryTasks,
+      Supplier<TaskPolicy> terms,
       WallClock wallClock,
       EventRecorder recorder) {
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
-    this.entryTasks = requireNonNull(entryTasks, "entryTasks");
-    this.terms = requireNonNull(terms, "terms");
+    this.scheduler = requireNonNull(entryTasks, "entryTasks");
+    this.policy = requireNonNull(terms, "terms");
     this.wallClock = requireNonNull(wallClock, "wallClock");
     this.recorder = requireNonNull(recorder, "recorder");
   }
@@ -72,17 +72,17 @@
    * @param file the job file
    */
   public CompletableFuture<Result<JobView>> submit(String fileName, byte[] file) {
-    Result<JobSpec> read = JobFile.read(fileName, file).then(this::possible);
+    Result<JobSpec> read = JobFile.read(fileName, file).then(this::checkFeasible);
     if (read instanceof Result.Failed<JobSpec> failed) {
       recorder.record(Event.of(EventKind.JOB_REFUSED).withDetail(failed.failure().detail()));
       return CompletableFuture.completedFuture(Result.failed(failed.failure()));
     }
     JobSpec spec = read.value();
     if (table.job(spec.name()).isPresent()) {
-      return CompletableFuture.completedFuture(accepted(spec));
+      return CompletableFuture.completedFuture(acceptedView(spec));
     }
     return log.append(new TaskRecord.JobAccepted(spec, wallClock.millis()))
-        .thenApply(appended -> appended.then(position -> newlyAccepted(spec, position)));
+        .thenApply(appended -> appended.then(position -> recordAccepted(spec, position)));
   }
 
   /**
@@ -126,20 +126,20 @@
   public Result<TaskView> task(String name) {
     return table
         .task(name)
-        .map(task -> Result.ok(TaskView.of(task, entryTasks.whyWaiting(task.job()))))
+        .map(task -> Result.ok(TaskView.of(task, scheduler.waitingReason(task.job()))))
         .orElseGet(() -> Result.failed(ErrorKind.NOT_FOUND, "no task is called " + name));
   }
 
   private JobView view(JobState job) {
-    return JobView.of(job, entryTasks.whyWaiting(job.spec().name()));
+    return JobView.of(job, scheduler.waitingReason(job.spec().name()));
   }
 
-  private Result<JobSpec> possible(JobSpec spec) {
+  private Result<JobSpec> checkFeasible(JobSpec spec) {
     Optional<String> never = Fleet.infeasibilityReason(table.vms(), spec.sizes());
     if (never.isPresent()) {
       return Result.failed(ErrorKind.NEVER_FITS, "job " + spec.name() + ": " + never.get());
     }
-    if (!spec.sizes().fitsIn(terms.get().quota(spec.team()).most())) {
+    if (!spec.sizes().fitsIn(policy.get().quota(spec.team()).limit())) {
       return Result.failed(
           ErrorKind.NEVER_FITS,
           "job %s: a task needs more than the whole quota of team %s"
@@ -148,7 +148,7 @@
     return Result.ok(spec);
   }
 
-  private Result<JobView> newlyAccepted(JobSpec spec, long position) {
+  private Result<JobView> recordAccepted(JobSpec spec, long position) {
     boolean first = table.job(spec.name()).filter(job -> job.accepted() == position).isPresent();
     if (first) {
       recorder.record(
@@ -157,11 +157,11 @@
               .withTeam(spec.team())
               .withDetail(spec.count() + " tasks"));
     }
-    return accepted(spec);
+    return acceptedView(spec);
   }
 
   /** Returns the job if it is the one asked for; another of the same name is a conflict. */
-  private Result<JobView> accepted(JobSpec spec) {
+  private Result<JobView> acceptedView(JobSpec spec) {
     Optional<JobState> job = table.job(spec.name());
     if (job.isEmpty()) {
       return unknownJob(spec.name());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmWatch.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/VmMembership.java
@@ -29,11 +29,11 @@
  * One entry's part in keeping VMs: lets them join, vouches for them by heartbeats read back,
  * revokes those that no entry hears, and clears them once their leases are surely over.
  */
-final class VmWatch {
+final class VmMembership {
   private static final long HEARTBEAT_MILLIS = 1_000;
-  private static final long HEARD_MILLIS = 3_000;
+  private static final long REACHABLE_MILLIS = 3_000;
   private static final long ENTRY_ALIVE_MILLIS = 5_000;
-  private static final long APPEND_AGAIN_MILLIS = 2_000;
+  private static final long APPEND_RETRY_MILLIS = 2_000;
 
   /** Entries of higher rank wait longer before they revoke or clear, so that mostly one writes. */
   private static final long RANK_DELAY_MILLIS = 300;
@@ -41,22 +41,22 @@
   /** Where a VM's side process is and what it last said. */
   record Contact(
       String peer,
-      ConfirmationLedger.Request ask,
-      boolean leaving,
-      long heardUntil,
-      long silentAt) {}
+      ConfirmationLedger.Request request,
+      boolean draining,
+      long reachableUntil,
+      long unresponsiveAt) {}
 
-  private record Seen(long heartbeat, long aliveUntil) {}
+  private record EntryActivity(long lastHeartbeat, long aliveUntil) {}
 
   private final EntryContext context;
   private final ConfirmationLedger ledger = new ConfirmationLedger();
   private final Map<String, Contact> contacts = new HashMap<>();
-  private final Map<String, Long> vouchedProcess = new HashMap<>();
-  private final Map<Long, Long> unheardSince = new HashMap<>();
-  private final Map<Long, Long> revokedSince = new HashMap<>();
-  private final Map<String, Long> notAgainBefore = new HashMap<>();
-  private final Map<String, Seen> entries = new HashMap<>();
-  private final Consumer<String> onFirstVouch;
+  private final Map<String, Long> confirmedProcess = new HashMap<>();
+  private final Map<Long, Long> revocationDue = new HashMap<>();
+  private final Map<Long, Long> revocationReadAt = new HashMap<>();
+  private final Map<String, Long> retryNotBefore = new HashMap<>();
+  private final Map<String, EntryActivity> entries = new HashMap<>();
+  private final Consumer<String> onFirstConfirmation;
   private long nextHeartbeat;
 
   /**
@@ -64,13 +64,13 @@
    *
    * @param onFirstVouch told the VM's name when its side process is vouched to for the first time
    */
-  VmWatch(EntryContext context, Consumer<String> onFirstVouch) {
+  VmMembership(EntryContext context, Consumer<String> onFirstVouch) {
     this.context = context;
-    this.onFirstVouch = onFirstVouch;
+    this.onFirstConfirmation = onFirstVouch;
     this.nextHeartbeat = context.nanos();
   }
 
-  void onAsk(String peer, AskVouch message) {
+  void onConfirmationRequest(String peer, AskVouch message) {
     ConfirmationLedger.Request ask =
         new ConfirmationLedger.Request(
             message.getVm(),
@@ -78,52 +78,52 @@
             message.getProcessIncarnation(),
             message.getAskedNanos());
     ledger.recordRequest(ask);
-    long silence = context.terms().leases().silenceMillis();
+    long silence = context.policy().leases().silenceMillis();
     contacts.put(
         ask.vm(),
         new Contact(
             peer,
             ask,
             message.getLeaving(),
-            context.afterMillis(HEARD_MILLIS),
-            context.afterMillis(silence)));
+            context.deadlineAfterMillis(REACHABLE_MILLIS),
+            context.deadlineAfterMillis(silence)));
     Optional<VmState> vm = context.table().vm(ask.vm());
     boolean joined =
         vm.isPresent() && vm.get().description().bootIncarnation() == ask.bootIncarnation();
-    if (!joined && mayAppend("join " + ask.vm() + " " + ask.bootIncarnation())) {
+    if (!joined && allowAppend("join " + ask.vm() + " " + ask.bootIncarnation())) {
       join(message);
     }
   }
 
   void tick() {
-    if (context.passed(nextHeartbeat)) {
-      nextHeartbeat = context.afterMillis(HEARTBEAT_MILLIS);
-      noteEntries();
+    if (context.hasPassed(nextHeartbeat)) {
+      nextHeartbeat = context.deadlineAfterMillis(HEARTBEAT_MILLIS);
+      updateEntryActivity();
       heartbeat();
       List<VmState> vms = context.table().vms();
-      revokeSilent(vms);
+      revokeUnreachable(vms);
       clearRevoked(vms);
-      forgetOld(vms);
+      removeStale(vms);
     }
   }
 
   /**
    * Returns the contact of a VM that this entry hears and has vouched to since its process began.
    */
-  Optional<Contact> vouched(String vm) {
+  Optional<Contact> confirmedContact(String vm) {
     Contact contact = contacts.get(vm);
-    if (contact == null || context.passed(contact.silentAt())) {
+    if (contact == null || context.hasPassed(contact.unresponsiveAt())) {
       return Optional.empty();
     }
-    Long process = vouchedProcess.get(vm);
-    boolean current = process != null && process == contact.ask().processIncarnation();
+    Long process = confirmedProcess.get(vm);
+    boolean current = process != null && process == contact.request().processIncarnation();
     return current ? Optional.of(contact) : Optional.empty();
   }
 
   /** Returns whether a VM may be given new tasks: heard by this entry and not leaving. */
-  boolean usable(String vm) {
+  boolean isSchedulable(String vm) {
     Contact contact = contacts.get(vm);
-    return contact != null && !contact.leaving() && !context.passed(contact.heardUntil());
+    return contact != null && !contact.draining() && !context.hasPassed(contact.reachableUntil());
   }
 
   /** Returns the entries that have written a heartbeat lately, this one included, by name. */
@@ -132,7 +132,7 @@
     live.add(context.identity().name());
     entries.forEach(
         (entry, seen) -> {
-          if (!context.passed(seen.aliveUntil())) {
+          if (!context.hasPassed(seen.aliveUntil())) {
             live.add(entry);
           }
         });
@@ -163,11 +163,11 @@
     Set<String> hears = new HashSet<>();
     contacts.forEach(
         (vm, contact) -> {
-          if (!context.passed(contact.heardUntil())) {
+          if (!context.hasPassed(contact.reachableUntil())) {
             hears.add(vm);
           }
         });
-    Set<String> told = toldBefore();
+    Set<String> told = reportedReachable();
     List<String> gained = new ArrayList<>(hears);
     gained.removeAll(told);
     List<String> lost = new ArrayList<>(told);
@@ -177,10 +177,10 @@
     long number = ledger.recordHeartbeatSent();
     context.append(
         new TaskRecord.Heartbeat(identity.name(), identity.incarnation(), gained, lost),
-        result -> readBack(number, result));
+        result -> onHeartbeatReadBack(number, result));
   }
 
-  private Set<String> toldBefore() {
+  private Set<String> reportedReachable() {
     for (EntryState entry : context.table().entries()) {
       boolean same = entry.incarnation() == context.identity().incarnation();
       if (same && entry.entry().equals(context.identity().name())) {
@@ -190,19 +190,19 @@
     return Set.of();
   }
 
-  private void readBack(long number, Result<Long> result) {
+  private void onHeartbeatReadBack(long number, Result<Long> result) {
     if (!(result instanceof Result.Ok<Long> ok)) {
       return;
     }
     for (ConfirmationLedger.Request ask : ledger.confirmedBy(number)) {
       Optional<VmState> vm = context.table().vm(ask.vm());
       if (vm.isPresent() && vm.get().description().bootIncarnation() == ask.bootIncarnation()) {
-        vouch(ask, vm.get().registration(), ok.value());
+        sendConfirmation(ask, vm.get().registration(), ok.value());
       }
     }
   }
 
-  private void vouch(ConfirmationLedger.Request ask, long registration, long heartbeat) {
+  private void sendConfirmation(ConfirmationLedger.Request ask, long registration, long heartbeat) {
     Contact contact = contacts.get(ask.vm());
     if (contact == null) {
       return;
@@ -215,18 +215,18 @@
             .setHeartbeat(heartbeat)
             .build();
     context.channel().send(contact.peer(), TaskMessage.newBuilder().setVouch(vouch).build());
-    Long before = vouchedProcess.put(ask.vm(), ask.processIncarnation());
+    Long before = confirmedProcess.put(ask.vm(), ask.processIncarnation());
     if (before == null || before != ask.processIncarnation()) {
-      onFirstVouch.accept(ask.vm());
+      onFirstConfirmation.accept(ask.vm());
     }
   }
 
-  private void noteEntries() {
+  private void updateEntryActivity() {
     for (EntryState entry : context.table().entries()) {
-      Seen seen = entries.get(entry.entry());
-      if (seen == null || seen.heartbeat() != entry.lastHeartbeat()) {
-        long aliveUntil = context.afterMillis(ENTRY_ALIVE_MILLIS);
-        entries.put(entry.entry(), new Seen(entry.lastHeartbeat(), aliveUntil));
+      EntryActivity seen = entries.get(entry.entry());
+      if (seen == null || seen.lastHeartbeat() != entry.lastHeartbeat()) {
+        long aliveUntil = context.deadlineAfterMillis(ENTRY_ALIVE_MILLIS);
+        entries.put(entry.entry(), new EntryActivity(entry.lastHeartbeat(), aliveUntil));
       }
     }
   }
@@ -235,21 +235,22 @@
    * Revokes VMs that no living entry hears. A VM that only this entry does not hear is cut off from
    * this entry alone; its tasks go on, vouched for by the others.
    */
-  private void revokeSilent(List<VmState> vms) {
-    Set<String> heardByOthers = heardByOthers();
-    long silence = context.terms().leases().silenceMillis() + rankDelayMillis();
+  private void revokeUnreachable(List<VmState> vms) {
+    Set<String> heardByOthers = reachableByOthers();
+    long silence = context.policy().leases().silenceMillis() + rankDelayMillis();
     for (VmState vm : vms) {
       Contact contact = contacts.get(vm.vm());
-      boolean heard = contact != null && !context.passed(contact.heardUntil());
+      boolean heard = contact != null && !context.hasPassed(contact.reachableUntil());
       if (vm.revoked() || heard || heardByOthers.contains(vm.vm())) {
-        unheardSince.remove(vm.registration());
+        revocationDue.remove(vm.registration());
         continue;
       }
       // Counted from when this entry first missed it, so that a starting entry revokes nothing
       // before the VMs have had the time to be heard.
       long revokeAt =
-          unheardSince.computeIfAbsent(vm.registration(), unused -> context.afterMillis(silence));
-      if (context.passed(revokeAt) && mayAppend("revoke " + vm.registration())) {
+          revocationDue.computeIfAbsent(
+              vm.registration(), unused -> context.deadlineAfterMillis(silence));
+      if (context.hasPassed(revokeAt) && allowAppend("revoke " + vm.registration())) {
         revoke(vm);
       }
     }
@@ -266,7 +267,7 @@
         });
   }
 
-  private Set<String> heardByOthers() {
+  private Set<String> reachableByOthers() {
     Set<String> live = new HashSet<>(liveEntries());
     live.remove(context.identity().name());
     Set<String> heard = new HashSet<>();
@@ -285,7 +286,8 @@
       }
       // This entry has read the revocation by now, perhaps earlier; counting from now is the later,
       // so the safe choice. An entry that starts counts anew.
-      long readNanos = revokedSince.computeIfAbsent(vm.registration(), unused -> context.nanos());
+      long readNanos =
+          revocationReadAt.computeIfAbsent(vm.registration(), unused -> context.nanos());
       clear(vm, readNanos);
     }
   }
@@ -298,7 +300,7 @@
         longestOver = Math.max(longestOver, task.leaseMillis());
       }
     }
-    if (longestOver > 0 && mayAppend("clear " + vm.registration() + " " + longestOver)) {
+    if (longestOver > 0 && allowAppend("clear " + vm.registration() + " " + longestOver)) {
       context.append(
           new TaskRecord.VmCleared(vm.vm(), vm.registration(), longestOver), result -> {});
     }
@@ -310,35 +312,35 @@
   }
 
   /** Returns whether an append of that purpose was not tried a moment ago, and notes it. */
-  private boolean mayAppend(String purpose) {
-    Long notBefore = notAgainBefore.get(purpose);
-    if (notBefore != null && !context.passed(notBefore)) {
+  private boolean allowAppend(String purpose) {
+    Long notBefore = retryNotBefore.get(purpose);
+    if (notBefore != null && !context.hasPassed(notBefore)) {
       return false;
     }
-    notAgainBefore.put(purpose, context.afterMillis(APPEND_AGAIN_MILLIS));
+    retryNotBefore.put(purpose, context.deadlineAfterMillis(APPEND_RETRY_MILLIS));
     return true;
   }
 
-  private void forgetOld(List<VmState> vms) {
+  private void removeStale(List<VmState> vms) {
     Set<Long> registrations = new HashSet<>();
     Set<String> names = new HashSet<>();
     for (VmState vm : vms) {
       registrations.add(vm.registration());
       names.add(vm.vm());
     }
-    revokedSince.keySet().retainAll(registrations);
-    unheardSince.keySet().retainAll(registrations);
-    notAgainBefore.values().removeIf(context::passed);
+    revocationReadAt.keySet().retainAll(registrations);
+    revocationDue.keySet().retainAll(registrations);
+    retryNotBefore.values().removeIf(context::hasPassed);
     contacts
         .entrySet()
         .removeIf(
             contact -> {
               boolean gone =
-                  context.passed(contact.getValue().silentAt())
+                  context.hasPassed(contact.getValue().unresponsiveAt())
                       && !names.contains(contact.getKey());
               if (gone) {
                 ledger.remove(contact.getKey());
-                vouchedProcess.remove(contact.getKey());
+                confirmedProcess.remove(contact.getKey());
               }
               return gone;
             });
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryConnections.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryConnections.java
@@ -118,7 +118,7 @@
    */
   void maintain() {
     long now = loop.now();
-    links.closeSilent();
+    links.closeUnresponsive();
     Set<String> members = new HashSet<>(owners.values());
     links.setMembers(members);
     boolean incomplete = links.size() == 0 || links.size() < members.size();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -140,7 +140,7 @@
     Frame frame = Frame.newBuilder().setWaitingCounts(localCounts).build();
     Frame ping = Frame.newBuilder().setPing(Ping.getDefaultInstance()).build();
     long now = loop.now();
-    for (LinkConnection connection : links.closeSilent()) {
+    for (LinkConnection connection : links.closeUnresponsive()) {
       connection.send(frame);
       connection.send(ping);
     }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageObservationCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageEvidenceCodec.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /** Converts the interference evidence of images (observations) to frames and back. Stateless. */
-final class ImageObservationCodec {
-  private ImageObservationCodec() {}
+final class ImageEvidenceCodec {
+  private ImageEvidenceCodec() {}
 
   static List<ImageSeen> encode(Map<String, ImageInterference.Evidence> evidence) {
     List<ImageSeen> encoded = new ArrayList<>();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -61,7 +61,7 @@
   }
 
   /** Closes the connections without answers and returns the others. */
-  ImmutableSet<LinkConnection> closeSilent() {
+  ImmutableSet<LinkConnection> closeUnresponsive() {
     long now = loop.now();
     ImmutableSet.Builder<LinkConnection> alive = ImmutableSet.builder();
     for (LinkConnection link : Set.copyOf(links.values())) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndAcknowledger.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndAcknowledger.java
@@ -3,8 +3,8 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.daemon.observe.AggregatingLog;
 import io.marigoldsail.daemon.observe.EventLog;
-import io.marigoldsail.daemon.observe.FoldedLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.WorkflowTask;
@@ -23,11 +23,11 @@
   private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final LinkLoop loop;
-  private final FoldedLog unknownEnds;
+  private final AggregatingLog unknownEnds;
 
   RunEndAcknowledger(LinkLoop loop) {
     this.loop = requireNonNull(loop, "loop");
-    this.unknownEnds = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
+    this.unknownEnds = new AggregatingLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
   /**
@@ -66,7 +66,7 @@
   private void logUnknownEnd(OwnedPartition partition, RunKey run, String vm) {
     PartitionWriter writer = partition.writer();
     long evidenceNanos = loop.now() - writer.evidenceAt();
-    unknownEnds.tell(
+    unknownEnds.log(
         "partition " + partition.number(),
         LogLine.of("end-unknown")
             .with("run", run)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndLog.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunEndLog.java
@@ -1,8 +1,8 @@
 package io.marigoldsail.daemon.workflow;
 
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.daemon.observe.AggregatingLog;
 import io.marigoldsail.daemon.observe.EventLog;
-import io.marigoldsail.daemon.observe.FoldedLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.workflow.RunKey;
 import io.marigoldsail.workflow.RunOutcome;
@@ -22,11 +22,11 @@
   private static final long AGGREGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final String worker;
-  private final FoldedLog refusals;
+  private final AggregatingLog refusals;
 
   RunEndLog(LinkLoop loop, String worker) {
     this.worker = worker;
-    this.refusals = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
+    this.refusals = new AggregatingLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
   void runEnded(RunKey run, RunOutcome outcome, String reason) {
@@ -42,7 +42,7 @@
     if (outcome.mayHaveRun()) {
       LOG.info(line);
     } else {
-      refusals.tell("refused: " + reason, line);
+      refusals.log("refused: " + reason, line);
     }
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -3,8 +3,8 @@
 import static java.util.Objects.requireNonNull;
 
 import io.marigoldsail.daemon.link.LinkLoop;
+import io.marigoldsail.daemon.observe.AggregatingLog;
 import io.marigoldsail.daemon.observe.EventLog;
-import io.marigoldsail.daemon.observe.FoldedLog;
 import io.marigoldsail.daemon.observe.LogLine;
 import io.marigoldsail.daemon.workflow.WorkerGateway.Accepted;
 import io.marigoldsail.workflow.BestEffortThrottler;
@@ -38,7 +38,7 @@
   private final BestEffortThrottler bestEffortThrottler = new BestEffortThrottler();
   private final ImageInterference interference = new ImageInterference();
   private final Map<String, Boolean> loggedAsInterfering = new HashMap<>();
-  private final FoldedLog throttleLog;
+  private final AggregatingLog throttleLog;
   private long loggedAt = Long.MIN_VALUE;
 
   RunThrottler(LinkLoop loop, WorkerGateway gateway, String worker, Overcommit overcommit) {
@@ -46,7 +46,7 @@
     this.gateway = requireNonNull(gateway, "gateway");
     this.worker = requireNonNull(worker, "worker");
     this.overcommit = requireNonNull(overcommit, "overcommit");
-    this.throttleLog = new FoldedLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
+    this.throttleLog = new AggregatingLog(LOG::info, loop::schedule, AGGREGATION_NANOS);
   }
 
   /** Returns the CPU share that an interfering run gets, 0 to 100 percent. */
@@ -111,7 +111,7 @@
     int after =
         bestEffortThrottler.observe(readings, bestEffortLoad(runs, capacityMilli), loop.now());
     if (before != after) {
-      throttleLog.tell(
+      throttleLog.log(
           "fill-paced",
           LogLine.of("fill-paced")
               .with("worker", worker)
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -7,7 +7,7 @@
 enum VmAvailability {
   /** It may be given work. */
   OFFERED("offered"),
-  /** Its last report is older than {@link #SILENT_NANOS}. */
+  /** Its last report is older than {@link #UNRESPONSIVE_NANOS}. */
   UNRESPONSIVE("silent"),
   /** Its side process has no worker. */
   NO_WORKER("no worker"),
@@ -24,7 +24,7 @@
   QUARANTINED("rests");
 
   /** Age of the last report from which a VM gets no work, in nanoseconds: three missed reports. */
-  static final long SILENT_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
+  static final long UNRESPONSIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
   private final String text;
 
@@ -35,7 +35,7 @@
   /** Returns the availability of the VM at a time in the loop's nanoseconds. */
   static VmAvailability of(VmSession session, FleetStatistics fleet, long now) {
     VmReport report = session.report();
-    if (now - session.reportedAt() >= SILENT_NANOS) {
+    if (now - session.reportedAt() >= UNRESPONSIVE_NANOS) {
       return UNRESPONSIVE;
     }
     if (report.getWorker().isEmpty()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -180,8 +180,7 @@
     }
     reconcile(session, report);
     if (report.getWantsLease()) {
-      fleet.recordImageEvidence(
-          report.getVm(), ImageObservationCodec.decode(report.getImagesList()));
+      fleet.recordImageEvidence(report.getVm(), ImageEvidenceCodec.decode(report.getImagesList()));
       grantLease(session);
     }
     listener.capacityChanged();
@@ -340,7 +339,7 @@
   private void grantLease(VmSession session) {
     session.flush(
         leaseGrant(session).toBuilder()
-            .addAllImages(ImageObservationCodec.encode(fleet.imageEvidenceOfOtherVms(session.vm())))
+            .addAllImages(ImageEvidenceCodec.encode(fleet.imageEvidenceOfOtherVms(session.vm())))
             .build());
   }
 
@@ -403,7 +402,7 @@
     for (String vm : openRuns.vms()) {
       VmSession session = sessionsByVm.get(vm);
       boolean reportsWorker = session != null && session.place().isPresent();
-      if (reportsWorker && now - session.reportedAt() < VmAvailability.SILENT_NANOS) {
+      if (reportsWorker && now - session.reportedAt() < VmAvailability.UNRESPONSIVE_NANOS) {
         continue;
       }
       long granted = lastLeaseGrantAt.getOrDefault(vm, Long.MIN_VALUE);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -288,7 +288,7 @@
     if (session != null) {
       report.setWorkerClock(session.workerClockLowerBound());
       if (wantsLease) {
-        report.addAllImages(ImageObservationCodec.encode(session.throttler().localEvidence()));
+        report.addAllImages(ImageEvidenceCodec.encode(session.throttler().localEvidence()));
       }
       for (SideRun run : session.runs()) {
         if (owns(connection, run.partition())) {
@@ -305,7 +305,7 @@
     if (wantsLease) {
       connection.link().send(frame);
     } else {
-      connection.link().tell(frame);
+      connection.link().sendOneWay(frame);
     }
   }
 
@@ -371,7 +371,7 @@
     if (orders.getLease().getImagesCount() > 0) {
       session
           .throttler()
-          .setRemoteEvidence(ImageObservationCodec.decode(orders.getLease().getImagesList()));
+          .setRemoteEvidence(ImageEvidenceCodec.decode(orders.getLease().getImagesList()));
     }
     Map<Long, String> programs = new HashMap<>();
     for (StartRun start : orders.getStartsList()) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationUnderFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ConfigurationFaultsTest.java
@@ -8,12 +8,12 @@
 import io.marigoldsail.configuration.ConfigurationFold;
 import io.marigoldsail.configuration.ConfigurationPublisher;
 import io.marigoldsail.configuration.PublishRequest;
-import io.marigoldsail.configuration.Published;
+import io.marigoldsail.configuration.PublishResult;
 import io.marigoldsail.error.ErrorKind;
 import io.marigoldsail.error.Result;
 import io.marigoldsail.json.Json;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.FollowerSettings;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.SnapshotSettings;
@@ -39,9 +39,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The configuration over the real follower and appender, on a log that fails as it is told. */
-final class ConfigurationUnderFaultsTest {
-  private static final String STREAM = ProcessBase.CONFIGURATION_STREAM;
-  private static final long PATIENCE_SECONDS = 30;
+final class ConfigurationFaultsTest {
+  private static final String STREAM = ProcessRuntime.CONFIGURATION_STREAM;
+  private static final long TIMEOUT_SECONDS = 30;
 
   /** A snapshot after every fifth record, at once. */
   private static final SnapshotSettings SNAPSHOTS = new SnapshotSettings(5, 600_000, 1, 0);
@@ -63,13 +63,13 @@
       MonotonicClock clock = MonotonicClock.system();
       SplittableRandom random = new SplittableRandom(incarnation);
       follower =
-          new StreamFollower(log, STREAM, fold, FollowerSettings.usual(), clock, random.split());
+          new StreamFollower(log, STREAM, fold, FollowerSettings.defaults(), clock, random.split());
       appender =
           new LogAppender(
               log,
               follower,
-              EntryIds.of(name, incarnation),
-              AppendSettings.usual(),
+              EntryIdGenerator.of(name, incarnation),
+              AppendSettings.defaults(),
               clock,
               random.split());
       SnapshotWriter.attach(follower, appender, SNAPSHOTS, clock, random.split());
@@ -83,32 +83,32 @@
               WallClock.system(),
               executor,
               name + "/" + incarnation);
-      fold.onInForce(state -> note(state.revisionInForce()));
+      fold.addInForceListener(state -> addRevision(state.revisionInForce()));
     }
 
-    private synchronized void note(long revision) {
+    private synchronized void addRevision(long revision) {
       revisions.add(revision);
     }
 
-    synchronized void checkNeverWentBack() {
+    synchronized void assertRevisionsNeverDecrease() {
       assertEquals(revisions.stream().sorted().toList(), revisions);
     }
 
-    CompletableFuture<Result<Published>> publish(String file, int waiting) {
-      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+    CompletableFuture<Result<PublishResult>> publish(String file, int waiting) {
+      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       return publisher.publish(request(file, waiting), deadline);
     }
 
     /** Returns once the revision is in force here. */
     void awaitRevision(long revision) throws Exception {
       CompletableFuture<Long> reached = new CompletableFuture<>();
-      fold.onInForce(
+      fold.addInForceListener(
           state -> {
             if (state.revisionInForce() >= revision) {
               reached.complete(state.revisionInForce());
             }
           });
-      reached.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      reached.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     @Override
@@ -133,13 +133,14 @@
     return member;
   }
 
-  private static Result<Published> get(CompletableFuture<Result<Published>> told) throws Exception {
-    return told.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+  private static Result<PublishResult> get(CompletableFuture<Result<PublishResult>> told)
+      throws Exception {
+    return told.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   @AfterEach
   void stop() {
-    members.forEach(Member::checkNeverWentBack);
+    members.forEach(Member::assertRevisionsNeverDecrease);
     members.forEach(Member::close);
     executor.shutdownNow();
   }
@@ -149,7 +150,7 @@
    * loses every second answer. One order comes out; what was told as accepted is in it, each once.
    */
   @Test
-  void staysInForceWhenTheLogBeginsAgain() throws Exception {
+  void configurationStaysInForceWhenLogIsRecreated() throws Exception {
     // The platform sets the log up anew, empty. Without a guard every process stayed deaf until the
     // new stream was as long as the old one, then went on in its middle as if it were the old one;
     // a process that started later knew no configuration at all.
@@ -159,32 +160,32 @@
       assertTrue(get(first.publish("base", waiting)).isOk());
     }
     second.awaitRevision(3);
-    CompletableFuture<StreamStatus> firstWentOn = wentOn(first);
-    CompletableFuture<StreamStatus> secondWentOn = wentOn(second);
+    CompletableFuture<StreamStatus> firstWentOn = resumedOnNewHistory(first);
+    CompletableFuture<StreamStatus> secondWentOn = resumedOnNewHistory(second);
 
-    log.loseNewest(Integer.MAX_VALUE);
+    log.truncateNewest(Integer.MAX_VALUE);
     assertTrue(
         log.append(STREAM, "{\"v\":1,\"entries\":[]}".getBytes(StandardCharsets.UTF_8)).isOk());
 
-    firstWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-    secondWentOn.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    firstWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    secondWentOn.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertEquals(3, first.fold.state().revisionInForce());
-    Result<Published> next = get(second.publish("base", 4));
+    Result<PublishResult> next = get(second.publish("base", 4));
     assertEquals(4, next.value().revision());
     first.awaitRevision(4);
     Member later = start("entry-3", 3);
     later.awaitRevision(4);
-    assertEquals(1, first.follower.status().histories());
+    assertEquals(1, first.follower.status().historyReplacementCount());
   }
 
   /** Completes once the member reads on in another history. */
-  private static CompletableFuture<StreamStatus> wentOn(Member member) {
+  private static CompletableFuture<StreamStatus> resumedOnNewHistory(Member member) {
     CompletableFuture<StreamStatus> wentOn = new CompletableFuture<>();
     member.follower.addListener(
         new StreamListener() {
           @Override
           public void pageApplied(StreamStatus status) {
-            if (status.histories() > 0 && !status.seeking()) {
+            if (status.historyReplacementCount() > 0 && !status.seekingSnapshot()) {
               wentOn.complete(status);
             }
           }
@@ -193,21 +194,21 @@
   }
 
   @Test
-  void tenOperatorsRaceOverLostAnswers() throws Exception {
+  void concurrentPublishesWithLostResponsesAreAcceptedOnce() throws Exception {
     List<Member> entries = List.of(start("e-1", 1), start("e-2", 2), start("e-3", 3));
     log.setFaults(LogFaults.none().withLoseAnswers(8).withDoubleAppends(4));
-    List<CompletableFuture<Result<Published>>> told = new ArrayList<>();
+    List<CompletableFuture<Result<PublishResult>>> told = new ArrayList<>();
     String[] files = {"base", "vatulele", "kitamizora", "suva"};
     for (int i = 0; i < 10; i++) {
       told.add(entries.get(i % 3).publish(files[i % files.length], i + 1));
     }
     List<Long> accepted = new ArrayList<>();
-    for (CompletableFuture<Result<Published>> one : told) {
-      Result<Published> result = get(one);
+    for (CompletableFuture<Result<PublishResult>> one : told) {
+      Result<PublishResult> result = get(one);
       if (result.isOk()) {
         accepted.add(result.value().revision());
       } else {
-        ErrorKind kind = ((Result.Failed<Published>) result).failure().kind();
+        ErrorKind kind = ((Result.Failed<PublishResult>) result).failure().kind();
         assertEquals(ErrorKind.CONFLICT, kind);
       }
     }
@@ -229,17 +230,17 @@
    * accepted. When the log is back the same publish gets in once, and all entries have it.
    */
   @Test
-  void publishDuringAnOutageIsNeverToldAsAccepted() throws Exception {
+  void publishDuringOutageIsNotReportedAsAccepted() throws Exception {
     Member first = start("e-1", 1);
     Member second = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
     second.awaitRevision(1);
     log.setFaults(LogFaults.none().withDown(true));
     long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(300);
-    Result<Published> during = get(first.publisher.publish(request("base", 2), deadline));
+    Result<PublishResult> during = get(first.publisher.publish(request("base", 2), deadline));
     assertTrue(!during.isOk(), () -> "accepted while the log was down: " + during);
     log.setFaults(LogFaults.none());
-    Result<Published> after = get(first.publish("base", 2));
+    Result<PublishResult> after = get(first.publish("base", 2));
     assertEquals(2, after.value().revision());
     second.awaitRevision(2);
     assertEquals(2, second.fold.state().revision());
@@ -251,7 +252,7 @@
    * snapshot in the stream, and not serve on what the few remaining records say.
    */
   @Test
-  void entryStartsFromASnapshotAfterRecordsExpired() throws Exception {
+  void entryStartsFromSnapshotAfterRecordsExpired() throws Exception {
     Member first = start("e-1", 1);
     for (int i = 1; i <= 12; i++) {
       assertTrue(get(first.publish(i % 2 == 0 ? "base" : "vatulele", i)).isOk());
@@ -262,7 +263,7 @@
     Member late = start("e-2", 2);
     late.awaitRevision(12);
     assertEquals(first.fold.snapshot().path("files"), late.fold.snapshot().path("files"));
-    Result<Published> next = get(late.publish("base", 99));
+    Result<PublishResult> next = get(late.publish("base", 99));
     assertEquals(13, next.value().revision());
     first.awaitRevision(13);
   }
@@ -272,7 +273,7 @@
    * it goes on with its old configuration until it finds a snapshot, and never below what it had.
    */
   @Test
-  void frozenProcessCatchesUpFromASnapshot() throws Exception {
+  void pausedProcessCatchesUpFromSnapshot() throws Exception {
     Member first = start("e-1", 1);
     Member frozen = start("e-2", 2);
     assertTrue(get(first.publish("base", 1)).isOk());
@@ -297,14 +298,14 @@
    * stale end publishes over what it has not seen: it must be told, not accepted.
    */
   @Test
-  void publisherThatReadsAStaleEndIsToldWhoWasFirst() throws Exception {
+  void publishOverStaleEndConflicts() throws Exception {
     Member first = start("e-1", 1);
     assertTrue(get(first.publish("base", 1)).isOk());
     Member stale = start("e-2", 2);
     stale.awaitRevision(1);
     log.setFaults(LogFaults.none().withStaleRecords(1));
-    CompletableFuture<Result<Published>> one = first.publish("base", 2);
-    CompletableFuture<Result<Published>> other = stale.publish("base", 3);
+    CompletableFuture<Result<PublishResult>> one = first.publish("base", 2);
+    CompletableFuture<Result<PublishResult>> other = stale.publish("base", 3);
     log.setFaults(LogFaults.none());
     long accepted = List.of(get(one), get(other)).stream().filter(Result::isOk).count();
     assertEquals(1, accepted);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/ProcessIncarnationsTest.java
@@ -15,7 +15,7 @@
    * a side process mixed them up, and 38 of 1,000 callers read that their outcome was unknown.
    */
   @Test
-  void processesOfOneMillisecondAreToldApart() {
+  void processesStartedInOneMillisecondGetDifferentIncarnations() {
     SplittableRandom random = new SplittableRandom(3);
     Set<Long> seen = new HashSet<>();
     for (int i = 0; i < 20; i++) {
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void aLaterLifeHasAHigherNumberThatJsonCanCarry() {
+  void laterIncarnationIsHigherAndFitsJsonNumber() {
     SplittableRandom random = new SplittableRandom(4);
     long earlier = ProcessIncarnations.next(() -> TODAY, random);
     long later = ProcessIncarnations.next(() -> TODAY + 1, random);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/configuration/PeerCatchUpTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/configuration/PeerCatchUpTest.java
@@ -24,16 +24,16 @@
   private static final HostPort SECOND = new HostPort("127.0.0.1", 2);
   private static final HostPort THIRD = new HostPort("127.0.0.1", 3);
 
-  private final Map<HostPort, Result<JsonNode>> answers = new HashMap<>();
-  private final List<String> asked = new ArrayList<>();
+  private final Map<HostPort, Result<JsonNode>> responses = new HashMap<>();
+  private final List<String> requestedPaths = new ArrayList<>();
   private final ConfigurationFold fold = new ConfigurationFold(CHECK);
   private boolean outage = true;
   private final PeerCatchUp catchUp =
-      new PeerCatchUp(List.of(FIRST, SECOND, THIRD), this::ask, fold, () -> outage);
+      new PeerCatchUp(List.of(FIRST, SECOND, THIRD), this::fetch, fold, () -> outage);
 
-  private Result<JsonNode> ask(HostPort peer, String path) {
-    asked.add(path);
-    return answers.getOrDefault(peer, Result.failed(ErrorKind.TARGET_UNREACHABLE, "down"));
+  private Result<JsonNode> fetch(HostPort peer, String path) {
+    requestedPaths.add(path);
+    return responses.getOrDefault(peer, Result.failed(ErrorKind.TARGET_UNREACHABLE, "down"));
   }
 
   /**
@@ -41,32 +41,32 @@
    * is dead; on the defaults it would refuse what the configuration allows.
    */
   @Test
-  void takesTheHighestRevisionOfThosePeersThatAnswer() {
-    answers.put(SECOND, Result.ok(peerAt(5).snapshot()));
-    answers.put(THIRD, Result.ok(peerAt(3).snapshot()));
-    catchUp.look();
+  void takesHighestRevisionOfReachablePeers() {
+    responses.put(SECOND, Result.ok(peerAt(5).snapshot()));
+    responses.put(THIRD, Result.ok(peerAt(3).snapshot()));
+    catchUp.poll();
     assertEquals(5, fold.state().revision());
     assertEquals(5, fold.state().configuration("x").service("parking").maxWaiting());
-    catchUp.look();
-    assertEquals("/configuration/state?after=5", asked.get(asked.size() - 1));
+    catchUp.poll();
+    assertEquals("/configuration/state?after=5", requestedPaths.get(requestedPaths.size() - 1));
   }
 
   @Test
-  void asksNobodyWhileTheLogAnswers() {
-    answers.put(FIRST, Result.ok(peerAt(5).snapshot()));
+  void requestsNothingWhileLogIsAvailable() {
+    responses.put(FIRST, Result.ok(peerAt(5).snapshot()));
     outage = false;
-    catchUp.look();
+    catchUp.poll();
     assertEquals(0, fold.state().revision());
-    assertEquals(List.of(), asked);
+    assertEquals(List.of(), requestedPaths);
   }
 
   @Test
-  void nonsenseOfAPeerChangesNothing() {
+  void invalidPeerStateIsIgnored() {
     byte[] nonsense = "{\"revision\":\"9\"}".getBytes(StandardCharsets.UTF_8);
-    answers.put(FIRST, Json.parse("x", nonsense));
-    answers.put(SECOND, Result.ok(Json.object()));
-    answers.put(THIRD, Result.ok(peerAt(2).snapshot()));
-    catchUp.look();
+    responses.put(FIRST, Json.parse("x", nonsense));
+    responses.put(SECOND, Result.ok(Json.object()));
+    responses.put(THIRD, Result.ok(peerAt(2).snapshot()));
+    catchUp.poll();
     assertEquals(2, fold.state().revision());
   }
 
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakePeer.java
@@ -63,7 +63,7 @@
 
   /** Tells the other end with the next frame that one more whole answer was read. */
   void acknowledgeResponse() {
-    loop.run(connection.join()::answerRead);
+    loop.run(connection.join()::countResponseRead);
   }
 
   /** Waits for the next frame. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/FakeSide.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.daemon.dispatch;
 
 import com.google.protobuf.ByteString;
-import io.marigoldsail.daemon.link.Announcements;
+import io.marigoldsail.daemon.link.AnnouncementCodec;
 import io.marigoldsail.daemon.link.LinkConnection;
 import io.marigoldsail.daemon.link.LinkListener;
 import io.marigoldsail.daemon.link.LinkLoop;
@@ -55,7 +55,7 @@
     leaving = newLeaving;
     if (control == null) {
       control = FakePeer.dial(loop, entry.address().getPort());
-      loop.repeat(this::announce, SideLinks.ANNOUNCE_NANOS);
+      loop.repeat(this::announce, SideLinks.ANNOUNCE_PERIOD_NANOS);
     }
     announce();
   }
@@ -74,7 +74,7 @@
             leaving,
             new TargetLoad(0, 0, 1, leaving),
             0);
-    control.send(Frame.newBuilder().setAnnounce(Announcements.write(announcement)).build());
+    control.send(Frame.newBuilder().setAnnounce(AnnouncementCodec.encode(announcement)).build());
   }
 
   /** Reads on but answers nothing on this connection any more, not even pings. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinatorTest.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.idempotency.KeyShardTable;
 import io.marigoldsail.idempotency.KeyShards;
 import io.marigoldsail.log.AppendSettings;
-import io.marigoldsail.log.EntryIds;
+import io.marigoldsail.log.EntryIdGenerator;
 import io.marigoldsail.log.FollowerSettings;
 import io.marigoldsail.log.LogAppender;
 import io.marigoldsail.log.StreamFollower;
@@ -45,13 +45,13 @@
       SplittableRandom random = new SplittableRandom(number);
       follower =
           new StreamFollower(
-              log, KeyShardTable.STREAM, table, FollowerSettings.usual(), clock, random.split());
+              log, KeyShardTable.STREAM, table, FollowerSettings.defaults(), clock, random.split());
       appender =
           new LogAppender(
               log,
               follower,
-              EntryIds.of("entry-" + number, number),
-              AppendSettings.usual(),
+              EntryIdGenerator.of("entry-" + number, number),
+              AppendSettings.defaults(),
               clock,
               random.split());
       entry =
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/KeyedRequestsTest.java
@@ -47,7 +47,7 @@
     LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + clockOffsetNanos.get());
     ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", INCARNATION, 0, target, loop, budget);
-    Await.until("target probed", () -> !side.dispatcher().isLeaving());
+    Await.until("target probed", () -> !side.dispatcher().isDraining());
     entry = FakePeer.dial(testLoop, side.port());
     otherEntry = FakePeer.dial(testLoop, side.port());
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/RequestFaultsTest.java
@@ -5,7 +5,7 @@
 
 import io.marigoldsail.testlib.fault.TcpFaultProxy;
 import io.marigoldsail.testlib.fault.TcpFaultProxy.Direction;
-import io.marigoldsail.testlib.history.RequestHistory.Told;
+import io.marigoldsail.testlib.history.RequestHistory.Outcome;
 import io.marigoldsail.testlib.platform.StandInTarget;
 import io.marigoldsail.testlib.platform.TargetRun;
 import io.marigoldsail.timeline.EventRecorder;
@@ -103,7 +103,7 @@
     workload.awaitAll();
     Await.until("targets idle", () -> runs().stream().allMatch(run -> run.endMillis() > 0));
     assertEquals(List.of(), workload.history().violations(runs()));
-    assertTrue(workload.history().count(Told.ANSWERED) > 0);
+    assertTrue(workload.history().count(Outcome.ANSWERED) > 0);
   }
 
   /**
@@ -116,7 +116,7 @@
     workload.start();
     for (int step = 1; step < 8; step++) {
       workload.awaitEnded(step * REQUESTS_PER_STEP);
-      proxies.get(step % VMS).cutOpen();
+      proxies.get(step % VMS).closeOpenConnections();
     }
     assertNoViolations(workload);
   }
@@ -130,15 +130,15 @@
     Workload workload = new Workload(entries, CALLERS, 5 * REQUESTS_PER_STEP);
     workload.start();
     workload.awaitEnded(REQUESTS_PER_STEP);
-    proxies.get(0).silenceOpen(Direction.TO_SERVER);
+    proxies.get(0).blackholeOpenConnections(Direction.TO_SERVER);
     workload.awaitEnded(2 * REQUESTS_PER_STEP);
-    proxies.get(1).silenceOpen(Direction.TO_CLIENT);
+    proxies.get(1).blackholeOpenConnections(Direction.TO_CLIENT);
     workload.awaitEnded(3 * REQUESTS_PER_STEP);
-    proxies.get(2).silenceOpen(Direction.TO_SERVER);
-    proxies.get(2).silenceOpen(Direction.TO_CLIENT);
-    proxies.get(0).cutOpen();
+    proxies.get(2).blackholeOpenConnections(Direction.TO_SERVER);
+    proxies.get(2).blackholeOpenConnections(Direction.TO_CLIENT);
+    proxies.get(0).closeOpenConnections();
     assertNoViolations(workload);
-    assertEquals(0, workload.history().count(Told.UNKNOWN), "all outcomes were found out");
+    assertEquals(0, workload.history().count(Outcome.UNKNOWN), "all outcomes were found out");
   }
 
   /**
@@ -151,7 +151,7 @@
     Workload workload = new Workload(entries, CALLERS, 6 * REQUESTS_PER_STEP);
     workload.start();
     workload.awaitEnded(REQUESTS_PER_STEP);
-    proxies.get(1).silenceOpen(Direction.TO_CLIENT);
+    proxies.get(1).blackholeOpenConnections(Direction.TO_CLIENT);
     replaceSide(0);
     workload.awaitEnded(2 * REQUESTS_PER_STEP);
     EntryUnderTest killed = entries.get(0);
@@ -209,6 +209,6 @@
         .join();
     stopped.close();
     assertNoViolations(workload);
-    assertEquals(0, workload.history().count(Told.UNKNOWN), "nobody was cut off");
+    assertEquals(0, workload.history().count(Outcome.UNKNOWN), "nobody was cut off");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideDispatcherTest.java
@@ -41,7 +41,7 @@
     LinkLoop loop = new LinkLoop("side", () -> System.nanoTime() + clockOffsetNanos.get());
     ByteBudget budget = new ByteBudget(2L * BodyLimits.MAX_BYTES);
     side = new SideUnderTest("vm-1", INCARNATION, 0, target, loop, budget);
-    Await.until("target probed", () -> !side.dispatcher().isLeaving());
+    Await.until("target probed", () -> !side.dispatcher().isDraining());
     entry = dial();
   }
 
@@ -407,7 +407,7 @@
   @Test
   void leavingTargetGetsNoNewRequests() throws Exception {
     target.health(TargetHealth.LEAVING);
-    Await.until("noticed", () -> side.dispatcher().isLeaving());
+    Await.until("noticed", () -> side.dispatcher().isDraining());
 
     entry.send(frame(request(1)));
 
@@ -421,7 +421,7 @@
     long due = testLoop.now() + TimeUnit.MILLISECONDS.toNanos(1_200);
     Await.until("probed twice", () -> testLoop.now() - due > 0);
 
-    assertFalse(side.dispatcher().isLeaving());
+    assertFalse(side.dispatcher().isDraining());
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/SideUnderTest.java
@@ -51,7 +51,7 @@
             new Entries(),
             budget,
             EventRecorder.none());
-    dispatcher.onLeavingChanged(
+    dispatcher.onDrainingChanged(
         () -> {
           if (links != null) {
             links.announceNow();
@@ -93,7 +93,7 @@
         "",
         "parking",
         SLOTS,
-        dispatcher.isLeaving(),
+        dispatcher.isDraining(),
         dispatcher.load(),
         0);
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/dispatch/Workload.java
@@ -93,17 +93,17 @@
       history.add(
           tag, idempotent, outcomeOf(answer), !answered || Arrays.equals(body, answer.body()));
     } catch (IOException e) {
-      history.add(tag, idempotent, RequestHistory.Told.UNKNOWN, true);
+      history.add(tag, idempotent, RequestHistory.Outcome.UNKNOWN, true);
     }
   }
 
-  private static RequestHistory.Told outcomeOf(HttpResponse<byte[]> answer) {
+  private static RequestHistory.Outcome outcomeOf(HttpResponse<byte[]> answer) {
     if (answer.statusCode() == 200) {
-      return RequestHistory.Told.ANSWERED;
+      return RequestHistory.Outcome.ANSWERED;
     }
     String problem = new String(answer.body(), StandardCharsets.UTF_8);
     return problem.contains("\"execution\":\"not_run\"")
-        ? RequestHistory.Told.NOT_RUN
-        : RequestHistory.Told.UNKNOWN;
+        ? RequestHistory.Outcome.NOT_RUN
+        : RequestHistory.Outcome.UNKNOWN;
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkConnectionTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkConnectionTest.java
@@ -23,11 +23,11 @@
   }
 
   @Test
-  void whatAsksForAnAnswerIsUnansweredUntilSomethingComes() {
+  void sentFrameIsUnansweredUntilFrameIsReceived() {
     connection.send(FRAME);
     clock.set(5);
     assertEquals(5, connection.unansweredNanos(clock.get()));
-    connection.touched(clock.get());
+    connection.frameReceived(clock.get());
     assertEquals(0, connection.unansweredNanos(clock.get()));
   }
 
@@ -36,8 +36,8 @@
    * peer had no room there until it was dialled anew.
    */
   @Test
-  void whatNothingAnswersLeavesNothingUnanswered() {
-    connection.tell(FRAME);
+  void oneWayFrameDoesNotStartSilenceTimer() {
+    connection.sendOneWay(FRAME);
     clock.set(5);
     assertEquals(0, connection.unansweredNanos(clock.get()));
     connection.send(FRAME);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/link/LinkLoopTest.java
@@ -16,7 +16,7 @@
    * leases were renewed no more, and the ends of tasks on VMs out of reach never came.
    */
   @Test
-  void aRepeatedTaskThatThrowsIsRepeated() {
+  void repeatedTaskRunsAgainAfterException() {
     EmbeddedChannel timer = new EmbeddedChannel();
     timer.freezeTime();
     LinkLoop loop = new LinkLoop(timer.eventLoop(), () -> 0, new HybridClock(WallClock.system()));
