--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/FoldedLogTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/AggregatingLogTest.java
@@ -12,11 +12,11 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-class FoldedLogTest {
-  private static final long SPAN = 1_000;
+class AggregatingLogTest {
+  private static final long WINDOW_NANOS = 1_000;
 
   /** Runs what is due when its time is moved on. */
-  private static final class FakeTimer implements FoldedLog.Timer {
+  private static final class FakeTimer implements AggregatingLog.Timer {
     private record Due(long at, Runnable task) {}
 
     private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
@@ -39,87 +39,89 @@
 
   private final FakeTimer timer = new FakeTimer();
   private final List<String> written = new ArrayList<>();
-  private final FoldedLog log = new FoldedLog(line -> written.add(line.toString()), timer, SPAN);
+  private final AggregatingLog log =
+      new AggregatingLog(line -> written.add(line.toString()), timer, WINDOW_NANOS);
 
-  private void tell(String kind, int number) {
-    log.tell(kind, LogLine.of("over").with("reason", kind).with("run", number));
+  private void log(String kind, int number) {
+    log.log(kind, LogLine.of("over").with("reason", kind).with("run", number));
   }
 
   @Test
-  void theFirstOfAKindIsWrittenAtOnceAndTheRestAsOne() {
-    tell("room", 1);
+  void firstLineIsWrittenAtOnceAndRestAsOneLine() {
+    log("room", 1);
     assertEquals(List.of("event=over reason=room run=1"), written);
-    tell("room", 2);
-    tell("room", 3);
-    tell("room", 4);
+    log("room", 2);
+    log("room", 3);
+    log("room", 4);
     assertEquals(1, written.size());
-    timer.advanceTo(SPAN);
+    timer.advanceTo(WINDOW_NANOS);
     assertEquals("event=over reason=room run=4 folded=3", written.get(1));
-    timer.advanceTo(10 * SPAN);
+    timer.advanceTo(10 * WINDOW_NANOS);
     assertEquals(2, written.size());
   }
 
   @Test
-  void aLoneSecondLineIsWrittenAsItIs() {
-    tell("room", 1);
-    tell("room", 2);
-    timer.advanceTo(SPAN);
+  void singleRepeatedLineIsWrittenUnchanged() {
+    log("room", 1);
+    log("room", 2);
+    timer.advanceTo(WINDOW_NANOS);
     assertEquals("event=over reason=room run=2", written.get(1));
   }
 
   @Test
-  void kindsAreFoldedApart() {
-    tell("room", 1);
-    tell("leaves", 2);
-    tell("room", 3);
-    tell("leaves", 4);
-    tell("leaves", 5);
+  void kindsAreAggregatedSeparately() {
+    log("room", 1);
+    log("leaves", 2);
+    log("room", 3);
+    log("leaves", 4);
+    log("leaves", 5);
     assertEquals(2, written.size());
-    timer.advanceTo(SPAN);
+    timer.advanceTo(WINDOW_NANOS);
     assertEquals(
         List.of("event=over reason=room run=3", "event=over reason=leaves run=5 folded=2"),
         written.subList(2, 4).stream().sorted(Comparator.comparing(String::length)).toList());
   }
 
   @Test
-  void aKindThatWasQuietForASpanBeginsAnew() {
-    tell("room", 1);
-    timer.advanceTo(SPAN + 1);
-    tell("room", 2);
+  void lineAfterIdleWindowIsWrittenAtOnce() {
+    log("room", 1);
+    timer.advanceTo(WINDOW_NANOS + 1);
+    log("room", 2);
     assertEquals(2, written.size());
   }
 
   /** Refusals for a minute on end: one line a span, and none is lost from the count. */
   @Test
-  void aKindThatGoesOnHasOneLineASpanAndEveryLineIsCounted() {
+  void continuousKindHasOneLinePerWindowAndAllLinesAreCounted() {
     int told = 0;
-    for (long now = 0; now < 60 * SPAN; now += SPAN / 25) {
+    for (long now = 0; now < 60 * WINDOW_NANOS; now += WINDOW_NANOS / 25) {
       timer.advanceTo(now);
-      tell("room", ++told);
+      log("room", ++told);
     }
-    timer.advanceTo(100 * SPAN);
+    timer.advanceTo(100 * WINDOW_NANOS);
     assertTrue(written.size() <= 61, written.size() + " lines");
-    assertEquals(told, written.stream().mapToInt(FoldedLogTest::standsFor).sum());
+    assertEquals(told, written.stream().mapToInt(AggregatingLogTest::aggregatedLines).sum());
   }
 
   @Test
-  void kindsBeyondTheBoundAreFoldedTogether() {
-    for (int kind = 0; kind < 3 * FoldedLog.MOST_KINDS; kind++) {
-      tell("kind-" + kind, kind);
+  void kindsBeyondLimitAreAggregatedTogether() {
+    for (int kind = 0; kind < 3 * AggregatingLog.MAX_KINDS; kind++) {
+      log("kind-" + kind, kind);
     }
-    assertEquals(FoldedLog.MOST_KINDS + 1, written.size());
-    timer.advanceTo(SPAN);
+    assertEquals(AggregatingLog.MAX_KINDS + 1, written.size());
+    timer.advanceTo(WINDOW_NANOS);
     assertEquals(
-        3 * FoldedLog.MOST_KINDS, written.stream().mapToInt(FoldedLogTest::standsFor).sum());
+        3 * AggregatingLog.MAX_KINDS,
+        written.stream().mapToInt(AggregatingLogTest::aggregatedLines).sum());
   }
 
   @Test
-  void rejectsWhatIsNoKindOrSpan() {
-    assertThrows(IllegalArgumentException.class, () -> tell("", 1));
-    assertThrows(IllegalArgumentException.class, () -> new FoldedLog(line -> {}, timer, 0));
+  void rejectsEmptyKindAndZeroWindow() {
+    assertThrows(IllegalArgumentException.class, () -> log("", 1));
+    assertThrows(IllegalArgumentException.class, () -> new AggregatingLog(line -> {}, timer, 0));
   }
 
-  private static int standsFor(String line) {
+  private static int aggregatedLines(String line) {
     Matcher folded = Pattern.compile("folded=(\\d+)").matcher(line);
     return folded.find() ? Integer.parseInt(folded.group(1)) : 1;
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockedStream.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/BlockingOutputStream.java
@@ -12,13 +12,13 @@
  * A stream that nobody reads until it is released: writes block. A thread that would block for good
  * releases it itself after a while, and is told of.
  */
-public final class BlockedStream extends OutputStream {
-  private static final long PATIENCE_SECONDS = 20;
+public final class BlockingOutputStream extends OutputStream {
+  private static final long TIMEOUT_SECONDS = 20;
 
-  private final CountDownLatch reached = new CountDownLatch(1);
+  private final CountDownLatch writeBlocked = new CountDownLatch(1);
   private final CountDownLatch released = new CountDownLatch(1);
   private final ByteArrayOutputStream written = new ByteArrayOutputStream();
-  private volatile boolean patienceLost;
+  private volatile boolean timedOut;
 
   @Override
   public void write(int oneByte) {
@@ -34,16 +34,16 @@
   }
 
   private void awaitRelease() {
-    reached.countDown();
-    if (!isDown(released)) {
-      patienceLost = true;
+    writeBlocked.countDown();
+    if (!awaitLatch(released)) {
+      timedOut = true;
       release();
     }
   }
 
-  private static boolean isDown(CountDownLatch latch) {
+  private static boolean awaitLatch(CountDownLatch latch) {
     try {
-      return latch.await(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      return latch.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -51,13 +51,13 @@
   }
 
   /** Returns a stream that passes on each write at once. */
-  public PrintStream printed() {
+  public PrintStream asPrintStream() {
     return new PrintStream(this, true, StandardCharsets.UTF_8);
   }
 
   /** Waits until a write blocks, and returns whether one does. */
-  public boolean awaitReached() {
-    return isDown(reached);
+  public boolean awaitBlockedWrite() {
+    return awaitLatch(writeBlocked);
   }
 
   /** Lets writes through from now on. */
@@ -66,8 +66,8 @@
   }
 
   /** Returns whether a write went on without being released. */
-  public boolean isPatienceLost() {
-    return patienceLost;
+  public boolean isTimedOut() {
+    return timedOut;
   }
 
   /** Returns what was written. */
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/KeyValueFormatterTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/KeyValueFormatterTest.java
@@ -14,19 +14,19 @@
   private static final int LINES = 2_000;
 
   /** The most that one line of {@link #line} may allocate. */
-  private static final long LINE_BYTES = 4_096;
+  private static final long MAX_BYTES_PER_LINE = 4_096;
 
   private final KeyValueFormatter formatter = new KeyValueFormatter("edge 1");
 
-  private static LogRecord logged(Instant at, String message) {
+  private static LogRecord logRecord(Instant at, String message) {
     LogRecord logged = new LogRecord(Level.INFO, message);
     logged.setInstant(at);
     logged.setLoggerName("a.Logger");
     return logged;
   }
 
-  private String formatted(String instant, String message) {
-    return formatter.format(logged(Instant.parse(instant), message));
+  private String format(String instant, String message) {
+    return formatter.format(logRecord(Instant.parse(instant), message));
   }
 
   private static LogLine line(int number) {
@@ -40,45 +40,40 @@
   }
 
   @Test
-  void timesHaveMillisecondsAlsoWhereThereAreNone() {
+  void timesAlwaysHaveMilliseconds() {
     String rest = " level=info process=\"edge 1\" logger=a.Logger event=x\n";
     assertEquals(
-        "time=2026-12-03T10:00:00.007Z" + rest,
-        formatted("2026-12-03T10:00:00.007900Z", "event=x"));
-    assertEquals(
-        "time=2026-12-03T10:00:00.000Z" + rest, formatted("2026-12-03T10:00:00Z", "event=x"));
+        "time=2026-12-03T10:00:00.007Z" + rest, format("2026-12-03T10:00:00.007900Z", "event=x"));
+    assertEquals("time=2026-12-03T10:00:00.000Z" + rest, format("2026-12-03T10:00:00Z", "event=x"));
   }
 
   /** The time of day may be set back; a line must not keep the second of the one before. */
   @Test
-  void timesFollowAClockThatIsSetBack() {
-    formatted("2026-12-03T10:00:05.100Z", "event=x");
+  void timesFollowClockThatIsSetBack() {
+    format("2026-12-03T10:00:05.100Z", "event=x");
     assertTrue(
-        formatted("2026-12-03T09:59:59.999Z", "event=x")
-            .startsWith("time=2026-12-03T09:59:59.999Z "));
+        format("2026-12-03T09:59:59.999Z", "event=x").startsWith("time=2026-12-03T09:59:59.999Z "));
     assertTrue(
-        formatted("1969-12-31T23:59:59.250Z", "event=x")
-            .startsWith("time=1969-12-31T23:59:59.250Z "));
+        format("1969-12-31T23:59:59.250Z", "event=x").startsWith("time=1969-12-31T23:59:59.250Z "));
   }
 
   @Test
-  void whatIsNoEventBecomesOne() {
+  void plainMessageBecomesLogEvent() {
     assertTrue(
-        formatted("2026-12-03T10:00:00Z", "two words")
-            .endsWith(" event=log message=\"two words\"\n"));
+        format("2026-12-03T10:00:00Z", "two words").endsWith(" event=log message=\"two words\"\n"));
   }
 
   /** A line of an order or an end allocated 9 KB, most of it for streams over its characters. */
   @Test
-  void aLineTakesLittleMemoryToWrite() {
+  void formattingAllocatesLittleMemory() {
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
     Instant at = Instant.parse("2026-12-03T10:00:00.007Z");
-    formatter.format(logged(at, line(0).toString()));
+    formatter.format(logRecord(at, line(0).toString()));
     long before = threads.getCurrentThreadAllocatedBytes();
     for (int i = 0; i < LINES; i++) {
-      formatter.format(logged(at, line(i).toString()));
+      formatter.format(logRecord(at, line(i).toString()));
     }
     long each = (threads.getCurrentThreadAllocatedBytes() - before) / LINES;
-    assertTrue(each <= LINE_BYTES, each + " bytes a line");
+    assertTrue(each <= MAX_BYTES_PER_LINE, each + " bytes a line");
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogLineTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogLineTest.java
@@ -14,7 +14,7 @@
 
 final class LogLineTest {
   @Test
-  void plainValuesStandUnquoted() {
+  void plainValuesAreNotQuoted() {
     LogLine line = LogLine.of("log-outage-began").with("stream", "tasks").with("offset", 7);
     assertEquals("event=log-outage-began stream=tasks offset=7", line.toString());
   }
@@ -24,13 +24,13 @@
    * an event that never happened, and whatever reads the log would act on it.
    */
   @Test
-  void callerCannotForgeAnEvent() {
+  void callerCannotForgeEvent() {
     LogLine line = LogLine.of("refused").with("caller", "x\nevent=lease-lapsed vm=vm-1");
     assertEquals("event=refused caller=\"x\\nevent=lease-lapsed vm=vm-1\"", line.toString());
   }
 
   @Property(seed = "51")
-  void anyValueStaysOneValueOfOneLine(@ForAll String first, @ForAll String second) {
+  void anyValueIsOneValueOnOneLine(@ForAll String first, @ForAll String second) {
     String line = LogLine.of("e").with("a", first).with("b", second).toString();
     assertTrue(line.chars().noneMatch(Character::isISOControl), line);
     assertEquals(1, line.lines().count());
@@ -61,12 +61,12 @@
   }
 
   @Test
-  void keysAreNames() {
+  void rejectsKeyWithSpace() {
     assertThrows(IllegalArgumentException.class, () -> LogLine.of("e").with("a b", 1));
   }
 
   @Test
-  void formatterPutsLibrariesLinesAndErrorsOnOneLine() {
+  void formatterWritesLibraryMessagesAndErrorsOnOneLine() {
     LogRecord logRecord = new LogRecord(Level.WARNING, "two\nlines");
     logRecord.setLoggerName("org.example");
     logRecord.setInstant(java.time.Instant.EPOCH);
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void formatterKeepsAnEventsLine() {
+  void formatterKeepsEventLineUnchanged() {
     LogRecord logRecord = new LogRecord(Level.INFO, LogLine.of("e").with("a", "{0}").toString());
     String line = new KeyValueFormatter("vm-1").format(logRecord);
     assertTrue(line.endsWith(" event=e a={0}\n"), line);
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogMeasure.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogMeasure.java
@@ -15,7 +15,7 @@
  */
 public final class LogMeasure {
   private static final EventLog LOG = EventLog.of(LogMeasure.class);
-  private static final int MOST_LINES_UNPACED = 200_000;
+  private static final int MAX_LINES_UNPACED = 200_000;
 
   private LogMeasure() {}
 
@@ -25,7 +25,7 @@
     int burst = Integer.parseInt(arguments[1]);
     int seconds = Integer.parseInt(arguments[2]);
     LogSetup.install("edge-hall-1", System.out);
-    int all = perSecond == 0 ? MOST_LINES_UNPACED : perSecond * seconds;
+    int all = perSecond == 0 ? MAX_LINES_UNPACED : perSecond * seconds;
     long gapNanos = perSecond == 0 ? 0 : TimeUnit.SECONDS.toNanos(burst) / perSecond;
     log(all / 5, burst, gapNanos);
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogQueueTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogQueueTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Test;
 
 final class LogQueueTest {
-  private static final int ROOM = 4;
+  private static final int MAX_LINES = 4;
   private static final int AMPLE_BYTES = 1 << 20;
 
-  private final LogQueue queue = new LogQueue(ROOM, AMPLE_BYTES);
+  private final LogQueue queue = new LogQueue(MAX_LINES, AMPLE_BYTES);
   private long seconds;
 
   private LogRecord logRecord(Level level, String message) {
@@ -36,14 +36,14 @@
     return from.take(Integer.MAX_VALUE - 1).stream().map(LogRecord::getMessage).toList();
   }
 
-  private static String told(int errors, int warnings, int infos, int since) {
+  private static String droppedLine(int errors, int warnings, int infos, int since) {
     return "event=log-lines-dropped error=%d warning=%d info=%d since=%s"
         .formatted(errors, warnings, infos, Instant.ofEpochSecond(since));
   }
 
   /** Guards against lines of one thread written in another order, ranks apart. */
   @Test
-  void orderIsKeptAcrossRanks() {
+  void orderIsKeptAcrossSeverities() {
     add(queue, Level.INFO, "1");
     add(queue, Level.SEVERE, "2");
     add(queue, Level.INFO, "3");
@@ -55,13 +55,13 @@
 
   /** Guards against a gap that nobody can see or place: it is told where lines are missing. */
   @Test
-  void whatIsDroppedIsToldOnceInItsPlace() {
+  void droppedRecordsAreReportedOnceAtTheirPosition() {
     add(queue, Level.INFO, "1", "2", "3", "4", "5", "6");
     assertEquals(List.of("1"), queue.take(1).stream().map(LogRecord::getMessage).toList());
     add(queue, Level.INFO, "7");
     List<LogRecord> taken = queue.take(100);
     assertEquals(
-        List.of("2", "3", "4", told(0, 0, 2, 5), "7"),
+        List.of("2", "3", "4", droppedLine(0, 0, 2, 5), "7"),
         taken.stream().map(LogRecord::getMessage).toList());
     assertEquals(Instant.ofEpochSecond(6), taken.get(3).getInstant());
     assertEquals(Level.WARNING, taken.get(3).getLevel());
@@ -70,22 +70,22 @@
 
   /** Guards against a gap at the end that stays untold because no line follows. */
   @Test
-  void aGapAtTheEndIsTold() {
+  void droppedRecordsAtEndAreReported() {
     add(queue, Level.INFO, "1", "2", "3", "4", "5");
     assertEquals(
         List.of("1", "2", "3", "4"), queue.take(4).stream().map(LogRecord::getMessage).toList());
     assertFalse(queue.isEmpty());
-    assertEquals(List.of(told(0, 0, 1, 5)), takeAll(queue));
+    assertEquals(List.of(droppedLine(0, 0, 1, 5)), takeAll(queue));
   }
 
   /** Guards against lines of info that crowd out what an operator must look at. */
   @Test
-  void infoGivesWayToWarningsAndBothToErrors() {
+  void lowerSeveritiesAreDroppedFirst() {
     add(queue, Level.INFO, "i1", "i2", "i3", "i4");
     add(queue, Level.WARNING, "w5", "w6", "w7", "w8", "w9");
     add(queue, Level.SEVERE, "e10");
     add(queue, Level.INFO, "i11");
-    assertEquals(List.of(told(0, 2, 5, 1), "w5", "w6", "w7", "e10"), takeAll(queue));
+    assertEquals(List.of(droppedLine(0, 2, 5, 1), "w5", "w6", "w7", "e10"), takeAll(queue));
   }
 
   /** Guards against an error dropped while anything less waits, and errors dropped uncounted. */
@@ -93,18 +93,18 @@
   void errorsAreDroppedOnlyForErrors() {
     add(queue, Level.SEVERE, "e1", "e2", "e3", "e4", "e5");
     add(queue, Level.WARNING, "w6");
-    assertEquals(List.of("e1", "e2", "e3", "e4", told(1, 1, 0, 5)), takeAll(queue));
+    assertEquals(List.of("e1", "e2", "e3", "e4", droppedLine(1, 1, 0, 5)), takeAll(queue));
   }
 
   /** Guards against few long lines that take all memory, and one that is longer than the room. */
   @Test
-  void memoryIsBoundedToo() {
-    int bytes = 3 * LogQueue.BYTES_A_RECORD;
+  void memoryIsBounded() {
+    int bytes = 3 * LogQueue.RECORD_OVERHEAD_BYTES;
     LogQueue small = new LogQueue(1_000, bytes);
-    String long1 = "x".repeat(LogQueue.BYTES_A_RECORD / 2);
+    String long1 = "x".repeat(LogQueue.RECORD_OVERHEAD_BYTES / 2);
     add(small, Level.INFO, long1, "y", "z");
     add(small, Level.SEVERE, "x".repeat(bytes));
-    assertEquals(List.of(long1, told(1, 0, 2, 2)), takeAll(small));
+    assertEquals(List.of(long1, droppedLine(1, 0, 2, 2)), takeAll(small));
     add(small, Level.INFO, "later");
     assertEquals(List.of("later"), takeAll(small));
   }
@@ -129,7 +129,7 @@
     for (LogRecord each : taken) {
       if (each.getMessage().startsWith("event=log-lines-dropped")) {
         gaps++;
-        counted += droppedBy(each.getMessage());
+        counted += droppedCount(each.getMessage());
       }
     }
     assertTrue(gaps > 1, gaps + " gaps");
@@ -138,7 +138,7 @@
     assertEquals(List.of("1", "2"), takeAll(small));
   }
 
-  private static int droppedBy(String told) {
+  private static int droppedCount(String told) {
     int sum = 0;
     for (String pair : told.split(" ", -1)) {
       String value = pair.substring(pair.indexOf('=') + 1);
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void rejectsBoundsThatHoldNothing() {
+  void rejectsNonPositiveLimits() {
     assertThrows(IllegalArgumentException.class, () -> new LogQueue(0, 1));
     assertThrows(IllegalArgumentException.class, () -> new LogQueue(1, 0));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogWriterTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/observe/LogWriterTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 final class LogWriterTest {
-  private final BlockedStream stream = new BlockedStream();
-  private final LogWriter writer = LogWriter.start("vm-1", stream.printed());
+  private final BlockingOutputStream stream = new BlockingOutputStream();
+  private final LogWriter writer = LogWriter.start("vm-1", stream.asPrintStream());
 
   @AfterEach
   void release() {
@@ -35,7 +35,7 @@
     writer.publish(logRecord(Level.INFO, line.toString()));
   }
 
-  private boolean writeAll() {
+  private boolean releaseAndAwaitWritten() {
     stream.release();
     return writer.awaitWritten(System.nanoTime() + TimeUnit.SECONDS.toNanos(20));
   }
@@ -52,19 +52,19 @@
 
   /** Guards against a standard output that nobody reads and that stops whoever logs. */
   @Test
-  void aBlockedStreamDelaysNoCallAndWhatIsDroppedIsTold() {
+  void blockedStreamDelaysNoCallerAndDroppedLinesAreReported() {
     log("t", 0);
-    assertTrue(stream.awaitReached());
-    int all = 3 * LogWriter.MOST_LINES;
+    assertTrue(stream.awaitBlockedWrite());
+    int all = 3 * LogWriter.MAX_QUEUED_LINES;
     for (int n = 1; n < all; n++) {
       log("t", n);
     }
     writer.publish(logRecord(Level.SEVERE, "event=broken"));
-    assertFalse(stream.isPatienceLost());
+    assertFalse(stream.isTimedOut());
     assertEquals(List.of(), stream.lines());
-    assertTrue(writeAll());
+    assertTrue(releaseAndAwaitWritten());
     List<String> lines = stream.lines();
-    int kept = LogWriter.MOST_LINES - 1;
+    int kept = LogWriter.MAX_QUEUED_LINES - 1;
     assertEquals(expected("t", 0, kept + 1), lines.subList(0, kept + 1));
     int dropped = all - kept - 1;
     assertTrue(
@@ -82,7 +82,7 @@
   /** Guards against lines of one thread that change places on their way. */
   @Test
   void linesOfEachThreadKeepTheirOrder() throws InterruptedException {
-    int each = LogWriter.MOST_LINES / 8;
+    int each = LogWriter.MAX_QUEUED_LINES / 8;
     List<Thread> threads = new ArrayList<>();
     for (int t = 0; t < 4; t++) {
       String name = "t" + t;
@@ -99,7 +99,7 @@
     for (Thread thread : threads) {
       thread.join();
     }
-    assertTrue(writeAll());
+    assertTrue(releaseAndAwaitWritten());
     for (int t = 0; t < 4; t++) {
       String name = "t" + t;
       assertEquals(
@@ -110,7 +110,7 @@
 
   /** Guards against a planned stop that halts before its last lines are written. */
   @Test
-  void closingWritesAllThatWasLogged() {
+  void closeWritesAllLoggedLines() {
     stream.release();
     for (int n = 0; n < 500; n++) {
       log("t", n);
@@ -124,17 +124,17 @@
 
   /** Guards against a planned stop that waits for a stream that nobody reads. */
   @Test
-  void waitingForABlockedStreamEndsAtItsDeadline() {
+  void awaitWrittenReturnsAtDeadline() {
     log("t", 0);
-    assertTrue(stream.awaitReached());
+    assertTrue(stream.awaitBlockedWrite());
     assertFalse(writer.awaitWritten(System.nanoTime() - 1));
     writer.close();
-    assertFalse(stream.isPatienceLost());
+    assertFalse(stream.isTimedOut());
   }
 
   /** Guards against a line that shows what its parameters and its error have become since. */
   @Test
-  void linesShowWhatWasTheCaseWhenTheyWereLogged() {
+  void linesShowStateAtTimeOfLogging() {
     StringBuilder parameter = new StringBuilder("before");
     IllegalStateException error = new IllegalStateException("before");
     LogRecord thrown = logRecord(Level.INFO, "event=e");
@@ -143,7 +143,7 @@
     writer.publish(thrown);
     parameter.replace(0, parameter.length(), "after");
     error.setStackTrace(new StackTraceElement[0]);
-    assertTrue(writeAll());
+    assertTrue(releaseAndAwaitWritten());
     assertTrue(stream.lines().get(0).endsWith("event=log message=\"it is before\""));
     assertTrue(stream.lines().get(1).contains("LogWriterTest"), stream.lines().get(1));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/operators/OperatorServerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/operators/OperatorServerTest.java
@@ -33,17 +33,17 @@
 
   @BeforeEach
   void start() throws Exception {
-    server.registerImmediate("GET", "/jobs/{name}", request -> echo(request.path("name")));
-    server.registerImmediate("GET", "/jobs/all", request -> echo("every"));
-    server.registerImmediate(
+    server.registerSynchronous("GET", "/jobs/{name}", request -> echo(request.path("name")));
+    server.registerSynchronous("GET", "/jobs/all", request -> echo("every"));
+    server.registerSynchronous(
         "POST",
         "/jobs",
-        request -> request.json().then(body -> Result.ok(OperatorAnswer.ok(body))));
-    server.registerImmediate(
+        request -> request.json().then(body -> Result.ok(OperatorResponse.ok(body))));
+    server.registerSynchronous(
         "GET",
         "/full",
         request -> Result.failed(new Failure(ErrorKind.OVERLOADED, "no room", 1_500)));
-    server.registerImmediate(
+    server.registerSynchronous(
         "GET",
         "/broken",
         request -> {
@@ -60,8 +60,8 @@
     server.close();
   }
 
-  private static Result<OperatorAnswer> echo(String text) {
-    return Result.ok(OperatorAnswer.ok(Json.object().put("text", text)));
+  private static Result<OperatorResponse> echo(String text) {
+    return Result.ok(OperatorResponse.ok(Json.object().put("text", text)));
   }
 
   private String base() {
@@ -76,7 +76,7 @@
     return Json.parse("answer", response.getContent()).value();
   }
 
-  private void checkProblem(ErrorKind kind, ContentResponse response) {
+  private void assertProblem(ErrorKind kind, ContentResponse response) {
     assertEquals(kind.httpStatus(), response.getStatus());
     assertEquals("application/problem+json", response.getMediaType());
     assertEquals("urn:marigoldsail:error:" + kind.code(), json(response).path("type").asText());
@@ -91,44 +91,44 @@
 
   @Test
   void errorsAreProblemDetails() throws Exception {
-    checkProblem(ErrorKind.NOT_FOUND, get("/nothing"));
-    checkProblem(ErrorKind.BAD_REQUEST, get("/jobs/a%2Fb"));
-    checkProblem(ErrorKind.BAD_REQUEST, get("/jobs/a%25b"));
-    checkProblem(ErrorKind.NOT_FOUND, get("/jobs/a/b"));
-    checkProblem(
+    assertProblem(ErrorKind.NOT_FOUND, get("/nothing"));
+    assertProblem(ErrorKind.BAD_REQUEST, get("/jobs/a%2Fb"));
+    assertProblem(ErrorKind.BAD_REQUEST, get("/jobs/a%25b"));
+    assertProblem(ErrorKind.NOT_FOUND, get("/jobs/a/b"));
+    assertProblem(
         ErrorKind.METHOD_NOT_ALLOWED, client.newRequest(base() + "/full").method("PUT").send());
     ContentResponse full = get("/full");
-    checkProblem(ErrorKind.OVERLOADED, full);
+    assertProblem(ErrorKind.OVERLOADED, full);
     assertEquals("2", full.getHeaders().get("Retry-After"));
     assertEquals(1_500, json(full).path("retryAfterMillis").asInt());
     assertEquals("not_run", json(full).path("execution").asText());
   }
 
   @Test
-  void faultOfAHandlerIsAnsweredWithoutItsInsides() throws Exception {
+  void handlerExceptionDetailsAreNotExposed() throws Exception {
     ContentResponse response = get("/broken");
-    checkProblem(ErrorKind.INTERNAL, response);
+    assertProblem(ErrorKind.INTERNAL, response);
     assertFalse(response.getContentAsString().contains("secret"));
   }
 
   @Test
-  void brokenJsonIsNamedByLineAndColumn() throws Exception {
+  void invalidJsonIsReportedWithLineAndColumn() throws Exception {
     ContentResponse response =
         post("{\"a\":\n tru}".getBytes(java.nio.charset.StandardCharsets.UTF_8));
-    checkProblem(ErrorKind.BAD_REQUEST, response);
+    assertProblem(ErrorKind.BAD_REQUEST, response);
     String detail = json(response).path("detail").asText();
     assertTrue(detail.startsWith("body: not JSON") && detail.contains("line 2"), detail);
   }
 
   @Test
-  void bodyUpToTheLimitPassesAndALongerOneIsRefused() throws Exception {
+  void bodyUpToLimitIsAcceptedAndLongerOneIsRefused() throws Exception {
     int frame = "{\"a\":\"\"}".length();
     byte[] longest =
-        Json.bytes(Json.object().put("a", "x".repeat(OperatorServer.LARGEST_BODY - frame)));
-    assertEquals(OperatorServer.LARGEST_BODY, longest.length);
+        Json.bytes(Json.object().put("a", "x".repeat(OperatorServer.MAX_BODY_BYTES - frame)));
+    assertEquals(OperatorServer.MAX_BODY_BYTES, longest.length);
     assertArrayEquals(longest, post(longest).getContent());
-    byte[] tooLong = new byte[OperatorServer.LARGEST_BODY + 1];
-    checkProblem(ErrorKind.BODY_TOO_LARGE, post(tooLong));
+    byte[] tooLong = new byte[OperatorServer.MAX_BODY_BYTES + 1];
+    assertProblem(ErrorKind.BODY_TOO_LARGE, post(tooLong));
   }
 
   /**
@@ -137,7 +137,7 @@
    * connection and not the reason.
    */
   @Test
-  void bodyWithoutALengthIsCutOffAtTheLimit() throws Exception {
+  void bodyWithoutContentLengthIsLimited() throws Exception {
     org.eclipse.jetty.client.AsyncRequestContent endless =
         new org.eclipse.jetty.client.AsyncRequestContent("application/json");
     for (int i = 0; i < 192; i++) {
@@ -147,7 +147,7 @@
     endless.close();
     ContentResponse response =
         client.newRequest(base() + "/jobs").method("POST").body(endless).send();
-    checkProblem(ErrorKind.BODY_TOO_LARGE, response);
+    assertProblem(ErrorKind.BODY_TOO_LARGE, response);
   }
 
   private ContentResponse post(byte[] body) throws Exception {
@@ -159,14 +159,14 @@
   }
 
   @Test
-  void metricsAreShown() throws Exception {
+  void metricsAreExposed() throws Exception {
     metrics.counter("tests", "Tests", "kind").labelValues("unit").inc();
     String text = get("/metrics").getContentAsString();
     assertTrue(text.contains("marigoldsail_tests_total{kind=\"unit\"} 1.0"), text);
   }
 
   @Test
-  void addressInUseIsOneLineThatNamesTheKey() {
+  void addressInUseIsReportedInOneLineWithSettingsKey() {
     OperatorServer second =
         new OperatorServer(new HostPort("127.0.0.1", server.port()), new Metrics());
     Result<Integer> result = second.start();
@@ -179,14 +179,14 @@
   }
 
   @Test
-  void routeIsRegisteredOnce() {
+  void duplicateRouteIsRejected() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> server.registerImmediate("GET", "/full", request -> echo("x")));
+        () -> server.registerSynchronous("GET", "/full", request -> echo("x")));
   }
 
   @Test
-  void randomBytesHarmNobodyElse() throws Exception {
+  void randomBytesDoNotAffectOtherConnections() throws Exception {
     Random random = new Random(52);
     for (int i = 0; i < 50; i++) {
       byte[] bytes = new byte[random.nextInt(2_000)];
@@ -209,7 +209,7 @@
    * connections are closed soon once there are too many.
    */
   @Test
-  void floodOfConnectionsIsBoundedAndOperatorsGetIn() throws Exception {
+  void connectionsAreLimitedAndOperatorsCanStillConnect() throws Exception {
     List<Socket> flood = new ArrayList<>();
     try {
       for (int i = 0; i < OperatorServer.MAX_CONNECTIONS + 100; i++) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpLogServiceTest.java
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void readsFromTheOldestRecordThatRetentionLeft() {
+  void readsFromTheOldestRetainedRecord() {
     for (int i = 0; i < 10; i++) {
       log.append(STREAM, bytes("r" + i)).value();
     }
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void readsOnBehindARecordThatIsTooLarge() {
+  void readsPastAnOversizedRecord() {
     // Something else appended a record longer than a reader may hold. Every reader would ask for it
     // again and again, and nothing behind it would ever be in force.
     service.log().append(STREAM, new byte[5 << 20]);
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void tellsARefusalFromALostAnswer() {
+  void distinguishesRefusalFromLostResponse() {
     // The service refuses while it is down, and nothing took effect. Then an answer is lost on the
     // way back after the record was stored. Taking one for the other would lose or double records.
     service.log().setFaults(LogFaults.none().withDown(true));
@@ -103,14 +103,14 @@
   }
 
   @Test
-  void tellsAServiceThatIsGoneFromALostAnswer() {
+  void unreachableServiceIsUnavailable() {
     service.close();
 
     assertKind(ErrorKind.LOG_UNAVAILABLE, log.append(STREAM, bytes("x")));
   }
 
   @Test
-  void refusesRecordsThatAreTooLarge() {
+  void rejectsOversizedRecords() {
     byte[] record = new byte[HttpLogService.MAX_RECORD_BYTES + 1];
 
     assertKind(ErrorKind.BODY_TOO_LARGE, log.append(STREAM, record));
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/HttpWorkerTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void runsThroughTheLifeOfAnAttempt() {
+  void runsAnAttemptFromStartToStop() {
     WorkerBoot boot = worker.boot().value();
     WorkerStart start = start(boot, "payout/3", 7);
 
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void tellsWhatDidNotTakeEffectFromWhatMayHave() {
+  void distinguishesRefusalFromUnknownOutcome() {
     // An answer is lost after the worker started the task; then the worker refuses a second one.
     // Whoever takes the first for a refusal starts the task elsewhere too.
     WorkerBoot boot = worker.boot().value();
@@ -70,7 +70,7 @@
    * that still holds a connection may not yet have heard of its end, and cannot know.
    */
   @Test
-  void refusedConnectionTookNoEffect() {
+  void refusedConnectionHasNoEffect() {
     WorkerBoot boot = worker.boot().value();
     String address = service.address();
     service.close();
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/BrokenAnswersTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/MalformedResponseTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.lifecycle.BeforeContainer;
 
 /** Whatever the platform answers, the caller gets a failure that claims no more than is known. */
-final class BrokenAnswersTest {
+final class MalformedResponseTest {
   private static final long TIMEOUT_MILLIS = 5_000;
   private static final String TASK =
       "{\"task\":\"a/1\",\"attempt\":1,\"token\":7,\"state\":\"RUNNING\","
@@ -30,14 +30,14 @@
   private static final String PAGE =
       "{\"records\":[{\"offset\":0,\"bytes\":\"AAAA\"}],\"firstOffset\":0,\"nextOffset\":1}";
 
-  private static RawAnswerServer server;
+  private static RawResponseServer server;
   private static PlatformClient client;
   private static HttpLogService log;
   private static HttpWorker worker;
 
   @BeforeContainer
   static void start() throws IOException {
-    server = new RawAnswerServer();
+    server = new RawResponseServer();
     client = PlatformClient.start("broken-answers");
     log = new HttpLogService(client, server.address(), TIMEOUT_MILLIS);
     worker = new HttpWorker(client, server.address(), TIMEOUT_MILLIS);
@@ -65,23 +65,23 @@
 
   @Property(seed = "3501", tries = 60)
   void randomBodiesAreFailures(@ForAll @Size(max = 200) byte[] body) {
-    server.answer(body);
-    CALLS.forEach(BrokenAnswersTest::assertFails);
+    server.respond(body);
+    CALLS.forEach(MalformedResponseTest::assertFails);
   }
 
   @Property(seed = "3502", tries = 60)
   void randomBytesInPlaceOfHttpAreFailures(@ForAll @Size(max = 200) byte[] bytes) {
-    server.answerRaw(bytes);
-    CALLS.forEach(BrokenAnswersTest::assertFails);
+    server.respondRaw(bytes);
+    CALLS.forEach(MalformedResponseTest::assertFails);
   }
 
   @Property(seed = "3503", tries = 60)
-  void truncatedAnswersAreFailures(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
+  void truncatedResponsesAreFailures(@ForAll @IntRange(min = 0, max = 10_000) int cut) {
     byte[] whole = TASK.getBytes(StandardCharsets.US_ASCII);
     byte[] half = Arrays.copyOf(whole, cut % whole.length);
-    server.answer(half, whole.length);
+    server.respond(half, whole.length);
     assertFails(() -> worker.stop("a/1", 7));
-    server.answer(half);
+    server.respond(half);
     assertFails(() -> worker.stop("a/1", 7));
   }
 
@@ -108,7 +108,7 @@
             TASK.replace("\"memoryBytes\":1", "\"memoryBytes\":-1"),
             "[null]",
             "[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[[")) {
-      server.answer(wrong.getBytes(StandardCharsets.US_ASCII));
+      server.respond(wrong.getBytes(StandardCharsets.US_ASCII));
       for (Supplier<Result<?>> call : CALLS) {
         // An empty list of samples is a sound answer; everything else here is not.
         if (!wrong.equals("[]")) {
@@ -119,27 +119,27 @@
   }
 
   @Example
-  void answersThatAreTooLongAreFailures() {
-    server.answer(new byte[5 << 20]);
-    CALLS.forEach(BrokenAnswersTest::assertFails);
+  void oversizedResponsesAreFailures() {
+    server.respond(new byte[5 << 20]);
+    CALLS.forEach(MalformedResponseTest::assertFails);
   }
 
   @Example
-  void soundAnswersPassWithUnknownFields() {
-    server.answer(
+  void validResponsesMayHaveUnknownFields() {
+    server.respond(
         (TASK.replace("{\"task\"", "{\"new\":[1],\"task\"")).getBytes(StandardCharsets.US_ASCII));
     assertEquals(7, worker.stop("a/1", 7).value().token());
-    server.answer(PAGE.getBytes(StandardCharsets.US_ASCII));
+    server.respond(PAGE.getBytes(StandardCharsets.US_ASCII));
     assertEquals(1, log.read("s", 0, 10, 0).value().records().size());
   }
 
   @Example
-  void aBrokenAnswerToAnAppendLeavesItsOutcomeUnknown() {
+  void malformedResponseLeavesOutcomeUnknown() {
     // The record was stored and the answer came back garbled. Were that taken for a refusal, the
     // writer would say "not run" of something that counts.
-    server.answer("{\"offset\":\"x\"}".getBytes(StandardCharsets.US_ASCII));
+    server.respond("{\"offset\":\"x\"}".getBytes(StandardCharsets.US_ASCII));
     assertKind(ErrorKind.LOG_OUTCOME_UNKNOWN, log.append("s", new byte[] {1}));
-    server.answerRaw(new byte[0]);
+    server.respondRaw(new byte[0]);
     assertKind(ErrorKind.LOG_OUTCOME_UNKNOWN, log.append("s", new byte[] {1}));
     assertKind(ErrorKind.OUTCOME_UNKNOWN, worker.stop("a/1", 7));
   }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawAnswerServer.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/platform/RawResponseServer.java
@@ -10,13 +10,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** Answers every request with the bytes it was given last, then closes the connection. */
-final class RawAnswerServer implements AutoCloseable {
+final class RawResponseServer implements AutoCloseable {
   private static final byte[] END_OF_HEAD = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final ServerSocket acceptor;
-  private volatile byte[] answer = new byte[0];
+  private volatile byte[] respond = new byte[0];
 
-  RawAnswerServer() throws IOException {
+  RawResponseServer() throws IOException {
     this.acceptor = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     Thread thread = new Thread(this::serve, "raw-answers");
     thread.setDaemon(true);
@@ -28,21 +28,21 @@
   }
 
   /** Answers with exactly these bytes, no HTTP added. */
-  void answerRaw(byte[] bytes) {
-    answer = bytes;
+  void respondRaw(byte[] bytes) {
+    respond = bytes;
   }
 
   /** Answers 200 with a body, announcing more or fewer bytes than there are. */
-  void answer(byte[] body, int announced) {
+  void respond(byte[] body, int announced) {
     String head = "HTTP/1.1 200 OK\r\nContent-Length: " + announced + "\r\n\r\n";
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(head.getBytes(StandardCharsets.US_ASCII));
     all.writeBytes(body);
-    answer = all.toByteArray();
+    respond = all.toByteArray();
   }
 
-  void answer(byte[] body) {
-    answer(body, body.length);
+  void respond(byte[] body) {
+    respond(body, body.length);
   }
 
   @Override
@@ -55,7 +55,7 @@
       try (Socket socket = acceptor.accept()) {
         readHead(socket.getInputStream());
         OutputStream out = socket.getOutputStream();
-        out.write(answer);
+        out.write(respond);
         out.flush();
         socket.shutdownOutput();
         // Draining what is left of the request keeps the close from resetting the answer away.
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/FakeTaskLog.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/FakeTaskLog.java
@@ -11,31 +11,31 @@
 
 /** The stream of tasks in memory, down or losing answers as it is told. */
 final class FakeTaskLog {
-  private static final long KEEP_NANOS = 10_000_000_000L;
+  private static final long APPEND_TIMEOUT_NANOS = 10_000_000_000L;
 
-  private record Written(TaskRecord record, long nanos) {}
+  private record WrittenRecord(TaskRecord record, long nanos) {}
 
-  private record Waiting(
-      TaskWorld.Entry entry,
+  private record PendingAppend(
+      TaskTestCluster.Entry entry,
       TaskRecord record,
       long deadline,
       CompletableFuture<Result<Long>> future) {}
 
   private final VirtualClock clock;
-  private final List<Written> records = new ArrayList<>();
-  private final List<Waiting> waiting = new ArrayList<>();
-  private final TaskTable truth = new TaskTable();
+  private final List<WrittenRecord> records = new ArrayList<>();
+  private final List<PendingAppend> waiting = new ArrayList<>();
+  private final TaskTable referenceTable = new TaskTable();
   private boolean down;
-  private int doubled;
-  private int lostAnswers;
+  private int duplicates;
+  private int lostResponses;
 
   FakeTaskLog(VirtualClock clock) {
     this.clock = clock;
   }
 
   /** Returns what an entry without any lag would see. */
-  TaskTable truth() {
-    return truth;
+  TaskTable referenceTable() {
+    return referenceTable;
   }
 
   boolean down() {
@@ -47,13 +47,13 @@
   }
 
   /** Writes each of the next records twice. */
-  void doubleNext(int count) {
-    doubled = count;
+  void duplicateNext(int count) {
+    duplicates = count;
   }
 
   /** Lets the next appends take effect but fail. */
-  void loseNextAnswers(int count) {
-    lostAnswers = count;
+  void loseNextResponses(int count) {
+    lostResponses = count;
   }
 
   int size() {
@@ -70,22 +70,22 @@
 
   long write(TaskRecord record) {
     long position = records.size();
-    records.add(new Written(record, clock.nanos()));
-    truth.apply(position, record);
+    records.add(new WrittenRecord(record, clock.nanos()));
+    referenceTable.apply(position, record);
     return position;
   }
 
-  CompletableFuture<Result<Long>> append(TaskWorld.Entry entry, TaskRecord record) {
+  CompletableFuture<Result<Long>> append(TaskTestCluster.Entry entry, TaskRecord record) {
     CompletableFuture<Result<Long>> future = new CompletableFuture<>();
-    waiting.add(new Waiting(entry, record, clock.nanos() + KEEP_NANOS, future));
+    waiting.add(new PendingAppend(entry, record, clock.nanos() + APPEND_TIMEOUT_NANOS, future));
     return future;
   }
 
   /** Takes in what was sent since, or gives up what has waited too long in an outage. */
-  void settle() {
-    List<Waiting> now = List.copyOf(waiting);
+  void processAppends() {
+    List<PendingAppend> now = List.copyOf(waiting);
     waiting.clear();
-    for (Waiting append : now) {
+    for (PendingAppend append : now) {
       if (!down) {
         accept(append);
       } else if (clock.nanos() > append.deadline()) {
@@ -96,17 +96,17 @@
     }
   }
 
-  private void accept(Waiting append) {
+  private void accept(PendingAppend append) {
     long position = write(append.record());
-    if (doubled > 0) {
-      doubled--;
+    if (duplicates > 0) {
+      duplicates--;
       write(append.record());
     }
-    if (lostAnswers > 0) {
-      lostAnswers--;
+    if (lostResponses > 0) {
+      lostResponses--;
       append.future().complete(Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "answer lost"));
       return;
     }
-    append.entry().await(position, () -> append.future().complete(Result.ok(position)));
+    append.entry().runAfterApplied(position, () -> append.future().complete(Result.ok(position)));
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/GuardLoopTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Test;
 
 class GuardLoopTest {
-  private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
+  private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
 
-  private static void assertSound(TaskWorld world) {
+  private static void assertNoViolations(TaskTestCluster world) {
     assertEquals(List.of(), world.violations());
     assertEquals(0, world.askedOverCapacity());
   }
 
   /** Each attempt begins where the one before it had written its last checkpoint, or later. */
-  private static void assertNoWorkRedone(TaskWorld world) {
+  private static void assertNoWorkRedone(TaskTestCluster world) {
     Map<String, Long> resumed = new HashMap<>();
     List<WorkerRun> runs = world.runs();
     runs.sort(Comparator.comparingLong(WorkerRun::token));
@@ -41,9 +41,9 @@
     }
   }
 
-  private static TaskWorld pressedWorld(long seed) {
-    TaskWorld world = new TaskWorld(seed, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 30_000));
+  private static TaskTestCluster clusterUnderPressure(long seed) {
+    TaskTestCluster world = new TaskTestCluster(seed, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 30_000));
     world.run(8_000);
     world.vm(1).pressure(3);
     return world;
@@ -55,13 +55,13 @@
    */
   @Test
   void evictedTasksResumeOnceFromTheirCheckpoint() {
-    TaskWorld world = pressedWorld(1);
+    TaskTestCluster world = clusterUnderPressure(1);
     assertTrue(world.runUntilEnded(400_000));
 
     assertEquals(8, world.jobState("payout").done());
     int evictions = world.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
     assertTrue(evictions > 0 && evictions <= 4, () -> "evictions " + evictions);
-    assertSound(world);
+    assertNoViolations(world);
     assertNoWorkRedone(world);
   }
 
@@ -70,9 +70,9 @@
    * next attempt begins there, not from the start.
    */
   @Test
-  void anEvictionWritesTheCheckpointThatTheNextAttemptResumes() {
-    TaskWorld world = new TaskWorld(4, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 30_000, 0));
+  void theNextAttemptResumesFromTheEvictionCheckpoint() {
+    TaskTestCluster world = new TaskTestCluster(4, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 30_000, 0));
     world.run(8_000);
     world.vm(1).pressure(3);
     assertTrue(world.runUntilEnded(400_000));
@@ -80,18 +80,18 @@
     List<WorkerRun> resumed = world.runs().stream().filter(run -> run.attempt() > 1).toList();
     assertFalse(resumed.isEmpty());
     assertTrue(resumed.stream().noneMatch(run -> run.checkpoint().isEmpty()));
-    assertSound(world);
+    assertNoViolations(world);
   }
 
   /** The answers to checkpoints and stops are lost while tasks are being evicted. */
   @Test
-  void lostAnswersDuringAnEvictionLoseNoWork() {
-    TaskWorld world = pressedWorld(2);
+  void lostResponsesDuringAnEvictionLoseNoWork() {
+    TaskTestCluster world = clusterUnderPressure(2);
     world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
     assertTrue(world.runUntilEnded(400_000));
 
     assertEquals(8, world.jobState("payout").done());
-    assertSound(world);
+    assertNoViolations(world);
     assertNoWorkRedone(world);
   }
 
@@ -100,18 +100,18 @@
   void anEvictionInterruptedAnywhereResumesOnce(
       @ForAll @IntRange(max = 1_000) int seed,
       @ForAll @IntRange(min = 1, max = 120) int everySteps) {
-    TaskWorld world = pressedWorld(seed);
+    TaskTestCluster world = clusterUnderPressure(seed);
     IntStream.range(0, 6)
         .forEach(
             kill -> {
-              world.run(TaskWorld.STEP_MILLIS * everySteps);
+              world.run(TaskTestCluster.STEP_MILLIS * everySteps);
               world.vm(1).startSide();
             });
     world.vm(1).pressure(0);
 
     assertTrue(world.runUntilEnded(400_000));
     assertEquals(8, world.jobState("payout").done());
-    assertSound(world);
+    assertNoViolations(world);
     assertNoWorkRedone(world);
   }
 
@@ -120,16 +120,16 @@
    * is done by the others.
    */
   @Test
-  void aWorkerThatFailsEverythingIsSetApart() {
-    TaskWorld world = new TaskWorld(3, 2, 3, ROOM_FOR_FOUR);
+  void quarantinesAWorkerThatFailsEverything() {
+    TaskTestCluster world = new TaskTestCluster(3, 2, 3, CAPACITY_FOR_FOUR);
     world.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.submit(TaskWorld.job("payout", 60, 2_000));
+    world.submit(TaskTestCluster.job("payout", 60, 2_000));
     assertTrue(world.runUntilEnded(120_000));
 
     assertEquals(60, world.jobState("payout").done());
     long failed = world.runs().stream().filter(run -> run.worker().equals("vm-1")).count();
     assertTrue(failed <= 16, () -> "failed " + failed);
     assertFalse(world.runs().isEmpty());
-    assertSound(world);
+    assertNoViolations(world);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/LeaseTermsTest.java
@@ -12,21 +12,21 @@
 
 /** What a lease's length buys and costs; prints the rows of the table in the operators' page. */
 class LeaseTermsTest {
-  private static final Sizes ROOM = new Sizes(2_000, 100_000, 0);
+  private static final Sizes CAPACITY = new Sizes(2_000, 100_000, 0);
   private static final long START_MILLIS = 10_000;
   private static final long STEP_MILLIS = 1_000;
 
-  private static TaskWorld world(long leaseMillis) {
+  private static TaskTestCluster newCluster(long leaseMillis) {
     LeaseTerms leases =
         new LeaseTerms(leaseMillis, leaseMillis, LeaseTerms.DEFAULT.silenceMillis());
-    TaskWorld world = new TaskWorld(21, 2, 2, ROOM, leases);
-    world.submit(TaskWorld.job("watch", 2, 10_000_000));
+    TaskTestCluster world = new TaskTestCluster(21, 2, 2, CAPACITY, leases);
+    world.submit(TaskTestCluster.job("watch", 2, 10_000_000));
     world.run(START_MILLIS + leaseMillis);
     return world;
   }
 
   private static boolean survives(long leaseMillis, long outageMillis) {
-    TaskWorld world = world(leaseMillis);
+    TaskTestCluster world = newCluster(leaseMillis);
     world.log().down(true);
     world.run(outageMillis);
     world.log().down(false);
@@ -44,11 +44,11 @@
   }
 
   private static long failoverMillis(long leaseMillis) {
-    TaskWorld world = world(leaseMillis);
+    TaskTestCluster world = newCluster(leaseMillis);
     long diedMillis = world.clock().millis();
     world.cut("vm-1");
     while (world.runs().size() == 2) {
-      world.run(TaskWorld.STEP_MILLIS);
+      world.run(TaskTestCluster.STEP_MILLIS);
     }
     List<WorkerRun> runs = world.runs();
     assertEquals(List.of(), world.violations());
@@ -62,7 +62,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {10_000, 20_000, 30_000, 60_000, 120_000, 300_000})
-  void aLeaseTradesOutagesAgainstFailover(long leaseMillis) {
+  void leaseLengthBoundsOutageToleranceAndFailover(long leaseMillis) {
     long survived = longestSurvived(leaseMillis);
     long failover = failoverMillis(leaseMillis);
     System.out.printf(
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTasksTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/SideTaskRunnerTest.java
@@ -18,13 +18,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SideTasksTest {
+class SideTaskRunnerTest {
   private static final long MILLI = 1_000_000;
   private static final Sizes CAPACITY = new Sizes(2_000, 2_000, 0);
   private static final long REGISTRATION = 100;
   private static final long LEASE_MILLIS = 10_000;
 
-  private static final class Sent implements TaskChannel {
+  private static final class RecordingChannel implements TaskChannel {
     private final List<TaskMessage> messages = new ArrayList<>();
 
     @Override
@@ -40,12 +40,12 @@
 
   private final VirtualClock clock = new VirtualClock();
   private final FakeWorker worker = new FakeWorker("vm-1", CAPACITY, clock);
-  private final Sent sent = new Sent();
-  private SideTasks side = newSide(5);
+  private final RecordingChannel channel = new RecordingChannel();
+  private SideTaskRunner side = newSide(5);
 
-  private SideTasks newSide(long processIncarnation) {
+  private SideTaskRunner newSide(long processIncarnation) {
     SideIdentity identity = new SideIdentity("vm-1", processIncarnation, "zone", "rack");
-    return new SideTasks(identity, worker, sent, clock, EventRecorder.none());
+    return new SideTaskRunner(identity, worker, channel, clock, EventRecorder.none());
   }
 
   private void run(long millis) {
@@ -55,7 +55,7 @@
     }
   }
 
-  private void vouch(long registration, long process) {
+  private void confirm(long registration, long process) {
     Vouch vouch =
         Vouch.newBuilder()
             .setRegistration(registration)
@@ -85,22 +85,22 @@
   }
 
   private List<TaskReport.State> reports(long token) {
-    return sent.messages.stream()
+    return channel.messages.stream()
         .filter(message -> message.hasReport() && message.getReport().getToken() == token)
         .map(message -> message.getReport().getState())
         .distinct()
         .toList();
   }
 
-  private void ready() {
+  private void confirmRegistration() {
     run(100);
-    vouch(REGISTRATION, 5);
+    confirm(REGISTRATION, 5);
     side.step();
   }
 
   @Test
-  void startsWhatAnAcceptedClaimSays() {
-    ready();
+  void startsAnAcceptedClaim() {
+    confirmRegistration();
     send(start(101));
 
     assertEquals(1, worker.runs().size());
@@ -109,14 +109,14 @@
 
   /** The third task does not fit, whatever its entry believed; the worker is not even asked. */
   @Test
-  void refusesWhatDoesNotFit() {
-    ready();
+  void rejectsStartsBeyondTheCapacity() {
+    confirmRegistration();
     send(start(101));
     send(start(102));
     send(start(103));
 
     assertEquals(2, worker.runs().size());
-    assertEquals(0, worker.askedOverCapacity());
+    assertEquals(0, worker.rejectedOverCapacity());
     assertEquals(List.of(TaskReport.State.REFUSED), reports(103));
   }
 
@@ -125,8 +125,8 @@
    * reported all the same, once the worker has confirmed it.
    */
   @Test
-  void aRefusalIsReportedThoughItsConfirmationWasLost() {
-    ready();
+  void aRejectionIsReportedAfterTheStopResponseWasLost() {
+    confirmRegistration();
     send(start(101));
     send(start(102));
     worker.setFaults(WorkerFaults.none().withLoseAnswers(1));
@@ -142,16 +142,16 @@
    * room all the same, because it asks the worker before anything else.
    */
   @Test
-  void aNewSideProcessCountsWhatItsWorkerRuns() {
-    ready();
+  void aNewSideProcessCountsRunningTasksAsOccupied() {
+    confirmRegistration();
     send(start(101));
     send(start(102));
     side = newSide(6);
     run(100);
-    vouch(REGISTRATION, 6);
+    confirm(REGISTRATION, 6);
     send(start(103).setProcessIncarnation(6));
 
-    assertEquals(0, worker.askedOverCapacity());
+    assertEquals(0, worker.rejectedOverCapacity());
     assertEquals(List.of(TaskReport.State.REFUSED), reports(103));
   }
 
@@ -163,7 +163,7 @@
   void aStartForAnEarlierSideProcessIsDropped() {
     side = newSide(6);
     run(100);
-    vouch(REGISTRATION, 6);
+    confirm(REGISTRATION, 6);
     send(start(101));
 
     assertEquals(List.of(), worker.runs());
@@ -173,7 +173,7 @@
   @Test
   void aStartForAnEarlierRegistrationIsDropped() {
     run(100);
-    vouch(REGISTRATION + 50, 5);
+    confirm(REGISTRATION + 50, 5);
     send(start(101));
 
     assertEquals(List.of(), worker.runs());
@@ -181,8 +181,8 @@
 
   /** Without evidence younger than the lease nothing starts: the VM may have been revoked. */
   @Test
-  void nothingStartsOnOldEvidence() {
-    ready();
+  void nothingStartsAfterTheConfirmationExpired() {
+    confirmRegistration();
     clock.advance((LEASE_MILLIS + 1) * MILLI);
     send(start(101));
 
@@ -195,8 +195,8 @@
    * worker stops the task when its lease passes; the side process then says so until acknowledged.
    */
   @Test
-  void withoutVouchesTasksStopAtTheirLease() {
-    ready();
+  void tasksStopAtTheirLeaseWithoutConfirmations() {
+    confirmRegistration();
     send(start(101));
     run(LEASE_MILLIS + 1_000);
 
@@ -207,7 +207,7 @@
         "entry-1",
         TaskMessage.newBuilder().setReportAck(TaskReportAck.newBuilder().setToken(101)).build());
     side.step();
-    sent.messages.clear();
+    channel.messages.clear();
     run(5_000);
     assertEquals(List.of(), reports(101));
   }
@@ -215,13 +215,13 @@
   /** A late copy of a start comes after its task has ended and was acknowledged. */
   @Test
   void anAcknowledgedTaskIsNotStartedAgain() {
-    ready();
+    confirmRegistration();
     send(start(101).setRunMillis(100).setCommand("work=100"));
     run(1_000);
     side.onMessage(
         "entry-1",
         TaskMessage.newBuilder().setReportAck(TaskReportAck.newBuilder().setToken(101)).build());
-    vouch(REGISTRATION, 5);
+    confirm(REGISTRATION, 5);
     send(start(101));
 
     assertEquals(1, worker.runs().size());
@@ -229,22 +229,22 @@
 
   /** A worker that answers nothing makes its VM stop asking, so that entries revoke it. */
   @Test
-  void aVmWithASilentWorkerAsksNoMore() {
-    ready();
+  void requestsNoConfirmationsWhileTheWorkerIsUnresponsive() {
+    confirmRegistration();
     worker.setFaults(WorkerFaults.none().withDown(true));
     run(11_000);
-    sent.messages.clear();
+    channel.messages.clear();
     run(5_000);
 
-    assertTrue(sent.messages.stream().noneMatch(TaskMessage::hasAskVouch));
+    assertTrue(channel.messages.stream().noneMatch(TaskMessage::hasAskVouch));
   }
 
   @Test
-  void asksWithItsOwnClock() {
+  void requestsConfirmationsWithItsOwnClock() {
     run(1_100);
 
     AskVouch ask =
-        sent.messages.stream().filter(TaskMessage::hasAskVouch).findFirst().get().getAskVouch();
+        channel.messages.stream().filter(TaskMessage::hasAskVouch).findFirst().get().getAskVouch();
     assertEquals("vm-1", ask.getVm());
     assertEquals(2_000, ask.getMilliProcessors());
     assertTrue(ask.getAskedNanos() <= clock.nanos());
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskFaultsTest.java
@@ -13,18 +13,18 @@
 
 /** Each failure of the list in issue 5, judged by the workers' own records. */
 class TaskFaultsTest {
-  private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
+  private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long LONG_MILLIS = 60_000;
 
-  private static void assertSound(TaskWorld world) {
+  private static void assertNoViolations(TaskTestCluster world) {
     assertEquals(List.of(), world.violations());
     assertEquals(0, world.askedOverCapacity());
   }
 
-  private static void assertAllDone(TaskWorld world, String job, int count, long mostMillis) {
+  private static void assertAllDone(TaskTestCluster world, String job, int count, long mostMillis) {
     assertTrue(world.runUntilEnded(mostMillis), () -> "not ended: " + world.tasks(job));
     assertEquals(count, world.jobState(job).done());
-    assertSound(world);
+    assertNoViolations(world);
   }
 
   /**
@@ -32,12 +32,12 @@
    * VMs to start them. The tasks must not stay claimed for ever: another entry starts them.
    */
   @Test
-  void tasksStartThoughTheirEntryDiedBetweenClaimAndStart() {
-    TaskWorld world = new TaskWorld(2, 1, 2, ROOM_FOR_FOUR);
+  void anotherEntryStartsTasksClaimedByADeadEntry() {
+    TaskTestCluster world = new TaskTestCluster(2, 1, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
     world.cut("entry-1>vm-1");
     world.cut("entry-1>vm-2");
-    world.submit(TaskWorld.job("payout", 6, 2_000));
+    world.submit(TaskTestCluster.job("payout", 6, 2_000));
     world.run(500);
     world.killEntry("entry-1");
     assertEquals(List.of(), world.runs());
@@ -53,9 +53,9 @@
    * forgotten and nothing started twice: all that matters stands in the log and in the workers.
    */
   @Test
-  void nothingIsForgottenWhenEveryEntryDiesAtOnce() {
-    TaskWorld world = new TaskWorld(3, 3, 3, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 30, 3_000));
+  void tasksSurviveTheDeathOfEveryEntry() {
+    TaskTestCluster world = new TaskTestCluster(3, 3, 3, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 30, 3_000));
     world.run(4_000);
     world.killEntry("entry-1");
     world.killEntry("entry-2");
@@ -72,9 +72,9 @@
    * worker; the new process must adopt them, not run them anew, not let their leases lapse.
    */
   @Test
-  void aNewSideProcessAdoptsWhatItsWorkerRuns() {
-    TaskWorld world = new TaskWorld(4, 2, 1, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 4, LONG_MILLIS));
+  void aNewSideProcessAdoptsRunningTasks() {
+    TaskTestCluster world = new TaskTestCluster(4, 2, 1, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
     world.run(5_000);
     world.vm(1).killSide();
     world.run(1_000);
@@ -89,9 +89,9 @@
    * leases pass; only after that may they run elsewhere.
    */
   @Test
-  void tasksOfAVmWithoutSideProcessRunElsewhereAfterTheirLeases() {
-    TaskWorld world = new TaskWorld(5, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 6, LONG_MILLIS));
+  void tasksMoveAfterTheirLeasesWhenTheSideProcessDies() {
+    TaskTestCluster world = new TaskTestCluster(5, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
     world.run(5_000);
     world.vm(1).killSide();
 
@@ -105,13 +105,13 @@
    * still wait for it.
    */
   @Test
-  void aSideProcessThatWakesUpLateRunsNothingTwice() {
-    TaskWorld world = new TaskWorld(6, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 6, LONG_MILLIS));
+  void aSideProcessResumedAfterItsLeasesRunsNothingTwice() {
+    TaskTestCluster world = new TaskTestCluster(6, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 6, LONG_MILLIS));
     world.run(5_000);
-    world.vm(1).freezeSide(true);
+    world.vm(1).pauseSide(true);
     world.run(40_000);
-    world.vm(1).freezeSide(false);
+    world.vm(1).pauseSide(false);
 
     assertAllDone(world, "payout", 6, 4 * LONG_MILLIS);
   }
@@ -121,13 +121,13 @@
    * again. The task runs elsewhere by then; the old start names the old registration.
    */
   @Test
-  void aStartFromBeforeARevocationIsNotObeyedAfterIt() {
-    TaskWorld world = new TaskWorld(7, 1, 2, ROOM_FOR_FOUR);
+  void aStartFromBeforeARevocationIsIgnored() {
+    TaskTestCluster world = new TaskTestCluster(7, 1, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.vm(1).freezeSide(true);
-    world.submit(TaskWorld.job("payout", 4, LONG_MILLIS));
+    world.vm(1).pauseSide(true);
+    world.submit(TaskTestCluster.job("payout", 4, LONG_MILLIS));
     world.run(30_000);
-    world.vm(1).freezeSide(false);
+    world.vm(1).pauseSide(false);
 
     assertAllDone(world, "payout", 4, 4 * LONG_MILLIS);
   }
@@ -137,13 +137,13 @@
    * leases lapse, its tasks run elsewhere, and when it is back it takes part again.
    */
   @Test
-  void aVmCutOffFromEverythingStopsBeforeOthersStart() {
-    TaskWorld world = new TaskWorld(8, 3, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, LONG_MILLIS));
+  void anIsolatedVmStopsItsTasksBeforeOthersStartThem() {
+    TaskTestCluster world = new TaskTestCluster(8, 3, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
     world.run(5_000);
     world.cut("vm-1");
     world.run(45_000);
-    world.mend("vm-1");
+    world.reconnect("vm-1");
 
     assertAllDone(world, "payout", 8, 6 * LONG_MILLIS);
     assertTrue(world.runs().stream().anyMatch(run -> run.state().name().equals("LAPSED")));
@@ -154,9 +154,9 @@
    * it: its tasks run on, each once.
    */
   @Test
-  void aVmThatOnlyOneEntryMissesIsNotRevoked() {
-    TaskWorld world = new TaskWorld(9, 3, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, LONG_MILLIS));
+  void aVmUnreachableForOneEntryIsNotRevoked() {
+    TaskTestCluster world = new TaskTestCluster(9, 3, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, LONG_MILLIS));
     world.run(5_000);
     world.cut("vm-1>entry-2");
     world.cut("entry-2>vm-1");
@@ -171,8 +171,8 @@
    */
   @Test
   void runningTasksOutliveAnOutageShorterThanTheirLease() {
-    TaskWorld world = new TaskWorld(10, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 20_000));
+    TaskTestCluster world = new TaskTestCluster(10, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 20_000));
     world.run(5_000);
     world.log().down(true);
     world.run(6_000);
@@ -189,8 +189,8 @@
    */
   @Test
   void tasksResumeFromCheckpointsAfterAnOutageLongerThanTheirLease() {
-    TaskWorld world = new TaskWorld(11, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 20_000));
+    TaskTestCluster world = new TaskTestCluster(11, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 20_000));
     world.run(12_000);
     world.log().down(true);
     world.run(30_000);
@@ -204,10 +204,10 @@
 
   /** Records stand in the log twice; doubled claims, releases and ends count once. */
   @Test
-  void doubledRecordsCountOnce() {
-    TaskWorld world = new TaskWorld(12, 3, 3, ROOM_FOR_FOUR);
-    world.log().doubleNext(1_000);
-    world.submit(TaskWorld.job("payout", 30, 2_000));
+  void duplicateRecordsAreAppliedOnce() {
+    TaskTestCluster world = new TaskTestCluster(12, 3, 3, CAPACITY_FOR_FOUR);
+    world.log().duplicateNext(1_000);
+    world.submit(TaskTestCluster.job("payout", 30, 2_000));
 
     assertAllDone(world, "payout", 30, LONG_MILLIS);
     assertEquals(30, world.runs().size());
@@ -215,11 +215,11 @@
 
   /** The answers to appends are lost after they took effect; claims made so are started anyway. */
   @Test
-  void claimsWhoseAnswerWasLostAreStarted() {
-    TaskWorld world = new TaskWorld(13, 2, 3, ROOM_FOR_FOUR);
+  void claimsWithALostResponseAreStarted() {
+    TaskTestCluster world = new TaskTestCluster(13, 2, 3, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.log().loseNextAnswers(200);
-    world.submit(TaskWorld.job("payout", 12, 2_000));
+    world.log().loseNextResponses(200);
+    world.submit(TaskTestCluster.job("payout", 12, 2_000));
 
     assertAllDone(world, "payout", 12, LONG_MILLIS);
     assertEquals(12, world.runs().size());
@@ -231,9 +231,9 @@
    * than it holds.
    */
   @Test
-  void aSmallerVmUnderTheSameNameIsANewVm() {
-    TaskWorld world = new TaskWorld(14, 2, 1, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 4, 20_000));
+  void aSmallerVmUnderTheSameNameGetsItsOwnRegistration() {
+    TaskTestCluster world = new TaskTestCluster(14, 2, 1, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 4, 20_000));
     world.run(5_000);
     world.vm(1).replace(new Sizes(2_000, 100_000, 0));
 
@@ -243,10 +243,10 @@
 
   /** The worker's answers to starts and stops are lost; nothing runs twice and all tasks end. */
   @Test
-  void lostAnswersOfTheWorkerAreSettledByAskingIt() {
-    TaskWorld world = new TaskWorld(15, 2, 2, ROOM_FOR_FOUR);
+  void lostWorkerResponsesAreResolvedByQueryingTheWorker() {
+    TaskTestCluster world = new TaskTestCluster(15, 2, 2, CAPACITY_FOR_FOUR);
     world.run(3_000);
-    world.submit(TaskWorld.job("payout", 8, 3_000));
+    world.submit(TaskTestCluster.job("payout", 8, 3_000));
     world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(12));
 
     assertAllDone(world, "payout", 8, 2 * LONG_MILLIS);
@@ -255,24 +255,24 @@
   /** A wave of cancellations reaches running tasks and those that wait; all end as cancelled. */
   @Test
   void cancellationsReachRunningTasks() {
-    TaskWorld world = new TaskWorld(16, 2, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 30, LONG_MILLIS));
+    TaskTestCluster world = new TaskTestCluster(16, 2, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 30, LONG_MILLIS));
     world.run(5_000);
     world.cancel("payout");
 
     assertTrue(world.runUntilEnded(10_000));
     assertEquals(30, world.jobState("payout").cancelled());
     assertTrue(world.runs().stream().noneMatch(run -> run.endMillis() == 0));
-    assertSound(world);
+    assertNoViolations(world);
   }
 
   /** Three entries decide on views that lag by half a second; bookings never exceed a VM. */
   @Test
   void entriesWithStaleViewsNeverOverbook() {
-    TaskWorld world = new TaskWorld(17, 3, 3, ROOM_FOR_FOUR);
-    world.entry(1).lag(500);
-    world.entry(2).lag(800);
-    world.submit(TaskWorld.job("payout", 40, 1_000));
+    TaskTestCluster world = new TaskTestCluster(17, 3, 3, CAPACITY_FOR_FOUR);
+    world.entry(1).setLag(500);
+    world.entry(2).setLag(800);
+    world.submit(TaskTestCluster.job("payout", 40, 1_000));
 
     assertAllDone(world, "payout", 40, 2 * LONG_MILLIS);
   }
@@ -282,11 +282,11 @@
    * report: the side process would forget the end, and the task would stay claimed for ever.
    */
   @Test
-  void anEntryThatLagsAcknowledgesNothingItHasNotRead() {
-    TaskWorld world = new TaskWorld(19, 3, 3, ROOM_FOR_FOUR);
-    world.entry(1).lag(4_000);
-    world.entry(2).lag(4_000);
-    world.submit(TaskWorld.job("payout", 30, 200));
+  void aLaggingEntryAcknowledgesOnlyWhatItHasRead() {
+    TaskTestCluster world = new TaskTestCluster(19, 3, 3, CAPACITY_FOR_FOUR);
+    world.entry(1).setLag(4_000);
+    world.entry(2).setLag(4_000);
+    world.submit(TaskTestCluster.job("payout", 30, 200));
 
     assertAllDone(world, "payout", 30, 2 * LONG_MILLIS);
   }
@@ -296,34 +296,34 @@
    * claimed by the other one after a while.
    */
   @Test
-  void anEntryWithoutVmsHoldsUpNothing() {
-    TaskWorld world = new TaskWorld(20, 2, 3, ROOM_FOR_FOUR);
+  void anIsolatedEntryDoesNotDelayTasks() {
+    TaskTestCluster world = new TaskTestCluster(20, 2, 3, CAPACITY_FOR_FOUR);
     world.run(2_000);
     for (int vm = 1; vm <= 3; vm++) {
       world.cut("entry-2>vm-" + vm);
       world.cut("vm-" + vm + ">entry-2");
     }
     world.run(5_000);
-    world.submit(TaskWorld.job("payout", 12, 1_000));
+    world.submit(TaskTestCluster.job("payout", 12, 1_000));
 
     assertAllDone(world, "payout", 12, LONG_MILLIS);
   }
 
   /** A task that fails on every VM ends as failed with the reason; it does not go on for ever. */
   @Test
-  void aTaskThatFailsEverywhereEndsWithItsReason() {
-    TaskWorld world = new TaskWorld(18, 2, 4, ROOM_FOR_FOUR);
+  void aTaskThatFailsOnEveryVmEndsAsFailed() {
+    TaskTestCluster world = new TaskTestCluster(18, 2, 4, CAPACITY_FOR_FOUR);
     world.vm(1).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(2).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(3).worker().setFaults(WorkerFaults.none().withFailEverything(true));
     world.vm(4).worker().setFaults(WorkerFaults.none().withFailEverything(true));
-    world.submit(TaskWorld.job("payout", 1, 1_000));
+    world.submit(TaskTestCluster.job("payout", 1, 1_000));
 
     assertTrue(world.runUntilEnded(LONG_MILLIS));
     TaskState task = world.tasks("payout").get(0);
     assertEquals(TaskState.Phase.FAILED, task.phase());
     assertEquals(3, task.failedVms().size());
     assertFalse(task.detail().isEmpty());
-    assertSound(world);
+    assertNoViolations(world);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskWorld.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/TaskTestCluster.java
@@ -34,21 +34,21 @@
  * Entries, side processes, fake workers, a fake log and a fake network on one virtual clock; every
  * part but those fakes is the real one.
  */
-final class TaskWorld {
+final class TaskTestCluster {
   static final long STEP_MILLIS = 50;
   static final LeaseTerms LEASES = new LeaseTerms(5_000, 10_000, 4_000);
 
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private record Letter(long dueNanos, String from, String to, TaskMessage message) {}
+  private record MessageInTransit(long dueNanos, String from, String to, TaskMessage message) {}
 
   /** A VM with its worker, and the side process that is on it now. */
   final class Vm {
     private final String name;
     private FakeWorker worker;
-    private SideTasks side;
-    private boolean frozen;
-    private long processes;
+    private SideTaskRunner side;
+    private boolean paused;
+    private long processCount;
     private double pressure;
 
     Vm(String name, Sizes capacity) {
@@ -63,20 +63,14 @@
 
     /** Starts a side process, in place of the one before. */
     void startSide() {
-      processes++;
-      frozen = false;
+      processCount++;
+      paused = false;
       SideIdentity identity =
-          new SideIdentity(name, clock.nanos() + processes, "zone-1", "rack-" + name);
+          new SideIdentity(name, clock.nanos() + processCount, "zone-1", "rack-" + name);
       Channel channel = new Channel(name, entries::keySet);
       side =
-          new SideTasks(
-              identity,
-              worker,
-              channel,
-              new PressedService(this),
-              clock,
-              clock,
-              EventRecorder.none());
+          new SideTaskRunner(
+              identity, worker, channel, new FakeService(this), clock, clock, EventRecorder.none());
     }
 
     /** Slows the VM's service to so many times its goal. */
@@ -89,8 +83,8 @@
     }
 
     /** Freezes or wakes the side process; what reaches it meanwhile waits for it. */
-    void freezeSide(boolean nowFrozen) {
-      frozen = nowFrozen;
+    void pauseSide(boolean nowFrozen) {
+      paused = nowFrozen;
     }
 
     /** Puts another machine under this VM's name; the old one lives on, unreachable. */
@@ -103,14 +97,14 @@
   }
 
   /** A service whose tail latency is what a test says. */
-  private record PressedService(Vm vm) implements ServiceWatch {
+  private record FakeService(Vm vm) implements ServiceMonitor {
     @Override
     public Optional<ServiceReading> reading(long nowNanos) {
       return Optional.of(new ServiceReading(vm.pressure, 1, nowNanos));
     }
 
     @Override
-    public GuardPolicy terms() {
+    public GuardPolicy policy() {
       return GuardPolicy.DEFAULT;
     }
   }
@@ -119,19 +113,19 @@
   final class Entry {
     private final TaskTable table = new TaskTable();
     private final Map<Long, List<Runnable>> onApplied = new TreeMap<>();
-    private EntryTasks tasks;
+    private EntryTaskScheduler tasks;
     private int applied;
     private long lagMillis;
 
     Entry(String name) {
       EntryIdentity identity = new EntryIdentity(name, clock.nanos() + 1);
       tasks =
-          new EntryTasks(
+          new EntryTaskScheduler(
               identity,
               table,
               record -> log.append(this, record),
               new Channel(name, vms::keySet),
-              () -> new TaskTerms(leases, Map.of(), GuardPolicy.DEFAULT),
+              () -> new TaskPolicy(leases, Map.of(), GuardPolicy.DEFAULT),
               clock,
               clock,
               new Random(7),
@@ -142,19 +136,19 @@
       return table;
     }
 
-    void lag(long millis) {
+    void setLag(long millis) {
       lagMillis = millis;
     }
 
-    void await(long position, Runnable step) {
+    void runAfterApplied(long position, Runnable step) {
       onApplied.computeIfAbsent(position, unused -> new ArrayList<>()).add(step);
     }
 
-    private void follow() {
+    private void applyVisible() {
       if (log.down()) {
         return;
       }
-      while (applied < log.size() && log.writtenNanos(applied) <= lagged()) {
+      while (applied < log.size() && log.writtenNanos(applied) <= visibleUntilNanos()) {
         long position = applied;
         table.apply(position, log.record(applied));
         applied++;
@@ -165,7 +159,7 @@
       }
     }
 
-    private long lagged() {
+    private long visibleUntilNanos() {
       return clock.nanos() - lagMillis * NANOS_PER_MILLI;
     }
   }
@@ -185,7 +179,7 @@
         return true;
       }
       long transit = random.nextInt(3 * (int) NANOS_PER_MILLI);
-      letters.add(new Letter(clock.nanos() + transit, own, peer, message));
+      messages.add(new MessageInTransit(clock.nanos() + transit, own, peer, message));
       return true;
     }
 
@@ -202,14 +196,14 @@
   private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Map<String, Vm> vms = new LinkedHashMap<>();
   private final List<FakeWorker> workers = new ArrayList<>();
-  private final List<Letter> letters = new ArrayList<>();
+  private final List<MessageInTransit> messages = new ArrayList<>();
   private final Set<String> cut = new HashSet<>();
 
-  TaskWorld(long seed, int entryCount, int vmCount, Sizes capacity) {
+  TaskTestCluster(long seed, int entryCount, int vmCount, Sizes capacity) {
     this(seed, entryCount, vmCount, capacity, LEASES);
   }
 
-  TaskWorld(long seed, int entryCount, int vmCount, Sizes capacity, LeaseTerms leases) {
+  TaskTestCluster(long seed, int entryCount, int vmCount, Sizes capacity, LeaseTerms leases) {
     this.leases = leases;
     random = new Random(seed);
     clock.advance(1_000 * NANOS_PER_MILLI);
@@ -252,7 +246,7 @@
     cut.add(what);
   }
 
-  void mend(String what) {
+  void reconnect(String what) {
     cut.remove(what);
   }
 
@@ -301,11 +295,11 @@
   }
 
   JobState jobState(String job) {
-    return log.truth().job(job).orElseThrow();
+    return log.referenceTable().job(job).orElseThrow();
   }
 
   List<TaskState> tasks(String job) {
-    return log.truth().tasksOf(job);
+    return log.referenceTable().tasksOf(job);
   }
 
   /** Returns all runs of the workers' own records, by start. */
@@ -322,40 +316,40 @@
   }
 
   long askedOverCapacity() {
-    return workers.stream().mapToLong(FakeWorker::askedOverCapacity).sum();
+    return workers.stream().mapToLong(FakeWorker::rejectedOverCapacity).sum();
   }
 
   private boolean ended() {
-    return log.truth().jobs().isEmpty();
+    return log.referenceTable().jobs().isEmpty();
   }
 
   private void step() {
     clock.advance(STEP_MILLIS * NANOS_PER_MILLI);
     deliver();
-    log.settle();
+    log.processAppends();
     for (Entry entry : List.copyOf(entries.values())) {
-      entry.follow();
+      entry.applyVisible();
       entry.tasks.tick();
     }
     for (Vm vm : vms.values()) {
-      if (vm.side != null && !vm.frozen) {
+      if (vm.side != null && !vm.paused) {
         vm.side.step();
       }
     }
   }
 
   private void deliver() {
-    List<Letter> due = new ArrayList<>();
-    for (Letter letter : letters) {
+    List<MessageInTransit> due = new ArrayList<>();
+    for (MessageInTransit letter : messages) {
       Vm vm = vms.get(letter.to());
-      boolean waits = vm != null && vm.frozen;
+      boolean waits = vm != null && vm.paused;
       if (letter.dueNanos() <= clock.nanos() && !waits) {
         due.add(letter);
       }
     }
-    letters.removeAll(due);
-    due.sort(Comparator.comparingLong(Letter::dueNanos));
-    for (Letter letter : due) {
+    messages.removeAll(due);
+    due.sort(Comparator.comparingLong(MessageInTransit::dueNanos));
+    for (MessageInTransit letter : due) {
       Vm vm = vms.get(letter.to());
       Entry entry = entries.get(letter.to());
       if (vm != null && vm.side != null) {
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/task/UrgentWorkTest.java
@@ -16,18 +16,18 @@
 
 /** Urgent work comes into a fleet that batch work fills for a minute. */
 class UrgentWorkTest {
-  private static final Sizes ROOM_FOR_FOUR = new Sizes(4_000, 100_000, 0);
+  private static final Sizes CAPACITY_FOR_FOUR = new Sizes(4_000, 100_000, 0);
   private static final long URGENT_START_MILLIS = 2_900;
 
-  private static TaskWorld fullWorld(long seed, int entries) {
-    TaskWorld world = new TaskWorld(seed, entries, 2, ROOM_FOR_FOUR);
-    world.submit(TaskWorld.job("payout", 8, 60_000));
+  private static TaskTestCluster fullCluster(long seed, int entries) {
+    TaskTestCluster world = new TaskTestCluster(seed, entries, 2, CAPACITY_FOR_FOUR);
+    world.submit(TaskTestCluster.job("payout", 8, 60_000));
     world.run(5_000);
     assertEquals(8, world.jobState("payout").claimed());
     return world;
   }
 
-  private static void submitUrgent(TaskWorld world) {
+  private static void submitUrgent(TaskTestCluster world) {
     world.submit(
         new JobSpec(
             "now",
@@ -44,12 +44,12 @@
             Spread.NONE));
   }
 
-  private static long evictions(TaskWorld world) {
+  private static long evictions(TaskTestCluster world) {
     return world.tasks("payout").stream().mapToInt(TaskState::evictions).sum();
   }
 
   /** All is done in the end; one task went for the urgent one and resumed where it had been. */
-  private static void assertOneWentAndResumed(TaskWorld world) {
+  private static void assertOneEvictedAndResumed(TaskTestCluster world) {
     assertTrue(world.runUntilEnded(400_000), () -> "not ended: " + world.tasks("payout"));
     assertEquals(8, world.jobState("payout").done());
     assertEquals(1, world.jobState("now").done());
@@ -66,13 +66,13 @@
    * ended; now one task of the batch work goes for it.
    */
   @Test
-  void urgentWorkStartsInAFullFleet() {
-    TaskWorld world = fullWorld(1, 3);
+  void anUrgentTaskStartsInAFullFleet() {
+    TaskTestCluster world = fullCluster(1, 3);
     submitUrgent(world);
     world.run(URGENT_START_MILLIS);
 
     assertTrue(world.runs().stream().anyMatch(run -> run.task().equals("now/0")));
-    assertOneWentAndResumed(world);
+    assertOneEvictedAndResumed(world);
   }
 
   /**
@@ -80,20 +80,20 @@
    * on from the log and evicts nobody else.
    */
   @Test
-  void aPreemptionOutlivesTheEntryThatWroteIt() {
-    TaskWorld world = fullWorld(2, 1);
+  void aPreemptionSurvivesTheEntryThatWroteIt() {
+    TaskTestCluster world = fullCluster(2, 1);
     world.cut("entry-1>vm-1");
     world.cut("entry-1>vm-2");
     submitUrgent(world);
     world.run(1_000);
     world.killEntry("entry-1");
-    assertEquals(1, world.log().truth().preemptions().size());
+    assertEquals(1, world.log().referenceTable().preemptions().size());
     assertEquals(0, evictions(world));
     world.startEntry("entry-2");
     world.run(8_000);
 
     assertTrue(world.runs().stream().anyMatch(run -> run.task().equals("now/0")));
-    assertOneWentAndResumed(world);
+    assertOneEvictedAndResumed(world);
   }
 
   /**
@@ -101,12 +101,12 @@
    * not take it; the next entry claims it for the urgent task.
    */
   @Test
-  void freedRoomWaitsForTheUrgentTask() {
-    TaskWorld world = fullWorld(3, 1);
-    world.submit(TaskWorld.job("more", 4, 60_000));
+  void freedCapacityIsReservedForTheUrgentTask() {
+    TaskTestCluster world = fullCluster(3, 1);
+    world.submit(TaskTestCluster.job("more", 4, 60_000));
     submitUrgent(world);
     while (evictions(world) == 0) {
-      world.run(TaskWorld.STEP_MILLIS);
+      world.run(TaskTestCluster.STEP_MILLIS);
     }
     world.killEntry("entry-1");
     assertEquals(0, world.jobState("now").claimed());
@@ -121,13 +121,13 @@
 
   /** The answers to the log's appends, to checkpoints and to stops are lost meanwhile. */
   @Test
-  void lostAnswersEvictNobodyElse() {
-    TaskWorld world = fullWorld(4, 2);
-    world.log().loseNextAnswers(2);
+  void lostResponsesEvictNoFurtherTask() {
+    TaskTestCluster world = fullCluster(4, 2);
+    world.log().loseNextResponses(2);
     world.vm(1).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
     world.vm(2).worker().setFaults(WorkerFaults.none().withLoseAnswers(60));
     submitUrgent(world);
 
-    assertOneWentAndResumed(world);
+    assertOneEvictedAndResumed(world);
   }
 }
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/ReportPacerTest.java
@@ -80,7 +80,7 @@
     assertEquals(20, owner);
     assertEquals(10, other);
     long interval = ReportPacer.NON_OWNER_ROUNDS * WorkflowSideProcess.REPORT_INTERVAL_NANOS;
-    assertTrue(interval < VmAvailability.SILENT_NANOS * 2 / 3, interval + " ns");
+    assertTrue(interval < VmAvailability.UNRESPONSIVE_NANOS * 2 / 3, interval + " ns");
   }
 
   @Test
--- a/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
+++ b/marigoldsail-daemon/src/test/java/io/marigoldsail/daemon/workflow/WorkflowLoggingTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import io.marigoldsail.daemon.observe.BlockedStream;
+import io.marigoldsail.daemon.observe.BlockingOutputStream;
 import io.marigoldsail.daemon.observe.LogWriter;
 import io.marigoldsail.workflow.QueryResult;
 import java.io.IOException;
@@ -18,8 +18,8 @@
 
 class WorkflowLoggingTest {
   private final WorkflowTestCluster cluster = new WorkflowTestCluster();
-  private final BlockedStream stream = new BlockedStream();
-  private final LogWriter writer = LogWriter.start("all", stream.printed());
+  private final BlockingOutputStream stream = new BlockingOutputStream();
+  private final LogWriter writer = LogWriter.start("all", stream.asPrintStream());
   private final Logger logger = Logger.getLogger("io.marigoldsail");
 
   @BeforeEach
@@ -42,14 +42,14 @@
   @Test
   void aBlockedStandardOutputDelaysNoWorkflow() throws IOException {
     cluster.start(2, 2, 20);
-    assertTrue(stream.awaitReached());
+    assertTrue(stream.awaitBlockedWrite());
     assertInstanceOf(
         WorkflowStore.Appended.class,
         cluster.entry(0).entry().submit(WorkflowTestCluster.workflow(41, 3, 2)).join());
     cluster.await("the workflow is done", () -> cluster.status(0, 41) == QueryResult.DONE);
     assertEquals(5, cluster.history().totalStarts());
     assertEquals(List.of(), stream.lines());
-    assertFalse(stream.isPatienceLost());
+    assertFalse(stream.isTimedOut());
     stream.release();
     cluster.await(
         "its log lines are written",
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
@@ -17,12 +17,12 @@
 /**
  * Real processes that a test starts from its own classpath and can pause, kill and stop.
  *
- * <p>Signals only processes that this instance started, each by its process id. {@link #close} kills
- * those that still run. Not thread-safe.
+ * <p>Signals only processes that this instance started, each by its process id. {@link #close}
+ * kills those that still run. Not thread-safe.
  */
 public final class ProcessFleet implements AutoCloseable {
   private static final long POLL_MILLIS = 20;
-  private static final long END_SECONDS = 20;
+  private static final long EXIT_TIMEOUT_SECONDS = 20;
 
   private final Path directory;
   private final List<String> javaOptions;
@@ -42,7 +42,8 @@
   /**
    * Starts a process.
    *
-   * @param name the name of the process in this instance; may be reused once the earlier process has exited
+   * @param name the name of the process in this instance; may be reused once the earlier process
+   *     has exited
    * @param mainClass the main class, on the classpath of this JVM
    * @param arguments the program arguments
    */
@@ -56,7 +57,7 @@
     command.addAll(arguments);
     ProcessBuilder builder = new ProcessBuilder(command);
     builder.redirectErrorStream(true);
-    builder.redirectOutput(ProcessBuilder.Redirect.appendTo(output(name).toFile()));
+    builder.redirectOutput(ProcessBuilder.Redirect.appendTo(outputFile(name).toFile()));
     try {
       processes.put(name, builder.start());
     } catch (IOException e) {
@@ -67,21 +68,21 @@
   /** Kills a process immediately, as a VM failure would, and waits for its exit. */
   public void kill(String name) {
     process(name).destroyForcibly();
-    awaitEnd(name);
+    awaitExit(name);
   }
 
-  /** Requests a graceful shutdown of a process (SIGTERM); see {@link #awaitEnd}. */
+  /** Requests a graceful shutdown of a process (SIGTERM); see {@link #awaitExit}. */
   public void stop(String name) {
     process(name).destroy();
   }
 
   /** Pauses a process (SIGSTOP): its connections stay open. */
-  public void freeze(String name) {
+  public void pause(String name) {
     signal(name, "-STOP");
   }
 
   /** Resumes a paused process (SIGCONT). */
-  public void thaw(String name) {
+  public void resume(String name) {
     signal(name, "-CONT");
   }
 
@@ -100,9 +101,9 @@
    *
    * @throws IllegalStateException if it does not exit within 20 seconds
    */
-  public int awaitEnd(String name) {
+  public int awaitExit(String name) {
     try {
-      boolean ended = process(name).waitFor(END_SECONDS, TimeUnit.SECONDS);
+      boolean ended = process(name).waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       checkState(ended, "process %s did not exit", name);
       return process(name).exitValue();
     } catch (InterruptedException e) {
@@ -112,10 +113,10 @@
   }
 
   /** Returns the output of all processes of this name so far. */
-  public String printed(String name) {
+  public String output(String name) {
     try {
-      return Files.exists(output(name))
-          ? Files.readString(output(name), StandardCharsets.UTF_8)
+      return Files.exists(outputFile(name))
+          ? Files.readString(outputFile(name), StandardCharsets.UTF_8)
           : "";
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -128,14 +129,19 @@
    * @param description a description of the condition, for the error message
    * @param seconds the timeout
    * @param condition the condition
-   * @throws IllegalStateException if it does not hold before the timeout, with the end of the output of all
-   *     processes
+   * @throws IllegalStateException if it does not hold before the timeout, with the end of the
+   *     output of all processes
    */
   public void await(String description, long seconds, BooleanSupplier condition) {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     Object monitor = new Object();
     while (!condition.getAsBoolean()) {
-      checkState(System.nanoTime() < deadline, "no %s within %s s\n%s", description, seconds, tails());
+      checkState(
+          System.nanoTime() < deadline,
+          "no %s within %s s\n%s",
+          description,
+          seconds,
+          outputTails());
       synchronized (monitor) {
         try {
           TimeUnit.MILLISECONDS.timedWait(monitor, POLL_MILLIS);
@@ -152,13 +158,13 @@
     for (Process process : processes.values()) {
       process.destroyForcibly();
     }
-    processes.keySet().forEach(this::awaitEnd);
+    processes.keySet().forEach(this::awaitExit);
   }
 
-  private String tails() {
+  private String outputTails() {
     StringBuilder all = new StringBuilder();
     for (String name : processes.keySet()) {
-      String text = printed(name);
+      String text = output(name);
       all.append("== ").append(name).append('\n');
       all.append(text.substring(Math.max(0, text.length() - 2_000)));
     }
@@ -183,7 +189,7 @@
     return process;
   }
 
-  private Path output(String name) {
+  private Path outputFile(String name) {
     return directory.resolve(name + ".out");
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/TcpFaultProxy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/TcpFaultProxy.java
@@ -37,11 +37,11 @@
 
   private final InetSocketAddress server;
   private final ServerSocket acceptor;
-  private final Set<Link> links = ConcurrentHashMap.newKeySet();
+  private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
   private final Map<Direction, AtomicLong> forwarded = new EnumMap<>(Direction.class);
-  private final Object changed = new Object();
+  private final Object delayChanged = new Object();
   private volatile boolean refusing;
-  private volatile boolean silent;
+  private volatile boolean blackholeAll;
   private volatile long delayMillis;
 
   /**
@@ -75,47 +75,51 @@
 
   /** Returns the number of open connections. */
   public int openConnections() {
-    return links.size();
+    return connections.size();
   }
 
   /** Closes all open connections; new ones are not affected. */
-  public void cutOpen() {
-    links.forEach(Link::close);
+  public void closeOpenConnections() {
+    connections.forEach(Connection::close);
   }
 
-  /** Permanently drops the bytes of all open connections in a direction; new connections are not
-   * affected. */
-  public void silenceOpen(Direction direction) {
+  /**
+   * Permanently drops the bytes of all open connections in a direction; new connections are not
+   * affected.
+   */
+  public void blackholeOpenConnections(Direction direction) {
     requireNonNull(direction, "direction");
-    links.forEach(link -> link.silence(direction));
+    connections.forEach(link -> link.blackhole(direction));
   }
 
-  /** Drops, or no longer drops, all bytes of open and new connections. Connections that were
-   * blackholed with {@link #silenceOpen} stay so. */
-  public void setSilent(boolean newSilent) {
-    silent = newSilent;
+  /**
+   * Drops, or no longer drops, all bytes of open and new connections. Connections that were
+   * blackholed with {@link #blackholeOpenConnections} stay so.
+   */
+  public void setBlackhole(boolean newSilent) {
+    blackholeAll = newSilent;
   }
 
   /** Closes all connections and refuses new ones, or accepts new ones again. */
   public void setRefusing(boolean newRefusing) {
     refusing = newRefusing;
     if (newRefusing) {
-      cutOpen();
+      closeOpenConnections();
     }
   }
 
   /** Delays the bytes of each read in both directions, by the given milliseconds. */
   public void setDelayMillis(long newDelayMillis) {
-    synchronized (changed) {
+    synchronized (delayChanged) {
       delayMillis = newDelayMillis;
-      changed.notifyAll();
+      delayChanged.notifyAll();
     }
   }
 
   @Override
   public void close() {
     closeQuietly(acceptor);
-    cutOpen();
+    closeOpenConnections();
   }
 
   private void acceptAll() {
@@ -139,22 +143,22 @@
       onward.connect(server, CONNECT_TIMEOUT_MILLIS);
       client.setTcpNoDelay(true);
       onward.setTcpNoDelay(true);
-      Link link = new Link(client, onward);
-      links.add(link);
-      startThread(() -> link.pump(Direction.TO_SERVER, client, onward));
-      link.pump(Direction.TO_CLIENT, onward, client);
+      Connection link = new Connection(client, onward);
+      connections.add(link);
+      startThread(() -> link.copy(Direction.TO_SERVER, client, onward));
+      link.copy(Direction.TO_CLIENT, onward, client);
     } catch (IOException e) {
       closeQuietly(client);
       closeQuietly(onward);
     }
   }
 
-  private void hold() throws InterruptedException {
+  private void awaitDelay() throws InterruptedException {
     long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(delayMillis);
-    synchronized (changed) {
+    synchronized (delayChanged) {
       long remainingNanos = deadlineNanos - System.nanoTime();
       while (remainingNanos > 0 && delayMillis > 0) {
-        TimeUnit.NANOSECONDS.timedWait(changed, remainingNanos);
+        TimeUnit.NANOSECONDS.timedWait(delayChanged, remainingNanos);
         remainingNanos = deadlineNanos - System.nanoTime();
       }
     }
@@ -174,41 +178,41 @@
     }
   }
 
-  private final class Link {
+  private final class Connection {
     private final Socket client;
-    private final Socket onward;
-    private final Set<Direction> silenced = ConcurrentHashMap.newKeySet();
+    private final Socket upstream;
+    private final Set<Direction> blackholed = ConcurrentHashMap.newKeySet();
 
-    private Link(Socket client, Socket onward) {
+    private Connection(Socket client, Socket onward) {
       this.client = client;
-      this.onward = onward;
+      this.upstream = onward;
     }
 
-    private void silence(Direction direction) {
-      silenced.add(direction);
+    private void blackhole(Direction direction) {
+      blackholed.add(direction);
     }
 
     private void close() {
       closeQuietly(client);
-      closeQuietly(onward);
-      links.remove(this);
+      closeQuietly(upstream);
+      connections.remove(this);
     }
 
-    private void pump(Direction direction, Socket from, Socket to) {
+    private void copy(Direction direction, Socket from, Socket to) {
       byte[] buffer = new byte[BUFFER_BYTES];
       try {
         InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream();
         int count = in.read(buffer);
         while (count >= 0) {
-          hold();
-          if (!silent && !silenced.contains(direction)) {
+          awaitDelay();
+          if (!blackholeAll && !blackholed.contains(direction)) {
             out.write(buffer, 0, count);
             forwarded.get(direction).addAndGet(count);
           }
           count = in.read(buffer);
         }
-        if (!silent && !silenced.contains(direction)) {
+        if (!blackholeAll && !blackholed.contains(direction)) {
           close();
         }
       } catch (IOException e) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RequestHistory.java
@@ -16,7 +16,7 @@
  */
 public final class RequestHistory {
   /** The outcome of a request as reported to its caller. */
-  public enum Told {
+  public enum Outcome {
     /** A complete response of the target. */
     ANSWERED,
     /** An error that says that the request did not run. */
@@ -26,11 +26,11 @@
   }
 
   /** One request as seen by its caller. */
-  private record Asked(boolean idempotent, Told told, boolean wholeAndOwn) {}
+  private record RecordedRequest(boolean idempotent, Outcome outcome, boolean responseIntact) {}
 
   private static final String TAG = "tag=";
 
-  private final Map<String, Asked> asked = new HashMap<>();
+  private final Map<String, RecordedRequest> requestsByTag = new HashMap<>();
 
   /** Creates an empty history. */
   public RequestHistory() {}
@@ -41,16 +41,18 @@
    * @param tag its unique tag
    * @param idempotent whether it may run more than once
    * @param outcome the outcome reported to the caller
-   * @param responseIntact whether the response body was complete and belongs to this request; true if
-   *     there was no response
+   * @param responseIntact whether the response body was complete and belongs to this request; true
+   *     if there was no response
    */
-  public synchronized void add(String tag, boolean idempotent, Told outcome, boolean responseIntact) {
-    asked.put(requireNonNull(tag, "tag"), new Asked(idempotent, outcome, responseIntact));
+  public synchronized void add(
+      String tag, boolean idempotent, Outcome outcome, boolean responseIntact) {
+    requestsByTag.put(
+        requireNonNull(tag, "tag"), new RecordedRequest(idempotent, outcome, responseIntact));
   }
 
   /** Returns the number of requests with the given outcome. */
-  public synchronized long count(Told outcome) {
-    return asked.values().stream().filter(request -> request.told() == outcome).count();
+  public synchronized long count(Outcome outcome) {
+    return requestsByTag.values().stream().filter(request -> request.outcome() == outcome).count();
   }
 
   /**
@@ -64,19 +66,19 @@
       counts.merge(tagOf(run.path()), 1, Integer::sum);
     }
     List<String> violations = new ArrayList<>();
-    asked.forEach(
+    requestsByTag.forEach(
         (tag, request) -> {
           int ran = counts.getOrDefault(tag, 0);
           if (ran > 1 && !request.idempotent()) {
             violations.add("request " + tag + " ran " + ran + " times");
           }
-          if (ran > 0 && request.told() == Told.NOT_RUN) {
+          if (ran > 0 && request.outcome() == Outcome.NOT_RUN) {
             violations.add("request " + tag + " was reported as not run but ran");
           }
-          if (ran == 0 && request.told() == Told.ANSWERED) {
+          if (ran == 0 && request.outcome() == Outcome.ANSWERED) {
             violations.add("request " + tag + " was answered but never ran");
           }
-          if (!request.wholeAndOwn()) {
+          if (!request.responseIntact()) {
             violations.add("request " + tag + " got an incomplete or foreign response");
           }
         });
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
@@ -11,18 +11,18 @@
 /**
  * A history of publishes and reads of one configuration, to be checked for linearizability.
  *
- * <p>The configuration is a register that only accepted publishes write. The history is linearizable
- * in revision order if each revision has one content, a publish that ended before another started
- * has the lower revision, and no process shows a lower revision after a higher one. Times are from
- * one clock, in any unit. Thread-safe.
+ * <p>The configuration is a register that only accepted publishes write. The history is
+ * linearizable in revision order if each revision has one content, a publish that ended before
+ * another started has the lower revision, and no process shows a lower revision after a higher one.
+ * Times are from one clock, in any unit. Thread-safe.
  */
 public final class RevisionHistory {
-  private record Publish(long revision, String content, long began, long ended) {}
+  private record Publish(long revision, String content, long startedAt, long endedAt) {}
 
-  private record Reading(String process, long revision, String content, long at) {}
+  private record Read(String process, long revision, String content, long readAt) {}
 
   private final List<Publish> publishes = new ArrayList<>();
-  private final List<Reading> readings = new ArrayList<>();
+  private final List<Read> reads = new ArrayList<>();
 
   /** Creates an empty history. */
   public RevisionHistory() {}
@@ -35,7 +35,8 @@
    * @param startedAt when it was requested
    * @param endedAt when the acceptance was received
    */
-  public synchronized void published(long revision, String content, long startedAt, long endedAt) {
+  public synchronized void recordPublish(
+      long revision, String content, long startedAt, long endedAt) {
     publishes.add(new Publish(revision, requireNonNull(content, "content"), startedAt, endedAt));
   }
 
@@ -47,12 +48,12 @@
    * @param content the content shown
    * @param at when the request was sent
    */
-  public synchronized void read(String process, long revision, String content, long at) {
-    readings.add(new Reading(process, revision, requireNonNull(content, "content"), at));
+  public synchronized void recordRead(String process, long revision, String content, long at) {
+    reads.add(new Read(process, revision, requireNonNull(content, "content"), at));
   }
 
   /** Returns the highest accepted revision, or 0 if there is none. */
-  public synchronized long highest() {
+  public synchronized long highestRevision() {
     return publishes.stream().mapToLong(Publish::revision).max().orElse(0);
   }
 
@@ -61,7 +62,7 @@
     List<String> violations = new ArrayList<>();
     checkContents(violations);
     checkOrderOfPublishes(violations);
-    checkReadings(violations);
+    checkReads(violations);
     return violations;
   }
 
@@ -73,10 +74,11 @@
         violations.add("revision " + publish.revision() + " was accepted twice");
       }
     }
-    for (Reading reading : readings) {
+    for (Read reading : reads) {
       String other = contents.putIfAbsent(reading.revision(), reading.content());
       if (other != null && !other.equals(reading.content())) {
-        violations.add(reading.process() + " shows different content for revision " + reading.revision());
+        violations.add(
+            reading.process() + " shows different content for revision " + reading.revision());
       }
     }
   }
@@ -84,19 +86,20 @@
   private void checkOrderOfPublishes(List<String> violations) {
     for (Publish earlier : publishes) {
       for (Publish later : publishes) {
-        if (earlier.ended() < later.began() && earlier.revision() >= later.revision()) {
-          violations.add("revision " + later.revision() + " was published after " + earlier.revision());
+        if (earlier.endedAt() < later.startedAt() && earlier.revision() >= later.revision()) {
+          violations.add(
+              "revision " + later.revision() + " was published after " + earlier.revision());
         }
       }
     }
   }
 
-  private void checkReadings(List<String> violations) {
-    Map<String, Reading> last = new HashMap<>();
-    List<Reading> ordered = new ArrayList<>(readings);
-    ordered.sort(Comparator.comparingLong(Reading::at));
-    for (Reading reading : ordered) {
-      Reading previous = last.put(reading.process(), reading);
+  private void checkReads(List<String> violations) {
+    Map<String, Read> last = new HashMap<>();
+    List<Read> ordered = new ArrayList<>(reads);
+    ordered.sort(Comparator.comparingLong(Read::readAt));
+    for (Read reading : ordered) {
+      Read previous = last.put(reading.process(), reading);
       if (previous != null && previous.revision() > reading.revision()) {
         violations.add(
             reading.process()
@@ -106,8 +109,9 @@
                 + reading.revision());
       }
       for (Publish publish : publishes) {
-        if (publish.revision() == reading.revision() && reading.at() < publish.began()) {
-          violations.add(reading.process() + " showed " + reading.revision() + " before its publish");
+        if (publish.revision() == reading.revision() && reading.readAt() < publish.startedAt()) {
+          violations.add(
+              reading.process() + " showed " + reading.revision() + " before its publish");
         }
       }
     }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetDay.java
@@ -31,13 +31,13 @@
   static final long LEAD_MILLIS = 6_000;
 
   private static final int HEAVY_IMAGES = 9;
-  private static final double PRESSING_SHARE = 0.6;
-  private static final double LEAST_FELT_PRESSURE = 0.3;
+  private static final double INTERFERING_SHARE = 0.6;
+  private static final double MIN_INTERFERING_PRESSURE = 0.3;
   private static final double LOAD = 0.45;
   private static final double LOAD_SWING = 0.5;
   private static final double LOAD_PERIOD_MILLIS = 14_000;
   private static final double PRESSURE_SWING = 0.3;
-  private static final long MEMORY = 1L << 30;
+  private static final long TASK_MEMORY_BYTES = 1L << 30;
 
   /** The pressure of an image on services, which oscillates within seconds. */
   private record Image(double pressure, double phase, double periodMillis) {
@@ -48,7 +48,7 @@
   }
 
   /** A time interval with a fault on a VM. */
-  private record Spell(int vm, long fromMillis, long untilMillis) {
+  private record FaultInterval(int vm, long fromMillis, long untilMillis) {
     boolean covers(int otherVm, long millis) {
       return vm == otherVm && millis >= fromMillis && millis < untilMillis;
     }
@@ -56,23 +56,24 @@
 
   private final FleetShape shape;
   private final long seed;
-  private final ImmutableList<Arrival> arrivals;
+  private final ImmutableList<WorkflowArrival> arrivals;
   private final ImmutableList<Image> images;
-  private final ImmutableList<Spell> slow;
-  private final ImmutableList<Spell> lost;
-  private final Spell undecided;
+  private final ImmutableList<FaultInterval> slowIntervals;
+  private final ImmutableList<FaultInterval> lossIntervals;
+  private final FaultInterval schedulerOutage;
 
   private FleetDay(FleetShape shape, long seed) {
     this.shape = requireNonNull(shape, "shape");
     this.seed = seed;
-    Draws draws = new Draws(seed);
+    RandomDraws draws = new RandomDraws(seed);
     this.images = images(draws);
-    this.slow = draws.chance(0.3) ? spells(draws, 7_000) : ImmutableList.of();
-    this.lost = draws.chance(0.25) ? spells(draws, END_MILLIS) : ImmutableList.of();
+    this.slowIntervals = draws.chance(0.3) ? faultIntervals(draws, 7_000) : ImmutableList.of();
+    this.lossIntervals =
+        draws.chance(0.25) ? faultIntervals(draws, END_MILLIS) : ImmutableList.of();
     long pause = draws.chance(0.3) ? 2_500 : 0;
     long pausedAt = LEAD_MILLIS + draws.below(25_000);
-    this.undecided = new Spell(0, pausedAt, pausedAt + pause);
-    this.arrivals = new Arrivals(draws).all();
+    this.schedulerOutage = new FaultInterval(0, pausedAt, pausedAt + pause);
+    this.arrivals = new ArrivalGenerator(draws).all();
   }
 
   /** Returns the day with the given seed. */
@@ -80,19 +81,20 @@
     return new FleetDay(shape, seed);
   }
 
-  private static ImmutableList<Image> images(Draws draws) {
+  private static ImmutableList<Image> images(RandomDraws draws) {
     ImmutableList.Builder<Image> images = ImmutableList.builder();
     for (int i = 0; i < HEAVY_IMAGES; i++) {
-      boolean interferes = draws.chance(PRESSING_SHARE);
+      boolean interferes = draws.chance(INTERFERING_SHARE);
       double pressure = interferes ? draws.uniform(0.5, 2.5) : draws.uniform(0, 0.2);
       images.add(new Image(pressure, draws.uniform(0, 6), draws.uniform(5_000, 15_000)));
     }
     return images.build();
   }
 
-  private static ImmutableList<Spell> spells(Draws draws, long lengthMillis) {
+  private static ImmutableList<FaultInterval> faultIntervals(RandomDraws draws, long lengthMillis) {
     long from = LEAD_MILLIS + 3_000 + draws.below(18_000);
-    return ImmutableList.of(new Spell(draws.below(FleetShape.VMS), from, from + lengthMillis));
+    return ImmutableList.of(
+        new FaultInterval(draws.below(FleetShape.VMS), from, from + lengthMillis));
   }
 
   FleetShape shape() {
@@ -104,19 +106,23 @@
   }
 
   /** Returns the arrivals, in time order. */
-  ImmutableList<Arrival> arrivals() {
+  ImmutableList<WorkflowArrival> arrivals() {
     return arrivals;
   }
 
-  /** Returns the pressure of an image on services per fraction of the VM's processors that it uses. */
+  /**
+   * Returns the pressure of an image on services per fraction of the VM's processors that it uses.
+   */
   double pressure(String image, long millis) {
     checkArgument(image.startsWith("heavy-"), "not an image of heavy work: %s", image);
     return images.get(Integer.parseInt(image.substring("heavy-".length()))).pressureAt(millis);
   }
 
-  /** Returns whether the pressure of an image is high enough for a single task to affect services. */
-  boolean presses(String image, long millis) {
-    return pressure(image, millis) > LEAST_FELT_PRESSURE;
+  /**
+   * Returns whether the pressure of an image is high enough for a single task to affect services.
+   */
+  boolean isInterfering(String image, long millis) {
+    return pressure(image, millis) > MIN_INTERFERING_PRESSURE;
   }
 
   /** Returns the load of a service task as a fraction of its booked processors. */
@@ -127,32 +133,32 @@
   }
 
   /** Returns the slowdown factor of tasks on the VM. */
-  double slowness(int vm, long millis) {
-    return slow.stream().anyMatch(interval -> interval.covers(vm, millis)) ? 6 : 1;
+  double slowdown(int vm, long millis) {
+    return slowIntervals.stream().anyMatch(interval -> interval.covers(vm, millis)) ? 6 : 1;
   }
 
   /** Returns whether the VM is permanently lost. */
   boolean isLost(int vm, long millis) {
-    return lost.stream().anyMatch(interval -> interval.covers(vm, millis));
+    return lossIntervals.stream().anyMatch(interval -> interval.covers(vm, millis));
   }
 
   /** Returns whether no owner makes decisions, as during a takeover or a log outage. */
-  boolean isUndecided(long millis) {
-    return undecided.covers(0, millis);
+  boolean isSchedulerDown(long millis) {
+    return schedulerOutage.covers(0, millis);
   }
 
   /** Generates the arrivals. */
-  private final class Arrivals {
-    private final Draws draws;
-    private final List<Arrival> drawn = new ArrayList<>();
+  private final class ArrivalGenerator {
+    private final RandomDraws draws;
+    private final List<WorkflowArrival> drawn = new ArrayList<>();
 
-    Arrivals(Draws draws) {
+    ArrivalGenerator(RandomDraws draws) {
       this.draws = draws;
     }
 
-    ImmutableList<Arrival> all() {
+    ImmutableList<WorkflowArrival> all() {
       for (int i = 0; i < shape.services(); i++) {
-        add(100L * i, WorkKind.LASTING);
+        add(100L * i, WorkKind.SERVICE);
       }
       long burstFrom = LEAD_MILLIS + 10_000 + draws.below(8_000);
       double burst = 1 + draws.uniform(1.2, 1.6);
@@ -164,18 +170,18 @@
         at += Math.round(draws.exponential(1_000 / all));
         add(at, draws.chance(heavy / all) ? WorkKind.HEAVY : WorkKind.SMALL);
       }
-      return ImmutableList.sortedCopyOf(Comparator.comparingLong(Arrival::atMillis), drawn);
+      return ImmutableList.sortedCopyOf(Comparator.comparingLong(WorkflowArrival::atMillis), drawn);
     }
 
     private void add(long at, WorkKind kind) {
-      int stepCount = kind == WorkKind.LASTING ? 1 : 1 + draws.below(3);
+      int stepCount = kind == WorkKind.SERVICE ? 1 : 1 + draws.below(3);
       String image = image(kind);
       ImmutableList.Builder<StepSpec> steps = ImmutableList.builder();
       ImmutableList.Builder<ImmutableList<Double>> lengths = ImmutableList.builder();
       for (int step = 0; step < stepCount; step++) {
         int tasks = tasks(kind);
         double length = length(kind);
-        steps.add(step(kind, step, tasks, Math.round(length * rough()), image));
+        steps.add(step(kind, step, tasks, Math.round(length * drawEstimateError()), image));
         lengths.add(lengths(tasks, length));
       }
       long id = drawn.size() + 1;
@@ -183,15 +189,15 @@
           new WorkflowSpec(
               id,
               "queue",
-              kind.terms(),
+              kind.policy(),
               "",
               steps.build(),
               WorkflowSpec.Schedule.IMMEDIATE,
               FleetRun.EPOCH_MILLIS + at);
-      drawn.add(new Arrival(at, kind, spec, lengths.build()));
+      drawn.add(new WorkflowArrival(at, kind, spec, lengths.build()));
     }
 
-    private double rough() {
+    private double drawEstimateError() {
       return draws.logNormal(1, 0.2, 2);
     }
 
@@ -208,7 +214,7 @@
       return switch (kind) {
         case SMALL -> draws.logNormal(1_000, 0.5, 2_500);
         case HEAVY -> draws.logNormal(2_000, 0.5, 4_300);
-        case LASTING -> 10 * END_MILLIS;
+        case SERVICE -> 10 * END_MILLIS;
       };
     }
 
@@ -224,7 +230,7 @@
         WorkKind kind, int position, int tasks, long estimateMillis, String image) {
       ImmutableList<Integer> after =
           position == 0 ? ImmutableList.of() : ImmutableList.of(position - 1);
-      boolean isService = kind == WorkKind.LASTING;
+      boolean isService = kind == WorkKind.SERVICE;
       StepSpec.TaskTraits traits =
           new StepSpec.TaskTraits(
               false,
@@ -250,9 +256,9 @@
           switch (kind) {
             case SMALL -> draws.logNormal(shape.smallMilli(), 0.45, 3 * shape.smallMilli());
             case HEAVY -> draws.logNormal(shape.heavyMilli(), 0.3, 2 * shape.heavyMilli());
-            case LASTING -> draws.logNormal(shape.serviceMilli(), 0.25, 1.6 * shape.serviceMilli());
+            case SERVICE -> draws.logNormal(shape.serviceMilli(), 0.25, 1.6 * shape.serviceMilli());
           };
-      return new Sizes(Math.round(milli), MEMORY, 0);
+      return new Sizes(Math.round(milli), TASK_MEMORY_BYTES, 0);
     }
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
@@ -6,80 +6,82 @@
 /** The compared policies: the production policy, and variants with mechanisms disabled. */
 enum FleetPolicy {
   /** The production policy. */
-  PRODUCT("the product", Pacing::ofProduct),
+  PRODUCT("the product", Throttling::ofProduct),
   /** Without overcommit beyond the base of six processors per VM. */
-  NO_OVERCOMMIT("no overcommit", Pacing::ofProduct, Off.OVERCOMMIT),
+  NO_OVERCOMMIT("no overcommit", Throttling::ofProduct, Mechanism.OVERCOMMIT),
   /** One throttle percentage for all interfering tasks. */
-  SPEED_PACING("one speed for all suspects", SpeedPacing::new),
+  UNIFORM_THROTTLING("one speed for all suspects", UniformThrottling::new),
   /** Without overcommit and with one throttle percentage for all interfering tasks. */
-  FORMER("neither of the two", SpeedPacing::new, Off.OVERCOMMIT),
+  NO_OVERCOMMIT_UNIFORM_THROTTLING(
+      "neither of the two", UniformThrottling::new, Mechanism.OVERCOMMIT),
   /** Without throttling. */
-  NO_PACING("no pacing", Pacing::none),
+  NO_THROTTLING("no pacing", Throttling::none),
   /** Without learning: every image keeps the prior belief. */
-  NO_LEARNING("images are not learned", Pacing::ofProduct, Off.LEARNING),
+  NO_LEARNING("images are not learned", Throttling::ofProduct, Mechanism.LEARNING),
   /** Without a limit on interfering tasks co-located with services. */
-  NO_SUSPECT_ROOM("no bound on suspects", Pacing::ofProduct, Off.SUSPECT_ROOM),
+  NO_INTERFERENCE_BUDGET(
+      "no bound on suspects", Throttling::ofProduct, Mechanism.INTERFERENCE_BUDGET),
   /** Services are placed on the VM with the most free capacity. */
-  NO_PACKING("services are not packed", Pacing::ofProduct, Off.PACKING),
+  NO_PACKING("services are not packed", Throttling::ofProduct, Mechanism.PACKING),
   /** First come, first served, not ordered by value. */
-  ARRIVAL_ORDER("in the order of arrival", Pacing::ofProduct, Off.ORDER),
+  ARRIVAL_ORDER("in the order of arrival", Throttling::ofProduct, Mechanism.VALUE_ORDER),
   /** Without any of these mechanisms. */
   NAIVE(
       "naive",
-      Pacing::none,
-      Off.OVERCOMMIT,
-      Off.LEARNING,
-      Off.SUSPECT_ROOM,
-      Off.PACKING,
-      Off.ORDER),
+      Throttling::none,
+      Mechanism.OVERCOMMIT,
+      Mechanism.LEARNING,
+      Mechanism.INTERFERENCE_BUDGET,
+      Mechanism.PACKING,
+      Mechanism.VALUE_ORDER),
   /** Knows the interference of images and the actual run times, and throttles accordingly. */
-  ORACLE("oracle", Pacing::none, Off.SUSPECT_ROOM);
+  ORACLE("oracle", Throttling::none, Mechanism.INTERFERENCE_BUDGET);
 
-  private enum Off {
+  private enum Mechanism {
     OVERCOMMIT,
     LEARNING,
-    SUSPECT_ROOM,
+    INTERFERENCE_BUDGET,
     PACKING,
-    ORDER
+    VALUE_ORDER
   }
 
-  private final String text;
-  private final Supplier<Pacing> pacing;
-  private final ImmutableSet<Off> off;
+  private final String label;
+  private final Supplier<Throttling> throttling;
+  private final ImmutableSet<Mechanism> disabled;
 
-  FleetPolicy(String text, Supplier<Pacing> pacing, Off... off) {
-    this.text = text;
-    this.pacing = pacing;
-    this.off = ImmutableSet.copyOf(off);
+  FleetPolicy(String text, Supplier<Throttling> pacing, Mechanism... off) {
+    this.label = text;
+    this.throttling = pacing;
+    this.disabled = ImmutableSet.copyOf(off);
   }
 
   /** Returns the label in the printed table. */
-  String text() {
-    return text;
+  String label() {
+    return label;
   }
 
-  Pacing newPacing() {
-    return pacing.get();
+  Throttling newThrottling() {
+    return throttling.get();
   }
 
   boolean overcommits() {
-    return !off.contains(Off.OVERCOMMIT);
+    return !disabled.contains(Mechanism.OVERCOMMIT);
   }
 
   boolean learnsImages() {
-    return !off.contains(Off.LEARNING);
+    return !disabled.contains(Mechanism.LEARNING);
   }
 
-  boolean boundsSuspects() {
-    return !off.contains(Off.SUSPECT_ROOM);
+  boolean limitsInterference() {
+    return !disabled.contains(Mechanism.INTERFERENCE_BUDGET);
   }
 
   boolean packsServices() {
-    return !off.contains(Off.PACKING);
+    return !disabled.contains(Mechanism.PACKING);
   }
 
-  boolean ordersByWorth() {
-    return !off.contains(Off.ORDER);
+  boolean ordersByValue() {
+    return !disabled.contains(Mechanism.VALUE_ORDER);
   }
 
   boolean knowsEffects() {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -34,30 +34,30 @@
   static final long EPOCH_MILLIS = 1_000_000;
 
   private static final long TICK_MILLIS = 50;
-  private static final long IMAGES_MILLIS = 700;
+  private static final long EVIDENCE_INTERVAL_MILLIS = 700;
   private static final long WINDOW_MILLIS = 2_000;
   private static final long TAKEOVER_MILLIS = 8_200;
   private static final double FAR_RACK_FACTOR = 1.5;
 
   /** A submitted workflow that has not ended. */
-  private record Open(Arrival arrival, Workflow workflow) {}
+  private record OpenWorkflow(WorkflowArrival arrival, Workflow workflow) {}
 
   /** An ended run whose end the owner does not know yet. */
-  private record Ended(FleetTask run, RunOutcome outcome, long knownMillis) {}
+  private record PendingEnd(FleetTask run, RunOutcome outcome, long knownMillis) {}
 
   /** The properties of a task that decide whether it can be placed. */
-  private record Need(StepSpec step, Urgency urgency, long counted) {}
+  private record PlacementNeed(StepSpec step, Urgency urgency, long counted) {}
 
   private final FleetDay day;
   private final FleetPolicy policy;
   private final List<FleetVm> vms = new ArrayList<>();
-  private final List<Open> open = new ArrayList<>();
-  private final List<Ended> ends = new ArrayList<>();
-  private final Map<Long, double[]> windows = new HashMap<>();
-  private final Map<Long, Double> took = new HashMap<>();
-  private final ImageInterference harm = new ImageInterference();
-  private final ImageEvidenceAggregator images = new ImageEvidenceAggregator();
-  private final VmSlowdownEstimator speed = new VmSlowdownEstimator();
+  private final List<OpenWorkflow> open = new ArrayList<>();
+  private final List<PendingEnd> ends = new ArrayList<>();
+  private final Map<Long, double[]> serviceWindows = new HashMap<>();
+  private final Map<Long, Double> durationsMillis = new HashMap<>();
+  private final ImageInterference interference = new ImageInterference();
+  private final ImageEvidenceAggregator evidence = new ImageEvidenceAggregator();
+  private final VmSlowdownEstimator slowdowns = new VmSlowdownEstimator();
   private final VmChooser chooser = VmChooser.of(FAR_RACK_FACTOR);
   private final FleetScore score = new FleetScore();
   private int arrived;
@@ -77,35 +77,35 @@
 
   private FleetScore play() {
     for (long now = 0; now < FleetDay.END_MILLIS; now += TICK_MILLIS) {
-      take(now);
+      acceptArrivals(now);
       loseVms(now);
       for (FleetVm vm : vms) {
-        vm.work(now, TICK_MILLIS);
+        vm.advance(now, TICK_MILLIS);
         vm.decide(now);
         finish(vm, now);
       }
-      if (now % IMAGES_MILLIS == 0) {
+      if (now % EVIDENCE_INTERVAL_MILLIS == 0) {
         shareImages();
       }
-      if (!day.isUndecided(now)) {
-        noteEnds(now);
+      if (!day.isSchedulerDown(now)) {
+        recordEnds(now);
         place(now);
       }
-      watchServices(now);
+      scoreServices(now);
     }
-    settle();
+    scoreWorkflows();
     return score;
   }
 
-  private void take(long now) {
-    List<Arrival> arrivals = day.arrivals();
+  private void acceptArrivals(long now) {
+    List<WorkflowArrival> arrivals = day.arrivals();
     while (arrived < arrivals.size() && arrivals.get(arrived).atMillis() <= now) {
-      Arrival next = arrivals.get(arrived++);
-      open.add(new Open(next, Workflow.of(spec(next))));
+      WorkflowArrival next = arrivals.get(arrived++);
+      open.add(new OpenWorkflow(next, Workflow.of(spec(next))));
     }
   }
 
-  private WorkflowSpec spec(Arrival arrival) {
+  private WorkflowSpec spec(WorkflowArrival arrival) {
     if (!policy.knowsEffects()) {
       return arrival.declared();
     }
@@ -139,7 +139,7 @@
       if (day.isLost(vm.number(), now)) {
         for (FleetTask run : vm.runs()) {
           vm.end(run);
-          ends.add(new Ended(run, RunOutcome.LOST, now + TAKEOVER_MILLIS));
+          ends.add(new PendingEnd(run, RunOutcome.LOST, now + TAKEOVER_MILLIS));
         }
       }
     }
@@ -149,7 +149,7 @@
     for (FleetTask run : vm.runs()) {
       if (run.isDone()) {
         vm.end(run);
-        ends.add(new Ended(run, RunOutcome.DONE, now));
+        ends.add(new PendingEnd(run, RunOutcome.DONE, now));
         sample(vm, run, now);
       } else {
         run.task().recordProgress("", run.progressPercent());
@@ -158,32 +158,32 @@
   }
 
   private void sample(FleetVm vm, FleetTask run, long now) {
-    if (!run.nature().bestEffort()) {
+    if (!run.traits().bestEffort()) {
       long nanos = TimeUnit.MILLISECONDS.toNanos(now);
-      speed.addSample(
+      slowdowns.addSample(
           vm.place().vm(), run.task().step().estimateMillis(), run.ranMillis(now), nanos);
     }
   }
 
   private void shareImages() {
     for (FleetVm vm : vms) {
-      images.update(vm.place().vm(), vm.harm().localEvidence());
+      evidence.update(vm.place().vm(), vm.interference().localEvidence());
     }
-    harm.setRemoteEvidence(images.total());
+    interference.setRemoteEvidence(evidence.total());
     for (FleetVm vm : vms) {
-      vm.harm().setRemoteEvidence(images.totalExcluding(vm.place().vm()));
+      vm.interference().setRemoteEvidence(evidence.totalExcluding(vm.place().vm()));
     }
   }
 
-  private void noteEnds(long now) {
-    for (Ended end : List.copyOf(ends)) {
+  private void recordEnds(long now) {
+    for (PendingEnd end : List.copyOf(ends)) {
       if (end.knownMillis() <= now) {
         ends.remove(end);
         WorkflowTask task = end.run().task();
         Workflow workflow = task.workflow();
         workflow.recordEnd(end.run().key(), end.outcome(), "", EPOCH_MILLIS + now);
         if (workflow.status().isTerminal()) {
-          took.putIfAbsent(
+          durationsMillis.putIfAbsent(
               workflow.spec().id(), (double) EPOCH_MILLIS + now - workflow.spec().acceptedMillis());
         }
       }
@@ -191,72 +191,73 @@
     open.removeIf(each -> each.workflow().status().isTerminal());
   }
 
-  private double harmOf(String image, long now) {
+  private double interferenceBelief(String image, long now) {
     if (image.isEmpty()) {
       return 0;
     }
     if (policy.knowsEffects()) {
-      return day.presses(image, now) ? 1 : 0;
+      return day.isInterfering(image, now) ? 1 : 0;
     }
-    return policy.learnsImages() ? harm.belief(image) : ImageInterference.PRIOR_BELIEF;
+    return policy.learnsImages() ? interference.belief(image) : ImageInterference.PRIOR_BELIEF;
   }
 
   /** A task that is ready to start, with the urgency of its placement. */
-  private record Waiting(Open of, WorkflowTask task, Urgency urgency) {}
+  private record ReadyTask(OpenWorkflow open, WorkflowTask task, Urgency urgency) {}
 
   private void place(long now) {
-    List<Waiting> waiting = waiting(now);
+    List<ReadyTask> waiting = waiting(now);
     if (waiting.isEmpty()) {
       return;
     }
     List<VmOffer> offers = offers(now);
-    Set<Need> infeasible = new HashSet<>();
+    Set<PlacementNeed> infeasible = new HashSet<>();
     Set<Workflow> placedWorkflows = new HashSet<>();
     boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offers);
-    for (Waiting each : waiting) {
-      Workflow workflow = each.of().workflow();
+    for (ReadyTask each : waiting) {
+      Workflow workflow = each.open().workflow();
       boolean mayUseStarved = hasSpareCapacity && !placedWorkflows.contains(workflow);
       boolean demoted = each.urgency() == Urgency.STARVED && !mayUseStarved;
       Urgency urgency = demoted ? Urgency.ORDINARY : each.urgency();
-      Need need = need(each.task(), urgency);
+      PlacementNeed need = need(each.task(), urgency);
       if (infeasible.contains(need)) {
         continue;
       }
       Optional<VmOffer> chosen = choose(each.task(), urgency, offers, now);
-      if (chosen.isPresent() && start(each.of(), each.task(), urgency, chosen.get().place(), now)) {
+      if (chosen.isPresent()
+          && start(each.open(), each.task(), urgency, chosen.get().place(), now)) {
         placedWorkflows.add(workflow);
         offers.remove(chosen.get());
         String image = each.task().step().traits().image();
-        offers.add(chosen.get().afterPlacing(each.task().step(), harmOf(image, now)));
+        offers.add(chosen.get().afterPlacing(each.task().step(), interferenceBelief(image, now)));
       } else {
         infeasible.add(need);
       }
     }
   }
 
-  private List<Waiting> waiting(long now) {
-    record Ordered(Open open, WaitingOrder.Rank rank) {}
+  private List<ReadyTask> waiting(long now) {
+    record Ordered(OpenWorkflow open, WaitingOrder.Rank rank) {}
     long wallMillis = EPOCH_MILLIS + now;
     List<Ordered> ranked = new ArrayList<>();
-    for (Open each : open) {
+    for (OpenWorkflow each : open) {
       ranked.add(new Ordered(each, WaitingOrder.rank(each.workflow(), wallMillis)));
     }
-    if (policy.ordersByWorth()) {
+    if (policy.ordersByValue()) {
       ranked.sort(Comparator.comparing(Ordered::rank));
     }
-    List<Waiting> waiting = new ArrayList<>();
+    List<ReadyTask> waiting = new ArrayList<>();
     for (Ordered each : ranked) {
       Urgency urgency = each.rank().urgency();
       each.open()
           .workflow()
-          .forEachReady(wallMillis, task -> waiting.add(new Waiting(each.open(), task, urgency)));
+          .forEachReady(wallMillis, task -> waiting.add(new ReadyTask(each.open(), task, urgency)));
     }
     return waiting;
   }
 
-  private static Need need(WorkflowTask task, Urgency urgency) {
+  private static PlacementNeed need(WorkflowTask task, Urgency urgency) {
     boolean counts = task.step().placement().maxPerVm() > 0;
-    return new Need(task.step(), urgency, counts ? task.key().workflow() : 0);
+    return new PlacementNeed(task.step(), urgency, counts ? task.key().workflow() : 0);
   }
 
   private List<VmOffer> offers(long now) {
@@ -264,7 +265,7 @@
     long nanos = TimeUnit.MILLISECONDS.toNanos(now);
     for (FleetVm vm : vms) {
       if (!day.isLost(vm.number(), now)) {
-        offers.add(vm.offer(speed.slowdown(vm.place().vm(), nanos), now));
+        offers.add(vm.offer(slowdowns.slowdown(vm.place().vm(), nanos), now));
       }
     }
     return offers;
@@ -272,7 +273,7 @@
 
   private Optional<VmOffer> choose(
       WorkflowTask task, Urgency urgency, List<VmOffer> offers, long now) {
-    double belief = harmOf(task.step().traits().image(), now);
+    double belief = interferenceBelief(task.step().traits().image(), now);
     TaskPlacementRequest request =
         new TaskPlacementRequest(task.workflow().spec(), task.step(), belief, urgency, "");
     if (task.step().traits().isService() && !policy.packsServices()) {
@@ -300,7 +301,8 @@
     return vms.get(Integer.parseInt(place.vm().substring("vm-".length())));
   }
 
-  private boolean start(Open of, WorkflowTask task, Urgency urgency, Place place, long now) {
+  private boolean start(
+      OpenWorkflow of, WorkflowTask task, Urgency urgency, Place place, long now) {
     of.workflow().startAttempt(task, place);
     double length = of.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
     FleetTask run = new FleetTask(task, length, now);
@@ -311,29 +313,30 @@
     return false;
   }
 
-  private void watchServices(long now) {
+  private void scoreServices(long now) {
     if (now < FleetDay.LEAD_MILLIS || now >= FleetDay.LAST_ARRIVAL_MILLIS) {
       return;
     }
     for (FleetVm vm : vms) {
       for (FleetTask run : vm.runs()) {
-        if (run.nature().isService()) {
-          double[] window = windows.computeIfAbsent(run.key().task().workflow(), id -> empty());
+        if (run.traits().isService()) {
+          double[] window =
+              serviceWindows.computeIfAbsent(run.key().task().workflow(), id -> empty());
           window[0] += TICK_MILLIS;
-          window[1] += run.isOver() ? TICK_MILLIS : 0;
-          score.over(run.isOver() ? TICK_MILLIS / 1_000.0 : 0);
+          window[1] += run.isOverTarget() ? TICK_MILLIS : 0;
+          score.addOverTarget(run.isOverTarget() ? TICK_MILLIS / 1_000.0 : 0);
         }
       }
     }
     if (now % WINDOW_MILLIS == WINDOW_MILLIS - TICK_MILLIS) {
-      for (Open each : open) {
-        if (each.arrival().kind() == WorkKind.LASTING) {
-          double[] window = windows.getOrDefault(each.workflow().spec().id(), empty());
+      for (OpenWorkflow each : open) {
+        if (each.arrival().kind() == WorkKind.SERVICE) {
+          double[] window = serviceWindows.getOrDefault(each.workflow().spec().id(), empty());
           double all = (double) each.workflow().tasks().size() * WINDOW_MILLIS;
-          score.service(window[0] / all, window[1] / all);
+          score.addServiceWindow(window[0] / all, window[1] / all);
         }
       }
-      windows.clear();
+      serviceWindows.clear();
     }
   }
 
@@ -341,18 +344,20 @@
     return new double[2];
   }
 
-  private void settle() {
+  private void scoreWorkflows() {
     Map<WorkKind, Double> work = new HashMap<>();
     Map<WorkKind, Integer> count = new HashMap<>();
-    for (Arrival arrival : day.arrivals()) {
+    for (WorkflowArrival arrival : day.arrivals()) {
       work.merge(arrival.kind(), arrival.work(), Double::sum);
       count.merge(arrival.kind(), 1, Integer::sum);
     }
-    for (Arrival arrival : day.arrivals()) {
-      if (arrival.kind() != WorkKind.LASTING) {
+    for (WorkflowArrival arrival : day.arrivals()) {
+      if (arrival.kind() != WorkKind.SERVICE) {
         double mean = work.get(arrival.kind()) / count.get(arrival.kind());
-        score.workflow(
-            arrival, took.getOrDefault(arrival.declared().id(), Double.POSITIVE_INFINITY), mean);
+        score.addWorkflow(
+            arrival,
+            durationsMillis.getOrDefault(arrival.declared().id(), Double.POSITIVE_INFINITY),
+            mean);
       }
     }
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetTask.java
@@ -15,8 +15,8 @@
   private double doneMillis;
   private int percent = 100;
   private double usedMilli;
-  private double tailMillis;
-  private double tailNowMillis;
+  private double measuredTailMillis;
+  private double currentTailMillis;
 
   FleetTask(WorkflowTask task, double lengthMillis, long beganMillis) {
     this.task = requireNonNull(task, "task");
@@ -33,12 +33,12 @@
     return key;
   }
 
-  StepSpec.TaskTraits nature() {
+  StepSpec.TaskTraits traits() {
     return task.step().traits();
   }
 
   String image() {
-    return nature().image();
+    return traits().image();
   }
 
   double declaredMilli() {
@@ -51,7 +51,7 @@
   }
 
   /** Sets the speed, in percent. */
-  void pace(int newPercent) {
+  void setSpeed(int newPercent) {
     percent = newPercent;
   }
 
@@ -65,7 +65,7 @@
   }
 
   boolean isDone() {
-    return !nature().longRunning() && doneMillis >= lengthMillis;
+    return !traits().longRunning() && doneMillis >= lengthMillis;
   }
 
   int progressPercent() {
@@ -73,7 +73,7 @@
   }
 
   /** Records the current usage, in thousandths of a processor, in an exponential moving average. */
-  void uses(double milliProcessors, double weight) {
+  void recordUsage(double milliProcessors, double weight) {
     usedMilli += (milliProcessors - usedMilli) * weight;
   }
 
@@ -82,18 +82,18 @@
   }
 
   /** Records the current tail latency and updates its exponential moving average. */
-  void answers(double tail, double weight) {
-    tailNowMillis = tail;
-    tailMillis += (tail - tailMillis) * weight;
+  void recordTail(double tail, double weight) {
+    currentTailMillis = tail;
+    measuredTailMillis += (tail - measuredTailMillis) * weight;
   }
 
   /** Returns whether the current tail latency is over the target. */
-  boolean isOver() {
-    return tailNowMillis > FleetVm.TARGET_MILLIS;
+  boolean isOverTarget() {
+    return currentTailMillis > FleetVm.TARGET_MILLIS;
   }
 
   /** Returns the averaged tail latency as measured, in milliseconds. */
-  double tailMillis() {
-    return tailMillis;
+  double measuredTailMillis() {
+    return measuredTailMillis;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -32,25 +32,27 @@
   static final long TARGET_MILLIS = 50;
 
   private static final double IDLE_TAIL_MILLIS = 10;
-  private static final double LEAST_LEFT = 0.015;
-  private static final double USED_OF_DECLARED = 0.88;
-  private static final double READING_MILLIS = 500;
+  private static final double MIN_HEADROOM = 0.015;
+  private static final double USED_PER_DECLARED = 0.88;
+  private static final double READING_WINDOW_MILLIS = 500;
   private static final double READING_SPREAD = 0.12;
-  private static final long LISTING_MILLIS = 450;
-  private static final long MEMORY = 1L << 42;
+  private static final long LISTING_INTERVAL_MILLIS = 450;
+  private static final long VM_MEMORY_BYTES = 1L << 42;
 
-  /** The load plus pressure up to which the oracle fills a service, as a fraction of its capacity. */
-  private static final double ORACLE_USED = 0.77;
+  /**
+   * The load plus pressure up to which the oracle fills a service, as a fraction of its capacity.
+   */
+  private static final double ORACLE_UTILIZATION = 0.77;
 
   private final FleetDay day;
   private final FleetPolicy policy;
   private final int number;
   private final long capacityMilli;
   private final Overcommit overcommit = new Overcommit();
-  private final ResourceLedger room = new ResourceLedger(overcommit);
-  private final Pacing pacing;
-  private final ImageInterference harm = new ImageInterference();
-  private final Draws noise;
+  private final ResourceLedger ledger = new ResourceLedger(overcommit);
+  private final Throttling throttling;
+  private final ImageInterference interference = new ImageInterference();
+  private final RandomDraws noise;
   private final Map<String, FleetTask> runs = new LinkedHashMap<>();
   private long listedMillis;
 
@@ -59,10 +61,10 @@
     this.policy = requireNonNull(policy, "policy");
     this.number = number;
     this.capacityMilli = day.shape().capacityMilli(number);
-    this.pacing = policy.newPacing();
-    this.noise = new Draws(day.seed() * 31 + number);
-    this.listedMillis = number * LISTING_MILLIS / FleetShape.VMS;
-    room.capacity(new Sizes(capacityMilli, MEMORY, 0));
+    this.throttling = policy.newThrottling();
+    this.noise = new RandomDraws(day.seed() * 31 + number);
+    this.listedMillis = number * LISTING_INTERVAL_MILLIS / FleetShape.VMS;
+    ledger.capacity(new Sizes(capacityMilli, VM_MEMORY_BYTES, 0));
   }
 
   int number() {
@@ -77,28 +79,28 @@
     return List.copyOf(runs.values());
   }
 
-  ImageInterference harm() {
-    return harm;
+  ImageInterference interference() {
+    return interference;
   }
 
-  private boolean isSuspect(String image, long millis) {
+  private boolean isInterfering(String image, long millis) {
     if (policy.knowsEffects()) {
-      return day.presses(image, millis);
+      return day.isInterfering(image, millis);
     }
     return ImageInterference.isInterfering(
-        policy.learnsImages() ? harm.belief(image) : ImageInterference.PRIOR_BELIEF);
+        policy.learnsImages() ? interference.belief(image) : ImageInterference.PRIOR_BELIEF);
   }
 
-  private long suspectMilli(long millis) {
+  private long interferingMilli(long millis) {
     return (long)
         runs.values().stream()
-            .filter(run -> run.nature().bestEffort() && isSuspect(run.image(), millis))
+            .filter(run -> run.traits().bestEffort() && isInterfering(run.image(), millis))
             .mapToDouble(FleetTask::declaredMilli)
             .sum();
   }
 
-  private int serving() {
-    return (int) runs.values().stream().filter(run -> run.nature().isService()).count();
+  private int serviceTaskCount() {
+    return (int) runs.values().stream().filter(run -> run.traits().isService()).count();
   }
 
   /** Returns the offer of the VM as reported to its owner. */
@@ -108,12 +110,12 @@
         FleetDay.SERVICE,
         ImmutableSet.of(),
         "",
-        room.capacity(),
-        room.free(),
-        room.bestEffortMilliProcessors(),
-        policy.boundsSuspects() ? suspectMilli(millis) : 0,
-        room.overcommitMilliProcessors(),
-        serving(),
+        ledger.capacity(),
+        ledger.free(),
+        ledger.bestEffortMilliProcessors(),
+        policy.limitsInterference() ? interferingMilli(millis) : 0,
+        ledger.overcommitMilliProcessors(),
+        serviceTaskCount(),
         slowdown);
   }
 
@@ -121,19 +123,19 @@
   boolean start(FleetTask run, Urgency urgency, long millis) {
     StepSpec step = run.task().step();
     boolean limited =
-        run.nature().bestEffort() && urgency != Urgency.STARVED && policy.boundsSuspects();
-    if (limited && serving() > 0 && isSuspect(run.image(), millis)) {
+        run.traits().bestEffort() && urgency != Urgency.STARVED && policy.limitsInterference();
+    if (limited && serviceTaskCount() > 0 && isInterfering(run.image(), millis)) {
       long declared = step.sizes().milliProcessors();
-      if (!InterferenceBudget.admits(capacityMilli, suspectMilli(millis), declared)) {
+      if (!InterferenceBudget.admits(capacityMilli, interferingMilli(millis), declared)) {
         return false;
       }
     }
-    if (!room.tryBook(
-        run.key(), new ResourceLedger.Claim(step.sizes(), run.nature().bestEffort(), urgency))) {
+    if (!ledger.tryBook(
+        run.key(), new ResourceLedger.Claim(step.sizes(), run.traits().bestEffort(), urgency))) {
       return false;
     }
-    if (run.nature().bestEffort()) {
-      run.pace(pacing.percent(isSuspect(run.image(), millis)));
+    if (run.traits().bestEffort()) {
+      run.setSpeed(throttling.percent(isInterfering(run.image(), millis)));
     }
     runs.put(run.key().toString(), run);
     return true;
@@ -142,46 +144,46 @@
   /** Ends the run. */
   void end(FleetTask run) {
     runs.remove(run.key().toString());
-    room.release(run.key());
+    ledger.release(run.key());
   }
 
   /** Advances all tasks by the given time. */
-  void work(long millis, long forMillis) {
+  void advance(long millis, long forMillis) {
     double serviceUse = 0;
     double otherUse = 0;
     double demandMilli = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().isService()) {
+      if (run.traits().isService()) {
         serviceUse += run.declaredMilli() * load(run, millis);
-      } else if (run.nature().bestEffort()) {
-        demandMilli += askedMilli(run);
+      } else if (run.traits().bestEffort()) {
+        demandMilli += demandMilli(run);
       } else {
         otherUse += run.declaredMilli();
       }
     }
     double idle = Math.max(0, capacityMilli - serviceUse - otherUse);
     double share = demandMilli <= idle ? 1 : idle / demandMilli;
-    double slowdown = day.slowness(number, millis);
-    double weight = Math.min(1, forMillis / READING_MILLIS);
+    double slowdown = day.slowdown(number, millis);
+    double weight = Math.min(1, forMillis / READING_WINDOW_MILLIS);
     double pressure = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().bestEffort()) {
-        double used = askedMilli(run) * share;
+      if (run.traits().bestEffort()) {
+        double used = demandMilli(run) * share;
         pressure += day.pressure(run.image(), millis) * used / capacityMilli;
-        run.uses(used, weight);
+        run.recordUsage(used, weight);
         run.work(forMillis, run.percent() / 100.0 * share / slowdown);
-      } else if (!run.nature().isService()) {
+      } else if (!run.traits().isService()) {
         run.work(forMillis, 1 / slowdown);
       }
     }
-    answer(millis, pressure, weight);
+    updateTails(millis, pressure, weight);
   }
 
-  private void answer(long millis, double pressure, double weight) {
+  private void updateTails(long millis, double pressure, double weight) {
     for (FleetTask run : runs.values()) {
-      if (run.nature().isService()) {
-        double headroom = Math.max(LEAST_LEFT, 1 - load(run, millis) - pressure);
-        run.answers(IDLE_TAIL_MILLIS / headroom, weight);
+      if (run.traits().isService()) {
+        double headroom = Math.max(MIN_HEADROOM, 1 - load(run, millis) - pressure);
+        run.recordTail(IDLE_TAIL_MILLIS / headroom, weight);
       }
     }
   }
@@ -190,31 +192,31 @@
     return day.load(run.key().task().workflow() * 37 + run.key().task().index(), millis);
   }
 
-  private static double askedMilli(FleetTask run) {
-    return run.declaredMilli() * run.percent() / 100 * USED_OF_DECLARED;
+  private static double demandMilli(FleetTask run) {
+    return run.declaredMilli() * run.percent() / 100 * USED_PER_DECLARED;
   }
 
   /** Lets the side process list its worker and decide, if the listing interval has passed. */
   void decide(long millis) {
     if (policy.knowsEffects()) {
-      paceByEffects(millis);
+      throttleAsOracle(millis);
       return;
     }
-    if (millis - listedMillis < LISTING_MILLIS) {
+    if (millis - listedMillis < LISTING_INTERVAL_MILLIS) {
       return;
     }
     listedMillis = millis;
     List<BestEffortThrottler.TailReading> readings = readings();
     double worst = BestEffortThrottler.worstPercent(readings);
-    List<ImageInterference.ImageLoad> fillings = fillings();
+    List<ImageInterference.ImageLoad> fillings = imageLoads();
     if (!readings.isEmpty()) {
-      harm.observe(fillings, worst);
+      interference.observe(fillings, worst);
     }
-    observeAttained(worst);
-    pacing.observe(readings, filling(millis), TimeUnit.MILLISECONDS.toNanos(millis));
+    observeOvercommit(worst);
+    throttling.observe(readings, bestEffortLoad(millis), TimeUnit.MILLISECONDS.toNanos(millis));
     for (FleetTask run : runs.values()) {
-      if (run.nature().bestEffort()) {
-        run.pace(pacing.percent(isSuspect(run.image(), millis)));
+      if (run.traits().bestEffort()) {
+        run.setSpeed(throttling.percent(isInterfering(run.image(), millis)));
       }
     }
   }
@@ -222,29 +224,30 @@
   private List<BestEffortThrottler.TailReading> readings() {
     List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (FleetTask run : runs.values()) {
-      if (run.nature().isService()) {
+      if (run.traits().isService()) {
         double readingNoise = noise.logNormal(1, READING_SPREAD, 2);
         readings.add(
             new BestEffortThrottler.TailReading(
-                Math.round(run.tailMillis() * readingNoise), TARGET_MILLIS));
+                Math.round(run.measuredTailMillis() * readingNoise), TARGET_MILLIS));
       }
     }
     return readings;
   }
 
-  private List<ImageInterference.ImageLoad> fillings() {
+  private List<ImageInterference.ImageLoad> imageLoads() {
     Map<String, Double> usedByImage = new HashMap<>();
     for (FleetTask run : runs.values()) {
-      if (run.nature().bestEffort()) {
+      if (run.traits().bestEffort()) {
         usedByImage.merge(run.image(), run.usedMilli(), Double::sum);
       }
     }
     List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
-    usedByImage.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
+    usedByImage.forEach(
+        (image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
     return fillings;
   }
 
-  private void observeAttained(double worst) {
+  private void observeOvercommit(double worst) {
     if (!policy.overcommits()) {
       overcommit.observe(capacityMilli, 0, worst);
       return;
@@ -252,7 +255,7 @@
     double demandMilli = 0;
     double used = 0;
     for (FleetTask run : runs.values()) {
-      if (run.nature().bestEffort() && run.usedMilli() > 0 && run.percent() > 0) {
+      if (run.traits().bestEffort() && run.usedMilli() > 0 && run.percent() > 0) {
         demandMilli += run.declaredMilli() * run.percent() / 100;
         used += run.usedMilli();
       }
@@ -260,32 +263,32 @@
     overcommit.observe(demandMilli, used, worst);
   }
 
-  private BestEffortThrottler.BestEffortLoad filling(long millis) {
-    long interfering = suspectMilli(millis);
-    long all = room.bestEffortMilliProcessors();
+  private BestEffortThrottler.BestEffortLoad bestEffortLoad(long millis) {
+    long interfering = interferingMilli(millis);
+    long all = ledger.bestEffortMilliProcessors();
     return new BestEffortThrottler.BestEffortLoad(
         interfering, Math.max(0, all - interfering), capacityMilli);
   }
 
   /** Gives the pressure that services can tolerate to the images with the least pressure first. */
-  private void paceByEffects(long millis) {
+  private void throttleAsOracle(long millis) {
     double tolerable = 100;
     for (FleetTask run : runs.values()) {
-      if (run.nature().isService()) {
-        tolerable = Math.min(tolerable, ORACLE_USED - load(run, millis));
+      if (run.traits().isService()) {
+        tolerable = Math.min(tolerable, ORACLE_UTILIZATION - load(run, millis));
       }
     }
     List<FleetTask> bestEffortTasks = new ArrayList<>(runs.values());
-    bestEffortTasks.removeIf(run -> !run.nature().bestEffort());
+    bestEffortTasks.removeIf(run -> !run.traits().bestEffort());
     bestEffortTasks.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
     for (FleetTask run : bestEffortTasks) {
       double full =
           day.pressure(run.image(), millis)
               * run.declaredMilli()
-              * USED_OF_DECLARED
+              * USED_PER_DECLARED
               / capacityMilli;
       int percent = full <= 0 ? 100 : (int) Math.max(0, Math.min(100, 100 * tolerable / full));
-      run.pace(percent);
+      run.setSpeed(percent);
       tolerable -= full * percent / 100;
     }
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/InterferenceBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/InterferenceBench.java
@@ -17,7 +17,7 @@
     mixinStandardHelpOptions = true)
 public final class InterferenceBench implements Callable<Integer> {
   private static final int DEFAULT_DAYS = 200;
-  private static final int LEAST_DAYS = 2;
+  private static final int MIN_DAYS = 2;
 
   @Spec private CommandSpec spec;
 
@@ -45,7 +45,7 @@
 
   @Override
   public Integer call() {
-    if (days < LEAST_DAYS) {
+    if (days < MIN_DAYS) {
       throw new ParameterException(spec.commandLine(), "--days is under 2: " + days);
     }
     List<FleetShape> shapes = fleet == null ? List.of(FleetShape.values()) : List.of(fleet);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/PolicyTable.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/PolicyTable.java
@@ -56,7 +56,7 @@
         "| policy | worth | small | heavy | lasting | over target, s | to the product, 95% |"
             + " of the oracle |");
     lines.add("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    double oracle = worth(FleetPolicy.ORACLE).getMean();
+    double oracle = value(FleetPolicy.ORACLE).getMean();
     for (FleetPolicy policy : FleetPolicy.values()) {
       lines.add(line(policy, oracle));
     }
@@ -66,33 +66,38 @@
 
   private String line(FleetPolicy policy, double oracle) {
     List<FleetScore> policyScores = scores.get(policy);
-    double over = policyScores.stream().mapToDouble(FleetScore::overSeconds).average().orElse(0);
+    double over =
+        policyScores.stream().mapToDouble(FleetScore::overTargetSeconds).average().orElse(0);
     SummaryStatistics difference = new SummaryStatistics();
     for (int i = 0; i < days; i++) {
-      difference.addValue(policyScores.get(i).worth() - scores.get(FleetPolicy.PRODUCT).get(i).worth());
+      difference.addValue(
+          policyScores.get(i).value() - scores.get(FleetPolicy.PRODUCT).get(i).value());
     }
     return String.format(
         Locale.ROOT,
         "| %s | %.3f | %.3f | %.3f | %.3f | %.0f | %+.3f ± %.3f | %.0f%% |",
-        policy.text(),
-        worth(policy).getMean(),
-        share(policy, WorkKind.SMALL),
-        share(policy, WorkKind.HEAVY),
-        share(policy, WorkKind.LASTING),
+        policy.label(),
+        value(policy).getMean(),
+        earnedShare(policy, WorkKind.SMALL),
+        earnedShare(policy, WorkKind.HEAVY),
+        earnedShare(policy, WorkKind.SERVICE),
         over,
         difference.getMean(),
         halfInterval(difference),
-        100 * worth(policy).getMean() / oracle);
+        100 * value(policy).getMean() / oracle);
   }
 
-  private SummaryStatistics worth(FleetPolicy policy) {
+  private SummaryStatistics value(FleetPolicy policy) {
     SummaryStatistics worth = new SummaryStatistics();
-    scores.get(policy).forEach(score -> worth.addValue(score.worth()));
+    scores.get(policy).forEach(score -> worth.addValue(score.value()));
     return worth;
   }
 
-  private double share(FleetPolicy policy, WorkKind kind) {
-    return scores.get(policy).stream().mapToDouble(score -> score.share(kind)).average().orElse(0);
+  private double earnedShare(FleetPolicy policy, WorkKind kind) {
+    return scores.get(policy).stream()
+        .mapToDouble(score -> score.earnedShare(kind))
+        .average()
+        .orElse(0);
   }
 
   private static double halfInterval(SummaryStatistics difference) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Draws.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/RandomDraws.java
@@ -4,11 +4,11 @@
 import org.apache.commons.math3.random.Well19937c;
 
 /** A source of random numbers with the distributions used by {@link FleetDay}. Not thread-safe. */
-final class Draws {
+final class RandomDraws {
   private final RandomGenerator random;
 
   /** Creates a source; equal seeds draw equal numbers. */
-  Draws(long seed) {
+  RandomDraws(long seed) {
     this.random = new Well19937c(seed);
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Pacing.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Throttling.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Throttles best-effort tasks co-located with services on one VM. */
-interface Pacing {
+interface Throttling {
   /** Updates the throttling with the latest tail latencies and the best-effort load. */
   void observe(
       List<BestEffortThrottler.TailReading> readings,
@@ -15,9 +15,9 @@
   int percent(boolean interfering);
 
   /** Returns the production throttling. */
-  static Pacing ofProduct() {
+  static Throttling ofProduct() {
     BestEffortThrottler throttler = new BestEffortThrottler();
-    return new Pacing() {
+    return new Throttling() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
@@ -34,8 +34,8 @@
   }
 
   /** Returns no throttling: every task runs at full speed. */
-  static Pacing none() {
-    return new Pacing() {
+  static Throttling none() {
+    return new Throttling() {
       @Override
       public void observe(
           List<BestEffortThrottler.TailReading> readings,
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkKind.java
@@ -10,23 +10,23 @@
   /** Wide steps of best-effort tasks, which may interfere with services. */
   HEAVY(5.15, 2, 1_000, 2),
   /** Long-running service tasks with a latency target. */
-  LASTING(1.34, 2, 2_500, 0);
+  SERVICE(1.34, 2, 2_500, 0);
 
-  private final double worth;
+  private final double value;
   private final double slackFactor;
   private final long objectiveMillis;
   private final int priority;
 
   WorkKind(double worth, double slackFactor, long objectiveMillis, int priority) {
-    this.worth = worth;
+    this.value = worth;
     this.slackFactor = slackFactor;
     this.objectiveMillis = objectiveMillis;
     this.priority = priority;
   }
 
   /** Returns the value of an average workflow; for a service, of each window of two seconds. */
-  double worth() {
-    return worth;
+  double value() {
+    return value;
   }
 
   /** Returns the maximum duration of a workflow that is in time, in milliseconds. */
@@ -34,7 +34,7 @@
     return slackFactor * criticalPathMillis + objectiveMillis;
   }
 
-  WorkflowSpec.QueuePolicy terms() {
+  WorkflowSpec.QueuePolicy policy() {
     return new WorkflowSpec.QueuePolicy(
         FleetDay.SERVICE, priority, 4, Optional.empty(), slackFactor, objectiveMillis);
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/Arrival.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/WorkflowArrival.java
@@ -13,15 +13,15 @@
  * @param declared the submitted specification, with inaccurate run time estimates
  * @param lengthsMillis the actual run time of each task at full speed, by step and index
  */
-record Arrival(
+record WorkflowArrival(
     long atMillis,
     WorkKind kind,
     WorkflowSpec declared,
     ImmutableList<ImmutableList<Double>> lengthsMillis) {
 
   /** Returns the critical path of the actual run times, in milliseconds; steps run in sequence. */
-  double chainMillis() {
-    return lengthsMillis.stream().mapToDouble(Arrival::longest).sum();
+  double criticalPathMillis() {
+    return lengthsMillis.stream().mapToDouble(WorkflowArrival::longest).sum();
   }
 
   /** Returns the actual work, in thousandths of a processor times milliseconds. */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/BaselinePolicy.java
@@ -15,11 +15,11 @@
  * first-served queues at the targets, and immediate retries. Ignores load, deadlines and callers.
  */
 final class BaselinePolicy implements RequestPolicy {
-  private static final int MAX_TRIES = 4;
+  private static final int MAX_ATTEMPTS = 4;
 
-  private record Sent(Arrival arrival, int tries) {}
+  private record SentAttempt(Arrival arrival, int attempts) {}
 
-  private final Map<Long, Sent> pending = new HashMap<>();
+  private final Map<Long, SentAttempt> pending = new HashMap<>();
   private List<TargetState> targets = List.of();
   private int next;
 
@@ -29,7 +29,7 @@
   }
 
   private List<Decision> send(Arrival arrival, int tries) {
-    pending.put(arrival.request(), new Sent(arrival, tries));
+    pending.put(arrival.request(), new SentAttempt(arrival, tries));
     TargetState target = targets.get(next++ % targets.size());
     return List.of(new Decision.Send(arrival.request(), target.vm(), tries, "round robin"));
   }
@@ -47,13 +47,13 @@
 
   @Override
   public List<Decision> attemptEnded(long request, String vm, AttemptOutcome outcome, long now) {
-    Sent sent = pending.remove(request);
+    SentAttempt sent = pending.remove(request);
     if (sent == null
         || !outcome.mayRetry(sent.arrival().idempotent())
-        || sent.tries() == MAX_TRIES) {
+        || sent.attempts() == MAX_ATTEMPTS) {
       return List.of();
     }
-    return send(sent.arrival(), sent.tries() + 1);
+    return send(sent.arrival(), sent.attempts() + 1);
   }
 
   @Override
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Call.java
@@ -24,37 +24,37 @@
    * @param arrivesAt when it arrives at its entry
    * @param entry the entry chosen by the load balancer
    * @param workNanos the service time at a healthy target
-   * @param patienceNanos the time after sending during which a response is useful to the caller
-   * @param returns the maximum number of retries after failures or refusals
+   * @param timeoutNanos the time after sending during which a response is useful to the caller
+   * @param maxRetries the maximum number of retries after failures or refusals
    */
   record Plan(
       long arrivesAt,
       int entry,
       String caller,
       String key,
-      boolean isLong,
+      boolean longRunning,
       boolean idempotent,
       long workNanos,
-      long patienceNanos,
-      int returns) {}
+      long timeoutNanos,
+      int maxRetries) {}
 
   final long number;
   final Plan plan;
   final long arrivedAt;
-  final int returnsLeft;
+  final int retriesLeft;
   Result result = Result.OPEN;
-  long answeredAt;
-  int tries;
+  long completedAt;
+  int attempts;
 
   Call(long number, Plan plan, long arrivedAt, int returnsLeft) {
     this.number = number;
     this.plan = plan;
     this.arrivedAt = arrivedAt;
-    this.returnsLeft = returnsLeft;
+    this.retriesLeft = returnsLeft;
   }
 
   long deadline() {
-    return arrivedAt + plan.patienceNanos();
+    return arrivedAt + plan.timeoutNanos();
   }
 
   boolean isOpen() {
@@ -62,6 +62,6 @@
   }
 
   double latencyMillis() {
-    return (answeredAt - arrivedAt) / 1e6;
+    return (completedAt - arrivedAt) / 1e6;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/DecisionBench.java
@@ -22,8 +22,8 @@
  * Prints {@code targets,waiting,microseconds} for each size.
  */
 public final class DecisionBench {
-  private static final int WARM_UP = 200_000;
-  private static final int ROUNDS = 300_000;
+  private static final int WARM_UP_ROUNDS = 200_000;
+  private static final int MEASURED_ROUNDS = 300_000;
   private static final int SLOTS = 8;
   private static final long DEADLINE_NANOS = 5_000_000_000L;
   private static final long STEP_NANOS = 200_000;
@@ -40,19 +40,21 @@
     for (int i = 0; i < targets; i++) {
       states.add(new TargetState("vm-" + i, 1, "service", "zone-" + i % 3, SLOTS, false));
     }
-    carryOut(scheduler.targetsChanged(states, now));
+    apply(scheduler.targetsChanged(states, now));
   }
 
-  /** Runs the benchmark for 11 targets, the size of today's deployments, for 100, and for 770, the
-   * size to design for. */
+  /**
+   * Runs the benchmark for 11 targets, the size of today's deployments, for 100, and for 770, the
+   * size to design for.
+   */
   public static void main(String[] arguments) {
     System.out.println("targets,waiting,microseconds");
     for (int targets : new int[] {11, 100, 770}) {
       DecisionBench bench = new DecisionBench(targets);
-      bench.run(WARM_UP);
+      bench.run(WARM_UP_ROUNDS);
       long startNanos = System.nanoTime();
-      bench.run(ROUNDS);
-      double micros = (System.nanoTime() - startNanos) / 1e3 / ROUNDS;
+      bench.run(MEASURED_ROUNDS);
+      double micros = (System.nanoTime() - startNanos) / 1e3 / MEASURED_ROUNDS;
       int waiting = bench.scheduler.waiting().getOrDefault("service", 0);
       System.out.println(String.format(Locale.ROOT, "%d,%d,%.2f", targets, waiting, micros));
     }
@@ -72,17 +74,17 @@
   private void arrive() {
     String caller = "caller-" + random.nextInt(2_000);
     String key = "key-" + random.nextInt(2_000);
-    carryOut(
+    apply(
         scheduler.requestArrived(
             new Arrival(number++, "service", caller, key, true, now, now + DEADLINE_NANOS), now));
   }
 
   private void end(Decision.Send send) {
-    carryOut(scheduler.loadReported(send.vm(), new TargetLoad(SLOTS, 1, 3, false), now));
-    carryOut(scheduler.attemptEnded(send.request(), send.vm(), AttemptOutcome.ANSWERED, now));
+    apply(scheduler.loadReported(send.vm(), new TargetLoad(SLOTS, 1, 3, false), now));
+    apply(scheduler.attemptEnded(send.request(), send.vm(), AttemptOutcome.ANSWERED, now));
   }
 
-  private void carryOut(List<Decision> decisions) {
+  private void apply(List<Decision> decisions) {
     for (Decision decision : decisions) {
       if (decision instanceof Decision.Send send) {
         sent.add(send);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Deployment.java
@@ -5,8 +5,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The modelled deployments: the two in production, with 11 targets of 8 slots over three availability
- * zones each, and the one started by {@code bin/measure-real}.
+ * The modelled deployments: the two in production, with 11 targets of 8 slots over three
+ * availability zones each, and the one started by {@code bin/measure-real}.
  */
 enum Deployment {
   /** Parking bookings, with a client latency of 3 ms. */
@@ -21,7 +21,7 @@
     }
 
     @Override
-    int drawReturns(SplittableRandom random) {
+    int drawMaxRetries(SplittableRandom random) {
       return 0;
     }
   };
@@ -29,23 +29,23 @@
   static final int SLOTS = 8;
 
   /** The deployments in production. */
-  static final ImmutableList<Deployment> TODAY = ImmutableList.of(VATULELE, KITAMIZORA);
+  static final ImmutableList<Deployment> PRODUCTION = ImmutableList.of(VATULELE, KITAMIZORA);
 
   private static final int ZONES = 3;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long BETWEEN_ZONES_NANOS = 1_000_000;
+  private static final long CROSS_ZONE_LATENCY_NANOS = 1_000_000;
 
   /** An assumption, a fifth of the latency between zones, because no figure is known. */
-  private static final long INSIDE_ZONE_NANOS = 200_000;
+  private static final long SAME_ZONE_LATENCY_NANOS = 200_000;
 
-  private static final int MAX_RETURNS = 2;
+  private static final int MAX_RETRIES = 2;
 
-  private final long clientNanos;
+  private final long clientLatencyNanos;
   private final int targets;
   private final ImmutableList<Integer> entryCounts;
 
   Deployment(long clientMillis, int targets, Integer... entryCounts) {
-    this.clientNanos = clientMillis * NANOS_PER_MILLI;
+    this.clientLatencyNanos = clientMillis * NANOS_PER_MILLI;
     this.targets = targets;
     this.entryCounts = ImmutableList.copyOf(entryCounts);
   }
@@ -60,7 +60,7 @@
   }
 
   /** Returns the capacity of all targets, in ordinary requests per second. */
-  double perSecond() {
+  double capacityPerSecond() {
     return slots() * 1_000 / LoadPlan.MEAN_WORK_MILLIS;
   }
 
@@ -74,13 +74,13 @@
   }
 
   /** Draws the maximum number of retries of a caller. */
-  int drawReturns(SplittableRandom random) {
-    return random.nextBoolean() ? 0 : MAX_RETURNS;
+  int drawMaxRetries(SplittableRandom random) {
+    return random.nextBoolean() ? 0 : MAX_RETRIES;
   }
 
   /** Returns the one-way latency between a caller and an entry, in nanoseconds. */
-  long clientNanos() {
-    return clientNanos;
+  long clientLatencyNanos() {
+    return clientLatencyNanos;
   }
 
   /** Returns the name of the zone of the entry or target with the given number. */
@@ -89,8 +89,8 @@
   }
 
   /** Returns the one-way latency between an entry and a target, in nanoseconds. */
-  static long wayNanos(int entry, int target) {
-    return entry % ZONES == target % ZONES ? INSIDE_ZONE_NANOS : BETWEEN_ZONES_NANOS;
+  static long latencyNanos(int entry, int target) {
+    return entry % ZONES == target % ZONES ? SAME_ZONE_LATENCY_NANOS : CROSS_ZONE_LATENCY_NANOS;
   }
 
   /** Returns the name of the pattern in this deployment. */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/EventQueue.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/EventQueue.java
@@ -19,7 +19,7 @@
     return clock.nanos();
   }
 
-  void at(long time, Runnable action) {
+  void schedule(long time, Runnable action) {
     checkArgument(time >= now(), "%s is before %s", time, now());
     events.add(new Event(time, sequence++, action));
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
@@ -11,28 +11,28 @@
 /**
  * The arrivals of a measurement and the changes of targets during it. Immutable.
  *
- * <p>Callers behave the same under every policy: half of the refused or failed requests are retried,
- * at most twice, after the retry delay of the refusal or, for failures, after a second. Each retry is
- * a new call with a new deadline at another entry.
+ * <p>Callers behave the same under every policy: half of the refused or failed requests are
+ * retried, at most twice, after the retry delay of the refusal or, for failures, after a second.
+ * Each retry is a new call with a new deadline at another entry.
  *
  * @param streams independent streams of arrivals
  * @param changes the changes of targets
  * @param seconds the duration of arrivals, in seconds
- * @param measuredFrom the second from which calls are measured; earlier ones are warm-up
- * @param reportEveryNanos the interval at which side processes update the load that they report; 0 for
- *     always current
+ * @param measuredFromSecond the second from which calls are measured; earlier ones are warm-up
+ * @param reportIntervalNanos the interval at which side processes update the load that they report;
+ *     0 for always current
  */
 record LoadPlan(
     ImmutableList<Stream> streams,
-    ImmutableList<Change> changes,
+    ImmutableList<TargetChange> changes,
     int seconds,
-    int measuredFrom,
-    long reportEveryNanos) {
+    int measuredFromSecond,
+    long reportIntervalNanos) {
   /** The mean service time of an ordinary request, exponentially distributed. */
   static final double MEAN_WORK_MILLIS = 20;
 
   /** The timeout of an ordinary caller. */
-  static final long PATIENCE_MILLIS = 1_000;
+  static final long TIMEOUT_MILLIS = 1_000;
 
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -67,25 +67,27 @@
       return new Stream(load, from, to, callers, callerPrefix, keys, keyPrefix, lengthFactor);
     }
 
-    Stream from(String caller) {
+    Stream withCaller(String caller) {
       return new Stream(load, fromSecond, toSecond, 1, caller, keys, keyPrefix, lengthFactor);
     }
 
-    Stream about(String key) {
+    Stream withKey(String key) {
       return new Stream(load, fromSecond, toSecond, callers, callerPrefix, 1, key, lengthFactor);
     }
 
-    Stream longer(double factor) {
+    Stream withLengthFactor(double factor) {
       return new Stream(load, fromSecond, toSecond, callers, callerPrefix, keys, keyPrefix, factor);
     }
 
-    boolean isLong() {
+    boolean isLongRunning() {
       return lengthFactor > 1;
     }
   }
 
-  /** A change of one target at one second: its slowdown factor, and whether it fails all requests. */
-  record Change(double second, int target, double slowness, boolean failing) {}
+  /**
+   * A change of one target at one second: its slowdown factor, and whether it fails all requests.
+   */
+  record TargetChange(double second, int target, double slowdown, boolean failing) {}
 
   static LoadPlan of(int seconds, int measuredFrom, Stream... streams) {
     return new LoadPlan(
@@ -95,18 +97,18 @@
   LoadPlan with(Stream stream) {
     ImmutableList<Stream> more =
         ImmutableList.<Stream>builder().addAll(streams).add(stream).build();
-    return new LoadPlan(more, changes, seconds, measuredFrom, reportEveryNanos);
+    return new LoadPlan(more, changes, seconds, measuredFromSecond, reportIntervalNanos);
   }
 
-  LoadPlan with(Change change) {
-    ImmutableList<Change> more =
-        ImmutableList.<Change>builder().addAll(changes).add(change).build();
-    return new LoadPlan(streams, more, seconds, measuredFrom, reportEveryNanos);
+  LoadPlan with(TargetChange change) {
+    ImmutableList<TargetChange> more =
+        ImmutableList.<TargetChange>builder().addAll(changes).add(change).build();
+    return new LoadPlan(streams, more, seconds, measuredFromSecond, reportIntervalNanos);
   }
 
   /** Returns the same plan with load reports that are updated at the given interval. */
-  LoadPlan withReportsEvery(long nanos) {
-    return new LoadPlan(streams, changes, seconds, measuredFrom, nanos);
+  LoadPlan withReportInterval(long nanos) {
+    return new LoadPlan(streams, changes, seconds, measuredFromSecond, nanos);
   }
 
   /** Draws the initial calls, without retries, in order of arrival. */
@@ -127,9 +129,10 @@
       int entries,
       SplittableRandom random,
       List<Call.Plan> plans) {
-    double meanIntervalNanos = NANOS_PER_SECOND / (stream.load() * deployment.perSecond());
+    double meanIntervalNanos = NANOS_PER_SECOND / (stream.load() * deployment.capacityPerSecond());
     double endNanos = Math.min(seconds, stream.toSecond()) * NANOS_PER_SECOND;
-    double timeNanos = stream.fromSecond() * NANOS_PER_SECOND + exponential(random, meanIntervalNanos);
+    double timeNanos =
+        stream.fromSecond() * NANOS_PER_SECOND + exponential(random, meanIntervalNanos);
     while (timeNanos < endNanos) {
       plans.add(drawCall(stream, (long) timeNanos, deployment, entries, random));
       timeNanos += exponential(random, meanIntervalNanos);
@@ -139,17 +142,17 @@
   private static Call.Plan drawCall(
       Stream stream, long arrivesAt, Deployment deployment, int entries, SplittableRandom random) {
     double meanNanos = MEAN_WORK_MILLIS * stream.lengthFactor() * NANOS_PER_MILLI;
-    long timeout = (long) (PATIENCE_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
+    long timeout = (long) (TIMEOUT_MILLIS * NANOS_PER_MILLI * stream.lengthFactor());
     return new Call.Plan(
         arrivesAt,
         random.nextInt(entries),
         name(stream.callerPrefix(), stream.callers(), random),
         name(stream.keyPrefix(), stream.keys(), random),
-        stream.isLong(),
+        stream.isLongRunning(),
         random.nextInt(100) < 80,
         deployment.drawWork(random, meanNanos),
         timeout,
-        deployment.drawReturns(random));
+        deployment.drawMaxRetries(random));
   }
 
   private static String name(String prefix, int count, SplittableRandom random) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlots.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlots.java
@@ -37,7 +37,7 @@
    */
   static void write(Path directory, long seed) throws IOException {
     Files.createDirectories(directory);
-    for (Deployment deployment : Deployment.TODAY) {
+    for (Deployment deployment : Deployment.PRODUCTION) {
       String name = deployment.name().toLowerCase(Locale.ROOT);
       SvgPlot latency = new SvgPlot("Latency against load, " + name, LOAD, LATENCY);
       SvgPlot goodput = new SvgPlot("Goodput against load, " + name, LOAD, GOODPUT);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Measure.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/Measure.java
@@ -75,7 +75,7 @@
     }
     List<MeasurePattern> chosen = new ArrayList<>();
     for (String name : names) {
-      List<MeasurePattern> matching = MeasurePatterns.named(name);
+      List<MeasurePattern> matching = MeasurePatterns.findByName(name);
       if (matching.isEmpty()) {
         throw new ParameterException(
             spec.commandLine(), "No pattern is called " + name + "; --list names them");
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/MeasurePatterns.java
@@ -19,7 +19,7 @@
    * Returns the patterns with the given name, with or without the deployment; empty if there are
    * none.
    */
-  static List<MeasurePattern> named(String text) {
+  static List<MeasurePattern> findByName(String text) {
     return all().stream()
         .filter(pattern -> pattern.name().equals(text) || pattern.name().startsWith(text + "@"))
         .toList();
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelEntry.java
@@ -14,25 +14,25 @@
   static final String SERVICE = "service";
 
   /** Delivers messages and records results; implemented by the benchmark. */
-  interface Surroundings {
-    void send(int entry, String vm, Call call, ModelTarget.AnswerSink listener);
+  interface Environment {
+    void send(int entry, String vm, Call call, ModelTarget.ResponseListener listener);
 
-    void settled(Call call, long retryAfterMillis);
+    void completed(Call call, long retryAfterMillis);
   }
 
   private final int number;
   private final EventQueue events;
   private final RequestPolicy policy;
-  private final Surroundings surroundings;
+  private final Environment environment;
   private final Map<Long, Call> open = new HashMap<>();
   private final Map<Long, String> sentTo = new HashMap<>();
   private long wakeAt = Long.MAX_VALUE;
 
-  ModelEntry(int number, EventQueue events, RequestPolicy policy, Surroundings surroundings) {
+  ModelEntry(int number, EventQueue events, RequestPolicy policy, Environment surroundings) {
     this.number = number;
     this.events = events;
     this.policy = policy;
-    this.surroundings = surroundings;
+    this.environment = surroundings;
   }
 
   RequestPolicy policy() {
@@ -64,7 +64,7 @@
       if (decision instanceof Decision.Send send) {
         send(send);
       } else if (decision instanceof Decision.Refuse refuse) {
-        settle(
+        complete(
             open.get(refuse.request()), Call.Result.REFUSED, refuse.failure().retryAfterMillis());
       }
     }
@@ -73,13 +73,13 @@
 
   private void send(Decision.Send send) {
     Call call = open.get(send.request());
-    call.tries++;
-    int attempt = call.tries;
+    call.attempts++;
+    int attempt = call.attempts;
     if (attempt == 1) {
-      events.at(Math.max(events.now(), call.deadline()), () -> deadlinePassed(call));
+      events.schedule(Math.max(events.now(), call.deadline()), () -> deadlinePassed(call));
     }
     String vm = send.vm();
-    surroundings.send(number, vm, call, (outcome, load) -> ended(call, attempt, vm, outcome, load));
+    environment.send(number, vm, call, (outcome, load) -> ended(call, attempt, vm, outcome, load));
     sentTo.put(call.number, vm);
   }
 
@@ -90,18 +90,18 @@
     }
     List<Decision> decisions =
         policy.attemptEnded(call.number, vm, AttemptOutcome.TIMED_OUT, events.now());
-    settle(call, Call.Result.TIMED_OUT, 0);
+    complete(call, Call.Result.TIMED_OUT, 0);
     apply(decisions);
   }
 
   private void ended(Call call, int attempt, String vm, AttemptOutcome outcome, TargetLoad load) {
     reported(vm, load);
-    if (call.isOpen() && call.tries == attempt) {
+    if (call.isOpen() && call.attempts == attempt) {
       sentTo.remove(call.number);
       List<Decision> decisions = policy.attemptEnded(call.number, vm, outcome, events.now());
       apply(decisions);
       if (call.isOpen() && !policy.isPending(call.number)) {
-        settle(call, resultOf(outcome), 0);
+        complete(call, resultOf(outcome), 0);
       }
     }
   }
@@ -115,11 +115,11 @@
     };
   }
 
-  private void settle(Call call, Call.Result result, long retryAfterMillis) {
+  private void complete(Call call, Call.Result result, long retryAfterMillis) {
     open.remove(call.number);
     call.result = result;
-    call.answeredAt = events.now();
-    surroundings.settled(call, retryAfterMillis);
+    call.completedAt = events.now();
+    environment.completed(call, retryAfterMillis);
   }
 
   private void scheduleWake() {
@@ -129,7 +129,7 @@
     }
     wakeAt = Math.max(next, events.now());
     long dueNanos = wakeAt;
-    events.at(dueNanos, () -> wake(dueNanos));
+    events.schedule(dueNanos, () -> wake(dueNanos));
   }
 
   private void wake(long dueNanos) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTarget.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTarget.java
@@ -12,71 +12,71 @@
  * requests past their deadline. With an unbounded queue, as in the baseline, it does neither.
  */
 final class ModelTarget {
-  private static final long FAILING_NANOS = 1_000_000;
+  private static final long FAILURE_NANOS = 1_000_000;
 
   /** Receives the response of a side process. */
   @FunctionalInterface
-  interface AnswerSink {
+  interface ResponseListener {
     void ended(AttemptOutcome outcome, TargetLoad load);
   }
 
-  private record Waiting(Call call, AnswerSink sink) {}
+  private record Waiting(Call call, ResponseListener listener) {}
 
   private final EventQueue events;
   private final int slots;
-  private final int places;
+  private final int queueCapacity;
   private final int entries;
-  private final long reportEveryNanos;
+  private final long reportIntervalNanos;
   private final Deque<Waiting> waiting = new ArrayDeque<>();
   private int running;
-  private double slowness = 1;
-  private boolean failing;
+  private double setSlowdown = 1;
+  private boolean setFailing;
   private TargetLoad reported = new TargetLoad(0, 0, 0, false);
   private long reportedAt = Long.MIN_VALUE;
 
   ModelTarget(EventQueue events, int slots, int places, int entries, long reportEveryNanos) {
-    this.reportEveryNanos = reportEveryNanos;
+    this.reportIntervalNanos = reportEveryNanos;
     this.events = events;
     this.slots = slots;
-    this.places = places;
+    this.queueCapacity = places;
     this.entries = entries;
   }
 
-  void slowness(double factor) {
-    slowness = factor;
+  void setSlowdown(double factor) {
+    setSlowdown = factor;
   }
 
-  void failing(boolean newFailing) {
-    failing = newFailing;
+  void setFailing(boolean newFailing) {
+    setFailing = newFailing;
   }
 
   /** Returns the load as last reported by the side process, which may be stale. */
   TargetLoad load() {
-    if (reportedAt == Long.MIN_VALUE || events.now() - reportedAt >= reportEveryNanos) {
+    if (reportedAt == Long.MIN_VALUE || events.now() - reportedAt >= reportIntervalNanos) {
       reported = new TargetLoad(running, waiting.size(), entries, false);
       reportedAt = events.now();
     }
     return reported;
   }
 
-  void arrived(Call call, AnswerSink listener) {
+  void arrived(Call call, ResponseListener listener) {
     if (running < slots) {
       run(call, listener);
-    } else if (waiting.size() < places) {
+    } else if (waiting.size() < queueCapacity) {
       waiting.add(new Waiting(call, listener));
     } else {
       listener.ended(AttemptOutcome.NOT_RUN, load());
     }
   }
 
-  private void run(Call call, AnswerSink listener) {
+  private void run(Call call, ResponseListener listener) {
     running++;
-    boolean fails = failing;
-    long work = fails ? FAILING_NANOS : (long) (call.plan.workNanos() * slowness);
-    events.at(events.now() + work, () -> finished(listener, fails));
+    boolean fails = setFailing;
+    long work = fails ? FAILURE_NANOS : (long) (call.plan.workNanos() * setSlowdown);
+    events.schedule(events.now() + work, () -> finished(listener, fails));
   }
 
-  private void finished(AnswerSink listener, boolean failed) {
+  private void finished(ResponseListener listener, boolean failed) {
     running--;
     startNext();
     listener.ended(failed ? AttemptOutcome.TARGET_ERROR : AttemptOutcome.ANSWERED, load());
@@ -86,10 +86,10 @@
     while (running < slots && !waiting.isEmpty()) {
       Waiting next = waiting.poll();
       boolean expired = events.now() >= next.call().deadline();
-      if (expired && places != Integer.MAX_VALUE) {
-        next.sink().ended(AttemptOutcome.NOT_RUN, load());
+      if (expired && queueCapacity != Integer.MAX_VALUE) {
+        next.listener().ended(AttemptOutcome.NOT_RUN, load());
       } else {
-        run(next.call(), next.sink());
+        run(next.call(), next.listener());
       }
     }
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTask.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelTask.java
@@ -5,10 +5,12 @@
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.Sizes;
 
-/** A running attempt in the model, with its actual behaviour independent of what its job declared. */
+/**
+ * A running attempt in the model, with its actual behaviour independent of what its job declared.
+ */
 final class ModelTask {
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final double FULL = 100;
+  private static final double FULL_PERCENT = 100;
 
   private final String name;
   private final JobSpec spec;
@@ -59,11 +61,11 @@
     return token;
   }
 
-  double throttle() {
-    return throttlePercent / FULL;
+  double throttleFraction() {
+    return throttlePercent / FULL_PERCENT;
   }
 
-  void throttle(int percent) {
+  void throttleFraction(int percent) {
     throttlePercent = percent;
   }
 
@@ -80,12 +82,12 @@
   }
 
   Sizes used() {
-    return new Sizes((long) (kind.milliProcessors() * throttle()), kind.memoryBytes(), 0);
+    return new Sizes((long) (kind.milliProcessors() * throttleFraction()), kind.memoryBytes(), 0);
   }
 
   /** Advances the attempt and returns the work done, in milliseconds. */
   double advance(double millis, double slowdown, long nowMillis) {
-    double work = Math.min(workMillis - progressMillis, millis * throttle() / slowdown);
+    double work = Math.min(workMillis - progressMillis, millis * throttleFraction() / slowdown);
     progressMillis += work;
     if (nowMillis - checkpointedAtMillis >= spec.checkpointIntervalMillis()) {
       checkpoint(nowMillis);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PlacementScale.java
@@ -1,8 +1,8 @@
 package io.marigoldsail.testlib.measure;
 
+import io.marigoldsail.job.JobQueue;
 import io.marigoldsail.job.JobSpec;
 import io.marigoldsail.job.JobState;
-import io.marigoldsail.job.QueueOrder;
 import io.marigoldsail.job.Sizes;
 import io.marigoldsail.job.Spread;
 import io.marigoldsail.job.TaskClass;
@@ -35,23 +35,24 @@
  * Measures placement at the size to design for, 770 VMs, 90 task starts per second and about 13,000
  * running tasks, or at a fraction of it.
  *
- * <p>{@code placement_us}, {@code placement_p99_us}, {@code fold_us} and {@code deciding_percent} are
- * processor time of this thread and differ from run to run; all other metrics are deterministic.
+ * <p>{@code placement_us}, {@code placement_p99_us}, {@code fold_us} and {@code deciding_percent}
+ * are processor time of this thread and differ from run to run; all other metrics are
+ * deterministic.
  */
 final class PlacementScale implements MeasurePattern {
-  private static final ThreadMXBean PROCESSOR = ManagementFactory.getThreadMXBean();
+  private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
   private static final int TARGET_VMS = 770;
   private static final int TEAMS = 400;
-  private static final int TASKS_A_JOB = 9;
-  private static final long TARGET_JOB_EVERY_MILLIS = 100;
+  private static final int TASKS_PER_JOB = 9;
+  private static final long TARGET_JOB_INTERVAL_MILLIS = 100;
   private static final long ROUND_MILLIS = 50;
   private static final long APPEND_MILLIS = 100;
   private static final long RUN_MILLIS = 145_000;
   private static final long HORIZON_MILLIS = 400_000;
   private static final long MEASURED_FROM_MILLIS = 250_000;
-  private static final int URGENT_EVERY = 20;
-  private static final int CLAIMS_A_ROUND = 64;
-  private static final Sizes ROOM = new Sizes(10_000, 52L << 30, 0);
+  private static final int JOBS_PER_URGENT_JOB = 20;
+  private static final int MAX_CLAIMS_PER_ROUND = 64;
+  private static final Sizes VM_CAPACITY = new Sizes(10_000, 52L << 30, 0);
   private static final Sizes TASK = new Sizes(500, 2L << 30, 0);
 
   private record End(long atMillis, String task, long token) {}
@@ -59,7 +60,7 @@
   private record Append(long dueMillis, TaskRecord.Claimed claim) {}
 
   private static final class Run {
-    private final int part;
+    private final int divisor;
     private final int vms;
     private final TaskTable table = new TaskTable();
     private final Random random;
@@ -78,7 +79,7 @@
     private long decideNanos;
 
     Run(long seed, int part) {
-      this.part = part;
+      this.divisor = part;
       this.vms = TARGET_VMS / part;
       random = new Random(seed);
       Interference interference = new Interference();
@@ -90,14 +91,14 @@
       for (int i = 0; i < vms; i++) {
         fold(
             new TaskRecord.VmJoined(
-                new VmDescription("vm-" + i, 1, ROOM, "zone-" + i % 9, "rack-" + i / 30)));
+                new VmDescription("vm-" + i, 1, VM_CAPACITY, "zone-" + i % 9, "rack-" + i / 30)));
       }
     }
 
     void run() {
       for (now = 0; now < HORIZON_MILLIS; now += ROUND_MILLIS) {
-        if (now % (TARGET_JOB_EVERY_MILLIS * part) == 0) {
-          submit(TASKS_A_JOB);
+        if (now % (TARGET_JOB_INTERVAL_MILLIS * divisor) == 0) {
+          submit(TASKS_PER_JOB);
         }
         while (!ends.isEmpty() && ends.peek().atMillis() <= now) {
           End end = ends.poll();
@@ -112,16 +113,16 @@
 
     private long fold(TaskRecord record) {
       long at = position;
-      long before = PROCESSOR.getCurrentThreadCpuTime();
+      long before = THREADS.getCurrentThreadCpuTime();
       table.apply(at, record);
-      foldNanos += PROCESSOR.getCurrentThreadCpuTime() - before;
+      foldNanos += THREADS.getCurrentThreadCpuTime() - before;
       position++;
       return at;
     }
 
     private void submit(int count) {
       jobs++;
-      boolean urgent = jobs % URGENT_EVERY == 0;
+      boolean urgent = jobs % JOBS_PER_URGENT_JOB == 0;
       JobSpec spec =
           new JobSpec(
               "job-" + jobs,
@@ -142,7 +143,7 @@
     private void start(TaskRecord.Claimed claim) {
       long token = fold(claim);
       TaskState task = table.task(claim.task()).orElseThrow();
-      if (!task.holds(token)) {
+      if (!task.isClaimedWith(token)) {
         return;
       }
       started++;
@@ -155,16 +156,16 @@
     }
 
     private void decide() {
-      long from = PROCESSOR.getCurrentThreadCpuTime();
+      long from = THREADS.getCurrentThreadCpuTime();
       List<JobState> waiting = table.waitingJobs();
       if (!waiting.isEmpty()) {
         decide(waiting);
       }
-      decideNanos += PROCESSOR.getCurrentThreadCpuTime() - from;
+      decideNanos += THREADS.getCurrentThreadCpuTime() - from;
     }
 
     private void decide(List<JobState> waiting) {
-      long before = PROCESSOR.getCurrentThreadCpuTime();
+      long before = THREADS.getCurrentThreadCpuTime();
       Fleet fleet = new Fleet(table.vms(), vm -> true, table::programsOn);
       Set<String> pendingTasks = new HashSet<>();
       for (Append append : appends) {
@@ -173,25 +174,25 @@
       }
       waiting.forEach(job -> reserve.observe(job.spec().sizes(), job.spec().urgent(), now));
       fleet.reserveVms(reserve.perVm(fleet.meanCapacity(), now), reserve.vmCount(vms));
-      QueueOrder order =
-          new QueueOrder(
+      JobQueue order =
+          new JobQueue(
               waiting, table.bookedByTeam(), team -> TeamQuota.DEFAULT, fleet.capacity(), now);
       placer.beginRound();
       int claims = 0;
       Optional<JobState> next = order.next();
-      while (next.isPresent() && claims < CLAIMS_A_ROUND) {
+      while (next.isPresent() && claims < MAX_CLAIMS_PER_ROUND) {
         claims += claimAll(next.get(), fleet, pendingTasks);
         next = order.next();
       }
       if (claims > 0 && now >= MEASURED_FROM_MILLIS) {
         placementNanos.recordValueWithCount(
-            (PROCESSOR.getCurrentThreadCpuTime() - before) / claims, claims);
+            (THREADS.getCurrentThreadCpuTime() - before) / claims, claims);
       }
     }
 
     private int claimAll(JobState job, Fleet fleet, Set<String> pendingTasks) {
       int claims = 0;
-      for (TaskState task : table.waiting(job.spec().name(), 0, CLAIMS_A_ROUND)) {
+      for (TaskState task : table.waiting(job.spec().name(), 0, MAX_CLAIMS_PER_ROUND)) {
         if (pendingTasks.contains(task.name())) {
           continue;
         }
@@ -212,21 +213,21 @@
     }
   }
 
-  private final int part;
+  private final int divisor;
 
   /** Creates the pattern with the size divided by the given number. */
   PlacementScale(int part) {
-    this.part = part;
+    this.divisor = part;
   }
 
   @Override
   public String name() {
-    return "placement-scale@" + (part == 1 ? "target" : "part-" + part);
+    return "placement-scale@" + (divisor == 1 ? "target" : "part-" + divisor);
   }
 
   @Override
   public void run(long seed, MeasureRows rows) {
-    Run run = new Run(seed, part);
+    Run run = new Run(seed, divisor);
     run.run();
     double seconds = HORIZON_MILLIS / 1_000.0;
     rows.add(name(), 1, "marigoldsail", "placement_us", run.placementNanos.getMean() / 1_000);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/PolicyKind.java
@@ -21,7 +21,7 @@
     }
 
     @Override
-    int waitingPlaces(int slots) {
+    int queueCapacity(int slots) {
       return TargetQueueLimit.forSlots(slots);
     }
   },
@@ -34,14 +34,14 @@
     }
 
     @Override
-    int waitingPlaces(int slots) {
+    int queueCapacity(int slots) {
       return Integer.MAX_VALUE;
     }
   };
 
   abstract RequestPolicy create(String zone, long seed);
 
-  abstract int waitingPlaces(int slots);
+  abstract int queueCapacity(int slots);
 
   String label() {
     return name().toLowerCase(Locale.ROOT);
