--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
@@ -41,14 +41,14 @@
       int from = last == null ? 0 : Math.max(0, events.size() - last);
       events.subList(from, events.size()).forEach(this::print);
       if (follow) {
-        CausalEventMerger merge = new CausalEventMerger();
+        CausalEventMerger merger = new CausalEventMerger();
         Polling.until(
             () -> {
-              merge.add(reader.readNew(), reader.completeUpTo()).forEach(this::print);
+              merger.add(reader.readNew(), reader.completeUpTo()).forEach(this::print);
               return Optional.<Object>empty();
             },
             followMillis);
-        merge.flush().forEach(this::print);
+        merger.flush().forEach(this::print);
       }
       return ExitCode.OK.code();
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadCommand.java
@@ -164,9 +164,9 @@
       long start = pacer.nanos();
       run.sendAll();
       awaitResponses(progress, run);
-      long tookMillis = TimeUnit.NANOSECONDS.toMillis(pacer.nanos() - start);
+      long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(pacer.nanos() - start);
       LoadReport report =
-          new LoadReport(run.reported(), tookMillis - warmupMillis, run.statistics());
+          new LoadReport(run.reported(), elapsedMillis - warmupMillis, run.statistics());
       return report(report, run).code();
     } finally {
       progress.shutdownNow();
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/load/LoadReport.java
@@ -22,12 +22,12 @@
    * Creates a report.
    *
    * @param planned the number of planned requests
-   * @param tookMillis the duration of the run up to the last response
+   * @param elapsedMillis the duration of the run up to the last response
    */
-  LoadReport(long planned, long tookMillis, LoadStatistics loadRecord) {
+  LoadReport(long planned, long elapsedMillis, LoadStatistics statistics) {
     this.planned = planned;
-    this.elapsedMillis = Math.max(1, tookMillis);
-    this.statistics = loadRecord;
+    this.elapsedMillis = Math.max(1, elapsedMillis);
+    this.statistics = statistics;
   }
 
   List<String> lines() {
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/CausalEventMergerTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/CausalEventMergerTest.java
@@ -27,9 +27,9 @@
     final List<HybridClock> clocks = new ArrayList<>();
     final List<EventBuffer> buffers = new ArrayList<>();
     final long[] next = new long[PROCESSES];
-    final CausalEventMerger merge = new CausalEventMerger();
+    final CausalEventMerger merger = new CausalEventMerger();
     final List<TimedEvent> shown = new ArrayList<>();
-    List<TimedEvent> reading = new ArrayList<>();
+    List<TimedEvent> roundEvents = new ArrayList<>();
     int nextToRead;
     long completeUpTo = Long.MAX_VALUE;
 
@@ -45,13 +45,13 @@
     void readOneProcess() {
       EventPage page = buffers.get(nextToRead).page(next[nextToRead], 1_000, EventFilter.ALL);
       next[nextToRead] = page.next();
-      reading.addAll(page.events());
+      roundEvents.addAll(page.events());
       completeUpTo = Math.min(completeUpTo, page.asOf());
       nextToRead++;
       if (nextToRead == PROCESSES) {
-        shown.addAll(merge.add(reading, completeUpTo));
+        shown.addAll(merger.add(roundEvents, completeUpTo));
         completeUpTo = Long.MAX_VALUE;
-        reading = new ArrayList<>();
+        roundEvents = new ArrayList<>();
         nextToRead = 0;
       }
     }
@@ -82,7 +82,7 @@
     for (int i = 0; i < 3 * PROCESSES; i++) {
       simulation.readOneProcess();
     }
-    simulation.shown.addAll(simulation.merge.flush());
+    simulation.shown.addAll(simulation.merger.flush());
     check(simulation.shown);
   }
 
@@ -97,7 +97,7 @@
     for (int i = 0; i < shown.size(); i++) {
       TimedEvent timed = shown.get(i);
       long before = lastOfProcess.getOrDefault(timed.process(), 0L);
-      assertTrue(timed.sequence() > before, "a process's own order is kept");
+      assertTrue(timed.sequence() > before, "the order of one process is preserved");
       lastOfProcess.put(timed.process(), timed.sequence());
       if (timed.event().kind() == EventKind.REQUEST_SENT) {
         sentAt.put(timed.event().request(), i);
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/load/LoadRunTest.java
@@ -27,9 +27,9 @@
         }
 
         @Override
-        public void awaitNanos(long reading) {
-          if (reading > clock.nanos()) {
-            clock.advanceTo(reading);
+        public void awaitNanos(long deadlineNanos) {
+          if (deadlineNanos > clock.nanos()) {
+            clock.advanceTo(deadlineNanos);
           }
         }
       };
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/fault/ProcessFleet.java
@@ -162,13 +162,13 @@
   }
 
   private String outputTails() {
-    StringBuilder all = new StringBuilder();
+    StringBuilder outputs = new StringBuilder();
     for (String name : processes.keySet()) {
       String text = output(name);
-      all.append("== ").append(name).append('\n');
-      all.append(text.substring(Math.max(0, text.length() - 2_000)));
+      outputs.append("== ").append(name).append('\n');
+      outputs.append(text.substring(Math.max(0, text.length() - 2_000)));
     }
-    return all.toString();
+    return outputs.toString();
   }
 
   private void signal(String name, String signal) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
@@ -74,11 +74,11 @@
         violations.add("revision " + publish.revision() + " was accepted twice");
       }
     }
-    for (Read reading : reads) {
-      String other = contents.putIfAbsent(reading.revision(), reading.content());
-      if (other != null && !other.equals(reading.content())) {
+    for (Read read : reads) {
+      String other = contents.putIfAbsent(read.revision(), read.content());
+      if (other != null && !other.equals(read.content())) {
         violations.add(
-            reading.process() + " shows different content for revision " + reading.revision());
+            read.process() + " shows different content for revision " + read.revision());
       }
     }
   }
@@ -98,20 +98,20 @@
     Map<String, Read> last = new HashMap<>();
     List<Read> ordered = new ArrayList<>(reads);
     ordered.sort(Comparator.comparingLong(Read::readAt));
-    for (Read reading : ordered) {
-      Read previous = last.put(reading.process(), reading);
-      if (previous != null && previous.revision() > reading.revision()) {
+    for (Read read : ordered) {
+      Read previous = last.put(read.process(), read);
+      if (previous != null && previous.revision() > read.revision()) {
         violations.add(
-            reading.process()
+            read.process()
                 + " went back from revision "
                 + previous.revision()
                 + " to "
-                + reading.revision());
+                + read.revision());
       }
       for (Publish publish : publishes) {
-        if (publish.revision() == reading.revision() && reading.readAt() < publish.startedAt()) {
+        if (publish.revision() == read.revision() && read.readAt() < publish.startedAt()) {
           violations.add(
-              reading.process() + " showed " + reading.revision() + " before its publish");
+              read.process() + " showed " + read.revision() + " before its publish");
         }
       }
     }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -302,14 +302,14 @@
   }
 
   private boolean start(
-      OpenWorkflow of, WorkflowTask task, Urgency urgency, Place place, long now) {
-    of.workflow().startAttempt(task, place);
-    double length = of.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
+      OpenWorkflow openWorkflow, WorkflowTask task, Urgency urgency, Place place, long now) {
+    openWorkflow.workflow().startAttempt(task, place);
+    double length = openWorkflow.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
     FleetTask run = new FleetTask(task, length, now);
     if (vm(place).start(run, urgency, now)) {
       return true;
     }
-    of.workflow().recordEnd(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
+    openWorkflow.workflow().recordEnd(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
     return false;
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -52,7 +52,7 @@
   private final ResourceLedger ledger = new ResourceLedger(overcommit);
   private final Throttling throttling;
   private final ImageInterference interference = new ImageInterference();
-  private final RandomDraws noise;
+  private final RandomDraws random;
   private final Map<String, FleetTask> runs = new LinkedHashMap<>();
   private long listedMillis;
 
@@ -62,7 +62,7 @@
     this.number = number;
     this.capacityMilli = day.shape().capacityMilli(number);
     this.throttling = policy.newThrottling();
-    this.noise = new RandomDraws(day.seed() * 31 + number);
+    this.random = new RandomDraws(day.seed() * 31 + number);
     this.listedMillis = number * LISTING_INTERVAL_MILLIS / FleetShape.VMS;
     ledger.capacity(new Sizes(capacityMilli, VM_MEMORY_BYTES, 0));
   }
@@ -208,9 +208,9 @@
     listedMillis = millis;
     List<BestEffortThrottler.TailReading> readings = readings();
     double worst = BestEffortThrottler.worstPercent(readings);
-    List<ImageInterference.ImageLoad> fillings = imageLoads();
+    List<ImageInterference.ImageLoad> loads = imageLoads();
     if (!readings.isEmpty()) {
-      interference.observe(fillings, worst);
+      interference.observe(loads, worst);
     }
     observeOvercommit(worst);
     throttling.observe(readings, bestEffortLoad(millis), TimeUnit.MILLISECONDS.toNanos(millis));
@@ -225,7 +225,7 @@
     List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (FleetTask run : runs.values()) {
       if (run.traits().isService()) {
-        double readingNoise = noise.logNormal(1, READING_SPREAD, 2);
+        double readingNoise = random.logNormal(1, READING_SPREAD, 2);
         readings.add(
             new BestEffortThrottler.TailReading(
                 Math.round(run.measuredTailMillis() * readingNoise), TARGET_MILLIS));
@@ -241,10 +241,10 @@
         usedByImage.merge(run.image(), run.usedMilli(), Double::sum);
       }
     }
-    List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
+    List<ImageInterference.ImageLoad> loads = new ArrayList<>();
     usedByImage.forEach(
-        (image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
-    return fillings;
+        (image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
+    return loads;
   }
 
   private void observeOvercommit(double worst) {
@@ -265,9 +265,9 @@
 
   private BestEffortThrottler.BestEffortLoad bestEffortLoad(long millis) {
     long interfering = interferingMilli(millis);
-    long all = ledger.bestEffortMilliProcessors();
+    long totalMilli = ledger.bestEffortMilliProcessors();
     return new BestEffortThrottler.BestEffortLoad(
-        interfering, Math.max(0, all - interfering), capacityMilli);
+        interfering, Math.max(0, totalMilli - interfering), capacityMilli);
   }
 
   /** Gives the pressure that services can tolerate to the images with the least pressure first. */
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/LoadPlan.java
@@ -89,9 +89,9 @@
    */
   record TargetChange(double second, int target, double slowdown, boolean failing) {}
 
-  static LoadPlan of(int seconds, int measuredFrom, Stream... streams) {
+  static LoadPlan of(int seconds, int measuredFromSecond, Stream... streams) {
     return new LoadPlan(
-        ImmutableList.copyOf(streams), ImmutableList.of(), seconds, measuredFrom, 0);
+        ImmutableList.copyOf(streams), ImmutableList.of(), seconds, measuredFromSecond, 0);
   }
 
   LoadPlan with(Stream stream) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
@@ -74,8 +74,8 @@
       delayedResponses.add(new Response(nowMillis, latency));
     }
     while (delayedResponses.peek().atMillis() + REPORT_LAG_MILLIS <= nowMillis) {
-      Response answer = delayedResponses.poll();
-      window.add((long) (answer.latencyMillis() * NANOS_PER_MILLI), nowMillis * NANOS_PER_MILLI);
+      Response response = delayedResponses.poll();
+      window.add((long) (response.latencyMillis() * NANOS_PER_MILLI), nowMillis * NANOS_PER_MILLI);
     }
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
@@ -116,7 +116,7 @@
   }
 
   @Override
-  public void send(int entry, String vm, Call call, ModelTarget.ResponseListener sink) {
+  public void send(int entry, String vm, Call call, ModelTarget.ResponseListener listener) {
     int target = Integer.parseInt(vm.substring(vm.indexOf('-') + 1));
     long latencyNanos = Deployment.latencyNanos(entry, target);
     sends.add(new SentAttempt(events.now(), target));
@@ -129,7 +129,7 @@
                     call,
                     (outcome, load) ->
                         events.schedule(
-                            events.now() + latencyNanos, () -> sink.ended(outcome, load))));
+                            events.now() + latencyNanos, () -> listener.ended(outcome, load))));
   }
 
   @Override
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDecider.java
@@ -74,12 +74,12 @@
     private final GuardPolicy policy;
     private long nowMillis;
 
-    Product(TaskTable table, GuardPolicy terms, long seed) {
-      this.policy = terms;
+    Product(TaskTable table, GuardPolicy policy, long seed) {
+      this.policy = policy;
       this.placer = new Placer(new InterferenceCosts(interference), new Random(seed));
       table.addEndListener((vm, job, ok) -> health.recordEnd(vm, job, ok, nowMillis));
       table.addEvictionListener(
-          vm -> preemptor.recordEviction(terms, vm, nowMillis * NANOS_PER_MILLI));
+          vm -> preemptor.recordEviction(policy, vm, nowMillis * NANOS_PER_MILLI));
     }
 
     @Override
