--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
@@ -17,10 +17,7 @@
   @Parameters(paramLabel = "JOB", description = "The job's name.")
   private String job;
 
-  @Option(
-      names = "--reason",
-      defaultValue = "cancelled by an operator",
-      description = "Reason shown with the job.")
+  @Option(names = "--reason", defaultValue = "cancelled by an operator", description = "Why.")
   private String reason;
 
   @Override
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/history/RevisionHistory.java
@@ -77,8 +77,7 @@
     for (Read read : reads) {
       String other = contents.putIfAbsent(read.revision(), read.content());
       if (other != null && !other.equals(read.content())) {
-        violations.add(
-            read.process() + " shows different content for revision " + read.revision());
+        violations.add(read.process() + " shows different content for revision " + read.revision());
       }
     }
   }
@@ -110,8 +109,7 @@
       }
       for (Publish publish : publishes) {
         if (publish.revision() == read.revision() && read.readAt() < publish.startedAt()) {
-          violations.add(
-              read.process() + " showed " + read.revision() + " before its publish");
+          violations.add(read.process() + " showed " + read.revision() + " before its publish");
         }
       }
     }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -304,7 +304,8 @@
   private boolean start(
       OpenWorkflow openWorkflow, WorkflowTask task, Urgency urgency, Place place, long now) {
     openWorkflow.workflow().startAttempt(task, place);
-    double length = openWorkflow.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
+    double length =
+        openWorkflow.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
     FleetTask run = new FleetTask(task, length, now);
     if (vm(place).start(run, urgency, now)) {
       return true;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -242,8 +242,7 @@
       }
     }
     List<ImageInterference.ImageLoad> loads = new ArrayList<>();
-    usedByImage.forEach(
-        (image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
+    usedByImage.forEach((image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
     return loads;
   }
 
