--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/CancelCommand.java
@@ -25,11 +25,11 @@
     try (OperatorClient client = connection.connect()) {
       String route =
           "/jobs/" + ConnectionOptions.encode(job) + "?reason=" + ConnectionOptions.encode(reason);
-      JsonNode answer = ConnectionOptions.valueOrThrow(client.delete(route));
+      JsonNode response = ConnectionOptions.valueOrThrow(client.delete(route));
       if (connection.json()) {
-        connection.printJson(answer);
+        connection.printJson(response);
       } else {
-        connection.print(JobFormatter.formatLine(answer));
+        connection.print(JobFormatter.formatLine(response));
       }
       return ExitCode.OK.code();
     }
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/ExplainCommand.java
@@ -21,7 +21,7 @@
 @Command(
     name = "explain",
     mixinStandardHelpOptions = true,
-    description = "Tells where a task or request is, why, and what happened to it.")
+    description = "Shows the state of a task or request, the reason for it, and its events.")
 final class ExplainCommand implements Callable<Integer> {
   @Mixin private ConnectionOptions connection;
 
@@ -36,7 +36,7 @@
       names = "--logs",
       arity = "1..*",
       paramLabel = "FILE",
-      description = "Tell it from collected logs of all processes; - is standard input.")
+      description = "Use collected logs of all processes instead of entries; - is standard input.")
   private List<String> logs = new ArrayList<>();
 
   @Override
@@ -68,12 +68,12 @@
 
   private int explainFromLogs() {
     List<LogEntry> entries = ProfileCommand.read(logs);
-    ImmutableList<LogEntry> story = CausalLogSorter.sort(subject, entries);
-    if (story.isEmpty()) {
+    ImmutableList<LogEntry> sorted = CausalLogSorter.sort(subject, entries);
+    if (sorted.isEmpty()) {
       throw new CommandException(
           ExitCode.REFUSED, "none of " + entries.size() + " log lines tells of " + subject);
     }
-    story.forEach(this::print);
+    sorted.forEach(this::print);
     return ExitCode.OK.code();
   }
 
@@ -99,16 +99,16 @@
     return new TimelineReader(client, filter, connection.err()::println).readNew();
   }
 
-  private void print(JsonNode found, List<TimedEvent> events) {
+  private void print(JsonNode description, List<TimedEvent> events) {
     if (connection.json()) {
       ObjectNode node = Json.object();
-      node.set("subject", found);
+      node.set("subject", description);
       ArrayNode list = node.putArray("events");
       events.forEach(event -> list.add(EventJson.write(event)));
       connection.printJson(node);
       return;
     }
-    found
+    description
         .properties()
         .forEach(
             field -> {
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/StatusCommand.java
@@ -31,19 +31,19 @@
     }
   }
 
-  private void printJob(JsonNode answer) {
+  private void printJob(JsonNode response) {
     if (connection.json()) {
-      connection.printJson(answer);
+      connection.printJson(response);
     } else {
-      connection.print(JobFormatter.formatLine(answer));
+      connection.print(JobFormatter.formatLine(response));
     }
   }
 
   private void printAll(OperatorClient client) {
     JsonNode members = ConnectionOptions.valueOrThrow(client.get("/members")).path("processes");
     JsonNode inForce = ConnectionOptions.valueOrThrow(client.get("/configuration/in-force"));
-    JsonNode answer = ConnectionOptions.valueOrThrow(client.get("/jobs"));
-    JsonNode jobs = answer.isArray() ? answer : answer.path("jobs");
+    JsonNode response = ConnectionOptions.valueOrThrow(client.get("/jobs"));
+    JsonNode jobs = response.isArray() ? response : response.path("jobs");
     if (connection.json()) {
       ObjectNode node = Json.object();
       node.set("processes", members);
--- a/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
+++ b/marigoldsail-cli/src/main/java/io/marigoldsail/cli/TimelineCommand.java
@@ -19,14 +19,14 @@
 
   @Option(
       names = {"-f", "--follow"},
-      description = "Go on with new events until interrupted.")
+      description = "Continue with new events until interrupted.")
   private boolean follow;
 
   @Option(
       names = "--follow-for",
       defaultValue = "9223372036854775807",
       paramLabel = "MILLIS",
-      description = "End --follow by itself after so many milliseconds.")
+      description = "Stop --follow after this time, in milliseconds.")
   private long followMillis;
 
   @Option(names = "--last", paramLabel = "N", description = "Only the last N events.")
@@ -41,14 +41,14 @@
       int from = last == null ? 0 : Math.max(0, events.size() - last);
       events.subList(from, events.size()).forEach(this::print);
       if (follow) {
-        CausalEventMerger merge = new CausalEventMerger();
+        CausalEventMerger merger = new CausalEventMerger();
         Polling.until(
             () -> {
-              merge.add(reader.readNew(), reader.completeUpTo()).forEach(this::print);
+              merger.add(reader.readNew(), reader.completeUpTo()).forEach(this::print);
               return Optional.<Object>empty();
             },
             followMillis);
-        merge.flush().forEach(this::print);
+        merger.flush().forEach(this::print);
       }
       return ExitCode.OK.code();
     }
--- a/marigoldsail-cli/src/test/java/io/marigoldsail/cli/CausalEventMergerTest.java
+++ b/marigoldsail-cli/src/test/java/io/marigoldsail/cli/CausalEventMergerTest.java
@@ -22,14 +22,14 @@
   private static final int PROCESSES = 3;
   private static final int STEPS = 200;
 
-  /** Processes whose clocks disagree, and a follower that reads them one by one meanwhile. */
+  /** Processes with skewed clocks, and a follower that reads them one by one. */
   private static final class Simulation {
     final List<HybridClock> clocks = new ArrayList<>();
     final List<EventBuffer> buffers = new ArrayList<>();
     final long[] next = new long[PROCESSES];
-    final CausalEventMerger merge = new CausalEventMerger();
+    final CausalEventMerger merger = new CausalEventMerger();
     final List<TimedEvent> shown = new ArrayList<>();
-    List<TimedEvent> reading = new ArrayList<>();
+    List<TimedEvent> roundEvents = new ArrayList<>();
     int nextToRead;
     long completeUpTo = Long.MAX_VALUE;
 
@@ -45,49 +45,49 @@
     void readOneProcess() {
       EventPage page = buffers.get(nextToRead).page(next[nextToRead], 1_000, EventFilter.ALL);
       next[nextToRead] = page.next();
-      reading.addAll(page.events());
+      roundEvents.addAll(page.events());
       completeUpTo = Math.min(completeUpTo, page.asOf());
       nextToRead++;
       if (nextToRead == PROCESSES) {
-        shown.addAll(merge.add(reading, completeUpTo));
+        shown.addAll(merger.add(roundEvents, completeUpTo));
         completeUpTo = Long.MAX_VALUE;
-        reading = new ArrayList<>();
+        roundEvents = new ArrayList<>();
         nextToRead = 0;
       }
     }
   }
 
   /**
-   * Story: an operator follows the time line while a request goes from an entry to a VM. The tool
-   * reads the entry, then the request is sent and started, then it reads the VM: it has the start
-   * and not yet the sending. Shown as read, the request starts before it is sent.
+   * The tool reads an entry, then the entry sends a request and a VM starts it, then the tool reads
+   * the VM: it has the start without the send. Printed in reading order, the request would start
+   * before it is sent.
    */
   @Property(seed = "61", tries = 100)
   void neverShowsEffectBeforeCause(@ForAll long seed) {
     Random random = new Random(seed);
-    Simulation world = new Simulation(random);
+    Simulation simulation = new Simulation(random);
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
-        world.readOneProcess();
+        simulation.readOneProcess();
       }
       int sender = random.nextInt(PROCESSES);
       int receiver = random.nextInt(PROCESSES);
-      record(world, sender, EventKind.REQUEST_SENT, step);
-      world.clocks.get(receiver).observe(world.clocks.get(sender).now());
+      record(simulation, sender, EventKind.REQUEST_SENT, step);
+      simulation.clocks.get(receiver).observe(simulation.clocks.get(sender).now());
       if (random.nextInt(3) == 0) {
-        world.readOneProcess();
+        simulation.readOneProcess();
       }
-      record(world, receiver, EventKind.REQUEST_STARTED, step);
+      record(simulation, receiver, EventKind.REQUEST_STARTED, step);
     }
     for (int i = 0; i < 3 * PROCESSES; i++) {
-      world.readOneProcess();
+      simulation.readOneProcess();
     }
-    world.shown.addAll(world.merge.flush());
-    check(world.shown);
+    simulation.shown.addAll(simulation.merger.flush());
+    check(simulation.shown);
   }
 
-  private static void record(Simulation world, int process, EventKind kind, int step) {
-    world.buffers.get(process).record(Event.of(kind).withRequest("r/" + step));
+  private static void record(Simulation simulation, int process, EventKind kind, int step) {
+    simulation.buffers.get(process).record(Event.of(kind).withRequest("r/" + step));
   }
 
   private static void check(List<TimedEvent> shown) {
@@ -97,7 +97,7 @@
     for (int i = 0; i < shown.size(); i++) {
       TimedEvent timed = shown.get(i);
       long before = lastOfProcess.getOrDefault(timed.process(), 0L);
-      assertTrue(timed.sequence() > before, "a process's own order is kept");
+      assertTrue(timed.sequence() > before, "the order of one process is preserved");
       lastOfProcess.put(timed.process(), timed.sequence());
       if (timed.event().kind() == EventKind.REQUEST_SENT) {
         sentAt.put(timed.event().request(), i);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetPolicy.java
@@ -3,29 +3,29 @@
 import com.google.common.collect.ImmutableSet;
 import java.util.function.Supplier;
 
-/** Policies that are compared: the product's, and the same with one mechanism switched off. */
+/** The compared policies: the production policy, and variants with mechanisms disabled. */
 enum FleetPolicy {
-  /** The product as it is. */
+  /** The production policy. */
   PRODUCT("the product", Throttling::ofProduct),
-  /** What is booked counts as used, but for six processors. */
+  /** Without overcommit beyond the base of six processors per VM. */
   NO_OVERCOMMIT("no overcommit", Throttling::ofProduct, Mechanism.OVERCOMMIT),
-  /** One speed for all suspects. */
+  /** One throttle percentage for all interfering tasks. */
   UNIFORM_THROTTLING("one speed for all suspects", UniformThrottling::new),
-  /** Both as in an earlier version. */
+  /** Without overcommit and with one throttle percentage for all interfering tasks. */
   NO_OVERCOMMIT_UNIFORM_THROTTLING(
       "neither of the two", UniformThrottling::new, Mechanism.OVERCOMMIT),
-  /** Nothing is slowed down. */
+  /** Without throttling. */
   NO_THROTTLING("no pacing", Throttling::none),
-  /** All images stay unknown. */
+  /** Without learning: every image keeps the prior belief. */
   NO_LEARNING("images are not learned", Throttling::ofProduct, Mechanism.LEARNING),
-  /** As many suspects beside services as have room. */
+  /** Without a limit on interfering tasks co-located with services. */
   NO_INTERFERENCE_BUDGET(
       "no bound on suspects", Throttling::ofProduct, Mechanism.INTERFERENCE_BUDGET),
-  /** Services stand where most room is. */
+  /** Services are placed on the VM with the most free capacity. */
   NO_PACKING("services are not packed", Throttling::ofProduct, Mechanism.PACKING),
-  /** First come, first served. */
+  /** First come, first served, not ordered by value. */
   ARRIVAL_ORDER("in the order of arrival", Throttling::ofProduct, Mechanism.VALUE_ORDER),
-  /** None of all that. */
+  /** Without any of these mechanisms. */
   NAIVE(
       "naive",
       Throttling::none,
@@ -34,7 +34,7 @@
       Mechanism.INTERFERENCE_BUDGET,
       Mechanism.PACKING,
       Mechanism.VALUE_ORDER),
-  /** Knows what images do and how long tasks take, and slows down by it. */
+  /** Knows the interference of images and the actual run times, and throttles accordingly. */
   ORACLE("oracle", Throttling::none, Mechanism.INTERFERENCE_BUDGET);
 
   private enum Mechanism {
@@ -55,7 +55,7 @@
     this.disabled = ImmutableSet.copyOf(off);
   }
 
-  /** Returns the words for pages. */
+  /** Returns the label in the printed table. */
   String label() {
     return label;
   }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetRun.java
@@ -28,9 +28,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** Plays one day under one policy on virtual time. Confined to one thread; deterministic. */
+/** Simulates one day under one policy on virtual time. Deterministic; not thread-safe. */
 final class FleetRun {
-  /** The wall clock at the beginning of a day, in milliseconds. */
+  /** The wall-clock time at the beginning of a day, in milliseconds. */
   static final long EPOCH_MILLIS = 1_000_000;
 
   private static final long TICK_MILLIS = 50;
@@ -39,13 +39,13 @@
   private static final long TAKEOVER_MILLIS = 8_200;
   private static final double FAR_RACK_FACTOR = 1.5;
 
-  /** A workflow that was handed in. */
+  /** A submitted workflow that has not ended. */
   private record OpenWorkflow(WorkflowArrival arrival, Workflow workflow) {}
 
-  /** A run whose end the owner does not know yet. */
+  /** An ended run whose end the owner does not know yet. */
   private record PendingEnd(FleetTask run, RunOutcome outcome, long knownMillis) {}
 
-  /** All that decides whether a task finds room. */
+  /** The properties of a task that decide whether it can be placed. */
   private record PlacementNeed(StepSpec step, Urgency urgency, long counted) {}
 
   private final FleetDay day;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Plays the day; takes some milliseconds to a tenth of a second. */
+  /** Simulates the day; takes from a few milliseconds to 100 ms. */
   static FleetScore play(FleetDay day, FleetPolicy policy) {
     return new FleetRun(day, policy).play();
   }
@@ -113,13 +113,13 @@
     List<StepSpec> steps = new ArrayList<>();
     for (int i = 0; i < declared.steps().size(); i++) {
       StepSpec step = declared.steps().get(i);
-      double longest =
+      double longestMillis =
           arrival.lengthsMillis().get(i).stream().mapToDouble(Double::doubleValue).max().orElse(0);
       steps.add(
           new StepSpec(
               step.tasks(),
               step.sizes(),
-              Math.round(longest),
+              Math.round(longestMillis),
               step.dependsOn(),
               step.placement(),
               step.traits()));
@@ -201,7 +201,7 @@
     return policy.learnsImages() ? interference.belief(image) : ImageInterference.PRIOR_BELIEF;
   }
 
-  /** A task that may start, with how much its place matters. */
+  /** A task that is ready to start, with the urgency of its placement. */
   private record ReadyTask(OpenWorkflow open, WorkflowTask task, Urgency urgency) {}
 
   private void place(long now) {
@@ -210,47 +210,47 @@
       return;
     }
     List<VmOffer> offers = offers(now);
-    Set<PlacementNeed> full = new HashSet<>();
-    Set<Workflow> fed = new HashSet<>();
-    boolean roomy = VmOffer.hasSpareCapacity(offers);
+    Set<PlacementNeed> infeasible = new HashSet<>();
+    Set<Workflow> placedWorkflows = new HashSet<>();
+    boolean hasSpareCapacity = VmOffer.hasSpareCapacity(offers);
     for (ReadyTask each : waiting) {
       Workflow workflow = each.open().workflow();
-      boolean mayStarve = roomy && !fed.contains(workflow);
-      boolean calmed = each.urgency() == Urgency.STARVED && !mayStarve;
-      Urgency urgency = calmed ? Urgency.ORDINARY : each.urgency();
+      boolean mayUseStarved = hasSpareCapacity && !placedWorkflows.contains(workflow);
+      boolean demoted = each.urgency() == Urgency.STARVED && !mayUseStarved;
+      Urgency urgency = demoted ? Urgency.ORDINARY : each.urgency();
       PlacementNeed need = need(each.task(), urgency);
-      if (full.contains(need)) {
+      if (infeasible.contains(need)) {
         continue;
       }
       Optional<VmOffer> chosen = choose(each.task(), urgency, offers, now);
       if (chosen.isPresent()
           && start(each.open(), each.task(), urgency, chosen.get().place(), now)) {
-        fed.add(workflow);
+        placedWorkflows.add(workflow);
         offers.remove(chosen.get());
         String image = each.task().step().traits().image();
         offers.add(chosen.get().afterPlacing(each.task().step(), interferenceBelief(image, now)));
       } else {
-        full.add(need);
+        infeasible.add(need);
       }
     }
   }
 
   private List<ReadyTask> waiting(long now) {
     record Ordered(OpenWorkflow open, WaitingOrder.Rank rank) {}
-    long wall = EPOCH_MILLIS + now;
-    List<Ordered> ordered = new ArrayList<>();
+    long wallMillis = EPOCH_MILLIS + now;
+    List<Ordered> ranked = new ArrayList<>();
     for (OpenWorkflow each : open) {
-      ordered.add(new Ordered(each, WaitingOrder.rank(each.workflow(), wall)));
+      ranked.add(new Ordered(each, WaitingOrder.rank(each.workflow(), wallMillis)));
     }
     if (policy.ordersByValue()) {
-      ordered.sort(Comparator.comparing(Ordered::rank));
+      ranked.sort(Comparator.comparing(Ordered::rank));
     }
     List<ReadyTask> waiting = new ArrayList<>();
-    for (Ordered each : ordered) {
+    for (Ordered each : ranked) {
       Urgency urgency = each.rank().urgency();
       each.open()
           .workflow()
-          .forEachReady(wall, task -> waiting.add(new ReadyTask(each.open(), task, urgency)));
+          .forEachReady(wallMillis, task -> waiting.add(new ReadyTask(each.open(), task, urgency)));
     }
     return waiting;
   }
@@ -274,17 +274,17 @@
   private Optional<VmOffer> choose(
       WorkflowTask task, Urgency urgency, List<VmOffer> offers, long now) {
     double belief = interferenceBelief(task.step().traits().image(), now);
-    TaskPlacementRequest wish =
+    TaskPlacementRequest request =
         new TaskPlacementRequest(task.workflow().spec(), task.step(), belief, urgency, "");
     if (task.step().traits().isService() && !policy.packsServices()) {
       return offers.stream()
           .filter(
               offer ->
-                  VmChooser.verdict(wish, offer, each -> ofStepOn(each, task))
+                  VmChooser.verdict(request, offer, each -> ofStepOn(each, task))
                       == VmChooser.Verdict.ADMITTED)
           .max(Comparator.comparingLong(offer -> offer.free().milliProcessors()));
     }
-    return chooser.choose(wish, offers, offer -> ofStepOn(offer, task));
+    return chooser.choose(request, offers, offer -> ofStepOn(offer, task));
   }
 
   private int ofStepOn(VmOffer offer, WorkflowTask task) {
@@ -302,14 +302,15 @@
   }
 
   private boolean start(
-      OpenWorkflow of, WorkflowTask task, Urgency urgency, Place place, long now) {
-    of.workflow().startAttempt(task, place);
-    double length = of.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
+      OpenWorkflow openWorkflow, WorkflowTask task, Urgency urgency, Place place, long now) {
+    openWorkflow.workflow().startAttempt(task, place);
+    double length =
+        openWorkflow.arrival().lengthsMillis().get(task.key().step()).get(task.key().index());
     FleetTask run = new FleetTask(task, length, now);
     if (vm(place).start(run, urgency, now)) {
       return true;
     }
-    of.workflow().recordEnd(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
+    openWorkflow.workflow().recordEnd(run.key(), RunOutcome.REFUSED, "", EPOCH_MILLIS + now);
     return false;
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetScore.java
@@ -4,12 +4,14 @@
 import java.util.Map;
 
 /**
- * What callers and users got of what they were owed on one day.
+ * The value earned on one day out of the value of its work.
  *
- * <p>Confined to one thread.
+ * <p>Not thread-safe.
  */
 final class FleetScore {
-  /** What the worst-served kind counts beside the whole day. */
+  /**
+   * The weight of the kind with the lowest earned share; the rest is the share of the whole day.
+   */
   private static final double WORST_KIND_WEIGHT = 0.4;
 
   private static final double FIXED_FRACTION = 0.3;
@@ -23,32 +25,34 @@
   private double overTargetSeconds;
 
   /**
-   * Takes a workflow that ends.
+   * Adds a workflow.
    *
-   * @param tookMillis from when it was handed in; infinite for one that was not done
-   * @param meanWork the mean work of its kind
+   * @param tookMillis the time from submission to completion; infinite if it was not completed
+   * @param meanWork the mean work of workflows of its kind
    */
   void addWorkflow(WorkflowArrival arrival, double tookMillis, double meanWork) {
     double size = FIXED_FRACTION + (1 - FIXED_FRACTION) * arrival.work() / meanWork;
-    double worth = arrival.kind().value() * Math.min(MAX_SIZE_FACTOR, size);
-    double allowed = arrival.kind().allowedMillis(arrival.criticalPathMillis());
-    double part =
-        tookMillis <= allowed ? 1 : tookMillis <= MAX_LATENESS_FACTOR * allowed ? LATE_FRACTION : 0;
-    add(arrival.kind(), worth, worth * part);
+    double value = arrival.kind().value() * Math.min(MAX_SIZE_FACTOR, size);
+    double allowedMillis = arrival.kind().allowedMillis(arrival.criticalPathMillis());
+    double fraction =
+        tookMillis <= allowedMillis
+            ? 1
+            : tookMillis <= MAX_LATENESS_FACTOR * allowedMillis ? LATE_FRACTION : 0;
+    add(arrival.kind(), value, value * fraction);
   }
 
   /**
-   * Takes two seconds of a service.
+   * Adds a window of two seconds of a service.
    *
-   * @param atWork the share of its tasks that were at work
-   * @param over the share of its tasks that were over their target
+   * @param running the fraction of its tasks that were running
+   * @param over the fraction of its tasks whose latency was over the target
    */
-  void addServiceWindow(double atWork, double over) {
-    double worth = WorkKind.SERVICE.value();
-    add(WorkKind.SERVICE, worth, worth * Math.max(0, atWork - OVER_TARGET_WEIGHT * over));
+  void addServiceWindow(double running, double over) {
+    double value = WorkKind.SERVICE.value();
+    add(WorkKind.SERVICE, value, value * Math.max(0, running - OVER_TARGET_WEIGHT * over));
   }
 
-  /** Takes a time for which a task was over its target. */
+  /** Adds a time for which the latency of a task was over its target. */
   void addOverTarget(double seconds) {
     overTargetSeconds += seconds;
   }
@@ -58,25 +62,25 @@
     earnedValue.merge(kind, moreEarned, Double::sum);
   }
 
-  /** Returns the part of what a kind was owed that it earned; 1 where nothing was owed. */
+  /** Returns the earned fraction of the value of a kind; 1 if it had no work. */
   double earnedShare(WorkKind kind) {
-    double all = offeredValue.getOrDefault(kind, 0.0);
-    return all == 0 ? 1 : earnedValue.getOrDefault(kind, 0.0) / all;
+    double offered = offeredValue.getOrDefault(kind, 0.0);
+    return offered == 0 ? 1 : earnedValue.getOrDefault(kind, 0.0) / offered;
   }
 
-  /** Returns for how many seconds tasks of services were over their target, added up. */
+  /** Returns the total time for which service tasks were over their target, in seconds. */
   double overTargetSeconds() {
     return overTargetSeconds;
   }
 
-  /** Returns the day's worth, from 0 to 1. */
+  /** Returns the value of the day, from 0 to 1. */
   double value() {
-    double allOwed = offeredValue.values().stream().mapToDouble(Double::doubleValue).sum();
-    double allEarned = earnedValue.values().stream().mapToDouble(Double::doubleValue).sum();
-    double worst = 1;
+    double totalOffered = offeredValue.values().stream().mapToDouble(Double::doubleValue).sum();
+    double totalEarned = earnedValue.values().stream().mapToDouble(Double::doubleValue).sum();
+    double lowestShare = 1;
     for (WorkKind kind : WorkKind.values()) {
-      worst = Math.min(worst, earnedShare(kind));
+      lowestShare = Math.min(lowestShare, earnedShare(kind));
     }
-    return (1 - WORST_KIND_WEIGHT) * allEarned / allOwed + WORST_KIND_WEIGHT * worst;
+    return (1 - WORST_KIND_WEIGHT) * totalEarned / totalOffered + WORST_KIND_WEIGHT * lowestShare;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/FleetVm.java
@@ -22,13 +22,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A VM of the model: what runs there, how it disturbs, and what its side process decides.
+ * A modelled VM with its running tasks, their interference, and the decisions of its side process.
  *
- * <p>A service answers within {@link #IDLE_TAIL_MILLIS} divided by the part of its capacity that
- * neither its own load nor the pressure beside it takes. Confined to one thread.
+ * <p>The tail latency of a service is {@link #IDLE_TAIL_MILLIS} divided by the fraction of its
+ * capacity that is left by its own load and by the pressure of co-located tasks. Not thread-safe.
  */
 final class FleetVm {
-  /** What the users of each service are promised, in milliseconds. */
+  /** The latency target of each service, in milliseconds. */
   static final long TARGET_MILLIS = 50;
 
   private static final double IDLE_TAIL_MILLIS = 10;
@@ -39,7 +39,9 @@
   private static final long LISTING_INTERVAL_MILLIS = 450;
   private static final long VM_MEMORY_BYTES = 1L << 42;
 
-  /** The pressure that the oracle leaves a service, as a part of its capacity. */
+  /**
+   * The load plus pressure up to which the oracle fills a service, as a fraction of its capacity.
+   */
   private static final double ORACLE_UTILIZATION = 0.77;
 
   private final FleetDay day;
@@ -50,7 +52,7 @@
   private final ResourceLedger ledger = new ResourceLedger(overcommit);
   private final Throttling throttling;
   private final ImageInterference interference = new ImageInterference();
-  private final RandomDraws noise;
+  private final RandomDraws random;
   private final Map<String, FleetTask> runs = new LinkedHashMap<>();
   private long listedMillis;
 
@@ -60,7 +62,7 @@
     this.number = number;
     this.capacityMilli = day.shape().capacityMilli(number);
     this.throttling = policy.newThrottling();
-    this.noise = new RandomDraws(day.seed() * 31 + number);
+    this.random = new RandomDraws(day.seed() * 31 + number);
     this.listedMillis = number * LISTING_INTERVAL_MILLIS / FleetShape.VMS;
     ledger.capacity(new Sizes(capacityMilli, VM_MEMORY_BYTES, 0));
   }
@@ -101,8 +103,8 @@
     return (int) runs.values().stream().filter(run -> run.traits().isService()).count();
   }
 
-  /** Returns what the VM offers, as its owner is told. */
-  VmOffer offer(double slowness, long millis) {
+  /** Returns the offer of the VM as reported to its owner. */
+  VmOffer offer(double slowdown, long millis) {
     return new VmOffer(
         place(),
         FleetDay.SERVICE,
@@ -114,15 +116,15 @@
         policy.limitsInterference() ? interferingMilli(millis) : 0,
         ledger.overcommitMilliProcessors(),
         serviceTaskCount(),
-        slowness);
+        slowdown);
   }
 
-  /** Starts the run, or returns false for want of room. */
+  /** Starts the run, or returns false if capacity is insufficient. */
   boolean start(FleetTask run, Urgency urgency, long millis) {
     StepSpec step = run.task().step();
-    boolean bound =
+    boolean limited =
         run.traits().bestEffort() && urgency != Urgency.STARVED && policy.limitsInterference();
-    if (bound && serviceTaskCount() > 0 && isInterfering(run.image(), millis)) {
+    if (limited && serviceTaskCount() > 0 && isInterfering(run.image(), millis)) {
       long declared = step.sizes().milliProcessors();
       if (!InterferenceBudget.admits(capacityMilli, interferingMilli(millis), declared)) {
         return false;
@@ -145,23 +147,23 @@
     ledger.release(run.key());
   }
 
-  /** Lets everything work for a time. */
+  /** Advances all tasks by the given time. */
   void advance(long millis, long forMillis) {
     double serviceUse = 0;
-    double plainUse = 0;
-    double asked = 0;
+    double otherUse = 0;
+    double demandMilli = 0;
     for (FleetTask run : runs.values()) {
       if (run.traits().isService()) {
         serviceUse += run.declaredMilli() * load(run, millis);
       } else if (run.traits().bestEffort()) {
-        asked += demandMilli(run);
+        demandMilli += demandMilli(run);
       } else {
-        plainUse += run.declaredMilli();
+        otherUse += run.declaredMilli();
       }
     }
-    double idle = Math.max(0, capacityMilli - serviceUse - plainUse);
-    double share = asked <= idle ? 1 : idle / asked;
-    double slowness = day.slowdown(number, millis);
+    double idle = Math.max(0, capacityMilli - serviceUse - otherUse);
+    double share = demandMilli <= idle ? 1 : idle / demandMilli;
+    double slowdown = day.slowdown(number, millis);
     double weight = Math.min(1, forMillis / READING_WINDOW_MILLIS);
     double pressure = 0;
     for (FleetTask run : runs.values()) {
@@ -169,9 +171,9 @@
         double used = demandMilli(run) * share;
         pressure += day.pressure(run.image(), millis) * used / capacityMilli;
         run.recordUsage(used, weight);
-        run.work(forMillis, run.percent() / 100.0 * share / slowness);
+        run.work(forMillis, run.percent() / 100.0 * share / slowdown);
       } else if (!run.traits().isService()) {
-        run.work(forMillis, 1 / slowness);
+        run.work(forMillis, 1 / slowdown);
       }
     }
     updateTails(millis, pressure, weight);
@@ -180,8 +182,8 @@
   private void updateTails(long millis, double pressure, double weight) {
     for (FleetTask run : runs.values()) {
       if (run.traits().isService()) {
-        double left = Math.max(MIN_HEADROOM, 1 - load(run, millis) - pressure);
-        run.recordTail(IDLE_TAIL_MILLIS / left, weight);
+        double headroom = Math.max(MIN_HEADROOM, 1 - load(run, millis) - pressure);
+        run.recordTail(IDLE_TAIL_MILLIS / headroom, weight);
       }
     }
   }
@@ -194,7 +196,7 @@
     return run.declaredMilli() * run.percent() / 100 * USED_PER_DECLARED;
   }
 
-  /** Lets the side process list its worker and decide, if it is time. */
+  /** Lets the side process list its worker and decide, if the listing interval has passed. */
   void decide(long millis) {
     if (policy.knowsEffects()) {
       throttleAsOracle(millis);
@@ -206,9 +208,9 @@
     listedMillis = millis;
     List<BestEffortThrottler.TailReading> readings = readings();
     double worst = BestEffortThrottler.worstPercent(readings);
-    List<ImageInterference.ImageLoad> fillings = imageLoads();
+    List<ImageInterference.ImageLoad> loads = imageLoads();
     if (!readings.isEmpty()) {
-      interference.observe(fillings, worst);
+      interference.observe(loads, worst);
     }
     observeOvercommit(worst);
     throttling.observe(readings, bestEffortLoad(millis), TimeUnit.MILLISECONDS.toNanos(millis));
@@ -223,25 +225,25 @@
     List<BestEffortThrottler.TailReading> readings = new ArrayList<>();
     for (FleetTask run : runs.values()) {
       if (run.traits().isService()) {
-        double rough = noise.logNormal(1, READING_SPREAD, 2);
+        double readingNoise = random.logNormal(1, READING_SPREAD, 2);
         readings.add(
             new BestEffortThrottler.TailReading(
-                Math.round(run.measuredTailMillis() * rough), TARGET_MILLIS));
+                Math.round(run.measuredTailMillis() * readingNoise), TARGET_MILLIS));
       }
     }
     return readings;
   }
 
   private List<ImageInterference.ImageLoad> imageLoads() {
-    Map<String, Double> worked = new HashMap<>();
+    Map<String, Double> usedByImage = new HashMap<>();
     for (FleetTask run : runs.values()) {
       if (run.traits().bestEffort()) {
-        worked.merge(run.image(), run.usedMilli(), Double::sum);
+        usedByImage.merge(run.image(), run.usedMilli(), Double::sum);
       }
     }
-    List<ImageInterference.ImageLoad> fillings = new ArrayList<>();
-    worked.forEach((image, milli) -> fillings.add(new ImageInterference.ImageLoad(image, milli)));
-    return fillings;
+    List<ImageInterference.ImageLoad> loads = new ArrayList<>();
+    usedByImage.forEach((image, milli) -> loads.add(new ImageInterference.ImageLoad(image, milli)));
+    return loads;
   }
 
   private void observeOvercommit(double worst) {
@@ -249,44 +251,44 @@
       overcommit.observe(capacityMilli, 0, worst);
       return;
     }
-    double asked = 0;
+    double demandMilli = 0;
     double used = 0;
     for (FleetTask run : runs.values()) {
       if (run.traits().bestEffort() && run.usedMilli() > 0 && run.percent() > 0) {
-        asked += run.declaredMilli() * run.percent() / 100;
+        demandMilli += run.declaredMilli() * run.percent() / 100;
         used += run.usedMilli();
       }
     }
-    overcommit.observe(asked, used, worst);
+    overcommit.observe(demandMilli, used, worst);
   }
 
   private BestEffortThrottler.BestEffortLoad bestEffortLoad(long millis) {
-    long suspect = interferingMilli(millis);
-    long all = ledger.bestEffortMilliProcessors();
+    long interfering = interferingMilli(millis);
+    long totalMilli = ledger.bestEffortMilliProcessors();
     return new BestEffortThrottler.BestEffortLoad(
-        suspect, Math.max(0, all - suspect), capacityMilli);
+        interfering, Math.max(0, totalMilli - interfering), capacityMilli);
   }
 
-  /** Gives what services can bear now to the images that press least. */
+  /** Gives the pressure that services can tolerate to the images with the least pressure first. */
   private void throttleAsOracle(long millis) {
-    double bearable = 100;
+    double tolerable = 100;
     for (FleetTask run : runs.values()) {
       if (run.traits().isService()) {
-        bearable = Math.min(bearable, ORACLE_UTILIZATION - load(run, millis));
+        tolerable = Math.min(tolerable, ORACLE_UTILIZATION - load(run, millis));
       }
     }
-    List<FleetTask> fills = new ArrayList<>(runs.values());
-    fills.removeIf(run -> !run.traits().bestEffort());
-    fills.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
-    for (FleetTask run : fills) {
+    List<FleetTask> bestEffortTasks = new ArrayList<>(runs.values());
+    bestEffortTasks.removeIf(run -> !run.traits().bestEffort());
+    bestEffortTasks.sort(Comparator.comparingDouble(run -> day.pressure(run.image(), millis)));
+    for (FleetTask run : bestEffortTasks) {
       double full =
           day.pressure(run.image(), millis)
               * run.declaredMilli()
               * USED_PER_DECLARED
               / capacityMilli;
-      int percent = full <= 0 ? 100 : (int) Math.max(0, Math.min(100, 100 * bearable / full));
+      int percent = full <= 0 ? 100 : (int) Math.max(0, Math.min(100, 100 * tolerable / full));
       run.setSpeed(percent);
-      bearable -= full * percent / 100;
+      tolerable -= full * percent / 100;
     }
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/UniformThrottling.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/interference/UniformThrottling.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * The pacing of an earlier version: one speed for all suspects, whatever they declare.
+ * A throttling with one speed for all interfering tasks, whatever they declare.
  *
- * <p>Kept to compare with. Confined to one thread.
+ * <p>Used for comparison only. Not thread-safe.
  */
 final class UniformThrottling implements Throttling {
   private static final int INITIAL_PERCENT = 60;
@@ -25,10 +25,10 @@
   @Override
   public void observe(
       List<BestEffortThrottler.TailReading> readings,
-      BestEffortThrottler.BestEffortLoad filling,
+      BestEffortThrottler.BestEffortLoad load,
       long nowNanos) {
-    boolean suspects = filling.interferingMilli() > 0;
-    if (readings.isEmpty() || (!suspects && filling.benignMilli() == 0)) {
+    boolean hasInterfering = load.interferingMilli() > 0;
+    if (readings.isEmpty() || (!hasInterfering && load.benignMilli() == 0)) {
       percent = readings.isEmpty() ? 100 : INITIAL_PERCENT;
       benignPercent = 100;
       consecutiveOver = 0;
@@ -41,7 +41,7 @@
     } else {
       relax(worst);
     }
-    percent = suspects ? percent : INITIAL_PERCENT;
+    percent = hasInterfering ? percent : INITIAL_PERCENT;
   }
 
   private void throttle(double worst) {
@@ -55,8 +55,8 @@
     }
   }
 
-  private static int atLeast(int share) {
-    return share < MIN_PERCENT ? 0 : share;
+  private static int atLeast(int speed) {
+    return speed < MIN_PERCENT ? 0 : speed;
   }
 
   private void relax(double worst) {
@@ -69,7 +69,7 @@
   }
 
   @Override
-  public int percent(boolean suspect) {
-    return suspect ? percent : benignPercent;
+  public int percent(boolean interfering) {
+    return interfering ? percent : benignPercent;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/ModelVm.java
@@ -10,8 +10,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * A VM in the model: a service whose answers take longer the more its neighbours ask of the
- * processors and the noisier they are, and batch tasks that slow each other.
+ * A VM in the model: a service whose latency increases with the processor demand and interference
+ * of the co-located tasks, and batch tasks that slow down each other.
  */
 final class ModelVm {
   static final long PROCESSORS = 16_000;
@@ -62,17 +62,20 @@
     failsAllTasks = true;
   }
 
-  /** Answers the step's requests, with what the service itself asks of the processors. */
-  void serve(long serviceMilliProcessors, Random random, long nowMillis, Histogram answers) {
+  /**
+   * Serves the requests of a step at the given processor demand of the service and records their
+   * latencies.
+   */
+  void serve(long serviceMilliProcessors, Random random, long nowMillis, Histogram latencies) {
     double factor = contention(serviceMilliProcessors) * (1 + serviceSlowdown());
     for (int i = 0; i < SAMPLES_PER_STEP; i++) {
       double latency = BASE_MILLIS * Math.exp(LOG_SPREAD * random.nextGaussian()) * factor;
-      answers.recordValue((long) (latency * 1_000));
+      latencies.recordValue((long) (latency * 1_000));
       delayedResponses.add(new Response(nowMillis, latency));
     }
     while (delayedResponses.peek().atMillis() + REPORT_LAG_MILLIS <= nowMillis) {
-      Response answer = delayedResponses.poll();
-      window.add((long) (answer.latencyMillis() * NANOS_PER_MILLI), nowMillis * NANOS_PER_MILLI);
+      Response response = delayedResponses.poll();
+      window.add((long) (response.latencyMillis() * NANOS_PER_MILLI), nowMillis * NANOS_PER_MILLI);
     }
   }
 
@@ -80,7 +83,7 @@
     return window.reading(TARGET_MILLIS, nowMillis * NANOS_PER_MILLI);
   }
 
-  /** Lets the tasks work for a step and returns the work done, in milliseconds. */
+  /** Advances the tasks by a step and returns the work done, in milliseconds. */
   double work(long serviceMilliProcessors, double millis, long nowMillis) {
     double contention = contention(serviceMilliProcessors);
     double done = 0;
@@ -90,12 +93,12 @@
     return done;
   }
 
-  /** Returns how much longer the task takes than alone, for its neighbours. */
+  /** Returns the slowdown factor of the task caused by co-located tasks. */
   double slowdown(ModelTask task) {
-    boolean rival =
+    boolean conflicting =
         tasks.stream()
             .anyMatch(other -> other.kind().program().equals(task.kind().conflictingProgram()));
-    return rival ? TaskKind.CONFLICT_SLOWDOWN : 1;
+    return conflicting ? TaskKind.CONFLICT_SLOWDOWN : 1;
   }
 
   private double serviceSlowdown() {
@@ -105,11 +108,11 @@
   }
 
   private double contention(long serviceMilliProcessors) {
-    double asked = serviceMilliProcessors;
+    double demand = serviceMilliProcessors;
     for (ModelTask task : tasks) {
-      asked += task.kind().milliProcessors() * task.throttleFraction();
+      demand += task.kind().milliProcessors() * task.throttleFraction();
     }
-    double over = Math.max(1, asked / PROCESSORS);
-    return over * over;
+    double overload = Math.max(1, demand / PROCESSORS);
+    return overload * overload;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestBench.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Runs one load plan under one policy on a virtual clock and keeps what callers received. */
+/** Runs a load plan under a policy on a virtual clock and records the results of callers. */
 final class RequestBench implements ModelEntry.Environment {
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
   private static final long ANNOUNCE_NANOS = 500_000_000L;
@@ -21,10 +21,10 @@
   private final List<Call> calls = new ArrayList<>();
   private final List<SentAttempt> sends = new ArrayList<>();
 
-  /** One try that was sent. */
+  /** One attempt that was sent to a target. */
   record SentAttempt(long time, int target) {}
 
-  /** What a run leaves: all calls in order of arrival, all tries in order of sending. */
+  /** The record of a run: all calls in order of arrival, all attempts in sending order. */
   record Record(Deployment deployment, LoadPlan plan, List<Call> calls, List<SentAttempt> sends) {}
 
   private RequestBench(
@@ -116,19 +116,20 @@
   }
 
   @Override
-  public void send(int entry, String vm, Call call, ModelTarget.ResponseListener sink) {
+  public void send(int entry, String vm, Call call, ModelTarget.ResponseListener listener) {
     int target = Integer.parseInt(vm.substring(vm.indexOf('-') + 1));
-    long way = Deployment.latencyNanos(entry, target);
+    long latencyNanos = Deployment.latencyNanos(entry, target);
     sends.add(new SentAttempt(events.now(), target));
     events.schedule(
-        events.now() + way,
+        events.now() + latencyNanos,
         () ->
             targets
                 .get(target)
                 .arrived(
                     call,
                     (outcome, load) ->
-                        events.schedule(events.now() + way, () -> sink.ended(outcome, load))));
+                        events.schedule(
+                            events.now() + latencyNanos, () -> listener.ended(outcome, load))));
   }
 
   @Override
@@ -140,9 +141,9 @@
     if (call.result == Call.Result.SERVED || call.retriesLeft == 0) {
       return;
     }
-    long wait =
+    long delayNanos =
         call.result == Call.Result.REFUSED ? retryAfterMillis * NANOS_PER_MILLI : RETRY_DELAY_NANOS;
-    long back = events.now() + 2 * deployment.clientLatencyNanos() + wait;
-    events.schedule(back, () -> arrive(call.plan, call.plan.entry() + 1, call.retriesLeft - 1));
+    long retryAt = events.now() + 2 * deployment.clientLatencyNanos() + delayNanos;
+    events.schedule(retryAt, () -> arrive(call.plan, call.plan.entry() + 1, call.retriesLeft - 1));
   }
 }
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/TcpFaultProxyTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/fault/TcpFaultProxyTest.java
@@ -39,7 +39,8 @@
     try (Socket open = connect();
         Socket fresh = connect()) {
       assertEquals("HTTP/1.1 200", sendRequest(open, RESPONSE_TIMEOUT_MILLIS));
-      // Connected is not yet accepted: only an answer shows that the proxy holds this one, too.
+      // A connected socket may not be accepted yet; only a response shows that the proxy handles
+      // it.
       assertEquals("HTTP/1.1 200", sendRequest(fresh, RESPONSE_TIMEOUT_MILLIS));
       proxy.blackholeOpenConnections(Direction.TO_CLIENT);
       assertThrows(SocketTimeoutException.class, () -> sendRequest(open, BLACKHOLE_TIMEOUT_MILLIS));
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteCallers.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/SiteCallers.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Callers that ask one request after another, each over the next entry whose health is good, as the
- * platform's balancer has it; and what they were told.
+ * Callers that send one request after another, each to the next healthy entry like the platform's
+ * load balancer, and record the outcomes.
  */
 final class SiteCallers implements AutoCloseable {
   private static final int CALLERS = 8;
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Returns whether the balancer would send callers to an entry. */
+  /** Returns whether the load balancer would route callers to an entry. */
   static boolean isReady(String entry) {
     return isHealthy(HttpClient.newHttpClient(), entry);
   }
@@ -84,27 +84,31 @@
     }
   }
 
-  /** Every other charge carries a key, and its caller asks again with it over the other entries. */
+  /**
+   * Sends a request. Every second POST has an idempotency key and is retried with it at the other
+   * entries.
+   */
   private void sendWithRetries(String entry, String caller, long number) {
     boolean idempotent = number % 2 == 0;
     boolean keyed = number % 4 == 1;
     String tag = "r" + number;
-    Outcome told = send(entry, caller, number, tag, keyed);
-    for (int i = 1; i <= MAX_RETRIES && keyed && told != Outcome.ANSWERED; i++) {
-      String other = entries.get((int) ((number + i) % entries.size()));
-      if (!isHealthy(client, other)) {
+    Outcome outcome = send(entry, caller, number, tag, keyed);
+    for (int i = 1; i <= MAX_RETRIES && keyed && outcome != Outcome.ANSWERED; i++) {
+      String nextEntry = entries.get((int) ((number + i) % entries.size()));
+      if (!isHealthy(client, nextEntry)) {
         continue;
       }
-      Outcome again = send(other, caller, number, tag, true);
-      // "Not run" speaks of one try; an earlier one whose outcome is unknown may have run.
-      told = again == Outcome.ANSWERED || told == Outcome.NOT_RUN ? again : told;
+      Outcome retryOutcome = send(nextEntry, caller, number, tag, true);
+      // "Not run" refers to one attempt; an earlier one with unknown outcome may have run.
+      outcome =
+          retryOutcome == Outcome.ANSWERED || outcome == Outcome.NOT_RUN ? retryOutcome : outcome;
     }
-    history.add(tag, idempotent, told, !mismatchedTags.contains(tag));
+    history.add(tag, idempotent, outcome, !mismatchedTags.contains(tag));
   }
 
   /**
-   * Asks charges with keys through every healthy entry; returns whether all were answered. Asked
-   * again, they are repeats.
+   * Sends charges with keys through every healthy entry; returns whether all were answered. Later
+   * calls repeat the same requests.
    */
   boolean areChargesAnswered(int count) {
     for (int i = 0; i < count; i++) {
@@ -134,17 +138,17 @@
       request.header("Idempotency-Key", tag);
     }
     try {
-      HttpResponse<byte[]> answer =
+      HttpResponse<byte[]> response =
           client.send(request.build(), HttpResponse.BodyHandlers.ofByteArray());
-      String text = new String(answer.body(), StandardCharsets.UTF_8);
-      Outcome told = outcomeOf(answer.statusCode(), text);
-      if (told == Outcome.ANSWERED && !text.equals(body)) {
+      String text = new String(response.body(), StandardCharsets.UTF_8);
+      Outcome outcome = outcomeOf(response.statusCode(), text);
+      if (outcome == Outcome.ANSWERED && !text.equals(body)) {
         mismatchedTags.add(tag);
       }
-      if (told == Outcome.UNKNOWN && !text.contains("key-state-unknown")) {
-        lostOutcomes.merge(answer.statusCode() + " " + text, 1, Integer::sum);
+      if (outcome == Outcome.UNKNOWN && !text.contains("key-state-unknown")) {
+        lostOutcomes.merge(response.statusCode() + " " + text, 1, Integer::sum);
       }
-      return told;
+      return outcome;
     } catch (IOException e) {
       lostOutcomes.merge(e.toString(), 1, Integer::sum);
       return Outcome.UNKNOWN;
@@ -182,8 +186,8 @@
   }
 
   /**
-   * Returns how tries lost their connection or their outcome, each with its number. Not those that
-   * were refused since the key's home has gone: that answer says that this try did not run.
+   * Returns the number of attempts by error that lost their connection or whose outcome is unknown.
+   * Excludes refusals because the owner of a key is gone, which say that the attempt did not run.
    */
   Map<String, Integer> lostOutcomes() {
     return Map.copyOf(lostOutcomes);
@@ -197,7 +201,7 @@
     return history.count(Outcome.ANSWERED);
   }
 
-  /** Lets the callers finish what they asked and waits for it. */
+  /** Stops sending and waits for the open requests. */
   void stop() {
     stopped = true;
     for (Thread thread : threads) {
