--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/JobFile.java
@@ -30,9 +30,9 @@
  * }</pre>
  *
  * <p>Optional keys with their defaults: {@code sizes.accelerators} (0), {@code urgent} (false),
- * {@code readFinishBy} (none; an instant such as {@code 2026-12-02T22:00:00Z}), {@code idempotent}
- * (true), {@code checkpointIntervalMillis} (0, no checkpoints), {@code readSpread} ({@code none};
- * or {@code rack} or {@code zone}).
+ * {@code finishBy} (none; an instant such as {@code 2026-12-02T22:00:00Z}), {@code idempotent}
+ * (true), {@code checkpointIntervalMillis} (0, no checkpoints), {@code spread} ({@code none}; or
+ * {@code rack} or {@code zone}).
  *
  * <p>Thread-safe.
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/MeasuredTarget.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.time.MonotonicClock;
 import java.util.function.Consumer;
 
-/** A {@link TargetCommand} that records response times for the guard of the VM's tail latency. */
+/** A {@link Target} that records response times for the guard of the VM's tail latency. */
 public final class MeasuredTarget implements Target {
   private final Target target;
   private final TailWindow window;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetClient.java
@@ -25,7 +25,7 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** A {@link TargetCommand} that is reached over HTTP with Jetty's client. */
+/** A {@link Target} that is reached over HTTP with Jetty's client. */
 public final class TargetClient implements Target {
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 3;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetOutcome.java
@@ -7,7 +7,7 @@
 import io.marigoldsail.protocol.Header;
 import java.util.List;
 
-/** The outcome of a request sent to a {@link TargetCommand}. Immutable. Rejects nulls. */
+/** The outcome of a request sent to a {@link Target}. Immutable. Rejects nulls. */
 public sealed interface TargetOutcome {
   /**
    * The target sent a complete response.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/package-info.java
@@ -5,6 +5,6 @@
  * {@link io.marigoldsail.daemon.dispatch.EntryDispatcher} executes the decisions of a {@link
  * io.marigoldsail.dispatch.RequestPolicy}. In a side process, {@link
  * io.marigoldsail.daemon.dispatch.SideDispatcher} runs requests on its {@link
- * io.marigoldsail.daemon.dispatch.TargetCommand}.
+ * io.marigoldsail.daemon.dispatch.Target}.
  */
 package io.marigoldsail.daemon.dispatch;
