--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Guard.java
@@ -26,7 +26,7 @@
  * within a budget, the one that frees most for the least lost work.
  *
  * <p>Between the two pressures nothing changes (hysteresis): readings lag, so acting on each would
- * answer the same interference several times. Not thread-safe; a decision sorts the VM's tasks.
+ * react to the same interference several times. Not thread-safe; a decision sorts the VM's tasks.
  */
 public final class Guard {
   /** Pressure above which the service is slow; a little below its goal, because readings lag. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/Preemptor.java
@@ -30,7 +30,7 @@
   /** Maximum number of tasks preempted at once; more would empty a VM for one task. */
   static final int MAX_VICTIMS = 4;
 
-  /** A task evicted this often is not preempted again, so that it ends at some time. */
+  /** A task evicted this often is not preempted again, so that it completes eventually. */
   static final int MAX_EVICTIONS = 3;
 
   /** Seconds of lost work that cost, at equal weights, as much as an eviction. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/guard/TailWindow.java
@@ -18,7 +18,7 @@
   private static final double NANOS_PER_MILLI = 1e6;
 
   private final long[] latencySamplesNanos = new long[SIZE];
-  private final long[] answeredNanos = new long[SIZE];
+  private final long[] respondedNanos = new long[SIZE];
   private final long windowNanos;
   private int added;
 
@@ -36,7 +36,7 @@
   public synchronized void add(long latencyNanos, long nowNanos) {
     int slot = added % SIZE;
     latencySamplesNanos[slot] = latencyNanos;
-    answeredNanos[slot] = nowNanos;
+    respondedNanos[slot] = nowNanos;
     added = added == Integer.MAX_VALUE ? SIZE + slot + 1 : added + 1;
   }
 
@@ -51,10 +51,10 @@
     int count = 0;
     long newest = Long.MIN_VALUE;
     for (int slot = 0; slot < Math.min(added, SIZE); slot++) {
-      if (nowNanos - answeredNanos[slot] < windowNanos) {
+      if (nowNanos - respondedNanos[slot] < windowNanos) {
         recent[count] = latencySamplesNanos[slot];
         count++;
-        newest = Math.max(newest, answeredNanos[slot]);
+        newest = Math.max(newest, respondedNanos[slot]);
       }
     }
     if (count < MIN_SAMPLES) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/ConfirmationLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/ConfirmationLedger.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * Tracks which lease requests an entry had received before it sent which heartbeat to the log.
+ * Tracks which lease requests an entry had received before it sent each heartbeat to the log.
  *
  * <p>An entry that reads its own heartbeat back has read everything that precedes it in the log. If
  * that contains no revocation of a VM, the VM was not revoked when the entry sent the heartbeat,
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/LeaseEvidence.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.lease;
 
 /**
- * What a side process knows of its VM's registration: which one is current, and at which time it
+ * Evidence of a side process on its VM's registration: which one is current, and at which time it
  * was last confirmed not to be revoked.
  *
  * <p>All times are readings of the side process's own clock, among them the time of the request
--- a/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/lease/WorkerClock.java
@@ -13,11 +13,11 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
 
   private final long workerMillis;
-  private final long answeredNanos;
+  private final long respondedNanos;
 
-  private WorkerClock(long workerMillis, long answeredNanos) {
+  private WorkerClock(long workerMillis, long respondedNanos) {
     this.workerMillis = workerMillis;
-    this.answeredNanos = answeredNanos;
+    this.respondedNanos = respondedNanos;
   }
 
   /**
@@ -25,12 +25,12 @@
    *
    * @param workerMillis the reading, in the worker's milliseconds
    * @param calledNanos this process's clock before the call
-   * @param answeredNanos this process's clock after the response
+   * @param respondedNanos this process's clock after the response
    */
-  public static WorkerClock of(long workerMillis, long calledNanos, long answeredNanos) {
+  public static WorkerClock of(long workerMillis, long calledNanos, long respondedNanos) {
     checkArgument(
-        answeredNanos >= calledNanos, "answeredNanos is before calledNanos: %s", answeredNanos);
-    return new WorkerClock(workerMillis, answeredNanos);
+        respondedNanos >= calledNanos, "respondedNanos is before calledNanos: %s", respondedNanos);
+    return new WorkerClock(workerMillis, respondedNanos);
   }
 
   /**
@@ -38,6 +38,6 @@
    * process.
    */
   public long deadlineMillis(long deadlineNanos) {
-    return workerMillis + Math.floorDiv(deadlineNanos - answeredNanos, NANOS_PER_MILLI);
+    return workerMillis + Math.floorDiv(deadlineNanos - respondedNanos, NANOS_PER_MILLI);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Fleet.java
@@ -22,7 +22,7 @@
   private Sizes capacity = Sizes.NONE;
   private Sizes reservedEach = Sizes.NONE;
   private int reservedCount;
-  private int open;
+  private int vmsHoldingReserve;
 
   /**
    * Creates the fleet of the VMs that are not revoked.
@@ -77,9 +77,9 @@
   public void reserveVms(Sizes each, int count) {
     reservedEach = each;
     reservedCount = each.equals(Sizes.NONE) ? 0 : count;
-    open = 0;
+    vmsHoldingReserve = 0;
     for (CandidateVm candidate : candidates) {
-      open += isOpen(candidate.free()) ? 1 : 0;
+      vmsHoldingReserve += holdsReserve(candidate.free()) ? 1 : 0;
     }
   }
 
@@ -87,15 +87,16 @@
    * Returns whether work that is not urgent may take the resources and leave enough VMs reserved.
    */
   boolean leavesReserve(CandidateVm candidate, Sizes sizes) {
-    boolean endsReserve = isOpen(candidate.free()) && !isOpen(candidate.free().minus(sizes));
-    return reservedCount == 0 || !endsReserve || open > reservedCount;
+    boolean endsReserve =
+        holdsReserve(candidate.free()) && !holdsReserve(candidate.free().minus(sizes));
+    return reservedCount == 0 || !endsReserve || vmsHoldingReserve > reservedCount;
   }
 
-  private boolean isOpen(Sizes free) {
+  private boolean holdsReserve(Sizes free) {
     return reservedEach.fitsIn(free);
   }
 
-  /** Returns the mean capacity of a VM. */
+  /** Returns the capacity of all VMs divided by the number of those that may be given tasks. */
   public Sizes meanCapacity() {
     int vms = Math.max(1, candidates.size());
     return new Sizes(
@@ -111,9 +112,9 @@
   public void allocate(long registration, String program, Sizes sizes) {
     CandidateVm candidate = byRegistration.get(registration);
     if (candidate != null) {
-      boolean before = isOpen(candidate.free());
+      boolean before = holdsReserve(candidate.free());
       candidate.allocate(program, sizes);
-      open -= before && !isOpen(candidate.free()) ? 1 : 0;
+      vmsHoldingReserve -= before && !holdsReserve(candidate.free()) ? 1 : 0;
     }
   }
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/PlacementCosts.java
@@ -1,7 +1,7 @@
 package io.marigoldsail.placement;
 
 /**
- * Costs of placing a task on a VM beside its load, in loads of a whole VM.
+ * Costs of placing a task on a VM in addition to its load; 1 is the load of a full VM.
  *
  * <p>Implementations must not block.
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/Placer.java
@@ -18,7 +18,10 @@
   /** Cost of each of the job's tasks in the same rack or zone, in loads of a whole VM. */
   private static final double SAME_GROUP_COST = 0.25;
 
-  /** Cost of occupying a VM with accelerators by a task that needs none, in loads of a whole VM. */
+  /**
+   * Cost of placing a task that needs no accelerators on a VM that has some, in loads of a whole
+   * VM: it may keep out a task that needs them.
+   */
   private static final double ACCELERATOR_WASTE_COST = 1;
 
   /** Keeps entries that decide at once on the same view from all choosing the same VM. */
@@ -34,7 +37,7 @@
   /**
    * Creates a placer.
    *
-   * @param costs further costs of VMs, beside their load
+   * @param costs further costs of VMs, in addition to their load
    * @param random breaks ties
    */
   public Placer(PlacementCosts costs, RandomGenerator random) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UrgentReserve.java
@@ -9,15 +9,16 @@
  *
  * <p>Guards against a fleet that batch work fills completely: an urgent task that is first in the
  * queue still waits until a task ends; at eleven full VMs it waited 26 s at the 99th percentile. So
- * a few VMs keep capacity for the largest urgent task seen recently, and work that is not urgent is
- * not placed where fewer VMs would be left with it. A fleet without urgent work reserves nothing.
+ * a few VMs keep capacity for the largest processors and memory booked for any waiting task seen
+ * recently, urgent or not, up to a fraction of a mean VM. Work that is not urgent is not placed
+ * where fewer VMs would be left with that capacity. A fleet without urgent work reserves nothing.
  *
  * <p>Not thread-safe.
  */
 public final class UrgentReserve {
   /**
-   * How long an urgent task counts at least after it was seen, in milliseconds, because urgent
-   * tasks come in series.
+   * Minimum time for which a waiting task counts after it was seen, in milliseconds. The reserve
+   * ends two such times after the last urgent task, because urgent tasks come in series.
    */
   static final long RETENTION_MILLIS = 600_000;
 
@@ -30,6 +31,7 @@
    */
   private static final int FLEET_VMS_PER_RESERVED_VM = 50;
 
+  /** The mean capacity of a VM divided by this is the most that a reserved VM keeps free. */
   private static final int MAX_SHARE_DIVISOR = 4;
 
   private Sizes currentMax = Sizes.NONE;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/placement/UsageLearner.java
@@ -16,7 +16,10 @@
 public final class UsageLearner {
   private static final int MAX_VMS = 4_096;
 
-  /** Rates at which the base pressure of a service follows a lower reading, and a higher one. */
+  /**
+   * Rates at which the base pressure, that of an undisturbed service, follows a lower reading and a
+   * higher one.
+   */
   private static final double FALL_RATE = 0.2;
 
   private static final double RISE_RATE = 0.01;
@@ -74,8 +77,8 @@
   private void learn(TaskMeasurement task, Map<String, Double> present) {
     boolean known = !task.used().equals(Sizes.NONE) && task.activeShare() > 0;
     if (known) {
-      long free = (long) (task.used().milliProcessors() / task.activeShare());
-      estimates.recordUsage(task.program(), new Sizes(free, task.used().memoryBytes(), 0));
+      long unthrottled = (long) (task.used().milliProcessors() / task.activeShare());
+      estimates.recordUsage(task.program(), new Sizes(unthrottled, task.used().memoryBytes(), 0));
     }
     if (task.slowdown() > 0) {
       Map<String, Double> others = new HashMap<>(present);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AbsenceDetector.java
@@ -18,10 +18,10 @@
  * Decides which long-running tasks to report as absent, because no report has shown them running
  * for a while, and which have recovered.
  *
- * <p>Guards against tasks that run nowhere while their owner assumes that they run: it uses what
- * reports show, never which attempts are open. The number of reports is bounded however many tasks
- * are absent: one per task within {@link #REPEAT_NANOS}, and {@link #MAX_PER_CHECK} tasks per
- * check, those never reported first; the others are only counted.
+ * <p>Guards against tasks that run nowhere while their owner assumes that they run: it relies on
+ * reports of running attempts, never on the record of open attempts. The number of reports is
+ * bounded however many tasks are absent: one per task within {@link #REPEAT_NANOS}, and {@link
+ * #MAX_PER_CHECK} tasks per check, those never reported first; the others are only counted.
  *
  * <p>Confined to one thread. Rejects nulls. A check takes time linear in the number of long-running
  * tasks, times the logarithm of the number of absent ones.
@@ -37,7 +37,7 @@
   public static final int MAX_PER_CHECK = 4;
 
   /**
-   * What is known of a long-running task that should run.
+   * When reports last showed a long-running task that should run.
    *
    * @param task the task
    * @param seenAt when the latest report that shows it running was read, in nanoseconds of the
@@ -117,7 +117,7 @@
   /**
    * Checks all long-running tasks that should run, and drops the state of all others.
    *
-   * @param longRunning what is known of these tasks
+   * @param longRunning an observation of each of these tasks
    * @param now in nanoseconds; never earlier than in the previous check
    */
   public CheckResult check(Collection<Observation> longRunning, long now) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviserTiming.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/AdviserTiming.java
@@ -19,7 +19,7 @@
     checkArgument(validMillis >= 0, "validMillis is negative: %s", validMillis);
   }
 
-  /** Returns the duration of a call that names so many VMs, without queueing, in milliseconds. */
+  /** Returns the duration of a call that names this many VMs, without queueing, in milliseconds. */
   public long callMillis(int named) {
     return decideMillis + periodMillis * named;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageInterference.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ImageInterference.java
@@ -14,9 +14,9 @@
  * <p>About half of the images interfere, the others hardly do, and nobody declares which. If all
  * are treated as interfering, the processors that services leave idle stay idle; if none is,
  * services miss their latency targets. A reading over a target blames the images that ran on the VM
- * then, in proportion to their work and to the current belief; a reading well below the target
- * clears them. The evidence of all VMs is added up, because the tasks of an image run on few VMs.
- * Evidence decays, because the effects change.
+ * then, weighted by their work and by the current belief; a reading well below the target clears
+ * them. The evidence of all VMs is added up, because the tasks of an image run on few VMs. Evidence
+ * decays, because the effects change.
  *
  * <p>Confined to one thread.
  */
@@ -39,7 +39,7 @@
   /** Work at which an observation counts in full, in thousandths of a processor. */
   private static final double FULL_WEIGHT_MILLI_PROCESSORS = 1_500;
 
-  /** Exponent of the belief in the share of blame of an image. */
+  /** Exponent of the belief in the blame weight of an image. */
   private static final double BLAME_EXPONENT = 4;
 
   /** A tail over this percentage of its target blames images. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/InterferenceBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/InterferenceBudget.java
@@ -7,16 +7,17 @@
  * Capacity of a VM for interfering tasks that are co-located with service tasks.
  *
  * <p>Guards against bursts of heavy workflows in which all VMs without services are full. Tasks of
- * interfering images ({@link ImageInterference}) were then placed beside services up to their
- * declared processors; there {@link BestEffortThrottler} throttled all of them to nearly zero for
- * the whole burst, and they displaced benign tasks. A service tolerates interfering tasks of about
- * an eighth of its VM. So a few run at a good part of their speed, and the others wait for a VM
+ * interfering images ({@link ImageInterference}), which disturb services by several times the
+ * processors that they use, were then placed on VMs with services as long as their declared
+ * processors fitted; there {@link BestEffortThrottler} throttled all of them to nearly zero for the
+ * whole burst, and they displaced benign tasks. A service tolerates interfering tasks of about an
+ * eighth of its VM. So a few run at a good part of their speed, and the others wait for a VM
  * without services.
  *
  * <p>Stateless.
  */
 public final class InterferenceBudget {
-  /** Interfering tasks may declare the VM's processors divided by this beside service tasks. */
+  /** Divides a VM's processors to limit those declared by tasks that interfere with services. */
   private static final int CAPACITY_DIVISOR = 8;
 
   private InterferenceBudget() {}
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Overcommit.java
@@ -5,11 +5,11 @@
  * booked.
  *
  * <p>Services book processors for their peak load, and in a burst of heavy workflows most of the
- * available capacity is what they have booked and leave idle. While the best-effort tasks of the VM
- * get the processors that they request, a growing part of the booked processors counts as idle.
- * While they do not, less counts as idle, because more tasks would only make all of them late. The
- * same holds while a service misses its target, because many tasks that hardly interfere one by one
- * do so together.
+ * available capacity is what they have booked and leave idle. Best-effort tasks get idle
+ * processors, whoever booked them. While the best-effort tasks of the VM get the processors that
+ * they request, a growing part of the booked processors counts as idle. While they do not, less
+ * counts as idle, because more tasks would only make all of them late. The same holds while a
+ * service misses its target, because many tasks that hardly interfere one by one do so together.
  *
  * <p>Confined to one thread.
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/QueryResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * An owner's answer to a query about a workflow.
+ * An owner's response to a query about a workflow.
  *
  * <p>The numbers are sent between processes and never change.
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ResourceLedger.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/ResourceLedger.java
@@ -12,9 +12,9 @@
  * <p>Guards against overbooking by several owners that place on the same VM at once, each based on
  * its last report. All their start orders pass through this ledger, so a race costs one of them a
  * refusal. A run is booked from before its order goes to the worker until the worker has listed its
- * end or is gone: a start without an answer may still be carried out, and a run that is being
- * stopped still uses its resources. Best-effort tasks book no processors, so the processors that
- * they declare are summed up here and limited by {@link Overcommit}. Without that limit, three
+ * end or is gone: a start order without a response may still be carried out, and a run that is
+ * being stopped still uses its resources. Best-effort tasks book no processors, so the processors
+ * that they declare are summed up here and limited by {@link Overcommit}. Without that limit, three
  * owners that saw the same empty VM of 24 processors placed 24 best-effort tasks on it that
  * declared 43 processors.
  *
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/StepAdvice.java
@@ -17,9 +17,9 @@
  * <p>Many steps wait for advice at once, and the adviser serves one call at a time, each taking
  * longer the more VMs it names. Calls that name the whole fleet make the adviser the bottleneck;
  * calls that name one VM are mostly in vain. So a call names the best candidates, as many as
- * callers allow time for, and further ones only once all of those are refused or full. The answer
- * for a VM does not change: a refused worker is not named again, and an allowed one only once its
- * ticket has expired.
+ * callers allow time for, and further ones only once all of those are refused or full. The
+ * adviser's decision on a VM does not change: a refused worker is not named again, and an allowed
+ * one only once its ticket has expired.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
  */
@@ -33,7 +33,7 @@
   private final Set<String> refused = new HashSet<>();
 
   /**
-   * Records an answer.
+   * Records the adviser's response to a call.
    *
    * @param named the worker incarnations that the call named
    * @param allowed the tickets of those that may run the step
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmChooser.java
@@ -30,8 +30,9 @@
   static final long COLOCATION_WEIGHT = 1_000_000;
 
   /**
-   * Factor by which best-effort processors count against a VM for a service task: a service that is
-   * placed beside them throttles them, and its users notice them until then.
+   * Factor by which best-effort processors count against a VM for a service task: a service task
+   * that is placed on their VM causes them to be throttled, and its users notice their interference
+   * until then.
    */
   static final long BEST_EFFORT_PENALTY = 20;
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmQuarantine.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmQuarantine.java
@@ -10,8 +10,8 @@
  *
  * <p>Guards against a worker that fails everything it starts: it is always idle, so a policy that
  * places by free capacity sends it all work, and tasks use up their attempts there. A VM is
- * quarantined after {@link #FAILURE_STREAK} consecutive failures. A failure right after a
- * quarantine doubles the next one, so that a VM that is broken permanently costs one task now and
+ * quarantined after {@link #FAILURE_STREAK} consecutive failures. A further failure before the next
+ * success doubles the quarantine, so that a VM that is broken permanently costs one task now and
  * then. While the ratio of failures among all recent ends is {@link #MAX_FLEET_FAILURE_RATIO} or
  * more, the tasks are assumed to be at fault, and no VM is quarantined.
  *
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmSlowdownEstimator.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/VmSlowdownEstimator.java
@@ -51,10 +51,10 @@
     if (workedMillis <= 0 || tookMillis <= 0) {
       return;
     }
-    Samples pace = samplesByVm.computeIfAbsent(vm, unused -> new Samples());
-    pace.decay(now);
-    pace.logRatioSum += Math.log(tookMillis / workedMillis);
-    pace.weight += 1;
+    Samples samples = samplesByVm.computeIfAbsent(vm, unused -> new Samples());
+    samples.decay(now);
+    samples.logRatioSum += Math.log(tookMillis / workedMillis);
+    samples.weight += 1;
   }
 
   /**
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WaitingOrder.java
@@ -56,8 +56,8 @@
 
     private final double value;
 
-    Timeliness(double worth) {
-      this.value = worth;
+    Timeliness(double value) {
+      this.value = value;
     }
   }
 
@@ -70,11 +70,11 @@
     private final long acceptedMillis;
     private final long id;
 
-    private Rank(Workflow workflow, Timeliness use, Urgency urgency) {
+    private Rank(Workflow workflow, Timeliness timeliness, Urgency urgency) {
       this.priority = workflow.spec().policy().priority();
-      this.timeliness = use;
+      this.timeliness = timeliness;
       this.urgency = urgency;
-      this.density = use.value / Math.max(MIN_REMAINING_WORK, workflow.remainingWork());
+      this.density = timeliness.value / Math.max(MIN_REMAINING_WORK, workflow.remainingWork());
       this.acceptedMillis = workflow.spec().acceptedMillis();
       this.id = workflow.spec().id();
     }
@@ -118,11 +118,12 @@
         spec.policy().slackFactor() * workflow.criticalPathMillis(false)
             + spec.policy().objectiveMillis();
     long age = wallMillis - spec.acceptedMillis();
-    long left = workflow.criticalPathMillis(true);
-    boolean inTime = age + left <= allowed;
-    boolean inTimeIfThrottled = age + THROTTLED_FACTOR * left <= allowed;
-    Timeliness use = inTime ? Timeliness.IN_TIME : lateOrExpired(age + left, allowed);
-    return new Rank(workflow, use, urgency(workflow, wallMillis, inTime && !inTimeIfThrottled));
+    long remaining = workflow.criticalPathMillis(true);
+    boolean inTime = age + remaining <= allowed;
+    boolean inTimeIfThrottled = age + THROTTLED_FACTOR * remaining <= allowed;
+    Timeliness timeliness = inTime ? Timeliness.IN_TIME : lateOrExpired(age + remaining, allowed);
+    return new Rank(
+        workflow, timeliness, urgency(workflow, wallMillis, inTime && !inTimeIfThrottled));
   }
 
   private static Timeliness lateOrExpired(long endsAfterMillis, double allowed) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkerLeaseTerms.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkerLeaseTerms.java
@@ -35,8 +35,8 @@
   private static final long MAX_STOP_AHEAD_MILLIS = 1_500;
 
   /**
-   * The same as a percentage of the lease. Evidence is up to two seconds old when it takes effect;
-   * without that margin a short lease stops runs on healthy VMs.
+   * Limit on the same time as a percentage of the lease. Evidence is up to two seconds old when it
+   * takes effect; without this limit, a short lease would stop runs on healthy VMs.
    */
   private static final long STOP_AHEAD_PERCENT = 25;
 
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/Workflow.java
@@ -241,7 +241,7 @@
   }
 
   /**
-   * Requests the stop of what still runs of broken gangs, in case a former owner did not.
+   * Requests the stop of the remaining runs of broken gangs, in case a former owner did not.
    *
    * <p>Members that wait for one that has ended hold their resources in vain until they give up.
    */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowRecordState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/workflow/WorkflowRecordState.java
@@ -5,7 +5,7 @@
 import com.google.common.collect.ImmutableList;
 
 /**
- * Durable state of a workflow beside its specification.
+ * Durable state of a workflow, without its specification.
  *
  * <p>Immutable. Rejects nulls.
  *
