--- a/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/configuration/ConfigurationCheck.java
@@ -59,7 +59,7 @@
     TreeSet<String> sites = new TreeSet<>();
     if (file.equals(ConfigurationFiles.BASE)) {
       sites.addAll(files.sites());
-      // The base stands for all sites without an overlay.
+      // The base represents all sites without an overlay.
       sites.add(ConfigurationFiles.BASE);
     } else {
       sites.add(file);
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/Bookings.java
@@ -74,8 +74,7 @@
     vms.remove(registration);
     if (latestByVm.remove(vm.vm(), registration)) {
       // An older registration may still wait for its leases to expire. It becomes the latest one,
-      // as
-      // in a table restored from a snapshot, which does not contain the removed one.
+      // as in a table restored from a snapshot, which does not contain the removed one.
       for (VmState older : vms.values()) {
         if (older.vm().equals(vm.vm())) {
           latestByVm.put(older.vm(), older.registration());
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/EntryState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/EntryState.java
@@ -13,7 +13,7 @@
  * @param entry the entry's name
  * @param incarnation identifies the start of the entry's process
  * @param lastHeartbeat the position of its last heartbeat
- * @param heard the VMs that reach it
+ * @param heard the VMs that it reaches, as reported by its heartbeats
  */
 public record EntryState(String entry, long incarnation, long lastHeartbeat, Set<String> heard) {
   /** Checks and copies the components. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskState.java
@@ -48,7 +48,7 @@
     DONE(true),
     /** Ended because its job was cancelled. */
     CANCELLED(true),
-    /** Ended without success; the detail says why. */
+    /** Ended without success; the detail gives the reason. */
     FAILED(true);
 
     private final boolean ended;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/job/TaskTable.java
@@ -299,8 +299,7 @@
     bookings.add(new VmState(vm, position, false, Sizes.NONE, 0));
     if (current != null) {
       // A new boot under the same name. The old boot gets no new tasks, but its claims are kept
-      // until
-      // their leases have expired, because the name alone does not prove that it has stopped.
+      // until their leases have expired, because the name alone does not prove that it has stopped.
       displaced.add(vm.vm(), current.description().bootIncarnation());
       revoke(vm.vm(), current.registration());
     }
@@ -339,8 +338,7 @@
     }
     // Entries choose VMs by views that may be seconds old. Only here are the bookings the same for
     // all, so only here can two claims for the same capacity be detected. Capacity that a
-    // preemption
-    // has freed is reserved for its urgent task.
+    // preemption has freed is reserved for its urgent task.
     Sizes reserved = preemptions.reservedForOthers(claim.task(), claim.registration());
     MutableJob job = jobs.get(task.job());
     Sizes teamTotal = bookings.bookedByTeam(job.spec().team()).plus(claim.sizes());
@@ -396,8 +394,7 @@
 
   private boolean release(TaskRecord.Released released) {
     // A duplicate release, or a late one of an earlier attempt, has a stale token. Applying it
-    // would
-    // let a second attempt start while the first one runs.
+    // would let a second attempt start while the first one runs.
     TaskState task = findClaimed(released.task(), released.token());
     if (task == null) {
       return false;
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/FollowerSettings.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/FollowerSettings.java
@@ -42,7 +42,7 @@
   /**
    * Returns the default settings. All readers notice the end of an outage within a second, spread
    * over half of it. Without the minimum interval every record of a busy stream would cost each
-   * reader a request; a record of a quiet stream is still read at once.
+   * reader a request; a record of an idle stream is still read at once.
    */
   public static FollowerSettings defaults() {
     return new FollowerSettings(
--- a/marigoldsail-core/src/main/java/io/marigoldsail/log/LogRecord.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/log/LogRecord.java
@@ -8,7 +8,7 @@
  * @param offset the offset in its stream
  * @param bytes the record as appended; not copied, callers must not change it
  */
-@SuppressWarnings("ArrayRecordComponent") // bytes are handed through unread; equality is not used
+@SuppressWarnings("ArrayRecordComponent") // bytes are passed on unread; equals is not used
 public record LogRecord(long offset, byte[] bytes) {
   /** Checks the components. */
   public LogRecord {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/configuration/PeerCatchUp.java
@@ -20,9 +20,9 @@
  *
  * <p>Without it, a process that starts during a log outage would run with the defaults, and one
  * that was behind when the outage began would keep an old revision. The process restores the
- * highest revision of its peers; peers that are behind have no effect because a fold never goes
- * back. When the log is available again it is the only source, and records that the restored state
- * already contains are skipped.
+ * highest revision of its peers; peers that are behind have no effect because a fold's revision
+ * never decreases. When the log is available again it is the only source, and records that the
+ * restored state already contains are skipped.
  */
 public final class PeerCatchUp implements AutoCloseable {
   private static final EventLog LOG = EventLog.of(PeerCatchUp.class);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/BodyDrainer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/http/BodyDrainer.java
@@ -16,7 +16,7 @@
  * <p>Never blocks. For one request, on the thread that serves it.
  */
 public final class BodyDrainer implements Runnable {
-  /** Limit of what is drained; a client that sends more is disconnected. */
+  /** Maximum number of drained bytes; a client that sends more is disconnected. */
   static final long MAX_DRAINED_BYTES = 16L << 20;
 
   private final Content.Source body;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/link/LinkConnection.java
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Restarts the silence timers at the given time. Used after this process was paused, when the
-   * peer is not to blame for the time without frames.
+   * Restarts the receive timers at the given time. Used after this process was paused, when a time
+   * without frames does not mean that the peer is unresponsive.
    */
   public void resetSilenceTimer(long now) {
     lastReceived = now;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/AttemptSupervisor.java
@@ -351,8 +351,7 @@
       return;
     }
     // The deadline is given on the worker's clock. If this process is paused at this point, the
-    // worker
-    // still stops the task in time, and it refuses a renewal that arrives too late.
+    // worker still stops the task in time, and it refuses a renewal that arrives too late.
     Result<WorkerTask> result =
         worker.renew(attempt.task(), attempt.token(), workerClock.deadlineMillis(deadline));
     if (result.isOk()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/EntryTaskScheduler.java
@@ -26,7 +26,7 @@
  * stream {@code tasks} has caught up. The follower must fold into the given table, and the given
  * log must complete appends after the fold, as {@link AppenderTaskLog} does.
  *
- * <p>All state that must last is in the log, so that any entry may die at any time.
+ * <p>All state that must last is in the log, so that any entry may crash at any time.
  *
  * <p>Thread-safe; one lock guards everything.
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementModel.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PlacementModel.java
@@ -76,7 +76,10 @@
     return infeasible ? spec.sizes() : booking;
   }
 
-  /** Returns the expected relative increase of a service's latency beside a task of the job. */
+  /**
+   * Returns the expected relative increase of a service's latency when a task of the job runs on
+   * the same VM.
+   */
   double expectedSlowdown(JobSpec spec) {
     return interference.excess(Interference.SERVICE, spec.program());
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/PreemptionLoop.java
@@ -30,7 +30,7 @@
  * Frees capacity for urgent tasks on behalf of an entry: writes preemptions to the log, and stops
  * the victims of all preemptions in the log, whichever entry wrote them.
  *
- * <p>It uses the task table, so that other entries carry out the preemptions of an entry that died.
+ * <p>It uses the task table, so that other entries carry out the preemptions of a crashed entry.
  * The table reserves the freed capacity until the urgent task is claimed. The number of concurrent
  * preemptions is bounded to prevent a wave of evictions.
  *
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTaskRunner.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/SideTaskRunner.java
@@ -124,7 +124,7 @@
 
   /** Queues a message of an entry. Does not block. */
   public void onMessage(String peer, TaskMessage message) {
-    // A full queue drops the message. Entries resend starts, stops and confirmations.
+    // A full queue drops the message. Entries resend starts and stops, and confirm every second.
     boolean unused = queue.offer(new ReceivedMessage(peer, message));
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/task/StartLoop.java
@@ -28,7 +28,7 @@
  * acknowledges them once they are folded.
  *
  * <p>It uses the task table and not the entry's own claims, so that any entry starts the tasks of
- * an entry that died between claim and start.
+ * an entry that crashed between claim and start.
  *
  * <p>Not thread-safe; runs under the lock of {@link EntryTaskScheduler}.
  */
@@ -49,8 +49,8 @@
   /**
    * Creates a loop.
    *
-   * @param expectedSlowdown returns the expected relative increase of a service's latency beside a
-   *     task of the job
+   * @param expectedSlowdown returns the expected relative increase of a service's latency when a
+   *     task of the job runs on the same VM
    */
   StartLoop(
       EntryContext context, VmMembership membership, ToDoubleFunction<JobSpec> expectedSlowdown) {
