--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/AdmissionPolicy.java
@@ -4,10 +4,11 @@
 
 /**
  * Decides on arrival whether a request may be queued, so that a refusal costs the caller no time.
- * An admitted request is never dropped later to make place for another.
+ * An admitted request is never dropped later to admit another.
  *
- * <p>Short burst: a request is admitted if it can be served before its deadline. Refusing it would
- * gain nothing, and a bound on the delay would refuse requests that fit.
+ * <p>Short burst: a request is admitted if it can be served before its deadline. Refusing such a
+ * request would gain nothing, and a bound on the delay would refuse requests that can be served in
+ * time.
  *
  * <p>Lasting overload: once the queue was longer than the target delay for {@link
  * #OVERLOAD_ENTRY_NANOS}, only as many requests are admitted as are served within the target delay.
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/DrainRate.java
@@ -43,7 +43,10 @@
     return meanServiceNanos;
   }
 
-  /** Returns the requests served per second with the given number in flight, but at least one. */
+  /**
+   * Returns the requests served per second with the given number in flight, which counts as at
+   * least 1.
+   */
   public double requestsPerSecond(int inFlight) {
     return Math.max(1, inFlight) * NANOS_PER_SECOND / meanServiceNanos;
   }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/FairQueue.java
@@ -25,7 +25,7 @@
  * flows, which takes longer the fewer requests an entry serves. A hot caller gains these requests
  * only once.
  *
- * <p>At most {@link #MAX_FLOWS} clocks per kind of flow are kept, least recently used ones are
+ * <p>At most {@link #MAX_FLOWS} clocks per kind of flow are kept; the least recently used one is
  * evicted. An evicted flow is treated as new, which costs fairness for one request.
  *
  * <p>Not thread-safe. Adding, polling and removing cost O(log n).
--- a/marigoldsail-core/src/main/java/io/marigoldsail/admission/RetryAfterEstimator.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/admission/RetryAfterEstimator.java
@@ -10,7 +10,7 @@
  * <p>Load pattern: thousands of requests are refused within a second. With the same retry-after
  * time, their callers would return together and be refused together. The time is the wait of the
  * current queue plus a random part, which spreads the refused callers over the time needed to serve
- * all of them.
+ * all of them, so that their retries add no more load than the service can serve.
  *
  * <p>Recent refusals are counted with an exponential decay of half-life {@link
  * #REFUSAL_HALF_LIFE_NANOS}. The spread is at least a second, because the Retry-After header counts
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AcknowledgedSequences.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AcknowledgedSequences.java
@@ -60,12 +60,12 @@
     return expiresAt;
   }
 
-  private void advanceWindowTo(long newBase) {
-    long words = Math.min(WORDS, (newBase - windowStart) / WORD_BITS);
+  private void advanceWindowTo(long newStart) {
+    long words = Math.min(WORDS, (newStart - windowStart) / WORD_BITS);
     for (long i = 0; i < words; i++) {
       bits[word(windowStart + i * WORD_BITS)] = 0;
     }
-    windowStart = newBase;
+    windowStart = newStart;
   }
 
   private static int word(long sequence) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptOutcome.java
@@ -16,9 +16,9 @@
   private final boolean mayHaveRun;
   private final boolean rejectedBySideProcess;
 
-  AttemptOutcome(boolean mayHaveRun, boolean refusedByTarget) {
+  AttemptOutcome(boolean mayHaveRun, boolean rejectedBySideProcess) {
     this.mayHaveRun = mayHaveRun;
-    this.rejectedBySideProcess = refusedByTarget;
+    this.rejectedBySideProcess = rejectedBySideProcess;
   }
 
   /** Returns whether the request may have taken effect. */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/AttemptTable.java
@@ -57,7 +57,7 @@
   private final LinkedHashMap<AttemptId, EndedAttempt<A>> ended = new LinkedHashMap<>();
   private final LinkedHashMap<AttemptId, Long> responseSizes = new LinkedHashMap<>();
   private final Map<Long, AcknowledgedSequences> acknowledgedSequences = new HashMap<>();
-  private final Map<Long, Long> highestForgotten = new HashMap<>();
+  private final Map<Long, Long> highestEvictedSequence = new HashMap<>();
   private long responseBytes;
 
   /**
@@ -86,7 +86,7 @@
     if (kept != null) {
       return kept.state();
     }
-    Long highestEvicted = highestForgotten.get(id.entryIncarnation());
+    Long highestEvicted = highestEvictedSequence.get(id.entryIncarnation());
     if (highestEvicted != null && id.sequence() <= highestEvicted) {
       return State.FORGOTTEN;
     }
@@ -179,7 +179,7 @@
         acknowledgedSequences.computeIfAbsent(
             id.entryIncarnation(), entry -> new AcknowledgedSequences());
     sequences.add(id.sequence(), now + retentionNanos);
-    raiseHighestForgotten(id.entryIncarnation(), sequences.evictedUpTo());
+    raiseHighestEvicted(id.entryIncarnation(), sequences.evictedUpTo());
   }
 
   /**
@@ -220,7 +220,7 @@
     while (each.hasNext()) {
       Map.Entry<Long, AcknowledgedSequences> entry = each.next();
       if (entry.getValue().expiresAt() - now <= 0) {
-        raiseHighestForgotten(entry.getKey(), entry.getValue().highest());
+        raiseHighestEvicted(entry.getKey(), entry.getValue().highest());
         each.remove();
       }
     }
@@ -259,7 +259,7 @@
   }
 
   private void evict(AttemptId id, EndedAttempt<A> kept) {
-    raiseHighestForgotten(id.entryIncarnation(), id.sequence());
+    raiseHighestEvicted(id.entryIncarnation(), id.sequence());
     removeResponseSize(id, kept);
   }
 
@@ -269,7 +269,7 @@
     }
   }
 
-  private void raiseHighestForgotten(long entryIncarnation, long sequence) {
-    highestForgotten.merge(entryIncarnation, sequence, Math::max);
+  private void raiseHighestEvicted(long entryIncarnation, long sequence) {
+    highestEvictedSequence.merge(entryIncarnation, sequence, Math::max);
   }
 }
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/Decision.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/Decision.java
@@ -26,7 +26,7 @@
   }
 
   /**
-   * Answer the request with a failure now. The policy no longer tracks the request.
+   * Respond to the request with a failure now. The policy no longer tracks the request.
    *
    * @param request number of the request
    * @param failure the failure reported to the caller, with its retry-after time
--- a/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TransitDelay.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/dispatch/TransitDelay.java
@@ -1,8 +1,8 @@
 package io.marigoldsail.dispatch;
 
 /**
- * Measures how much longer than usual a frame took from the sender's stamp to its reading, per
- * connection.
+ * Measures, per connection, how much longer than usual a frame took from being stamped by the
+ * sender to being read.
  *
  * <p>The sender stamps each frame with its own monotonic clock. The minimum difference between
  * receive time and stamp over the recent past is the usual transit time; a frame's excess over it
--- a/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryBudget.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryBudget.java
@@ -6,10 +6,10 @@
  * <p>Load pattern: targets fail, and each failure is retried. Without a budget, retries multiply
  * when capacity is lowest, and the failure of some targets overloads all others. Each request adds
  * {@link #TOKENS_PER_REQUEST} tokens, each retry takes one, and at most {@link #MAX_TOKENS} tokens
- * are kept, so that a quiet period does not pay for a retry storm.
+ * are kept, so that a quiet period does not save up tokens for a retry storm.
  *
- * <p>The goal is at most 1.1 attempts per request over any 10 s; 0.08 leaves a fifth of the retries
- * for saved tokens and for requests rejected by a full side process.
+ * <p>The goal is at most 1.1 attempts per request over any 10 s; 0.08 leaves a fifth of these
+ * retries for saved tokens and for requests rejected by a full side process.
  *
  * <p>Not thread-safe.
  */
--- a/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/retry/RetryPolicy.java
@@ -56,7 +56,7 @@
    * @param outcome outcome of the last attempt
    * @param idempotent whether the request may safely run twice
    * @param attempts number of attempts so far
-   * @param queueing whether other requests are queued
+   * @param othersQueued whether other requests are queued
    * @param deadline deadline of the request; a retry due after it is not made
    * @param now current monotonic time, in nanoseconds
    */
@@ -64,7 +64,7 @@
       AttemptOutcome outcome,
       boolean idempotent,
       int attempts,
-      boolean queueing,
+      boolean othersQueued,
       long deadline,
       long now) {
     if (!outcome.mayRetry(idempotent)) {
@@ -73,7 +73,7 @@
     if (outcome.rejectedBySideProcess()) {
       return ifBefore(deadline, now + rejectionBackoff(attempts));
     }
-    if (queueing || attempts >= MAX_ATTEMPTS) {
+    if (othersQueued || attempts >= MAX_ATTEMPTS) {
       return OptionalLong.empty();
     }
     OptionalLong due = ifBefore(deadline, now + failureBackoff(attempts));
@@ -85,8 +85,10 @@
   }
 
   private static long rejectionBackoff(int attempts) {
-    int beyond = attempts - REJECTIONS_BEFORE_BACKOFF;
-    return beyond < 0 ? 0 : REJECTED_INITIAL_BACKOFF_NANOS << Math.min(beyond, MAX_DOUBLINGS);
+    int extraAttempts = attempts - REJECTIONS_BEFORE_BACKOFF;
+    return extraAttempts < 0
+        ? 0
+        : REJECTED_INITIAL_BACKOFF_NANOS << Math.min(extraAttempts, MAX_DOUBLINGS);
   }
 
   private long failureBackoff(int attempts) {
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/Router.java
@@ -21,7 +21,7 @@
  * report; a random choice leaves some targets full while others are idle. The better of {@link
  * #SAMPLED_TARGETS} random targets with a free slot avoids both. Targets of the entry's own zone
  * are preferred while one of them is below a load of {@link #OWN_ZONE_MAX_LOAD}: a hop between
- * zones costs one millisecond each way, a busy target ten times that. If no slot is free, the
+ * zones costs one millisecond each way; a busy target adds ten times that. If no slot is free, the
  * request goes to a target queue, so that a freed slot does not stay idle for a round trip.
  *
  * <p>Load pattern: a hot caller keeps every entry busy. The other callers of an entry then wait
@@ -33,8 +33,8 @@
  * <p>Ejected targets, which are slow or failing, receive only probes: single requests, at intervals
  * of at least {@link #MIN_PROBE_INTERVAL_NANOS} and at most one in {@link #REQUESTS_PER_PROBE} of
  * this entry's requests, so that all entries together send well under 2% of their requests there.
- * At most one in {@link #TARGETS_PER_EJECTED} targets is ejected, because the remaining ones could
- * not take the load of more.
+ * At most one in {@link #TARGETS_PER_EJECTED} targets is ejected: if most targets are bad, there
+ * are no better ones to send the requests to.
  *
  * <p>Not thread-safe. A choice costs O(targets).
  */
@@ -70,13 +70,13 @@
 
   /** Replaces the set of targets; a target with a new incarnation is new and is started slowly. */
   public void updateTargets(List<TargetState> states, long now) {
-    Map<String, Target> before = new LinkedHashMap<>(targets);
+    Map<String, Target> previousTargets = new LinkedHashMap<>(targets);
     targets.clear();
     if (!states.isEmpty()) {
       firstTargetAt = Math.min(firstTargetAt, now);
     }
     for (TargetState state : states) {
-      Target target = before.get(state.vm());
+      Target target = previousTargets.get(state.vm());
       if (target == null || target.state().incarnation() != state.incarnation()) {
         target = new Target(state, slowStartForNewTarget(now), now);
       } else {
@@ -186,8 +186,8 @@
     refreshFleet(now);
     Target best = null;
     double bestScore = Double.POSITIVE_INFINITY;
-    int choices = Math.min(SAMPLED_TARGETS, candidates.size());
-    for (int i = 0; i < choices; i++) {
+    int sampleSize = Math.min(SAMPLED_TARGETS, candidates.size());
+    for (int i = 0; i < sampleSize; i++) {
       int picked = i + random.nextInt(candidates.size() - i);
       Target target = candidates.get(picked);
       candidates.set(picked, candidates.get(i));
--- a/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
+++ b/marigoldsail-core/src/main/java/io/marigoldsail/routing/SlotShare.java
@@ -14,12 +14,12 @@
  * entries and eight slots it is less than one. Without a share, a busy entry starves a new one, and
  * all entries send to the target that had free slots in the last report.
  *
- * <p>An entry therefore estimates the target's requests in flight: the last report, corrected by
- * what the entry sent and received since. It reuses its own freed slots. Above its fair share it
- * leaves half of the target queue free, which entries below their fair share may use, so the shares
- * converge without communication. An entry with no request at a target may always send one,
- * whatever the report says, so that a stale report starves no entry; a full side process rejects
- * that request.
+ * <p>An entry therefore estimates the target's requests in flight: the last report, which arrives
+ * with its own responses and with announcements, corrected by what the entry sent and received
+ * since. It reuses its own freed slots. Above its fair share it leaves half of the target queue
+ * free, which entries below their fair share may use, so the shares converge without communication.
+ * An entry with no request at a target may always send one, whatever the report says, so that a
+ * stale report starves no entry; a full side process rejects that request.
  *
  * <p>Load pattern: reports are delayed. The difference of a stale report and this entry's current
  * requests is wrong by all changes since, and limits that follow it oscillate: with reports a
@@ -34,8 +34,9 @@
 final class SlotShare {
   /**
    * Requests sent within this time before a report may be missing from it; a shorter measured round
-   * trip reduces it. With a fixed time, all requests of an entry at a target that responds within a
-   * millisecond were attributed to other entries, and the entry left half of the slots idle.
+   * trip reduces this time. With a fixed time, all requests of an entry at a target that responds
+   * within a millisecond were attributed to other entries, and the entry left half of the slots
+   * idle.
    */
   static final long MAX_REPORT_LAG_NANOS = 1_000_000L;
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/AttemptTracker.java
@@ -139,7 +139,7 @@
     if (request.attempt() != attempt) {
       return;
     }
-    // If it has not started yet, it does not run any more.
+    // If the attempt has not started yet, the side process no longer starts it.
     cancel(request);
     Failure failure =
         Failure.of(
@@ -233,7 +233,10 @@
     attemptEnded(request, AttemptOutcome.NOT_RUN, null, new Failure(kind, detail, retryAfter));
   }
 
-  /** KEY_STATE_UNKNOWN says nothing of earlier attempts, but proves that this one did not run. */
+  /**
+   * Returns whether the kind proves that this attempt did not run. KEY_STATE_UNKNOWN does, although
+   * an earlier attempt with the key may have run.
+   */
   private static boolean provesNotRun(ErrorKind kind) {
     return kind.execution() == ErrorKind.Execution.NOT_RUN || kind == ErrorKind.KEY_STATE_UNKNOWN;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerHeaders.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerHeaders.java
@@ -14,7 +14,7 @@
   /** Identifies one intended effect across several attempts of the caller. */
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
-  /** The request's id on the time line, in responses and in requests to targets. */
+  /** The request's id on the timeline, in responses and in requests to targets. */
   public static final String REQUEST_ID = "Marigoldsail-Request-Id";
 
   private CallerHeaders() {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/CallerServer.java
@@ -223,10 +223,10 @@
     holder[0].run();
   }
 
-  private static void writeHealth(Response response, Callback callback, boolean good) {
-    response.setStatus(good ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
+  private static void writeHealth(Response response, Callback callback, boolean healthy) {
+    response.setStatus(healthy ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503);
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
-    byte[] text = (good ? "ok\n" : "stopping\n").getBytes(StandardCharsets.UTF_8);
+    byte[] text = (healthy ? "ok\n" : "stopping\n").getBytes(StandardCharsets.UTF_8);
     response.write(true, ByteBuffer.wrap(text), callback);
   }
 }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
@@ -17,13 +17,14 @@
  * notified of the stop, and responses that the operating system has not delivered, which it
  * discards when a connection is closed with unread data such as a ping. Entries acknowledge a
  * {@code GoAway} on the same connection and send no new request after that. The acknowledgement
- * therefore proves that no more requests follow and that everything sent before was received. A
- * round with other traffic in between proves neither and is repeated.
+ * therefore proves that no more requests follow and that everything sent before was received. If
+ * a request, a resolve or a response was sent or received in between, it proves neither, and
+ * another {@code GoAway} is sent.
  *
  * <p>Confined to the loop's thread, but for {@link #drained}.
  */
 final class ConnectionDrain {
-  /** A connection that is not acknowledged this long after the last request counts as lost. */
+  /** A connection whose GOAWAY is not acknowledged this long after the last request is lost. */
   private static final long DRAIN_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(5);
 
   private static final long POLL_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/EntryDispatcher.java
@@ -42,7 +42,7 @@
 public final class EntryDispatcher implements AutoCloseable {
   private static final System.Logger LOG = System.getLogger(EntryDispatcher.class.getName());
 
-  /** A tick that is later than this shows that the process was paused. */
+  /** A longer time than this between two ticks shows that the process was paused. */
   private static final long PROCESS_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final long NO_OWNER_RETRY_AFTER_MILLIS = 1_000;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/HandoverRelay.java
@@ -39,12 +39,12 @@
       KeyShardTable table,
       KeyShardCoordinator.KeyLog log,
       EntryLinks links,
-      Runnable moved) {
+      Runnable onMoved) {
     this.loop = requireNonNull(loop, "loop");
     this.table = requireNonNull(table, "table");
     this.log = requireNonNull(log, "log");
     this.links = requireNonNull(links, "links");
-    this.onMoved = requireNonNull(moved, "moved");
+    this.onMoved = requireNonNull(onMoved, "onMoved");
   }
 
   /** Handles a frame of a side process. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyFrameHandler.java
@@ -48,7 +48,7 @@
             case KEY_HANDOVER -> acceptHandover(entry, frame.getKeyHandover());
             case KEY_HANDOVER_RESULT -> handoverResult(entry, frame.getKeyHandoverResult());
             default -> {
-              // Entries send no other frames about keyedRequests.
+              // Entries send no other frames about keys.
             }
           }
         });
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyShardCoordinator.java
@@ -99,7 +99,10 @@
     tick.cancel(false);
   }
 
-  /** Confirms a successor's leases soon: until then it rejects the keys of its new shards. */
+  /**
+   * Schedules a check that confirms a successor's leases; until then the successor rejects the keys
+   * of its new shards.
+   */
   private void reconcileSoon() {
     if (!reconcileScheduled) {
       reconcileScheduled = true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/KeyedRequests.java
@@ -78,10 +78,10 @@
   /**
    * Admits a keyed request whose body is complete.
    *
-   * @param joining run before a request joins a running one or shares a retained outcome; marks it
-   *     as started
+   * @param beforeJoin run before a request joins a running one or shares a retained outcome; marks
+   *     it as started
    */
-  AdmissionResult admit(SideRequest request, Runnable joining) {
+  AdmissionResult admit(SideRequest request, Runnable beforeJoin) {
     Rejection rejection = leaseRejection(request);
     if (rejection != null) {
       reject(request, rejection);
@@ -94,11 +94,11 @@
       return AdmissionResult.RUN;
     }
     if (admission instanceof Admission.Join) {
-      joining.run();
+      beforeJoin.run();
       return AdmissionResult.JOINED;
     }
     if (admission instanceof Admission.Completed<TargetOutcome> completed) {
-      joining.run();
+      beforeJoin.run();
       responseSender.sendOutcome(
           request,
           completed
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestHeadReader.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/RequestHeadReader.java
@@ -74,7 +74,7 @@
     }
     List<Header> headers = new ArrayList<>();
     HopByHopHeaders.copyEndToEnd(fields, headers);
-    // Only the entry assigns request ids; an id set by a caller would corrupt the time line.
+    // Only the entry assigns request ids; an id set by a caller would corrupt the timeline.
     headers.removeIf(header -> header.getName().equalsIgnoreCase(CallerHeaders.REQUEST_ID));
     return Result.ok(
         new CallerRequest(
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseAssembly.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ResponseAssembly.java
@@ -6,7 +6,7 @@
 import io.marigoldsail.protocol.AnswerStart;
 import java.util.Optional;
 
-/** Assembles a response from its frames. */
+/** Assembles a response from its frames and rejects a body of the wrong length. */
 final class ResponseAssembly {
   private final AnswerStart start;
   private final ByteBudget budget;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideDispatcher.java
@@ -211,7 +211,7 @@
       case UNSEEN -> admit(connection, id, start, loop.now());
       case TOMBSTONE -> responseSender.resendRejection(connection, id);
       case WAITING, RUNNING -> throw new BrokenFrameException("second RequestStart of " + id);
-      // A copy of an id whose outcome was dropped must not run: the request may have run before.
+      // A copy of a request whose outcome was dropped must not run: it may have run before.
       case DONE, FORGOTTEN -> responseSender.sendOutcomeUnknown(connection, id);
     }
   }
@@ -319,7 +319,7 @@
     checkDrained();
   }
 
-  /** Removes a request that has not started, but for its entry in the attempt table. */
+  /** Removes a request that has not started, but keeps its state in the attempt table. */
   private void discard(SideRequest request) {
     finish(request);
     if (queue.remove(request)) {
@@ -458,7 +458,7 @@
     @Override
     public void received(LinkConnection connection, Frame frame) throws BrokenFrameException {
       if (stopping) {
-        // This frame is handled before the task that announces the stop, so announce it now.
+        // This frame is handled before the task that announces the stop, so announce the stop now.
         announceStop();
       }
       responseSender.acknowledged(connection, frame.getAnswersRead());
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/SideFrames.java
@@ -79,7 +79,7 @@
     return Frame.newBuilder().setGoAway(GoAway.getDefaultInstance()).build();
   }
 
-  /** Returns the request for the target, with the request id of the time line as a header. */
+  /** Returns the request for the target, with the request id of the timeline as a header. */
   static TargetRequest targetRequest(RequestStart start, ByteString body, long deadline) {
     Header id =
         Header.newBuilder().setName(CallerHeaders.REQUEST_ID).setValue(start.getLabel()).build();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/TargetPools.java
@@ -87,8 +87,8 @@
   /**
    * Removes a VM from the list of targets; returns whether it was listed.
    *
-   * <p>Its connections stay open until the attempts on them have ended: a VM that stopped to
-   * announce itself may still respond to earlier requests.
+   * <p>Its connections stay open until the attempts on them have ended: a VM that stopped
+   * announcing itself may still respond to earlier requests.
    */
   boolean retire(String vm) {
     TargetPool pool = pools.remove(vm);
