--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -57,9 +57,10 @@
   /**
    * Replaces the owner map and returns whether it has to be sent to side processes.
    *
-   * <p>Owners of a lower generation than the current map are ignored: the answer is stale. A higher
-   * generation has to be sent even if the owners are the same: side processes that know it ignore
-   * the older map of an entry that cannot reach the store.
+   * <p>Owners of a lower generation than the current map are ignored: they were requested from the
+   * store earlier, and the response arrived late. A higher generation has to be sent even if the
+   * owners are the same: side processes that know it ignore the older map of an entry that cannot
+   * reach the store.
    */
   boolean updateOwners(long generation, Owners newOwners) {
     if (generation < ownerMap.getGeneration()) {
@@ -104,7 +105,7 @@
    * Sends a query on a workflow to the owner of the partition.
    *
    * @param onResult runs on the loop, once; {@link QueryResult#UNAVAILABLE} if the owner is
-   *     unknown, unreachable or does not answer in time
+   *     unknown, unreachable or does not respond in time
    */
   void query(int partition, WorkflowQuery workflowQuery, Consumer<QueryResult> onResult) {
     LinkConnection connection = ownerOf(partition).flatMap(links::linkTo).orElse(null);
@@ -158,8 +159,8 @@
   /** Returns the number of workflows of the queue that wait at the other entries. */
   int waitingAtPeers(String queue) {
     int sum = 0;
-    for (PeerCounts count : counts.values()) {
-      sum += count.waiting().getOrDefault(queue, 0);
+    for (PeerCounts peerCounts : counts.values()) {
+      sum += peerCounts.waiting().getOrDefault(queue, 0);
     }
     return sum;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -65,7 +65,8 @@
 
   /**
    * Longest backoff of a refused task or gang, in nanoseconds. Reports of free capacity do not end
-   * a backoff early, so a longer one would leave the task idle for seconds beside free capacity.
+   * a backoff early, so a longer one would leave the task waiting for seconds although there is
+   * free capacity.
    */
   private static final long MAX_REFUSED_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
@@ -355,9 +356,9 @@
     if (choose(waiting, offers).isEmpty()) {
       return WaitCause.NO_VM_ADMITS;
     }
-    boolean unadvised =
+    boolean withoutAdvice =
         needsAdvice(task) && choose(waiting, adviceClient.allowed(task, offers)).isEmpty();
-    return unadvised ? WaitCause.NOT_ADVISED : WaitCause.ADMITTED;
+    return withoutAdvice ? WaitCause.NOT_ADVISED : WaitCause.ADMITTED;
   }
 
   /** Returns how many of the offers give which verdict on a ready task, as a text for logs. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageEvidenceCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ImageEvidenceCodec.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Converts the interference evidence of images (observations) to frames and back. Stateless. */
+/** Converts the interference evidence of images to frames and back. Stateless. */
 final class ImageEvidenceCodec {
   private ImageEvidenceCodec() {}
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -29,11 +29,11 @@
  * that this owner has recorded for each.
  *
  * <p>A task counts as running if a report shows its open attempt as started and not stopping, on
- * the worker that it was ordered on, while that worker answers its side process: a side process
+ * the worker that it was ordered on, while that worker responds to its side process: a side process
  * keeps listing the runs of a worker that is gone. Every {@link #SUMMARY_INTERVAL_NANOS} the owned
  * partitions are logged as well, which makes a task visible that no owner logs.
  *
- * <p>Takes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
+ * <p>Makes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
  * the number of tasks of running workflows.
  */
 final class LongRunningTaskMonitor {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -19,13 +19,13 @@
 /**
  * The connections that this process dials to entries, one to each.
  *
- * <p>A connection without answers is closed and dialled again, since a connection may fail without
+ * <p>An unresponsive connection is closed and dialled again, since a connection may fail without
  * a reset. Confined to the loop's thread.
  */
 final class MemberLinks {
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
 
-  /** Time without an answer after which a connection is closed, in nanoseconds. */
+  /** Time without an expected response after which a connection is closed, in nanoseconds. */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
   /** Notified of connections and frames; runs on the loop. */
@@ -60,7 +60,7 @@
     return links.size();
   }
 
-  /** Closes the connections without answers and returns the others. */
+  /** Closes the unresponsive connections and returns the others. */
   ImmutableSet<LinkConnection> closeUnresponsive() {
     long now = loop.now();
     ImmutableSet.Builder<LinkConnection> alive = ImmutableSet.builder();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OpenRun.java
@@ -44,7 +44,7 @@
    * Returns a new run, which is not durable yet.
    *
    * @param starved whether no task of its workflow has been running for some time
-   * @param ticket what the worker requires to accept the run; empty if it requires none
+   * @param ticket placement ticket that the worker requires; empty if it requires none
    */
   static OpenRun create(
       OwnedPartition partition, WorkflowTask task, long now, boolean starved, String ticket) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/OwnerMapRateLimiter.java
@@ -11,7 +11,7 @@
  *
  * <p>While partitions move, two entries may hold different owner maps of one generation. A side
  * process reports its whole state to all entries on each change of its map; without a limit, both
- * entries would answer each report with their own map, as fast as the links allow. An entry reads
+ * entries would send their own map after each report, as fast as the links allow. An entry reads
  * the owners about as often as the limit, so a higher rate would not bring newer maps.
  *
  * <p>Confined to one thread. Times are monotonic nanoseconds.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionOwnership.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionOwnership.java
@@ -221,7 +221,7 @@
     listener.ownersRead(asOf, owners);
     if (!owners.byPartition().equals(lastOwners)) {
       lastOwners = owners.byPartition();
-      // The answer has the generation of the new owners, which orders the owner maps.
+      // The response contains the generation of the new owners, which orders the owner maps.
       join();
     }
   }
@@ -243,7 +243,7 @@
     return WorkflowIds.partition(workflow, store.partitions());
   }
 
-  /** Returns whether the store answered the last join; for any thread. */
+  /** Returns whether the last join succeeded; for any thread. */
   boolean isConnected() {
     return connected;
   }
@@ -251,7 +251,7 @@
   /**
    * Releases all partitions and leaves the group, so that other entries take over at once.
    *
-   * @return completes when the store has answered
+   * @return completes when the store has responded
    */
   CompletableFuture<Boolean> leave() {
     leaving = true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -27,9 +27,9 @@
  * Writes the progress of one partition under one epoch, with one append in flight; changes made
  * meanwhile are batched into the next append.
  *
- * <p>An append whose answer was lost is resent unchanged, so that the store can detect the repeat;
- * nothing else is sent before its result is known. Effects run only after the append that contains
- * their cause is durable. The time at which a successful append was first sent is the evidence that
+ * <p>An append whose response was lost is resent unchanged, so that the store can detect the
+ * repeat; nothing else is sent before its result is known. Effects run only after the append that
+ * contains their cause is durable. The time at which a successful append was first sent is the evidence that
  * this process owned the partition at that time.
  *
  * <p>Confined to the loop's thread.
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviceClient.java
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Requests advice on the best candidates without a cached answer; does nothing while a call is in
+   * Requests advice on the best candidates without a cached result; does nothing while a call is in
    * flight or for a short time after a failed call.
    *
    * @param candidates VMs that admit the task, best first
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PlacementAdviser.java
@@ -28,7 +28,7 @@
   }
 
   /**
-   * No answer, or one that cannot be decoded; the call may be repeated.
+   * No response, or one that cannot be decoded; the call may be repeated.
    *
    * @param reason text for logs
    */
@@ -41,7 +41,7 @@
    * @param occurrence the occurrence of the workflow, from 0
    * @param step the position of the step, from 0
    * @param workers worker incarnations
-   * @param timeoutMillis time to wait for the answer, in milliseconds
+   * @param timeoutMillis time to wait for the response, in milliseconds
    */
   CompletableFuture<AdviceResult> advise(
       long workflow, int occurrence, int step, ImmutableList<String> workers, long timeoutMillis);
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -11,15 +11,15 @@
  */
 final class SideRun {
   /**
-   * Listings, requested after the last order was confirmed, that may lack a run before the run
-   * counts as ended.
+   * Number of listings, requested after the last order was confirmed, that may lack a run before
+   * the run counts as ended.
    */
   private static final int MAX_MISSED_LISTINGS = 2;
 
   /** The CPU share at which a worker starts a run, in percent. */
   private static final int FULL_PERCENT = 100;
 
-  /** Stands for a CPU share that is not known to the side process. */
+  /** Marks a CPU share that is not known to the side process. */
   private static final int UNKNOWN_PERCENT = -1;
 
   private final RunKey key;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -14,7 +14,7 @@
   /** Its worker is draining. */
   DRAINING("leaves"),
   /**
-   * Its worker does not answer calls or refuses them, or has runs whose resource requests only
+   * Its worker does not respond to calls or refuses them, or has runs whose resource requests only
    * other owners know.
    */
   UNHEALTHY("unhealthy"),
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -173,7 +173,8 @@
       }
       session.update(report, loop.now());
     }
-    // An older connection may have been read last and have ended since: this is the only one left.
+    // The first report of an older connection may have been read late and have replaced this
+    // session; once that connection has ended, this session is the only one of the VM.
     sessionsByVm.putIfAbsent(report.getVm(), session);
     if (sessionsByVm.get(report.getVm()) != session) {
       return;
@@ -335,7 +336,7 @@
     stopUnwanted(workflow);
   }
 
-  /** Answers a report that requests a lease, together with the pending orders. */
+  /** Responds to a report that requests a lease with the lease and the pending orders. */
   private void grantLease(VmSession session) {
     session.flush(
         leaseGrant(session).toBuilder()
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerHealth.java
@@ -21,7 +21,7 @@
     this.outage = new ListingOutage(worker);
   }
 
-  /** Records that the worker refused an order or did not answer it. */
+  /** Records that the worker refused an order or did not respond to it. */
   void recordFailure(long now) {
     backoffUntil = now + BACKOFF_NANOS;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkerSession.java
@@ -49,7 +49,7 @@
   /** How long a listing request waits at the worker for a run to end, in milliseconds. */
   private static final long LISTING_WAIT_MILLIS = 900;
 
-  /** The same while service tasks run: their tail latency is measured every half second. */
+  /** The wait while service tasks run: their tail latency is measured every half second. */
   private static final long SERVICE_LISTING_WAIT_MILLIS = 450;
 
   /** Maximum delay of the next listing to await acknowledgements of ends, in nanoseconds. */
@@ -135,7 +135,7 @@
    * Returns whether the worker must not get new work now.
    *
    * <p>This includes a worker with runs of unknown resource sizes. Entries that do not own these
-   * runs would otherwise take the VM for empty and send it all waiting tasks, only to be refused,
+   * runs would otherwise consider the VM idle and send it all waiting tasks, only to be refused,
    * while other VMs have free capacity.
    */
   boolean isUnhealthy() {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowCodec.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowCodec.java
@@ -106,7 +106,7 @@
   static Optional<WorkflowSpec> decodeSubmission(ByteString bytes) {
     try {
       WorkflowSubmission submission = WorkflowSubmission.parseFrom(bytes);
-      WorkflowSpec.QueuePolicy terms =
+      WorkflowSpec.QueuePolicy policy =
           new WorkflowSpec.QueuePolicy(
               submission.getService(),
               submission.getPriority(),
@@ -127,7 +127,7 @@
           new WorkflowSpec(
               submission.getId(),
               submission.getQueue(),
-              terms,
+              policy,
               submission.getProgram(),
               steps,
               schedule,
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -319,7 +319,7 @@
    * Releases all partitions and stops scheduling; queries are still answered through their new
    * owners.
    *
-   * @return completes on any thread when the store has answered
+   * @return completes on any thread when the store has responded
    */
   public CompletableFuture<Boolean> leave() {
     leaving = true;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowStore.java
@@ -109,7 +109,7 @@
    */
   record Joined(long generation, ImmutableSet<Integer> partitions) implements JoinResult {}
 
-  /** The store did not answer or refused the join. */
+  /** The store did not respond or refused the join. */
   record JoinFailed(String reason) implements JoinResult {}
 
   /** The result of reading the owners. */
