--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryPeers.java
@@ -32,7 +32,7 @@
   /** Timeout of a query, in nanoseconds. */
   private static final long QUERY_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
-  /** Age at which counts are dropped, in nanoseconds; their process is gone. */
+  /** Age above which counts are dropped, in nanoseconds; their entry is presumed gone. */
   private static final long COUNTS_TTL_NANOS = TimeUnit.SECONDS.toNanos(8);
 
   private record PendingQuery(LinkConnection connection, Consumer<QueryResult> onResult) {}
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/EntryScheduler.java
@@ -419,8 +419,9 @@
   }
 
   /**
-   * Moves runs off VMs whose workers drain, that have too many interfering runs beside services, or
-   * on which the runs are throttled; runs whose restart would lose too much work stay.
+   * Moves runs off VMs whose workers drain, whose service tasks share the VM with too many
+   * interfering runs, or on which the runs are throttled; runs whose restart would lose too much
+   * work stay.
    */
   void evacuateRuns() {
     for (OpenRun run : vms.runsOnDrainingVms()) {
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -121,8 +121,8 @@
     OptionalLong reportedAt = OptionalLong.of(session.get().reportedAt());
     // Runs of unknown size make a VM unhealthy to other owners although its worker listed them.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
-    boolean answers = listed && session.get().report().getWorker().equals(place.worker());
-    boolean running = answers && report.get().getStarted() && !report.get().getStopping();
+    boolean responds = listed && session.get().report().getWorker().equals(place.worker());
+    boolean running = responds && report.get().getStarted() && !report.get().getStopping();
     return new Observation(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -25,7 +25,7 @@
 final class MemberLinks {
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
 
-  /** Time without an expected response after which a connection is closed, in nanoseconds. */
+  /** Age of the oldest unanswered frame above which a connection is closed, in nanoseconds. */
   private static final long SILENCE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(1_800);
 
   /** Notified of connections and frames; runs on the loop. */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/PartitionWriter.java
@@ -29,8 +29,8 @@
  *
  * <p>An append whose response was lost is resent unchanged, so that the store can detect the
  * repeat; nothing else is sent before its result is known. Effects run only after the append that
- * contains their cause is durable. The time at which a successful append was first sent is the evidence that
- * this process owned the partition at that time.
+ * contains their cause is durable. The time at which a successful append was first sent is the
+ * evidence that this process owned the partition at that time.
  *
  * <p>Confined to the loop's thread.
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/RunThrottler.java
@@ -69,8 +69,8 @@
   }
 
   /**
-   * Marks the interfering runs beyond the limit beside service tasks, so that their owners move
-   * them.
+   * Marks the interfering runs that exceed the limit for VMs with service tasks, so that their
+   * owners move them.
    *
    * @param capacityMilli the processors of the VM, in thousandths
    * @param hasServiceTasks whether service tasks run on the VM
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -168,12 +168,12 @@
     throttlePercent = newPercent;
   }
 
-  /** Records that a throttle order was not answered, so that it may or may not be in effect. */
+  /** Records that a throttle order got no response, so that it may or may not be in effect. */
   void markThrottleUnknown() {
     throttlePercent = UNKNOWN_PERCENT;
   }
 
-  /** Sets whether the run exceeds the limit of interfering runs beside service tasks. */
+  /** Sets whether the run exceeds the limit of interfering runs on a VM with service tasks. */
   void excess(boolean isExcess) {
     excess = isExcess;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -7,7 +7,7 @@
 enum VmAvailability {
   /** It may be given work. */
   OFFERED("offered"),
-  /** Its last report is older than {@link #UNRESPONSIVE_NANOS}. */
+  /** Its last report is at least {@link #UNRESPONSIVE_NANOS} old. */
   UNRESPONSIVE("silent"),
   /** Its side process has no worker. */
   NO_WORKER("no worker"),
