--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/ReportPacer.java
@@ -11,9 +11,10 @@
  * Decides when a side process reports a change to an entry.
  *
  * <p>A change of a run is reported at once only to the entry that owns the run. The other entries
- * need only the free capacity, and are reported to at an interval that grows with the number of
- * entries, so that a side process sends as many reports a second to ten entries as to two. A change
- * of whether the VM accepts work is reported to all entries at once.
+ * need only the free capacity, by which they place new runs, and are reported to at an interval
+ * that grows with the number of entries, so that a side process sends as many reports a second to
+ * ten entries as to two. A change of whether the VM accepts work is reported to all entries at
+ * once.
  *
  * <p>Under load a VM changes tens of times a second, and each report carries its whole state. If
  * every change went to every entry, the traffic would grow with entries times VMs and saturate an
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmTracker.java
@@ -395,8 +395,8 @@
    *
    * <p>Closing them earlier could run a task twice at once: a disconnected VM continues its runs
    * until its worker's deadline, which depends on the last grant of this entry, or of a former
-   * owner until this entry fenced it. A side process that was restarted after its worker
-   * died reports no worker and extends no lease.
+   * owner until this entry fenced it. A side process that was restarted after its worker died
+   * reports no worker and extends no lease.
    */
   void closeExpiredRuns() {
     long now = loop.now();
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowEntry.java
@@ -51,7 +51,7 @@
   private static final long EVICTION_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
   private static final long MONITOR_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Time in which a cancel has to become durable before the result is unknown, in nanoseconds. */
+  /** Time after which a cancel that is not durable yet counts as unavailable, in nanoseconds. */
   private static final long CANCEL_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(900);
 
   private static final int MAX_LINKS = 2_000;
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/WorkflowSideProcess.java
@@ -309,7 +309,7 @@
     }
   }
 
-  /** Returns the part of a report that is the same for all entries, except for clock and images. */
+  /** Returns the fields of a report that are equal for all entries, but not clock and images. */
   private VmReport vmState() {
     VmReport.Builder state = VmReport.newBuilder().setVm(vm).setGoneWorker(goneWorker);
     if (session != null) {
