--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/LongRunningTaskMonitor.java
@@ -29,11 +29,11 @@
  * that this owner has recorded for each.
  *
  * <p>A task counts as running if a report shows its open attempt as started and not stopping, on
- * the worker that it was ordered on, while that worker answers its side process: a side process
+ * the worker that it was ordered on, while that worker responds to its side process: a side process
  * keeps listing the runs of a worker that is gone. Every {@link #SUMMARY_INTERVAL_NANOS} the owned
  * partitions are logged as well, which makes a task visible that no owner logs.
  *
- * <p>Takes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
+ * <p>Makes no decisions about tasks. Confined to the loop's thread; a check takes time linear in
  * the number of tasks of running workflows.
  */
 final class LongRunningTaskMonitor {
@@ -121,8 +121,8 @@
     OptionalLong reportedAt = OptionalLong.of(session.get().reportedAt());
     // Runs of unknown size make a VM unhealthy to other owners although its worker listed them.
     boolean listed = session.get().hasRunsOfUnknownSize() || !session.get().report().getUnhealthy();
-    boolean answers = listed && session.get().report().getWorker().equals(place.worker());
-    boolean running = answers && report.get().getStarted() && !report.get().getStopping();
+    boolean responds = listed && session.get().report().getWorker().equals(place.worker());
+    boolean running = responds && report.get().getStarted() && !report.get().getStopping();
     return new Observation(task, running ? reportedAt : OptionalLong.empty(), reportedAt);
   }
 
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/SideRun.java
@@ -11,15 +11,15 @@
  */
 final class SideRun {
   /**
-   * Listings, requested after the last order was confirmed, that may lack a run before the run
-   * counts as ended.
+   * Number of listings, requested after the last order was confirmed, that may lack a run before
+   * the run counts as ended.
    */
   private static final int MAX_MISSED_LISTINGS = 2;
 
   /** The CPU share at which a worker starts a run, in percent. */
   private static final int FULL_PERCENT = 100;
 
-  /** Stands for a CPU share that is not known to the side process. */
+  /** Marks a CPU share that is not known to the side process. */
   private static final int UNKNOWN_PERCENT = -1;
 
   private final RunKey key;
@@ -168,12 +168,12 @@
     throttlePercent = newPercent;
   }
 
-  /** Records that a throttle order was not answered, so that it may or may not be in effect. */
+  /** Records that a throttle order got no response, so that it may or may not be in effect. */
   void markThrottleUnknown() {
     throttlePercent = UNKNOWN_PERCENT;
   }
 
-  /** Sets whether the run exceeds the limit of interfering runs beside service tasks. */
+  /** Sets whether the run exceeds the limit of interfering runs on a VM with service tasks. */
   void excess(boolean isExcess) {
     excess = isExcess;
   }
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/VmAvailability.java
@@ -7,14 +7,14 @@
 enum VmAvailability {
   /** It may be given work. */
   OFFERED("offered"),
-  /** Its last report is older than {@link #UNRESPONSIVE_NANOS}. */
+  /** Its last report is at least {@link #UNRESPONSIVE_NANOS} old. */
   UNRESPONSIVE("silent"),
   /** Its side process has no worker. */
   NO_WORKER("no worker"),
   /** Its worker is draining. */
   DRAINING("leaves"),
   /**
-   * Its worker does not answer calls or refuses them, or has runs whose resource requests only
+   * Its worker does not respond to calls or refuses them, or has runs whose resource requests only
    * other owners know.
    */
   UNHEALTHY("unhealthy"),
