--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/dispatch/ConnectionDrain.java
@@ -17,9 +17,9 @@
  * notified of the stop, and responses that the operating system has not delivered, which it
  * discards when a connection is closed with unread data such as a ping. Entries acknowledge a
  * {@code GoAway} on the same connection and send no new request after that. The acknowledgement
- * therefore proves that no more requests follow and that everything sent before was received. If
- * a request, a resolve or a response was sent or received in between, it proves neither, and
- * another {@code GoAway} is sent.
+ * therefore proves that no more requests follow and that everything sent before was received. If a
+ * request, a resolve or a response was sent or received in between, it proves neither, and another
+ * {@code GoAway} is sent.
  *
  * <p>Confined to the loop's thread, but for {@link #drained}.
  */
--- a/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
+++ b/marigoldsail-daemon/src/main/java/io/marigoldsail/daemon/workflow/MemberLinks.java
@@ -19,8 +19,8 @@
 /**
  * The connections that this process dials to entries, one to each.
  *
- * <p>An unresponsive connection is closed and dialled again, since a connection may fail without
- * a reset. Confined to the loop's thread.
+ * <p>An unresponsive connection is closed and dialled again, since a connection may fail without a
+ * reset. Confined to the loop's thread.
  */
 final class MemberLinks {
   private static final EventLog LOG = EventLog.of(MemberLinks.class);
