--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/RequestScore.java
@@ -9,14 +9,14 @@
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double WINDOW_SECONDS = 0.25;
   private static final double SHARE_WINDOW_SECONDS = 3;
-  private static final double TRIES_WINDOW_SECONDS = 10;
+  private static final double ATTEMPTS_WINDOW_SECONDS = 10;
 
   private final RequestBench.Record run;
   private final double from;
   private final double to;
 
   RequestScore(RequestBench.Record run) {
-    this(run, run.plan().measuredFrom(), run.plan().seconds());
+    this(run, run.plan().measuredFromSecond(), run.plan().seconds());
   }
 
   private RequestScore(RequestBench.Record run, double from, double to) {
@@ -44,7 +44,9 @@
     return time >= from * NANOS_PER_SECOND && time < to * NANOS_PER_SECOND;
   }
 
-  /** Returns a percentile of the latency of completed calls, in milliseconds; NaN if there are none. */
+  /**
+   * Returns a percentile of the latency of completed calls, in milliseconds; NaN if there are none.
+   */
   double percentileMillis(double percent, Predicate<Call> chosen) {
     double[] latencies =
         calls(chosen).stream()
@@ -66,11 +68,11 @@
   double goodputRatio() {
     double usefulWork =
         run.calls().stream()
-            .filter(call -> call.result == Call.Result.SERVED && isWithin(call.answeredAt))
+            .filter(call -> call.result == Call.Result.SERVED && isWithin(call.completedAt))
             .mapToLong(call -> call.plan.workNanos())
             .sum();
     double requestedWork =
-        calls(call -> call.returnsLeft == call.plan.returns()).stream()
+        calls(call -> call.retriesLeft == call.plan.maxRetries()).stream()
             .mapToLong(call -> call.plan.workNanos())
             .sum();
     double capacity = (to - from) * NANOS_PER_SECOND * run.deployment().slots();
@@ -102,15 +104,17 @@
         .orElse(0);
   }
 
-  /** Returns the maximum of mean attempts per sent call, over windows of 10 s that start every
-   * second. */
-  double triesPerRequest() {
+  /**
+   * Returns the maximum of mean attempts per sent call, over windows of 10 s that start every
+   * second.
+   */
+  double attemptsPerRequest() {
     double max = 0;
-    double lastStart = Math.max(from, to - TRIES_WINDOW_SECONDS);
+    double lastStart = Math.max(from, to - ATTEMPTS_WINDOW_SECONDS);
     for (double start = from; start <= lastStart; start++) {
-      RequestScore window = between(start, Math.min(to, start + TRIES_WINDOW_SECONDS));
-      List<Call> sent = window.calls(call -> call.tries > 0);
-      double tries = sent.stream().mapToInt(call -> call.tries).sum();
+      RequestScore window = between(start, Math.min(to, start + ATTEMPTS_WINDOW_SECONDS));
+      List<Call> sent = window.calls(call -> call.attempts > 0);
+      double tries = sent.stream().mapToInt(call -> call.attempts).sum();
       max = Math.max(max, sent.isEmpty() ? 0 : tries / sent.size());
     }
     return max;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDisturbance.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskDisturbance.java
@@ -20,29 +20,29 @@
   /** One worker fails all tasks. */
   BAD_WORKER {
     @Override
-    void begin(TaskBench bench) {
-      bench.vm(0).failAll();
+    void onStart(TaskBench bench) {
+      bench.vm(0).failAllTasks();
     }
   },
   /** Most jobs, waiting and running, are cancelled at once. */
   CANCEL_WAVE {
     @Override
-    void at(TaskBench bench, long nowMillis) {
+    void onTick(TaskBench bench, long nowMillis) {
       if (nowMillis == TaskBench.HORIZON_MILLIS / 3) {
-        bench.cancelMost();
+        bench.cancelMostJobs();
       }
     }
   },
   /** A VM fails without notice, and later two more at the same time. */
   VM_LOSS {
     @Override
-    void at(TaskBench bench, long nowMillis) {
+    void onTick(TaskBench bench, long nowMillis) {
       if (nowMillis == TaskBench.HORIZON_MILLIS / 4) {
-        bench.lose(2);
+        bench.failVm(2);
       }
       if (nowMillis == TaskBench.HORIZON_MILLIS / 2) {
-        bench.lose(5);
-        bench.lose(6);
+        bench.failVm(5);
+        bench.failVm(6);
       }
     }
   },
@@ -55,15 +55,15 @@
     }
   };
 
-  private static final long USUAL_SERVICE = 5_000;
+  private static final long DEFAULT_SERVICE_MILLI_PROCESSORS = 5_000;
 
   long serviceMilliProcessors(int vm, long nowMillis) {
-    return USUAL_SERVICE;
+    return DEFAULT_SERVICE_MILLI_PROCESSORS;
   }
 
-  void begin(TaskBench bench) {}
+  void onStart(TaskBench bench) {}
 
-  void at(TaskBench bench, long nowMillis) {}
+  void onTick(TaskBench bench, long nowMillis) {}
 
   boolean logDown(long nowMillis) {
     return false;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskScore.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/measure/TaskScore.java
@@ -6,8 +6,8 @@
  * @param serviceP99Millis the 99th percentile latency of services, in milliseconds
  * @param usefulWorkSeconds work done and not lost, in seconds of a task without interference
  * @param evictions the number of evicted tasks
- * @param urgentP99Seconds the 99th percentile of the time from the acceptance of an urgent job to the
- *     start of a task, in seconds
+ * @param urgentP99Seconds the 99th percentile of the time from the acceptance of an urgent job to
+ *     the start of a task, in seconds
  * @param lostWorkSeconds work that has to be repeated, in seconds
  * @param failedTasks the number of failed tasks
  * @param recordsPerSecond the mean number of applied records per second
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeAttempt.java
@@ -16,17 +16,17 @@
  * noise=FACTOR} slows down all other attempts on the worker.
  */
 final class FakeAttempt {
-  private static final String CHECKPOINT_START = "progress-";
+  private static final String CHECKPOINT_PREFIX = "progress-";
 
   private final WorkerStart start;
   private final long startedMillis;
   private final long workMillis;
   private final boolean fails;
-  private final double noise;
+  private final double slowdownOfOthers;
   private long leaseDeadlineMillis;
   private long advancedMillis;
   private double progressMillis;
-  private long measuredMillis;
+  private long lastMeasuredMillis;
   private int throttlePercent = 100;
   private String checkpoint;
   private State state = State.RUNNING;
@@ -37,18 +37,18 @@
     this.start = start;
     this.startedMillis = nowMillis;
     this.advancedMillis = nowMillis;
-    this.measuredMillis = nowMillis;
+    this.lastMeasuredMillis = nowMillis;
     this.leaseDeadlineMillis = start.leaseDeadlineMillis();
-    this.workMillis = (long) number(start.command(), "work=", start.runMillis());
-    this.noise = number(start.command(), "noise=", 1);
+    this.workMillis = (long) numericOption(start.command(), "work=", start.runMillis());
+    this.slowdownOfOthers = numericOption(start.command(), "noise=", 1);
     this.fails = Splitter.on(' ').splitToList(start.command()).contains("fail");
     this.checkpoint = start.checkpoint();
-    if (checkpoint.startsWith(CHECKPOINT_START)) {
-      progressMillis = Double.parseDouble(checkpoint.substring(CHECKPOINT_START.length()));
+    if (checkpoint.startsWith(CHECKPOINT_PREFIX)) {
+      progressMillis = Double.parseDouble(checkpoint.substring(CHECKPOINT_PREFIX.length()));
     }
   }
 
-  private static double number(String command, String prefix, double defaultValue) {
+  private static double numericOption(String command, String prefix, double defaultValue) {
     for (String word : Splitter.on(' ').split(command)) {
       if (word.startsWith(prefix)) {
         return Double.parseDouble(word.substring(prefix.length()));
@@ -57,8 +57,10 @@
     return defaultValue;
   }
 
-  /** Advances the attempt to a time of the worker's clock; ends it if it completes or its lease
-   * expires by then. */
+  /**
+   * Advances the attempt to a time of the worker's clock; ends it if it completes or its lease
+   * expires by then.
+   */
   void advance(long nowMillis, double slowdown) {
     if (state != State.RUNNING) {
       return;
@@ -68,35 +70,38 @@
     double remainingMillis = workMillis - progressMillis;
     long elapsedMillis = Math.max(0, untilMillis - advancedMillis);
     if (workMillis > 0 && remainingMillis <= elapsedMillis * rate) {
-      end(fails ? State.FAILED : State.DONE, "", advancedMillis + (long) Math.ceil(remainingMillis / rate));
+      end(
+          fails ? State.FAILED : State.DONE,
+          "",
+          advancedMillis + (long) Math.ceil(remainingMillis / rate));
       return;
     }
     progressMillis += elapsedMillis * rate;
     advancedMillis = Math.max(advancedMillis, untilMillis);
-    checkpointByItself();
+    checkpointIfDue();
     if (nowMillis >= leaseDeadlineMillis) {
       end(State.LAPSED, "lease deadline passed", leaseDeadlineMillis);
     }
   }
 
-  private void checkpointByItself() {
+  private void checkpointIfDue() {
     long interval = start.checkpointIntervalMillis();
     if (interval > 0 && progressMillis >= interval) {
       long dueMillis = (long) progressMillis / interval * interval;
       if (dueMillis > checkpointedMillis()) {
-        checkpoint = CHECKPOINT_START + dueMillis;
+        checkpoint = CHECKPOINT_PREFIX + dueMillis;
       }
     }
   }
 
   private long checkpointedMillis() {
-    return checkpoint.startsWith(CHECKPOINT_START)
-        ? Long.parseLong(checkpoint.substring(CHECKPOINT_START.length()))
+    return checkpoint.startsWith(CHECKPOINT_PREFIX)
+        ? Long.parseLong(checkpoint.substring(CHECKPOINT_PREFIX.length()))
         : 0;
   }
 
   void checkpointNow() {
-    checkpoint = CHECKPOINT_START + (long) progressMillis;
+    checkpoint = CHECKPOINT_PREFIX + (long) progressMillis;
   }
 
   void end(State newState, String newDetail, long atMillis) {
@@ -113,8 +118,8 @@
     throttlePercent = percent;
   }
 
-  double noise() {
-    return noise;
+  double slowdownOfOthers() {
+    return slowdownOfOthers;
   }
 
   long token() {
@@ -125,12 +130,14 @@
     return start.sizes();
   }
 
-  long measuredMillis() {
-    return measuredMillis;
+  long lastMeasuredMillis() {
+    return lastMeasuredMillis;
   }
 
-  /** Returns a usage sample as of now, at most the sizes of the task, and marks the attempt as
-   * measured. */
+  /**
+   * Returns a usage sample as of now, at most the sizes of the task, and marks the attempt as
+   * measured.
+   */
   UsageSample measure(long nowMillis, double slowdown) {
     Sizes requested = start.sizes();
     Sizes used =
@@ -138,7 +145,7 @@
             requested.milliProcessors() * throttlePercent / 100,
             requested.memoryBytes(),
             requested.accelerators());
-    measuredMillis = nowMillis;
+    lastMeasuredMillis = nowMillis;
     return new UsageSample(start.task(), start.token(), nowMillis, used, slowdown);
   }
 
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeLogService.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeLogService.java
@@ -39,12 +39,12 @@
   private final Condition changed = lock.newCondition();
   private final Map<String, Stream> streams = new HashMap<>();
   private LogFaults faults = LogFaults.none();
-  private long nextAppendAt;
+  private long nextAppendNanos;
   private Counts counts = new Counts(0, 0, 0, 0);
 
   /** Creates an empty service without faults. */
   public FakeLogService() {
-    this.nextAppendAt = System.nanoTime();
+    this.nextAppendNanos = System.nanoTime();
   }
 
   /** Returns the current faults. */
@@ -74,7 +74,7 @@
    * Removes the newest records of every stream, like a platform that was restored from an old copy.
    * A stream with no more than {@code count} records becomes empty and restarts at offset 0.
    */
-  public void loseNewest(int count) {
+  public void truncateNewest(int count) {
     lock.lock();
     try {
       for (Stream stream : streams.values()) {
@@ -124,18 +124,18 @@
     requireNonNull(record, "record");
     lock.lock();
     try {
-      pauseAsFaultsSay(true);
+      awaitInjectedDelay(true);
       if (faults.down()) {
         return Result.failed(ErrorKind.LOG_UNAVAILABLE, "log service is down");
       }
       long offset = store(stream, record);
       if (faults.doubleAppends() != 0) {
         store(stream, record);
-        faults = faults.withDoubleAppends(countDown(faults.doubleAppends()));
+        faults = faults.withDoubleAppends(decrement(faults.doubleAppends()));
       }
       changed.signalAll();
       if (faults.loseAnswers() != 0) {
-        faults = faults.withLoseAnswers(countDown(faults.loseAnswers()));
+        faults = faults.withLoseAnswers(decrement(faults.loseAnswers()));
         return Result.failed(ErrorKind.LOG_OUTCOME_UNKNOWN, "response to append lost");
       }
       return Result.ok(offset);
@@ -153,7 +153,7 @@
     checkArgument(maxRecords >= 0, "maxRecords is negative: %s", maxRecords);
     lock.lock();
     try {
-      pauseAsFaultsSay(false);
+      awaitInjectedDelay(false);
       long remainingNanos = TimeUnit.MILLISECONDS.toNanos(waitMillis);
       while (!faults.down() && fromOffset >= visibleEnd(stream(stream)) && remainingNanos > 0) {
         remainingNanos = changed.awaitNanos(remainingNanos);
@@ -217,13 +217,13 @@
     return Math.max(stream.firstOffset, stream.nextOffset() - faults.staleRecords());
   }
 
-  private void pauseAsFaultsSay(boolean append) throws InterruptedException {
+  private void awaitInjectedDelay(boolean append) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(faults.slowMillis());
     if (append && faults.appendsPerSecond() > 0) {
-      nextAppendAt =
-          Math.max(nextAppendAt, System.nanoTime())
+      nextAppendNanos =
+          Math.max(nextAppendNanos, System.nanoTime())
               + TimeUnit.SECONDS.toNanos(1) / faults.appendsPerSecond();
-      until = Math.max(until, nextAppendAt);
+      until = Math.max(until, nextAppendNanos);
     }
     LogFaults initialFaults = faults;
     long remainingNanos = until - System.nanoTime();
@@ -232,7 +232,7 @@
     }
   }
 
-  private static int countDown(int count) {
+  private static int decrement(int count) {
     return count < 0 ? count : count - 1;
   }
 }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeWorker.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/FakeWorker.java
@@ -28,21 +28,21 @@
  * the clock, and ends get the time at which they were due. Thread-safe. Rejects nulls.
  */
 public final class FakeWorker implements Worker {
-  private static final long SAMPLE_MILLIS = 1_000;
-  private static final long SAMPLE_TOLD_MILLIS = 10_000;
+  private static final long SAMPLE_INTERVAL_MILLIS = 1_000;
+  private static final long SAMPLE_RETENTION_MILLIS = 10_000;
 
-  private record LateSample(UsageSample sample, long toldFrom) {}
+  private record DelayedSample(UsageSample sample, long reportedFromMillis) {}
 
   private final String name;
   private final Sizes capacity;
   private final WallClock clock;
   private final Map<String, Long> highestTokens = new HashMap<>();
   private final Map<String, FakeAttempt> attempts = new LinkedHashMap<>();
-  private final List<WorkerRun> runsOfOldBoots = new ArrayList<>();
-  private final List<LateSample> samples = new ArrayList<>();
+  private final List<WorkerRun> runsOfEarlierIncarnations = new ArrayList<>();
+  private final List<DelayedSample> samples = new ArrayList<>();
   private WorkerFaults faults = WorkerFaults.none();
   private long incarnation = 1;
-  private long askedOverCapacity;
+  private long rejectedOverCapacity;
 
   /**
    * Creates a worker without tasks.
@@ -75,7 +75,7 @@
       if (attempt.describe().running()) {
         attempt.end(State.FAILED, "worker rebooted", now);
       }
-      runsOfOldBoots.add(attempt.run(name, incarnation));
+      runsOfEarlierIncarnations.add(attempt.run(name, incarnation));
     }
     attempts.clear();
     samples.clear();
@@ -85,41 +85,43 @@
   /** Returns all attempts of all incarnations; those of one incarnation in start order. */
   public synchronized List<WorkerRun> runs() {
     advance();
-    List<WorkerRun> runs = new ArrayList<>(runsOfOldBoots);
+    List<WorkerRun> runs = new ArrayList<>(runsOfEarlierIncarnations);
     attempts.values().forEach(attempt -> runs.add(attempt.run(name, incarnation)));
     return runs;
   }
 
   /** Returns the number of starts rejected because they exceeded the free capacity. */
-  public synchronized long askedOverCapacity() {
-    return askedOverCapacity;
+  public synchronized long rejectedOverCapacity() {
+    return rejectedOverCapacity;
   }
 
   @Override
   public synchronized Result<WorkerBoot> boot() {
-    return answer(() -> Result.ok(describeBoot()));
+    return respond(() -> Result.ok(describeBoot()));
   }
 
   @Override
   public synchronized Result<WorkerTask> start(WorkerStart start) {
     requireNonNull(start, "start");
-    return answer(() -> startNow(start));
+    return respond(() -> tryStart(start));
   }
 
-  private Result<WorkerTask> startNow(WorkerStart start) {
+  private Result<WorkerTask> tryStart(WorkerStart start) {
     FakeAttempt known = attempts.get(key(start.task(), start.token()));
     if (known != null) {
       return Result.ok(known.describe());
     }
     long now = clock.millis();
     if (highestTokens.getOrDefault(start.task(), -1L) >= start.token()) {
-      return Result.failed(ErrorKind.CONFLICT, "token " + start.token() + " is not above the highest token of the task");
+      return Result.failed(
+          ErrorKind.CONFLICT,
+          "token " + start.token() + " is not above the highest token of the task");
     }
     if (start.leaseDeadlineMillis() <= now) {
       return Result.failed(ErrorKind.CONFLICT, "the lease deadline has passed");
     }
     if (!used().plus(start.sizes()).fitsIn(capacity)) {
-      askedOverCapacity++;
+      rejectedOverCapacity++;
       return Result.failed(ErrorKind.CONFLICT, "insufficient capacity for " + start.sizes());
     }
     highestTokens.put(start.task(), start.token());
@@ -138,11 +140,12 @@
 
   @Override
   public synchronized Result<WorkerTask> renew(String task, long token, long leaseDeadlineMillis) {
-    return answer(
+    return respond(
         () -> {
           FakeAttempt attempt = attempts.get(key(task, token));
           if (attempt == null || !attempt.describe().running()) {
-            return Result.failed(ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
+            return Result.failed(
+                ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
           }
           if (leaseDeadlineMillis <= clock.millis()) {
             return Result.failed(ErrorKind.CONFLICT, "the lease deadline has passed");
@@ -157,20 +160,21 @@
     if (percent < 1 || percent > 100) {
       return Result.failed(ErrorKind.BAD_REQUEST, "percent is not in 1..100: " + percent);
     }
-    return ofRunning(task, token, attempt -> attempt.throttle(percent));
+    return updateRunning(task, token, attempt -> attempt.throttle(percent));
   }
 
   @Override
   public synchronized Result<WorkerTask> checkpoint(String task, long token) {
-    return ofRunning(task, token, FakeAttempt::checkpointNow);
+    return updateRunning(task, token, FakeAttempt::checkpointNow);
   }
 
-  private Result<WorkerTask> ofRunning(String task, long token, Consumer<FakeAttempt> change) {
-    return answer(
+  private Result<WorkerTask> updateRunning(String task, long token, Consumer<FakeAttempt> change) {
+    return respond(
         () -> {
           FakeAttempt attempt = attempts.get(key(task, token));
           if (attempt == null || !attempt.describe().running()) {
-            return Result.failed(ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
+            return Result.failed(
+                ErrorKind.NOT_FOUND, "no such running attempt: " + key(task, token));
           }
           change.accept(attempt);
           return Result.ok(attempt.describe());
@@ -180,7 +184,7 @@
   @Override
   public synchronized Result<WorkerTask> stop(String task, long token) {
     requireNonNull(task, "task");
-    return answer(
+    return respond(
         () -> {
           highestTokens.merge(task, token, Math::max);
           FakeAttempt attempt = attempts.get(key(task, token));
@@ -197,7 +201,7 @@
 
   @Override
   public synchronized Result<WorkerListing> list() {
-    return answer(
+    return respond(
         () ->
             Result.ok(
                 new WorkerListing(
@@ -207,19 +211,19 @@
 
   @Override
   public synchronized Result<List<UsageSample>> usage() {
-    return answer(
+    return respond(
         () -> {
           long now = clock.millis();
-          samples.removeIf(sample -> sample.toldFrom() + SAMPLE_TOLD_MILLIS < now);
+          samples.removeIf(sample -> sample.reportedFromMillis() + SAMPLE_RETENTION_MILLIS < now);
           return Result.ok(
               samples.stream()
-                  .filter(sample -> sample.toldFrom() <= now)
-                  .map(LateSample::sample)
+                  .filter(sample -> sample.reportedFromMillis() <= now)
+                  .map(DelayedSample::sample)
                   .toList());
         });
   }
 
-  private <T> Result<T> answer(Supplier<Result<T>> call) {
+  private <T> Result<T> respond(Supplier<Result<T>> call) {
     if (faults.down()) {
       return Result.failed(ErrorKind.TARGET_UNREACHABLE, "worker is down");
     }
@@ -237,13 +241,15 @@
     long now = clock.millis();
     double totalSlowdown = faults.slowdown();
     for (FakeAttempt attempt : attempts.values()) {
-      totalSlowdown *= attempt.describe().running() ? attempt.noise() : 1;
+      totalSlowdown *= attempt.describe().running() ? attempt.slowdownOfOthers() : 1;
     }
     for (FakeAttempt attempt : attempts.values()) {
-      double slowdown = totalSlowdown / attempt.noise();
+      double slowdown = totalSlowdown / attempt.slowdownOfOthers();
       attempt.advance(now, slowdown);
-      if (attempt.describe().running() && now - attempt.measuredMillis() >= SAMPLE_MILLIS) {
-        samples.add(new LateSample(attempt.measure(now, slowdown), now + faults.usageLagMillis()));
+      if (attempt.describe().running()
+          && now - attempt.lastMeasuredMillis() >= SAMPLE_INTERVAL_MILLIS) {
+        samples.add(
+            new DelayedSample(attempt.measure(now, slowdown), now + faults.usageLagMillis()));
       }
     }
     return now;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInLogService.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInLogService.java
@@ -22,7 +22,8 @@
  *   <li>{@code POST /streams/NAME/records} appends the body and returns {@code {"offset": N}};
  *   <li>{@code GET /streams/NAME/records?from=N&max=N&waitMillis=N} reads; with {@code max=0} it
  *       returns only the first and next offset of the stream;
- *   <li>{@code POST /admin/faults} changes {@link LogFaults}, {@code GET /admin/faults} returns them;
+ *   <li>{@code POST /admin/faults} changes {@link LogFaults}, {@code GET /admin/faults} returns
+ *       them;
  *   <li>{@code GET /admin/counts} returns the counts of requests served.
  * </ul>
  *
@@ -35,11 +36,11 @@
 
   private record WirePage(List<WireRecord> records, long firstOffset, long nextOffset) {}
 
-  private static final String PATH_START = "/streams/";
-  private static final String PATH_END = "/records";
+  private static final String PATH_PREFIX = "/streams/";
+  private static final String PATH_SUFFIX = "/records";
   private static final int MAX_RECORD_BYTES = 1 << 20;
   private static final int MAX_THREADS = 256;
-  private static final int DEFAULT_PAGE = 100;
+  private static final int DEFAULT_PAGE_SIZE = 100;
 
   private final FakeLogService log;
   private final StandInServer server;
@@ -52,7 +53,7 @@
    */
   public StandInLogService(String host, int port) {
     this.log = new FakeLogService();
-    this.server = new StandInServer(host, port, MAX_THREADS, new Answers());
+    this.server = new StandInServer(host, port, MAX_THREADS, new LogHandler());
   }
 
   /** Starts listening and returns this. */
@@ -76,7 +77,7 @@
     server.close();
   }
 
-  private final class Answers extends Handler.Abstract {
+  private final class LogHandler extends Handler.Abstract {
     @Override
     public boolean handle(Request request, Response response, Callback callback)
         throws IOException {
@@ -85,16 +86,16 @@
         return faults(request, response, callback);
       }
       if (path.equals("/admin/counts")) {
-        return StandInServer.answer(response, callback, 200, log.counts());
+        return StandInServer.respond(response, callback, 200, log.counts());
       }
-      if (path.startsWith(PATH_START) && path.endsWith(PATH_END)) {
+      if (path.startsWith(PATH_PREFIX) && path.endsWith(PATH_SUFFIX)) {
         String stream =
-            path.substring(PATH_START.length(), Math.max(PATH_START.length(), path.length() - 8));
+            path.substring(PATH_PREFIX.length(), Math.max(PATH_PREFIX.length(), path.length() - 8));
         return request.getMethod().equals("POST")
             ? append(stream, request, response, callback)
             : read(stream, request, response, callback);
       }
-      return StandInServer.refuse(response, callback, 404, "no such path: " + path);
+      return StandInServer.respondError(response, callback, 404, "no such path: " + path);
     }
 
     private boolean faults(Request request, Response response, Callback callback) {
@@ -102,27 +103,27 @@
         try {
           log.setFaults(StandInServer.update(log.faults(), LogFaults.class, request));
         } catch (IOException e) {
-          return StandInServer.refuse(response, callback, 400, e.getMessage());
+          return StandInServer.respondError(response, callback, 400, e.getMessage());
         }
       }
-      return StandInServer.answer(response, callback, 200, log.faults());
+      return StandInServer.respond(response, callback, 200, log.faults());
     }
 
     private boolean append(String stream, Request request, Response response, Callback callback)
         throws IOException {
       ByteBuffer body = Content.Source.asByteBuffer(request);
       if (body.remaining() > MAX_RECORD_BYTES) {
-        return StandInServer.refuse(response, callback, 413, "record too large");
+        return StandInServer.respondError(response, callback, 413, "record too large");
       }
       byte[] record = new byte[body.remaining()];
       body.get(record);
       Result<Long> result = log.append(stream, record);
       if (result instanceof Result.Failed<Long> failed) {
         return failed.failure().kind() == ErrorKind.LOG_OUTCOME_UNKNOWN
-            ? StandInServer.cut(request, callback)
-            : StandInServer.refuse(response, callback, 503, failed.failure().detail());
+            ? StandInServer.closeConnection(request, callback)
+            : StandInServer.respondError(response, callback, 503, failed.failure().detail());
       }
-      return StandInServer.answer(
+      return StandInServer.respond(
           response,
           callback,
           200,
@@ -136,16 +137,17 @@
       long wait;
       try {
         from = Long.parseLong(query.getValue("from"));
-        max = query.get("max") == null ? DEFAULT_PAGE : Integer.parseInt(query.getValue("max"));
+        max =
+            query.get("max") == null ? DEFAULT_PAGE_SIZE : Integer.parseInt(query.getValue("max"));
         wait = query.get("waitMillis") == null ? 0 : Long.parseLong(query.getValue("waitMillis"));
       } catch (NumberFormatException e) {
-        return StandInServer.refuse(response, callback, 400, "bad query: " + e.getMessage());
+        return StandInServer.respondError(response, callback, 400, "bad query: " + e.getMessage());
       }
       Result<LogPage> result = log.read(stream, from, Math.max(0, max), wait);
       if (result instanceof Result.Failed<LogPage> failed) {
-        return StandInServer.refuse(response, callback, 503, failed.failure().detail());
+        return StandInServer.respondError(response, callback, 503, failed.failure().detail());
       }
-      return StandInServer.answer(response, callback, 200, wire(result.value()));
+      return StandInServer.respond(response, callback, 200, wire(result.value()));
     }
 
     private WirePage wire(LogPage page) {
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInServer.java
@@ -22,7 +22,7 @@
 /** The HTTP server of a stand-in, with helpers for JSON responses. */
 final class StandInServer implements AutoCloseable {
   static final ObjectMapper JSON = new ObjectMapper();
-  private static final int LEAST_THREADS = 8;
+  private static final int MIN_THREADS = 8;
 
   private final Server server;
   private final ServerConnector connector;
@@ -30,7 +30,7 @@
 
   StandInServer(String host, int port, int maxThreads, Handler handler) {
     this.host = host;
-    QueuedThreadPool threads = new QueuedThreadPool(maxThreads, LEAST_THREADS);
+    QueuedThreadPool threads = new QueuedThreadPool(maxThreads, MIN_THREADS);
     threads.setDaemon(true);
     this.server = new Server(threads);
     HttpConfiguration http = new HttpConfiguration();
@@ -68,7 +68,7 @@
   }
 
   /** Responds with a value as JSON. */
-  static boolean answer(Response response, Callback callback, int status, Object value) {
+  static boolean respond(Response response, Callback callback, int status, Object value) {
     byte[] bytes;
     try {
       bytes = JSON.writeValueAsBytes(value);
@@ -82,12 +82,12 @@
   }
 
   /** Responds with an error status and a {@code detail} message. */
-  static boolean refuse(Response response, Callback callback, int status, String detail) {
-    return answer(response, callback, status, JSON.createObjectNode().put("detail", detail));
+  static boolean respondError(Response response, Callback callback, int status, String detail) {
+    return respond(response, callback, status, JSON.createObjectNode().put("detail", detail));
   }
 
   /** Closes the connection without a response. */
-  static boolean cut(Request request, Callback callback) {
+  static boolean closeConnection(Request request, Callback callback) {
     request.getConnectionMetaData().getConnection().getEndPoint().close();
     callback.failed(new EofException("connection closed by an injected fault"));
     return true;
@@ -102,8 +102,10 @@
     return update(value, type, Content.Source.asString(request, StandardCharsets.UTF_8));
   }
 
-  /** Returns a copy of the value with the fields in the given body replaced; see {@link
-   * #update(Object, Class, Request)}. */
+  /**
+   * Returns a copy of the value with the fields in the given body replaced; see {@link
+   * #update(Object, Class, Request)}.
+   */
   static <T> T update(T value, Class<T> type, String body) throws IOException {
     JsonNode current = JSON.valueToTree(value);
     JsonNode merged = JSON.readerForUpdating(current).readValue(body);
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInTarget.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInTarget.java
@@ -23,8 +23,8 @@
  * A target over HTTP that echoes each request's body and records every run.
  *
  * <p>It runs up to one request per slot and queues the others. {@code POST /admin/faults} changes
- * {@link TargetFaults} and {@code GET /admin/record} returns all runs; every other path is a request
- * to the target. The query parameter {@code serviceMillis} or the header {@code
+ * {@link TargetFaults} and {@code GET /admin/record} returns all runs; every other path is a
+ * request to the target. The query parameter {@code serviceMillis} or the header {@code
  * Stand-In-Service-Millis} sets the service time of a request, {@code status} its response status.
  */
 public final class StandInTarget implements AutoCloseable {
@@ -33,12 +33,12 @@
 
   private static final String SERVICE_TIME_HEADER = "Stand-In-Service-Millis";
   private static final int MAX_THREADS = 64;
-  private static final int MAX_RUNS_KEPT = 200_000;
+  private static final int MAX_RECORDED_RUNS = 200_000;
 
   private final String name;
   private final int slots;
   private final StandInServer server;
-  private final TargetRecord record = new TargetRecord(MAX_RUNS_KEPT);
+  private final TargetRecord record = new TargetRecord(MAX_RECORDED_RUNS);
   private final ScheduledExecutorService timer;
   private final Queue<Runnable> waiting = new ArrayDeque<>();
   private int inFlight;
@@ -56,7 +56,7 @@
   public StandInTarget(String name, String host, int port, int slots, int connections) {
     this.name = requireNonNull(name, "name");
     this.slots = slots;
-    this.server = new StandInServer(host, port, MAX_THREADS, new Answers());
+    this.server = new StandInServer(host, port, MAX_THREADS, new TargetHandler());
     server.server().addBean(new NetworkConnectionLimit(connections, server.server()));
     this.timer =
         Executors.newSingleThreadScheduledExecutor(
@@ -94,7 +94,7 @@
     timer.shutdownNow();
   }
 
-  private void takeSlot(Runnable run) {
+  private void acquireSlot(Runnable run) {
     synchronized (waiting) {
       if (inFlight == slots) {
         waiting.add(run);
@@ -105,7 +105,7 @@
     run.run();
   }
 
-  private void freeSlot() {
+  private void releaseSlot() {
     Runnable next;
     synchronized (waiting) {
       next = waiting.poll();
@@ -118,15 +118,15 @@
     }
   }
 
-  private final class Answers extends Handler.Abstract {
+  private final class TargetHandler extends Handler.Abstract {
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
       String path = Request.getPathInContext(request);
       if (path.equals("/admin/faults")) {
-        return changeFaults(request, response, callback);
+        return handleFaults(request, response, callback);
       }
       if (path.equals("/admin/record")) {
-        return StandInServer.answer(response, callback, 200, record.contents());
+        return StandInServer.respond(response, callback, 200, record.contents());
       }
       long serviceMillis;
       int status;
@@ -134,20 +134,20 @@
         serviceMillis = serviceMillis(request);
         status = status(request);
       } catch (NumberFormatException e) {
-        return StandInServer.refuse(response, callback, 400, "bad number: " + e.getMessage());
+        return StandInServer.respondError(response, callback, 400, "bad number: " + e.getMessage());
       }
-      takeSlot(() -> run(request, response, callback, serviceMillis, status));
+      acquireSlot(() -> run(request, response, callback, serviceMillis, status));
       return true;
     }
 
-    private boolean changeFaults(Request request, Response response, Callback callback) {
+    private boolean handleFaults(Request request, Response response, Callback callback) {
       try {
         if (request.getMethod().equals("POST")) {
           faults = StandInServer.update(faults, TargetFaults.class, request);
         }
-        return StandInServer.answer(response, callback, 200, faults);
+        return StandInServer.respond(response, callback, 200, faults);
       } catch (IOException e) {
-        return StandInServer.refuse(response, callback, 400, e.getMessage());
+        return StandInServer.respondError(response, callback, 400, e.getMessage());
       }
     }
 
@@ -171,11 +171,11 @@
 
     private void run(
         Request request, Response response, Callback callback, long serviceMillis, int status) {
-      int index = record.started(describe(request));
+      int index = record.recordStart(describe(request));
       Runnable end =
           () -> {
-            record.ended(index, System.currentTimeMillis());
-            freeSlot();
+            record.recordEnd(index, System.currentTimeMillis());
+            releaseSlot();
             if (!faults.silent()) {
               echo(request, response, callback, status);
             }
@@ -212,7 +212,8 @@
       }
       if (faults.truncate()) {
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, Math.max(1, request.getLength()) + 1L);
-        Callback closeAfterWrite = Callback.from(() -> StandInServer.cut(request, callback), callback::failed);
+        Callback closeAfterWrite =
+            Callback.from(() -> StandInServer.closeConnection(request, callback), callback::failed);
         response.write(false, ByteBuffer.wrap(new byte[1]), closeAfterWrite);
         return;
       }
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInWorker.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandInWorker.java
@@ -48,7 +48,7 @@
     WallClock monotonicClock =
         () -> originMillis + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - originNanos);
     this.worker = new FakeWorker(name, capacity, monotonicClock);
-    this.server = new StandInServer(host, port, MAX_THREADS, new Answers());
+    this.server = new StandInServer(host, port, MAX_THREADS, new WorkerHandler());
   }
 
   /** Starts listening and returns this. */
@@ -72,7 +72,7 @@
     server.close();
   }
 
-  private final class Answers extends Handler.Abstract {
+  private final class WorkerHandler extends Handler.Abstract {
     @Override
     public boolean handle(Request request, Response response, Callback callback)
         throws IOException {
@@ -80,15 +80,15 @@
       String body = Content.Source.asString(request, StandardCharsets.UTF_8);
       try {
         if (path.startsWith("/admin/")) {
-          return StandInServer.answer(response, callback, 200, administer(path, body));
+          return StandInServer.respond(response, callback, 200, handleAdmin(path, body));
         }
-        return answer(act(path, body), request, response, callback);
+        return respond(dispatch(path, body), request, response, callback);
       } catch (IOException | IllegalArgumentException e) {
-        return StandInServer.refuse(response, callback, 400, String.valueOf(e.getMessage()));
+        return StandInServer.respondError(response, callback, 400, String.valueOf(e.getMessage()));
       }
     }
 
-    private Object administer(String path, String body) throws IOException {
+    private Object handleAdmin(String path, String body) throws IOException {
       return switch (path) {
         case "/admin/faults" -> {
           if (!body.isEmpty()) {
@@ -100,22 +100,22 @@
           worker.reboot();
           yield worker.boot();
         }
-        case "/admin/record" -> new Contents(worker.runs(), worker.askedOverCapacity());
+        case "/admin/record" -> new Contents(worker.runs(), worker.rejectedOverCapacity());
         default -> throw new IllegalArgumentException("no such path: " + path);
       };
     }
 
-    private Result<?> act(String path, String body) throws IOException {
+    private Result<?> dispatch(String path, String body) throws IOException {
       return switch (path) {
         case "/boot" -> worker.boot();
         case "/tasks" -> worker.list();
         case "/usage" -> worker.usage();
         case "/tasks/start" -> worker.start(StandInServer.JSON.readValue(body, WorkerStart.class));
-        default -> actOnTask(path, StandInServer.JSON.readTree(body));
+        default -> dispatchToTask(path, StandInServer.JSON.readTree(body));
       };
     }
 
-    private Result<?> actOnTask(String path, JsonNode body) {
+    private Result<?> dispatchToTask(String path, JsonNode body) {
       String task = body.required("task").asText();
       long token = body.required("token").asLong();
       return switch (path) {
@@ -128,17 +128,18 @@
       };
     }
 
-    private boolean answer(
+    private boolean respond(
         Result<?> result, Request request, Response response, Callback callback) {
       if (!(result instanceof Result.Failed<?> failed)) {
-        return StandInServer.answer(response, callback, 200, result.value());
+        return StandInServer.respond(response, callback, 200, result.value());
       }
       Failure failure = failed.failure();
       return switch (failure.kind()) {
-        case OUTCOME_UNKNOWN -> StandInServer.cut(request, callback);
-        case TARGET_UNREACHABLE -> StandInServer.refuse(response, callback, 503, failure.detail());
+        case OUTCOME_UNKNOWN -> StandInServer.closeConnection(request, callback);
+        case TARGET_UNREACHABLE ->
+            StandInServer.respondError(response, callback, 503, failure.detail());
         default ->
-            StandInServer.answer(
+            StandInServer.respond(
                 response,
                 callback,
                 failure.kind().httpStatus(),
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandIns.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/StandIns.java
@@ -22,19 +22,19 @@
   private static final long GIBIBYTE = 1L << 30;
 
   @Command(name = "log", mixinStandardHelpOptions = true, description = "The log service.")
-  private static final class Log implements Callable<Integer> {
+  private static final class LogCommand implements Callable<Integer> {
     @Option(names = "--listen", required = true, description = "host:port, port 0 for a free one")
     private String listen;
 
     @Override
     public Integer call() throws InterruptedException {
       HostAndPort at = HostAndPort.fromString(listen);
-      return serve(new StandInLogService(at.getHost(), at.getPort()).start().address());
+      return announceAndBlock(new StandInLogService(at.getHost(), at.getPort()).start().address());
     }
   }
 
   @Command(name = "target", mixinStandardHelpOptions = true, description = "A target.")
-  private static final class Target implements Callable<Integer> {
+  private static final class TargetCommand implements Callable<Integer> {
     @Option(names = "--listen", required = true, description = "host:port, port 0 for a free one")
     private String listen;
 
@@ -44,10 +44,16 @@
     @Option(names = "--slots", defaultValue = "8", description = "concurrent requests")
     private int slots;
 
-    @Option(names = "--connections", defaultValue = "64", description = "maximum number of connections")
+    @Option(
+        names = "--connections",
+        defaultValue = "64",
+        description = "maximum number of connections")
     private int connections;
 
-    @Option(names = "--service-millis", defaultValue = "0", description = "default service time, in milliseconds")
+    @Option(
+        names = "--service-millis",
+        defaultValue = "0",
+        description = "default service time, in milliseconds")
     private long serviceMillis;
 
     @Override
@@ -56,19 +62,22 @@
       StandInTarget target =
           new StandInTarget(name, at.getHost(), at.getPort(), slots, connections);
       target.setFaults(TargetFaults.ofServiceMillis(serviceMillis));
-      return serve(target.start().address());
+      return announceAndBlock(target.start().address());
     }
   }
 
   @Command(name = "worker", mixinStandardHelpOptions = true, description = "A worker.")
-  private static final class OneWorker implements Callable<Integer> {
+  private static final class WorkerCommand implements Callable<Integer> {
     @Option(names = "--listen", required = true, description = "host:port, port 0 for a free one")
     private String listen;
 
     @Option(names = "--name", defaultValue = "worker", description = "name in its record")
     private String name;
 
-    @Option(names = "--milli-processors", defaultValue = "16000", description = "capacity in thousandths of a processor")
+    @Option(
+        names = "--milli-processors",
+        defaultValue = "16000",
+        description = "capacity in thousandths of a processor")
     private long milliProcessors;
 
     @Option(names = "--memory-gibibytes", defaultValue = "60", description = "memory in GiB")
@@ -81,7 +90,8 @@
     public Integer call() throws InterruptedException {
       HostAndPort at = HostAndPort.fromString(listen);
       Sizes capacity = new Sizes(milliProcessors, memoryGibibytes * GIBIBYTE, accelerators);
-      return serve(new StandInWorker(name, at.getHost(), at.getPort(), capacity).start().address());
+      return announceAndBlock(
+          new StandInWorker(name, at.getHost(), at.getPort(), capacity).start().address());
     }
   }
 
@@ -91,13 +101,13 @@
   public static void main(String[] arguments) {
     CommandLine command =
         new CommandLine(new StandIns())
-            .addSubcommand(new Log())
-            .addSubcommand(new Target())
-            .addSubcommand(new OneWorker());
+            .addSubcommand(new LogCommand())
+            .addSubcommand(new TargetCommand())
+            .addSubcommand(new WorkerCommand());
     System.exit(command.execute(arguments));
   }
 
-  private static int serve(String address) throws InterruptedException {
+  private static int announceAndBlock(String address) throws InterruptedException {
     System.out.println("listening " + address);
     new CountDownLatch(1).await();
     return 0;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/TargetRecord.java
@@ -23,9 +23,11 @@
     this.capacity = capacity;
   }
 
-  /** Records the start of a run and returns its index for {@link #ended}, or -1 if the record is
-   * full. */
-  synchronized int started(TargetRun run) {
+  /**
+   * Records the start of a run and returns its index for {@link #recordEnd}, or -1 if the record is
+   * full.
+   */
+  synchronized int recordStart(TargetRun run) {
     running++;
     mostAtOnce = Math.max(mostAtOnce, running);
     if (runs.size() == capacity) {
@@ -36,7 +38,7 @@
     return runs.size() - 1;
   }
 
-  synchronized void ended(int index, long atMillis) {
+  synchronized void recordEnd(int index, long atMillis) {
     running--;
     if (index < 0 || index >= runs.size()) {
       return;
--- a/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerFaults.java
+++ b/marigoldsail-testlib/src/main/java/io/marigoldsail/testlib/platform/WorkerFaults.java
@@ -12,11 +12,11 @@
 public record WorkerFaults(
     boolean down, boolean failEverything, int loseAnswers, long usageLagMillis, double slowdown) {
 
-  private static final long USUAL_LAG_MILLIS = 2_000;
+  private static final long DEFAULT_USAGE_LAG_MILLIS = 2_000;
 
   /** Returns a healthy worker whose usage samples are reported after two seconds. */
   public static WorkerFaults none() {
-    return new WorkerFaults(false, false, 0, USUAL_LAG_MILLIS, 1);
+    return new WorkerFaults(false, false, 0, DEFAULT_USAGE_LAG_MILLIS, 1);
   }
 
   /** Returns these faults with the worker down or up. */
--- a/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/MeasureTest.java
+++ b/marigoldsail-testlib/src/test/java/io/marigoldsail/testlib/measure/MeasureTest.java
@@ -18,7 +18,8 @@
     return bytes.toString(StandardCharsets.UTF_8);
   }
 
-  // Guards against hash iteration order or wall-clock time in the model or the decisions, which would
+  // Guards against hash iteration order or wall-clock time in the model or the decisions, which
+  // would
   // make results of different runs incomparable.
   @Test
   void printsTheSameBytesForTheSameSeed() {
--- a/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/FreePorts.java
+++ b/marigoldsail-tests/src/test/java/io/marigoldsail/tests/scenario/FreePorts.java
@@ -7,8 +7,8 @@
 /**
  * Allocates free ports for processes started by tests.
  *
- * <p>Uses ports below the ephemeral range: an ephemeral port that is free when chosen can be taken by
- * an outgoing connection before the process listens on it.
+ * <p>Uses ports below the ephemeral range: an ephemeral port that is free when chosen can be taken
+ * by an outgoing connection before the process listens on it.
  */
 public final class FreePorts {
   private static final int FIRST = 10_000;
